--- a/crates/benchlink/src/desk.rs
+++ b/crates/benchlink/src/desk.rs
@@ -2,7 +2,7 @@
 
 use chalkwalk_house::fields::{Object, Read, flag, list, object, size, text, text_or, whole, whole_or};
 use chalkwalk_house::{self as house, House};
-use chalkwalk_policy::{Cache, Carrier, Ending, Entry, Lkp, Router, Standing, Tenths};
+use chalkwalk_policy::{Cache, Carrier, Ending, Entry, RequestId, Router, Standing, Tenths};
 use serde_json::{Value, json};
 use std::collections::HashMap;
 
@@ -31,32 +31,32 @@
     router: Router,
     caches: Door,
     zones: Door,
-    lookups: HashMap<u64, Lkp>,
-    requests: HashMap<Lkp, u64>,
+    request_ids: HashMap<u64, RequestId>,
+    wire_ids: HashMap<RequestId, u64>,
 }
 
 /// Writes what the router wants done as actions of the wire.
 struct Pen<'a> {
     caches: &'a Door,
-    requests: &'a HashMap<Lkp, u64>,
+    wire_ids: &'a HashMap<RequestId, u64>,
     actions: &'a mut Vec<Value>,
 }
 
 impl Carrier for Pen<'_> {
-    fn shoot(&mut self, lkp: Lkp, cache: Cache, until: Tenths, _by: Tenths) {
-        let (req, node) = (self.requests[&lkp], &self.caches.names[cache]);
+    fn shoot(&mut self, request_id: RequestId, cache: Cache, until: Tenths, _by: Tenths) {
+        let (req, node) = (self.wire_ids[&request_id], &self.caches.names[cache]);
         self.actions
             .push(json!({"kind": "ROUTE", "req": req, "node": node, "notPastNs": until * NS_PER_TENTH}));
     }
-    fn withdraw(&mut self, lkp: Lkp, shot: usize) {
-        self.actions.push(json!({"kind": "ABORT_ATTEMPT", "req": self.requests[&lkp], "trial": shot}));
+    fn withdraw(&mut self, request_id: RequestId, shot: usize) {
+        self.actions.push(json!({"kind": "ABORT_ATTEMPT", "req": self.wire_ids[&request_id], "trial": shot}));
     }
-    fn defer(&mut self, lkp: Lkp, back_in: Tenths) {
-        let (req, wait) = (self.requests[&lkp], back_in * NS_PER_TENTH);
+    fn defer(&mut self, request_id: RequestId, back_in: Tenths) {
+        let (req, wait) = (self.wire_ids[&request_id], back_in * NS_PER_TENTH);
         self.actions.push(json!({"kind": "OVERLOAD_REPLY", "req": req, "retryInNs": wait}));
     }
-    fn abandon(&mut self, lkp: Lkp) {
-        self.actions.push(json!({"kind": "RESPOND_ERROR", "req": self.requests[&lkp]}));
+    fn abandon(&mut self, request_id: RequestId) {
+        self.actions.push(json!({"kind": "RESPOND_ERROR", "req": self.wire_ids[&request_id]}));
     }
     fn probe(&mut self, cache: Cache) {
         self.actions.push(json!({"kind": "POLL", "node": self.caches.names[cache]}));
@@ -127,14 +127,14 @@
             zones.index_of(z);
         });
         let caches = Door::default();
-        let pen = &mut Pen { caches: &caches, requests: &HashMap::new(), actions };
+        let pen = &mut Pen { caches: &caches, wire_ids: &HashMap::new(), actions };
         Ok(Desk {
             router: Router::new(seed, &house.rules, pen),
             house,
             caches,
             zones,
-            lookups: HashMap::new(),
-            requests: HashMap::new(),
+            request_ids: HashMap::new(),
+            wire_ids: HashMap::new(),
         })
     }
 
@@ -153,10 +153,10 @@
             _ => {}
         }
         // What the router may still be told about, before the pen borrows the door.
-        let lkp = match kind {
+        let request_id = match kind {
             "CANCELLED_BY_CLIENT" | "DONE" | "ACCEPTED" => {
                 let req = whole(event, "req")?;
-                self.lookups.get(&req).map(|lkp| (req, *lkp))
+                self.request_ids.get(&req).map(|request_id| (req, *request_id))
             }
             _ => None,
         };
@@ -164,7 +164,7 @@
             "DONE" | "ACCEPTED" | "HEALTH_RESULT" => Some(text(event, "node")?),
             _ => None,
         };
-        let pen = &mut Pen { caches: &self.caches, requests: &self.requests, actions };
+        let pen = &mut Pen { caches: &self.caches, wire_ids: &self.wire_ids, actions };
         let router = &mut self.router;
         match kind {
             "DONE" => {
@@ -176,19 +176,19 @@
                     (reason, _) => reason,
                 };
                 let finished = flag(event, "finished")?;
-                if let Some((_, lkp)) = lkp {
-                    lkp.shot_ended(router, shot as usize, how, took, finished, pen);
+                if let Some((_, request_id)) = request_id {
+                    request_id.shot_ended(router, shot as usize, how, took, finished, pen);
                 }
             }
             "ACCEPTED" => {
                 let shot = whole(event, "trial")?;
-                if let Some((_, lkp)) = lkp {
-                    lkp.answer_begun(router, shot as usize, pen);
+                if let Some((_, request_id)) = request_id {
+                    request_id.answer_begun(router, shot as usize, pen);
                 }
             }
             "CANCELLED_BY_CLIENT" => {
-                if let Some((_, lkp)) = lkp {
-                    lkp.client_left(router, pen);
+                if let Some((_, request_id)) = request_id {
+                    request_id.client_left(router, pen);
                 }
             }
             "WAKEUP" => router.woken(whole(event, "name")?, pen),
@@ -205,20 +205,22 @@
             other => return Err(format!("field kind: expected an event of the wire, got \"{other}\"")),
         }
         if kind == "WAKEUP" {
-            // A wake may end any lookup, not only its own.
+            // A wake may end any request, not only its own.
             self.sweep();
-        } else if let Some((req, lkp)) = lkp.filter(|(_, lkp)| !lkp.known(&self.router)) {
-            self.lookups.remove(&req);
-            self.requests.remove(&lkp);
+        } else if let Some((req, request_id)) =
+            request_id.filter(|(_, request_id)| !request_id.known(&self.router))
+        {
+            self.request_ids.remove(&req);
+            self.wire_ids.remove(&request_id);
         }
         Ok(())
     }
 
     /// Drops ids that the router is done with, now and then, so that a long day stays small.
     fn sweep(&mut self) {
-        if self.requests.len() > 2 * self.router.open() + 1000 {
-            self.requests.retain(|lkp, _| lkp.known(&self.router));
-            self.lookups.retain(|_, lkp| lkp.known(&self.router));
+        if self.wire_ids.len() > 2 * self.router.open() + 1000 {
+            self.wire_ids.retain(|request_id, _| request_id.known(&self.router));
+            self.request_ids.retain(|_, request_id| request_id.known(&self.router));
         }
     }
 
@@ -233,11 +235,11 @@
         let expires = whole(event, "expiresNs")? / NS_PER_TENTH;
         flag(event, "retry")?;
         let write = flag(event, "isWrite")?;
-        let lkp = self.router.take(ns, key, write, expires);
-        self.lookups.insert(req, lkp);
-        self.requests.insert(lkp, req);
-        let mut pen = Pen { caches: &self.caches, requests: &self.requests, actions };
-        lkp.route(&mut self.router, &mut pen);
+        let request_id = self.router.take(ns, key, write, expires);
+        self.request_ids.insert(req, request_id);
+        self.wire_ids.insert(request_id, req);
+        let mut pen = Pen { caches: &self.caches, wire_ids: &self.wire_ids, actions };
+        request_id.route(&mut self.router, &mut pen);
         Ok(())
     }
 
@@ -265,7 +267,7 @@
                 });
             }
         }
-        let pen = &mut Pen { caches: &self.caches, requests: &self.requests, actions };
+        let pen = &mut Pen { caches: &self.caches, wire_ids: &self.wire_ids, actions };
         match scope {
             "Partial" => self.router.list_changes(&entries, pen),
             "Complete" | "Persisted" => self.router.list_whole(&entries, pen),
--- a/crates/capture/src/record.rs
+++ b/crates/capture/src/record.rs
@@ -39,7 +39,7 @@
         order: Option<Vec<Cache>>,
     },
     Ended {
-        lkp: u64,
+        request_id: u64,
         shot: usize,
         ending: u8,
         took: Tenths,
@@ -60,7 +60,7 @@
     Left(u64),
     Limits(BTreeMap<String, String>),
     Renewed {
-        lkp: u64,
+        request_id: u64,
         ns: usize,
         expires: Tenths,
     },
@@ -79,7 +79,7 @@
     },
     /// A shot's answer has begun, and is the client's.
     Begun {
-        lkp: u64,
+        request_id: u64,
         shot: usize,
     },
     /// A call to discovery failed after so long.
@@ -92,17 +92,17 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Done {
     Shoot {
-        lkp: u64,
+        request_id: u64,
         cache: Cache,
         until: Tenths,
         by: Tenths,
     },
     Withdraw {
-        lkp: u64,
+        request_id: u64,
         shot: usize,
     },
     Defer {
-        lkp: u64,
+        request_id: u64,
         back_in: Tenths,
     },
     Abandon(u64),
@@ -121,25 +121,25 @@
 }
 
 impl Told {
-    /// The lookup that it is about.
-    pub fn lkp(&self) -> Option<u64> {
+    /// The request that it is about.
+    pub fn request_id(&self) -> Option<u64> {
         match self {
-            Told::Ended { lkp, .. }
-            | Told::Begun { lkp, .. }
-            | Told::Left(lkp)
-            | Told::Renewed { lkp, .. } => Some(*lkp),
+            Told::Ended { request_id, .. }
+            | Told::Begun { request_id, .. }
+            | Told::Left(request_id)
+            | Told::Renewed { request_id, .. } => Some(*request_id),
             _ => None,
         }
     }
 }
 
 impl Done {
-    pub fn lkp(&self) -> Option<u64> {
+    pub fn request_id(&self) -> Option<u64> {
         match self {
-            Done::Shoot { lkp, .. }
-            | Done::Withdraw { lkp, .. }
-            | Done::Defer { lkp, .. }
-            | Done::Abandon(lkp) => Some(*lkp),
+            Done::Shoot { request_id, .. }
+            | Done::Withdraw { request_id, .. }
+            | Done::Defer { request_id, .. }
+            | Done::Abandon(request_id) => Some(*request_id),
             _ => None,
         }
     }
--- a/crates/capture/src/replay.rs
+++ b/crates/capture/src/replay.rs
@@ -3,24 +3,24 @@
 use crate::record::{Block, Call, Done, Item, Line, Told, ending};
 use std::collections::BTreeMap;
 
-use chalkwalk_policy::{Cache, Carrier, Lkp, Router, State, Tenths};
+use chalkwalk_policy::{Cache, Carrier, RequestId, Router, State, Tenths};
 
 /// Notes what the module wants.
 #[derive(Default)]
 struct Notes(Vec<Done>);
 
 impl Carrier for Notes {
-    fn shoot(&mut self, lkp: Lkp, cache: Cache, until: Tenths, by: Tenths) {
-        self.0.push(Done::Shoot { lkp: lkp.0, cache, until, by });
+    fn shoot(&mut self, request_id: RequestId, cache: Cache, until: Tenths, by: Tenths) {
+        self.0.push(Done::Shoot { request_id: request_id.0, cache, until, by });
     }
-    fn withdraw(&mut self, lkp: Lkp, shot: usize) {
-        self.0.push(Done::Withdraw { lkp: lkp.0, shot });
+    fn withdraw(&mut self, request_id: RequestId, shot: usize) {
+        self.0.push(Done::Withdraw { request_id: request_id.0, shot });
     }
-    fn defer(&mut self, lkp: Lkp, back_in: Tenths) {
-        self.0.push(Done::Defer { lkp: lkp.0, back_in });
+    fn defer(&mut self, request_id: RequestId, back_in: Tenths) {
+        self.0.push(Done::Defer { request_id: request_id.0, back_in });
     }
-    fn abandon(&mut self, lkp: Lkp) {
-        self.0.push(Done::Abandon(lkp.0));
+    fn abandon(&mut self, request_id: RequestId) {
+        self.0.push(Done::Abandon(request_id.0));
     }
     fn probe(&mut self, cache: Cache) {
         self.0.push(Done::Probe(cache));
@@ -213,18 +213,18 @@
             if *ns >= router.classes() {
                 return None;
             }
-            let lkp = router.take_at(*ns, *point, *write, *expires);
+            let request_id = router.take_at(*ns, *point, *write, *expires);
             if let Some(order) = order {
-                lkp.ordered(router, order.clone());
+                request_id.ordered(router, order.clone());
             }
-            lkp.route(router, out);
+            request_id.route(router, out);
         }
-        Told::Ended { lkp, shot, ending: number, took, finished, order } => {
-            let lkp = Lkp(*lkp);
+        Told::Ended { request_id, shot, ending: number, took, finished, order } => {
+            let request_id = RequestId(*request_id);
             if let Some(order) = order {
-                lkp.ordered(router, order.clone());
+                request_id.ordered(router, order.clone());
             }
-            lkp.shot_ended(router, *shot, ending(*number)?, *took, *finished, out);
+            request_id.shot_ended(router, *shot, ending(*number)?, *took, *finished, out);
         }
         Told::Woken(token) => router.woken(*token, out),
         Told::Probed { cache, answered } => router.probed(*cache, *answered, out),
@@ -237,17 +237,17 @@
         }
         Told::Lost => router.discovery_call_failed(0, out),
         Told::CallFailed { took } => router.discovery_call_failed(*took, out),
-        Told::Left(lkp) => Lkp(*lkp).client_left(router, out),
+        Told::Left(request_id) => RequestId(*request_id).client_left(router, out),
         Told::Limits(house) => router.limits(house),
-        Told::Renewed { lkp, ns, expires } => {
+        Told::Renewed { request_id, ns, expires } => {
             if *ns >= router.classes() {
                 return None;
             }
-            Lkp(*lkp).renewed(router, *ns, *expires, out);
+            RequestId(*request_id).renewed(router, *ns, *expires, out);
         }
         Told::SharedBy(proxies) => router.shared_by(*proxies),
         Told::Barred { id, out: barred, at } => router.bar(id, *barred, *at),
-        Told::Begun { lkp, shot } => Lkp(*lkp).answer_begun(router, *shot, out),
+        Told::Begun { request_id, shot } => RequestId(*request_id).answer_begun(router, *shot, out),
     }
     Some(())
 }
--- a/crates/capture/src/tape.rs
+++ b/crates/capture/src/tape.rs
@@ -83,7 +83,7 @@
     pub fn ended(
         &mut self,
         now: Tenths,
-        lkp: u64,
+        request_id: u64,
         shot: usize,
         ending: Ending,
         took: Tenths,
@@ -91,7 +91,7 @@
         order: Option<&[usize]>,
     ) {
         let order = order.map(<[usize]>::to_vec);
-        self.told(now, Told::Ended { lkp, shot, ending: number_of(ending), took, finished, order });
+        self.told(now, Told::Ended { request_id, shot, ending: number_of(ending), took, finished, order });
     }
 
     pub fn listed(&mut self, now: Tenths, whole: bool, entries: &[Entry]) {
--- a/crates/capture/tests/replay.rs
+++ b/crates/capture/tests/replay.rs
@@ -1,7 +1,7 @@
 //! A day of random troubles played to the module, captured, cut at any point, and replayed.
 
 use chalkwalk_capture::{Done, Item, Read, Tape, Told, cut, framed, read, replay};
-use chalkwalk_policy::{Cache, Carrier, Ending, Entry, Lkp, Router, Standing, Tenths};
+use chalkwalk_policy::{Cache, Carrier, Ending, Entry, RequestId, Router, Standing, Tenths};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::cell::RefCell;
@@ -14,26 +14,26 @@
 struct Outside {
     tape: Tape,
     now: Tenths,
-    shots: Vec<(Lkp, usize, Tenths)>,
+    shots: Vec<(RequestId, usize, Tenths)>,
     of: BTreeMap<u64, usize>,
     wakes: Vec<(Tenths, u64)>,
 }
 
 impl Carrier for Outside {
-    fn shoot(&mut self, lkp: Lkp, cache: Cache, until: Tenths, by: Tenths) {
-        self.tape.done(Done::Shoot { lkp: lkp.0, cache, until, by });
-        let nth = self.of.entry(lkp.0).or_default();
-        self.shots.push((lkp, *nth, self.now));
+    fn shoot(&mut self, request_id: RequestId, cache: Cache, until: Tenths, by: Tenths) {
+        self.tape.done(Done::Shoot { request_id: request_id.0, cache, until, by });
+        let nth = self.of.entry(request_id.0).or_default();
+        self.shots.push((request_id, *nth, self.now));
         *nth += 1;
     }
-    fn withdraw(&mut self, lkp: Lkp, shot: usize) {
-        self.tape.done(Done::Withdraw { lkp: lkp.0, shot });
+    fn withdraw(&mut self, request_id: RequestId, shot: usize) {
+        self.tape.done(Done::Withdraw { request_id: request_id.0, shot });
     }
-    fn defer(&mut self, lkp: Lkp, back_in: Tenths) {
-        self.tape.done(Done::Defer { lkp: lkp.0, back_in });
+    fn defer(&mut self, request_id: RequestId, back_in: Tenths) {
+        self.tape.done(Done::Defer { request_id: request_id.0, back_in });
     }
-    fn abandon(&mut self, lkp: Lkp) {
-        self.tape.done(Done::Abandon(lkp.0));
+    fn abandon(&mut self, request_id: RequestId) {
+        self.tape.done(Done::Abandon(request_id.0));
     }
     fn probe(&mut self, cache: Cache) {
         self.tape.done(Done::Probe(cache));
@@ -152,23 +152,23 @@
                 let (ns, key, write) = (below(2) as usize, format!("k{}", below(60)), below(10) == 0);
                 let order = (below(9) == 0).then(|| vec![below(8) as usize, below(8) as usize]);
                 o.tape.take(now, ns, &key, write, now + 10_000, order.as_deref());
-                let lkp = router.take(ns, &key, write, now + 10_000);
+                let request_id = router.take(ns, &key, write, now + 10_000);
                 if let Some(order) = order {
-                    lkp.ordered(&mut router, order);
+                    request_id.ordered(&mut router, order);
                 }
-                lkp.route(&mut router, &mut o);
+                request_id.route(&mut router, &mut o);
             }
             7..17 if !o.shots.is_empty() => {
-                let (lkp, shot, sent) = o.shots.swap_remove(below(o.shots.len() as u64) as usize);
+                let (request_id, shot, sent) = o.shots.swap_remove(below(o.shots.len() as u64) as usize);
                 let ending = if below(4) > 0 { Ending::Resolved } else { endings[below(10) as usize] };
                 let finished = matches!(ending, Ending::Resolved | Ending::Held);
-                o.tape.ended(now, lkp.0, shot, ending, now - sent, finished, None);
-                lkp.shot_ended(&mut router, shot, ending, now - sent, finished, &mut o);
+                o.tape.ended(now, request_id.0, shot, ending, now - sent, finished, None);
+                request_id.shot_ended(&mut router, shot, ending, now - sent, finished, &mut o);
             }
             17 => {
-                let lkp = below(1 + step as u64 / 3);
-                o.tape.told(now, Told::Left(lkp));
-                Lkp(lkp).client_left(&mut router, &mut o);
+                let request_id = below(1 + step as u64 / 3);
+                o.tape.told(now, Told::Left(request_id));
+                RequestId(request_id).client_left(&mut router, &mut o);
             }
             _ => {
                 let Some(i) = (0..o.wakes.len()).find(|i| o.wakes[*i].0 <= now) else { continue };
--- a/crates/console/src/lib.rs
+++ b/crates/console/src/lib.rs
@@ -1,8 +1,8 @@
 //! The operators' door: HTTP/1.1, one call to a connection, on a listener of its own.
 //!
-//! It may use `http1` and `net`. No lookup, cache connection or decision ever enters it, and no other door: what a call does
-//! is behind `Controls`. What it holds is its own: so many callers, whose connections no lookup can take and which take none
-//! of a lookup's.
+//! It may use `http1` and `net`. No request, cache connection or decision ever enters it, and no other door: what a call does
+//! is behind `Controls`. What it holds is its own: so many callers, whose connections no request can take and which take none
+//! of a request's.
 
 use chalkwalk_http1 as http1;
 use chalkwalk_net::{Room, more, wait_until, within, write_all};
--- a/crates/core/src/answer.rs
+++ b/crates/core/src/answer.rs
@@ -1,6 +1,6 @@
-//! What a lookup is to the core: something that can be written to a cache, and whose answer is bytes with a verdict.
+//! What a request is to the core: something that can be written to a cache, and whose answer is bytes with a verdict.
 
-use chalkwalk_limits::Lookup;
+use chalkwalk_limits::RequestAttributes;
 use chalkwalk_net::Held;
 use chalkwalk_policy::{Ending, Tenths};
 use smol::Async;
@@ -11,7 +11,7 @@
 use std::pin::Pin;
 use std::rc::Rc;
 
-/// How a lookup ended.
+/// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     Resolved,
@@ -20,7 +20,7 @@
     Abandoned,
 }
 
-/// The one final answer of a lookup, to be worded by the door it came by.
+/// The one final answer of a request, to be worded by the door it came by.
 pub struct Answer {
     pub verdict: Verdict,
     /// What the body is, in the cache's own words; empty if it did not say.
@@ -50,11 +50,11 @@
 /// What came back on a connection for a shot.
 pub struct Heard {
     pub ending: Ending,
-    /// Where it resolves the lookup.
+    /// Where it resolves the request.
     pub answer: Option<Answer>,
     /// Whether the connection may carry another shot.
     pub keep: bool,
-    /// What of the answer is still to come on the connection, where the lookup is resolved before that.
+    /// What of the answer is still to come on the connection, where the request is resolved before that.
     pub rest: Option<Box<dyn Rest>>,
 }
 
@@ -70,12 +70,12 @@
 
 pub type Wait<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
 
-/// A lookup as its door took it.
+/// A request as its door took it.
 pub trait Ask {
     /// The class whose limits held when it was taken.
     fn class(&self) -> usize;
     /// What a class is found by; `None` once other settings hold than it was taken under.
-    fn place(&self) -> Option<Lookup<'_>>;
+    fn place(&self) -> Option<RequestAttributes<'_>>;
     /// When its time began.
     fn taken(&self) -> Tenths;
     fn key(&self) -> &str;
--- a/crates/core/src/book.rs
+++ b/crates/core/src/book.rs
@@ -1,4 +1,4 @@
-//! The book: the router, the lookups that are open, and what it wants done. All that happens is told to it here, one call
+//! The book: the router, the requests that are open, and what it wants done. All that happens is told to it here, one call
 //! at a time; what the router wants is only noted, and taken up by `flow` once the call is over.
 
 use crate::answer::{Answer, Ask, Verdict};
@@ -6,7 +6,7 @@
 use crate::pool::Conn;
 use chalkwalk_capture::{Done, Tape, Told};
 use chalkwalk_policy::admission::{Attempt, Refusal};
-use chalkwalk_policy::{Cache, Carrier, Ending, Learned, Lkp, Router, Tenths};
+use chalkwalk_policy::{Cache, Carrier, Ending, Learned, RequestId, Router, Tenths};
 use slog::{Logger, info};
 use smol::channel::{Receiver, Sender, bounded};
 use std::cell::{Cell, RefCell};
@@ -50,7 +50,7 @@
 
 /// A shot to be written: given up at `until`, and not written at all where that would be later than `by`.
 pub struct Shooting {
-    pub lkp: Lkp,
+    pub request_id: RequestId,
     pub shot: usize,
     pub cache: Cache,
     pub until: Tenths,
@@ -61,7 +61,7 @@
 
 struct Open {
     ask: Rc<dyn Ask>,
-    answer: Option<Sender<Answer>>, // until the lookup has its final answer
+    answer: Option<Sender<Answer>>, // until the request has its final answer
     shafts: Vec<Rc<Shaft>>,
     out: usize,
 }
@@ -69,14 +69,14 @@
 /// What is known outside the router: never read by it, and lent to it as its way out.
 struct Desk {
     now: Tenths,
-    open: HashMap<Lkp, Open>,
+    open: HashMap<RequestId, Open>,
     notes: Vec<Note>,
     wakes: BinaryHeap<Reverse<(Tenths, u64, u64)>>,
     woken: u64,
     sooner: Sender<()>, // a wake is due before the one that is waited for
     wanted: Sender<()>, // the router wants the list watched
     log: Logger,
-    left_waiting: u64,  // lookups whose client left before any of their shots was written
+    left_waiting: u64,  // requests whose client left before any of their shots was written
     tape: Option<Tape>, // of all that the router is told and wants, where it is captured
 }
 
@@ -96,30 +96,30 @@
 }
 
 impl Carrier for Desk {
-    fn shoot(&mut self, lkp: Lkp, cache: Cache, until: Tenths, by: Tenths) {
-        self.done(|| Done::Shoot { lkp: lkp.0, cache, until, by });
-        let Some(open) = self.open.get_mut(&lkp) else { return };
+    fn shoot(&mut self, request_id: RequestId, cache: Cache, until: Tenths, by: Tenths) {
+        self.done(|| Done::Shoot { request_id: request_id.0, cache, until, by });
+        let Some(open) = self.open.get_mut(&request_id) else { return };
         let shaft = Rc::new(Shaft::new());
         let shot = open.shafts.len();
         open.shafts.push(shaft.clone());
         open.out += 1;
         let ask = open.ask.clone();
-        self.notes.push(Note::Shoot(Shooting { lkp, shot, cache, until, by, ask, shaft }));
+        self.notes.push(Note::Shoot(Shooting { request_id, shot, cache, until, by, ask, shaft }));
     }
-    fn withdraw(&mut self, lkp: Lkp, shot: usize) {
-        self.done(|| Done::Withdraw { lkp: lkp.0, shot });
-        if let Some(shaft) = self.open.get(&lkp).and_then(|open| open.shafts.get(shot)) {
+    fn withdraw(&mut self, request_id: RequestId, shot: usize) {
+        self.done(|| Done::Withdraw { request_id: request_id.0, shot });
+        if let Some(shaft) = self.open.get(&request_id).and_then(|open| open.shafts.get(shot)) {
             shaft.give_up();
         }
     }
-    fn defer(&mut self, lkp: Lkp, back_in: Tenths) {
-        self.done(|| Done::Defer { lkp: lkp.0, back_in });
+    fn defer(&mut self, request_id: RequestId, back_in: Tenths) {
+        self.done(|| Done::Defer { request_id: request_id.0, back_in });
         let back_in = Some(back_in).filter(|t| *t > 0);
-        self.finish(lkp, Answer::bare(Verdict::Deferred(back_in)));
+        self.finish(request_id, Answer::bare(Verdict::Deferred(back_in)));
     }
-    fn abandon(&mut self, lkp: Lkp) {
-        self.done(|| Done::Abandon(lkp.0));
-        self.finish(lkp, Answer::bare(Verdict::Abandoned));
+    fn abandon(&mut self, request_id: RequestId) {
+        self.done(|| Done::Abandon(request_id.0));
+        self.finish(request_id, Answer::bare(Verdict::Abandoned));
     }
     fn probe(&mut self, cache: Cache) {
         self.done(|| Done::Probe(cache));
@@ -149,18 +149,18 @@
 }
 
 impl Desk {
-    fn finish(&mut self, lkp: Lkp, answer: Answer) {
-        if let Some(open) = self.open.get_mut(&lkp)
+    fn finish(&mut self, request_id: RequestId, answer: Answer) {
+        if let Some(open) = self.open.get_mut(&request_id)
             && let Some(waiting) = open.answer.take()
         {
             _ = waiting.try_send(answer);
         }
-        self.tidy(lkp);
+        self.tidy(request_id);
     }
 
-    fn tidy(&mut self, lkp: Lkp) {
-        if self.open.get(&lkp).is_some_and(|open| open.answer.is_none() && open.out == 0) {
-            self.open.remove(&lkp);
+    fn tidy(&mut self, request_id: RequestId) {
+        if self.open.get(&request_id).is_some_and(|open| open.answer.is_none() && open.out == 0) {
+            self.open.remove(&request_id);
         }
     }
 }
@@ -223,34 +223,34 @@
         std::mem::take(&mut self.desk.notes)
     }
 
-    /// Lookups without their answer, or with a shot out.
+    /// Requests without their answer, or with a shot out.
     pub fn open(&self) -> usize {
         self.desk.open.len()
     }
 
-    /// Takes a lookup and routes it; its final answer comes by the channel.
-    pub fn take(&mut self, now: Tenths, ask: Rc<dyn Ask>) -> (Lkp, Receiver<Answer>) {
+    /// Takes a request and routes it; its final answer comes by the channel.
+    pub fn take(&mut self, now: Tenths, ask: Rc<dyn Ask>) -> (RequestId, Receiver<Answer>) {
         let (answer, answered) = bounded(1);
         let order = ask.order().map(|addrs| self.members.at(&addrs));
         let (router, desk) = self.at(now);
         if let Some(tape) = &mut desk.tape {
             tape.take(now, ask.class(), ask.key(), ask.write(), ask.expires(), order.as_deref());
         }
-        let lkp = router.take(ask.class(), ask.key(), ask.write(), ask.expires());
+        let request_id = router.take(ask.class(), ask.key(), ask.write(), ask.expires());
         if let Some(order) = order {
-            lkp.ordered(router, order);
+            request_id.ordered(router, order);
         }
-        desk.open.insert(lkp, Open { ask, answer: Some(answer), shafts: Vec::new(), out: 0 });
-        lkp.route(router, desk);
-        (lkp, answered)
+        desk.open.insert(request_id, Open { ask, answer: Some(answer), shafts: Vec::new(), out: 0 });
+        request_id.route(router, desk);
+        (request_id, answered)
     }
 
-    /// Whether a lookup has its final answer, or nobody waits for one any more.
-    fn is_over(&self, lkp: Lkp) -> bool {
-        self.desk.open.get(&lkp).is_none_or(|open| open.answer.is_none())
+    /// Whether a request has its final answer, or nobody waits for one any more.
+    fn is_over(&self, request_id: RequestId) -> bool {
+        self.desk.open.get(&request_id).is_none_or(|open| open.answer.is_none())
     }
 
-    /// Lookups so far whose client left before any of their shots was written.
+    /// Requests so far whose client left before any of their shots was written.
     pub fn left_waiting(&self) -> u64 {
         self.desk.left_waiting
     }
@@ -259,62 +259,62 @@
     pub fn ended(
         &mut self,
         now: Tenths,
-        (lkp, shot): (Lkp, usize),
+        (request_id, shot): (RequestId, usize),
         ending: Ending,
         took: Tenths,
         answer: Option<Answer>,
     ) {
-        let order = self.desk.open.get(&lkp).and_then(|open| {
+        let order = self.desk.open.get(&request_id).and_then(|open| {
             open.ask.ended(ending);
             open.ask.order()
         });
         let order = order.map(|addrs| self.members.at(&addrs));
         let (router, desk) = self.at(now);
-        if let Some(open) = desk.open.get_mut(&lkp) {
+        if let Some(open) = desk.open.get_mut(&request_id) {
             open.out -= 1;
         }
         if let Some(answer) = answer {
-            desk.finish(lkp, answer);
+            desk.finish(request_id, answer);
         }
-        let finished = desk.open.get(&lkp).is_none_or(|open| open.answer.is_none());
+        let finished = desk.open.get(&request_id).is_none_or(|open| open.answer.is_none());
         if let Some(tape) = &mut desk.tape {
-            tape.ended(now, lkp.0, shot, ending, took, finished, order.as_deref());
+            tape.ended(now, request_id.0, shot, ending, took, finished, order.as_deref());
         }
         if let Some(order) = order {
-            lkp.ordered(router, order);
+            request_id.ordered(router, order);
         }
-        lkp.shot_ended(router, shot, ending, took, finished, desk);
-        desk.tidy(lkp);
+        request_id.shot_ended(router, shot, ending, took, finished, desk);
+        desk.tidy(request_id);
     }
 
-    /// A shot's answer has begun, and the lookup is resolved by it; the shot goes on until the answer has ended.
-    pub fn begun(&mut self, now: Tenths, (lkp, shot): (Lkp, usize), answer: Answer) {
+    /// A shot's answer has begun, and the request is resolved by it; the shot goes on until the answer has ended.
+    pub fn begun(&mut self, now: Tenths, (request_id, shot): (RequestId, usize), answer: Answer) {
         let (router, desk) = self.at(now);
-        desk.finish(lkp, answer);
-        desk.told(|| Told::Begun { lkp: lkp.0, shot });
-        lkp.answer_begun(router, shot, desk);
+        desk.finish(request_id, answer);
+        desk.told(|| Told::Begun { request_id: request_id.0, shot });
+        request_id.answer_begun(router, shot, desk);
     }
 
-    pub fn client_left(&mut self, now: Tenths, lkp: Lkp) {
+    pub fn client_left(&mut self, now: Tenths, request_id: RequestId) {
         let (router, desk) = self.at(now);
-        if let Some(open) = desk.open.get_mut(&lkp)
+        if let Some(open) = desk.open.get_mut(&request_id)
             && open.answer.take().is_some()
             && !open.shafts.iter().any(|shaft| shaft.written.get())
         {
             desk.left_waiting += 1;
         }
-        desk.told(|| Told::Left(lkp.0));
-        lkp.client_left(router, desk);
-        desk.tidy(lkp);
+        desk.told(|| Told::Left(request_id.0));
+        request_id.client_left(router, desk);
+        desk.tidy(request_id);
     }
 
     /// Abandons all that is open.
     pub fn give_up_all(&mut self, now: Tenths) {
-        let mut open: Vec<Lkp> = self.desk.open.keys().copied().collect();
-        open.sort_unstable_by_key(|lkp| lkp.0);
-        for lkp in open {
-            self.desk.finish(lkp, Answer::bare(Verdict::Abandoned));
-            self.client_left(now, lkp);
+        let mut open: Vec<RequestId> = self.desk.open.keys().copied().collect();
+        open.sort_unstable_by_key(|request_id| request_id.0);
+        for request_id in open {
+            self.desk.finish(request_id, Answer::bare(Verdict::Abandoned));
+            self.client_left(now, request_id);
         }
     }
 
@@ -324,7 +324,7 @@
         self.router.shared_by(proxies);
     }
 
-    /// Other limits hold: the router reads them, and each lookup that is open has its class and its time limit anew, where
+    /// Other limits hold: the router reads them, and each request that is open has its class and its time limit anew, where
     /// it still has one.
     pub fn renewed(
         &mut self,
@@ -335,13 +335,14 @@
         let (router, desk) = self.at(now);
         desk.told(|| Told::Limits(house.clone()));
         router.limits(house);
-        let mut open: Vec<(Lkp, Rc<dyn Ask>)> = desk.open.iter().map(|(l, o)| (*l, o.ask.clone())).collect();
-        open.sort_unstable_by_key(|(lkp, _)| lkp.0);
-        for (lkp, ask) in open {
+        let mut open: Vec<(RequestId, Rc<dyn Ask>)> =
+            desk.open.iter().map(|(l, o)| (*l, o.ask.clone())).collect();
+        open.sort_unstable_by_key(|(request_id, _)| request_id.0);
+        for (request_id, ask) in open {
             let Some((class, limit)) = of(&*ask) else { continue };
             let expires = ask.taken() + limit;
-            desk.told(|| Told::Renewed { lkp: lkp.0, ns: class, expires });
-            lkp.renewed(router, class, expires, desk);
+            desk.told(|| Told::Renewed { request_id: request_id.0, ns: class, expires });
+            request_id.renewed(router, class, expires, desk);
         }
         self.house = house.clone();
     }
@@ -386,11 +387,11 @@
     /// Whether an attempt may be sent now; `awaited`: whether its client is still there.
     pub fn may_send(&self, now: Tenths, shooting: &Shooting, awaited: bool) -> Result<(), Refusal> {
         let attempt = Attempt {
-            lookup: shooting.lkp,
+            request: shooting.request_id,
             number: shooting.shot,
             server: shooting.cache,
             until: shooting.until.min(shooting.by),
-            answered: self.is_over(shooting.lkp),
+            answered: self.is_over(shooting.request_id),
             awaited,
         };
         self.router.may_send(&attempt, now)
--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -22,7 +22,7 @@
 /// Whether a connection was used, and when it became idle among all.
 pub type Turn = (bool, u64);
 
-/// How long a lookup that came while all were busy waits for a place: most answers take less, and whoever had one is idle
+/// How long a request that came while all were busy waits for a place: most answers take less, and whoever had one is idle
 /// a moment later.
 const PLACE_SOON: Duration = Duration::from_millis(60);
 
@@ -96,13 +96,13 @@
         }
     }
 
-    /// Waits for a place for a client, and says whether its lookups are taken: not where no other is idle.
+    /// Waits for a place for a client, and says whether its requests are taken: not where no other is idle.
     pub async fn take_for_client(&self) -> (Permit, bool) {
         loop {
             if let Some(place) = self.try_client() {
                 return (place, true);
             }
-            // Guards lookups against waiting unseen, before they are accepted, until their time is over.
+            // Guards requests against waiting unseen, before they are accepted, until their time is over.
             if !self.close_idle()
                 && let Some(place) = self.turned_away.try_acquire_arc()
             {
--- a/crates/core/src/classes.rs
+++ b/crates/core/src/classes.rs
@@ -1,6 +1,6 @@
-//! Which limits hold for which lookups, and the same in the words that the router reads.
+//! Which limits hold for which requests, and the same in the words that the router reads.
 
-use chalkwalk_limits::{Account, Lookup, Table};
+use chalkwalk_limits::{Account, RequestAttributes, Table};
 use chalkwalk_policy::Tenths;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -19,7 +19,7 @@
     longest: Tenths,           // of the time limits now and before
 }
 
-/// What of a class the door needs when it takes a lookup.
+/// What of a class the door needs when it takes a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Taking {
     pub class: usize,
@@ -55,7 +55,7 @@
         self.now.borrow().account.longest_body
     }
 
-    /// Of the time limits of all lookups that may be open.
+    /// Of the time limits of all requests that may be open.
     pub fn longest_limit(&self) -> Tenths {
         self.now.borrow().longest
     }
@@ -69,9 +69,9 @@
         self.now.borrow().house.clone()
     }
 
-    pub fn find(&self, lookup: Lookup) -> Taking {
+    pub fn find(&self, request: RequestAttributes) -> Taking {
         let table = self.table();
-        let class = table.find(lookup);
+        let class = table.find(request);
         let limits = &table.classes()[class].limits;
         Taking { class, time_limit: limits.time_limit.0, longest_body: limits.longest_body.0 }
     }
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -143,10 +143,10 @@
     /// Told to end, not before two thirds of the time that is left to the proxy, as whoever was restarted before may not be
     /// heard of yet, and not after five sixths, so that what is taken until then is answered; in between one by one, not to
     /// flood the others. Where another process of this proxy has taken over, with answers from the first second on: who
-    /// connects again comes to that one, and a connection that is told to close meets no lookup.
+    /// connects again comes to that one, and a connection that is told to close meets no request.
     ///
     /// Out of service, with answers within the first second, and idle within two: the front has heard of it by then, and at
-    /// four seconds none may be open that had a lookup in the last two. Told to end as well, whichever comes first.
+    /// four seconds none may be open that had a request in the last two. Told to end as well, whichever comes first.
     fn turn(&self) -> Option<(Tenths, Tenths)> {
         let life = &self.core.life;
         let leaving = self.core.leaving.get().map(|(told, last)| {
--- a/crates/core/src/flow.rs
+++ b/crates/core/src/flow.rs
@@ -1,4 +1,4 @@
-//! The way of a lookup through the core: taken, sent in shots, ended; and the calls that sources of the list make.
+//! The way of a request through the core: taken, sent in shots, ended; and the calls that sources of the list make.
 
 use crate::answer::{Answer, Ask, Flow, Heard, Rest};
 use crate::book::{Book, Note, Shaft, Shooting};
@@ -9,7 +9,7 @@
 use chalkwalk_limits::Table;
 use chalkwalk_net::{wait_until, within};
 use chalkwalk_policy::admission::{Refusal, Written};
-use chalkwalk_policy::{Cache, Ending, Lkp, Tenths};
+use chalkwalk_policy::{Cache, Ending, RequestId, Tenths};
 use slog::{debug, info};
 use smol::channel::{Receiver, Sender, bounded};
 use smol::future::FutureExt;
@@ -34,14 +34,14 @@
     said
 }
 
-/// Takes a lookup; its one final answer comes by the channel.
-pub fn take(core: &Rc<Core>, ask: Rc<dyn Ask>) -> (Lkp, Receiver<Answer>) {
+/// Takes a request; its one final answer comes by the channel.
+pub fn take(core: &Rc<Core>, ask: Rc<dyn Ask>) -> (RequestId, Receiver<Answer>) {
     tell(core, |book, now| book.take(now, ask))
 }
 
 /// Whoever asked has gone, or given it up: nothing more is sent for it.
-pub fn client_left(core: &Rc<Core>, lkp: Lkp) {
-    tell(core, |book, now| book.client_left(now, lkp));
+pub fn client_left(core: &Rc<Core>, request_id: RequestId) {
+    tell(core, |book, now| book.client_left(now, request_id));
 }
 
 /// Whatever is open is given up now.
@@ -84,7 +84,7 @@
     core.book.borrow_mut().shared_by(proxies);
 }
 
-/// Other limits hold from now on, also for what is open: see `Lkp::renewed`.
+/// Other limits hold from now on, also for what is open: see `RequestId::renewed`.
 pub fn renew(core: &Rc<Core>, limits: Option<Table>) {
     core.classes.renew(limits);
     let house = core.classes.house();
@@ -136,7 +136,7 @@
     }
 }
 
-/// Says how many lookups were left so far while they waited, how many shots were withheld as their lookup was over, and how often
+/// Says how many requests were left so far while they waited, how many shots were withheld as their request was over, and how often
 /// what must not happen has happened.
 pub(crate) fn count_left(core: &Core, event: &'static str) {
     let left = core.book.borrow().left_waiting();
@@ -160,7 +160,7 @@
 
 async fn send(core: Rc<Core>, shooting: Shooting) {
     let begun = core.clock.now();
-    let Shooting { lkp, shot, cache, until, shaft, .. } = &shooting;
+    let Shooting { request_id, shot, cache, until, shaft, .. } = &shooting;
     // Not one byte short of whole has run.
     let cut = |ending| Came::Ended(if shaft.written.get() { ending } else { Ending::Unsent }, None);
     let stopped = async {
@@ -177,7 +177,7 @@
             let (tell_parts, parts) = bounded(1);
             let whole = Rc::new(Cell::new(false));
             answer.flow = Some(Flow { length: rest.length(), parts, whole: whole.clone() });
-            tell(&core, |book, now| book.begun(now, (*lkp, *shot), answer));
+            tell(&core, |book, now| book.begun(now, (*request_id, *shot), answer));
             let stopped = async {
                 _ = shaft.stopped.recv().await;
                 Ending::Withdrawn
@@ -192,7 +192,7 @@
     if ending == Ending::Unreachable {
         core.pool.forget(*cache);
     }
-    tell(&core, |book, now| book.ended(now, (*lkp, *shot), ending, took, answer));
+    tell(&core, |book, now| book.ended(now, (*request_id, *shot), ending, took, answer));
 }
 
 /// Passes on what comes of an answer, until it ends, breaks off, or is taken no more.
@@ -249,9 +249,9 @@
     Came::Ended(ending, answer)
 }
 
-/// Writes the lookup to a connection; not one is written of which a part may come too late.
+/// Writes the request to a connection; not one is written of which a part may come too late.
 async fn write(core: &Rc<Core>, shooting: &Shooting) -> Result<Rc<Conn>, Ending> {
-    let Shooting { lkp, cache, until, by, ask, shaft, .. } = shooting;
+    let Shooting { request_id, cache, until, by, ask, shaft, .. } = shooting;
     let conn = Rc::new(connection(core, *cache, false).await?);
     // After a standstill what came in it is read first: a drain, an operator's word, a client's end.
     core.clock.hear().await;
@@ -263,7 +263,7 @@
         core.refused.count(refusal);
         debug!(core.log, "attempt withheld"; "cache" => cache, "why" => ?refusal);
         if refusal == Refusal::ClientLeft {
-            client_left(core, *lkp);
+            client_left(core, *request_id);
         }
         return Err(Ending::Unsent);
     }
@@ -320,7 +320,7 @@
     // As long as a connection may take, and as long again for the answer.
     let answered = within(core.rules.connect_time.get() * 2, ask).await.flatten().is_some();
     if !answered {
-        // What was idle to a machine that vanished is reset only when it is back, and by the first lookup on it.
+        // What was idle to a machine that vanished is reset only when it is back, and by the first request on it.
         core.pool.forget(cache);
     }
     tell(&core, |book, now| book.probed(now, cache, answered));
--- a/crates/core/src/pool.rs
+++ b/crates/core/src/pool.rs
@@ -38,9 +38,9 @@
 /// back (docs/notes/fleet.md), and less would open anew what answers of a tenth of a second need side by side.
 pub const SPARE: Duration = Duration::from_millis(250);
 
-/// How long a connection rests after an answer before the next lookup is written to it. A cache may send a second answer some
+/// How long a connection rests after an answer before the next request is written to it. A cache may send a second answer some
 /// milliseconds after the first, and nothing in it tells whose it is: read as the next one's it would be a value that no cache
-/// made for it. Those seen came 1.5 to 5.8 ms after (docs/notes/endings.md); a lookup that finds no other waits for the rest, which
+/// made for it. Those seen came 1.5 to 5.8 ms after (docs/notes/endings.md); a request that finds no other waits for the rest, which
 /// is shorter than a handshake between zones and takes no place at the cache.
 const REST: Duration = Duration::from_millis(10);
 
--- a/crates/core/src/violations.rs
+++ b/crates/core/src/violations.rs
@@ -17,7 +17,7 @@
         }
     }
 
-    /// As the lookup was over, or its client gone.
+    /// As the request was over, or its client gone.
     pub fn over(&self) -> u64 {
         self.over.get()
     }
--- a/crates/http-door/src/admit.rs
+++ b/crates/http-door/src/admit.rs
@@ -1,10 +1,10 @@
-//! Stage "admit": what a message asks for. A lookup is taken only with a known namespace and time left.
+//! Stage "admit": what a message asks for. A request is taken only with a known namespace and time left.
 
 use crate::door::{Door, OpenId};
 use crate::relay::Reply;
 use chalkwalk_core::classes::Taking;
 use chalkwalk_http1::Message;
-use chalkwalk_limits::Lookup as Place;
+use chalkwalk_limits::RequestAttributes;
 use chalkwalk_policy::Tenths;
 use chalkwalk_policy::admission::may_start;
 use smol::Async;
@@ -12,21 +12,21 @@
 use std::ops::Range;
 use std::rc::{Rc, Weak};
 
-/// What a lookup is told by, each once.
+/// What a request is told by, each once.
 const KEY_FIELDS: [&str; 5] =
     ["Host", "X-Correlation-Id", "X-Service-Class", "X-Time-Left", "Idempotency-Key"];
 
 /// The name by which an operator's routes know this door.
 pub const DOOR: &str = "http";
 
-/// Whose lookup it is, where that is told.
+/// Whose request it is, where that is told.
 fn tenant(message: &Message) -> &str {
     let facts = message.field("X-Facts").unwrap_or("");
     facts.split(',').find_map(|fact| fact.trim().strip_prefix("tenant=")).unwrap_or("")
 }
 
-/// A lookup as taken, with the message it came in.
-pub struct Lookup {
+/// A request as taken, with the message it came in.
+pub struct HttpRequest {
     pub door: Rc<Door>,
     pub message: Message,
     pub key: Range<usize>,
@@ -41,14 +41,14 @@
     _open: OpenId,
 }
 
-/// The lookup, whose time counts from when it came, or the answer to what is none: a 4xx to what is wrong, after
+/// The request, whose time counts from when it came, or the answer to what is none: a 4xx to what is wrong, after
 /// which the connection is closed.
 pub fn admit(
     door: &Rc<Door>,
     message: Message,
     came: Tenths,
     client: &Rc<Async<TcpStream>>,
-) -> Result<Lookup, Reply> {
+) -> Result<HttpRequest, Reply> {
     let wrong = |status| Err(Reply::bare(status));
     let core = &door.core;
     let target = message.word(&message.target);
@@ -71,7 +71,7 @@
         return wrong(400);
     }
     let Some(left) = message.field("X-Time-Left").and_then(time_left) else { return wrong(400) };
-    let place = Place { namespace: ns, path, tenant: tenant(&message), door: DOOR };
+    let place = RequestAttributes { namespace: ns, path, tenant: tenant(&message), door: DOOR };
     let Taking { class, time_limit, longest_body } = core.classes.find(place);
     if message.body.len() as u64 > longest_body {
         return wrong(413);
@@ -84,7 +84,7 @@
     let id = message.bytes("X-Correlation-Id").unwrap_or_default().to_vec();
     let Some(open) = door.open_ids.open(id) else { return wrong(409) };
     let generation = core.classes.generation();
-    Ok(Lookup {
+    Ok(HttpRequest {
         door: door.clone(),
         key,
         ns,
@@ -99,11 +99,11 @@
     })
 }
 
-impl Lookup {
-    pub fn place(&self) -> Place<'_> {
+impl HttpRequest {
+    pub fn place(&self) -> RequestAttributes<'_> {
         let target = self.message.word(&self.message.target);
         let path = target.split('?').next().unwrap_or("");
-        Place { namespace: self.ns, path, tenant: tenant(&self.message), door: DOOR }
+        RequestAttributes { namespace: self.ns, path, tenant: tenant(&self.message), door: DOOR }
     }
 }
 
--- a/crates/http-door/src/caches.rs
+++ b/crates/http-door/src/caches.rs
@@ -1,6 +1,6 @@
-//! The side of the caches: a lookup written on as it came, what an answer says of the shot, and probes.
+//! The side of the caches: a request written on as it came, what an answer says of the shot, and probes.
 
-use crate::admit::Lookup;
+use crate::admit::HttpRequest;
 use chalkwalk_core::answer::{Answer, Ask, Heard, Probe, Rest, Verdict, Wait};
 use chalkwalk_http1::{self as http1, Answering};
 use chalkwalk_net::{Held, Room, quiet, wait_until, write_all};
@@ -15,13 +15,13 @@
     format!("{}.{:04}", tenths / 10_000, tenths % 10_000)
 }
 
-impl Ask for Lookup {
+impl Ask for HttpRequest {
     fn class(&self) -> usize {
         self.class
     }
 
-    fn place(&self) -> Option<chalkwalk_limits::Lookup<'_>> {
-        (self.generation == self.door.core.classes.generation()).then(|| Lookup::place(self))
+    fn place(&self) -> Option<chalkwalk_limits::RequestAttributes<'_>> {
+        (self.generation == self.door.core.classes.generation()).then(|| HttpRequest::place(self))
     }
 
     fn taken(&self) -> Tenths {
@@ -40,7 +40,7 @@
         self.expires
     }
 
-    /// Nothing comes from a client that waits: its end and what it sends ahead of the answer both end the lookup.
+    /// Nothing comes from a client that waits: its end and what it sends ahead of the answer both end the request.
     fn awaited(&self) -> bool {
         self.client.upgrade().is_some_and(|client| quiet(&client))
     }
--- a/crates/http-door/src/clients.rs
+++ b/crates/http-door/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients' connections, one lookup at a time on each.
+//! Clients' connections, one request at a time on each.
 
 use crate::admit::admit;
 use crate::door::Door;
@@ -62,7 +62,7 @@
         }
     };
     over.or(taking).await;
-    // Whoever has a connection by now may have written a lookup to it: taken in, before the door closes.
+    // Whoever has a connection by now may have written a request to it: taken in, before the door closes.
     let waiting = || listener.get_ref().accept().ok().and_then(|(stream, _)| Async::new(stream).ok());
     while let Some(stream) = held.take().or_else(waiting) {
         let (permit, taken) = core.budget.take_for_client().await;
@@ -76,7 +76,7 @@
     door.core.ex.spawn(serve(door.clone(), stream, permit, open, taken, clear)).detach();
 }
 
-/// One connection, to its end: the stages in their order. Lookups that are not taken are turned away at once.
+/// One connection, to its end: the stages in their order. Requests that are not taken are turned away at once.
 async fn serve(
     door: Rc<Door>,
     stream: Async<TcpStream>,
@@ -106,10 +106,10 @@
         }
         let (close, old) = (message.close || !taken, message.old);
         let answer = match admit(&door, message, came, &stream) {
-            // More at once than one lookup: none of it is taken.
+            // More at once than one request: none of it is taken.
             _ if !rest.is_empty() => Reply::bare(400),
             Ok(_) if !taken => Reply::bare(503),
-            Ok(lookup) => match route(core, &stream, &mut rest, lookup).await {
+            Ok(request) => match route(core, &stream, &mut rest, request).await {
                 Some(answer) => answer,
                 None => return,
             },
--- a/crates/http-door/src/door.rs
+++ b/crates/http-door/src/door.rs
@@ -17,13 +17,13 @@
         Rc::new(Door { core, namespaces: RefCell::new(namespaces), open_ids: OpenIds::default() })
     }
 
-    /// Lookups are of these namespaces from now on.
+    /// Requests are of these namespaces from now on.
     pub fn rename(&self, namespaces: Vec<String>) {
         *self.namespaces.borrow_mut() = namespaces;
     }
 }
 
-/// The ids of the lookups that are open here. One that comes again meanwhile is not its owner's.
+/// The ids of the requests that are open here. One that comes again meanwhile is not its owner's.
 #[derive(Clone, Default)]
 pub(crate) struct OpenIds(Rc<RefCell<HashSet<Vec<u8>>>>);
 
--- a/crates/http-door/src/route.rs
+++ b/crates/http-door/src/route.rs
@@ -1,6 +1,6 @@
-//! Stage "route": a lookup is handed to the router, and its one final answer waited for.
+//! Stage "route": a request is handed to the router, and its one final answer waited for.
 
-use crate::admit::Lookup;
+use crate::admit::HttpRequest;
 use crate::relay::Reply;
 use chalkwalk_core::core::Core;
 use chalkwalk_core::flow;
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Beside a time limit, until a lookup's answer is taken to be forgotten: the rules allow 50 ms.
+/// Beside a time limit, until a request's answer is taken to be forgotten: the rules allow 50 ms.
 const OVERDUE: Duration = Duration::from_millis(30);
 
 /// `None` if the client has gone away. One that sends more before its answer breaks the protocol and gets none.
@@ -21,21 +21,21 @@
     core: &Rc<Core>,
     stream: &Async<TcpStream>,
     rest: &mut Vec<u8>,
-    lookup: Lookup,
+    request: HttpRequest,
 ) -> Option<Reply> {
-    let expires = lookup.expires;
-    let (lkp, answered) = flow::take(core, Rc::new(lookup));
+    let expires = request.expires;
+    let (request_id, answered) = flow::take(core, Rc::new(request));
     let late = async {
-        // The router answers by then; a lookup it forgot would hold the connection for ever.
+        // The router answers by then; a request it forgot would hold the connection for ever.
         Timer::at(core.clock.instant(expires) + OVERDUE).await;
         warn!(core.log, "a lookup without an answer");
         core.violations.check(&core.log, Some(Violation::NoFinalAnswer));
-        flow::client_left(core, lkp);
+        flow::client_left(core, request_id);
         Some(Reply::bare(500))
     };
     let gone = async {
         let came = matches!(more(stream, rest).await, Ok(1..));
-        flow::client_left(core, lkp);
+        flow::client_left(core, request_id);
         came.then(|| Reply::bare(400))
     };
     let answer = async {
--- a/crates/http-door/src/take_in.rs
+++ b/crates/http-door/src/take_in.rs
@@ -15,7 +15,7 @@
 /// to be rid of within 3 s, and one that is slow may take 2 s.
 const SLOWEST: Duration = Duration::from_millis(2500);
 
-/// A connection without its first message yet is not idle: closed, its lookup is lost, as clients send again only
+/// A connection without its first message yet is not idle: closed, its request is lost, as clients send again only
 /// what crosses a close between two. Many round trips, and short beside what a silent one may hold up.
 const FRESH: Duration = Duration::from_millis(300);
 
--- a/crates/limits/src/budget.rs
+++ b/crates/limits/src/budget.rs
@@ -4,14 +4,14 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// The budget of further shots that lookups of a class share: their own, or that of all which have none.
+/// The budget of further shots that requests of a class share: their own, or that of all which have none.
 #[derive(Clone, Debug)]
 pub enum Purse {
     House(Rc<Cell<u64>>),
     Own(RefCell<Budget>),
 }
 
-/// A fifth of all lookups may be sent once more, and a few dozen in a row: enough for a cache that fails until it is left,
+/// A fifth of all requests may be sent once more, and a few dozen in a row: enough for a cache that fails until it is left,
 /// too little for a retry storm. In tenths of a shot: what a first one brings, what a further one costs, what is there
 /// at first, and the most.
 const BRINGS: u64 = 2;
@@ -97,7 +97,7 @@
     further: [u64; 2],
 }
 
-/// Half of the sliding time: ten seconds in all are some hundred lookups at a quiet proxy, and a trouble that ends is
+/// Half of the sliding time: ten seconds in all are some hundred requests at a quiet proxy, and a trouble that ends is
 /// forgotten within them.
 const HALF: Tenths = 50_000;
 /// Further shots that may always be sent within the sliding time, or a proxy with little traffic could try nothing again.
@@ -151,7 +151,7 @@
     use proptest::prelude::*;
     use proptest::test_runner::RngSeed;
 
-    /// Plays so many lookups a second, each with as many further shots as allowed while `failing`, and says how many
+    /// Plays so many requests a second, each with as many further shots as allowed while `failing`, and says how many
     /// further shots there were in each span of ten seconds.
     fn played(share: u64, a_second: u64, seconds: u64, failing: impl Fn(u64) -> bool) -> Vec<u64> {
         let mut budget = Budget::new(share);
--- a/crates/limits/src/draft.rs
+++ b/crates/limits/src/draft.rs
@@ -28,13 +28,13 @@
     pub copies_after: Option<Said<u64>>,
     /// Further shots, in thousandths of the first ones, over a sliding time.
     pub further_shots: Option<Said<u64>>,
-    /// Lookups of this class open at once.
+    /// Requests of this class open at once.
     pub open: Option<Said<u64>>,
-    /// Of a lookup, in bytes.
+    /// Of a request, in bytes.
     pub longest_body: Option<Said<u64>>,
 }
 
-/// Which lookups a route takes: those that meet all that is said.
+/// Which requests a route takes: those that meet all that is said.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Match {
     pub path: Option<String>, // a prefix
@@ -56,7 +56,7 @@
 pub struct Clients {
     /// First try included.
     pub tries: Said<u64>,
-    /// How many shots one lookup of a client may come to, over all its tries, in thousandths.
+    /// How many shots one request of a client may come to, over all its tries, in thousandths.
     pub amplification: Said<u64>,
 }
 
@@ -82,7 +82,7 @@
     pub time_limit: Tenths,
     pub target: Tenths,
     pub repeats: Repeats,
-    /// In which caches drop repeats of a tagged lookup.
+    /// In which caches drop repeats of a tagged request.
     pub window: Tenths,
 }
 
--- a/crates/limits/src/table.rs
+++ b/crates/limits/src/table.rs
@@ -1,4 +1,4 @@
-//! What holds for each lookup, and which line said so.
+//! What holds for each request, and which line said so.
 
 use crate::Tenths;
 use crate::draft::{Account, Draft, Match, Said, Settings};
@@ -23,7 +23,7 @@
     }
 }
 
-/// What holds for the lookups of one class.
+/// What holds for the requests of one class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
     pub time_limit: (Tenths, From),
@@ -41,7 +41,7 @@
     pub longest_body: (u64, From),
 }
 
-/// A class: the lookups of one namespace that one route takes, or that none does.
+/// A class: the requests of one namespace that one route takes, or that none does.
 #[derive(Clone, Debug)]
 pub struct Class {
     pub namespace: usize,
@@ -50,9 +50,9 @@
     pub limits: Limits,
 }
 
-/// What is known of a lookup when it comes.
+/// What is known of a request when it comes.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Lookup<'a> {
+pub struct RequestAttributes<'a> {
     pub namespace: usize,
     pub path: &'a str,
     pub tenant: &'a str,
@@ -150,12 +150,12 @@
         &self.classes
     }
 
-    /// The class of a lookup, by its number: that of the first route that takes it, or its namespace's.
-    pub fn find(&self, lookup: Lookup) -> usize {
-        let takes = |(when, _): &(Match, String)| when.takes(lookup, &self.names);
+    /// The class of a request, by its number: that of the first route that takes it, or its namespace's.
+    pub fn find(&self, request: RequestAttributes) -> usize {
+        let takes = |(when, _): &(Match, String)| when.takes(request, &self.names);
         let routes = self.routes.iter().zip(&self.of_route).filter(|(route, _)| takes(route));
-        let mut classes = routes.filter_map(|(_, own)| own.get(lookup.namespace).copied().flatten());
-        classes.next().unwrap_or(lookup.namespace)
+        let mut classes = routes.filter_map(|(_, own)| own.get(request.namespace).copied().flatten());
+        classes.next().unwrap_or(request.namespace)
     }
 
     /// The name of the route that a class is of.
@@ -165,15 +165,15 @@
 }
 
 impl Match {
-    fn takes(&self, lookup: Lookup, names: &[String]) -> bool {
+    fn takes(&self, request: RequestAttributes, names: &[String]) -> bool {
         let same = |want: &Option<String>, is: &str| want.as_ref().is_none_or(|w| w == is);
-        self.path.as_ref().is_none_or(|p| lookup.path.starts_with(p.as_str()))
-            && same(&self.namespace, names.get(lookup.namespace).map_or("", String::as_str))
-            && same(&self.tenant, lookup.tenant)
-            && same(&self.door, lookup.door)
+        self.path.as_ref().is_none_or(|p| request.path.starts_with(p.as_str()))
+            && same(&self.namespace, names.get(request.namespace).map_or("", String::as_str))
+            && same(&self.tenant, request.tenant)
+            && same(&self.door, request.door)
     }
 
-    /// Whether it takes every lookup that another does.
+    /// Whether it takes every request that another does.
     pub(crate) fn covers(&self, other: &Match) -> bool {
         let wider = |own: &Option<String>, other: &Option<String>| own.is_none() || own == other;
         let path = match (&self.path, &other.path) {
--- a/crates/limits/tests/accepted.rs
+++ b/crates/limits/tests/accepted.rs
@@ -121,10 +121,10 @@
                 prop_assert!(shots * clients.tries.value <= clients.amplification.value);
             }
         }
-        // Each lookup has a class, of its own namespace.
+        // Each request has a class, of its own namespace.
         for namespace in 0..account.namespaces.len() {
             for path in ["/", "/a", "/ab", "/bb/c", ""] {
-                let class = table.find(Lookup { namespace, path, tenant: "", door: "" });
+                let class = table.find(RequestAttributes { namespace, path, tenant: "", door: "" });
                 prop_assert_eq!(table.classes()[class].namespace, namespace);
             }
         }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,7 +1,7 @@
 //! Membership: which caches there are, worked out from what sources of the list say, and how many proxies share them.
 //!
 //! It may use `policy`'s plain words, serde and its formats, and crc32fast. No socket, file or clock ever enters it: times are
-//! passed in, texts go in and come out. What it decides is what the core is told of the list; which cache a lookup goes to
+//! passed in, texts go in and come out. What it decides is what the core is told of the list; which cache a request goes to
 //! stays the module's.
 
 pub mod count;
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -4,7 +4,7 @@
 //! It may use serde, toml and `limits`; nothing of the running proxy enters it.
 
 use chalkwalk_limits::{
-    Account, Clients, Draft, Fault, Limits, Lookup, Match, Route, Said, Settings, Table, check,
+    Account, Clients, Draft, Fault, Limits, Match, RequestAttributes, Route, Said, Settings, Table, check,
 };
 use serde::Deserialize;
 use std::fmt::Write;
@@ -473,9 +473,9 @@
     lines.join("\n")
 }
 
-/// What holds for a lookup, and which line said so.
-pub fn explain(table: &Table, lookup: Lookup) -> String {
-    let class = table.find(lookup);
+/// What holds for a request, and which line said so.
+pub fn explain(table: &Table, request: RequestAttributes) -> String {
+    let class = table.find(request);
     let l: &Limits = &table.classes()[class].limits;
     let ms = |tenths: u64| format!("{} ms", tenths as f64 / 10.0);
     let part = |thousandths: u64| format!("{}", thousandths as f64 / 1000.0);
--- a/crates/operator/tests/files.rs
+++ b/crates/operator/tests/files.rs
@@ -1,6 +1,6 @@
 //! Files as operators write them: bad ones are refused at load with every fault, its line, and the rule in plain words.
 
-use chalkwalk_limits::{Account, Lookup, Namespace, Repeats};
+use chalkwalk_limits::{Account, Namespace, Repeats, RequestAttributes};
 use chalkwalk_operator::{explain, read, worded};
 use expect_test::expect;
 
@@ -190,7 +190,7 @@
                 open = 50\n[[route]]\nname = 'kiosk'\npath = '/kiosk/'\n[route.limits]\nopen = 5\n[end]\n";
     let table = read(text, &account()).expect("a good file").limits;
     let said = ["/kiosk/a", "/a"]
-        .map(|path| explain(&table, Lookup { namespace: 0, path, tenant: "", door: "http" }));
+        .map(|path| explain(&table, RequestAttributes { namespace: 0, path, tenant: "", door: "http" }));
     expect![[r#"
         route kiosk
         time limit       1000 ms                  the house
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -4,7 +4,7 @@
 //! Pure: what is known outside the router, and the time, are passed in. [`Violation`] names what must not happen all the same;
 //! the core counts each at run time.
 
-use crate::plain::{Cache, Lkp, Lookup, Tenths};
+use crate::plain::{Cache, Request, RequestId, Tenths};
 use crate::policy::Router;
 
 const MILLISECOND: Tenths = 10;
@@ -16,8 +16,8 @@
 /// An attempt in the moment before its first byte.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
-    pub lookup: Lkp,
-    /// Its place among the attempts for that lookup.
+    pub request: RequestId,
+    /// Its place among the attempts for that request.
     pub number: usize,
     pub server: Cache,
     /// The end of its time, or of the window in which a repeat is dropped, whichever is sooner.
@@ -115,12 +115,12 @@
         if now >= attempt.until {
             return Err(Refusal::TooLate);
         }
-        let lookup = self.lookups.get(&attempt.lookup.0).filter(|l| !l.over && !attempt.answered);
-        let Some(lookup) = lookup else { return Err(Refusal::Answered) };
+        let request = self.requests.get(&attempt.request.0).filter(|l| !l.over && !attempt.answered);
+        let Some(request) = request else { return Err(Refusal::Answered) };
         if !attempt.awaited {
             return Err(Refusal::ClientLeft);
         }
-        match self.may_repeat(lookup, Some(attempt.server), now, Some(attempt.number)) {
+        match self.may_repeat(request, Some(attempt.server), now, Some(attempt.number)) {
             true => Ok(()),
             false => Err(Refusal::MayRunTwice),
         }
@@ -132,17 +132,17 @@
         ready && !self.is_barred(server)
     }
 
-    /// Whether a repeat of the lookup, at that server or (for `None`) anywhere, does no harm until `then`. The attempt itself, where
+    /// Whether a repeat of the request, at that server or (for `None`) anywhere, does no harm until `then`. The attempt itself, where
     /// there is one already, is not its own repeat.
     pub(crate) fn may_repeat(
         &self,
-        lookup: &Lookup,
+        request: &Request,
         server: Option<Cache>,
         then: Tenths,
         itself: Option<usize>,
     ) -> bool {
-        let rules = &lookup.rules;
-        let earlier = lookup.shots.iter().enumerate().filter(|(i, s)| s.may_have_run && Some(*i) != itself);
+        let rules = &request.rules;
+        let earlier = request.shots.iter().enumerate().filter(|(i, s)| s.may_have_run && Some(*i) != itself);
         earlier.map(|(_, shot)| shot).all(|shot| {
             let (ran, next) = (&self.caches[shot.cache], server.map(|server| &self.caches[server]));
             let drops_it = match rules.group.as_str() {
--- a/crates/policy/src/asked.rs
+++ b/crates/policy/src/asked.rs
@@ -1,7 +1,7 @@
 //! Ways into a router that decide nothing: what callers ask of it, and calls that only pass on.
 
 use crate::plain::{
-    Cache, Carrier, Held, HouseRules, Known, Learned, Lkp, Lookup, Standing, Tenths, mixed, point,
+    Cache, Carrier, Held, HouseRules, Known, Learned, Request, RequestId, Standing, Tenths, mixed, point,
 };
 use crate::policy::Router;
 use std::collections::BTreeMap;
@@ -16,7 +16,7 @@
         pairs.for_each(|(ns, before)| ns.purse.count_from(&before.purse));
     }
 
-    /// Classes of lookups; `take` and `renewed` name one by its number.
+    /// Classes of requests; `take` and `renewed` name one by its number.
     pub fn classes(&self) -> usize {
         self.house.namespaces.len()
     }
@@ -84,13 +84,13 @@
     /// Whether nothing will name this cache any more, so that its place may be another's.
     pub fn done_with(&self, cache: Cache) -> bool {
         let c = &self.caches[cache];
-        let named = |l: &Lookup| l.shots.iter().any(|s| s.cache == cache);
-        c.standing == Standing::Gone && c.calls == 0 && !self.lookups.values().any(named)
+        let named = |l: &Request| l.shots.iter().any(|s| s.cache == cache);
+        c.standing == Standing::Gone && c.calls == 0 && !self.requests.values().any(named)
     }
 
-    /// Lookups that are not done with yet.
+    /// Requests that are not done with yet.
     pub fn open(&self) -> usize {
-        self.lookups.len()
+        self.requests.len()
     }
 
     /// So many proxies send to the caches, this one included, where that can be counted.
@@ -98,18 +98,18 @@
         self.house.proxies = proxies.max(1);
     }
 
-    /// Takes a lookup. It must be answered once, before `expires`; route it next.
-    pub fn take(&mut self, ns: usize, key: &str, write: bool, expires: Tenths) -> Lkp {
+    /// Takes a request. It must be answered once, before `expires`; route it next.
+    pub fn take(&mut self, ns: usize, key: &str, write: bool, expires: Tenths) -> RequestId {
         self.take_at(ns, point(key, 0), write, expires)
     }
 }
 
-impl Lkp {
+impl RequestId {
     /// Limits have changed while it is open: what is sent from now on goes by the new ones, and so does its
     /// time limit where that is shorter and can still be kept.
     pub fn renewed(self, router: &mut Router, ns: usize, expires: Tenths, out: &mut dyn Carrier) {
         let (now, rules) = (router.now, Held::of(&router.house.namespaces[ns]));
-        let Some(l) = router.lookups.get_mut(&self.0).filter(|l| !l.over) else { return };
+        let Some(l) = router.requests.get_mut(&self.0).filter(|l| !l.over) else { return };
         l.rules = rules;
         if now < expires && expires < l.expires {
             (l.expires, l.useful_until, l.cut) = (expires, l.useful_until.min(expires), true);
@@ -123,15 +123,15 @@
 
     /// Only these caches may serve it, and their order is the ring's: who holds its key is settled elsewhere.
     pub fn ordered(self, router: &mut Router, caches: Vec<Cache>) {
-        router.lookups.entry(self.0).and_modify(|l| l.order = Some(caches));
+        router.requests.entry(self.0).and_modify(|l| l.order = Some(caches));
     }
 
     pub fn client_left(self, router: &mut Router, out: &mut dyn Carrier) {
         router.close(self, out);
     }
 
-    /// Whether the router still knows this lookup; when it does not, nothing more will come of it.
+    /// Whether the router still knows this request; when it does not, nothing more will come of it.
     pub fn known(self, router: &Router) -> bool {
-        router.lookups.contains_key(&self.0)
+        router.requests.contains_key(&self.0)
     }
 }
--- a/crates/policy/src/plain.rs
+++ b/crates/policy/src/plain.rs
@@ -13,9 +13,9 @@
 /// A cache or the origin: a small index handed out at the door of one instance.
 pub type Cache = usize;
 
-/// A lookup that this instance has taken. Never reused within an instance's life.
+/// A request that this instance has taken. Never reused within an instance's life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Lkp(pub u64);
+pub struct RequestId(pub u64);
 
 /// How a shot ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -80,7 +80,7 @@
     pub through: bool, // caches fetch for themselves
     pub sizes: bool,   // what the list says of them is their own, and not their load of the moment
     pub origin_kind: Option<usize>,
-    pub key_quiet: Tenths, // a key rests after a shot that may still run, where its lookups run in order
+    pub key_quiet: Tenths, // a key rests after a shot that may still run, where its requests run in order
 
     pub namespaces: Vec<Rc<Namespace>>, // and the classes that limits make of them
 }
@@ -137,12 +137,12 @@
     }
 }
 
-/// What is done with lookups of one namespace, or of one class of it.
+/// What is done with requests of one namespace, or of one class of it.
 #[derive(Default)]
 pub(crate) struct Namespace {
     pub target: Tenths,
     pub late_counts: bool,
-    pub in_order: bool,  // lookups with one key run one at a time, as taken
+    pub in_order: bool,  // requests with one key run one at a time, as taken
     pub repeats: String, // replayable, tagged or single-use
     pub group: String,   // which caches drop repeats of a tagged one: all, of one zone, of one cell
     pub window: Tenths,
@@ -156,13 +156,13 @@
 }
 
 impl Namespace {
-    /// More lookups are open than may be.
+    /// More requests are open than may be.
     pub fn crowded(&self) -> bool {
         self.open.get() > self.most_open
     }
 }
 
-/// A namespace's rules as a lookup holds them, which counts among its open ones meanwhile.
+/// A namespace's rules as a request holds them, which counts among its open ones meanwhile.
 #[derive(Default)]
 pub(crate) struct Held(Rc<Namespace>);
 
@@ -207,7 +207,7 @@
 }
 
 #[derive(Default)]
-pub(crate) struct Lookup {
+pub(crate) struct Request {
     pub rules: Held,
     pub key: u64,
     pub write: bool,
@@ -223,7 +223,7 @@
     pub leads: bool,
 }
 
-impl Lookup {
+impl Request {
     /// The numbers of its shots that have no outcome yet.
     pub fn shots_out(&self) -> impl Iterator<Item = usize> {
         self.shots.iter().enumerate().filter(|(_, s)| s.out).map(|(i, _)| i)
@@ -234,11 +234,11 @@
     }
 }
 
-/// Lookups with one key, where namespaces ask for order.
+/// Requests with one key, where namespaces ask for order.
 #[derive(Default)]
 pub(crate) struct Line {
-    pub first: Option<Lkp>, // until it is over and all its shots have ended
-    pub behind: Vec<Lkp>,   // as taken
+    pub first: Option<RequestId>, // until it is over and all its shots have ended
+    pub behind: Vec<RequestId>,   // as taken
     pub rests_until: Tenths,
 }
 
@@ -263,7 +263,7 @@
     pub zone: usize,
     pub cell: u64,
     pub size: u64,        // as stated; the largest stated, where it is lowered by load
-    pub held: (u64, u64), // hundredths of a lookup a core that it holds, as the list told before and last
+    pub held: (u64, u64), // hundredths of a request a core that it holds, as the list told before and last
     pub part: u64,        // thousandths of its keys that it keeps for what it was told to hold
     pub standing: Standing,
     pub born: Tenths,
@@ -288,10 +288,10 @@
 /// The way out: what a router wants done, each at the moment of the call.
 pub trait Carrier {
     /// Given up at `until`; not written at all where that would be later than `by`.
-    fn shoot(&mut self, lkp: Lkp, cache: Cache, until: Tenths, by: Tenths);
-    fn withdraw(&mut self, lkp: Lkp, shot: usize);
-    fn defer(&mut self, lkp: Lkp, back_in: Tenths);
-    fn abandon(&mut self, lkp: Lkp);
+    fn shoot(&mut self, request_id: RequestId, cache: Cache, until: Tenths, by: Tenths);
+    fn withdraw(&mut self, request_id: RequestId, shot: usize);
+    fn defer(&mut self, request_id: RequestId, back_in: Tenths);
+    fn abandon(&mut self, request_id: RequestId);
     fn probe(&mut self, cache: Cache);
     fn wake(&mut self, token: u64, after: Tenths);
     fn watch(&mut self);
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -1,15 +1,17 @@
 //! Every decision of chalkwalk stands in this file; `plain.rs` holds the types it is called with.
 //!
-//! One `Router` is one proxy. Set its clock, hand it lists of caches, and each lookup with `take`: its handle
+//! One `Router` is one proxy. Set its clock, hand it lists of caches, and each request with `take`: its handle
 //! takes `route(..)` once, then what happens. What it wants leaves by the `Carrier`. Same calls, same ways.
 
 use crate::discovery;
-use crate::plain::{Cache, Carrier, Chance, Ending, Entry, Held, HouseRules, Known, Line, Lkp, Lookup};
+use crate::plain::{
+    Cache, Carrier, Chance, Ending, Entry, Held, HouseRules, Known, Line, Request, RequestId,
+};
 use crate::plain::{Learned, Shot, Standing, Tally, Tenths, leaning, mixed, point};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 const SECOND: Tenths = 10_000;
-const CACHE_TOKEN: u64 = 1 << 61; // wakes below this are lookups, from here on caches
+const CACHE_TOKEN: u64 = 1 << 61; // wakes below this are requests, from here on caches
 const WATCH_TOKEN: u64 = 1 << 62;
 const LONGEST_LINE: usize = 100; // behind one key: more than ever come to their turn while they are useful
 
@@ -56,14 +58,14 @@
     pub(crate) caches: Vec<Known>,
     pub(crate) rings: [Vec<(u64, Cache)>; 3], // of the own zone, of the others, of all
     pub(crate) pooled: u64, // hundredths of the keys that are looked up on the ring of all zones
-    pub(crate) admitted: [u64; 2], // thousandths of the lookups that go to caches, and to the origin
+    pub(crate) admitted: [u64; 2], // thousandths of the requests that go to caches, and to the origin
     pub(crate) origin: Option<Cache>,
-    pub(crate) lookups: HashMap<u64, Lookup>,
+    pub(crate) requests: HashMap<u64, Request>,
     pub(crate) taken: u64,
     pub(crate) taken_lately: u64, // halved each second
-    pub(crate) fetches: HashMap<u64, Vec<Lkp>>,
+    pub(crate) fetches: HashMap<u64, Vec<RequestId>>,
     pub(crate) times: Tally,
-    pub(crate) lines: HashMap<u64, Line>, // by key, where lookups run in order
+    pub(crate) lines: HashMap<u64, Line>, // by key, where requests run in order
     pub(crate) kept: [HashSet<u64>; 2],   // keys resolved lately, and before that
     pub(crate) faded: Tenths,
     pub(crate) failed_calls: u32, // to discovery, since its last answer
@@ -162,7 +164,7 @@
         }
     }
 
-    /// A cache that the list says holds over three lookups a core, and more than the mean, keeps an eighth
+    /// A cache that the list says holds over three requests a core, and more than the mean, keeps an eighth
     /// less of its keys, or else a sixtieth more: the same keys at every proxy, as all have the same list.
     fn spread(&mut self, entries: &[Entry]) {
         let ready = || (0..self.caches.len()).filter(|i| self.ready(*i));
@@ -207,7 +209,7 @@
         Some(cache) != self.origin && self.may_ask(cache)
     }
 
-    /// What an answer seldom takes: three times what nine in ten stay under, as a few heavy lookups together
+    /// What an answer seldom takes: three times what nine in ten stay under, as a few heavy requests together
     /// hold up more.
     fn overdue(&self) -> Tenths {
         // Before there are any, nine in ten are taken to need a quarter of the shortest target time.
@@ -238,7 +240,7 @@
 
     /// A cold cache stands on the ring with the stated share of its keys only, the same keys at every proxy
     /// and more by and by, and none passed for a part. Guards one that comes back, and the origin.
-    fn warm_enough(&self, cache: Cache, l: &Lookup, early: &[Cache]) -> bool {
+    fn warm_enough(&self, cache: Cache, l: &Request, early: &[Cache]) -> bool {
         let warmth = self.warmth(cache);
         let its_share = l.order.is_some() || (early.contains(&cache) && mixed(l.key) % 1000 < warmth);
         warmth == 1000 || (its_share && self.caches[cache].credit >= 1000)
@@ -264,7 +266,7 @@
         self.caches.iter().filter(there).count() as u64
     }
 
-    fn may_shoot(&self, l: &Lookup, cache: Cache) -> bool {
+    fn may_shoot(&self, l: &Request, cache: Cache) -> bool {
         l.shots.len() < l.rules.most_shots
             && (l.rules.second_copies || !l.out())
             && self.may_repeat(l, Some(cache), self.now, None)
@@ -272,7 +274,7 @@
 
     /// Walks a ring from the key's point, passing caches at the cap, left, silent or too cold. Care 2 keeps
     /// to a room, care 1 to 3/2 of it; care 0 asks a silent one too, or a left one where none is trusted.
-    fn walk(&self, ring: usize, l: &Lookup, care: u32) -> Option<Cache> {
+    fn walk(&self, ring: usize, l: &Request, care: u32) -> Option<Cache> {
         let ring = if l.order.is_some() { &[][..] } else { &self.rings[ring][..] };
         let mut zone: Vec<Cache> = l.order.iter().flatten().copied().filter(|c| self.ready(*c)).collect();
         let (mut seen, start) = (vec![false; self.caches.len()], ring.partition_point(|p| p.0 < l.key));
@@ -318,8 +320,8 @@
     }
 
     /// The same for a key that is known by its point alone.
-    pub fn take_at(&mut self, ns: usize, key: u64, write: bool, expires: Tenths) -> Lkp {
-        let lkp = Lkp(self.taken);
+    pub fn take_at(&mut self, ns: usize, key: u64, write: bool, expires: Tenths) -> RequestId {
+        let request_id = RequestId(self.taken);
         self.taken += 1;
         self.taken_lately += 1;
         let rules = &self.house.namespaces[ns];
@@ -327,37 +329,38 @@
         let useful = if rules.late_counts { expires } else { expires.min(self.now + rules.target) };
         let luck = self.chance.below(100);
         let rules = Held::of(rules);
-        let lookup = Lookup { rules, key, write, expires, useful_until: useful, luck, ..Lookup::default() };
-        self.lookups.insert(lkp.0, lookup);
-        lkp
+        let request =
+            Request { rules, key, write, expires, useful_until: useful, luck, ..Request::default() };
+        self.requests.insert(request_id.0, request);
+        request_id
     }
 
-    fn fresh(&self, l: &Lookup) -> bool {
+    fn fresh(&self, l: &Request) -> bool {
         self.house.through && l.order.is_none() && (l.write || !self.kept.iter().any(|k| k.contains(&l.key)))
     }
 
-    /// Where a namespace asks for it, lookups with one key run one at a time, as taken: whether this one
+    /// Where a namespace asks for it, requests with one key run one at a time, as taken: whether this one
     /// waits or is deferred at once, as its turn can't come while it is useful.
-    fn waits_its_turn(&mut self, lkp: Lkp, out: &mut dyn Carrier) -> bool {
-        let (l, each) = (&self.lookups[&lkp.0], self.times.under(500).unwrap_or(0));
+    fn waits_its_turn(&mut self, request_id: RequestId, out: &mut dyn Carrier) -> bool {
+        let (l, each) = (&self.requests[&request_id.0], self.times.under(500).unwrap_or(0));
         let (key, useful) = (l.key, l.useful_until);
         if !l.rules.in_order || key == point("", 0) {
             return false;
         }
         let line = self.lines.entry(key).or_default();
         if line.first.is_none() && line.behind.is_empty() && self.now >= line.rests_until {
-            line.first = Some(lkp);
+            line.first = Some(request_id);
         }
-        if line.first == Some(lkp) {
+        if line.first == Some(request_id) {
             return false;
         }
         let turn = line.rests_until.max(self.now + each * (line.behind.len() as u64 + 1));
         if line.behind.len() >= LONGEST_LINE || turn >= useful {
-            self.give_up(lkp, out);
+            self.give_up(request_id, out);
         } else {
-            line.behind.push(lkp);
-            self.lookups.entry(lkp.0).and_modify(|l| l.waits = true);
-            out.wake(lkp.0, useful - self.now);
+            line.behind.push(request_id);
+            self.requests.entry(request_id.0).and_modify(|l| l.waits = true);
+            out.wake(request_id.0, useful - self.now);
         }
         true
     }
@@ -371,30 +374,30 @@
         }
         let next = line.behind.remove(0);
         line.first = Some(next);
-        self.lookups.entry(next.0).and_modify(|l| l.waits = false);
+        self.requests.entry(next.0).and_modify(|l| l.waits = false);
         self.place(next, out);
     }
 
-    pub(crate) fn place(&mut self, lkp: Lkp, out: &mut dyn Carrier) {
-        if self.waits_its_turn(lkp, out) {
+    pub(crate) fn place(&mut self, request_id: RequestId, out: &mut dyn Carrier) {
+        if self.waits_its_turn(request_id, out) {
             return;
         }
-        let l = &self.lookups[&lkp.0];
-        // Guards one class of lookups against another that fills the house.
+        let l = &self.requests[&request_id.0];
+        // Guards one class of requests against another that fills the house.
         if l.shots.is_empty() && l.rules.crowded() {
-            return self.give_up(lkp, out);
+            return self.give_up(request_id, out);
         }
         if l.write && self.house.origin_kind.is_some() && l.order.is_none() {
-            return self.ask_origin(lkp, out);
+            return self.ask_origin(request_id, out);
         }
         // Guards caches late together: one of many proxies hears too little of each to find its room.
         if l.shots.is_empty() && l.luck * 10 >= self.admitted[0] {
-            return self.give_up(lkp, out);
+            return self.give_up(request_id, out);
         }
-        // Guards the origin behind the caches: when fetches fail or come late, lookups for keys that are not
+        // Guards the origin behind the caches: when fetches fail or come late, requests for keys that are not
         // known to be held are deferred.
         if self.fresh(l) && l.luck * 10 >= self.admitted[1] {
-            return self.spare_origin(lkp, out);
+            return self.spare_origin(request_id, out);
         }
         let first = match mixed(l.key) / 1000 {
             part if part % 100 < self.pooled => [(2, 2), (2, 1)],
@@ -402,47 +405,47 @@
         };
         let rounds = first.into_iter().chain([(0, 1), (1, 1), (0, 0), (1, 0)]);
         match rounds.into_iter().find_map(|(ring, care)| self.walk(ring, l, care)) {
-            Some(cache) => self.shoot(lkp, cache, out),
-            None => self.give_up(lkp, out),
+            Some(cache) => self.shoot(request_id, cache, out),
+            None => self.give_up(request_id, out),
         }
     }
 
-    /// The origin is short: fewer copies of a key leave room for more keys, so by and by lookups go to the
+    /// The origin is short: fewer copies of a key leave room for more keys, so by and by requests go to the
     /// ring of all zones. Guards an origin that every zone by itself would ask for the same keys.
-    fn spare_origin(&mut self, lkp: Lkp, out: &mut dyn Carrier) {
+    fn spare_origin(&mut self, request_id: RequestId, out: &mut dyn Carrier) {
         // By the share sent away, whatever this proxy's traffic: one in twenty, and all keys go there.
         self.pooled = (self.pooled + 150u64.div_ceil(self.taken_lately.max(2))).min(100);
-        self.give_up(lkp, out);
+        self.give_up(request_id, out);
     }
 
     /// Misses and writes go to the origin, one fetch a key at a time; who comes meanwhile waits for it and
     /// then asks the cache again. Guards the origin against a stampede on one key.
-    fn ask_origin(&mut self, lkp: Lkp, out: &mut dyn Carrier) {
-        let l = &self.lookups[&lkp.0];
+    fn ask_origin(&mut self, request_id: RequestId, out: &mut dyn Carrier) {
+        let l = &self.requests[&request_id.0];
         let left = l.useful_until.saturating_sub(self.now);
         let up = |o: &Cache| self.may_ask(*o) && self.may_shoot(l, *o);
         let Some(origin) = self.origin.filter(up) else {
-            return self.give_up(lkp, out);
+            return self.give_up(request_id, out);
         };
         if !l.write && self.fetches.contains_key(&l.key) {
-            self.fetches.entry(l.key).or_default().push(lkp);
-            self.lookups.entry(lkp.0).and_modify(|l| l.waits = true);
-            return out.wake(lkp.0, left);
+            self.fetches.entry(l.key).or_default().push(request_id);
+            self.requests.entry(request_id.0).and_modify(|l| l.waits = true);
+            return out.wake(request_id.0, left);
         }
         let o = &self.caches[origin];
         if o.out * 100 + l.luck >= o.room || o.lately > left || l.luck * 10 >= self.admitted[1] {
-            return self.spare_origin(lkp, out);
+            return self.spare_origin(request_id, out);
         }
         if !l.write {
             self.fetches.insert(l.key, Vec::new());
-            self.lookups.entry(lkp.0).and_modify(|l| l.leads = true);
+            self.requests.entry(request_id.0).and_modify(|l| l.leads = true);
         }
-        self.shoot(lkp, origin, out);
+        self.shoot(request_id, origin, out);
     }
 
-    fn shoot(&mut self, lkp: Lkp, cache: Cache, out: &mut dyn Carrier) {
-        let (hush, fresh) = (self.hush(), self.lookups.get(&lkp.0).is_some_and(|l| self.fresh(l)));
-        let (Some(l), c) = (self.lookups.get_mut(&lkp.0), &mut self.caches[cache]) else { return };
+    fn shoot(&mut self, request_id: RequestId, cache: Cache, out: &mut dyn Carrier) {
+        let (hush, fresh) = (self.hush(), self.requests.get(&request_id.0).is_some_and(|l| self.fresh(l)));
+        let (Some(l), c) = (self.requests.get_mut(&request_id.0), &mut self.caches[cache]) else { return };
         if c.out == 0 {
             (c.owes_since, c.hushed) = (self.now, false);
         }
@@ -450,7 +453,7 @@
         c.credit = c.credit.saturating_sub(1000);
         l.waits = false;
         let (sent, company) = (self.now, c.out);
-        // Guards a tagged lookup whose shot waits for a connection: past the window it would run twice.
+        // Guards a tagged request whose shot waits for a connection: past the window it would run twice.
         let ns = &l.rules;
         let ran = l.shots.iter().filter(|s| s.may_have_run && ns.repeats == "tagged");
         let by = ran.map(|s| s.sent + ns.window).min().unwrap_or(l.expires);
@@ -459,52 +462,52 @@
             Shot { cache, sent, company, out: true, may_have_run: true, opens, fresh, ..Shot::default() };
         l.shots.push(shot);
         let copied = ns.copies_after.and_then(|part| self.times.under(part));
-        out.shoot(lkp, cache, l.expires.min(sent + ns.shot_wait), by);
+        out.shoot(request_id, cache, l.expires.min(sent + ns.shot_wait), by);
         if Some(cache) != self.origin {
-            out.wake(lkp.0, copied.unwrap_or(hush).min(hush) + 1);
+            out.wake(request_id.0, copied.unwrap_or(hush).min(hush) + 1);
         }
     }
 
     /// Tries once more where the rules and the budget allow, else gives up.
-    fn move_on(&mut self, lkp: Lkp, free: bool, out: &mut dyn Carrier) {
-        let l = &self.lookups[&lkp.0];
+    fn move_on(&mut self, request_id: RequestId, free: bool, out: &mut dyn Carrier) {
+        let l = &self.requests[&request_id.0];
         if self.now >= l.useful_until || !(free || l.rules.purse.allows(self.now)) {
-            return self.give_up(lkp, out);
+            return self.give_up(request_id, out);
         }
         if !free {
             l.rules.purse.spend(self.now);
         }
-        self.place(lkp, out);
+        self.place(request_id, out);
     }
 
     /// The final answer, at once. A deferral only where a further try is harmless.
-    fn give_up(&mut self, lkp: Lkp, out: &mut dyn Carrier) {
-        if self.lookups[&lkp.0].out() {
+    fn give_up(&mut self, request_id: RequestId, out: &mut dyn Carrier) {
+        if self.requests[&request_id.0].out() {
             return;
         }
         // Half a second to one and a half, spread so that those sent away do not return together.
         let back_in = (SECOND / 2 + self.chance.below(SECOND)).min(self.house.longest_stay_away);
-        if self.may_repeat(&self.lookups[&lkp.0], None, self.now + back_in, None) {
-            out.defer(lkp, back_in);
+        if self.may_repeat(&self.requests[&request_id.0], None, self.now + back_in, None) {
+            out.defer(request_id, back_in);
         } else {
-            out.abandon(lkp);
+            out.abandon(request_id);
         }
-        self.close(lkp, out);
+        self.close(request_id, out);
     }
 
-    /// The lookup has its final answer: nothing more is sent for it.
-    pub(crate) fn close(&mut self, lkp: Lkp, out: &mut dyn Carrier) {
-        let Some(l) = self.lookups.get_mut(&lkp.0) else { return };
+    /// The request has its final answer: nothing more is sent for it.
+    pub(crate) fn close(&mut self, request_id: RequestId, out: &mut dyn Carrier) {
+        let Some(l) = self.requests.get_mut(&request_id.0) else { return };
         if !l.over && self.house.withdrawals {
-            l.shots_out().for_each(|i| out.withdraw(lkp, i));
+            l.shots_out().for_each(|i| out.withdraw(request_id, i));
         }
         let (key, of_line) = (l.leads.then_some(l.key), l.key);
         (l.over, l.leads) = (true, false);
         if !l.out() {
-            self.lookups.remove(&lkp.0);
+            self.requests.remove(&request_id.0);
             if let Some(line) = self.lines.get_mut(&of_line) {
-                line.behind.retain(|other| *other != lkp);
-                line.first = line.first.filter(|first| *first != lkp);
+                line.behind.retain(|other| *other != request_id);
+                line.first = line.first.filter(|first| *first != request_id);
                 self.next_in_line(of_line, out);
             }
         }
@@ -513,10 +516,10 @@
 
     /// Those who waited for a fetch go on: to the cache that now holds the key, or one of them to the origin.
     fn release(&mut self, key: Option<u64>, stored: bool, out: &mut dyn Carrier) {
-        for lkp in key.and_then(|k| self.fetches.remove(&k)).unwrap_or_default() {
-            match self.lookups.get(&lkp.0) {
-                Some(l) if l.waits && stored => self.place(lkp, out),
-                Some(l) if l.waits => self.ask_origin(lkp, out),
+        for request_id in key.and_then(|k| self.fetches.remove(&k)).unwrap_or_default() {
+            match self.requests.get(&request_id.0) {
+                Some(l) if l.waits && stored => self.place(request_id, out),
+                Some(l) if l.waits => self.ask_origin(request_id, out),
                 _ => {}
             }
         }
@@ -533,7 +536,7 @@
                 c.doubt + 2
             }
             Ending::Resolved | Ending::Held | Ending::Fetched | Ending::Miss => c.doubt.saturating_sub(1),
-            // Guards against a lookup that no cache can use and that would have each of them left.
+            // Guards against a request that no cache can use and that would have each of them left.
             Ending::Full | Ending::Withdrawn | Ending::Unsent | Ending::Wrong => c.doubt,
             Ending::Unreachable => c.doubt + 9,
             Ending::Error | Ending::TimedOut | Ending::Broken => c.doubt + 3,
@@ -579,18 +582,18 @@
                 _ => self.probed(cache, true, out),
             };
         }
-        let lkp = Lkp(token);
-        let Some(l) = self.lookups.get(&token).filter(|l| !l.over && !l.begun) else { return };
+        let request_id = RequestId(token);
+        let Some(l) = self.requests.get(&token).filter(|l| !l.over && !l.begun) else { return };
         if l.waits {
             let key = l.key;
             return if self.now >= l.useful_until {
-                self.give_up(lkp, out)
+                self.give_up(request_id, out)
             } else {
                 self.next_in_line(key, out)
             };
         }
         if l.cut && self.now >= l.expires {
-            return l.shots_out().for_each(|i| out.withdraw(lkp, i));
+            return l.shots_out().for_each(|i| out.withdraw(request_id, i));
         }
         let Some(i) = l.shots.iter().rposition(|s| s.out) else { return };
         let (cache, sent, hush) = (l.shots[i].cache, l.shots[i].sent, self.hush());
@@ -611,24 +614,24 @@
         if !lost && !slow && !std::mem::replace(&mut self.caches[cache].hushed, true) {
             self.judge(cache, Ending::TimedOut, out);
         }
-        let l = &self.lookups[&token];
+        let l = &self.requests[&token];
         if l.rules.second_copies {
-            self.move_on(lkp, false, out);
+            self.move_on(request_id, false, out);
         } else if self.house.withdrawals
             && l.rules.purse.allows(self.now)
-            && self.may_repeat(&self.lookups[&token], None, self.now, None)
+            && self.may_repeat(&self.requests[&token], None, self.now, None)
         {
-            out.withdraw(lkp, i);
+            out.withdraw(request_id, i);
         }
     }
 }
 
-impl Lkp {
+impl RequestId {
     /// A shot's answer has begun: it is the client's now, and no clock of ours runs for it, nor does the
-    /// cache owe anything for it. What else is out for the lookup is of no use any more.
+    /// cache owe anything for it. What else is out for the request is of no use any more.
     pub fn answer_begun(self, router: &mut Router, shot: usize, out: &mut dyn Carrier) {
         let (now, withdrawals) = (router.now, router.house.withdrawals);
-        let Some(l) = router.lookups.get_mut(&self.0) else { return };
+        let Some(l) = router.requests.get_mut(&self.0) else { return };
         l.begun = true;
         if let Some(s) = l.shots.get_mut(shot).filter(|s| s.out && !s.begun) {
             s.begun = true;
@@ -651,10 +654,10 @@
     ) {
         let ending = ending.plain();
         let overdue = router.overdue();
-        let Some(l) = router.lookups.get_mut(&self.0) else { return };
+        let Some(l) = router.requests.get_mut(&self.0) else { return };
         let Some(s) = l.shots.get_mut(shot).filter(|s| s.out) else { return };
         let not_run = [Ending::Full, Ending::Unreachable, Ending::Unsent, Ending::Miss];
-        // It may still run: the key rests, and only then another lookup's turn comes.
+        // It may still run: the key rests, and only then another request's turn comes.
         let may_run = matches!(ending, Ending::TimedOut | Ending::Broken | Ending::Withdrawn);
         if let Some(line) = router.lines.get_mut(&l.key).filter(|_| may_run && l.rules.in_order) {
             line.rests_until = router.now + router.house.key_quiet;
@@ -707,7 +710,7 @@
             c.part = if took < target { grown } else { (c.part / 2).max(30) };
         }
         router.house.resize(c, ending, took, company, target, from_cache);
-        let Some(l) = router.lookups.get_mut(&self.0) else { return };
+        let Some(l) = router.requests.get_mut(&self.0) else { return };
         let key = (l.leads && !from_cache).then_some(l.key);
         l.leads &= key.is_none();
         let (asked, over, in_ring) = (l.key, l.over, l.order.is_none());
@@ -723,7 +726,7 @@
             router.judge(cache, ending, out);
         }
         if of_origin || matches!(ending, Ending::Resolved | Ending::Miss | Ending::TimedOut) {
-            // An eighth down and a seventeenth up hold all lookups while up to one in three is late.
+            // An eighth down and a seventeenth up hold all requests while up to one in three is late.
             let late = took >= target || of_origin || ending == Ending::TimedOut;
             let part = &mut router.admitted[usize::from(!from_cache || fresh)];
             *part = if late { *part * 7 / 8 } else { (*part + 60).min(1000) }.max(50);
@@ -734,14 +737,14 @@
         if ending == Ending::Wrong && !finished && !over {
             out.abandon(self);
         }
-        let l = &router.lookups[&self.0];
+        let l = &router.requests[&self.0];
         if l.begun && l.out() && !over {
             // Another shot's answer is the client's by now, whatever became of this one.
         } else if finished || over || ending == Ending::Wrong {
             router.close(self, out);
         } else if ending == Ending::Miss && router.house.origin_kind.is_some() && in_ring {
             router.ask_origin(self, out);
-        } else if !router.lookups[&self.0].out() {
+        } else if !router.requests[&self.0].out() {
             match ending {
                 Ending::Full | Ending::TimedOut | Ending::Unsent if !from_cache => router.give_up(self, out),
                 Ending::Unreachable | Ending::Miss if from_cache => router.move_on(self, true, out),
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -1,7 +1,7 @@
 //! All that a router knows, as numbers and texts: taken out, and put into a router of the same house, it decides as before.
 //! Nothing here decides, and what is worked out from the rest (rings, rules) is not in it.
 
-use crate::plain::{Chance, Held, HouseRules, Known, Line, Lkp, Lookup, Shot, Standing, Tally};
+use crate::plain::{Chance, Held, HouseRules, Known, Line, Request, RequestId, Shot, Standing, Tally};
 use crate::policy::Router;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -60,7 +60,7 @@
     u32: u64::from, |n| u32::try_from(n).ok();
     bool: u64::from, |n| (n < 2).then_some(n == 1);
     Standing: |s| s as u64, |n| [Standing::Ready, Standing::Draining, Standing::Gone].get(n as usize).copied();
-    Lkp: |lkp: Lkp| lkp.0, |n| Some(Lkp(n));
+    RequestId: |request_id: RequestId| request_id.0, |n| Some(RequestId(n));
 }
 
 /// More of anything than these would be no router's.
@@ -175,9 +175,9 @@
     }
 }
 
-/// The numbers of a lookup, without its rules, which are the house's.
-fn put_lookup(l: &Lookup, class: usize, to: &mut State) {
-    let Lookup {
+/// The numbers of a request, without its rules, which are the house's.
+fn put_request(l: &Request, class: usize, to: &mut State) {
+    let Request {
         rules: _,
         key,
         write,
@@ -200,14 +200,14 @@
     [*cut, *over, *begun, *waits, *leads].put(to);
 }
 
-fn get_lookup(house: &HouseRules, from: &mut Taking) -> Option<Lookup> {
+fn get_request(house: &HouseRules, from: &mut Taking) -> Option<Request> {
     let rules = Held::of(house.namespaces.get(usize::get(from)?)?);
     let (key, write) = Part::get(from)?;
     let order = Part::get(from)?;
     let [expires, useful_until, luck] = Part::get(from)?;
     let shots = Part::get(from)?;
     let [cut, over, begun, waits, leads] = Part::get(from)?;
-    Some(Lookup {
+    Some(Request {
         rules,
         key,
         write,
@@ -225,10 +225,10 @@
 }
 
 impl Router {
-    /// All that it knows. Nothing while a lookup still has rules that a reload has replaced: soon after there is.
+    /// All that it knows. Nothing while a request still has rules that a reload has replaced: soon after there is.
     pub fn state(&self) -> Option<State> {
         let mut to = State::default();
-        let class = |l: &Lookup| self.house.namespaces.iter().position(|rules| l.rules.is(rules));
+        let class = |l: &Request| self.house.namespaces.iter().position(|rules| l.rules.is(rules));
         [self.now, self.house.proxies, self.pooled, self.taken, self.taken_lately].put(&mut to);
         [self.salt, self.faded, self.refused].put(&mut to);
         (self.failed_calls, self.origin).put(&mut to);
@@ -241,11 +241,11 @@
         self.barred.clone().into_iter().collect::<Vec<(String, u64)>>().put(&mut to);
         self.kept.put(&mut to);
         self.house.namespaces.iter().for_each(|rules| rules.purse.counts().put(&mut to));
-        self.lookups.len().put(&mut to);
-        let ordered: BTreeMap<&u64, &Lookup> = self.lookups.iter().collect();
-        for (lkp, l) in ordered {
-            lkp.put(&mut to);
-            put_lookup(l, class(l)?, &mut to);
+        self.requests.len().put(&mut to);
+        let ordered: BTreeMap<&u64, &Request> = self.requests.iter().collect();
+        for (request_id, l) in ordered {
+            request_id.put(&mut to);
+            put_request(l, class(l)?, &mut to);
         }
         Some(to)
     }
@@ -269,12 +269,12 @@
             rules.purse.count(Part::get(from)?);
         }
         for _ in 0..u64::get(from).filter(|n| *n <= MOST)? {
-            let lkp = Part::get(from)?;
-            let lookup = get_lookup(&r.house, from)?;
-            r.lookups.insert(lkp, lookup);
+            let request_id = Part::get(from)?;
+            let request = get_request(&r.house, from)?;
+            r.requests.insert(request_id, request);
         }
         let caches = r.caches.len();
-        let known = r.lookups.values().flat_map(|l| &l.shots).all(|s| s.cache < caches);
+        let known = r.requests.values().flat_map(|l| &l.shots).all(|s| s.cache < caches);
         let good = from.words.next().is_none() && known && r.origin.is_none_or(|o| o < caches);
         good.then(|| {
             r.rings();
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -4,51 +4,51 @@
 mod helper;
 
 use chalkwalk_policy::admission::{Attempt, Refusal, Violation, Written, may_close, may_start};
-use chalkwalk_policy::{Ending, Lkp, Standing};
+use chalkwalk_policy::{Ending, RequestId, Standing};
 use helper::{House, house};
 
 const REPLAYABLE: usize = 0;
 const TAGGED: usize = 1;
 const SINGLE_USE: usize = 2;
 
-fn attempt(lookup: Lkp, number: usize) -> Attempt {
-    Attempt { lookup, number, server: 0, until: 20_000, answered: false, awaited: true }
+fn attempt(request: RequestId, number: usize) -> Attempt {
+    Attempt { request, number, server: 0, until: 20_000, answered: false, awaited: true }
 }
 
-/// One server, and a lookup whose attempt there was decided.
-fn decided(ns: usize) -> (House, Lkp) {
+/// One server, and a request whose attempt there was decided.
+fn decided(ns: usize) -> (House, RequestId) {
     let mut house = house(&[]);
     house.ready(&["amber"]);
-    let lookup = house.ask(ns, "k");
-    (house, lookup)
+    let request = house.ask(ns, "k");
+    (house, request)
 }
 
 #[test]
 fn an_attempt_that_was_decided_may_be_sent() {
-    let (house, lookup) = decided(SINGLE_USE);
-    assert_eq!(house.router.may_send(&attempt(lookup, 0), 100), Ok(()));
+    let (house, request) = decided(SINGLE_USE);
+    assert_eq!(house.router.may_send(&attempt(request, 0), 100), Ok(()));
 }
 
 #[test]
 fn nothing_is_sent_to_a_server_that_began_to_drain_meanwhile_or_that_operators_took_out() {
-    let (mut house, lookup) = decided(REPLAYABLE);
+    let (mut house, request) = decided(REPLAYABLE);
     house.list(&[("amber", 0, Standing::Draining, 0)]);
-    assert_eq!(house.router.may_send(&attempt(lookup, 0), 100), Err(Refusal::ServerOff));
-    let (mut house, lookup) = decided(REPLAYABLE);
+    assert_eq!(house.router.may_send(&attempt(request, 0), 100), Err(Refusal::ServerOff));
+    let (mut house, request) = decided(REPLAYABLE);
     house.router.bar("amber", true, 50);
-    assert_eq!(house.router.may_send(&attempt(lookup, 0), 100), Err(Refusal::ServerOff));
+    assert_eq!(house.router.may_send(&attempt(request, 0), 100), Err(Refusal::ServerOff));
     assert!(!house.router.may_ask(7), "a server that nobody has named");
 }
 
 #[test]
-fn nothing_is_sent_late_or_for_a_lookup_that_is_over() {
-    let (mut house, lookup) = decided(REPLAYABLE);
-    let this = attempt(lookup, 0);
+fn nothing_is_sent_late_or_for_a_request_that_is_over() {
+    let (mut house, request) = decided(REPLAYABLE);
+    let this = attempt(request, 0);
     assert_eq!(house.router.may_send(&this, 19_999), Ok(()));
     assert_eq!(house.router.may_send(&this, 20_000), Err(Refusal::TooLate));
     assert_eq!(house.router.may_send(&Attempt { answered: true, ..this }, 100), Err(Refusal::Answered));
     assert_eq!(house.router.may_send(&Attempt { awaited: false, ..this }, 100), Err(Refusal::ClientLeft));
-    house.left_by_client(lookup);
+    house.left_by_client(request);
     assert_eq!(house.router.may_send(&this, 100), Err(Refusal::Answered));
 }
 
@@ -56,16 +56,16 @@
 #[test]
 fn a_repeat_is_sent_only_where_its_effect_does_not_come_about_again() {
     let sent = [REPLAYABLE, TAGGED].map(|ns| {
-        let (mut house, lookup) = decided(ns);
+        let (mut house, request) = decided(ns);
         house.ready(&["amber", "birch"]);
-        house.end(lookup, 0, Ending::Broken);
+        house.end(request, 0, Ending::Broken);
         // The window of the tagged namespace is half a second.
-        [4_999, 5_000].map(|now| house.router.may_send(&attempt(lookup, 1), now))
+        [4_999, 5_000].map(|now| house.router.may_send(&attempt(request, 1), now))
     });
     assert_eq!(sent, [[Ok(()), Ok(())], [Ok(()), Err(Refusal::MayRunTwice)]]);
     // What was decided as a single attempt is still out when a second asks.
-    let (house, lookup) = decided(SINGLE_USE);
-    assert_eq!(house.router.may_send(&attempt(lookup, 1), 100), Err(Refusal::MayRunTwice));
+    let (house, request) = decided(SINGLE_USE);
+    assert_eq!(house.router.may_send(&attempt(request, 1), 100), Err(Refusal::MayRunTwice));
 }
 
 #[test]
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn each_lookup_gets_one_answer_and_nothing_after() {
+fn each_request_gets_one_answer_and_nothing_after() {
     let mut h = house(&[]);
     h.ready(&FOUR);
     let (a, b) = (h.ask(0, "book/1"), h.ask(0, "book/2"));
@@ -545,7 +545,7 @@
     expect!["2 sent, 19 deferred"].assert_eq(&line);
 }
 
-/// Of twelve lookups at once a cache gets as many as its room, after so many answers in time and then so many late, a
+/// Of twelve requests at once a cache gets as many as its room, after so many answers in time and then so many late, a
 /// second apart. Where it answered a hundredth of a second before, one late answer tells little.
 #[test]
 fn a_late_answer_makes_a_room_what_was_out_at_a_cache_seldom_heard_of() {
@@ -582,8 +582,8 @@
     let key = key_of(&mut h, "birch");
     h.told();
     for ending in [Ending::Broken, Ending::Resolved, Ending::Broken, Ending::Broken, Ending::Broken] {
-        let lkp = h.ask(2, &key);
-        h.end(lkp, 0, ending);
+        let request_id = h.ask(2, &key);
+        h.end(request_id, 0, ending);
     }
     expect![[r#"
         lookup 3 -> cache 1
@@ -602,12 +602,12 @@
 }
 
 #[test]
-fn a_lookup_no_cache_can_use_ends_at_once_and_leaves_no_cache() {
+fn a_request_no_cache_can_use_ends_at_once_and_leaves_no_cache() {
     let mut h = house(&[]);
     h.ready(&FOUR);
     for _ in 0..4 {
-        let lkp = h.ask(0, "book/1");
-        h.end(lkp, 0, Ending::Wrong);
+        let request_id = h.ask(0, "book/1");
+        h.end(request_id, 0, Ending::Wrong);
     }
     expect![[r#"
         lookup 0 -> cache 0
@@ -627,13 +627,13 @@
     let mut h = house(&[]);
     h.ready(&["amber"]);
     (0..3).for_each(|_| {
-        let lkp = h.ask(2, "book/1");
-        h.end(lkp, 0, Ending::Error);
+        let request_id = h.ask(2, "book/1");
+        h.end(request_id, 0, Ending::Error);
     });
     // The only cache is asked all the same.
     (0..7).for_each(|_| {
-        let lkp = h.ask(0, "book/1");
-        h.end(lkp, 0, Ending::Resolved);
+        let request_id = h.ask(0, "book/1");
+        h.end(request_id, 0, Ending::Resolved);
     });
     h.told();
     h.ready(&FOUR);
@@ -664,14 +664,14 @@
     .assert_eq(&h.told());
 }
 
-/// What goes to each of four caches after the first three had 30 lookups, of which they turned away some.
+/// What goes to each of four caches after the first three had 30 requests, of which they turned away some.
 fn sent_after(turned_away: fn(usize) -> bool) -> String {
     let mut h = house(&[("most shots", "1")]);
     h.ready(&FOUR);
     let keys = FOUR.map(|id| key_of(&mut h, id));
     for (i, key) in keys[..3].iter().cycle().take(30).enumerate() {
-        let lkp = h.ask(0, key);
-        h.end(lkp, 0, if turned_away(i) { Ending::Full } else { Ending::Resolved });
+        let request_id = h.ask(0, key);
+        h.end(request_id, 0, if turned_away(i) { Ending::Full } else { Ending::Resolved });
     }
     h.told();
     keys[..3].iter().for_each(|key| _ = h.ask(0, key));
@@ -699,14 +699,14 @@
         h.ready(&["amber", "birch"]);
         let key = key_of(&mut h, "amber");
         for _ in 0..20 {
-            let lkp = h.ask(0, &key);
-            lkp.shot_ended(&mut h.router, 0, Ending::Resolved, usual, true, &mut h.trace);
+            let request_id = h.ask(0, &key);
+            request_id.shot_ended(&mut h.router, 0, Ending::Resolved, usual, true, &mut h.trace);
         }
         let slow = h.ask(0, &key);
         // One sent later is answered: a longer one is overtaken, and 1.5 s is no time where most take 0.6 s.
         h.pass(1000);
-        let lkp = h.ask(0, &key);
-        h.end(lkp, 0, Ending::Resolved);
+        let request_id = h.ask(0, &key);
+        h.end(request_id, 0, Ending::Resolved);
         h.told();
         h.pass(14_500);
         h.wake(slow.0);
@@ -726,13 +726,13 @@
     let key = key_of(&mut h, "birch");
     h.told();
     for ending in [Ending::Broken, Ending::Unreachable, Ending::Broken] {
-        let lkp = h.ask(2, &key);
-        h.end(lkp, 0, ending);
+        let request_id = h.ask(2, &key);
+        h.end(request_id, 0, ending);
     }
-    // Half a minute later nothing has answered for long, and one refused connection is enough: no other lookup tries it.
+    // Half a minute later nothing has answered for long, and one refused connection is enough: no other request tries it.
     h.pass(300_000);
-    let lkp = h.ask(2, &key);
-    h.end(lkp, 0, Ending::Unreachable);
+    let request_id = h.ask(2, &key);
+    h.end(request_id, 0, Ending::Unreachable);
     h.ask(2, &key);
     expect![[r#"
         lookup 3 -> cache 1
@@ -757,8 +757,8 @@
     let lost = h.ask(0, &key);
     for _ in 0..4 {
         h.pass(600);
-        let lkp = h.ask(0, &key);
-        h.end(lkp, 0, Ending::Resolved);
+        let request_id = h.ask(0, &key);
+        h.end(request_id, 0, Ending::Resolved);
     }
     h.wake(lost.0);
     h.end(lost, 1, Ending::Resolved);
@@ -785,7 +785,7 @@
     said.push(h.router.done_with(1));
     h.end(a, 0, Ending::Unreachable);
     h.end(b, 0, Ending::Resolved);
-    // It was left, and the lookup that met it is still open.
+    // It was left, and the request that met it is still open.
     h.wake(CACHE + 1);
     said.push(h.router.done_with(1));
     h.end(a, 1, Ending::Resolved);
@@ -793,7 +793,7 @@
     expect!["[false, false, true]"].assert_eq(&format!("{said:?}"));
 }
 
-/// A class of its own for replayable lookups, with what is said of it.
+/// A class of its own for replayable requests, with what is said of it.
 fn class(said: &[(&str, &str)]) -> House {
     let mut house = house(said);
     house.ready(&["amber", "birch"]);
@@ -862,7 +862,7 @@
     let (slow, other) = (h.ask(0, "book/1"), h.ask(1, "book/2"));
     for _ in 0..3 {
         h.pass(130);
-        [slow, other].iter().for_each(|lkp| h.wake(lkp.0));
+        [slow, other].iter().for_each(|request_id| h.wake(request_id.0));
     }
     expect![[r#"
         lookup 30 -> cache 0
@@ -898,7 +898,7 @@
     .assert_eq(&h.told());
 }
 
-/// One that operators take out is passed like one that is gone, by lookups, probes and as the last resort, whatever the list
+/// One that operators take out is passed like one that is gone, by requests, probes and as the last resort, whatever the list
 /// says; put back it is as cold as one that starts then, and is asked within seconds.
 #[test]
 fn a_cache_that_operators_take_out_gets_nothing_until_they_put_it_back_cold() {
@@ -968,11 +968,11 @@
         let mut sent = 0;
         for i in 0..400 {
             h.pass(1);
-            let lkp = h.ask(0, &format!("{second}/{i}"));
+            let request_id = h.ask(0, &format!("{second}/{i}"));
             if h.told().contains("->") {
                 sent += 1;
-                h.end(lkp, 0, Ending::Miss);
-                h.end(lkp, 1, Ending::Resolved);
+                h.end(request_id, 0, Ending::Miss);
+                h.end(request_id, 1, Ending::Resolved);
             }
         }
         asked.push(sent);
@@ -980,11 +980,11 @@
     expect!["[207, 227, 273] of 400 each"].assert_eq(&format!("{asked:?} of 400 each"));
 }
 
-/// Lookups with one key run one at a time where their namespace asks for it, as taken and across namespaces; others are
+/// Requests with one key run one at a time where their namespace asks for it, as taken and across namespaces; others are
 /// free. After a shot that may still run the key rests. One whose client left makes no gap, and one whose turn can't come
 /// is deferred at once.
 #[test]
-fn lookups_with_one_key_run_in_turn_where_that_is_asked_for() {
+fn requests_with_one_key_run_in_turn_where_that_is_asked_for() {
     let order = [("namespace 1 in order", "1"), ("namespace 2 in order", "1"), ("key quiet", "2000")];
     let mut h = house(&order);
     h.ready(&FOUR);
@@ -1035,10 +1035,10 @@
         lookup 109 deferred
     "#]]
     .assert_eq(&h.told());
-    // A shot that is out still counts, though its lookup is over.
-    h.left_by_client(chalkwalk_policy::Lkp(3));
+    // A shot that is out still counts, though its request is over.
+    h.left_by_client(chalkwalk_policy::RequestId(3));
     h.trace.mark("its shot has ended");
-    h.end(chalkwalk_policy::Lkp(3), 0, Ending::Withdrawn);
+    h.end(chalkwalk_policy::RequestId(3), 0, Ending::Withdrawn);
     h.pass(2_000);
     h.wake(waiting[0].0);
     expect![[r#"
@@ -1049,9 +1049,9 @@
     .assert_eq(&h.told());
 }
 
-/// Whatever happens to them, no two lookups of a key are out at once, none overtakes, and the line ends.
+/// Whatever happens to them, no two requests of a key are out at once, none overtakes, and the line ends.
 #[test]
-fn no_order_is_broken_by_what_becomes_of_lookups() {
+fn no_order_is_broken_by_what_becomes_of_requests() {
     let mut h = house(&[("namespace 1 in order", "1"), ("key quiet", "3000")]);
     h.ready(&FOUR);
     let (mut seed, mut out, mut started, mut over) = (11u64, Vec::new(), Vec::new(), 0);
@@ -1064,10 +1064,10 @@
     for step in 0..4000 {
         if step < 2000 && pick(2) == 0 {
             let key = pick(2) as usize;
-            let lkp = h.ask(1, ["a", "b"][key]);
-            assert_eq!(lkp.0 as usize, keys.len());
+            let request_id = h.ask(1, ["a", "b"][key]);
+            assert_eq!(request_id.0 as usize, keys.len());
             keys.push(key);
-            wakes.push((h.now + 10_000, lkp.0));
+            wakes.push((h.now + 10_000, request_id.0));
         }
         h.pass(500);
         let now = h.now;
@@ -1082,25 +1082,28 @@
         });
         for line in h.told().lines() {
             let word = |i: usize| line.split(' ').nth(i).unwrap_or("");
-            let lkp: u64 = word(1).parse().unwrap_or(0);
+            let request_id: u64 = word(1).parse().unwrap_or(0);
             match word(2) {
                 "->" => {
-                    let of_key = |other: &u64| keys[*other as usize] == keys[lkp as usize];
-                    let others_out = out.iter().any(|(other, _)| *other != lkp && of_key(other));
-                    assert!(!others_out, "{lkp} beside another of its key");
-                    assert!(!started.iter().any(|other| of_key(other) && *other > lkp), "{lkp} out of turn");
-                    started.push(lkp);
-                    out.push((lkp, started.iter().filter(|l| **l == lkp).count() - 1));
+                    let of_key = |other: &u64| keys[*other as usize] == keys[request_id as usize];
+                    let others_out = out.iter().any(|(other, _)| *other != request_id && of_key(other));
+                    assert!(!others_out, "{request_id} beside another of its key");
+                    assert!(
+                        !started.iter().any(|other| of_key(other) && *other > request_id),
+                        "{request_id} out of turn"
+                    );
+                    started.push(request_id);
+                    out.push((request_id, started.iter().filter(|l| **l == request_id).count() - 1));
                 }
                 "deferred" | "abandoned" => over += 1,
                 _ => {}
             }
         }
         if !out.is_empty() && pick(2) == 0 {
-            let (lkp, shot) = out.remove(pick(out.len() as u64) as usize);
+            let (request_id, shot) = out.remove(pick(out.len() as u64) as usize);
             let endings =
                 [Ending::Resolved, Ending::TimedOut, Ending::Broken, Ending::Error, Ending::Unreachable];
-            h.end(chalkwalk_policy::Lkp(lkp), shot, endings[pick(5) as usize]);
+            h.end(chalkwalk_policy::RequestId(request_id), shot, endings[pick(5) as usize]);
         }
     }
     let distinct = |list: &[u64]| {
@@ -1123,13 +1126,13 @@
     let mut asked = [0, 0];
     for i in 0..1000 {
         h.pass(20);
-        let lkp = h.ask(0, &format!("new/{i}"));
+        let request_id = h.ask(0, &format!("new/{i}"));
         if h.told().contains("->") {
             asked[usize::from(i >= 500)] += 1;
             // By turns, so that no cache is left for it.
             let ending = if i % 4 == 0 { Ending::Error } else { Ending::Full };
-            h.end(lkp, 0, ending);
-            (1..4).for_each(|shot| h.end(lkp, shot, Ending::Error));
+            h.end(request_id, 0, ending);
+            (1..4).for_each(|shot| h.end(request_id, shot, Ending::Error));
         }
     }
     expect!["[61, 42] of 500 each"].assert_eq(&format!("{asked:?} of 500 each"));
@@ -1158,7 +1161,7 @@
     expect!["[7, 28, 100] of 100"].assert_eq(&format!("{sent:?} of 100"));
 }
 
-/// Once a shot's answer has begun the lookup's others are withdrawn, and whatever becomes of them nothing more is sent for
+/// Once a shot's answer has begun the request's others are withdrawn, and whatever becomes of them nothing more is sent for
 /// it; its cache owes nothing for it, however long it goes on.
 #[test]
 fn an_answer_that_has_begun_is_the_only_one() {
@@ -1168,18 +1171,18 @@
         ("birch", 0, Standing::Ready, 0),
         ("origin", 0, Standing::Ready, 0),
     ]);
-    let lkp = h.ask(0, "book");
+    let request_id = h.ask(0, "book");
     h.pass(8_000);
-    h.wake(lkp.0); // silent for so long: a second copy
+    h.wake(request_id.0); // silent for so long: a second copy
     h.trace.mark("the first begins");
-    lkp.answer_begun(&mut h.router, 0, &mut h.trace);
-    lkp.shot_ended(&mut h.router, 1, Ending::Miss, 100, true, &mut h.trace);
+    request_id.answer_begun(&mut h.router, 0, &mut h.trace);
+    request_id.shot_ended(&mut h.router, 1, Ending::Miss, 100, true, &mut h.trace);
     h.pass(20_000);
-    h.wake(lkp.0);
+    h.wake(request_id.0);
     h.trace.mark("another of its key, past any silence");
     let other = h.ask(0, "book");
     h.end(other, 0, Ending::Resolved);
-    lkp.shot_ended(&mut h.router, 0, Ending::Broken, 100, true, &mut h.trace);
+    request_id.shot_ended(&mut h.router, 0, Ending::Broken, 100, true, &mut h.trace);
     expect![[r#"
         lookup 0 -> cache 1
         lookup 0 -> cache 0
@@ -1189,7 +1192,7 @@
         lookup 1 -> cache 1
     "#]]
     .assert_eq(&h.told());
-    assert!(!lkp.known(&h.router));
+    assert!(!request_id.known(&h.router));
 }
 
 /// Half as large, three quarters of its keys, and no other cache loses any; where sizes are loads of the moment too, as the
@@ -1219,10 +1222,10 @@
         h.told();
         for i in 0..400 {
             h.pass(2_000);
-            let lkp = h.ask(0, &format!("page/{i}"));
+            let request_id = h.ask(0, &format!("page/{i}"));
             let late = i % 4 == 0 && h.last_asked().is_some_and(|id| id == "birch");
             let took = if late { slow } else { 100 };
-            lkp.shot_ended(&mut h.router, 0, Ending::Resolved, took, true, &mut h.trace);
+            request_id.shot_ended(&mut h.router, 0, Ending::Resolved, took, true, &mut h.trace);
             if i == 199 {
                 h.told();
             }
@@ -1244,9 +1247,9 @@
         });
         h.told();
         (0..200).for_each(|i| {
-            let lkp = h.ask(0, &format!("page/{i}"));
-            h.left_by_client(lkp);
-            h.end(lkp, 0, Ending::Withdrawn);
+            let request_id = h.ask(0, &format!("page/{i}"));
+            h.left_by_client(request_id);
+            h.end(request_id, 0, Ending::Withdrawn);
         });
         h.told().matches("> cache 1").count()
     };
@@ -1265,10 +1268,10 @@
     h.told();
     let phase = |h: &mut House, full: bool| {
         for i in 0..40 {
-            let lkp = h.ask(0, &format!("page/{i}"));
+            let request_id = h.ask(0, &format!("page/{i}"));
             for shot in 0..4 {
                 let place = h.last_asked().is_some_and(|id| !full || id == "amber" || id == "birch");
-                h.end(lkp, shot, if place { Ending::Resolved } else { Ending::Unreachable });
+                h.end(request_id, shot, if place { Ending::Resolved } else { Ending::Unreachable });
                 if place {
                     break;
                 }
@@ -1300,32 +1303,32 @@
     let mut passed = 0;
     for i in 0..40 {
         h.pass(5_000);
-        let lkp = h.ask(0, &format!("page/{i}"));
+        let request_id = h.ask(0, &format!("page/{i}"));
         h.pass(4_000);
-        h.wake(lkp.0);
+        h.wake(request_id.0);
         passed += h.told().lines().count() - 1;
-        lkp.shot_ended(&mut h.router, 0, Ending::Resolved, 4_000, true, &mut h.trace);
+        request_id.shot_ended(&mut h.router, 0, Ending::Resolved, 4_000, true, &mut h.trace);
     }
     expect!["0"].assert_eq(&passed.to_string());
 }
 
-/// What a process before learned of a cache holds for the next one from its first lookup on, unless that cache has started
+/// What a process before learned of a cache holds for the next one from its first request on, unless that cache has started
 /// since; figures beyond all that could be learned are cut to it. Nothing else is carried: cedar is asked though it was left.
 #[test]
-fn the_first_lookups_after_a_switch_go_by_what_was_learned_before() {
+fn the_first_requests_after_a_switch_go_by_what_was_learned_before() {
     let mut old = house(&[]);
     old.ready(&FOUR);
     for i in 0..60 {
         old.pass(2_000);
-        let lkp = old.ask(0, &format!("page/{i}"));
+        let request_id = old.ask(0, &format!("page/{i}"));
         let id = old.last_asked();
         let (took, ending) = match id.as_deref() {
             Some("birch") => (10_000, Ending::Resolved),
             Some("cedar") => (100, Ending::Broken),
             _ => (100, Ending::Resolved),
         };
-        lkp.shot_ended(&mut old.router, 0, ending, took, ending == Ending::Resolved, &mut old.trace);
-        old.left_by_client(lkp);
+        request_id.shot_ended(&mut old.router, 0, ending, took, ending == Ending::Resolved, &mut old.trace);
+        old.left_by_client(request_id);
     }
     let learned = old.router.learned();
     let spoilt =
@@ -1338,9 +1341,9 @@
         new.list(&rows);
         new.told();
         for i in 0..100 {
-            let lkp = new.ask(0, &format!("page/{i}"));
-            new.left_by_client(lkp);
-            new.end(lkp, 0, Ending::Withdrawn);
+            let request_id = new.ask(0, &format!("page/{i}"));
+            new.left_by_client(request_id);
+            new.end(request_id, 0, Ending::Withdrawn);
         }
         let told = new.told();
         [1, 2].map(|cache| told.matches(&format!("> cache {cache}")).count())
@@ -1359,21 +1362,21 @@
         h.pass(10_000);
         for i in 0..200 {
             h.pass(200);
-            let lkp = h.ask(0, &format!("page/{i}"));
+            let request_id = h.ask(0, &format!("page/{i}"));
             let took = if late && i % 2 == 0 { 10_000 } else { 100 };
-            lkp.shot_ended(&mut h.router, 0, Ending::Resolved, took, true, &mut h.trace);
-            h.left_by_client(lkp);
+            request_id.shot_ended(&mut h.router, 0, Ending::Resolved, took, true, &mut h.trace);
+            h.left_by_client(request_id);
         }
         let now = h.now;
         h.list(&FOUR.map(|id| (id, 0, Standing::Ready, if id == "birch" { now } else { 0 })));
         h.told();
         for i in 0..400 {
             h.pass(50);
-            let lkp = h.ask(0, &format!("page/{i}"));
+            let request_id = h.ask(0, &format!("page/{i}"));
             let cold = h.last_asked().is_some_and(|id| id == "birch");
             let took = if late && !cold && i % 2 == 0 { 10_000 } else { 100 };
-            lkp.shot_ended(&mut h.router, 0, Ending::Resolved, took, true, &mut h.trace);
-            h.left_by_client(lkp);
+            request_id.shot_ended(&mut h.router, 0, Ending::Resolved, took, true, &mut h.trace);
+            h.left_by_client(request_id);
         }
         h.told().matches("> cache 1").count()
     };
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Many routers that share nothing but one service: what is harmless in one, and harmful when all do it.
 
 use chalkwalk_policy::discovery::{NOTIFIED_WITHIN, TURN};
-use chalkwalk_policy::{Cache, Carrier, Lkp, Router, Tenths};
+use chalkwalk_policy::{Cache, Carrier, RequestId, Router, Tenths};
 use expect_test::expect;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -18,10 +18,10 @@
 }
 
 impl Carrier for Wants {
-    fn shoot(&mut self, _: Lkp, _: Cache, _: Tenths, _: Tenths) {}
-    fn withdraw(&mut self, _: Lkp, _: usize) {}
-    fn defer(&mut self, _: Lkp, _: Tenths) {}
-    fn abandon(&mut self, _: Lkp) {}
+    fn shoot(&mut self, _: RequestId, _: Cache, _: Tenths, _: Tenths) {}
+    fn withdraw(&mut self, _: RequestId, _: usize) {}
+    fn defer(&mut self, _: RequestId, _: Tenths) {}
+    fn abandon(&mut self, _: RequestId) {}
     fn probe(&mut self, _: Cache) {}
     fn wake(&mut self, token: u64, after: Tenths) {
         assert_eq!(token, WATCH);
--- a/crates/policy/tests/helper/mod.rs
+++ b/crates/policy/tests/helper/mod.rs
@@ -1,6 +1,6 @@
 //! A router whose decisions are written down line by line.
 
-use chalkwalk_policy::{Cache, Carrier, Ending, Entry, Lkp, Router, Standing, Tenths};
+use chalkwalk_policy::{Cache, Carrier, Ending, Entry, RequestId, Router, Standing, Tenths};
 use std::collections::BTreeMap;
 
 #[derive(Default)]
@@ -19,19 +19,19 @@
 }
 
 impl Carrier for Trace {
-    fn shoot(&mut self, lkp: Lkp, cache: Cache, until: Tenths, by: Tenths) {
+    fn shoot(&mut self, request_id: RequestId, cache: Cache, until: Tenths, by: Tenths) {
         self.1 = until;
         let by = if by < until { format!(" by {by}") } else { String::new() };
-        self.line(format!("lookup {} -> cache {cache}{by}", lkp.0));
+        self.line(format!("lookup {} -> cache {cache}{by}", request_id.0));
     }
-    fn withdraw(&mut self, lkp: Lkp, shot: usize) {
-        self.line(format!("lookup {} withdraws shot {shot}", lkp.0));
+    fn withdraw(&mut self, request_id: RequestId, shot: usize) {
+        self.line(format!("lookup {} withdraws shot {shot}", request_id.0));
     }
-    fn defer(&mut self, lkp: Lkp, _back_in: Tenths) {
-        self.line(format!("lookup {} deferred", lkp.0));
+    fn defer(&mut self, request_id: RequestId, _back_in: Tenths) {
+        self.line(format!("lookup {} deferred", request_id.0));
     }
-    fn abandon(&mut self, lkp: Lkp) {
-        self.line(format!("lookup {} abandoned", lkp.0));
+    fn abandon(&mut self, request_id: RequestId) {
+        self.line(format!("lookup {} abandoned", request_id.0));
     }
     fn probe(&mut self, cache: Cache) {
         self.line(format!("probe cache {cache}"));
@@ -115,27 +115,27 @@
         self.router.clock(self.now);
     }
 
-    pub fn ask(&mut self, ns: usize, key: &str) -> Lkp {
+    pub fn ask(&mut self, ns: usize, key: &str) -> RequestId {
         self.routed(ns, key, false)
     }
 
-    pub fn write(&mut self, ns: usize, key: &str) -> Lkp {
+    pub fn write(&mut self, ns: usize, key: &str) -> RequestId {
         self.routed(ns, key, true)
     }
 
-    fn routed(&mut self, ns: usize, key: &str, write: bool) -> Lkp {
-        let lkp = self.router.take(ns, key, write, self.now + 20_000);
-        lkp.route(&mut self.router, &mut self.trace);
-        lkp
+    fn routed(&mut self, ns: usize, key: &str, write: bool) -> RequestId {
+        let request_id = self.router.take(ns, key, write, self.now + 20_000);
+        request_id.route(&mut self.router, &mut self.trace);
+        request_id
     }
 
-    pub fn end(&mut self, lkp: Lkp, shot: usize, ending: Ending) {
+    pub fn end(&mut self, request_id: RequestId, shot: usize, ending: Ending) {
         let finished = matches!(ending, Ending::Resolved | Ending::Held | Ending::Fetched);
-        lkp.shot_ended(&mut self.router, shot, ending, 100, finished, &mut self.trace);
+        request_id.shot_ended(&mut self.router, shot, ending, 100, finished, &mut self.trace);
     }
 
-    pub fn left_by_client(&mut self, lkp: Lkp) {
-        lkp.client_left(&mut self.router, &mut self.trace);
+    pub fn left_by_client(&mut self, request_id: RequestId) {
+        request_id.client_left(&mut self.router, &mut self.trace);
     }
 
     pub fn wake(&mut self, token: u64) {
@@ -145,8 +145,8 @@
     /// Where a key goes while nothing else is in flight.
     pub fn owner(&mut self, key: &str) -> String {
         let kept = std::mem::take(&mut self.trace);
-        let lkp = self.ask(0, key);
-        self.end(lkp, 0, Ending::Resolved);
+        let request_id = self.ask(0, key);
+        self.end(request_id, 0, Ending::Resolved);
         let asked = self.last_asked();
         let said = std::mem::replace(&mut self.trace, kept).0;
         asked.unwrap_or(said.trim().to_string())
--- a/crates/proxy/src/captures.rs
+++ b/crates/proxy/src/captures.rs
@@ -126,8 +126,8 @@
     Ok(out)
 }
 
-/// All that concerns one lookup, in order. Lookups are numbered as they are taken, from each start of the module.
-pub fn show(named: &[PathBuf], lookup: u64) -> Result<String, String> {
+/// All that concerns one request, in order. Requests are numbered as they are taken, from each start of the module.
+pub fn show(named: &[PathBuf], request: u64) -> Result<String, String> {
     let mut out = String::new();
     let mut taken = 0;
     for (_, items, _) in all(named, &mut out)? {
@@ -141,11 +141,11 @@
                     taken += 1;
                     Some(taken - 1)
                 }
-                other => other.lkp(),
+                other => other.request_id(),
             };
-            let concerns = |done: &&Done| done.lkp() == Some(lookup);
+            let concerns = |done: &&Done| done.request_id() == Some(request);
             let done: Vec<&Done> = call.done.iter().filter(concerns).collect();
-            if this == Some(lookup) || !done.is_empty() {
+            if this == Some(request) || !done.is_empty() {
                 _ = writeln!(out, "{}  told {:?}", seconds(at), call.told);
                 done.iter().for_each(|d| _ = writeln!(out, "{:>16}  {d:?}", ""));
             }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -9,7 +9,7 @@
 mod serve;
 mod sources;
 
-use chalkwalk_limits::Lookup;
+use chalkwalk_limits::RequestAttributes;
 use chalkwalk_operator as operator;
 use given::Given;
 use slog::{Drain, FnValue, Logger, PushFnValue, o};
@@ -124,21 +124,27 @@
         place.ok_or(format!("no namespace \"{namespace}\"; there are {}", rules.namespaces.join(", ")))?;
     let table = rules.core.limits.unwrap_or_else(|| chalkwalk_limits::Table::of_house(&rules.core.account));
     let door = if door.is_empty() { chalkwalk_http_door::DOOR } else { &door };
-    print!("{}", operator::explain(&table, Lookup { namespace: place, path: &route, tenant: &tenant, door }));
+    print!(
+        "{}",
+        operator::explain(
+            &table,
+            RequestAttributes { namespace: place, path: &route, tenant: &tenant, door }
+        )
+    );
     Ok(())
 }
 
 fn capture(mut args: Args) -> ExitCode {
     let said = (|| {
         let what = args.subcommand().map_err(|e| e.to_string())?.unwrap_or_default();
-        let lookup: Option<u64> = args.opt_value_from_str("--lookup").map_err(|e| e.to_string())?;
+        let request: Option<u64> = args.opt_value_from_str("--lookup").map_err(|e| e.to_string())?;
         let call: Option<u64> = args.opt_value_from_str("--call").map_err(|e| e.to_string())?;
         let to: Option<std::path::PathBuf> = args.opt_value_from_str("--to").map_err(|e| e.to_string())?;
         let files: Vec<std::path::PathBuf> = args.finish().into_iter().map(Into::into).collect();
-        match (what.as_str(), lookup) {
+        match (what.as_str(), request) {
             ("info", None) => captures::info(&files).map(|out| (out, true)),
             ("replay", None) => captures::again(&files),
-            ("show", Some(lookup)) => captures::show(&files, lookup).map(|out| (out, true)),
+            ("show", Some(request)) => captures::show(&files, request).map(|out| (out, true)),
             ("cut", None) => match (call, to) {
                 (Some(call), Some(to)) => captures::cut_to(&files, call, &to).map(|out| (out, true)),
                 _ => Err("capture cut takes --call N and --to FILE".into()),
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -36,7 +36,7 @@
 ) -> Result<(), String> {
     let Read { rules, membership, resp, capture } = read;
     let HouseRules { listen, console, list, known, namespaces, core: mut rules, shape } = rules;
-    // Places that no lookup can take.
+    // Places that no request can take.
     let own = if console.is_some() { console::DESCRIPTORS } else { 0 } + usize::from(handed);
     rules.descriptors = rules.descriptors.saturating_sub(own);
     let listener = Async::new(listener).map_err(|e| format!("cannot listen: {e}"))?;
--- a/crates/proxy/tests/resp.rs
+++ b/crates/proxy/tests/resp.rs
@@ -225,7 +225,7 @@
 
 #[test]
 fn redirections_are_followed_and_the_dialects_own_errors_passed_on() {
-    // A stand-in that a busy machine holds up for 50 ms is given up like any silent server, and its lookup deferred: then
+    // A stand-in that a busy machine holds up for 50 ms is given up like any silent server, and its request deferred: then
     // the day is played again. One deferral belongs to it.
     let mut told = redirected();
     for _ in 0..5 {
--- a/crates/proxy/tests/sockets.rs
+++ b/crates/proxy/tests/sockets.rs
@@ -19,7 +19,7 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// What a stand-in writes to its nth lookup, and whether it closes then. Empty and open: it hangs.
+/// What a stand-in writes to its nth request, and whether it closes then. Empty and open: it hangs.
 type Script = fn(usize) -> (&'static str, bool);
 
 const HELD: &str = "HTTP/1.1 200 OK\r\nX-Lookup: hit\r\nContent-Length: 5\r\n\r\nvalue";
@@ -364,7 +364,7 @@
 }
 
 #[test]
-fn where_nothing_listens_nothing_has_run_and_a_single_use_lookup_goes_on() {
+fn where_nothing_listens_nothing_has_run_and_a_single_use_request_goes_on() {
     let day = Day::new(&[("nobody", held), ("a", held)]);
     let mut client = day.client();
     for key in ["k1", "k2", "k3", "k4", "k5", "k6"] {
@@ -470,7 +470,7 @@
 }
 
 #[test]
-fn without_a_cache_a_lookup_is_deferred_at_once() {
+fn without_a_cache_a_request_is_deferred_at_once() {
     let gone = |lines: &[Value]| vec![whole(2, &lines[..0])];
     let day = Day::with(&[("a", held)], 1024, "", gone);
     day.ask(&mut day.client(), "GET", "page", "k");
@@ -726,7 +726,7 @@
 }
 
 #[test]
-fn a_connection_is_not_closed_before_its_first_lookup() {
+fn a_connection_is_not_closed_before_its_first_request() {
     let day = Day::with(&[("a", held)], 46, "", |lines| vec![whole(2, lines)]);
     let mut clients: Vec<TcpStream> = (0..60).map(|_| day.client()).collect();
     sleep(Duration::from_millis(50));
@@ -741,7 +741,7 @@
 }
 
 #[test]
-fn more_lookups_than_the_budget_holds_are_turned_away_at_once() {
+fn more_requests_than_the_budget_holds_are_turned_away_at_once() {
     let hang: Script = |_| ("", false);
     let fleet = [("a", hang), ("b", hang), ("c", hang)];
     let day = Day::with(&fleet, 46, "", |lines| vec![whole(2, lines)]);
@@ -945,7 +945,7 @@
 }
 
 #[test]
-fn an_id_that_is_open_elsewhere_and_a_second_lookup_ahead_of_the_answer_are_turned_down() {
+fn an_id_that_is_open_elsewhere_and_a_second_request_ahead_of_the_answer_are_turned_down() {
     let slow: Script = |_| {
         sleep(Duration::from_millis(300));
         (HELD, false)
--- a/crates/proxy/tests/sockets/endings.rs
+++ b/crates/proxy/tests/sockets/endings.rs
@@ -158,7 +158,7 @@
     }
 }
 
-/// What comes on a connection of a stand-in: a lookup's first line, or nothing up to its end.
+/// What comes on a connection of a stand-in: a request's first line, or nothing up to its end.
 fn written(mut stream: TcpStream) -> String {
     stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
     message(&mut stream).map_or("nothing".into(), |(head, _)| head.lines().next().unwrap().to_string())
@@ -181,7 +181,7 @@
     assert_eq!(told.as_deref(), Some("200 value"));
 }
 
-/// What the lookup after it gets.
+/// What the request after it gets.
 fn second_answer() -> Option<String> {
     let fleet = Fleet::of(vec![cache("a")], |_| ());
     let mut client = fleet.write("page", "k0");
@@ -189,7 +189,7 @@
     let begun = Instant::now();
     shot.answer(HELD);
     assert_eq!(heard(&mut client), "200 value");
-    // The next lookup is on its way before the second answer is.
+    // The next request is on its way before the second answer is.
     fleet.write_on(&mut client, "page", "k1");
     sleep(Duration::from_millis(3));
     shot.answer("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray");
@@ -201,7 +201,7 @@
     Some(heard(&mut client))
 }
 
-/// Nothing is written for a lookup whose client left while it waited for its connection, though the connection came up in the
+/// Nothing is written for a request whose client left while it waited for its connection, though the connection came up in the
 /// turn in which the client's end was read; also where shots that are out may not be withdrawn.
 #[test]
 fn who_leaves_while_a_connection_comes_up_is_not_sent_on() {
@@ -222,7 +222,7 @@
     }
 }
 
-/// The same for a place for its connection: all are taken by lookups that hang, and one becomes free as the client leaves.
+/// The same for a place for its connection: all are taken by requests that hang, and one becomes free as the client leaves.
 #[test]
 fn who_leaves_while_it_waits_for_a_place_is_not_sent_on() {
     let fleet = Fleet::of(vec![cache("a"), cache("b"), cache("c")], |said| {
@@ -272,7 +272,7 @@
         let mut second = fleet.write("page", "k");
         if origin {
             fleet.shot().answer(MISS);
-            // By the next lookup's shot the miss of the second has been heard.
+            // By the next request's shot the miss of the second has been heard.
         }
         let mut third = fleet.write("page", "other");
         let mut other = fleet.shot();
@@ -308,7 +308,7 @@
     assert_eq!(heard(&mut other), "200 value");
 }
 
-/// A connection that comes up in the turn in which the time limit is over, or in which a tagged lookup's window is, carries
+/// A connection that comes up in the turn in which the time limit is over, or in which a tagged request's window is, carries
 /// nothing: the window counts from the first shot that may have run.
 #[test]
 fn what_is_over_while_a_connection_comes_up_is_not_written() {
@@ -417,9 +417,9 @@
     assert_eq!(heard(&mut client), "200 value");
 }
 
-/// A cache that resets in the middle of a long body has surely not run it, and a single-use lookup goes on to the next.
+/// A cache that resets in the middle of a long body has surely not run it, and a single-use request goes on to the next.
 #[test]
-fn a_reset_inside_a_body_has_not_run_and_a_single_use_lookup_goes_on() {
+fn a_reset_inside_a_body_has_not_run_and_a_single_use_request_goes_on() {
     const BODY: usize = 20 << 20;
     let (cuts, whole_of) = (cache("a"), cache("b"));
     let lines = vec![cuts.1.clone(), whole_of.1.clone()];
--- a/crates/proxy/tests/sockets/large.rs
+++ b/crates/proxy/tests/sockets/large.rs
@@ -89,7 +89,7 @@
     let day = Day::new(&[("amber", halting)]);
     let mut client = question(&day, "GET", "h", "\r\n");
     day.told.say(outcome(&mut client));
-    sleep(Duration::from_millis(900)); // beyond the lookup's second
+    sleep(Duration::from_millis(900)); // beyond the request's second
     client.set_read_timeout(Some(Duration::from_millis(100))).unwrap();
     let open = matches!(client.read(&mut [0; 8]), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock);
     day.told.say(format!("open past its time: {open}"));
@@ -132,9 +132,9 @@
     "#]]);
 }
 
-/// A lookup's time begins with its last byte, however slowly its head came.
+/// A request's time begins with its last byte, however slowly its head came.
 #[test]
-fn a_slow_head_takes_no_time_from_its_lookup() {
+fn a_slow_head_takes_no_time_from_its_request() {
     let day = Day::new(&[("amber", held)]);
     let mut client = day.client();
     let (first, last) = (
--- a/crates/proxy/tests/sockets/leaving.rs
+++ b/crates/proxy/tests/sockets/leaving.rs
@@ -10,7 +10,7 @@
     kill_process(pid, Signal::TERM).unwrap();
 }
 
-fn lookup(ns: &str, key: &str) -> String {
+fn request(ns: &str, key: &str) -> String {
     format!(
         "GET /api/{key} HTTP/1.1\r\nX-Correlation-Id: {key}\r\nX-Service-Class: {ns}\r\nX-Time-Left: 1.5\r\n\r\n"
     )
@@ -32,7 +32,7 @@
             }
         };
         term(&proxy);
-        client.write_all(lookup("page", "k").as_bytes()).unwrap();
+        client.write_all(request("page", "k").as_bytes()).unwrap();
         let answer = heard(&mut client);
         drop(client);
         let exit = proxy.wait().unwrap();
@@ -66,7 +66,7 @@
                 for n in 0.. {
                     let key = format!("{c}x{n}");
                     let ns = if c % 2 == 0 { "page" } else { "once" };
-                    let sent = stream.write_all(lookup(ns, &key).as_bytes());
+                    let sent = stream.write_all(request(ns, &key).as_bytes());
                     if sent.is_err() || message(&mut stream).is_none() {
                         return key;
                     }
@@ -91,7 +91,7 @@
     assert!(lost.is_empty(), "{lost:?}");
 }
 
-/// Told to end while lookups wait for a connection, for an answer that never comes, for their key's turn, and with a body half
+/// Told to end while requests wait for a connection, for an answer that never comes, for their key's turn, and with a body half
 /// read: each has its one answer before the process ends, and a second word to end, or to read anew, changes nothing.
 #[test]
 fn told_to_end_it_answers_what_waits_for_whatever() {
--- a/crates/proxy/tests/sockets/operators.rs
+++ b/crates/proxy/tests/sockets/operators.rs
@@ -392,7 +392,7 @@
     .assert_eq(&seen.join("\n"));
 }
 
-/// A disk that holds up whoever writes to it holds up no lookup and no answer to operators, and what they said is in force.
+/// A disk that holds up whoever writes to it holds up no request and no answer to operators, and what they said is in force.
 #[test]
 fn a_disk_that_stands_still_holds_up_nobody() {
     let (told, lines) = caches(&["amber", "birch"]);
@@ -417,7 +417,7 @@
     assert_eq!(process.call("GET", "/control/ready"), "200");
 }
 
-/// The first lookups after a switch, with what the process before learned, without it, and with that spoilt: none is lost, a
+/// The first requests after a switch, with what the process before learned, without it, and with that spoilt: none is lost, a
 /// cache that turns all away is asked less where that was learned, the draining one not at all, and the cold one little.
 #[test]
 fn the_first_seconds_after_a_switch_keep_every_rule_with_learned_figures_or_without() {
--- a/crates/proxy/tests/sources.rs
+++ b/crates/proxy/tests/sources.rs
@@ -69,7 +69,7 @@
         Day { proxy, addr, folder: folder.to_path_buf() }
     }
 
-    /// Who answers a lookup, if anybody does.
+    /// Who answers a request, if anybody does.
     fn ask(&self, id: usize) -> Option<String> {
         let mut stream = TcpStream::connect(self.addr).ok()?;
         stream.set_read_timeout(Some(Duration::from_secs(2))).ok()?;
@@ -83,7 +83,7 @@
         head.starts_with("HTTP/1.1 200").then(|| body.to_string())
     }
 
-    /// Waits until one of these answers, and every lookup of ten then.
+    /// Waits until one of these answers, and every request of ten then.
     fn answered_by(&self, name: &str) {
         let end = Instant::now() + Duration::from_secs(20);
         let all = || (0..10).all(|i| self.ask(i).as_deref() == Some(name));
--- a/crates/resp-door/src/clients.rs
+++ b/crates/resp-door/src/clients.rs
@@ -3,17 +3,17 @@
 use crate::client::Client;
 use crate::command::{Way as Kind, Words, way};
 use crate::door::Door;
-use crate::lookup::Lookup;
 use crate::parts::{Gather, gathered, part};
+use crate::request::RespRequest;
 use chalkwalk_core::answer::{Answer, Verdict};
 use chalkwalk_core::budget::Permit;
 use chalkwalk_core::classes::Taking;
 use chalkwalk_core::core::{Core, Counted};
 use chalkwalk_core::flow;
 use chalkwalk_core::life::Phase;
-use chalkwalk_limits::Lookup as Place;
+use chalkwalk_limits::RequestAttributes;
 use chalkwalk_net::{more, within, write_all};
-use chalkwalk_policy::Lkp;
+use chalkwalk_policy::RequestId;
 use chalkwalk_policy::admission::may_start;
 use chalkwalk_resp::{Bounds, Fault, Frame, Kind as Type, Reader, Writer};
 use chalkwalk_slots::Way;
@@ -31,7 +31,7 @@
 
 /// After an accept that failed, as it does when no descriptor is left: short beside any time limit.
 const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
-/// Lookups of one connection that are open at once; later commands wait unread. As many as a server is first taken to have
+/// Requests of one connection that are open at once; later commands wait unread. As many as a server is first taken to have
 /// room for, so that a pipeline alone is no reason to turn its commands away.
 const MOST_OPEN: usize = 8;
 /// Answers of one connection that wait for an earlier one.
@@ -86,10 +86,10 @@
 /// A pending answer, and its place among those that wait for earlier ones.
 type Placed = (Pending, Permit);
 
-/// A lookup that is open for a client. Where the client goes, so does what is still to be sent for it.
+/// A request that is open for a client. Where the client goes, so does what is still to be sent for it.
 struct Open {
     door: Rc<Door>,
-    lkp: Lkp,
+    request_id: RequestId,
     answer: Receiver<Answer>,
     answered: Rc<Cell<bool>>,
     resp3: bool,
@@ -109,7 +109,7 @@
 impl Drop for Open {
     fn drop(&mut self) {
         if !self.answered.get() {
-            flow::client_left(&self.door.core, self.lkp);
+            flow::client_left(&self.door.core, self.request_id);
         }
     }
 }
@@ -351,7 +351,7 @@
                 out.error(&fault);
                 return Pending::Ready(out.take());
             }
-            Kind::Lookup { write, keys, slot } => (write, keys, slot),
+            Kind::Request { write, keys, slot } => (write, keys, slot),
             Kind::Split { write, gather, step, parts } => {
                 if let Some(moved) = parts.iter().find_map(|(slot, _)| elsewhere(*slot)) {
                     out.error(&moved);
@@ -388,7 +388,7 @@
         }
     }
 
-    /// Takes one lookup once its turn on its keys has come, and there is a place for it.
+    /// Takes one request once its turn on its keys has come, and there is a place for it.
     async fn open(
         &mut self,
         command: Words,
@@ -397,7 +397,7 @@
     ) -> Result<Open, &'static str> {
         self.in_order(&own, write).await;
         let permit = self.places.acquire_arc().await;
-        let (open, done) = self.lookup(command, &own, (write, slot), permit)?;
+        let (open, done) = self.request(command, &own, (write, slot), permit)?;
         let earlier = own.into_iter().map(|key| Earlier { key, write, done: done.clone() });
         self.earlier.extend(earlier);
         Ok(open)
@@ -414,7 +414,7 @@
         }
     }
 
-    fn lookup(
+    fn request(
         &self,
         words: Words,
         keys: &[String],
@@ -423,7 +423,8 @@
     ) -> Result<(Open, Receiver<()>), &'static str> {
         let (door, core) = (self.door, &self.door.core);
         let ns = door.settings.namespace_of(keys[0].as_bytes(), write);
-        let place = Place { namespace: ns, path: &keys[0], tenant: &self.client.user, door: crate::DOOR };
+        let place =
+            RequestAttributes { namespace: ns, path: &keys[0], tenant: &self.client.user, door: crate::DOOR };
         let Taking { class, time_limit, longest_body } = core.classes.find(place);
         if words.bytes.len() as u64 > longest_body.max(64) {
             return Err("ERR the command is longer than its class allows");
@@ -438,7 +439,7 @@
             out.command(&all);
             out.take()
         });
-        let ask = Rc::new(Lookup {
+        let ask = Rc::new(RespRequest {
             door: door.clone(),
             words,
             command,
@@ -452,7 +453,7 @@
             way: RefCell::new(Way::new(slot, stale)),
             begun: RefCell::default(),
         });
-        let (lkp, answer) = flow::take(core, ask);
+        let (request_id, answer) = flow::take(core, ask);
         // It is done for the connection once it is answered, whenever the answer is read.
         let (done, told): (Sender<()>, Receiver<()>) = bounded(1);
         let (here, answered_here) = bounded(1);
@@ -467,8 +468,13 @@
                 drop((permit, done));
             })
             .detach();
-        let open =
-            Open { door: door.clone(), lkp, answer: answered_here, answered, resp3: self.client.resp3 };
+        let open = Open {
+            door: door.clone(),
+            request_id,
+            answer: answered_here,
+            answered,
+            resp3: self.client.resp3,
+        };
         Ok((open, told))
     }
 }
--- a/crates/resp-door/src/command.rs
+++ b/crates/resp-door/src/command.rs
@@ -85,7 +85,7 @@
 pub enum Way {
     Own,
     /// For servers: its keys by their places, all in one slot.
-    Lookup {
+    Request {
         write: bool,
         keys: Vec<usize>,
         slot: u16,
@@ -143,7 +143,7 @@
         }
         return Way::Refused("CROSSSLOT Keys in request don't hash to the same slot".into());
     }
-    Way::Lookup { write: row.write, keys, slot }
+    Way::Request { write: row.write, keys, slot }
 }
 
 /// What is wrong with the options of a SET: an expiry of seconds or milliseconds, and a condition, each once.
@@ -213,10 +213,10 @@
         let told: String =
             lines.iter().map(|l| format!("{l}: {:?}\n", way(&words(l), l.contains("split")))).collect();
         expect![[r#"
-            get a: Lookup { write: false, keys: [1], slot: 15495 }
+            get a: Request { write: false, keys: [1], slot: 15495 }
             GET a b: Refused("ERR wrong number of arguments for 'get' command")
-            set a 1: Lookup { write: true, keys: [1], slot: 15495 }
-            set a 1 ex 5 nx: Lookup { write: true, keys: [1], slot: 15495 }
+            set a 1: Request { write: true, keys: [1], slot: 15495 }
+            set a 1 ex 5 nx: Request { write: true, keys: [1], slot: 15495 }
             set a 1 ex: Refused("ERR syntax error")
             set a 1 px x: Refused("ERR value is not an integer or out of range")
             set a 1 ex 0: Refused("ERR invalid expire time in 'set' command")
@@ -224,12 +224,12 @@
             set a 1 keepttl: Refused("ERR syntax error")
             del a b: Refused("CROSSSLOT Keys in request don't hash to the same slot")
             mget split1 split2 {split1}3: Split { write: false, gather: Values, step: 1, parts: [(9999, [1, 3]), (5996, [2])] }
-            del {a}1 {a}2: Lookup { write: true, keys: [1, 2], slot: 15495 }
-            mget {x}a {x}b {x}c: Lookup { write: false, keys: [1, 2, 3], slot: 16287 }
-            mset {x}a 1 {x}b 2: Lookup { write: true, keys: [1, 3], slot: 16287 }
+            del {a}1 {a}2: Request { write: true, keys: [1, 2], slot: 15495 }
+            mget {x}a {x}b {x}c: Request { write: false, keys: [1, 2, 3], slot: 16287 }
+            mset {x}a 1 {x}b 2: Request { write: true, keys: [1, 3], slot: 16287 }
             mset {x}a 1 {x}b: Refused("ERR wrong number of arguments for 'mset' command")
             mset: Refused("ERR wrong number of arguments for 'mset' command")
-            ttl a: Lookup { write: false, keys: [1], slot: 15495 }
+            ttl a: Request { write: false, keys: [1], slot: 15495 }
             expire a: Refused("ERR wrong number of arguments for 'expire' command")
             flushall: Refused("ERR unknown command 'flushall'")
             ping: Own
--- a/crates/resp-door/src/lib.rs
+++ b/crates/resp-door/src/lib.rs
@@ -3,21 +3,21 @@
 //!
 //! It may use `core`, `resp`, `slots`, `limits`, `membership` and `net`. Another protocol's door never enters it, nor a source of the
 //! list but what the servers say of themselves; it decides nothing. `command` says what a command is, `client` answers what is not
-//! for servers, `clients` keeps a connection's order, `lookup` is a shot and its answer, `cluster` learns the slot map.
+//! for servers, `clients` keeps a connection's order, `request` is a shot and its answer, `cluster` learns the slot map.
 
 mod client;
 mod clients;
 mod cluster;
 mod command;
 mod door;
-mod lookup;
 mod parts;
+mod request;
 mod settings;
 
 pub use clients::accept;
 pub use cluster::{follow, seeds};
 pub use door::Door;
-pub use lookup::Ping;
+pub use request::Ping;
 pub use settings::{Instance, Prefix, Settings, User, secret_of};
 
 /// The name by which an operator's routes know this door.
--- a/crates/resp-door/src/lookup.rs
+++ b/crates/resp-door/src/request.rs
@@ -1,9 +1,9 @@
-//! A lookup as this door took it: how it is written to a server, and what the server's answer says.
+//! A request as this door took it: how it is written to a server, and what the server's answer says.
 
 use crate::command::Words;
 use crate::door::Door;
 use chalkwalk_core::answer::{Answer, Ask, Heard, Probe, Verdict, Wait};
-use chalkwalk_limits::Lookup as Place;
+use chalkwalk_limits::RequestAttributes;
 use chalkwalk_net::{more, write_all};
 use chalkwalk_policy::{Ending, Tenths};
 use chalkwalk_resp::{Bounds, Frame, Kind, Reader, Writer};
@@ -17,7 +17,7 @@
 /// Answers up to so many bytes need no room of their own, as on the platform.
 const ORDINARY: usize = 64 << 10;
 
-pub struct Lookup {
+pub struct RespRequest {
     pub door: Rc<Door>,
     pub words: Words,
     /// The command as servers take it, if it came otherwise.
@@ -34,13 +34,13 @@
     pub begun: RefCell<Vec<SocketAddr>>,
 }
 
-impl Ask for Lookup {
+impl Ask for RespRequest {
     fn class(&self) -> usize {
         self.class
     }
 
-    fn place(&self) -> Option<Place<'_>> {
-        Some(Place { namespace: self.ns, path: &self.key, tenant: &self.user, door: crate::DOOR })
+    fn place(&self) -> Option<RequestAttributes<'_>> {
+        Some(RequestAttributes { namespace: self.ns, path: &self.key, tenant: &self.user, door: crate::DOOR })
     }
 
     fn taken(&self) -> Tenths {
@@ -119,7 +119,7 @@
     }
 }
 
-impl Lookup {
+impl RespRequest {
     /// A shot to that server begins with a command of the connection's own, or not.
     fn begins(&self, to: SocketAddr, with: bool) {
         let mut begun = self.begun.borrow_mut();
--- a/crates/resp/src/read.rs
+++ b/crates/resp/src/read.rs
@@ -18,7 +18,7 @@
 }
 
 impl Default for Bounds {
-    /// Bulk strings as long as a lookup's answer may be, a thousand keys with their values, and lines as long as the dialect's own
+    /// Bulk strings as long as a request's answer may be, a thousand keys with their values, and lines as long as the dialect's own
     /// errors get.
     fn default() -> Bounds {
         Bounds { bulk: 1 << 20, parts: 4096, depth: 8, line: 8192, whole: 4 << 20 }
--- a/crates/slots/src/meaning.rs
+++ b/crates/slots/src/meaning.rs
@@ -1,4 +1,4 @@
-//! What an error of a server's says of the lookup that got it.
+//! What an error of a server's says of the request that got it.
 
 use std::net::SocketAddr;
 
--- a/crates/slots/src/refresh.rs
+++ b/crates/slots/src/refresh.rs
@@ -6,7 +6,7 @@
 /// With nothing amiss. Failovers and moves tell themselves by failures and redirections; a node that was removed and runs on does
 /// not, and counts as gone within the term for changes, of which two nodes that hang may take a second each.
 const BY_TIMER: Tenths = 3 * SECOND;
-/// After a redirection or failure, at the soonest: a rebalance redirects thousands of lookups, and one view tells all.
+/// After a redirection or failure, at the soonest: a rebalance redirects thousands of requests, and one view tells all.
 const AT_LEAST: Tenths = SECOND / 4;
 /// After a view that could not be had; doubled up to eight times that.
 const AGAIN: Tenths = SECOND / 4;
--- a/crates/slots/src/way.rs
+++ b/crates/slots/src/way.rs
@@ -1,9 +1,9 @@
-//! The way of one lookup among the servers: who may serve it next, after what servers have said.
+//! The way of one request among the servers: who may serve it next, after what servers have said.
 
 use crate::{Map, Meaning};
 use std::net::SocketAddr;
 
-/// Redirections that one lookup follows: a slot that moves twice between its shots takes two, and an ASK one more. More is a
+/// Redirections that one request follows: a slot that moves twice between its shots takes two, and an ASK one more. More is a
 /// loop.
 const MOST: u32 = 5;
 
--- a/crates/slots/tests/migration.rs
+++ b/crates/slots/tests/migration.rs
@@ -1,4 +1,4 @@
-//! A slot that goes over and back again, and two lookups in it, in every order in which their steps may come: no effect twice, no
+//! A slot that goes over and back again, and two requests in it, in every order in which their steps may come: no effect twice, no
 //! effect at a server that does not hold the key, and an end for both.
 
 use chalkwalk_slots::{Map, Meaning, SLOTS, View, Way, meaning};
@@ -12,7 +12,7 @@
     SocketAddr::from(([127, 0, 0, 1], 7000 + server as u16))
 }
 
-/// The cluster: who owns the slot by its own word, and where each lookup's key is.
+/// The cluster: who owns the slot by its own word, and where each request's key is.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct Cluster {
     step: usize,
@@ -44,13 +44,13 @@
         self.step += 1;
     }
 
-    /// What a server answers to a lookup, as the specification has it: its error, or nothing where it runs.
-    fn asked(&mut self, lookup: usize, server: usize, asking: bool) -> Option<String> {
-        let here = self.key_at[lookup] == server;
+    /// What a server answers to a request, as the specification has it: its error, or nothing where it runs.
+    fn asked(&mut self, request: usize, server: usize, asking: bool) -> Option<String> {
+        let here = self.key_at[request] == server;
         let other = addr(1 - server);
         if self.owner[server] {
             if here {
-                self.runs[lookup].push(server);
+                self.runs[request].push(server);
                 return None;
             }
             return match self.migrating == Some(server) {
@@ -60,7 +60,7 @@
         }
         if self.importing == Some(server) && asking {
             assert!(here, "asked for a key that has not come over");
-            self.runs[lookup].push(server);
+            self.runs[request].push(server);
             return None;
         }
         Some(format!("MOVED 5 {other}"))
@@ -82,14 +82,14 @@
         format!("{:?}{:?}{:?}{:?}{:?}", self.cluster, self.map, self.ways, self.done, self.refreshed)
     }
 
-    /// One shot of a lookup and its answer.
-    fn shoot(&mut self, lookup: usize) {
-        let way = &mut self.ways[lookup];
+    /// One shot of a request and its answer.
+    fn shoot(&mut self, request: usize) {
+        let way = &mut self.ways[request];
         let to = way.who(&self.map).first().copied().expect("somebody may serve it");
         let server = usize::from(to.port() - 7000);
-        self.shots[lookup] += 1;
-        match self.cluster.asked(lookup, server, way.asking(to)) {
-            None => self.done[lookup] = true,
+        self.shots[request] += 1;
+        match self.cluster.asked(request, server, way.asking(to)) {
+            None => self.done[request] = true,
             Some(error) => {
                 let means = meaning(&error, to, SLOTS);
                 assert!(!matches!(means, Meaning::Answer | Meaning::NotNow));
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn every_order_of_a_migration_and_two_lookups_keeps_the_rules() {
+fn every_order_of_a_migration_and_two_requests_keeps_the_rules() {
     let mut map = Map::default();
     let first = "n0 127.0.0.1:7000@1 master - 0 0 1 connected 0-16383\nn1 127.0.0.1:7001@1 master - 0 0 1 connected\n";
     map.take(&View::read(first, addr(A)).unwrap()).unwrap();
@@ -138,9 +138,9 @@
         if !seen.insert(state.key()) {
             continue;
         }
-        for lookup in 0..2 {
-            assert!(state.cluster.runs[lookup].len() <= 1, "an effect twice: {state:?}");
-            assert!(state.shots[lookup] <= 5, "a circle: {state:?}");
+        for request in 0..2 {
+            assert!(state.cluster.runs[request].len() <= 1, "an effect twice: {state:?}");
+            assert!(state.shots[request] <= 5, "a circle: {state:?}");
         }
         most = most.max(state.shots[0]).max(state.shots[1]);
         let mut moved = false;
@@ -150,9 +150,9 @@
             open.push(next);
             moved = true;
         }
-        for lookup in (0..2).filter(|l| !state.done[*l]) {
+        for request in (0..2).filter(|l| !state.done[*l]) {
             let mut next = state.clone();
-            next.shoot(lookup);
+            next.shoot(request);
             open.push(next);
             moved = true;
         }
