--- a/crates/benchlink/src/desk.rs
+++ b/crates/benchlink/src/desk.rs
@@ -2,7 +2,7 @@
 
 use chalkwalk_house::fields::{Object, Read, flag, list, object, size, text, text_or, whole, whole_or};
 use chalkwalk_house::{self as house, House};
-use chalkwalk_policy::{Cache, Carrier, Ending, Entry, RequestId, Router, Standing, Tenths};
+use chalkwalk_policy::{AttemptOutcome, Cache, Carrier, Entry, RequestId, Router, Standing, Tenths};
 use serde_json::{Value, json};
 use std::collections::HashMap;
 
@@ -43,13 +43,14 @@
 }
 
 impl Carrier for Pen<'_> {
-    fn shoot(&mut self, request_id: RequestId, cache: Cache, until: Tenths, _by: Tenths) {
+    fn start_attempt(&mut self, request_id: RequestId, cache: Cache, until: Tenths, _by: Tenths) {
         let (req, node) = (self.wire_ids[&request_id], &self.caches.names[cache]);
         self.actions
             .push(json!({"kind": "ROUTE", "req": req, "node": node, "notPastNs": until * NS_PER_TENTH}));
     }
-    fn withdraw(&mut self, request_id: RequestId, shot: usize) {
-        self.actions.push(json!({"kind": "ABORT_ATTEMPT", "req": self.wire_ids[&request_id], "trial": shot}));
+    fn cancel_attempt(&mut self, request_id: RequestId, attempt: usize) {
+        self.actions
+            .push(json!({"kind": "ABORT_ATTEMPT", "req": self.wire_ids[&request_id], "trial": attempt}));
     }
     fn defer(&mut self, request_id: RequestId, back_in: Tenths) {
         let (req, wait) = (self.wire_ids[&request_id], back_in * NS_PER_TENTH);
@@ -78,17 +79,17 @@
     names.iter().position(|n| n == name).ok_or_else(unknown)
 }
 
-fn ending(reason: &str) -> Read<Ending> {
+fn outcome(reason: &str) -> Read<AttemptOutcome> {
     Ok(match reason {
-        "done" => Ending::Resolved,
-        "enoent" => Ending::Miss,
-        "err" => Ending::Error,
-        "busy" => Ending::Full,
-        "etimedout" => Ending::TimedOut,
-        "econnrefused" => Ending::Unreachable,
-        "econnreset" => Ending::Broken,
-        "ecanceled" => Ending::Withdrawn,
-        "skipped" => Ending::Unsent,
+        "done" => AttemptOutcome::Completed,
+        "enoent" => AttemptOutcome::CacheMiss,
+        "err" => AttemptOutcome::ServerError,
+        "busy" => AttemptOutcome::Overloaded,
+        "etimedout" => AttemptOutcome::TimedOut,
+        "econnrefused" => AttemptOutcome::Unreachable,
+        "econnreset" => AttemptOutcome::ConnectionLost,
+        "ecanceled" => AttemptOutcome::Cancelled,
+        "skipped" => AttemptOutcome::NotSent,
         other => return Err(format!("field reason: expected an outcome code, got \"{other}\"")),
     })
 }
@@ -168,22 +169,22 @@
         let router = &mut self.router;
         match kind {
             "DONE" => {
-                let (shot, reason) = (whole(event, "trial")?, ending(text(event, "reason")?)?);
+                let (attempt, reason) = (whole(event, "trial")?, outcome(text(event, "reason")?)?);
                 let took = whole(event, "latencyNs")? / NS_PER_TENTH;
                 let how = match (reason, whole_or(event, "info", 0)?) {
-                    (Ending::Resolved, 1) => Ending::Held,
-                    (Ending::Resolved, 2) => Ending::Fetched,
+                    (AttemptOutcome::Completed, 1) => AttemptOutcome::CompletedFromCache,
+                    (AttemptOutcome::Completed, 2) => AttemptOutcome::CompletedByFetch,
                     (reason, _) => reason,
                 };
                 let finished = flag(event, "finished")?;
                 if let Some((_, request_id)) = request_id {
-                    request_id.shot_ended(router, shot as usize, how, took, finished, pen);
+                    request_id.attempt_ended(router, attempt as usize, how, took, finished, pen);
                 }
             }
             "ACCEPTED" => {
-                let shot = whole(event, "trial")?;
+                let attempt = whole(event, "trial")?;
                 if let Some((_, request_id)) = request_id {
-                    request_id.answer_begun(router, shot as usize, pen);
+                    request_id.answer_begun(router, attempt as usize, pen);
                 }
             }
             "CANCELLED_BY_CLIENT" => {
@@ -193,7 +194,7 @@
             }
             "WAKEUP" => router.woken(whole(event, "name")?, pen),
             "HEALTH_RESULT" => {
-                let answered = ending(text(event, "reason")?)? == Ending::Resolved;
+                let answered = outcome(text(event, "reason")?)? == AttemptOutcome::Completed;
                 if let Some(cache) = node.and_then(|n| self.caches.index.get(n)) {
                     router.probed(*cache, answered, pen);
                 }
--- a/crates/capture/src/record.rs
+++ b/crates/capture/src/record.rs
@@ -1,6 +1,6 @@
 //! The form of a capture, version 2 (1 had no sizes of caches): a mark, then items, each with its length and checksum.
 
-use chalkwalk_policy::{Cache, Ending, Entry, Standing, Tenths};
+use chalkwalk_policy::{AttemptOutcome, Cache, Entry, Standing, Tenths};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -40,8 +40,8 @@
     },
     Ended {
         request_id: u64,
-        shot: usize,
-        ending: u8,
+        attempt: usize,
+        outcome: u8,
         took: Tenths,
         finished: bool,
         order: Option<Vec<Cache>>,
@@ -77,10 +77,10 @@
         out: bool,
         at: Tenths,
     },
-    /// A shot's answer has begun, and is the client's.
+    /// An attempt's answer has begun, and is the client's.
     Begun {
         request_id: u64,
-        shot: usize,
+        attempt: usize,
     },
     /// A call to discovery failed after so long.
     CallFailed {
@@ -91,15 +91,15 @@
 /// What the module wanted done.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Done {
-    Shoot {
+    StartAttempt {
         request_id: u64,
         cache: Cache,
         until: Tenths,
         by: Tenths,
     },
-    Withdraw {
+    CancelAttempt {
         request_id: u64,
-        shot: usize,
+        attempt: usize,
     },
     Defer {
         request_id: u64,
@@ -136,8 +136,8 @@
 impl Done {
     pub fn request_id(&self) -> Option<u64> {
         match self {
-            Done::Shoot { request_id, .. }
-            | Done::Withdraw { request_id, .. }
+            Done::StartAttempt { request_id, .. }
+            | Done::CancelAttempt { request_id, .. }
             | Done::Defer { request_id, .. }
             | Done::Abandon(request_id) => Some(*request_id),
             _ => None,
@@ -227,28 +227,28 @@
     Ok((item, HEAD + len))
 }
 
-const ENDINGS: [Ending; 12] = [
-    Ending::Resolved,
-    Ending::Held,
-    Ending::Fetched,
-    Ending::Miss,
-    Ending::Wrong,
-    Ending::Error,
-    Ending::Full,
-    Ending::TimedOut,
-    Ending::Unreachable,
-    Ending::Broken,
-    Ending::Withdrawn,
-    Ending::Unsent,
+const OUTCOMES: [AttemptOutcome; 12] = [
+    AttemptOutcome::Completed,
+    AttemptOutcome::CompletedFromCache,
+    AttemptOutcome::CompletedByFetch,
+    AttemptOutcome::CacheMiss,
+    AttemptOutcome::InvalidRequest,
+    AttemptOutcome::ServerError,
+    AttemptOutcome::Overloaded,
+    AttemptOutcome::TimedOut,
+    AttemptOutcome::Unreachable,
+    AttemptOutcome::ConnectionLost,
+    AttemptOutcome::Cancelled,
+    AttemptOutcome::NotSent,
 ];
 
 /// Endings by the numbers that captures have them by, which never change.
-pub fn number_of(ending: Ending) -> u8 {
-    ENDINGS.iter().position(|e| *e == ending).unwrap_or(0) as u8
+pub fn number_of(outcome: AttemptOutcome) -> u8 {
+    OUTCOMES.iter().position(|e| *e == outcome).unwrap_or(0) as u8
 }
 
-pub fn ending(number: u8) -> Option<Ending> {
-    ENDINGS.get(usize::from(number)).copied()
+pub fn outcome(number: u8) -> Option<AttemptOutcome> {
+    OUTCOMES.get(usize::from(number)).copied()
 }
 
 const STANDINGS: [Standing; 3] = [Standing::Ready, Standing::Draining, Standing::Gone];
--- a/crates/capture/src/replay.rs
+++ b/crates/capture/src/replay.rs
@@ -1,6 +1,6 @@
 //! The calls of a capture made again to a module of now, and where it decides otherwise.
 
-use crate::record::{Block, Call, Done, Item, Line, Told, ending};
+use crate::record::{Block, Call, Done, Item, Line, Told, outcome};
 use std::collections::BTreeMap;
 
 use chalkwalk_policy::{Cache, Carrier, RequestId, Router, State, Tenths};
@@ -10,11 +10,11 @@
 struct Notes(Vec<Done>);
 
 impl Carrier for Notes {
-    fn shoot(&mut self, request_id: RequestId, cache: Cache, until: Tenths, by: Tenths) {
-        self.0.push(Done::Shoot { request_id: request_id.0, cache, until, by });
+    fn start_attempt(&mut self, request_id: RequestId, cache: Cache, until: Tenths, by: Tenths) {
+        self.0.push(Done::StartAttempt { request_id: request_id.0, cache, until, by });
     }
-    fn withdraw(&mut self, request_id: RequestId, shot: usize) {
-        self.0.push(Done::Withdraw { request_id: request_id.0, shot });
+    fn cancel_attempt(&mut self, request_id: RequestId, attempt: usize) {
+        self.0.push(Done::CancelAttempt { request_id: request_id.0, attempt });
     }
     fn defer(&mut self, request_id: RequestId, back_in: Tenths) {
         self.0.push(Done::Defer { request_id: request_id.0, back_in });
@@ -71,8 +71,8 @@
 fn kind(done: Option<&Done>) -> &'static str {
     match done {
         None => "nothing",
-        Some(Done::Shoot { .. }) => "shot",
-        Some(Done::Withdraw { .. }) => "withdrawal",
+        Some(Done::StartAttempt { .. }) => "shot",
+        Some(Done::CancelAttempt { .. }) => "withdrawal",
         Some(Done::Defer { .. }) => "deferral",
         Some(Done::Abandon(_)) => "abandonment",
         Some(Done::Probe(_)) => "probe",
@@ -219,12 +219,12 @@
             }
             request_id.route(router, out);
         }
-        Told::Ended { request_id, shot, ending: number, took, finished, order } => {
+        Told::Ended { request_id, attempt, outcome: number, took, finished, order } => {
             let request_id = RequestId(*request_id);
             if let Some(order) = order {
                 request_id.ordered(router, order.clone());
             }
-            request_id.shot_ended(router, *shot, ending(*number)?, *took, *finished, out);
+            request_id.attempt_ended(router, *attempt, outcome(*number)?, *took, *finished, out);
         }
         Told::Woken(token) => router.woken(*token, out),
         Told::Probed { cache, answered } => router.probed(*cache, *answered, out),
@@ -247,7 +247,7 @@
         }
         Told::SharedBy(proxies) => router.shared_by(*proxies),
         Told::Barred { id, out: barred, at } => router.bar(id, *barred, *at),
-        Told::Begun { request_id, shot } => RequestId(*request_id).answer_begun(router, *shot, out),
+        Told::Begun { request_id, attempt } => RequestId(*request_id).answer_begun(router, *attempt, out),
     }
     Some(())
 }
--- a/crates/capture/src/tape.rs
+++ b/crates/capture/src/tape.rs
@@ -1,7 +1,7 @@
 //! Calls put together into blocks on the proxy's own thread; what takes the blocks may be slow, and then they are counted as lost.
 
 use crate::record::{Block, Call, Done, Item, Line, Told, framed, number_of};
-use chalkwalk_policy::{Ending, Entry, State, Tenths};
+use chalkwalk_policy::{AttemptOutcome, Entry, State, Tenths};
 use std::collections::BTreeMap;
 
 /// A block goes out once it holds so many calls, or its first is so old: a crash loses what is in one.
@@ -84,14 +84,17 @@
         &mut self,
         now: Tenths,
         request_id: u64,
-        shot: usize,
-        ending: Ending,
+        attempt: usize,
+        outcome: AttemptOutcome,
         took: Tenths,
         finished: bool,
         order: Option<&[usize]>,
     ) {
         let order = order.map(<[usize]>::to_vec);
-        self.told(now, Told::Ended { request_id, shot, ending: number_of(ending), took, finished, order });
+        self.told(
+            now,
+            Told::Ended { request_id, attempt, outcome: number_of(outcome), took, finished, order },
+        );
     }
 
     pub fn listed(&mut self, now: Tenths, whole: bool, entries: &[Entry]) {
--- a/crates/capture/tests/replay.rs
+++ b/crates/capture/tests/replay.rs
@@ -1,7 +1,7 @@
 //! A day of random troubles played to the module, captured, cut at any point, and replayed.
 
 use chalkwalk_capture::{Done, Item, Read, Tape, Told, cut, framed, read, replay};
-use chalkwalk_policy::{Cache, Carrier, Ending, Entry, RequestId, Router, Standing, Tenths};
+use chalkwalk_policy::{AttemptOutcome, Cache, Carrier, Entry, RequestId, Router, Standing, Tenths};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::cell::RefCell;
@@ -10,24 +10,24 @@
 
 const MARK: &[u8] = b"chalkwalk capture 2\n";
 
-/// A proxy's outside: shots that are out, wakes that are due, and the tape.
+/// A proxy's outside: attempts that are out, wakes that are due, and the tape.
 struct Outside {
     tape: Tape,
     now: Tenths,
-    shots: Vec<(RequestId, usize, Tenths)>,
+    attempts: Vec<(RequestId, usize, Tenths)>,
     of: BTreeMap<u64, usize>,
     wakes: Vec<(Tenths, u64)>,
 }
 
 impl Carrier for Outside {
-    fn shoot(&mut self, request_id: RequestId, cache: Cache, until: Tenths, by: Tenths) {
-        self.tape.done(Done::Shoot { request_id: request_id.0, cache, until, by });
+    fn start_attempt(&mut self, request_id: RequestId, cache: Cache, until: Tenths, by: Tenths) {
+        self.tape.done(Done::StartAttempt { request_id: request_id.0, cache, until, by });
         let nth = self.of.entry(request_id.0).or_default();
-        self.shots.push((request_id, *nth, self.now));
+        self.attempts.push((request_id, *nth, self.now));
         *nth += 1;
     }
-    fn withdraw(&mut self, request_id: RequestId, shot: usize) {
-        self.tape.done(Done::Withdraw { request_id: request_id.0, shot });
+    fn cancel_attempt(&mut self, request_id: RequestId, attempt: usize) {
+        self.tape.done(Done::CancelAttempt { request_id: request_id.0, attempt });
     }
     fn defer(&mut self, request_id: RequestId, back_in: Tenths) {
         self.tape.done(Done::Defer { request_id: request_id.0, back_in });
@@ -97,24 +97,24 @@
     let mut o = Outside {
         tape: Tape::new(sink, seed.is_multiple_of(2)).snapshots_each(2_000),
         now: start,
-        shots: vec![],
+        attempts: vec![],
         of: BTreeMap::new(),
         wakes: vec![],
     };
     o.tape.told(start, Told::Start { seed, house: house() });
     let mut router = Router::new(seed, &house(), &mut o);
     let ids: Vec<String> = (0..9).map(|i| format!("c{i}")).collect();
-    let endings = [
-        Ending::Resolved,
-        Ending::Held,
-        Ending::Miss,
-        Ending::Error,
-        Ending::Full,
-        Ending::TimedOut,
-        Ending::Broken,
-        Ending::Unreachable,
-        Ending::Wrong,
-        Ending::Unsent,
+    let outcomes = [
+        AttemptOutcome::Completed,
+        AttemptOutcome::CompletedFromCache,
+        AttemptOutcome::CacheMiss,
+        AttemptOutcome::ServerError,
+        AttemptOutcome::Overloaded,
+        AttemptOutcome::TimedOut,
+        AttemptOutcome::ConnectionLost,
+        AttemptOutcome::Unreachable,
+        AttemptOutcome::InvalidRequest,
+        AttemptOutcome::NotSent,
     ];
     for step in 0..steps {
         o.now += below(60);
@@ -158,12 +158,15 @@
                 }
                 request_id.route(&mut router, &mut o);
             }
-            7..17 if !o.shots.is_empty() => {
-                let (request_id, shot, sent) = o.shots.swap_remove(below(o.shots.len() as u64) as usize);
-                let ending = if below(4) > 0 { Ending::Resolved } else { endings[below(10) as usize] };
-                let finished = matches!(ending, Ending::Resolved | Ending::Held);
-                o.tape.ended(now, request_id.0, shot, ending, now - sent, finished, None);
-                request_id.shot_ended(&mut router, shot, ending, now - sent, finished, &mut o);
+            7..17 if !o.attempts.is_empty() => {
+                let (request_id, attempt, sent) =
+                    o.attempts.swap_remove(below(o.attempts.len() as u64) as usize);
+                let outcome =
+                    if below(4) > 0 { AttemptOutcome::Completed } else { outcomes[below(10) as usize] };
+                let finished =
+                    matches!(outcome, AttemptOutcome::Completed | AttemptOutcome::CompletedFromCache);
+                o.tape.ended(now, request_id.0, attempt, outcome, now - sent, finished, None);
+                request_id.attempt_ended(&mut router, attempt, outcome, now - sent, finished, &mut o);
             }
             17 => {
                 let request_id = below(1 + step as u64 / 3);
@@ -273,11 +276,11 @@
     let at = block
         .calls
         .iter()
-        .position(|c| c.done.iter().any(|d| matches!(d, Done::Shoot { .. })))
+        .position(|c| c.done.iter().any(|d| matches!(d, Done::StartAttempt { .. })))
         .expect("a shot");
     let call = &mut block.calls[at];
     for done in &mut call.done {
-        if let Done::Shoot { cache, .. } = done {
+        if let Done::StartAttempt { cache, .. } = done {
             *cache += 1;
         }
     }
--- a/crates/core/src/answer.rs
+++ b/crates/core/src/answer.rs
@@ -2,7 +2,7 @@
 
 use chalkwalk_limits::RequestAttributes;
 use chalkwalk_net::Held;
-use chalkwalk_policy::{Ending, Tenths};
+use chalkwalk_policy::{AttemptOutcome, Tenths};
 use smol::Async;
 use smol::channel::Receiver;
 use std::cell::Cell;
@@ -47,12 +47,12 @@
     }
 }
 
-/// What came back on a connection for a shot.
+/// What came back on a connection for an attempt.
 pub struct Heard {
-    pub ending: Ending,
+    pub outcome: AttemptOutcome,
     /// Where it resolves the request.
     pub answer: Option<Answer>,
-    /// Whether the connection may carry another shot.
+    /// Whether the connection may carry another attempt.
     pub keep: bool,
     /// What of the answer is still to come on the connection, where the request is resolved before that.
     pub rest: Option<Box<dyn Rest>>,
@@ -64,7 +64,7 @@
     fn part<'a>(&'a mut self, stream: &'a Async<TcpStream>) -> Wait<'a, Result<Option<Vec<u8>>, ()>>;
     /// Of the whole body in bytes, where it is told.
     fn length(&self) -> Option<u64>;
-    /// Whether the connection may carry another shot after it.
+    /// Whether the connection may carry another attempt after it.
     fn keeps(&self) -> bool;
 }
 
@@ -82,7 +82,7 @@
     fn write(&self) -> bool;
     fn expires(&self) -> Tenths;
     /// Which servers alone may serve it, the first first, where that is settled by the servers themselves; asked again after
-    /// each shot. `None`: any, in ring order.
+    /// each attempt. `None`: any, in ring order.
     fn order(&self) -> Option<Vec<SocketAddr>> {
         None
     }
@@ -90,8 +90,8 @@
     fn awaited(&self) -> bool {
         true
     }
-    /// One of its shots has ended; told before it is asked for the order again.
-    fn ended(&self, _ending: Ending) {}
+    /// One of its attempts has ended; told before it is asked for the order again.
+    fn ended(&self, _ending: AttemptOutcome) {}
     /// Writes it whole to a cache, and how long it will be waited for.
     fn write_to<'a>(&'a self, stream: &'a Async<TcpStream>, left: Tenths) -> Wait<'a, io::Result<()>>;
     /// Reads what the cache says to it; `None` if the connection broke or nothing of it can be read.
@@ -100,6 +100,6 @@
 
 /// How a cache is asked whether it answers at all, in its own protocol.
 pub trait Probe {
-    /// Whether it does, and whether the connection may carry a shot after it.
+    /// Whether it does, and whether the connection may carry an attempt after it.
     fn probe<'a>(&'a self, stream: &'a Async<TcpStream>) -> Wait<'a, Option<bool>>;
 }
--- a/crates/core/src/book.rs
+++ b/crates/core/src/book.rs
@@ -5,8 +5,8 @@
 use crate::members::{Changed, Line, Members};
 use crate::pool::Conn;
 use chalkwalk_capture::{Done, Tape, Told};
-use chalkwalk_policy::admission::{Attempt, Refusal};
-use chalkwalk_policy::{Cache, Carrier, Ending, Learned, RequestId, Router, Tenths};
+use chalkwalk_policy::admission::{Refusal, UnsentAttempt};
+use chalkwalk_policy::{AttemptOutcome, Cache, Carrier, Learned, RequestId, Router, Tenths};
 use slog::{Logger, info};
 use smol::channel::{Receiver, Sender, bounded};
 use std::cell::{Cell, RefCell};
@@ -15,18 +15,18 @@
 use std::net::Shutdown;
 use std::rc::Rc;
 
-/// One shot as seen from outside its task: how it is called off.
-pub struct Shaft {
+/// One attempt as seen from outside its task: how it is called off.
+pub struct AttemptHandle {
     conn: RefCell<Option<Rc<Conn>>>,
     pub written: Cell<bool>, // to the last byte
     stop: Sender<()>,
     pub stopped: Receiver<()>,
 }
 
-impl Shaft {
-    fn new() -> Shaft {
+impl AttemptHandle {
+    fn new() -> AttemptHandle {
         let (stop, stopped) = bounded(1);
-        Shaft { conn: RefCell::default(), written: Cell::new(false), stop, stopped }
+        AttemptHandle { conn: RefCell::default(), written: Cell::new(false), stop, stopped }
     }
 
     /// Ends the sending at once, so that whatever is written next is written after it.
@@ -44,25 +44,25 @@
 
 /// What the router wants done once the call to it is over.
 pub enum Note {
-    Shoot(Shooting),
+    StartAttempt(PendingAttempt),
     Probe(Cache),
 }
 
-/// A shot to be written: given up at `until`, and not written at all where that would be later than `by`.
-pub struct Shooting {
+/// An attempt to be written: given up at `until`, and not written at all where that would be later than `by`.
+pub struct PendingAttempt {
     pub request_id: RequestId,
-    pub shot: usize,
+    pub attempt: usize,
     pub cache: Cache,
     pub until: Tenths,
     pub by: Tenths,
     pub ask: Rc<dyn Ask>,
-    pub shaft: Rc<Shaft>,
+    pub handle: Rc<AttemptHandle>,
 }
 
 struct Open {
     ask: Rc<dyn Ask>,
     answer: Option<Sender<Answer>>, // until the request has its final answer
-    shafts: Vec<Rc<Shaft>>,
+    handles: Vec<Rc<AttemptHandle>>,
     out: usize,
 }
 
@@ -76,7 +76,7 @@
     sooner: Sender<()>, // a wake is due before the one that is waited for
     wanted: Sender<()>, // the router wants the list watched
     log: Logger,
-    left_waiting: u64,  // requests whose client left before any of their shots was written
+    left_waiting: u64,  // requests whose client left before any of their attempts was written
     tape: Option<Tape>, // of all that the router is told and wants, where it is captured
 }
 
@@ -96,20 +96,28 @@
 }
 
 impl Carrier for Desk {
-    fn shoot(&mut self, request_id: RequestId, cache: Cache, until: Tenths, by: Tenths) {
-        self.done(|| Done::Shoot { request_id: request_id.0, cache, until, by });
+    fn start_attempt(&mut self, request_id: RequestId, cache: Cache, until: Tenths, by: Tenths) {
+        self.done(|| Done::StartAttempt { request_id: request_id.0, cache, until, by });
         let Some(open) = self.open.get_mut(&request_id) else { return };
-        let shaft = Rc::new(Shaft::new());
-        let shot = open.shafts.len();
-        open.shafts.push(shaft.clone());
+        let handle = Rc::new(AttemptHandle::new());
+        let attempt = open.handles.len();
+        open.handles.push(handle.clone());
         open.out += 1;
         let ask = open.ask.clone();
-        self.notes.push(Note::Shoot(Shooting { request_id, shot, cache, until, by, ask, shaft }));
-    }
-    fn withdraw(&mut self, request_id: RequestId, shot: usize) {
-        self.done(|| Done::Withdraw { request_id: request_id.0, shot });
-        if let Some(shaft) = self.open.get(&request_id).and_then(|open| open.shafts.get(shot)) {
-            shaft.give_up();
+        self.notes.push(Note::StartAttempt(PendingAttempt {
+            request_id,
+            attempt,
+            cache,
+            until,
+            by,
+            ask,
+            handle,
+        }));
+    }
+    fn cancel_attempt(&mut self, request_id: RequestId, attempt: usize) {
+        self.done(|| Done::CancelAttempt { request_id: request_id.0, attempt });
+        if let Some(handle) = self.open.get(&request_id).and_then(|open| open.handles.get(attempt)) {
+            handle.give_up();
         }
     }
     fn defer(&mut self, request_id: RequestId, back_in: Tenths) {
@@ -223,7 +231,7 @@
         std::mem::take(&mut self.desk.notes)
     }
 
-    /// Requests without their answer, or with a shot out.
+    /// Requests without their answer, or with an attempt out.
     pub fn open(&self) -> usize {
         self.desk.open.len()
     }
@@ -240,7 +248,7 @@
         if let Some(order) = order {
             request_id.ordered(router, order);
         }
-        desk.open.insert(request_id, Open { ask, answer: Some(answer), shafts: Vec::new(), out: 0 });
+        desk.open.insert(request_id, Open { ask, answer: Some(answer), handles: Vec::new(), out: 0 });
         request_id.route(router, desk);
         (request_id, answered)
     }
@@ -250,22 +258,22 @@
         self.desk.open.get(&request_id).is_none_or(|open| open.answer.is_none())
     }
 
-    /// Requests so far whose client left before any of their shots was written.
+    /// Requests so far whose client left before any of their attempts was written.
     pub fn left_waiting(&self) -> u64 {
         self.desk.left_waiting
     }
 
-    /// A shot has ended, and its connection is closed or back in the pool.
+    /// An attempt has ended, and its connection is closed or back in the pool.
     pub fn ended(
         &mut self,
         now: Tenths,
-        (request_id, shot): (RequestId, usize),
-        ending: Ending,
+        (request_id, attempt): (RequestId, usize),
+        outcome: AttemptOutcome,
         took: Tenths,
         answer: Option<Answer>,
     ) {
         let order = self.desk.open.get(&request_id).and_then(|open| {
-            open.ask.ended(ending);
+            open.ask.ended(outcome);
             open.ask.order()
         });
         let order = order.map(|addrs| self.members.at(&addrs));
@@ -278,28 +286,28 @@
         }
         let finished = desk.open.get(&request_id).is_none_or(|open| open.answer.is_none());
         if let Some(tape) = &mut desk.tape {
-            tape.ended(now, request_id.0, shot, ending, took, finished, order.as_deref());
+            tape.ended(now, request_id.0, attempt, outcome, took, finished, order.as_deref());
         }
         if let Some(order) = order {
             request_id.ordered(router, order);
         }
-        request_id.shot_ended(router, shot, ending, took, finished, desk);
+        request_id.attempt_ended(router, attempt, outcome, took, finished, desk);
         desk.tidy(request_id);
     }
 
-    /// A shot's answer has begun, and the request is resolved by it; the shot goes on until the answer has ended.
-    pub fn begun(&mut self, now: Tenths, (request_id, shot): (RequestId, usize), answer: Answer) {
+    /// An attempt's answer has begun, and the request is resolved by it; the attempt goes on until the answer has ended.
+    pub fn begun(&mut self, now: Tenths, (request_id, attempt): (RequestId, usize), answer: Answer) {
         let (router, desk) = self.at(now);
         desk.finish(request_id, answer);
-        desk.told(|| Told::Begun { request_id: request_id.0, shot });
-        request_id.answer_begun(router, shot, desk);
+        desk.told(|| Told::Begun { request_id: request_id.0, attempt });
+        request_id.answer_begun(router, attempt, desk);
     }
 
     pub fn client_left(&mut self, now: Tenths, request_id: RequestId) {
         let (router, desk) = self.at(now);
         if let Some(open) = desk.open.get_mut(&request_id)
             && open.answer.take().is_some()
-            && !open.shafts.iter().any(|shaft| shaft.written.get())
+            && !open.handles.iter().any(|handle| handle.written.get())
         {
             desk.left_waiting += 1;
         }
@@ -385,13 +393,13 @@
     }
 
     /// Whether an attempt may be sent now; `awaited`: whether its client is still there.
-    pub fn may_send(&self, now: Tenths, shooting: &Shooting, awaited: bool) -> Result<(), Refusal> {
-        let attempt = Attempt {
-            request: shooting.request_id,
-            number: shooting.shot,
-            server: shooting.cache,
-            until: shooting.until.min(shooting.by),
-            answered: self.is_over(shooting.request_id),
+    pub fn may_send(&self, now: Tenths, pending: &PendingAttempt, awaited: bool) -> Result<(), Refusal> {
+        let attempt = UnsentAttempt {
+            request: pending.request_id,
+            number: pending.attempt,
+            server: pending.cache,
+            until: pending.until.min(pending.by),
+            answered: self.is_over(pending.request_id),
             awaited,
         };
         self.router.may_send(&attempt, now)
--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -1,4 +1,4 @@
-//! One budget of descriptors for clients, shots and the pool. Idle ones go first.
+//! One budget of descriptors for clients, attempts and the pool. Idle ones go first.
 
 use chalkwalk_net::within;
 use chalkwalk_policy::Tenths;
@@ -41,7 +41,7 @@
 impl Budget {
     pub fn new(descriptors: usize) -> Budget {
         let all = descriptors.saturating_sub(BESIDES).max(16);
-        // A third each, and a third for whoever needs it: each client that waits for an answer needs a shot out at least,
+        // A third each, and a third for whoever needs it: each client that waits for an answer needs an attempt out at least,
         // and one that writes slowly, or reads, needs none.
         let (out, both) = (all / 3, all / 3);
         // Held for a moment each, the time it takes to say no; with fewer than four, others wait unseen for it.
@@ -189,9 +189,9 @@
             .assert_eq(&format!("{alone:?} {together:?} {:?}", places(&budget)));
     }
 
-    /// While clients have places of their own left, none that is idle is closed for a shot that waits.
+    /// While clients have places of their own left, none that is idle is closed for an attempt that waits.
     #[test]
-    fn a_shot_that_waits_closes_no_client_that_is_not_in_its_way() {
+    fn an_attempt_that_waits_closes_no_client_that_is_not_in_its_way() {
         let budget = Budget::new(192);
         let (close, closed) = smol::channel::bounded(1);
         budget.idles(close, false);
--- a/crates/core/src/classes.rs
+++ b/crates/core/src/classes.rs
@@ -112,11 +112,11 @@
                 }
             };
             set("target time", Some(l.target.0));
-            set("most shots", Some(l.most_shots.0));
-            set("second copies", Some(u64::from(l.second_copies.0)));
-            set("shot wait", l.shot_wait.0);
-            set("copies after", l.copies_after.0);
-            set("further shots", l.further_shots.0);
+            set("most shots", Some(l.max_attempts.0));
+            set("second copies", Some(u64::from(l.hedging.0)));
+            set("shot wait", l.attempt_timeout.0);
+            set("copies after", l.hedge_after.0);
+            set("further shots", l.retry_budget.0);
             set("most open", l.open.0);
         }
         said
--- a/crates/core/src/flow.rs
+++ b/crates/core/src/flow.rs
@@ -1,7 +1,7 @@
-//! The way of a request through the core: taken, sent in shots, ended; and the calls that sources of the list make.
+//! The way of a request through the core: taken, sent in attempts, ended; and the calls that sources of the list make.
 
 use crate::answer::{Answer, Ask, Flow, Heard, Rest};
-use crate::book::{Book, Note, Shaft, Shooting};
+use crate::book::{AttemptHandle, Book, Note, PendingAttempt};
 use crate::core::Core;
 use crate::members::{Changed, Line};
 use crate::pool::{Conn, SPARE};
@@ -9,7 +9,7 @@
 use chalkwalk_limits::Table;
 use chalkwalk_net::{wait_until, within};
 use chalkwalk_policy::admission::{Refusal, Written};
-use chalkwalk_policy::{Cache, Ending, RequestId, Tenths};
+use chalkwalk_policy::{AttemptOutcome, Cache, RequestId, Tenths};
 use slog::{debug, info};
 use smol::channel::{Receiver, Sender, bounded};
 use smol::future::FutureExt;
@@ -27,7 +27,7 @@
     drop(book);
     for note in notes {
         match note {
-            Note::Shoot(shooting) => core.ex.spawn(send(core.clone(), shooting)).detach(),
+            Note::StartAttempt(pending) => core.ex.spawn(send(core.clone(), pending)).detach(),
             Note::Probe(cache) => core.ex.spawn(probe(core.clone(), cache)).detach(),
         }
     }
@@ -136,7 +136,7 @@
     }
 }
 
-/// Says how many requests were left so far while they waited, how many shots were withheld as their request was over, and how often
+/// Says how many requests were left so far while they waited, how many attempts were withheld as their request was over, and how often
 /// what must not happen has happened.
 pub(crate) fn count_left(core: &Core, event: &'static str) {
     let left = core.book.borrow().left_waiting();
@@ -145,54 +145,55 @@
         "left_waiting" => left, "withheld" => core.refused.over(), "violations" => violations);
 }
 
-// ---- one shot, from the connection to its ending ----
+// ---- one attempt, from the connection to its ending ----
 
-/// How a shot came out, or how far it has come.
+/// How an attempt came out, or how far it has come.
 enum Came {
-    Ended(Ending, Option<Answer>),
+    Ended(AttemptOutcome, Option<Answer>),
     /// The answer has begun, and goes on.
-    Begun(Ending, Answer, Rc<Conn>, Box<dyn Rest>),
+    Begun(AttemptOutcome, Answer, Rc<Conn>, Box<dyn Rest>),
 }
 
 /// A flow that nothing more comes of for so long, or that nobody takes more of, is broken off. The time limit is over by
 /// then, and a cache that is slow on purpose writes something each second.
 const SILENCE: Duration = Duration::from_secs(10);
 
-async fn send(core: Rc<Core>, shooting: Shooting) {
+async fn send(core: Rc<Core>, pending: PendingAttempt) {
     let begun = core.clock.now();
-    let Shooting { request_id, shot, cache, until, shaft, .. } = &shooting;
+    let PendingAttempt { request_id, attempt, cache, until, handle, .. } = &pending;
     // Not one byte short of whole has run.
-    let cut = |ending| Came::Ended(if shaft.written.get() { ending } else { Ending::Unsent }, None);
+    let cut =
+        |outcome| Came::Ended(if handle.written.get() { outcome } else { AttemptOutcome::NotSent }, None);
     let stopped = async {
-        _ = shaft.stopped.recv().await;
-        cut(Ending::Withdrawn)
+        _ = handle.stopped.recv().await;
+        cut(AttemptOutcome::Cancelled)
     };
-    let shot_through = stopped.or(shoot(&core, &shooting));
+    let attempt_through = stopped.or(start_attempt(&core, &pending));
     let end = core.clock.instant(*until);
-    let came = wait_until(end, shot_through).await.unwrap_or_else(|| cut(Ending::TimedOut));
+    let came = wait_until(end, attempt_through).await.unwrap_or_else(|| cut(AttemptOutcome::TimedOut));
     let took = core.clock.now() - begun;
-    let (ending, answer) = match came {
-        Came::Ended(ending, answer) => (ending, answer),
-        Came::Begun(ending, mut answer, conn, rest) => {
+    let (outcome, answer) = match came {
+        Came::Ended(outcome, answer) => (outcome, answer),
+        Came::Begun(outcome, mut answer, conn, rest) => {
             let (tell_parts, parts) = bounded(1);
             let whole = Rc::new(Cell::new(false));
             answer.flow = Some(Flow { length: rest.length(), parts, whole: whole.clone() });
-            tell(&core, |book, now| book.begun(now, (*request_id, *shot), answer));
+            tell(&core, |book, now| book.begun(now, (*request_id, *attempt), answer));
             let stopped = async {
-                _ = shaft.stopped.recv().await;
-                Ending::Withdrawn
+                _ = handle.stopped.recv().await;
+                AttemptOutcome::Cancelled
             };
-            let ending =
-                stopped.or(pump(&core, (*cache, conn), rest, tell_parts, (shaft, ending, whole))).await;
-            (ending, None)
+            let outcome =
+                stopped.or(pump(&core, (*cache, conn), rest, tell_parts, (handle, outcome, whole))).await;
+            (outcome, None)
         }
     };
     // The connection is closed, unless it is back in the pool, before the router hears of the ending.
-    shaft.hold(None);
-    if ending == Ending::Unreachable {
+    handle.hold(None);
+    if outcome == AttemptOutcome::Unreachable {
         core.pool.forget(*cache);
     }
-    tell(&core, |book, now| book.ended(now, (*request_id, *shot), ending, took, answer));
+    tell(&core, |book, now| book.ended(now, (*request_id, *attempt), outcome, took, answer));
 }
 
 /// Passes on what comes of an answer, until it ends, breaks off, or is taken no more.
@@ -201,75 +202,75 @@
     (cache, conn): (Cache, Rc<Conn>),
     mut rest: Box<dyn Rest>,
     parts: Sender<Vec<u8>>,
-    (shaft, ending, whole): (&Shaft, Ending, Rc<Cell<bool>>),
-) -> Ending {
+    (handle, outcome, whole): (&AttemptHandle, AttemptOutcome, Rc<Cell<bool>>),
+) -> AttemptOutcome {
     loop {
         match within(SILENCE, rest.part(&conn.stream)).await {
             Some(Ok(Some(part))) => match within(SILENCE, parts.send(part)).await {
                 Some(Ok(())) => {}
-                _ => return Ending::Withdrawn,
+                _ => return AttemptOutcome::Cancelled,
             },
             Some(Ok(None)) => {
                 whole.set(true);
-                shaft.hold(None);
+                handle.hold(None);
                 if rest.keeps()
                     && let Ok(conn) = Rc::try_unwrap(conn)
                 {
                     core.pool.put(cache, conn);
                 }
-                return ending;
+                return outcome;
             }
-            _ => return Ending::Broken,
+            _ => return AttemptOutcome::ConnectionLost,
         }
     }
 }
 
-async fn shoot(core: &Rc<Core>, shooting: &Shooting) -> Came {
-    let Shooting { cache, until, by, ask, shaft, .. } = shooting;
+async fn start_attempt(core: &Rc<Core>, pending: &PendingAttempt) -> Came {
+    let PendingAttempt { cache, until, by, ask, handle, .. } = pending;
     if core.clock.now() >= *until {
-        return Came::Ended(Ending::Unsent, None);
+        return Came::Ended(AttemptOutcome::NotSent, None);
     }
     let end = core.clock.instant(*by.min(until));
-    let conn = match wait_until(end, write(core, shooting)).await {
+    let conn = match wait_until(end, write(core, pending)).await {
         Some(Ok(conn)) => conn,
-        Some(Err(ending)) => return Came::Ended(ending, None),
-        None => return Came::Ended(Ending::Unsent, None),
+        Some(Err(outcome)) => return Came::Ended(outcome, None),
+        None => return Came::Ended(AttemptOutcome::NotSent, None),
     };
-    let Some(Heard { ending, answer, keep, rest }) = ask.hear(&conn.stream).await else {
-        return Came::Ended(Ending::Broken, None);
+    let Some(Heard { outcome, answer, keep, rest }) = ask.hear(&conn.stream).await else {
+        return Came::Ended(AttemptOutcome::ConnectionLost, None);
     };
     let answer = match (rest, answer) {
-        (Some(rest), Some(answer)) => return Came::Begun(ending, answer, conn, rest),
+        (Some(rest), Some(answer)) => return Came::Begun(outcome, answer, conn, rest),
         (_, answer) => answer,
     };
-    shaft.hold(None);
+    handle.hold(None);
     if keep && let Ok(conn) = Rc::try_unwrap(conn) {
         core.pool.put(*cache, conn);
     }
-    Came::Ended(ending, answer)
+    Came::Ended(outcome, answer)
 }
 
 /// Writes the request to a connection; not one is written of which a part may come too late.
-async fn write(core: &Rc<Core>, shooting: &Shooting) -> Result<Rc<Conn>, Ending> {
-    let Shooting { request_id, cache, until, by, ask, shaft, .. } = shooting;
+async fn write(core: &Rc<Core>, pending: &PendingAttempt) -> Result<Rc<Conn>, AttemptOutcome> {
+    let PendingAttempt { request_id, cache, until, by, ask, handle, .. } = pending;
     let conn = Rc::new(connection(core, *cache, false).await?);
     // After a standstill what came in it is read first: a drain, an operator's word, a client's end.
     core.clock.hear().await;
     // On a process that is busy the connection and the end of the time are seen in one turn, and the client's going lies unread
-    // while a connection, a place, a key's turn or a rest is over. A shot so stopped surely has not run, and goes elsewhere.
+    // while a connection, a place, a key's turn or a rest is over. An attempt so stopped surely has not run, and goes elsewhere.
     let now = core.clock.now();
-    let may_send = core.book.borrow().may_send(now, shooting, ask.awaited());
+    let may_send = core.book.borrow().may_send(now, pending, ask.awaited());
     if let Err(refusal) = may_send {
         core.refused.count(refusal);
         debug!(core.log, "attempt withheld"; "cache" => cache, "why" => ?refusal);
         if refusal == Refusal::ClientLeft {
             client_left(core, *request_id);
         }
-        return Err(Ending::Unsent);
+        return Err(AttemptOutcome::NotSent);
     }
-    shaft.hold(Some(conn.clone()));
-    ask.write_to(&conn.stream, until - now).await.map_err(|_| Ending::Unreachable)?;
-    shaft.written.set(true);
+    handle.hold(Some(conn.clone()));
+    ask.write_to(&conn.stream, until - now).await.map_err(|_| AttemptOutcome::Unreachable)?;
+    handle.written.set(true);
     let written = Written {
         at: core.clock.now(),
         allowed_at: now,
@@ -282,21 +283,21 @@
     Ok(conn)
 }
 
-/// A connection to the cache, from the pool or new; else how the shot ends that wanted it.
-async fn connection(core: &Core, cache: Cache, fresh: bool) -> Result<Conn, Ending> {
+/// A connection to the cache, from the pool or new; else how the attempt ends that wanted it.
+async fn connection(core: &Core, cache: Cache, fresh: bool) -> Result<Conn, AttemptOutcome> {
     let Some(addr) = core.book.borrow().members.addr(cache) else {
-        return Err(Ending::Unreachable);
+        return Err(AttemptOutcome::Unreachable);
     };
     if !fresh && let Some(conn) = core.pool.rested(cache, addr).await {
         return Ok(conn);
     }
     let permit = core.budget.take(|| core.pool.close_longest_idle()).await;
     let connected = within(core.rules.connect_time.get(), Async::<TcpStream>::connect(addr)).await;
-    let stream = connected.ok_or(Ending::Unreachable)?.map_err(|e| {
+    let stream = connected.ok_or(AttemptOutcome::Unreachable)?.map_err(|e| {
         // Out of descriptors (EMFILE, ENFILE), buffers or ports, as Linux numbers it: that is no word on the cache.
         match e.raw_os_error() {
-            Some(24 | 23 | 105 | 12 | 99) => Ending::Unsent,
-            _ => Ending::Unreachable,
+            Some(24 | 23 | 105 | 12 | 99) => AttemptOutcome::NotSent,
+            _ => AttemptOutcome::Unreachable,
         }
     })?;
     _ = stream.get_ref().set_nodelay(true);
--- a/crates/core/src/rules.rs
+++ b/crates/core/src/rules.rs
@@ -20,7 +20,7 @@
     pub connect_time: Cell<Duration>,
     /// After which a cache closes a connection that is idle.
     pub idle_time: Duration,
-    /// From a drain's notice on, in which a cache still takes shots.
+    /// From a drain's notice on, in which a cache still takes attempts.
     pub drain_grace: Cell<Tenths>,
     /// That the process may hold.
     pub descriptors: usize,
--- a/crates/http-door/src/caches.rs
+++ b/crates/http-door/src/caches.rs
@@ -1,10 +1,10 @@
-//! The side of the caches: a request written on as it came, what an answer says of the shot, and probes.
+//! The side of the caches: a request written on as it came, what an answer says of the attempt, and probes.
 
 use crate::admit::HttpRequest;
 use chalkwalk_core::answer::{Answer, Ask, Heard, Probe, Rest, Verdict, Wait};
 use chalkwalk_http1::{self as http1, Answering};
 use chalkwalk_net::{Held, Room, quiet, wait_until, write_all};
-use chalkwalk_policy::{Ending, Tenths};
+use chalkwalk_policy::{AttemptOutcome, Tenths};
 use smol::Async;
 use std::io;
 use std::net::TcpStream;
@@ -77,22 +77,22 @@
 /// An answer of unknown length is waited for so long before it flows: short beside a target time, and most are whole by then.
 const LENGTH_SHOWS: Duration = Duration::from_millis(50);
 
-/// What a cache's answer says of the shot. One of up to 64 KiB is read whole, so that one that breaks off can be asked for
+/// What a cache's answer says of the attempt. One of up to 64 KiB is read whole, so that one that breaks off can be asked for
 /// elsewhere; a longer one is passed on from its first bytes on.
 async fn read(mut answering: Answering, stream: &Async<TcpStream>, room: &Room) -> Option<Heard> {
     let message = &answering.message;
     let turned_away = message.field("X-Unprocessed").is_some_and(|v| v == "1");
-    let ending = match message.status {
+    let outcome = match message.status {
         200 => match message.field("X-Lookup") {
-            Some("hit") => Ending::Held,
-            Some("miss") => Ending::Fetched,
-            _ => Ending::Resolved,
+            Some("hit") => AttemptOutcome::CompletedFromCache,
+            Some("miss") => AttemptOutcome::CompletedByFetch,
+            _ => AttemptOutcome::Completed,
         },
-        404 => Ending::Miss,
-        503 | 504 if turned_away => Ending::Full,
+        404 => AttemptOutcome::CacheMiss,
+        503 | 504 if turned_away => AttemptOutcome::Overloaded,
         // No word on the cache: a client asked for what can't be had.
-        400..=499 => Ending::Wrong,
-        _ => Ending::Error,
+        400..=499 => AttemptOutcome::InvalidRequest,
+        _ => AttemptOutcome::ServerError,
     };
     let resolved = message.status == 200;
     let long = |n: usize| n > http1::LONGEST_BODY;
@@ -128,13 +128,13 @@
     }
     let keep = answering.keeps();
     if !resolved {
-        return Some(Heard { ending, answer: None, keep, rest: None });
+        return Some(Heard { outcome, answer: None, keep, rest: None });
     }
     let kind = answering.message.field("Content-Type").unwrap_or("").to_string();
     let begun = body.len();
     let answer = Some(Answer { kind, body, ..Answer::bare(Verdict::Resolved) });
     if whole {
-        return Some(Heard { ending, answer, keep, rest: None });
+        return Some(Heard { outcome, answer, keep, rest: None });
     }
     let held = room.take(PART.0 * PART.1, usize::MAX);
     if held.is_some() {
@@ -142,7 +142,7 @@
     }
     let left = http1::LONGEST_OF_ALL.saturating_sub(begun);
     let rest: Box<dyn Rest> = Box::new(Flowing { answering, left, _held: held });
-    Some(Heard { ending, answer, keep, rest: Some(rest) })
+    Some(Heard { outcome, answer, keep, rest: Some(rest) })
 }
 
 /// The rest of a long answer, with its part of the room for them; without one it is read in smaller parts.
--- a/crates/http-door/src/route.rs
+++ b/crates/http-door/src/route.rs
@@ -41,7 +41,7 @@
     let answer = async {
         match answered.recv().await {
             Ok(answer) => Some(Reply::from(answer)),
-            // Called off where a shot was to be written: what that saw is read here next.
+            // Called off where an attempt was to be written: what that saw is read here next.
             Err(_) => std::future::pending().await,
         }
     };
--- a/crates/limits/src/budget.rs
+++ b/crates/limits/src/budget.rs
@@ -1,10 +1,10 @@
-//! A budget of further shots as a share of first ones, over a sliding time.
+//! A budget of retries as a share of first ones, over a sliding time.
 
 use crate::Tenths;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// The budget of further shots that requests of a class share: their own, or that of all which have none.
+/// The budget of retries that requests of a class share: their own, or that of all which have none.
 #[derive(Clone, Debug)]
 pub enum Purse {
     House(Rc<Cell<u64>>),
@@ -12,7 +12,7 @@
 }
 
 /// A fifth of all requests may be sent once more, and a few dozen in a row: enough for a cache that fails until it is left,
-/// too little for a retry storm. In tenths of a shot: what a first one brings, what a further one costs, what is there
+/// too little for a retry storm. In tenths of an attempt: what a first one brings, what a further one costs, what is there
 /// at first, and the most.
 const BRINGS: u64 = 2;
 const COSTS: u64 = 10;
@@ -100,11 +100,11 @@
 /// Half of the sliding time: ten seconds in all are some hundred requests at a quiet proxy, and a trouble that ends is
 /// forgotten within them.
 const HALF: Tenths = 50_000;
-/// Further shots that may always be sent within the sliding time, or a proxy with little traffic could try nothing again.
+/// Retries that may always be sent within the sliding time, or a proxy with little traffic could try nothing again.
 const FLOOR: u64 = 3;
 
 impl Budget {
-    /// `share`: thousandths of the first shots.
+    /// `share`: thousandths of the first attempts.
     pub fn new(share: u64) -> Budget {
         Budget { share, ..Budget::default() }
     }
@@ -132,7 +132,7 @@
         self.firsts[0] += 1;
     }
 
-    /// Whether one more further shot is within the budget.
+    /// Whether one more further attempt is within the budget.
     pub fn allows(&mut self, now: Tenths) -> bool {
         self.pass(now);
         let spent = self.within(self.further, now) + HALF;
@@ -151,8 +151,8 @@
     use proptest::prelude::*;
     use proptest::test_runner::RngSeed;
 
-    /// Plays so many requests a second, each with as many further shots as allowed while `failing`, and says how many
-    /// further shots there were in each span of ten seconds.
+    /// Plays so many requests a second, each with as many retries as allowed while `failing`, and says how many
+    /// retries there were in each span of ten seconds.
     fn played(share: u64, a_second: u64, seconds: u64, failing: impl Fn(u64) -> bool) -> Vec<u64> {
         let mut budget = Budget::new(share);
         let mut further = vec![0; (seconds / 10) as usize];
@@ -170,7 +170,7 @@
     }
 
     #[test]
-    fn when_all_fails_further_shots_stay_at_their_share_and_the_budget_refills() {
+    fn when_all_fails_further_attempts_stay_at_their_share_and_the_budget_refills() {
         let all = played(200, 100, 60, |_| true);
         assert!(all.iter().all(|n| (180..=240).contains(n)), "{all:?}");
         // Nothing fails from 20 to 40 s: the first ten seconds after that may have as many again, and no more.
@@ -187,7 +187,7 @@
     proptest! {
         #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
-        /// Whatever comes when, the further shots of any ten seconds stay within the share of the first ones of twice
+        /// Whatever comes when, the retries of any ten seconds stay within the share of the first ones of twice
         /// that time, and the floor.
         #[test]
         fn no_span_has_more_than_its_share(
--- a/crates/limits/src/check.rs
+++ b/crates/limits/src/check.rs
@@ -99,22 +99,23 @@
 
     fn of_settings(&mut self, s: &Settings) {
         for (name, said) in
-            [("time_limit_ms", s.time_limit), ("target_ms", s.target), ("shot_wait_ms", s.shot_wait)]
+            [("time_limit_ms", s.time_limit), ("target_ms", s.target), ("shot_wait_ms", s.attempt_timeout)]
         {
             if let Some(Said { line, .. }) = said.filter(|said| said.value < SHORTEST) {
                 self.say(line, format!("{name} is below {} ms, in which no answer comes", ms(SHORTEST)));
             }
         }
-        for (name, said) in [("most_shots", s.most_shots), ("open", s.open), ("longest_body", s.longest_body)]
+        for (name, said) in
+            [("most_shots", s.max_attempts), ("open", s.open), ("longest_body", s.longest_body)]
         {
             if let Some(Said { line, .. }) = said.filter(|said| said.value == 0) {
                 self.say(line, format!("{name} is 0, and nothing would be served"));
             }
         }
-        if let Some(Said { line, .. }) = s.copies_after.filter(|said| !(500..1000).contains(&said.value)) {
+        if let Some(Said { line, .. }) = s.hedge_after.filter(|said| !(500..1000).contains(&said.value)) {
             self.say(line, "copies_after is a share of the answers, from 0.5 to 0.999".into());
         }
-        if let Some(Said { line, .. }) = s.further_shots.filter(|said| said.value > 5000) {
+        if let Some(Said { line, .. }) = s.retry_budget.filter(|said| said.value > 5000) {
             self.say(line, "further_shots is a share of the first ones, from 0 to 5".into());
         }
     }
@@ -137,11 +138,11 @@
         let Limits {
             time_limit,
             target,
-            most_shots,
-            shot_wait,
-            second_copies,
-            copies_after,
-            further_shots,
+            max_attempts,
+            attempt_timeout,
+            hedging,
+            hedge_after,
+            retry_budget,
             ..
         } = &class.limits;
         let name = &ns.name;
@@ -168,12 +169,12 @@
             );
             broken(&[&target.1, &time_limit.1], text);
         }
-        if most_shots.0 > account.most_shots {
+        if max_attempts.0 > account.max_attempts {
             let text = format!(
                 "{} shots are more than the {} that the house allows",
-                most_shots.0, account.most_shots
+                max_attempts.0, account.max_attempts
             );
-            broken(&[&most_shots.1], text);
+            broken(&[&max_attempts.1], text);
         }
         if class.limits.longest_body.0 > account.longest_body {
             let text = format!(
@@ -182,35 +183,37 @@
             );
             broken(&[&class.limits.longest_body.1], text);
         }
-        let copies = second_copies.0;
+        let copies = hedging.0;
         if copies && ns.repeats != Repeats::Replayable {
             let kind = if ns.repeats == Repeats::Tagged { "tagged" } else { "single-use" };
-            broken(&[&second_copies.1], format!("second copies of a {kind} lookup would run it twice"));
+            broken(&[&hedging.1], format!("second copies of a {kind} lookup would run it twice"));
         }
-        if copies && !account.second_copies {
-            broken(&[&second_copies.1], "the house allows no second copies".into());
+        if copies && !account.hedging {
+            broken(&[&hedging.1], "the house allows no second copies".into());
         }
-        if copies_after.0.is_some() && !copies && ns.repeats == Repeats::Replayable {
+        if hedge_after.0.is_some() && !copies && ns.repeats == Repeats::Replayable {
             let text = "copies_after is set, and second copies are not allowed".into();
-            broken(&[&copies_after.1, &second_copies.1], text);
+            broken(&[&hedge_after.1, &hedging.1], text);
         }
-        if copies_after.0.is_some() && copies && most_shots.0 < 2 {
+        if hedge_after.0.is_some() && copies && max_attempts.0 < 2 {
             let text = "a second copy is a second shot, and most_shots is 1".into();
-            broken(&[&copies_after.1, &most_shots.1], text);
+            broken(&[&hedge_after.1, &max_attempts.1], text);
         }
-        if further_shots.0.is_some_and(|share| share > (most_shots.0.max(1) - 1) * 1000) {
-            let text =
-                format!("further_shots is more than the {} that most_shots leaves", most_shots.0.max(1) - 1);
-            broken(&[&further_shots.1, &most_shots.1], text);
+        if retry_budget.0.is_some_and(|share| share > (max_attempts.0.max(1) - 1) * 1000) {
+            let text = format!(
+                "further_shots is more than the {} that most_shots leaves",
+                max_attempts.0.max(1) - 1
+            );
+            broken(&[&retry_budget.1, &max_attempts.1], text);
         }
-        let Some(wait) = shot_wait.0 else {
-            // Unless a shot is given up before, the last may start at the end of the time limit.
-            if ns.repeats == Repeats::Tagged && most_shots.0 > 1 && ns.window < time_limit.0 {
+        let Some(wait) = attempt_timeout.0 else {
+            // Unless an attempt is given up before, the last may start at the end of the time limit.
+            if ns.repeats == Repeats::Tagged && max_attempts.0 > 1 && ns.window < time_limit.0 {
                 let text = format!(
                     "caches drop repeats for {} ms only, and the last shot may start later: set shot_wait_ms, a shorter time limit or most_shots = 1",
                     ms(ns.window)
                 );
-                broken(&[&most_shots.1, &time_limit.1], text);
+                broken(&[&max_attempts.1, &time_limit.1], text);
             }
             return;
         };
@@ -220,24 +223,24 @@
                 ms(wait),
                 ms(time_limit.0)
             );
-            broken(&[&shot_wait.1, &time_limit.1], text);
-        } else if most_shots.0 * (wait + account.connect_time) > time_limit.0 {
+            broken(&[&attempt_timeout.1, &time_limit.1], text);
+        } else if max_attempts.0 * (wait + account.connect_time) > time_limit.0 {
             let each = ms(wait + account.connect_time);
             let text = format!(
                 "{} shots of {each} ms each, connecting included, do not end within the time limit of {} ms",
-                most_shots.0,
+                max_attempts.0,
                 ms(time_limit.0)
             );
-            broken(&[&shot_wait.1, &most_shots.1, &time_limit.1], text);
+            broken(&[&attempt_timeout.1, &max_attempts.1, &time_limit.1], text);
         }
-        let last = (most_shots.0.max(1) - 1) * (wait + account.connect_time);
+        let last = (max_attempts.0.max(1) - 1) * (wait + account.connect_time);
         if ns.repeats == Repeats::Tagged && last > ns.window {
             let text = format!(
                 "the last shot may start {} ms after the first, and caches drop repeats for {} ms only",
                 ms(last),
                 ms(ns.window)
             );
-            broken(&[&shot_wait.1, &most_shots.1], text);
+            broken(&[&attempt_timeout.1, &max_attempts.1], text);
         }
     }
 
@@ -249,20 +252,20 @@
             return;
         }
         for class in table.classes() {
-            let most = class.limits.most_shots.0 * 1000;
-            let shots = class.limits.further_shots.0.map_or(most, |share| most.min(1000 + share));
-            let comes_to = shots * clients.tries.value;
+            let most = class.limits.max_attempts.0 * 1000;
+            let attempts = class.limits.retry_budget.0.map_or(most, |share| most.min(1000 + share));
+            let comes_to = attempts * clients.tries.value;
             if comes_to > clients.amplification.value {
                 let text = format!(
                     "{}: {} tries of a client with {} shots each come to {}, and {} is the most that was stated: set further_shots",
                     account.namespaces[class.namespace].name,
                     clients.tries.value,
-                    shots as f64 / 1000.0,
+                    attempts as f64 / 1000.0,
                     comes_to as f64 / 1000.0,
                     clients.amplification.value as f64 / 1000.0
                 );
-                let line = line_of(&class.limits.further_shots.1)
-                    .max(line_of(&class.limits.most_shots.1))
+                let line = line_of(&class.limits.retry_budget.1)
+                    .max(line_of(&class.limits.max_attempts.1))
                     .max(clients.amplification.line);
                 self.say(line, text);
             }
--- a/crates/limits/src/draft.rs
+++ b/crates/limits/src/draft.rs
@@ -20,14 +20,14 @@
 pub struct Settings {
     pub time_limit: Option<Said<Tenths>>,
     pub target: Option<Said<Tenths>>,
-    pub most_shots: Option<Said<u64>>,
-    /// How long a single shot is waited for.
-    pub shot_wait: Option<Said<Tenths>>,
-    pub second_copies: Option<Said<bool>>,
-    /// A second copy goes out once a shot takes longer than so many thousandths of all answers did.
-    pub copies_after: Option<Said<u64>>,
-    /// Further shots, in thousandths of the first ones, over a sliding time.
-    pub further_shots: Option<Said<u64>>,
+    pub max_attempts: Option<Said<u64>>,
+    /// How long a single attempt is waited for.
+    pub attempt_timeout: Option<Said<Tenths>>,
+    pub hedging: Option<Said<bool>>,
+    /// A hedged request goes out once an attempt takes longer than so many thousandths of all answers did.
+    pub hedge_after: Option<Said<u64>>,
+    /// Retries, in thousandths of the first ones, over a sliding time.
+    pub retry_budget: Option<Said<u64>>,
     /// Requests of this class open at once.
     pub open: Option<Said<u64>>,
     /// Of a request, in bytes.
@@ -56,7 +56,7 @@
 pub struct Clients {
     /// First try included.
     pub tries: Said<u64>,
-    /// How many shots one request of a client may come to, over all its tries, in thousandths.
+    /// How many attempts one request of a client may come to, over all its tries, in thousandths.
     pub amplification: Said<u64>,
 }
 
@@ -89,8 +89,8 @@
 /// The house's rules: the account that a file has to keep to.
 #[derive(Clone, Debug, Default)]
 pub struct Account {
-    pub most_shots: u64,
-    pub second_copies: bool,
+    pub max_attempts: u64,
+    pub hedging: bool,
     pub connect_time: Tenths,
     pub longest_body: u64,
     pub namespaces: Vec<Namespace>,
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -1,4 +1,4 @@
-//! Limits by class of request: time limits, shots, second copies, budgets. What an operator says is held against the house's
+//! Limits by class of request: time limits, attempts, hedged requests, budgets. What an operator says is held against the house's
 //! rules before any of it is used, all faults at once; what is accepted keeps them by construction.
 //!
 //! It may use the standard library alone: no socket, file or clock ever enters it. Times are whole tenths of a millisecond,
--- a/crates/limits/src/table.rs
+++ b/crates/limits/src/table.rs
@@ -28,14 +28,14 @@
 pub struct Limits {
     pub time_limit: (Tenths, From),
     pub target: (Tenths, From),
-    pub most_shots: (u64, From),
+    pub max_attempts: (u64, From),
     /// `None`: up to the time limit.
-    pub shot_wait: (Option<Tenths>, From),
-    pub second_copies: (bool, From),
-    /// `None`: only where a cache is silent or a shot lost.
-    pub copies_after: (Option<u64>, From),
+    pub attempt_timeout: (Option<Tenths>, From),
+    pub hedging: (bool, From),
+    /// `None`: only where a cache is silent or an attempt lost.
+    pub hedge_after: (Option<u64>, From),
     /// `None`: the module's own budget for all.
-    pub further_shots: (Option<u64>, From),
+    pub retry_budget: (Option<u64>, From),
     /// `None`: as many as come.
     pub open: (Option<u64>, From),
     pub longest_body: (u64, From),
@@ -92,17 +92,17 @@
         // A shorter limit takes the house's target with it.
         (target, target_from) = (time_limit, limit_from.clone());
     }
-    // Second copies are for what may run twice, whatever wider ones say.
-    let copies = account.second_copies && ns.repeats == crate::Repeats::Replayable;
-    let (said, copies_from) = layers.pick(copies, |s| s.second_copies);
+    // Hedged requests are for what may run twice, whatever wider ones say.
+    let copies = account.hedging && ns.repeats == crate::Repeats::Replayable;
+    let (said, copies_from) = layers.pick(copies, |s| s.hedging);
     Limits {
         time_limit: (time_limit, limit_from),
         target: (target, target_from),
-        most_shots: layers.pick(account.most_shots, |s| s.most_shots),
-        shot_wait: layers.pick(None, |s| some(s.shot_wait)),
-        second_copies: (said, copies_from),
-        copies_after: layers.pick(None, |s| some(s.copies_after)),
-        further_shots: layers.pick(None, |s| some(s.further_shots)),
+        max_attempts: layers.pick(account.max_attempts, |s| s.max_attempts),
+        attempt_timeout: layers.pick(None, |s| some(s.attempt_timeout)),
+        hedging: (said, copies_from),
+        hedge_after: layers.pick(None, |s| some(s.hedge_after)),
+        retry_budget: layers.pick(None, |s| some(s.retry_budget)),
         open: layers.pick(None, |s| some(s.open)),
         longest_body: layers.pick(account.longest_body, |s| s.longest_body),
     }
--- a/crates/limits/tests/accepted.rs
+++ b/crates/limits/tests/accepted.rs
@@ -14,8 +14,8 @@
         window: 15_000,
     };
     Account {
-        most_shots: 6,
-        second_copies: true,
+        max_attempts: 6,
+        hedging: true,
         connect_time: 500,
         longest_body: 1000,
         namespaces: vec![
@@ -38,19 +38,19 @@
     )
         .prop_map(
             |(
-                (time_limit, target, most_shots, shot_wait),
-                (second_copies, copies_after, further_shots),
+                (time_limit, target, max_attempts, attempt_timeout),
+                (hedging, hedge_after, retry_budget),
                 rest,
             )| {
                 let (open, longest_body) = rest;
                 Settings {
                     time_limit,
                     target,
-                    most_shots,
-                    shot_wait,
-                    second_copies,
-                    copies_after,
-                    further_shots,
+                    max_attempts,
+                    attempt_timeout,
+                    hedging,
+                    hedge_after,
+                    retry_budget,
                     open,
                     longest_body,
                 }
@@ -102,23 +102,23 @@
         for class in table.classes() {
             let (l, ns) = (&class.limits, &account.namespaces[class.namespace]);
             prop_assert!(l.time_limit.0 <= ns.time_limit && l.target.0 <= l.time_limit.0);
-            prop_assert!(l.most_shots.0 >= 1 && l.most_shots.0 <= account.most_shots);
+            prop_assert!(l.max_attempts.0 >= 1 && l.max_attempts.0 <= account.max_attempts);
             prop_assert!(l.longest_body.0 <= account.longest_body);
-            prop_assert!(!l.second_copies.0 || ns.repeats == Repeats::Replayable);
+            prop_assert!(!l.hedging.0 || ns.repeats == Repeats::Replayable);
             prop_assert!(l.open.0 != Some(0));
-            if let Some(wait) = l.shot_wait.0 {
+            if let Some(wait) = l.attempt_timeout.0 {
                 let each = wait + account.connect_time;
-                prop_assert!(l.most_shots.0 * each <= l.time_limit.0);
-                prop_assert!(ns.repeats != Repeats::Tagged || (l.most_shots.0 - 1) * each <= ns.window);
-            } else if ns.repeats == Repeats::Tagged && set(&l.most_shots).is_some() {
-                prop_assert!(l.most_shots.0 == 1 || l.time_limit.0 <= ns.window);
+                prop_assert!(l.max_attempts.0 * each <= l.time_limit.0);
+                prop_assert!(ns.repeats != Repeats::Tagged || (l.max_attempts.0 - 1) * each <= ns.window);
+            } else if ns.repeats == Repeats::Tagged && set(&l.max_attempts).is_some() {
+                prop_assert!(l.max_attempts.0 == 1 || l.time_limit.0 <= ns.window);
             }
-            if let Some(share) = l.further_shots.0 {
-                prop_assert!(share <= (l.most_shots.0 - 1) * 1000);
+            if let Some(share) = l.retry_budget.0 {
+                prop_assert!(share <= (l.max_attempts.0 - 1) * 1000);
             }
             if let Some(clients) = draft.clients {
-                let shots = l.further_shots.0.map_or(l.most_shots.0 * 1000, |s| (1000 + s).min(l.most_shots.0 * 1000));
-                prop_assert!(shots * clients.tries.value <= clients.amplification.value);
+                let attempts = l.retry_budget.0.map_or(l.max_attempts.0 * 1000, |s| (1000 + s).min(l.max_attempts.0 * 1000));
+                prop_assert!(attempts * clients.tries.value <= clients.amplification.value);
             }
         }
         // Each request has a class, of its own namespace.
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -44,11 +44,16 @@
 struct Fields {
     time_limit_ms: Option<Spanned<f64>>,
     target_ms: Option<Spanned<f64>>,
-    most_shots: Option<Spanned<u64>>,
-    shot_wait_ms: Option<Spanned<f64>>,
-    second_copies: Option<Spanned<bool>>,
-    copies_after: Option<Spanned<f64>>,
-    further_shots: Option<Spanned<f64>>,
+    #[serde(rename = "most_shots")]
+    max_attempts: Option<Spanned<u64>>,
+    #[serde(rename = "shot_wait_ms")]
+    attempt_timeout_ms: Option<Spanned<f64>>,
+    #[serde(rename = "second_copies")]
+    hedging: Option<Spanned<bool>>,
+    #[serde(rename = "copies_after")]
+    hedge_after: Option<Spanned<f64>>,
+    #[serde(rename = "further_shots")]
+    retry_budget: Option<Spanned<f64>>,
     open: Option<Spanned<u64>>,
     longest_body: Option<Spanned<u64>>,
 }
@@ -388,11 +393,11 @@
         Settings {
             time_limit: self.said(&f.time_limit_ms, tenths),
             target: self.said(&f.target_ms, tenths),
-            most_shots: self.said(&f.most_shots, same),
-            shot_wait: self.said(&f.shot_wait_ms, tenths),
-            second_copies: self.said(&f.second_copies, |b| *b),
-            copies_after: self.said(&f.copies_after, thousandths),
-            further_shots: self.said(&f.further_shots, thousandths),
+            max_attempts: self.said(&f.max_attempts, same),
+            attempt_timeout: self.said(&f.attempt_timeout_ms, tenths),
+            hedging: self.said(&f.hedging, |b| *b),
+            hedge_after: self.said(&f.hedge_after, thousandths),
+            retry_budget: self.said(&f.retry_budget, thousandths),
             open: self.said(&f.open, same),
             longest_body: self.said(&f.longest_body, same),
         }
@@ -483,11 +488,11 @@
     let rows = [
         ("time limit", ms(l.time_limit.0), &l.time_limit.1),
         ("target time", ms(l.target.0), &l.target.1),
-        ("most shots", l.most_shots.0.to_string(), &l.most_shots.1),
-        ("wait for a shot", or(l.shot_wait.0.map(ms), "up to the time limit"), &l.shot_wait.1),
-        ("second copies", if l.second_copies.0 { "allowed" } else { "never" }.into(), &l.second_copies.1),
-        ("copies after", or(l.copies_after.0.map(part), "silence or loss alone"), &l.copies_after.1),
-        ("further shots", or(l.further_shots.0.map(part), "the module's own budget"), &l.further_shots.1),
+        ("most shots", l.max_attempts.0.to_string(), &l.max_attempts.1),
+        ("wait for a shot", or(l.attempt_timeout.0.map(ms), "up to the time limit"), &l.attempt_timeout.1),
+        ("second copies", if l.hedging.0 { "allowed" } else { "never" }.into(), &l.hedging.1),
+        ("copies after", or(l.hedge_after.0.map(part), "silence or loss alone"), &l.hedge_after.1),
+        ("further shots", or(l.retry_budget.0.map(part), "the module's own budget"), &l.retry_budget.1),
         ("open at once", or(l.open.0.map(|n| n.to_string()), "as many as come"), &l.open.1),
         ("longest body", format!("{} bytes", l.longest_body.0), &l.longest_body.1),
     ];
--- a/crates/operator/tests/files.rs
+++ b/crates/operator/tests/files.rs
@@ -13,8 +13,8 @@
         window: 15_000,
     };
     Account {
-        most_shots: 6,
-        second_copies: true,
+        max_attempts: 6,
+        hedging: true,
         connect_time: 1000,
         longest_body: 65_536,
         namespaces: vec![
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -40,7 +40,7 @@
 }
 
 /// No house allows more: what is above is a slip of the pen.
-const MOST_SHOTS: f64 = 1000.0;
+const MAX_ATTEMPTS: f64 = 1000.0;
 
 impl HouseRules {
     pub fn load(path: &str) -> Read<HouseRules> {
@@ -73,10 +73,10 @@
                 return bad("targetTimeNs");
             }
         }
-        let most_shots = number("most shots", 1.0);
-        if most_shots.fract() != 0.0 || !(1.0..=MOST_SHOTS).contains(&most_shots) {
+        let max_attempts = number("most shots", 1.0);
+        if max_attempts.fract() != 0.0 || !(1.0..=MAX_ATTEMPTS).contains(&max_attempts) {
             return Err(format!(
-                "setting ceilings.mostShots: expected a whole number above 0, got {most_shots}"
+                "setting ceilings.mostShots: expected a whole number above 0, got {max_attempts}"
             ));
         }
         let limits = said.get("limits").map_or(Ok(&nothing), |l| object(l, "field limits"))?;
@@ -95,8 +95,8 @@
             window: number(&format!("namespace {i} window"), 0.0) as Tenths,
         };
         let account = Account {
-            most_shots: number("most shots", 1.0) as u64,
-            second_copies: number("second copies", 0.0) > 0.0,
+            max_attempts: number("most shots", 1.0) as u64,
+            hedging: number("second copies", 0.0) > 0.0,
             connect_time: number("connect time", 1e4) as Tenths,
             longest_body: http1::LONGEST_OF_ALL as u64,
             namespaces: namespaces.iter().enumerate().map(of_namespace).collect(),
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -15,7 +15,7 @@
 
 /// An attempt in the moment before its first byte.
 #[derive(Clone, Copy, Debug)]
-pub struct Attempt {
+pub struct UnsentAttempt {
     pub request: RequestId,
     /// Its place among the attempts for that request.
     pub number: usize,
@@ -108,7 +108,7 @@
 
 impl Router {
     /// Whether an attempt may be sent now.
-    pub fn may_send(&self, attempt: &Attempt, now: Tenths) -> Result<(), Refusal> {
+    pub fn may_send(&self, attempt: &UnsentAttempt, now: Tenths) -> Result<(), Refusal> {
         if !self.may_ask(attempt.server) {
             return Err(Refusal::ServerOff);
         }
@@ -142,15 +142,16 @@
         itself: Option<usize>,
     ) -> bool {
         let rules = &request.rules;
-        let earlier = request.shots.iter().enumerate().filter(|(i, s)| s.may_have_run && Some(*i) != itself);
-        earlier.map(|(_, shot)| shot).all(|shot| {
-            let (ran, next) = (&self.caches[shot.cache], server.map(|server| &self.caches[server]));
+        let earlier =
+            request.attempts.iter().enumerate().filter(|(i, s)| s.may_have_run && Some(*i) != itself);
+        earlier.map(|(_, attempt)| attempt).all(|attempt| {
+            let (ran, next) = (&self.caches[attempt.cache], server.map(|server| &self.caches[server]));
             let drops_it = match rules.group.as_str() {
                 "all" => true,
                 group => next.is_some_and(|n| n.zone == ran.zone && (group == "zone" || n.cell == ran.cell)),
             };
             rules.repeats == "replayable"
-                || (rules.repeats == "tagged" && drops_it && then < shot.sent + rules.window)
+                || (rules.repeats == "tagged" && drops_it && then < attempt.sent + rules.window)
         })
     }
 }
--- a/crates/policy/src/asked.rs
+++ b/crates/policy/src/asked.rs
@@ -84,7 +84,7 @@
     /// Whether nothing will name this cache any more, so that its place may be another's.
     pub fn done_with(&self, cache: Cache) -> bool {
         let c = &self.caches[cache];
-        let named = |l: &Request| l.shots.iter().any(|s| s.cache == cache);
+        let named = |l: &Request| l.attempts.iter().any(|s| s.cache == cache);
         c.standing == Standing::Gone && c.calls == 0 && !self.requests.values().any(named)
     }
 
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -7,6 +7,6 @@
 mod policy;
 mod state;
 
-pub use plain::{Cache, Carrier, Ending, Entry, Learned, RequestId, Standing, Tenths, point_of};
+pub use plain::{AttemptOutcome, Cache, Carrier, Entry, Learned, RequestId, Standing, Tenths, point_of};
 pub use policy::Router;
 pub use state::State;
--- a/crates/policy/src/plain.rs
+++ b/crates/policy/src/plain.rs
@@ -17,29 +17,33 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RequestId(pub u64);
 
-/// How a shot ended.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
-    Resolved,
+pub enum AttemptOutcome {
+    Completed,
     /// Resolved, and the cache says that it held the value, or that it fetched it.
-    Held,
-    Fetched,
-    Miss,
+    CompletedFromCache,
+    CompletedByFetch,
+    CacheMiss,
     /// Turned down as wrong in itself, wherever it is sent.
-    Wrong,
-    Error,
-    Full,
+    InvalidRequest,
+    ServerError,
+    Overloaded,
     TimedOut,
     Unreachable,
-    Broken,
-    Withdrawn,
-    Unsent,
+    ConnectionLost,
+    Cancelled,
+    NotSent,
 }
 
-impl Ending {
+impl AttemptOutcome {
     /// Without what a cache says of where the value came from.
-    pub(crate) fn plain(self) -> Ending {
-        if matches!(self, Ending::Held | Ending::Fetched) { Ending::Resolved } else { self }
+    pub(crate) fn plain(self) -> AttemptOutcome {
+        if matches!(self, AttemptOutcome::CompletedFromCache | AttemptOutcome::CompletedByFetch) {
+            AttemptOutcome::Completed
+        } else {
+            self
+        }
     }
 }
 
@@ -70,7 +74,7 @@
 pub(crate) struct HouseRules {
     pub zone: usize,
     pub probes: bool,
-    pub withdrawals: bool,
+    pub cancellation: bool,
     pub longest_stay_away: Tenths, // 0: clients are not told when to return
     pub cold_share: f64,
     pub cold_time: Tenths,
@@ -80,7 +84,7 @@
     pub through: bool, // caches fetch for themselves
     pub sizes: bool,   // what the list says of them is their own, and not their load of the moment
     pub origin_kind: Option<usize>,
-    pub key_quiet: Tenths, // a key rests after a shot that may still run, where its requests run in order
+    pub key_quiet: Tenths, // a key rests after an attempt that may still run, where its requests run in order
 
     pub namespaces: Vec<Rc<Namespace>>, // and the classes that limits make of them
 }
@@ -104,10 +108,10 @@
                 repeats: word(&own("repeats")).to_string(),
                 group: word(&own("group")).to_string(),
                 window: num(&own("window"), 0.0) as Tenths,
-                most_shots: num(&own("most shots"), num("most shots", 1.0)) as usize,
-                second_copies: num(&own("second copies"), num("second copies", 0.0)) > 0.0,
-                shot_wait: num(&own("shot wait"), 1e12) as Tenths,
-                copies_after: Some(num(&own("copies after"), 0.0) as u64).filter(|part| *part > 0),
+                max_attempts: num(&own("most shots"), num("most shots", 1.0)) as usize,
+                hedging: num(&own("second copies"), num("second copies", 0.0)) > 0.0,
+                attempt_timeout: num(&own("shot wait"), 1e12) as Tenths,
+                hedge_after: Some(num(&own("copies after"), 0.0) as u64).filter(|part| *part > 0),
                 purse: match said.get(&own("further shots")) {
                     Some(_) => Purse::own(num(&own("further shots"), 0.0) as u64),
                     None => shared.clone(),
@@ -123,7 +127,7 @@
             },
             zone: num("zone", 0.0) as usize,
             probes: num("probes", 0.0) > 0.0,
-            withdrawals: num("withdrawals", 0.0) > 0.0,
+            cancellation: num("withdrawals", 0.0) > 0.0,
             longest_stay_away: num("longest stay away", 0.0) as Tenths,
             cold_share: num("cold share", 1.0),
             cold_time: num("cold time", 0.0) as Tenths,
@@ -146,11 +150,11 @@
     pub repeats: String, // replayable, tagged or single-use
     pub group: String,   // which caches drop repeats of a tagged one: all, of one zone, of one cell
     pub window: Tenths,
-    pub most_shots: usize,
-    pub second_copies: bool,
-    pub shot_wait: Tenths,         // a single shot is given up after that
-    pub copies_after: Option<u64>, // a second copy goes out after what so many thousandths of answers take
-    pub purse: Purse,              // for further shots
+    pub max_attempts: usize,
+    pub hedging: bool,
+    pub attempt_timeout: Tenths,  // a single attempt is given up after that
+    pub hedge_after: Option<u64>, // a hedged request goes out after what so many thousandths of answers take
+    pub purse: Purse,             // for retries
     pub most_open: u64,
     open: Cell<u64>,
 }
@@ -194,7 +198,7 @@
 }
 
 #[derive(Default)]
-pub(crate) struct Shot {
+pub(crate) struct Attempt {
     pub cache: Cache,
     pub sent: Tenths,
     pub company: u64,
@@ -215,7 +219,7 @@
     pub expires: Tenths,
     pub useful_until: Tenths,
     pub luck: u64, // 0 to 99: who gets the last part of a place where there is less than one
-    pub shots: Vec<Shot>,
+    pub attempts: Vec<Attempt>,
     pub cut: bool, // its time limit was shortened while it was open
     pub over: bool,
     pub begun: bool,
@@ -224,20 +228,20 @@
 }
 
 impl Request {
-    /// The numbers of its shots that have no outcome yet.
-    pub fn shots_out(&self) -> impl Iterator<Item = usize> {
-        self.shots.iter().enumerate().filter(|(_, s)| s.out).map(|(i, _)| i)
+    /// The numbers of its attempts that have no outcome yet.
+    pub fn in_flight(&self) -> impl Iterator<Item = usize> {
+        self.attempts.iter().enumerate().filter(|(_, s)| s.out).map(|(i, _)| i)
     }
 
     pub fn out(&self) -> bool {
-        self.shots.iter().any(|s| s.out)
+        self.attempts.iter().any(|s| s.out)
     }
 }
 
 /// Requests with one key, where namespaces ask for order.
 #[derive(Default)]
 pub(crate) struct Line {
-    pub first: Option<RequestId>, // until it is over and all its shots have ended
+    pub first: Option<RequestId>, // until it is over and all its attempts have ended
     pub behind: Vec<RequestId>,   // as taken
     pub rests_until: Tenths,
 }
@@ -252,7 +256,7 @@
     pub size: u64,
     /// Thousandths of its keys that it keeps.
     pub part: u64,
-    /// Hundredths of a shot that it takes at once.
+    /// Hundredths of an attempt that it takes at once.
     pub room: u64,
 }
 
@@ -267,11 +271,11 @@
     pub part: u64,        // thousandths of its keys that it keeps for what it was told to hold
     pub standing: Standing,
     pub born: Tenths,
-    pub out: u64,           // own shots in flight
+    pub out: u64,           // own attempts in flight
     pub flows: u64,         // of these, whose answers have begun
-    pub owes_since: Tenths, // last answer, or the first shot since nothing was out
+    pub owes_since: Tenths, // last answer, or the first attempt since nothing was out
     pub answered: Tenths,   // last
-    pub heard: Tenths,      // when the shot was sent that was answered and had been sent last
+    pub heard: Tenths,      // when the attempt was sent that was answered and had been sent last
     pub hushed: bool,       // the present silence was counted
     pub doubt: u64,         // up by 3 for a failure, down by 1 for an answer
     pub left: bool,
@@ -281,15 +285,15 @@
     pub lately: Tenths, // what its answers took, the last counting most
     pub refusals: u64,  // as full, since an answer
     pub seldom: bool,   // it had answered nothing for a fifth of a second before its last
-    pub room: u64,      // hundredths of a shot that it takes at once without being late
-    pub credit: u64,    // while it is cold: thousandths of a shot that it may still be sent
+    pub room: u64,      // hundredths of an attempt that it takes at once without being late
+    pub credit: u64,    // while it is cold: thousandths of an attempt that it may still be sent
 }
 
 /// The way out: what a router wants done, each at the moment of the call.
 pub trait Carrier {
     /// Given up at `until`; not written at all where that would be later than `by`.
-    fn shoot(&mut self, request_id: RequestId, cache: Cache, until: Tenths, by: Tenths);
-    fn withdraw(&mut self, request_id: RequestId, shot: usize);
+    fn start_attempt(&mut self, request_id: RequestId, cache: Cache, until: Tenths, by: Tenths);
+    fn cancel_attempt(&mut self, request_id: RequestId, attempt: usize);
     fn defer(&mut self, request_id: RequestId, back_in: Tenths);
     fn abandon(&mut self, request_id: RequestId);
     fn probe(&mut self, cache: Cache);
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -4,10 +4,10 @@
 //! takes `route(..)` once, then what happens. What it wants leaves by the `Carrier`. Same calls, same ways.
 
 use crate::discovery;
+use crate::plain::{Attempt, Learned, Standing, Tally, Tenths, leaning, mixed, point};
 use crate::plain::{
-    Cache, Carrier, Chance, Ending, Entry, Held, HouseRules, Known, Line, Request, RequestId,
+    AttemptOutcome, Cache, Carrier, Chance, Entry, Held, HouseRules, Known, Line, Request, RequestId,
 };
-use crate::plain::{Learned, Shot, Standing, Tally, Tenths, leaning, mixed, point};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 const SECOND: Tenths = 10_000;
@@ -16,7 +16,7 @@
 const LONGEST_LINE: usize = 100; // behind one key: more than ever come to their turn while they are useful
 
 impl HouseRules {
-    /// Thousandths of a shot that a cold cache may have from this proxy in a second: four shots from all
+    /// Thousandths of an attempt that a cold cache may have from this proxy in a second: four attempts from all
     /// proxies together, as at their present worst cold caches bear twice that.
     fn cold_floor(&self) -> u64 {
         4000 / self.proxies.max(4)
@@ -24,26 +24,36 @@
 
     /// Finds how much a cache takes at once by additive increase and multiplicative decrease. Late is what
     /// took over half its target time, or 3/4 of the shortest: queues stay short enough for the most urgent,
-    /// which the patient would crowd out; at the origin, over 3/4 of its own. A sixth of a shot up and an
-    /// eighth of the room down hold eight shots where one in seven is late, and one where half are.
-    fn resize(&self, c: &mut Known, ending: Ending, took: Tenths, company: u64, own: Tenths, cache: bool) {
+    /// which the patient would crowd out; at the origin, over 3/4 of its own. A sixth of an attempt up and an
+    /// eighth of the room down hold eight attempts where one in seven is late, and one where half are.
+    fn resize(
+        &self,
+        c: &mut Known,
+        outcome: AttemptOutcome,
+        took: Tenths,
+        company: u64,
+        own: Tenths,
+        cache: bool,
+    ) {
         let shortest = self.shortest().unwrap_or(own);
         let late = took > if cache { (own / 2).min(shortest * 3 / 4) } else { own * 3 / 4 };
-        match ending {
-            Ending::Resolved if !late && company * 200 > c.room => c.room += 16,
+        match outcome {
+            AttemptOutcome::Completed if !late && company * 200 > c.room => c.room += 16,
             // What was out is too much at one seldom heard of: one of many proxies has few answers of it.
-            Ending::Resolved | Ending::TimedOut if late => {
+            AttemptOutcome::Completed | AttemptOutcome::TimedOut if late => {
                 c.room = (c.room * 7 / 8).min(if c.seldom { company * 100 } else { c.room });
             }
             // One at a time is no load: guards caches that turn away a part of whatever comes. Where that is
             // half, one run in sixteen is of four, and a cache that is truly full answers nothing in between.
-            Ending::Full if cache && c.refusals < 4 => c.room -= (c.room / 4).min(c.room.saturating_sub(100)),
-            Ending::Full => c.room -= c.room / 4,
+            AttemptOutcome::Overloaded if cache && c.refusals < 4 => {
+                c.room -= (c.room / 4).min(c.room.saturating_sub(100))
+            }
+            AttemptOutcome::Overloaded => c.room -= c.room / 4,
             _ => {}
         }
-        c.refusals = match ending {
-            Ending::Full => c.refusals + 1,
-            Ending::Resolved | Ending::Miss => 0,
+        c.refusals = match outcome {
+            AttemptOutcome::Overloaded => c.refusals + 1,
+            AttemptOutcome::Completed | AttemptOutcome::CacheMiss => 0,
             _ => c.refusals,
         };
         c.room = c.room.clamp(10, 10_000);
@@ -70,7 +80,7 @@
     pub(crate) faded: Tenths,
     pub(crate) failed_calls: u32, // to discovery, since its last answer
     pub(crate) salt: u64,         // own, so that proxies pass a loaded cache for different keys
-    pub(crate) refused: u64,      // ten-thousandths of the shots at caches that found no connection
+    pub(crate) refused: u64,      // ten-thousandths of the attempts at caches that found no connection
     pub(crate) links: [u64; 2],   // hundredths of caches to hold connections to, own zone and others
     pub(crate) carried: BTreeMap<String, Learned>, // by a process before, of caches not yet listed
     pub(crate) barred: BTreeMap<String, Tenths>, // ids that operators took out, listed or not: since when
@@ -155,7 +165,7 @@
     }
 
     /// A new process under an old id, and never an older one: what was held against the old one is void. Some
-    /// of many proxies begin with a shot, by chance, or all would send theirs together.
+    /// of many proxies begin with an attempt, by chance, or all would send theirs together.
     pub(crate) fn started(&mut self, cache: Cache, at: Tenths) {
         if at > self.caches[cache].born {
             let credit = self.house.cold_floor() + self.chance.below(1000);
@@ -217,7 +227,7 @@
         (3 * self.times.ninth(shortest / 4)).max(SECOND / 20)
     }
 
-    /// How long a cache with shots out may say nothing: as long, and 1.5 s at most.
+    /// How long a cache with attempts out may say nothing: as long, and 1.5 s at most.
     fn hush(&self) -> Tenths {
         self.overdue().min(SECOND * 3 / 2)
     }
@@ -266,9 +276,9 @@
         self.caches.iter().filter(there).count() as u64
     }
 
-    fn may_shoot(&self, l: &Request, cache: Cache) -> bool {
-        l.shots.len() < l.rules.most_shots
-            && (l.rules.second_copies || !l.out())
+    fn may_attempt(&self, l: &Request, cache: Cache) -> bool {
+        l.attempts.len() < l.rules.max_attempts
+            && (l.rules.hedging || !l.out())
             && self.may_repeat(l, Some(cache), self.now, None)
     }
 
@@ -303,12 +313,12 @@
             (trusted || none_trusted)
                 && (care == 0 || !self.silent(cache))
                 && (c.linked || may_open[usize::from(c.zone != self.house.zone)])
-                && !l.shots.iter().any(|s| s.cache == cache && (s.bad || s.out))
+                && !l.attempts.iter().any(|s| s.cache == cache && (s.bad || s.out))
                 && (care == 2 || c.held.1 <= 300 + l.luck * 6)
                 && self.warm_enough(cache, l, &early)
                 && its_part(c)
                 && c.out * 100 + l.luck < if care == 2 { c.room } else { c.room * 3 / 2 }
-                && self.may_shoot(l, cache)
+                && self.may_attempt(l, cache)
         };
         if care == 0 {
             // Guards against deferring as those that are passed hold nothing: the mean is of the others.
@@ -384,14 +394,14 @@
         }
         let l = &self.requests[&request_id.0];
         // Guards one class of requests against another that fills the house.
-        if l.shots.is_empty() && l.rules.crowded() {
+        if l.attempts.is_empty() && l.rules.crowded() {
             return self.give_up(request_id, out);
         }
         if l.write && self.house.origin_kind.is_some() && l.order.is_none() {
             return self.ask_origin(request_id, out);
         }
         // Guards caches late together: one of many proxies hears too little of each to find its room.
-        if l.shots.is_empty() && l.luck * 10 >= self.admitted[0] {
+        if l.attempts.is_empty() && l.luck * 10 >= self.admitted[0] {
             return self.give_up(request_id, out);
         }
         // Guards the origin behind the caches: when fetches fail or come late, requests for keys that are not
@@ -405,7 +415,7 @@
         };
         let rounds = first.into_iter().chain([(0, 1), (1, 1), (0, 0), (1, 0)]);
         match rounds.into_iter().find_map(|(ring, care)| self.walk(ring, l, care)) {
-            Some(cache) => self.shoot(request_id, cache, out),
+            Some(cache) => self.start_attempt(request_id, cache, out),
             None => self.give_up(request_id, out),
         }
     }
@@ -423,7 +433,7 @@
     fn ask_origin(&mut self, request_id: RequestId, out: &mut dyn Carrier) {
         let l = &self.requests[&request_id.0];
         let left = l.useful_until.saturating_sub(self.now);
-        let up = |o: &Cache| self.may_ask(*o) && self.may_shoot(l, *o);
+        let up = |o: &Cache| self.may_ask(*o) && self.may_attempt(l, *o);
         let Some(origin) = self.origin.filter(up) else {
             return self.give_up(request_id, out);
         };
@@ -440,10 +450,10 @@
             self.fetches.insert(l.key, Vec::new());
             self.requests.entry(request_id.0).and_modify(|l| l.leads = true);
         }
-        self.shoot(request_id, origin, out);
+        self.start_attempt(request_id, origin, out);
     }
 
-    fn shoot(&mut self, request_id: RequestId, cache: Cache, out: &mut dyn Carrier) {
+    fn start_attempt(&mut self, request_id: RequestId, cache: Cache, out: &mut dyn Carrier) {
         let (hush, fresh) = (self.hush(), self.requests.get(&request_id.0).is_some_and(|l| self.fresh(l)));
         let (Some(l), c) = (self.requests.get_mut(&request_id.0), &mut self.caches[cache]) else { return };
         if c.out == 0 {
@@ -453,16 +463,24 @@
         c.credit = c.credit.saturating_sub(1000);
         l.waits = false;
         let (sent, company) = (self.now, c.out);
-        // Guards a tagged request whose shot waits for a connection: past the window it would run twice.
+        // Guards a tagged request whose attempt waits for a connection: past the window it would run twice.
         let ns = &l.rules;
-        let ran = l.shots.iter().filter(|s| s.may_have_run && ns.repeats == "tagged");
+        let ran = l.attempts.iter().filter(|s| s.may_have_run && ns.repeats == "tagged");
         let by = ran.map(|s| s.sent + ns.window).min().unwrap_or(l.expires);
         let opens = !std::mem::replace(&mut c.linked, true);
-        let shot =
-            Shot { cache, sent, company, out: true, may_have_run: true, opens, fresh, ..Shot::default() };
-        l.shots.push(shot);
-        let copied = ns.copies_after.and_then(|part| self.times.under(part));
-        out.shoot(request_id, cache, l.expires.min(sent + ns.shot_wait), by);
+        let attempt = Attempt {
+            cache,
+            sent,
+            company,
+            out: true,
+            may_have_run: true,
+            opens,
+            fresh,
+            ..Attempt::default()
+        };
+        l.attempts.push(attempt);
+        let copied = ns.hedge_after.and_then(|part| self.times.under(part));
+        out.start_attempt(request_id, cache, l.expires.min(sent + ns.attempt_timeout), by);
         if Some(cache) != self.origin {
             out.wake(request_id.0, copied.unwrap_or(hush).min(hush) + 1);
         }
@@ -498,8 +516,8 @@
     /// The request has its final answer: nothing more is sent for it.
     pub(crate) fn close(&mut self, request_id: RequestId, out: &mut dyn Carrier) {
         let Some(l) = self.requests.get_mut(&request_id.0) else { return };
-        if !l.over && self.house.withdrawals {
-            l.shots_out().for_each(|i| out.withdraw(request_id, i));
+        if !l.over && self.house.cancellation {
+            l.in_flight().for_each(|i| out.cancel_attempt(request_id, i));
         }
         let (key, of_line) = (l.leads.then_some(l.key), l.key);
         (l.over, l.leads) = (true, false);
@@ -527,19 +545,29 @@
 
     /// Doubt grows where over one in four fails, and is enough after three in a row or if nothing listens: a
     /// fast failer holds little and would keep its keys. One broken connection is no reason to leave a cache.
-    fn judge(&mut self, cache: Cache, ending: Ending, out: &mut dyn Carrier) {
+    fn judge(&mut self, cache: Cache, outcome: AttemptOutcome, out: &mut dyn Carrier) {
         let hush = self.hush();
         let c = &mut self.caches[cache];
-        c.doubt = match ending {
+        c.doubt = match outcome {
             // Where others were answered just now, one connection was in trouble, and not the cache.
-            Ending::Unreachable | Ending::Broken if c.answered > 0 && self.now < c.answered + hush => {
+            AttemptOutcome::Unreachable | AttemptOutcome::ConnectionLost
+                if c.answered > 0 && self.now < c.answered + hush =>
+            {
                 c.doubt + 2
             }
-            Ending::Resolved | Ending::Held | Ending::Fetched | Ending::Miss => c.doubt.saturating_sub(1),
+            AttemptOutcome::Completed
+            | AttemptOutcome::CompletedFromCache
+            | AttemptOutcome::CompletedByFetch
+            | AttemptOutcome::CacheMiss => c.doubt.saturating_sub(1),
             // Guards against a request that no cache can use and that would have each of them left.
-            Ending::Full | Ending::Withdrawn | Ending::Unsent | Ending::Wrong => c.doubt,
-            Ending::Unreachable => c.doubt + 9,
-            Ending::Error | Ending::TimedOut | Ending::Broken => c.doubt + 3,
+            AttemptOutcome::Overloaded
+            | AttemptOutcome::Cancelled
+            | AttemptOutcome::NotSent
+            | AttemptOutcome::InvalidRequest => c.doubt,
+            AttemptOutcome::Unreachable => c.doubt + 9,
+            AttemptOutcome::ServerError | AttemptOutcome::TimedOut | AttemptOutcome::ConnectionLost => {
+                c.doubt + 3
+            }
         };
         // Asked as none was trusted, it is taken back for its answers: seven make up for the most doubt.
         c.doubt = c.doubt.min(12);
@@ -559,7 +587,7 @@
         out.wake(CACHE_TOKEN + cache as u64, wait);
     }
 
-    /// Tries a cache again that was left: one shot at a time until two were answered.
+    /// Tries a cache again that was left: one attempt at a time until two were answered.
     pub fn probed(&mut self, cache: Cache, answered: bool, out: &mut dyn Carrier) {
         let Some(c) = self.caches.get_mut(cache) else { return };
         c.calls = c.calls.saturating_sub(1);
@@ -593,95 +621,111 @@
             };
         }
         if l.cut && self.now >= l.expires {
-            return l.shots_out().for_each(|i| out.withdraw(request_id, i));
+            return l.in_flight().for_each(|i| out.cancel_attempt(request_id, i));
         }
-        let Some(i) = l.shots.iter().rposition(|s| s.out) else { return };
-        let (cache, sent, hush) = (l.shots[i].cache, l.shots[i].sent, self.hush());
+        let Some(i) = l.attempts.iter().rposition(|s| s.out) else { return };
+        let (cache, sent, hush) = (l.attempts[i].cache, l.attempts[i].sent, self.hush());
         if Some(cache) == self.origin || self.now >= l.useful_until {
             return;
         }
-        // Guards against shots that are taken and never answered: one sent later was, and this is overdue.
+        // Guards against attempts that are taken and never answered: one sent later was, and this is overdue.
         let lost = self.caches[cache].heard > sent && self.now > sent + self.overdue();
         // Guards the urgent against the slow tail, where the class asks for it: one copy, within its budget.
-        let copied = l.rules.copies_after.and_then(|part| self.times.under(part));
+        let copied = l.rules.hedge_after.and_then(|part| self.times.under(part));
         let slow = i == 0 && copied.is_some_and(|under| self.now > sent + under);
-        let slow = slow && l.rules.second_copies && l.rules.purse.allows(self.now);
+        let slow = slow && l.rules.hedging && l.rules.purse.allows(self.now);
         if !lost && !slow && (self.caches[cache].owes_since > sent || !self.silent(cache)) {
             return out.wake(token, hush + 1);
         }
-        // Nothing has come from this cache since the shot: guards against caches that hang, vanish or pause.
-        // One silence is one failure, however many shots it holds up: a pause is no hang.
+        // Nothing has come from this cache since the attempt: guards against caches that hang, vanish or pause.
+        // One silence is one failure, however many attempts it holds up: a pause is no hang.
         if !lost && !slow && !std::mem::replace(&mut self.caches[cache].hushed, true) {
-            self.judge(cache, Ending::TimedOut, out);
+            self.judge(cache, AttemptOutcome::TimedOut, out);
         }
         let l = &self.requests[&token];
-        if l.rules.second_copies {
+        if l.rules.hedging {
             self.move_on(request_id, false, out);
-        } else if self.house.withdrawals
+        } else if self.house.cancellation
             && l.rules.purse.allows(self.now)
             && self.may_repeat(&self.requests[&token], None, self.now, None)
         {
-            out.withdraw(request_id, i);
+            out.cancel_attempt(request_id, i);
         }
     }
 }
 
 impl RequestId {
-    /// A shot's answer has begun: it is the client's now, and no clock of ours runs for it, nor does the
+    /// An attempt's answer has begun: it is the client's now, and no clock of ours runs for it, nor does the
     /// cache owe anything for it. What else is out for the request is of no use any more.
-    pub fn answer_begun(self, router: &mut Router, shot: usize, out: &mut dyn Carrier) {
-        let (now, withdrawals) = (router.now, router.house.withdrawals);
+    pub fn answer_begun(self, router: &mut Router, attempt: usize, out: &mut dyn Carrier) {
+        let (now, cancellation) = (router.now, router.house.cancellation);
         let Some(l) = router.requests.get_mut(&self.0) else { return };
         l.begun = true;
-        if let Some(s) = l.shots.get_mut(shot).filter(|s| s.out && !s.begun) {
+        if let Some(s) = l.attempts.get_mut(attempt).filter(|s| s.out && !s.begun) {
             s.begun = true;
             let c = &mut router.caches[s.cache];
             (c.owes_since, c.answered, c.hushed, c.flows) = (now, now, false, c.flows + 1);
             c.heard = c.heard.max(s.sent);
         }
-        l.shots_out().filter(|i| *i != shot && withdrawals).for_each(|i| out.withdraw(self, i));
+        l.in_flight().filter(|i| *i != attempt && cancellation).for_each(|i| out.cancel_attempt(self, i));
     }
 
-    /// A shot ended; `finished` says that the client has its answer, by this or before.
-    pub fn shot_ended(
+    /// An attempt ended; `finished` says that the client has its answer, by this or before.
+    pub fn attempt_ended(
         self,
         router: &mut Router,
-        shot: usize,
-        ending: Ending,
+        attempt: usize,
+        outcome: AttemptOutcome,
         took: Tenths,
         finished: bool,
         out: &mut dyn Carrier,
     ) {
-        let ending = ending.plain();
+        let outcome = outcome.plain();
         let overdue = router.overdue();
         let Some(l) = router.requests.get_mut(&self.0) else { return };
-        let Some(s) = l.shots.get_mut(shot).filter(|s| s.out) else { return };
-        let not_run = [Ending::Full, Ending::Unreachable, Ending::Unsent, Ending::Miss];
+        let Some(s) = l.attempts.get_mut(attempt).filter(|s| s.out) else { return };
+        let not_run = [
+            AttemptOutcome::Overloaded,
+            AttemptOutcome::Unreachable,
+            AttemptOutcome::NotSent,
+            AttemptOutcome::CacheMiss,
+        ];
         // It may still run: the key rests, and only then another request's turn comes.
-        let may_run = matches!(ending, Ending::TimedOut | Ending::Broken | Ending::Withdrawn);
+        let may_run = matches!(
+            outcome,
+            AttemptOutcome::TimedOut | AttemptOutcome::ConnectionLost | AttemptOutcome::Cancelled
+        );
         if let Some(line) = router.lines.get_mut(&l.key).filter(|_| may_run && l.rules.in_order) {
             line.rests_until = router.now + router.house.key_quiet;
         }
         s.out = false;
-        s.may_have_run = !not_run.contains(&ending);
+        s.may_have_run = !not_run.contains(&outcome);
         // Who alone may serve it may be asked again across a connection that broke.
-        s.bad = ending != Ending::Miss && !(ending == Ending::Broken && l.order.is_some());
+        s.bad = outcome != AttemptOutcome::CacheMiss
+            && !(outcome == AttemptOutcome::ConnectionLost && l.order.is_some());
         let (cache, sent, company, fresh, begun, opens) =
             (s.cache, s.sent, s.company, s.fresh, s.begun, s.opens);
         let c = &mut router.caches[cache];
         let silent = c.owes_since <= sent;
         c.seldom = router.now > c.answered + SECOND / 5;
         (c.out, c.flows) = (c.out - 1, c.flows - u64::from(begun));
-        if matches!(ending, Ending::Resolved | Ending::Miss | Ending::Error | Ending::Full | Ending::Wrong) {
+        if matches!(
+            outcome,
+            AttemptOutcome::Completed
+                | AttemptOutcome::CacheMiss
+                | AttemptOutcome::ServerError
+                | AttemptOutcome::Overloaded
+                | AttemptOutcome::InvalidRequest
+        ) {
             (c.owes_since, c.answered, c.hushed) = (router.now, router.now, false);
             c.heard = c.heard.max(sent);
         }
-        // Guards caches against being taken for late over shots that they lost, while they answer later ones.
-        let lost = ending == Ending::TimedOut && !silent && c.heard > sent && took > overdue;
-        let ending = if lost { Ending::Withdrawn } else { ending };
+        // Guards caches against being taken for late over attempts that they lost, while they answer later ones.
+        let lost = outcome == AttemptOutcome::TimedOut && !silent && c.heard > sent && took > overdue;
+        let outcome = if lost { AttemptOutcome::Cancelled } else { outcome };
         let from_cache = Some(cache) != router.origin;
-        let refused = ending == Ending::Unreachable;
-        c.linked &= !refused && ending != Ending::Broken;
+        let refused = outcome == AttemptOutcome::Unreachable;
+        c.linked &= !refused && outcome != AttemptOutcome::ConnectionLost;
         if from_cache {
             router.refused = leaning(router.refused, refused);
         }
@@ -693,65 +737,84 @@
         let place = usize::from(router.caches[cache].zone != router.house.zone);
         if no_place {
             router.links[place] = router.links[place].min(100 * router.linked(place).max(1));
-        } else if opens && from_cache && matches!(ending, Ending::Resolved | Ending::Miss) {
+        } else if opens
+            && from_cache
+            && matches!(outcome, AttemptOutcome::Completed | AttemptOutcome::CacheMiss)
+        {
             router.links[place] = (router.links[place] + 200).min(1 << 30);
         }
         let c = &mut router.caches[cache];
-        if matches!(ending, Ending::Resolved | Ending::TimedOut) {
+        if matches!(outcome, AttemptOutcome::Completed | AttemptOutcome::TimedOut) {
             c.lately = (c.lately * 7 + took.min(target)) / 8;
         }
-        if ending == Ending::Resolved && from_cache {
+        if outcome == AttemptOutcome::Completed && from_cache {
             router.times.add(took);
         }
-        if from_cache && matches!(ending, Ending::Resolved | Ending::Miss | Ending::TimedOut) {
+        if from_cache
+            && matches!(
+                outcome,
+                AttemptOutcome::Completed | AttemptOutcome::CacheMiss | AttemptOutcome::TimedOut
+            )
+        {
             // Half for one past its target, as one of many proxies has few to learn by, down to what still
             // tells how it does; eight in time give all back.
             let grown = if took > target / 2 { c.part } else { (c.part + 125).min(1000) };
             c.part = if took < target { grown } else { (c.part / 2).max(30) };
         }
-        router.house.resize(c, ending, took, company, target, from_cache);
+        router.house.resize(c, outcome, took, company, target, from_cache);
         let Some(l) = router.requests.get_mut(&self.0) else { return };
         let key = (l.leads && !from_cache).then_some(l.key);
         l.leads &= key.is_none();
         let (asked, over, in_ring) = (l.key, l.over, l.order.is_none());
         // An error on a fetch may be the origin's, and says nothing of the cache.
-        let of_origin = fresh && ending == Ending::Error;
+        let of_origin = fresh && outcome == AttemptOutcome::ServerError;
         // Guards against copies gone void: after an error the key is not kept after all.
-        if router.house.through && ending == Ending::Resolved {
+        if router.house.through && outcome == AttemptOutcome::Completed {
             router.kept[0].insert(asked);
-        } else if ending == Ending::Error {
+        } else if outcome == AttemptOutcome::ServerError {
             router.kept.iter_mut().for_each(|kept| _ = kept.remove(&asked));
         }
-        if !(of_origin || no_place || ending == Ending::TimedOut && !silent) {
-            router.judge(cache, ending, out);
+        if !(of_origin || no_place || outcome == AttemptOutcome::TimedOut && !silent) {
+            router.judge(cache, outcome, out);
         }
-        if of_origin || matches!(ending, Ending::Resolved | Ending::Miss | Ending::TimedOut) {
+        if of_origin
+            || matches!(
+                outcome,
+                AttemptOutcome::Completed | AttemptOutcome::CacheMiss | AttemptOutcome::TimedOut
+            )
+        {
             // An eighth down and a seventeenth up hold all requests while up to one in three is late.
-            let late = took >= target || of_origin || ending == Ending::TimedOut;
+            let late = took >= target || of_origin || outcome == AttemptOutcome::TimedOut;
             let part = &mut router.admitted[usize::from(!from_cache || fresh)];
             *part = if late { *part * 7 / 8 } else { (*part + 60).min(1000) }.max(50);
         }
-        if from_cache && matches!(ending, Ending::Resolved | Ending::Miss) {
+        if from_cache && matches!(outcome, AttemptOutcome::Completed | AttemptOutcome::CacheMiss) {
             router.give_credit(cache);
         }
-        if ending == Ending::Wrong && !finished && !over {
+        if outcome == AttemptOutcome::InvalidRequest && !finished && !over {
             out.abandon(self);
         }
         let l = &router.requests[&self.0];
         if l.begun && l.out() && !over {
-            // Another shot's answer is the client's by now, whatever became of this one.
-        } else if finished || over || ending == Ending::Wrong {
+            // Another attempt's answer is the client's by now, whatever became of this one.
+        } else if finished || over || outcome == AttemptOutcome::InvalidRequest {
             router.close(self, out);
-        } else if ending == Ending::Miss && router.house.origin_kind.is_some() && in_ring {
+        } else if outcome == AttemptOutcome::CacheMiss && router.house.origin_kind.is_some() && in_ring {
             router.ask_origin(self, out);
         } else if !router.requests[&self.0].out() {
-            match ending {
-                Ending::Full | Ending::TimedOut | Ending::Unsent if !from_cache => router.give_up(self, out),
-                Ending::Unreachable | Ending::Miss if from_cache => router.move_on(self, true, out),
+            match outcome {
+                AttemptOutcome::Overloaded | AttemptOutcome::TimedOut | AttemptOutcome::NotSent
+                    if !from_cache =>
+                {
+                    router.give_up(self, out)
+                }
+                AttemptOutcome::Unreachable | AttemptOutcome::CacheMiss if from_cache => {
+                    router.move_on(self, true, out)
+                }
                 // One broken or spoilt at the origin says nothing of its load, and may have stored the value.
                 _ => router.move_on(self, false, out),
             }
         }
-        router.release(key, ending == Ending::Resolved, out);
+        router.release(key, outcome == AttemptOutcome::Completed, out);
     }
 }
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -1,7 +1,7 @@
 //! All that a router knows, as numbers and texts: taken out, and put into a router of the same house, it decides as before.
 //! Nothing here decides, and what is worked out from the rest (rings, rules) is not in it.
 
-use crate::plain::{Chance, Held, HouseRules, Known, Line, Request, RequestId, Shot, Standing, Tally};
+use crate::plain::{Attempt, Chance, Held, HouseRules, Known, Line, Request, RequestId, Standing, Tally};
 use crate::policy::Router;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -150,7 +150,7 @@
 
 fields! {
     Line { first, behind, rests_until }
-    Shot { cache, sent, company, out, may_have_run, bad, begun, opens, fresh }
+    Attempt { cache, sent, company, out, may_have_run, bad, begun, opens, fresh }
     Known {
         id, zone, cell, size, held, part, standing, born, out, flows, owes_since, answered, heard, hushed, doubt, left, linked, calls, stay,
         lately, refusals, seldom, room, credit,
@@ -185,7 +185,7 @@
         expires,
         useful_until,
         luck,
-        shots,
+        attempts,
         cut,
         over,
         begun,
@@ -196,7 +196,7 @@
     (*key, *write).put(to);
     order.put(to);
     [*expires, *useful_until, *luck].put(to);
-    shots.put(to);
+    attempts.put(to);
     [*cut, *over, *begun, *waits, *leads].put(to);
 }
 
@@ -205,7 +205,7 @@
     let (key, write) = Part::get(from)?;
     let order = Part::get(from)?;
     let [expires, useful_until, luck] = Part::get(from)?;
-    let shots = Part::get(from)?;
+    let attempts = Part::get(from)?;
     let [cut, over, begun, waits, leads] = Part::get(from)?;
     Some(Request {
         rules,
@@ -215,7 +215,7 @@
         expires,
         useful_until,
         luck,
-        shots,
+        attempts,
         cut,
         over,
         begun,
@@ -274,7 +274,7 @@
             r.requests.insert(request_id, request);
         }
         let caches = r.caches.len();
-        let known = r.requests.values().flat_map(|l| &l.shots).all(|s| s.cache < caches);
+        let known = r.requests.values().flat_map(|l| &l.attempts).all(|s| s.cache < caches);
         let good = from.words.next().is_none() && known && r.origin.is_none_or(|o| o < caches);
         good.then(|| {
             r.rings();
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -3,16 +3,16 @@
 #[allow(dead_code)] // shared with other tests, which use the rest
 mod helper;
 
-use chalkwalk_policy::admission::{Attempt, Refusal, Violation, Written, may_close, may_start};
-use chalkwalk_policy::{Ending, RequestId, Standing};
+use chalkwalk_policy::admission::{Refusal, UnsentAttempt, Violation, Written, may_close, may_start};
+use chalkwalk_policy::{AttemptOutcome, RequestId, Standing};
 use helper::{House, house};
 
 const REPLAYABLE: usize = 0;
 const TAGGED: usize = 1;
 const SINGLE_USE: usize = 2;
 
-fn attempt(request: RequestId, number: usize) -> Attempt {
-    Attempt { request, number, server: 0, until: 20_000, answered: false, awaited: true }
+fn attempt(request: RequestId, number: usize) -> UnsentAttempt {
+    UnsentAttempt { request, number, server: 0, until: 20_000, answered: false, awaited: true }
 }
 
 /// One server, and a request whose attempt there was decided.
@@ -46,8 +46,11 @@
     let this = attempt(request, 0);
     assert_eq!(house.router.may_send(&this, 19_999), Ok(()));
     assert_eq!(house.router.may_send(&this, 20_000), Err(Refusal::TooLate));
-    assert_eq!(house.router.may_send(&Attempt { answered: true, ..this }, 100), Err(Refusal::Answered));
-    assert_eq!(house.router.may_send(&Attempt { awaited: false, ..this }, 100), Err(Refusal::ClientLeft));
+    assert_eq!(house.router.may_send(&UnsentAttempt { answered: true, ..this }, 100), Err(Refusal::Answered));
+    assert_eq!(
+        house.router.may_send(&UnsentAttempt { awaited: false, ..this }, 100),
+        Err(Refusal::ClientLeft)
+    );
     house.left_by_client(request);
     assert_eq!(house.router.may_send(&this, 100), Err(Refusal::Answered));
 }
@@ -58,7 +61,7 @@
     let sent = [REPLAYABLE, TAGGED].map(|ns| {
         let (mut house, request) = decided(ns);
         house.ready(&["amber", "birch"]);
-        house.end(request, 0, Ending::Broken);
+        house.end(request, 0, AttemptOutcome::ConnectionLost);
         // The window of the tagged namespace is half a second.
         [4_999, 5_000].map(|now| house.router.may_send(&attempt(request, 1), now))
     });
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -2,7 +2,7 @@
 
 mod helper;
 
-use chalkwalk_policy::{Ending, Entry, Learned, Standing};
+use chalkwalk_policy::{AttemptOutcome, Entry, Learned, Standing};
 use expect_test::expect;
 use helper::{CACHE, House, WATCH, house};
 
@@ -74,12 +74,12 @@
     let mut h = house(&[]);
     h.ready(&FOUR);
     let (a, b) = (h.ask(0, "book/1"), h.ask(0, "book/2"));
-    h.end(a, 0, Ending::Resolved);
+    h.end(a, 0, AttemptOutcome::Completed);
     h.left_by_client(a);
-    h.end(a, 0, Ending::Error);
+    h.end(a, 0, AttemptOutcome::ServerError);
     h.left_by_client(b);
     h.wake(b.0);
-    h.end(b, 0, Ending::Error);
+    h.end(b, 0, AttemptOutcome::ServerError);
     assert!(!a.known(&h.router) && !b.known(&h.router));
     expect![[r#"
         lookup 0 -> cache 0
@@ -94,11 +94,11 @@
     let mut h = house(&[]);
     h.ready(&FOUR);
     let (a, b) = (h.ask(2, "book/1"), h.ask(2, "book/2"));
-    h.end(a, 0, Ending::Unreachable);
-    h.end(a, 1, Ending::Broken);
+    h.end(a, 0, AttemptOutcome::Unreachable);
+    h.end(a, 1, AttemptOutcome::ConnectionLost);
     h.pass(4000);
     h.wake(b.0);
-    h.end(b, 0, Ending::TimedOut);
+    h.end(b, 0, AttemptOutcome::TimedOut);
     expect![[r#"
         lookup 0 -> cache 0
         lookup 1 -> cache 3
@@ -120,11 +120,11 @@
         ("cedar", 1, Standing::Ready, 0),
     ]);
     let a = h.ask(1, "book/1");
-    h.end(a, 0, Ending::Error);
-    h.end(a, 1, Ending::Error);
+    h.end(a, 0, AttemptOutcome::ServerError);
+    h.end(a, 1, AttemptOutcome::ServerError);
     let b = h.ask(1, "book/1");
     h.pass(5000);
-    h.end(b, 0, Ending::Error);
+    h.end(b, 0, AttemptOutcome::ServerError);
     expect![[r#"
         lookup 0 -> cache 0
         lookup 0 -> cache 1 by 5000
@@ -136,14 +136,14 @@
 }
 
 #[test]
-fn without_second_copies_one_shot_at_a_time() {
+fn without_second_copies_one_attempt_at_a_time() {
     let mut h = house(&[("second copies", "0")]);
     h.ready(&FOUR);
     let a = h.ask(0, "book/1");
     h.pass(8000);
     h.wake(a.0);
-    h.end(a, 0, Ending::Withdrawn);
-    h.end(a, 1, Ending::Resolved);
+    h.end(a, 0, AttemptOutcome::Cancelled);
+    h.end(a, 1, AttemptOutcome::Completed);
     expect![[r#"
         lookup 0 -> cache 0
         lookup 0 withdraws shot 0
@@ -183,8 +183,8 @@
     h.list(&rows);
     let cold = of_birch(&mut h);
     expect!["53 warm, 13 cold"].assert_eq(&format!("{warm} warm, {cold} cold"));
-    // All cold and nothing answered: one shot each in a house of four proxies, and the rest is deferred. In a
-    // house of 16 each has its part of those shots.
+    // All cold and nothing answered: one attempt each in a house of four proxies, and the rest is deferred. In a
+    // house of 16 each has its part of those attempts.
     let sent = ["4", "16"].map(|proxies| {
         let mut h = house(&[("proxies", proxies)]);
         h.pass(200_000);
@@ -206,16 +206,16 @@
     h.told();
     for _ in 0..3 {
         let a = h.ask(0, &key);
-        h.end(a, 0, Ending::Error);
-        h.end(a, 1, Ending::Resolved);
+        h.end(a, 0, AttemptOutcome::ServerError);
+        h.end(a, 1, AttemptOutcome::Completed);
     }
     let a = h.ask(0, &key);
-    h.end(a, 0, Ending::Resolved);
+    h.end(a, 0, AttemptOutcome::Completed);
     h.pass(7000);
     h.wake(CACHE + 2);
     h.router.probed(2, true, &mut h.trace);
     let (a, _) = (h.ask(0, &key), h.ask(0, &key));
-    h.end(a, 0, Ending::Error);
+    h.end(a, 0, AttemptOutcome::ServerError);
     expect![[r#"
         lookup 1 -> cache 2
         lookup 1 -> cache 1
@@ -244,8 +244,8 @@
     let keys = ["amber", "birch"].map(|id| key_of(&mut h, id));
     for key in keys.iter().chain(&keys).chain(&keys) {
         let a = h.ask(0, key);
-        h.end(a, 0, Ending::Error);
-        h.end(a, 1, Ending::Error);
+        h.end(a, 0, AttemptOutcome::ServerError);
+        h.end(a, 1, AttemptOutcome::ServerError);
     }
     h.told();
     keys.iter().for_each(|key| {
@@ -265,10 +265,10 @@
     let key = key_of(&mut h, "amber");
     h.told();
     let a = h.ask(0, &key);
-    h.end(a, 0, Ending::Unreachable);
+    h.end(a, 0, AttemptOutcome::Unreachable);
     for _ in 0..9 {
         let b = h.ask(0, "other");
-        h.end(b, 0, Ending::Full);
+        h.end(b, 0, AttemptOutcome::Overloaded);
     }
     h.told();
     (0..3).for_each(|_| {
@@ -293,9 +293,9 @@
         h.pass(3000);
         h.wake(a.0);
         let b = h.ask(0, &key);
-        h.end(b, 0, Ending::Resolved);
-        h.end(a, 1, Ending::Resolved);
-        h.end(a, 0, Ending::Withdrawn);
+        h.end(b, 0, AttemptOutcome::Completed);
+        h.end(a, 1, AttemptOutcome::Completed);
+        h.end(a, 0, AttemptOutcome::Cancelled);
     }
     expect![[r#"
         lookup 9 -> cache 3
@@ -323,11 +323,11 @@
     let mut h = house(&ASIDE);
     h.ready(&["amber", "birch", "origin"]);
     let (a, b) = (h.ask(0, "book/1"), h.ask(0, "book/1"));
-    h.end(a, 0, Ending::Miss);
-    h.end(b, 0, Ending::Miss);
+    h.end(a, 0, AttemptOutcome::CacheMiss);
+    h.end(b, 0, AttemptOutcome::CacheMiss);
     h.write(1, "book/1");
-    h.end(a, 1, Ending::Resolved);
-    h.end(b, 1, Ending::Resolved);
+    h.end(a, 1, AttemptOutcome::Completed);
+    h.end(b, 1, AttemptOutcome::Completed);
     expect![[r#"
         lookup 0 -> cache 0
         lookup 1 -> cache 0
@@ -343,7 +343,7 @@
     let mut h = house(&ASIDE);
     h.ready(&["amber", "birch", "origin"]);
     let [a, b, c] = [0; 3].map(|ns| h.ask(ns, "book/1"));
-    [a, b, c].iter().for_each(|l| h.end(*l, 0, Ending::Miss));
+    [a, b, c].iter().for_each(|l| h.end(*l, 0, AttemptOutcome::CacheMiss));
     h.left_by_client(a);
     h.pass(10_000);
     h.wake(c.0);
@@ -370,8 +370,8 @@
     let before = of_birch(&mut h);
     for i in 0..120 {
         let a = h.ask(0, &format!("page/{i}"));
-        h.end(a, 0, Ending::Miss);
-        h.end(a, 1, Ending::Full);
+        h.end(a, 0, AttemptOutcome::CacheMiss);
+        h.end(a, 1, AttemptOutcome::Overloaded);
     }
     let deferred = h.told().matches("deferred").count();
     let after = of_birch(&mut h);
@@ -388,8 +388,8 @@
         h.list(&["amber", "birch", "origin"].map(|id| (id, usize::from(id != "amber"), Standing::Ready, 0)));
         for i in 0..10 * a_second {
             let a = h.ask(0, &format!("page/{i}"));
-            h.end(a, 0, Ending::Miss);
-            h.end(a, 1, Ending::Full);
+            h.end(a, 0, AttemptOutcome::CacheMiss);
+            h.end(a, 1, AttemptOutcome::Overloaded);
             h.pass(10_000 / a_second);
         }
         h.told().matches("> cache 1").count() * 100 / (10 * a_second as usize)
@@ -405,10 +405,10 @@
         for i in 0..200 {
             let a = h.ask(0, &format!("page/{i}"));
             if at_origin {
-                h.end(a, 0, Ending::Miss);
+                h.end(a, 0, AttemptOutcome::CacheMiss);
             }
-            let (shot, took) = (usize::from(at_origin), if i % one_in == 0 { 10_000 } else { 1000 });
-            a.shot_ended(&mut h.router, shot, Ending::Resolved, took, true, &mut h.trace);
+            let (attempt, took) = (usize::from(at_origin), if i % one_in == 0 { 10_000 } else { 1000 });
+            a.attempt_ended(&mut h.router, attempt, AttemptOutcome::Completed, took, true, &mut h.trace);
         }
         h.told().matches("deferred").count()
     });
@@ -427,7 +427,7 @@
             h.pass(2_000);
             let a = h.ask(0, &format!("page/{i}"));
             let took = if h.last_asked().is_some_and(|id| late.contains(&id)) { 10_000 } else { 1000 };
-            a.shot_ended(&mut h.router, 0, Ending::Resolved, took, true, &mut h.trace);
+            a.attempt_ended(&mut h.router, 0, AttemptOutcome::Completed, took, true, &mut h.trace);
             if i == 29 {
                 h.told();
             }
@@ -444,14 +444,14 @@
     h.owner("kept");
     for i in 0..60 {
         let a = h.ask(0, &format!("book/{i}"));
-        h.end(a, 0, Ending::Error);
+        h.end(a, 0, AttemptOutcome::ServerError);
         h.left_by_client(a);
     }
     h.told();
     let a = h.ask(0, "new");
     h.ask(0, "newer");
     h.ask(0, "kept");
-    h.end(a, 0, Ending::Resolved);
+    h.end(a, 0, AttemptOutcome::Completed);
     expect![[r#"
         lookup 61 deferred
         lookup 62 deferred
@@ -467,8 +467,12 @@
     let mut said = Vec::new();
     for i in 0..60 {
         let a = h.ask(0, &format!("book/{i}"));
-        let ending = if h.last_asked().as_deref() == Some("birch") { Ending::Error } else { Ending::Fetched };
-        h.end(a, 0, ending);
+        let outcome = if h.last_asked().as_deref() == Some("birch") {
+            AttemptOutcome::ServerError
+        } else {
+            AttemptOutcome::CompletedByFetch
+        };
+        h.end(a, 0, outcome);
         h.left_by_client(a);
         said.push(h.told());
     }
@@ -532,12 +536,12 @@
     h.ready(&["amber"]);
     for _ in 0..30 {
         let a = h.ask(0, "slow");
-        a.shot_ended(&mut h.router, 0, Ending::Resolved, 9000, true, &mut h.trace);
+        a.attempt_ended(&mut h.router, 0, AttemptOutcome::Completed, 9000, true, &mut h.trace);
     }
     h.told();
     for _ in 0..20 {
         let a = h.ask(0, "slow");
-        h.end(a, 0, Ending::Miss);
+        h.end(a, 0, AttemptOutcome::CacheMiss);
         h.left_by_client(a);
     }
     let said = h.told();
@@ -556,7 +560,7 @@
         for took in std::iter::repeat_n(100, in_time).chain(std::iter::repeat_n(9000, late)) {
             h.pass(gap);
             let a = h.ask(0, "slow");
-            a.shot_ended(&mut h.router, 0, Ending::Resolved, took, true, &mut h.trace);
+            a.attempt_ended(&mut h.router, 0, AttemptOutcome::Completed, took, true, &mut h.trace);
         }
         h.told();
         (0..12).for_each(|_| _ = h.ask(0, "slow"));
@@ -581,9 +585,15 @@
     h.ready(&FOUR);
     let key = key_of(&mut h, "birch");
     h.told();
-    for ending in [Ending::Broken, Ending::Resolved, Ending::Broken, Ending::Broken, Ending::Broken] {
+    for outcome in [
+        AttemptOutcome::ConnectionLost,
+        AttemptOutcome::Completed,
+        AttemptOutcome::ConnectionLost,
+        AttemptOutcome::ConnectionLost,
+        AttemptOutcome::ConnectionLost,
+    ] {
         let request_id = h.ask(2, &key);
-        h.end(request_id, 0, ending);
+        h.end(request_id, 0, outcome);
     }
     expect![[r#"
         lookup 3 -> cache 1
@@ -607,7 +617,7 @@
     h.ready(&FOUR);
     for _ in 0..4 {
         let request_id = h.ask(0, "book/1");
-        h.end(request_id, 0, Ending::Wrong);
+        h.end(request_id, 0, AttemptOutcome::InvalidRequest);
     }
     expect![[r#"
         lookup 0 -> cache 0
@@ -628,12 +638,12 @@
     h.ready(&["amber"]);
     (0..3).for_each(|_| {
         let request_id = h.ask(2, "book/1");
-        h.end(request_id, 0, Ending::Error);
+        h.end(request_id, 0, AttemptOutcome::ServerError);
     });
     // The only cache is asked all the same.
     (0..7).for_each(|_| {
         let request_id = h.ask(0, "book/1");
-        h.end(request_id, 0, Ending::Resolved);
+        h.end(request_id, 0, AttemptOutcome::Completed);
     });
     h.told();
     h.ready(&FOUR);
@@ -641,17 +651,17 @@
 }
 
 #[test]
-fn a_shot_broken_at_the_origin_is_tried_again_by_way_of_the_cache() {
+fn an_attempt_broken_at_the_origin_is_tried_again_by_way_of_the_cache() {
     let mut h = house(&[("origin kind", "9")]);
     h.ready(&["amber", "origin"]);
     let read = h.ask(0, "book/1");
-    h.end(read, 0, Ending::Miss);
-    h.end(read, 1, Ending::Broken);
-    h.end(read, 2, Ending::Resolved);
+    h.end(read, 0, AttemptOutcome::CacheMiss);
+    h.end(read, 1, AttemptOutcome::ConnectionLost);
+    h.end(read, 2, AttemptOutcome::Completed);
     let single = h.write(2, "book/1");
-    h.end(single, 0, Ending::Broken);
+    h.end(single, 0, AttemptOutcome::ConnectionLost);
     let full = h.write(0, "book/1");
-    h.end(full, 0, Ending::Full);
+    h.end(full, 0, AttemptOutcome::Overloaded);
     expect![[r#"
         lookup 0 -> cache 0
         lookup 0 -> cache 1
@@ -671,7 +681,11 @@
     let keys = FOUR.map(|id| key_of(&mut h, id));
     for (i, key) in keys[..3].iter().cycle().take(30).enumerate() {
         let request_id = h.ask(0, key);
-        h.end(request_id, 0, if turned_away(i) { Ending::Full } else { Ending::Resolved });
+        h.end(
+            request_id,
+            0,
+            if turned_away(i) { AttemptOutcome::Overloaded } else { AttemptOutcome::Completed },
+        );
     }
     h.told();
     keys[..3].iter().for_each(|key| _ = h.ask(0, key));
@@ -693,20 +707,20 @@
 }
 
 #[test]
-fn a_shot_is_not_lost_where_answers_take_as_long() {
+fn an_attempt_is_not_lost_where_answers_take_as_long() {
     let sent = [100, 6000].map(|usual| {
         let mut h = house(&[("namespace 0 target time", "30000")]);
         h.ready(&["amber", "birch"]);
         let key = key_of(&mut h, "amber");
         for _ in 0..20 {
             let request_id = h.ask(0, &key);
-            request_id.shot_ended(&mut h.router, 0, Ending::Resolved, usual, true, &mut h.trace);
+            request_id.attempt_ended(&mut h.router, 0, AttemptOutcome::Completed, usual, true, &mut h.trace);
         }
         let slow = h.ask(0, &key);
         // One sent later is answered: a longer one is overtaken, and 1.5 s is no time where most take 0.6 s.
         h.pass(1000);
         let request_id = h.ask(0, &key);
-        h.end(request_id, 0, Ending::Resolved);
+        h.end(request_id, 0, AttemptOutcome::Completed);
         h.told();
         h.pass(14_500);
         h.wake(slow.0);
@@ -725,14 +739,16 @@
     h.pass(10_000);
     let key = key_of(&mut h, "birch");
     h.told();
-    for ending in [Ending::Broken, Ending::Unreachable, Ending::Broken] {
+    for outcome in
+        [AttemptOutcome::ConnectionLost, AttemptOutcome::Unreachable, AttemptOutcome::ConnectionLost]
+    {
         let request_id = h.ask(2, &key);
-        h.end(request_id, 0, ending);
+        h.end(request_id, 0, outcome);
     }
     // Half a minute later nothing has answered for long, and one refused connection is enough: no other request tries it.
     h.pass(300_000);
     let request_id = h.ask(2, &key);
-    h.end(request_id, 0, Ending::Unreachable);
+    h.end(request_id, 0, AttemptOutcome::Unreachable);
     h.ask(2, &key);
     expect![[r#"
         lookup 3 -> cache 1
@@ -749,7 +765,7 @@
 }
 
 #[test]
-fn a_shot_that_later_ones_have_overtaken_is_sent_elsewhere_and_its_cache_not_taken_for_late() {
+fn an_attempt_that_later_ones_have_overtaken_is_sent_elsewhere_and_its_cache_not_taken_for_late() {
     let mut h = house(&[]);
     h.ready(&["amber", "birch"]);
     let key = key_of(&mut h, "amber");
@@ -758,10 +774,10 @@
     for _ in 0..4 {
         h.pass(600);
         let request_id = h.ask(0, &key);
-        h.end(request_id, 0, Ending::Resolved);
+        h.end(request_id, 0, AttemptOutcome::Completed);
     }
     h.wake(lost.0);
-    h.end(lost, 1, Ending::Resolved);
+    h.end(lost, 1, AttemptOutcome::Completed);
     expect![[r#"
         lookup 2 -> cache 0
         lookup 3 -> cache 0
@@ -783,12 +799,12 @@
     let mut said = Vec::new();
     h.ready(&["amber"]);
     said.push(h.router.done_with(1));
-    h.end(a, 0, Ending::Unreachable);
-    h.end(b, 0, Ending::Resolved);
+    h.end(a, 0, AttemptOutcome::Unreachable);
+    h.end(b, 0, AttemptOutcome::Completed);
     // It was left, and the request that met it is still open.
     h.wake(CACHE + 1);
     said.push(h.router.done_with(1));
-    h.end(a, 1, Ending::Resolved);
+    h.end(a, 1, AttemptOutcome::Completed);
     said.push(h.router.done_with(1));
     expect!["[false, false, true]"].assert_eq(&format!("{said:?}"));
 }
@@ -801,11 +817,11 @@
 }
 
 #[test]
-fn a_class_has_its_own_shots_and_a_shot_its_own_wait() {
+fn a_class_has_its_own_attempts_and_an_attempt_its_own_wait() {
     let mut h = class(&[("namespace 0 most shots", "2"), ("namespace 0 shot wait", "3000")]);
     let a = h.ask(0, "book/1");
-    h.end(a, 0, Ending::Error);
-    h.end(a, 1, Ending::Error);
+    h.end(a, 0, AttemptOutcome::ServerError);
+    h.end(a, 1, AttemptOutcome::ServerError);
     let until = h.trace.1;
     expect![[r#"
         lookup 0 -> cache 0
@@ -822,7 +838,7 @@
     let first = h.ask(0, "a");
     (0..2).for_each(|_| _ = h.ask(0, "a"));
     h.ask(1, "a");
-    h.end(first, 0, Ending::Resolved);
+    h.end(first, 0, AttemptOutcome::Completed);
     h.ask(0, "a");
     expect![[r#"
         lookup 0 -> cache 0
@@ -839,12 +855,12 @@
     let mut h = class(&[("namespace 0 further shots", "100")]);
     for i in 0..100 {
         let a = h.ask(0, &format!("book/{i}"));
-        (0..4).for_each(|shot| h.end(a, shot, Ending::Error));
+        (0..4).for_each(|attempt| h.end(a, attempt, AttemptOutcome::ServerError));
     }
     let own = h.told().matches("->").count();
     (0..20).for_each(|i| {
         let a = h.ask(1, &format!("book/{i}"));
-        (0..4).for_each(|shot| h.end(a, shot, Ending::Error));
+        (0..4).for_each(|attempt| h.end(a, attempt, AttemptOutcome::ServerError));
     });
     let others = h.told().matches("->").count();
     expect!["109 shots for 100, 27 for 20 of another class"]
@@ -856,7 +872,7 @@
     let mut h = class(&[("namespace 0 copies after", "900")]);
     for i in 0..30 {
         let a = h.ask(0, &format!("book/{i}"));
-        h.end(a, 0, Ending::Resolved);
+        h.end(a, 0, AttemptOutcome::Completed);
     }
     h.told();
     let (slow, other) = (h.ask(0, "book/1"), h.ask(1, "book/2"));
@@ -885,10 +901,10 @@
     h.told();
     h.pass(1000);
     h.wake(long.0);
-    h.end(long, 0, Ending::Withdrawn);
+    h.end(long, 0, AttemptOutcome::Cancelled);
     h.wake(late.0);
     h.pass(5000);
-    h.end(late, 0, Ending::Resolved);
+    h.end(late, 0, AttemptOutcome::Completed);
     expect![[r#"
         lookup 0 withdraws shot 0
         lookup 0 deferred
@@ -971,8 +987,8 @@
             let request_id = h.ask(0, &format!("{second}/{i}"));
             if h.told().contains("->") {
                 sent += 1;
-                h.end(request_id, 0, Ending::Miss);
-                h.end(request_id, 1, Ending::Resolved);
+                h.end(request_id, 0, AttemptOutcome::CacheMiss);
+                h.end(request_id, 1, AttemptOutcome::Completed);
             }
         }
         asked.push(sent);
@@ -981,7 +997,7 @@
 }
 
 /// Requests with one key run one at a time where their namespace asks for it, as taken and across namespaces; others are
-/// free. After a shot that may still run the key rests. One whose client left makes no gap, and one whose turn can't come
+/// free. After an attempt that may still run the key rests. One whose client left makes no gap, and one whose turn can't come
 /// is deferred at once.
 #[test]
 fn requests_with_one_key_run_in_turn_where_that_is_asked_for() {
@@ -997,17 +1013,17 @@
     h.ask(1, ""); // without a key
     h.ask(1, "");
     h.trace.mark("the first has its answer, the third's client leaves");
-    h.end(first, 0, Ending::Resolved);
+    h.end(first, 0, AttemptOutcome::Completed);
     h.left_by_client(third);
     h.trace.mark("the second times out, and has its last shot");
     h.pass(2_000);
-    h.end(second, 0, Ending::TimedOut);
-    h.end(second, 1, Ending::Error);
+    h.end(second, 0, AttemptOutcome::TimedOut);
+    h.end(second, 1, AttemptOutcome::ServerError);
     h.left_by_client(second);
     h.pass(5_000);
     h.wake(3);
     h.trace.mark("its last shot has ended too");
-    h.end(second, 2, Ending::Withdrawn);
+    h.end(second, 2, AttemptOutcome::Cancelled);
     h.pass(1_999);
     h.wake(3);
     h.trace.mark("the key has rested");
@@ -1035,10 +1051,10 @@
         lookup 109 deferred
     "#]]
     .assert_eq(&h.told());
-    // A shot that is out still counts, though its request is over.
+    // An attempt that is out still counts, though its request is over.
     h.left_by_client(chalkwalk_policy::RequestId(3));
     h.trace.mark("its shot has ended");
-    h.end(chalkwalk_policy::RequestId(3), 0, Ending::Withdrawn);
+    h.end(chalkwalk_policy::RequestId(3), 0, AttemptOutcome::Cancelled);
     h.pass(2_000);
     h.wake(waiting[0].0);
     expect![[r#"
@@ -1100,10 +1116,15 @@
             }
         }
         if !out.is_empty() && pick(2) == 0 {
-            let (request_id, shot) = out.remove(pick(out.len() as u64) as usize);
-            let endings =
-                [Ending::Resolved, Ending::TimedOut, Ending::Broken, Ending::Error, Ending::Unreachable];
-            h.end(chalkwalk_policy::RequestId(request_id), shot, endings[pick(5) as usize]);
+            let (request_id, attempt) = out.remove(pick(out.len() as u64) as usize);
+            let outcomes = [
+                AttemptOutcome::Completed,
+                AttemptOutcome::TimedOut,
+                AttemptOutcome::ConnectionLost,
+                AttemptOutcome::ServerError,
+                AttemptOutcome::Unreachable,
+            ];
+            h.end(chalkwalk_policy::RequestId(request_id), attempt, outcomes[pick(5) as usize]);
         }
     }
     let distinct = |list: &[u64]| {
@@ -1130,9 +1151,9 @@
         if h.told().contains("->") {
             asked[usize::from(i >= 500)] += 1;
             // By turns, so that no cache is left for it.
-            let ending = if i % 4 == 0 { Ending::Error } else { Ending::Full };
-            h.end(request_id, 0, ending);
-            (1..4).for_each(|shot| h.end(request_id, shot, Ending::Error));
+            let outcome = if i % 4 == 0 { AttemptOutcome::ServerError } else { AttemptOutcome::Overloaded };
+            h.end(request_id, 0, outcome);
+            (1..4).for_each(|attempt| h.end(request_id, attempt, AttemptOutcome::ServerError));
         }
     }
     expect!["[61, 42] of 500 each"].assert_eq(&format!("{asked:?} of 500 each"));
@@ -1146,7 +1167,7 @@
     let sent = [0, 5, 20].map(|seconds| {
         for i in 0..60 {
             let a = h.ask(0, &format!("book/{i}"));
-            h.end(a, 0, Ending::Error);
+            h.end(a, 0, AttemptOutcome::ServerError);
             h.left_by_client(a);
         }
         (0..seconds).for_each(|_| h.pass(10_000));
@@ -1154,14 +1175,14 @@
         for i in 0..100 {
             let a = h.ask(0, &format!("new/{seconds}/{i}"));
             h.left_by_client(a);
-            h.end(a, 0, Ending::Withdrawn);
+            h.end(a, 0, AttemptOutcome::Cancelled);
         }
         h.told().matches("->").count()
     });
     expect!["[7, 28, 100] of 100"].assert_eq(&format!("{sent:?} of 100"));
 }
 
-/// Once a shot's answer has begun the request's others are withdrawn, and whatever becomes of them nothing more is sent for
+/// Once an attempt's answer has begun the request's others are withdrawn, and whatever becomes of them nothing more is sent for
 /// it; its cache owes nothing for it, however long it goes on.
 #[test]
 fn an_answer_that_has_begun_is_the_only_one() {
@@ -1173,16 +1194,16 @@
     ]);
     let request_id = h.ask(0, "book");
     h.pass(8_000);
-    h.wake(request_id.0); // silent for so long: a second copy
+    h.wake(request_id.0); // silent for so long: a hedged request
     h.trace.mark("the first begins");
     request_id.answer_begun(&mut h.router, 0, &mut h.trace);
-    request_id.shot_ended(&mut h.router, 1, Ending::Miss, 100, true, &mut h.trace);
+    request_id.attempt_ended(&mut h.router, 1, AttemptOutcome::CacheMiss, 100, true, &mut h.trace);
     h.pass(20_000);
     h.wake(request_id.0);
     h.trace.mark("another of its key, past any silence");
     let other = h.ask(0, "book");
-    h.end(other, 0, Ending::Resolved);
-    request_id.shot_ended(&mut h.router, 0, Ending::Broken, 100, true, &mut h.trace);
+    h.end(other, 0, AttemptOutcome::Completed);
+    request_id.attempt_ended(&mut h.router, 0, AttemptOutcome::ConnectionLost, 100, true, &mut h.trace);
     expect![[r#"
         lookup 0 -> cache 1
         lookup 0 -> cache 0
@@ -1225,7 +1246,7 @@
             let request_id = h.ask(0, &format!("page/{i}"));
             let late = i % 4 == 0 && h.last_asked().is_some_and(|id| id == "birch");
             let took = if late { slow } else { 100 };
-            request_id.shot_ended(&mut h.router, 0, Ending::Resolved, took, true, &mut h.trace);
+            request_id.attempt_ended(&mut h.router, 0, AttemptOutcome::Completed, took, true, &mut h.trace);
             if i == 199 {
                 h.told();
             }
@@ -1249,7 +1270,7 @@
         (0..200).for_each(|i| {
             let request_id = h.ask(0, &format!("page/{i}"));
             h.left_by_client(request_id);
-            h.end(request_id, 0, Ending::Withdrawn);
+            h.end(request_id, 0, AttemptOutcome::Cancelled);
         });
         h.told().matches("> cache 1").count()
     };
@@ -1269,9 +1290,13 @@
     let phase = |h: &mut House, full: bool| {
         for i in 0..40 {
             let request_id = h.ask(0, &format!("page/{i}"));
-            for shot in 0..4 {
+            for attempt in 0..4 {
                 let place = h.last_asked().is_some_and(|id| !full || id == "amber" || id == "birch");
-                h.end(request_id, shot, if place { Ending::Resolved } else { Ending::Unreachable });
+                h.end(
+                    request_id,
+                    attempt,
+                    if place { AttemptOutcome::Completed } else { AttemptOutcome::Unreachable },
+                );
                 if place {
                     break;
                 }
@@ -1307,7 +1332,7 @@
         h.pass(4_000);
         h.wake(request_id.0);
         passed += h.told().lines().count() - 1;
-        request_id.shot_ended(&mut h.router, 0, Ending::Resolved, 4_000, true, &mut h.trace);
+        request_id.attempt_ended(&mut h.router, 0, AttemptOutcome::Completed, 4_000, true, &mut h.trace);
     }
     expect!["0"].assert_eq(&passed.to_string());
 }
@@ -1322,12 +1347,19 @@
         old.pass(2_000);
         let request_id = old.ask(0, &format!("page/{i}"));
         let id = old.last_asked();
-        let (took, ending) = match id.as_deref() {
-            Some("birch") => (10_000, Ending::Resolved),
-            Some("cedar") => (100, Ending::Broken),
-            _ => (100, Ending::Resolved),
+        let (took, outcome) = match id.as_deref() {
+            Some("birch") => (10_000, AttemptOutcome::Completed),
+            Some("cedar") => (100, AttemptOutcome::ConnectionLost),
+            _ => (100, AttemptOutcome::Completed),
         };
-        request_id.shot_ended(&mut old.router, 0, ending, took, ending == Ending::Resolved, &mut old.trace);
+        request_id.attempt_ended(
+            &mut old.router,
+            0,
+            outcome,
+            took,
+            outcome == AttemptOutcome::Completed,
+            &mut old.trace,
+        );
         old.left_by_client(request_id);
     }
     let learned = old.router.learned();
@@ -1343,7 +1375,7 @@
         for i in 0..100 {
             let request_id = new.ask(0, &format!("page/{i}"));
             new.left_by_client(request_id);
-            new.end(request_id, 0, Ending::Withdrawn);
+            new.end(request_id, 0, AttemptOutcome::Cancelled);
         }
         let told = new.told();
         [1, 2].map(|cache| told.matches(&format!("> cache {cache}")).count())
@@ -1364,7 +1396,7 @@
             h.pass(200);
             let request_id = h.ask(0, &format!("page/{i}"));
             let took = if late && i % 2 == 0 { 10_000 } else { 100 };
-            request_id.shot_ended(&mut h.router, 0, Ending::Resolved, took, true, &mut h.trace);
+            request_id.attempt_ended(&mut h.router, 0, AttemptOutcome::Completed, took, true, &mut h.trace);
             h.left_by_client(request_id);
         }
         let now = h.now;
@@ -1375,7 +1407,7 @@
             let request_id = h.ask(0, &format!("page/{i}"));
             let cold = h.last_asked().is_some_and(|id| id == "birch");
             let took = if late && !cold && i % 2 == 0 { 10_000 } else { 100 };
-            request_id.shot_ended(&mut h.router, 0, Ending::Resolved, took, true, &mut h.trace);
+            request_id.attempt_ended(&mut h.router, 0, AttemptOutcome::Completed, took, true, &mut h.trace);
             h.left_by_client(request_id);
         }
         h.told().matches("> cache 1").count()
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -18,8 +18,8 @@
 }
 
 impl Carrier for Wants {
-    fn shoot(&mut self, _: RequestId, _: Cache, _: Tenths, _: Tenths) {}
-    fn withdraw(&mut self, _: RequestId, _: usize) {}
+    fn start_attempt(&mut self, _: RequestId, _: Cache, _: Tenths, _: Tenths) {}
+    fn cancel_attempt(&mut self, _: RequestId, _: usize) {}
     fn defer(&mut self, _: RequestId, _: Tenths) {}
     fn abandon(&mut self, _: RequestId) {}
     fn probe(&mut self, _: Cache) {}
--- a/crates/policy/tests/helper/mod.rs
+++ b/crates/policy/tests/helper/mod.rs
@@ -1,10 +1,10 @@
 //! A router whose decisions are written down line by line.
 
-use chalkwalk_policy::{Cache, Carrier, Ending, Entry, RequestId, Router, Standing, Tenths};
+use chalkwalk_policy::{AttemptOutcome, Cache, Carrier, Entry, RequestId, Router, Standing, Tenths};
 use std::collections::BTreeMap;
 
 #[derive(Default)]
-pub struct Trace(String, pub Tenths); // what was said, and until when the last shot is out
+pub struct Trace(String, pub Tenths); // what was said, and until when the last attempt is out
 
 impl Trace {
     /// A line of the test's own.
@@ -19,13 +19,13 @@
 }
 
 impl Carrier for Trace {
-    fn shoot(&mut self, request_id: RequestId, cache: Cache, until: Tenths, by: Tenths) {
+    fn start_attempt(&mut self, request_id: RequestId, cache: Cache, until: Tenths, by: Tenths) {
         self.1 = until;
         let by = if by < until { format!(" by {by}") } else { String::new() };
         self.line(format!("lookup {} -> cache {cache}{by}", request_id.0));
     }
-    fn withdraw(&mut self, request_id: RequestId, shot: usize) {
-        self.line(format!("lookup {} withdraws shot {shot}", request_id.0));
+    fn cancel_attempt(&mut self, request_id: RequestId, attempt: usize) {
+        self.line(format!("lookup {} withdraws shot {attempt}", request_id.0));
     }
     fn defer(&mut self, request_id: RequestId, _back_in: Tenths) {
         self.line(format!("lookup {} deferred", request_id.0));
@@ -129,9 +129,12 @@
         request_id
     }
 
-    pub fn end(&mut self, request_id: RequestId, shot: usize, ending: Ending) {
-        let finished = matches!(ending, Ending::Resolved | Ending::Held | Ending::Fetched);
-        request_id.shot_ended(&mut self.router, shot, ending, 100, finished, &mut self.trace);
+    pub fn end(&mut self, request_id: RequestId, attempt: usize, outcome: AttemptOutcome) {
+        let finished = matches!(
+            outcome,
+            AttemptOutcome::Completed | AttemptOutcome::CompletedFromCache | AttemptOutcome::CompletedByFetch
+        );
+        request_id.attempt_ended(&mut self.router, attempt, outcome, 100, finished, &mut self.trace);
     }
 
     pub fn left_by_client(&mut self, request_id: RequestId) {
@@ -146,7 +149,7 @@
     pub fn owner(&mut self, key: &str) -> String {
         let kept = std::mem::take(&mut self.trace);
         let request_id = self.ask(0, key);
-        self.end(request_id, 0, Ending::Resolved);
+        self.end(request_id, 0, AttemptOutcome::Completed);
         let asked = self.last_asked();
         let said = std::mem::replace(&mut self.trace, kept).0;
         asked.unwrap_or(said.trim().to_string())
--- a/crates/proxy/src/pages.rs
+++ b/crates/proxy/src/pages.rs
@@ -40,8 +40,8 @@
         Pages { folder, name: proxy.chars().map(plain).collect(), own, spoilt: HashSet::new() }
     }
 
-    fn file(&self, folder: &Path, ending: &str) -> PathBuf {
-        folder.join(format!("chalkwalk.{}.{}.{ending}", self.name, self.own.pid))
+    fn file(&self, folder: &Path, outcome: &str) -> PathBuf {
+        folder.join(format!("chalkwalk.{}.{}.{outcome}", self.name, self.own.pid))
     }
 
     /// The own page as a file, still to be written. Without a folder there is nothing to write.
--- a/crates/proxy/tests/resp.rs
+++ b/crates/proxy/tests/resp.rs
@@ -286,7 +286,7 @@
 fn a_circle_of_redirections_ends_and_what_may_have_run_is_not_sent_again() {
     let day = Day::new("");
     let circle = plain(&day.ask("GET circle:1\r\n"));
-    let shots = day.seen().lines().count();
+    let attempts = day.seen().lines().count();
     let broken = day.ask("SET breaks:once:1 x\r\n") + &day.ask("GET breaks:1\r\n");
     expect![[r#"
         -TRYAGAIN deferred, come back later
@@ -299,7 +299,7 @@
         a: GET breaks:1
         a: GET breaks:1
     "#]]
-    .assert_eq(&format!("{circle}{shots} shots\n{}{}", plain(&broken), day.seen()));
+    .assert_eq(&format!("{circle}{attempts} shots\n{}{}", plain(&broken), day.seen()));
 }
 
 #[test]
@@ -327,7 +327,7 @@
 }
 
 #[test]
-fn a_pipeline_is_answered_in_order_and_a_slow_one_holds_up_no_shot() {
+fn a_pipeline_is_answered_in_order_and_a_slow_one_holds_up_no_attempt() {
     let day = Day::new("");
     let begun = Instant::now();
     let said = day.ask("GET slow:1\r\nGET b\r\nGET slow:2\r\nSET c 1\r\nGET c\r\nPING\r\nGET slow:3\r\n");
--- a/crates/proxy/tests/sockets.rs
+++ b/crates/proxy/tests/sockets.rs
@@ -1,13 +1,13 @@
 //! One proxy process on loopback between small stand-ins; each test prints what client and stand-ins saw.
 
-#[path = "sockets/endings.rs"]
-mod endings;
 #[path = "sockets/large.rs"]
 mod large;
 #[path = "sockets/leaving.rs"]
 mod leaving;
 #[path = "sockets/operators.rs"]
 mod operators;
+#[path = "sockets/endings.rs"]
+mod outcomes;
 
 use expect_test::{Expect, expect};
 use serde_json::{Value, json};
@@ -398,7 +398,7 @@
 }
 
 #[test]
-fn answers_that_break_off_or_make_no_sense_are_failed_shots() {
+fn answers_that_break_off_or_make_no_sense_are_failed_attempts() {
     let broken: Script = |n| match n {
         0 => ("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", true),
         1 => ("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", false),
@@ -480,7 +480,7 @@
 }
 
 #[test]
-fn a_client_that_goes_away_takes_its_shot_along() {
+fn a_client_that_goes_away_takes_its_attempt_along() {
     let day = Day::new(&[("a", |_| ("", false))]);
     let mut client = day.client();
     day.write(&mut client, "GET", "page", "k");
@@ -750,7 +750,7 @@
         let mut client = day.client();
         day.write(&mut client, "GET", "once", &format!("k{i}"));
         // Each of the thirteen that there is room for is out at a cache before the next one comes; a fourteenth
-        // has a place, and its shot has none.
+        // has a place, and its attempt has none.
         wait_for(|| i >= 13 || day.told.0.lock().unwrap().len() > i);
         clients.push(client);
     }
@@ -1119,7 +1119,7 @@
 }
 
 /// How a start ends that is wrong, and what it says.
-fn ending(mut child: Child) -> String {
+fn outcome(mut child: Child) -> String {
     let mut said = String::new();
     child.stderr.take().unwrap().read_to_string(&mut said).unwrap();
     format!("{} {said}", child.wait().unwrap())
@@ -1134,10 +1134,10 @@
     let (taken, addr) = a_listener();
     let mut lines = Vec::new();
     let mut wrong = configuration(addr, addr, &[], 64);
-    lines.push(ending(run(&wrong, "")).replace(&addr.to_string(), "ADDRESS"));
+    lines.push(outcome(run(&wrong, "")).replace(&addr.to_string(), "ADDRESS"));
     drop(taken);
     wrong["settings"]["ceilings"]["mostShots"] = json!("many");
-    lines.push(ending(run(&wrong, "")));
+    lines.push(outcome(run(&wrong, "")));
     for args in [&[][..], &["serve"], &["check", "--config", "/nowhere"], &["srve"], &["check", "--all"]] {
         let out = command(args);
         lines.push(format!("{} {}", out.status, String::from_utf8_lossy(&out.stderr)));
--- a/crates/proxy/tests/sockets/endings.rs
+++ b/crates/proxy/tests/sockets/endings.rs
@@ -7,17 +7,17 @@
 pub struct Fleet {
     pub proxy: Child,
     pub addr: SocketAddr,
-    came: Receiver<Shot>,
+    came: Receiver<Attempt>,
     calls: Arc<AtomicUsize>, // to the list
 }
 
-/// A shot at a stand-in, which answers when and as the test says.
-pub struct Shot {
+/// An attempt at a stand-in, which answers when and as the test says.
+pub struct Attempt {
     pub what: String, // the stand-in's name, and the key
     pub stream: TcpStream,
 }
 
-impl Shot {
+impl Attempt {
     pub fn answer(&mut self, text: &str) {
         self.stream.write_all(text.as_bytes()).unwrap();
     }
@@ -84,7 +84,7 @@
                             let key = head.split(['/', '?', ' ']).nth(3).unwrap_or("").to_string();
                             let what = format!("{name} {key}");
                             let stream = stream.try_clone().unwrap();
-                            _ = tell.send(Shot { what, stream });
+                            _ = tell.send(Attempt { what, stream });
                         }
                     });
                 }
@@ -124,7 +124,7 @@
         stream.write_all(text.as_bytes()).unwrap();
     }
 
-    pub fn shot(&self) -> Shot {
+    pub fn attempt(&self) -> Attempt {
         self.came.recv_timeout(Duration::from_secs(20)).expect("a shot")
     }
 
@@ -185,24 +185,24 @@
 fn second_answer() -> Option<String> {
     let fleet = Fleet::of(vec![cache("a")], |_| ());
     let mut client = fleet.write("page", "k0");
-    let mut shot = fleet.shot();
+    let mut attempt = fleet.attempt();
     let begun = Instant::now();
-    shot.answer(HELD);
+    attempt.answer(HELD);
     assert_eq!(heard(&mut client), "200 value");
     // The next request is on its way before the second answer is.
     fleet.write_on(&mut client, "page", "k1");
     sleep(Duration::from_millis(3));
-    shot.answer("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray");
+    attempt.answer("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray");
     if begun.elapsed() > Duration::from_millis(9) {
         return None;
     }
-    // Where it was taken for the next one's, no shot is answered here.
-    _ = fleet.shot().stream.write_all(HELD.as_bytes());
+    // Where it was taken for the next one's, no attempt is answered here.
+    _ = fleet.attempt().stream.write_all(HELD.as_bytes());
     Some(heard(&mut client))
 }
 
 /// Nothing is written for a request whose client left while it waited for its connection, though the connection came up in the
-/// turn in which the client's end was read; also where shots that are out may not be withdrawn.
+/// turn in which the client's end was read; also where attempts that are out may not be withdrawn.
 #[test]
 fn who_leaves_while_a_connection_comes_up_is_not_sent_on() {
     for cancelling in [true, false] {
@@ -214,11 +214,11 @@
         });
         let client = fleet.write("page", "k");
         cache.wait_connecting();
-        let shot = fleet.standing(|| {
+        let attempt = fleet.standing(|| {
             drop(client);
             cache.let_in()
         });
-        assert_eq!(written(shot), "nothing", "cancelling: {cancelling}");
+        assert_eq!(written(attempt), "nothing", "cancelling: {cancelling}");
     }
 }
 
@@ -231,12 +231,12 @@
         said["settings"]["namespaces"][1] = namespace("once", "single_shot", 9000);
     });
     let mut clients = Vec::new();
-    let mut shots: Vec<Shot> = Vec::new();
+    let mut attempts: Vec<Attempt> = Vec::new();
     for i in 0..13 {
         clients.push(fleet.write("once", &format!("k{i}")));
-        shots.push(fleet.shot());
+        attempts.push(fleet.attempt());
     }
-    // It has a client's place, and its shot has none. Its answer to a message says that it was read.
+    // It has a client's place, and its attempt has none. Its answer to a message says that it was read.
     let waits = fleet.write("once", "waits");
     let taken = format!("/proc/{}/fd", fleet.proxy.id());
     let open = || std::fs::read_dir(&taken).map_or(0, |fds| fds.count());
@@ -244,11 +244,11 @@
     wait_for(|| open() >= before);
     fleet.standing(|| {
         drop(waits);
-        shots[0].answer(&HELD.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
+        attempts[0].answer(&HELD.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
     });
     assert_eq!(heard(&mut clients[0]), "200 value");
     fleet.write_on(&mut clients[0], "once", "last");
-    assert_eq!(fleet.shot().what.split(' ').nth(1), Some("last"));
+    assert_eq!(fleet.attempt().what.split(' ').nth(1), Some("last"));
 }
 
 /// The same for its key's turn, and for another's fetch of its key.
@@ -264,29 +264,29 @@
             said["settings"]["namespaces"][0]["keepOrder"] = json!(!origin);
         });
         let mut first = fleet.write("page", "k");
-        let mut shot = fleet.shot();
+        let mut attempt = fleet.attempt();
         if origin {
-            shot.answer(MISS);
-            shot = fleet.shot();
+            attempt.answer(MISS);
+            attempt = fleet.attempt();
         }
         let mut second = fleet.write("page", "k");
         if origin {
-            fleet.shot().answer(MISS);
-            // By the next request's shot the miss of the second has been heard.
+            fleet.attempt().answer(MISS);
+            // By the next request's attempt the miss of the second has been heard.
         }
         let mut third = fleet.write("page", "other");
-        let mut other = fleet.shot();
+        let mut other = fleet.attempt();
         other.answer(HELD);
         assert_eq!((other.what.as_str(), heard(&mut third).as_str()), ("a other", "200 value"));
         fleet.standing(|| {
             // Reset, not closed in order.
             socket2::SockRef::from(&second).set_linger(Some(Duration::ZERO)).unwrap();
             drop(std::mem::replace(&mut second, TcpStream::connect(fleet.addr).unwrap()));
-            shot.answer(HELD);
+            attempt.answer(HELD);
         });
         assert_eq!(heard(&mut first), "200 value", "{kind}");
         fleet.write_on(&mut third, "page", "last");
-        assert_eq!(fleet.shot().what, "a last", "{kind}");
+        assert_eq!(fleet.attempt().what, "a last", "{kind}");
     }
 }
 
@@ -295,21 +295,21 @@
 fn who_leaves_as_a_silent_cache_is_given_up_is_not_sent_on() {
     let fleet = Fleet::of(vec![cache("a"), cache("b")], |_| ());
     let client = fleet.write("page", "k");
-    let silent = fleet.shot();
+    let silent = fleet.attempt();
     fleet.standing(|| {
         // Past what a cache may be silent for, here a time limit's half at the most.
         sleep(Duration::from_millis(1600));
         drop(client);
     });
     let mut other = fleet.write("page", "last");
-    let mut shot = fleet.shot();
-    assert_eq!(shot.what.split(' ').nth(1), Some("last"), "{}", silent.what);
-    shot.answer(HELD);
+    let mut attempt = fleet.attempt();
+    assert_eq!(attempt.what.split(' ').nth(1), Some("last"), "{}", silent.what);
+    attempt.answer(HELD);
     assert_eq!(heard(&mut other), "200 value");
 }
 
 /// A connection that comes up in the turn in which the time limit is over, or in which a tagged request's window is, carries
-/// nothing: the window counts from the first shot that may have run.
+/// nothing: the window counts from the first attempt that may have run.
 #[test]
 fn what_is_over_while_a_connection_comes_up_is_not_written() {
     // The time limit.
@@ -321,14 +321,14 @@
     });
     let mut client = fleet.write("page", "k");
     shut.wait_connecting();
-    let shot = fleet.standing(|| {
-        let shot = shut.let_in();
+    let attempt = fleet.standing(|| {
+        let attempt = shut.let_in();
         sleep(Duration::from_millis(1000));
-        shot
+        attempt
     });
-    assert_eq!(written(shot), "nothing");
+    assert_eq!(written(attempt), "nothing");
     assert!(heard(&mut client).starts_with("50"));
-    // The window: the first shot breaks after it was read, the second waits for its connection.
+    // The window: the first attempt breaks after it was read, the second waits for its connection.
     for _ in 0..20 {
         let (shut, _filler) = shut_cache("b");
         let open = cache("a");
@@ -343,22 +343,22 @@
         let Ok(first) = fleet.came.recv_timeout(Duration::from_millis(300)) else { continue };
         first.stream.shutdown(std::net::Shutdown::Both).unwrap();
         shut.wait_connecting();
-        let shot = fleet.standing(|| {
-            let shot = shut.let_in();
+        let attempt = fleet.standing(|| {
+            let attempt = shut.let_in();
             sleep(Duration::from_millis(750));
-            shot
+            attempt
         });
-        assert_eq!(written(shot), "nothing");
+        assert_eq!(written(attempt), "nothing");
         assert_eq!(heard(&mut client), "500");
         return;
     }
     panic!("no key was the open cache's");
 }
 
-/// A drain that is told while a shot waits for its connection to that cache: the shot goes elsewhere. So it does where both come
+/// A drain that is told while an attempt waits for its connection to that cache: the attempt goes elsewhere. So it does where both come
 /// in a standstill that outlasts the grace, and are read in one turn.
 #[test]
-fn a_drain_told_while_a_connection_comes_up_takes_the_shot_elsewhere() {
+fn a_drain_told_while_a_connection_comes_up_takes_the_attempt_elsewhere() {
     drained_meanwhile(false);
     drained_meanwhile(true);
 }
@@ -368,7 +368,7 @@
     let open = cache("b");
     let (known, both) = (vec![shut.1.clone()], [shut.1.clone(), open.1.clone()]);
     let drained = line("a", shut.addr(), "DRAINING");
-    // The drain and the other cache are the answer to the second call, which is held until the shot waits.
+    // The drain and the other cache are the answer to the second call, which is held until the attempt waits.
     let (go, told) = channel::<()>();
     let answers = [whole(2, &known), whole(3, &[drained, both[1].clone()])];
     let written_to = Arc::new(AtomicUsize::new(0));
@@ -399,8 +399,8 @@
         // It has read the answer as it calls again.
         wait_for(|| fleet.calls.load(Ordering::SeqCst) > 2);
     }
-    let shot = fleet.standing(|| {
-        let shot = shut.let_in();
+    let attempt = fleet.standing(|| {
+        let attempt = shut.let_in();
         if in_a_standstill {
             // After the connection, as the system tells of what came in that order.
             go.send(()).unwrap();
@@ -408,10 +408,10 @@
             // The grace is a second.
             sleep(Duration::from_millis(1200));
         }
-        shot
+        attempt
     });
-    assert_eq!(written(shot), "nothing");
-    let mut elsewhere = fleet.shot();
+    assert_eq!(written(attempt), "nothing");
+    let mut elsewhere = fleet.attempt();
     assert_eq!(elsewhere.what, "b k");
     elsewhere.answer(HELD);
     assert_eq!(heard(&mut client), "200 value");
@@ -461,17 +461,17 @@
     assert_eq!(first.load(Ordering::SeqCst), 2);
 }
 
-/// A client that goes while a long answer flows to it takes the shot along: its cache is not read on for nobody.
+/// A client that goes while a long answer flows to it takes the attempt along: its cache is not read on for nobody.
 #[test]
-fn who_leaves_while_an_answer_flows_takes_its_shot_along() {
+fn who_leaves_while_an_answer_flows_takes_its_attempt_along() {
     let fleet = Fleet::of(vec![cache("a")], |_| ());
     let mut client = fleet.write("page", "k");
-    let mut shot = fleet.shot();
-    shot.answer("HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n");
-    shot.answer(&"v".repeat(100_000));
+    let mut attempt = fleet.attempt();
+    attempt.answer("HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n");
+    attempt.answer(&"v".repeat(100_000));
     client.read_exact(&mut [0; 50_000]).unwrap();
     drop(client);
     // Within what an answer may be at the longest: the cache's own connection ends.
     let part = "v".repeat(100_000);
-    assert!((0..290).any(|_| shot.stream.write_all(part.as_bytes()).is_err()));
+    assert!((0..290).any(|_| attempt.stream.write_all(part.as_bytes()).is_err()));
 }
--- a/crates/proxy/tests/sockets/leaving.rs
+++ b/crates/proxy/tests/sockets/leaving.rs
@@ -1,6 +1,6 @@
 //! The end of a process, and its start: what is owed when it is told to end at an odd moment.
 
-use super::endings::{Fleet, cache, heard, shut_cache};
+use super::outcomes::{Fleet, cache, heard, shut_cache};
 use super::*;
 use rustix::process::{Pid, Signal, kill_process};
 use std::collections::HashSet;
@@ -112,7 +112,7 @@
     let mut half = TcpStream::connect(fleet.addr).unwrap();
     half.write_all(b"PUT /api/h HTTP/1.1\r\nX-Correlation-Id: h\r\nX-Service-Class: once\r\nX-Time-Left: 1\r\nContent-Length: 6\r\n\r\nhal").unwrap();
     shut.wait_connecting();
-    _ = fleet.shot();
+    _ = fleet.attempt();
     for name in ["-TERM", "-HUP", "-TERM", "-INT"] {
         fleet.signal(name);
     }
@@ -178,9 +178,9 @@
     wait_for(|| up() == "200");
     for i in 0..12 {
         let mut client = fleet.write("page", &format!("k{i}"));
-        let mut shot = fleet.shot();
-        assert_eq!(shot.what, format!("b k{i}"));
-        shot.answer(HELD);
+        let mut attempt = fleet.attempt();
+        assert_eq!(attempt.what, format!("b k{i}"));
+        attempt.answer(HELD);
         assert_eq!(heard(&mut client), "200 value");
     }
     assert_eq!(before, "503");
@@ -191,12 +191,12 @@
 fn an_answer_that_never_ends_is_broken_off() {
     let fleet = Fleet::of(vec![cache("a")], |_| ());
     let mut client = fleet.write("page", "k");
-    let mut shot = fleet.shot();
+    let mut attempt = fleet.attempt();
     let writing = spawn(move || {
-        shot.answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        attempt.answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         let chunk = format!("4000\r\n{}\r\n", "v".repeat(0x4000));
         // Twice what is the longest of all.
-        (0..4096).all(|_| shot.stream.write_all(chunk.as_bytes()).is_ok())
+        (0..4096).all(|_| attempt.stream.write_all(chunk.as_bytes()).is_ok())
     });
     let (mut taken, mut buf) = (0, [0; 65536]);
     while let Ok(n @ 1..) = client.read(&mut buf) {
--- a/crates/proxy/tests/sockets/operators.rs
+++ b/crates/proxy/tests/sockets/operators.rs
@@ -440,7 +440,7 @@
         let mut client = held.connect();
         let answers: Vec<String> = (first..first + 40).map(|i| ask(&mut client, &format!("k{i}"))).collect();
         let seen = told.0.lock().unwrap().join("\n");
-        // An answer is 200, or 503 where the budget of further shots is spent.
+        // An answer is 200, or 503 where the budget of retries is spent.
         let lost = answers.iter().filter(|a| !["200", "503"].contains(&a.as_str())).count();
         assert!(answers.iter().filter(|a| *a == "200").count() >= 30, "{answers:?}");
         (lost, names.map(|name| seen.matches(&format!("{name}: GET")).count()))
--- a/crates/resp-door/src/clients.rs
+++ b/crates/resp-door/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients' connections: commands are taken as they come, their shots do not wait for each other, and answers go out in order.
+//! Clients' connections: commands are taken as they come, their attempts do not wait for each other, and answers go out in order.
 
 use crate::client::Client;
 use crate::command::{Way as Kind, Words, way};
--- a/crates/resp-door/src/request.rs
+++ b/crates/resp-door/src/request.rs
@@ -5,7 +5,7 @@
 use chalkwalk_core::answer::{Answer, Ask, Heard, Probe, Verdict, Wait};
 use chalkwalk_limits::RequestAttributes;
 use chalkwalk_net::{more, write_all};
-use chalkwalk_policy::{Ending, Tenths};
+use chalkwalk_policy::{AttemptOutcome, Tenths};
 use chalkwalk_resp::{Bounds, Frame, Kind, Reader, Writer};
 use chalkwalk_slots::{Meaning, SLOTS, Way, meaning};
 use smol::Async;
@@ -30,7 +30,7 @@
     pub taken: Tenths,
     pub expires: Tenths,
     pub way: RefCell<Way>,
-    /// Servers whose shot began with a command of the connection's own, whose answer comes first.
+    /// Servers whose attempt began with a command of the connection's own, whose answer comes first.
     pub begun: RefCell<Vec<SocketAddr>>,
 }
 
@@ -63,8 +63,11 @@
         Some(self.way.borrow().who(&self.door.map.borrow()))
     }
 
-    fn ended(&self, ending: Ending) {
-        if matches!(ending, Ending::Unreachable | Ending::Broken | Ending::TimedOut) {
+    fn ended(&self, outcome: AttemptOutcome) {
+        if matches!(
+            outcome,
+            AttemptOutcome::Unreachable | AttemptOutcome::ConnectionLost | AttemptOutcome::TimedOut
+        ) {
             // What was to be asked once is the owner's again, and another may own the slot by now.
             self.way.borrow_mut().silent();
             self.door.want_map();
@@ -120,7 +123,7 @@
 }
 
 impl RespRequest {
-    /// A shot to that server begins with a command of the connection's own, or not.
+    /// An attempt to that server begins with a command of the connection's own, or not.
     fn begins(&self, to: SocketAddr, with: bool) {
         let mut begun = self.begun.borrow_mut();
         begun.retain(|b| *b != to);
@@ -128,7 +131,7 @@
     }
 
     fn read(&self, from: SocketAddr, frames: Vec<Frame>, mut buf: Vec<u8>, at: usize, keep: bool) -> Heard {
-        let none = |ending| Heard { ending, answer: None, keep, rest: None };
+        let none = |outcome| Heard { outcome, answer: None, keep, rest: None };
         if let [Frame { kind: Kind::Error, at: text, .. }] = &frames[..] {
             let error = String::from_utf8_lossy(&buf[at + text.start..at + text.end]).to_string();
             let means = meaning(&error, from, SLOTS);
@@ -137,8 +140,8 @@
             }
             match means {
                 // Surely not run, and no word on the server's health: it goes on elsewhere.
-                Meaning::Moved { .. } | Meaning::Ask { .. } => return none(Ending::Miss),
-                Meaning::NotNow | Meaning::NotHere => return none(Ending::Full),
+                Meaning::Moved { .. } | Meaning::Ask { .. } => return none(AttemptOutcome::CacheMiss),
+                Meaning::NotNow | Meaning::NotHere => return none(AttemptOutcome::Overloaded),
                 Meaning::Answer => {}
             }
         }
@@ -146,11 +149,11 @@
         let held = self.door.core.room.take(len, usize::MAX);
         if len > ORDINARY && held.is_none() {
             // Read by now, but not to be kept while all others are.
-            return Heard { ending: Ending::Error, answer: None, keep: false, rest: None };
+            return Heard { outcome: AttemptOutcome::ServerError, answer: None, keep: false, rest: None };
         }
         buf.drain(..at);
         let answer = Answer { verdict: Verdict::Resolved, kind: String::new(), body: buf, held, flow: None };
-        Heard { ending: Ending::Resolved, answer: Some(answer), keep, rest: None }
+        Heard { outcome: AttemptOutcome::Completed, answer: Some(answer), keep, rest: None }
     }
 }
 
--- a/crates/slots/src/way.rs
+++ b/crates/slots/src/way.rs
@@ -3,7 +3,7 @@
 use crate::{Map, Meaning};
 use std::net::SocketAddr;
 
-/// Redirections that one request follows: a slot that moves twice between its shots takes two, and an ASK one more. More is a
+/// Redirections that one request follows: a slot that moves twice between its attempts takes two, and an ASK one more. More is a
 /// loop.
 const MOST: u32 = 5;
 
@@ -37,19 +37,19 @@
         }
     }
 
-    /// Whether a shot to that server is to begin with `ASKING`.
+    /// Whether an attempt to that server is to begin with `ASKING`.
     pub fn asking(&self, to: SocketAddr) -> bool {
         self.ask == Some(to)
     }
 
-    /// Whether a shot to that server is to begin with `READONLY`: it is no owner's.
+    /// Whether an attempt to that server is to begin with `READONLY`: it is no owner's.
     pub fn of_replica(&self, to: SocketAddr, map: &Map) -> bool {
         !self.asking(to) && map.owner(self.slot) != Some(to)
     }
 
     /// What a server has said, which changes the map too. Whether the map is to be asked for anew.
     pub fn said(&mut self, meaning: &Meaning, map: &mut Map) -> bool {
-        // An ASK is good for one shot.
+        // An ASK is good for one attempt.
         self.ask = None;
         match meaning {
             Meaning::Moved { slot, to } => {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// A shot ended without a word. What was asked for once is the owner's again.
+    /// An attempt ended without a word. What was asked for once is the owner's again.
     pub fn silent(&mut self) {
         self.ask = None;
     }
@@ -85,7 +85,7 @@
     }
 
     #[test]
-    fn an_ask_holds_for_one_shot_a_move_for_all_and_a_circle_ends() {
+    fn an_ask_holds_for_one_attempt_a_move_for_all_and_a_circle_ends() {
         let (mut map, mut way) = (Map::default(), Way::new(7, true));
         assert!(way.who(&map).is_empty());
         assert!(way.said(&Meaning::Moved { slot: 7, to: addr(1) }, &mut map));
--- a/crates/slots/tests/migration.rs
+++ b/crates/slots/tests/migration.rs
@@ -73,7 +73,7 @@
     map: Map,
     ways: [Way; 2],
     done: [bool; 2],
-    shots: [u32; 2],
+    attempts: [u32; 2],
     refreshed: bool,
 }
 
@@ -82,12 +82,12 @@
         format!("{:?}{:?}{:?}{:?}{:?}", self.cluster, self.map, self.ways, self.done, self.refreshed)
     }
 
-    /// One shot of a request and its answer.
-    fn shoot(&mut self, request: usize) {
+    /// One attempt of a request and its answer.
+    fn start_attempt(&mut self, request: usize) {
         let way = &mut self.ways[request];
         let to = way.who(&self.map).first().copied().expect("somebody may serve it");
         let server = usize::from(to.port() - 7000);
-        self.shots[request] += 1;
+        self.attempts[request] += 1;
         match self.cluster.asked(request, server, way.asking(to)) {
             None => self.done[request] = true,
             Some(error) => {
@@ -130,7 +130,7 @@
         map,
         ways: [Way::new(5, false), Way::new(5, false)],
         done: [false; 2],
-        shots: [0; 2],
+        attempts: [0; 2],
         refreshed: false,
     };
     let (mut open, mut seen, mut ends, mut most) = (vec![start], HashSet::new(), 0, 0);
@@ -140,9 +140,9 @@
         }
         for request in 0..2 {
             assert!(state.cluster.runs[request].len() <= 1, "an effect twice: {state:?}");
-            assert!(state.shots[request] <= 5, "a circle: {state:?}");
+            assert!(state.attempts[request] <= 5, "a circle: {state:?}");
         }
-        most = most.max(state.shots[0]).max(state.shots[1]);
+        most = most.max(state.attempts[0]).max(state.attempts[1]);
         let mut moved = false;
         if state.cluster.step < STEPS {
             let mut next = state.clone();
@@ -152,7 +152,7 @@
         }
         for request in (0..2).filter(|l| !state.done[*l]) {
             let mut next = state.clone();
-            next.shoot(request);
+            next.start_attempt(request);
             open.push(next);
             moved = true;
         }
