--- a/crates/benchlink/src/desk.rs
+++ b/crates/benchlink/src/desk.rs
@@ -2,7 +2,9 @@
 
 use chalkwalk_house::fields::{Object, Read, flag, list, object, size, text, text_or, whole, whole_or};
 use chalkwalk_house::{self as house, House};
-use chalkwalk_policy::{AttemptOutcome, Cache, Carrier, Entry, RequestId, Router, Standing, Tenths};
+use chalkwalk_policy::{
+    AttemptOutcome, Carrier, Endpoint, EndpointStatus, RequestId, Router, ServerIndex, Tenths,
+};
 use serde_json::{Value, json};
 use std::collections::HashMap;
 
@@ -29,7 +31,7 @@
 pub struct Desk {
     house: House,
     router: Router,
-    caches: Door,
+    servers: Door,
     zones: Door,
     request_ids: HashMap<u64, RequestId>,
     wire_ids: HashMap<RequestId, u64>,
@@ -37,14 +39,14 @@
 
 /// Writes what the router wants done as actions of the wire.
 struct Pen<'a> {
-    caches: &'a Door,
+    servers: &'a Door,
     wire_ids: &'a HashMap<RequestId, u64>,
     actions: &'a mut Vec<Value>,
 }
 
 impl Carrier for Pen<'_> {
-    fn start_attempt(&mut self, request_id: RequestId, cache: Cache, until: Tenths, _by: Tenths) {
-        let (req, node) = (self.wire_ids[&request_id], &self.caches.names[cache]);
+    fn start_attempt(&mut self, request_id: RequestId, server: ServerIndex, until: Tenths, _by: Tenths) {
+        let (req, node) = (self.wire_ids[&request_id], &self.servers.names[server]);
         self.actions
             .push(json!({"kind": "ROUTE", "req": req, "node": node, "notPastNs": until * NS_PER_TENTH}));
     }
@@ -59,8 +61,8 @@
     fn abandon(&mut self, request_id: RequestId) {
         self.actions.push(json!({"kind": "RESPOND_ERROR", "req": self.wire_ids[&request_id]}));
     }
-    fn probe(&mut self, cache: Cache) {
-        self.actions.push(json!({"kind": "POLL", "node": self.caches.names[cache]}));
+    fn probe(&mut self, server: ServerIndex) {
+        self.actions.push(json!({"kind": "POLL", "node": self.servers.names[server]}));
     }
     fn wake(&mut self, token: u64, after: Tenths) {
         self.actions.push(json!({"kind": "REMIND", "name": token, "offsetNs": after * NS_PER_TENTH}));
@@ -68,8 +70,8 @@
     fn watch(&mut self) {
         self.actions.push(json!({"kind": "SUBSCRIBE", "active": true}));
     }
-    fn log(&mut self, event: &str, cache: &str) {
-        let text = format!("{event} {cache}");
+    fn log(&mut self, event: &str, server: &str) {
+        let text = format!("{event} {server}");
         self.actions.push(json!({"kind": "REMARK", "noteText": text.trim_end()}));
     }
 }
@@ -95,13 +97,13 @@
 }
 
 /// What is wrong with a list's entries, if anything, before any instance acts on them.
-pub fn entries(inventory: &Object) -> Read<Vec<Object>> {
+pub fn endpoints(inventory: &Object) -> Read<Vec<Object>> {
     let read = list(inventory, "entries")?.iter().map(|v| {
         let e = object(v, "field entries")?;
         for name in ["node", "dc", "model"] {
             text(e, name)?;
         }
-        standing(text(e, "state")?)?;
+        status(text(e, "state")?)?;
         whole_or(e, "cluster", 0)?;
         whole_or(e, "bornNs", 0)?;
         Ok(e.clone())
@@ -109,11 +111,11 @@
     read.collect()
 }
 
-fn standing(state: &str) -> Read<Standing> {
+fn status(state: &str) -> Read<EndpointStatus> {
     match state {
-        "in_service" => Ok(Standing::Ready),
-        "terminating" => Ok(Standing::Draining),
-        "terminated" => Ok(Standing::Gone),
+        "in_service" => Ok(EndpointStatus::Ready),
+        "terminating" => Ok(EndpointStatus::Draining),
+        "terminated" => Ok(EndpointStatus::Gone),
         other => Err(format!("field state: expected a state of a cache node, got \"{other}\"")),
     }
 }
@@ -127,12 +129,12 @@
         house.zones.iter().for_each(|z| {
             zones.index_of(z);
         });
-        let caches = Door::default();
-        let pen = &mut Pen { caches: &caches, wire_ids: &HashMap::new(), actions };
+        let servers = Door::default();
+        let pen = &mut Pen { servers: &servers, wire_ids: &HashMap::new(), actions };
         Ok(Desk {
             router: Router::new(seed, &house.rules, pen),
             house,
-            caches,
+            servers,
             zones,
             request_ids: HashMap::new(),
             wire_ids: HashMap::new(),
@@ -165,7 +167,7 @@
             "DONE" | "ACCEPTED" | "HEALTH_RESULT" => Some(text(event, "node")?),
             _ => None,
         };
-        let pen = &mut Pen { caches: &self.caches, wire_ids: &self.wire_ids, actions };
+        let pen = &mut Pen { servers: &self.servers, wire_ids: &self.wire_ids, actions };
         let router = &mut self.router;
         match kind {
             "DONE" => {
@@ -195,8 +197,8 @@
             "WAKEUP" => router.woken(whole(event, "name")?, pen),
             "HEALTH_RESULT" => {
                 let answered = outcome(text(event, "reason")?)? == AttemptOutcome::Completed;
-                if let Some(cache) = node.and_then(|n| self.caches.index.get(n)) {
-                    router.probed(*cache, answered, pen);
+                if let Some(server) = node.and_then(|n| self.servers.index.get(n)) {
+                    router.probed(*server, answered, pen);
                 }
             }
             "FROM_PEER" => {
@@ -239,7 +241,7 @@
         let request_id = self.router.take(ns, key, write, expires);
         self.request_ids.insert(req, request_id);
         self.wire_ids.insert(request_id, req);
-        let mut pen = Pen { caches: &self.caches, wire_ids: &self.wire_ids, actions };
+        let mut pen = Pen { servers: &self.servers, wire_ids: &self.wire_ids, actions };
         request_id.route(&mut self.router, &mut pen);
         Ok(())
     }
@@ -251,27 +253,27 @@
         actions: &mut Vec<Value>,
     ) -> Read<()> {
         let scope = text(event, "scope")?;
-        let mut entries = Vec::new();
+        let mut endpoints = Vec::new();
         if scope != "Error" {
             let number = whole(event, "buffer")?;
             let undeclared = || format!("field buffer: expected the number of a declared list, got {number}");
             for e in lists.get(&number).ok_or_else(undeclared)? {
-                entries.push(Entry {
-                    cache: self.caches.index_of(text(e, "node")?),
+                endpoints.push(Endpoint {
+                    server: self.servers.index_of(text(e, "node")?),
                     id: text(e, "node")?,
                     zone: self.zones.index_of(text(e, "dc")?),
                     kind: place_of(&self.house.kinds, text(e, "model")?, "model", "kind")?,
                     cell: whole_or(e, "cluster", 0)?,
                     size: size(e, "powerHint")?,
-                    standing: standing(text(e, "state")?)?,
+                    status: status(text(e, "state")?)?,
                     born: whole_or(e, "bornNs", 0)? / NS_PER_TENTH,
                 });
             }
         }
-        let pen = &mut Pen { caches: &self.caches, wire_ids: &self.wire_ids, actions };
+        let pen = &mut Pen { servers: &self.servers, wire_ids: &self.wire_ids, actions };
         match scope {
-            "Partial" => self.router.list_changes(&entries, pen),
-            "Complete" | "Persisted" => self.router.list_whole(&entries, pen),
+            "Partial" => self.router.list_changes(&endpoints, pen),
+            "Complete" | "Persisted" => self.router.list_whole(&endpoints, pen),
             "Error" => self.router.discovery_call_failed(0, pen),
             other => return Err(format!("field scope: expected a kind of list, got \"{other}\"")),
         }
--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -49,7 +49,7 @@
         actions: &mut Vec<Value>,
     ) -> Read<()> {
         if kind == "INVENTORY" {
-            self.lists.insert(whole(event, "buffer")?, desk::entries(event)?);
+            self.lists.insert(whole(event, "buffer")?, desk::endpoints(event)?);
             return Ok(());
         }
         let proxy = proxy.ok_or("field proxy: missing, expected a whole number")?;
--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -9,6 +9,6 @@
 mod tape;
 
 pub use file::{Keep, Writer, segments};
-pub use record::{Block, Call, Done, Item, Line, MARK, Read, Told, framed, read};
+pub use record::{Block, Call, Done, Item, MARK, Read, RecordedEndpoint, Told, framed, read};
 pub use replay::{Difference, Replay, cut, replay};
 pub use tape::Tape;
--- a/crates/capture/src/record.rs
+++ b/crates/capture/src/record.rs
@@ -1,24 +1,24 @@
-//! The form of a capture, version 2 (1 had no sizes of caches): a mark, then items, each with its length and checksum.
+//! The form of a capture, version 2 (1 had no sizes of servers): a mark, then items, each with its length and checksum.
 
-use chalkwalk_policy::{AttemptOutcome, Cache, Entry, Standing, Tenths};
+use chalkwalk_policy::{AttemptOutcome, Endpoint, EndpointStatus, ServerIndex, Tenths};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 pub const MARK: &[u8] = b"chalkwalk capture 2\n";
 const HEAD: usize = 8;
-/// Longer items are no capture's: a block is some kilobytes, a list of ten thousand caches a megabyte.
+/// Longer items are no capture's: a block is some kilobytes, a list of ten thousand servers a megabyte.
 const LONGEST: usize = 16 << 20;
 
 /// One line of the list as the module was told it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Line {
-    pub cache: Cache,
+pub struct RecordedEndpoint {
+    pub server: ServerIndex,
     pub id: String,
     pub zone: usize,
     pub kind: usize,
     pub cell: u64,
     pub size: u64,
-    pub standing: u8,
+    pub status: u8,
     pub born: Tenths,
 }
 
@@ -36,7 +36,7 @@
         key: String,
         write: bool,
         expires: Tenths,
-        order: Option<Vec<Cache>>,
+        order: Option<Vec<ServerIndex>>,
     },
     Ended {
         request_id: u64,
@@ -44,16 +44,16 @@
         outcome: u8,
         took: Tenths,
         finished: bool,
-        order: Option<Vec<Cache>>,
+        order: Option<Vec<ServerIndex>>,
     },
     Woken(u64),
     Probed {
-        cache: Cache,
+        server: ServerIndex,
         answered: bool,
     },
     Listed {
         whole: bool,
-        lines: Vec<Line>,
+        lines: Vec<RecordedEndpoint>,
     },
     /// A call to discovery failed, in captures of versions that did not tell how long it took.
     Lost,
@@ -71,7 +71,7 @@
         words: Vec<u64>,
         texts: Vec<String>,
     },
-    /// Operators took a cache out or put it back.
+    /// Operators took a server out or put it back.
     Barred {
         id: String,
         out: bool,
@@ -93,7 +93,7 @@
 pub enum Done {
     StartAttempt {
         request_id: u64,
-        cache: Cache,
+        server: ServerIndex,
         until: Tenths,
         by: Tenths,
     },
@@ -106,7 +106,7 @@
         back_in: Tenths,
     },
     Abandon(u64),
-    Probe(Cache),
+    Probe(ServerIndex),
     Wake {
         token: u64,
         after: Tenths,
@@ -114,10 +114,10 @@
     Watch,
     Log {
         event: String,
-        cache: String,
+        server: String,
     },
     /// In captures of versions before the move: connections are not given back since.
-    GiveBack(Cache),
+    GiveBack(ServerIndex),
 }
 
 impl Told {
@@ -251,27 +251,27 @@
     OUTCOMES.get(usize::from(number)).copied()
 }
 
-const STANDINGS: [Standing; 3] = [Standing::Ready, Standing::Draining, Standing::Gone];
+const STATUSES: [EndpointStatus; 3] = [EndpointStatus::Ready, EndpointStatus::Draining, EndpointStatus::Gone];
 
-impl Line {
-    pub fn of(e: &Entry) -> Line {
-        let standing = STANDINGS.iter().position(|s| *s == e.standing).unwrap_or(0) as u8;
-        Line {
-            cache: e.cache,
+impl RecordedEndpoint {
+    pub fn of(e: &Endpoint) -> RecordedEndpoint {
+        let status = STATUSES.iter().position(|s| *s == e.status).unwrap_or(0) as u8;
+        RecordedEndpoint {
+            server: e.server,
             id: e.id.into(),
             zone: e.zone,
             kind: e.kind,
             cell: e.cell,
             size: e.size,
-            standing,
+            status,
             born: e.born,
         }
     }
 
     /// As the module takes it; nothing for a standing that is none.
-    pub fn entry(&self) -> Option<Entry<'_>> {
-        let standing = *STANDINGS.get(usize::from(self.standing))?;
-        let Line { cache, zone, kind, cell, size, born, .. } = *self;
-        Some(Entry { cache, id: &self.id, zone, kind, cell, size, standing, born })
+    pub fn entry(&self) -> Option<Endpoint<'_>> {
+        let status = *STATUSES.get(usize::from(self.status))?;
+        let RecordedEndpoint { server, zone, kind, cell, size, born, .. } = *self;
+        Some(Endpoint { server, id: &self.id, zone, kind, cell, size, status, born })
     }
 }
--- a/crates/capture/src/replay.rs
+++ b/crates/capture/src/replay.rs
@@ -1,17 +1,17 @@
 //! The calls of a capture made again to a module of now, and where it decides otherwise.
 
-use crate::record::{Block, Call, Done, Item, Line, Told, outcome};
+use crate::record::{Block, Call, Done, Item, RecordedEndpoint, Told, outcome};
 use std::collections::BTreeMap;
 
-use chalkwalk_policy::{Cache, Carrier, RequestId, Router, State, Tenths};
+use chalkwalk_policy::{Carrier, RequestId, Router, ServerIndex, State, Tenths};
 
 /// Notes what the module wants.
 #[derive(Default)]
 struct Notes(Vec<Done>);
 
 impl Carrier for Notes {
-    fn start_attempt(&mut self, request_id: RequestId, cache: Cache, until: Tenths, by: Tenths) {
-        self.0.push(Done::StartAttempt { request_id: request_id.0, cache, until, by });
+    fn start_attempt(&mut self, request_id: RequestId, server: ServerIndex, until: Tenths, by: Tenths) {
+        self.0.push(Done::StartAttempt { request_id: request_id.0, server, until, by });
     }
     fn cancel_attempt(&mut self, request_id: RequestId, attempt: usize) {
         self.0.push(Done::CancelAttempt { request_id: request_id.0, attempt });
@@ -22,8 +22,8 @@
     fn abandon(&mut self, request_id: RequestId) {
         self.0.push(Done::Abandon(request_id.0));
     }
-    fn probe(&mut self, cache: Cache) {
-        self.0.push(Done::Probe(cache));
+    fn probe(&mut self, server: ServerIndex) {
+        self.0.push(Done::Probe(server));
     }
     fn wake(&mut self, token: u64, after: Tenths) {
         self.0.push(Done::Wake { token, after });
@@ -31,8 +31,8 @@
     fn watch(&mut self) {
         self.0.push(Done::Watch);
     }
-    fn log(&mut self, event: &str, cache: &str) {
-        self.0.push(Done::Log { event: event.into(), cache: cache.into() });
+    fn log(&mut self, event: &str, server: &str) {
+        self.0.push(Done::Log { event: event.into(), server: server.into() });
     }
 }
 
@@ -205,7 +205,7 @@
             if router.state() != Some(State { words: words.clone(), texts: texts.clone() }) {
                 out.0.push(Done::Log {
                     event: "another state than the snapshot's".into(),
-                    cache: String::new(),
+                    server: String::new(),
                 });
             }
         }
@@ -227,12 +227,12 @@
             request_id.attempt_ended(router, *attempt, outcome(*number)?, *took, *finished, out);
         }
         Told::Woken(token) => router.woken(*token, out),
-        Told::Probed { cache, answered } => router.probed(*cache, *answered, out),
+        Told::Probed { server, answered } => router.probed(*server, *answered, out),
         Told::Listed { whole, lines } => {
-            let entries = lines.iter().map(Line::entry).collect::<Option<Vec<_>>>()?;
+            let endpoints = lines.iter().map(RecordedEndpoint::entry).collect::<Option<Vec<_>>>()?;
             match whole {
-                true => router.list_whole(&entries, out),
-                false => router.list_changes(&entries, out),
+                true => router.list_whole(&endpoints, out),
+                false => router.list_changes(&endpoints, out),
             }
         }
         Told::Lost => router.discovery_call_failed(0, out),
--- a/crates/capture/src/tape.rs
+++ b/crates/capture/src/tape.rs
@@ -1,7 +1,7 @@
 //! Calls put together into blocks on the proxy's own thread; what takes the blocks may be slow, and then they are counted as lost.
 
-use crate::record::{Block, Call, Done, Item, Line, Told, framed, number_of};
-use chalkwalk_policy::{AttemptOutcome, Entry, State, Tenths};
+use crate::record::{Block, Call, Done, Item, RecordedEndpoint, Told, framed, number_of};
+use chalkwalk_policy::{AttemptOutcome, Endpoint, State, Tenths};
 use std::collections::BTreeMap;
 
 /// A block goes out once it holds so many calls, or its first is so old: a crash loses what is in one.
@@ -97,8 +97,8 @@
         );
     }
 
-    pub fn listed(&mut self, now: Tenths, whole: bool, entries: &[Entry]) {
-        self.told(now, Told::Listed { whole, lines: entries.iter().map(Line::of).collect() });
+    pub fn listed(&mut self, now: Tenths, whole: bool, endpoints: &[Endpoint]) {
+        self.told(now, Told::Listed { whole, lines: endpoints.iter().map(RecordedEndpoint::of).collect() });
     }
 
     /// Hands on what is there. After calls that nobody took a gap goes first.
--- a/crates/capture/tests/replay.rs
+++ b/crates/capture/tests/replay.rs
@@ -1,7 +1,9 @@
 //! A day of random troubles played to the module, captured, cut at any point, and replayed.
 
 use chalkwalk_capture::{Done, Item, Read, Tape, Told, cut, framed, read, replay};
-use chalkwalk_policy::{AttemptOutcome, Cache, Carrier, Entry, RequestId, Router, Standing, Tenths};
+use chalkwalk_policy::{
+    AttemptOutcome, Carrier, Endpoint, EndpointStatus, RequestId, Router, ServerIndex, Tenths,
+};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::cell::RefCell;
@@ -20,8 +22,8 @@
 }
 
 impl Carrier for Outside {
-    fn start_attempt(&mut self, request_id: RequestId, cache: Cache, until: Tenths, by: Tenths) {
-        self.tape.done(Done::StartAttempt { request_id: request_id.0, cache, until, by });
+    fn start_attempt(&mut self, request_id: RequestId, server: ServerIndex, until: Tenths, by: Tenths) {
+        self.tape.done(Done::StartAttempt { request_id: request_id.0, server, until, by });
         let nth = self.of.entry(request_id.0).or_default();
         self.attempts.push((request_id, *nth, self.now));
         *nth += 1;
@@ -35,9 +37,9 @@
     fn abandon(&mut self, request_id: RequestId) {
         self.tape.done(Done::Abandon(request_id.0));
     }
-    fn probe(&mut self, cache: Cache) {
-        self.tape.done(Done::Probe(cache));
-        self.wakes.push((self.now + 100, u64::MAX - cache as u64));
+    fn probe(&mut self, server: ServerIndex) {
+        self.tape.done(Done::Probe(server));
+        self.wakes.push((self.now + 100, u64::MAX - server as u64));
     }
     fn wake(&mut self, token: u64, after: Tenths) {
         self.tape.done(Done::Wake { token, after });
@@ -46,8 +48,8 @@
     fn watch(&mut self) {
         self.tape.done(Done::Watch);
     }
-    fn log(&mut self, event: &str, cache: &str) {
-        self.tape.done(Done::Log { event: event.into(), cache: cache.into() });
+    fn log(&mut self, event: &str, server: &str) {
+        self.tape.done(Done::Log { event: event.into(), server: server.into() });
     }
 }
 
@@ -131,22 +133,23 @@
             _ if step == 0 || below(200) == 0 => {
                 let entry = |i: usize| {
                     let kind = usize::from(i == 8);
-                    let standing = if i == 8 || below(6) > 0 { Standing::Ready } else { Standing::Draining };
+                    let status =
+                        if i == 8 || below(6) > 0 { EndpointStatus::Ready } else { EndpointStatus::Draining };
                     let born = if below(4) == 0 { now - below(60_000) } else { 0 };
-                    Entry {
-                        cache: i,
+                    Endpoint {
+                        server: i,
                         id: &ids[i],
                         zone: i % 2,
                         kind,
                         cell: 0,
                         size: 100 + 50 * (i as u64 % 2),
-                        standing,
+                        status,
                         born,
                     }
                 };
-                let entries: Vec<Entry> = (0..9).map(entry).collect();
-                o.tape.listed(now, true, &entries);
-                router.list_whole(&entries, &mut o);
+                let endpoints: Vec<Endpoint> = (0..9).map(entry).collect();
+                o.tape.listed(now, true, &endpoints);
+                router.list_whole(&endpoints, &mut o);
             }
             0..7 => {
                 let (ns, key, write) = (below(2) as usize, format!("k{}", below(60)), below(10) == 0);
@@ -177,9 +180,9 @@
                 let Some(i) = (0..o.wakes.len()).find(|i| o.wakes[*i].0 <= now) else { continue };
                 let (_, token) = o.wakes.swap_remove(i);
                 if token > u64::MAX - 100 {
-                    let (cache, answered) = ((u64::MAX - token) as usize, below(2) == 0);
-                    o.tape.told(now, Told::Probed { cache, answered });
-                    router.probed(cache, answered, &mut o);
+                    let (server, answered) = ((u64::MAX - token) as usize, below(2) == 0);
+                    o.tape.told(now, Told::Probed { server, answered });
+                    router.probed(server, answered, &mut o);
                 } else {
                     o.tape.told(now, Told::Woken(token));
                     router.woken(token, &mut o);
@@ -280,8 +283,8 @@
         .expect("a shot");
     let call = &mut block.calls[at];
     for done in &mut call.done {
-        if let Done::StartAttempt { cache, .. } = done {
-            *cache += 1;
+        if let Done::StartAttempt { server, .. } = done {
+            *server += 1;
         }
     }
     let (told, was) = (call.told.clone(), call.done.clone());
--- a/crates/console/src/lib.rs
+++ b/crates/console/src/lib.rs
@@ -1,6 +1,6 @@
 //! The operators' door: HTTP/1.1, one call to a connection, on a listener of its own.
 //!
-//! It may use `http1` and `net`. No request, cache connection or decision ever enters it, and no other door: what a call does
+//! It may use `http1` and `net`. No request, server connection or decision ever enters it, and no other door: what a call does
 //! is behind `Controls`. What it holds is its own: so many callers, whose connections no request can take and which take none
 //! of a request's.
 
@@ -48,8 +48,8 @@
 pub trait Controls {
     /// Whether this process is ready to serve.
     fn ready(self: Rc<Self>) -> Doing;
-    /// Leaves a cache out, or puts it back.
-    fn cache(self: Rc<Self>, id: String, out: bool) -> Doing;
+    /// Leaves a server out, or puts it back.
+    fn server(self: Rc<Self>, id: String, out: bool) -> Doing;
     /// Empties the proxy, or ends that.
     fn service(self: Rc<Self>, out: bool) -> Doing;
 }
@@ -135,7 +135,7 @@
             let id =
                 percent_decode_str(part).decode_utf8().ok().filter(|id| !id.is_empty()).map(String::from);
             let Some(id) = id else { return (400, "an id that makes no sense\n") };
-            ("POST", Box::new(move || controls.cache(id, word == "offline")))
+            ("POST", Box::new(move || controls.server(id, word == "offline")))
         }
         _ => return (404, "no such call\n"),
     };
--- a/crates/core/src/answer.rs
+++ b/crates/core/src/answer.rs
@@ -1,4 +1,4 @@
-//! What a request is to the core: something that can be written to a cache, and whose answer is bytes with a verdict.
+//! What a request is to the core: something that can be written to a server, and whose answer is bytes with a verdict.
 
 use chalkwalk_limits::RequestAttributes;
 use chalkwalk_net::Held;
@@ -23,7 +23,7 @@
 /// The one final answer of a request, to be worded by the door it came by.
 pub struct Answer {
     pub verdict: Verdict,
-    /// What the body is, in the cache's own words; empty if it did not say.
+    /// What the body is, in the server's own words; empty if it did not say.
     pub kind: String,
     pub body: Vec<u8>,
     /// Its part of the room for long answers.
@@ -32,7 +32,7 @@
     pub flow: Option<Flow>,
 }
 
-/// The rest of an answer, part by part as a cache gives it. One part waits at most: who takes it slowly slows the cache.
+/// The rest of an answer, part by part as a server gives it. One part waits at most: who takes it slowly slows the server.
 pub struct Flow {
     /// Of the whole body in bytes, where it is told.
     pub length: Option<u64>,
@@ -92,13 +92,13 @@
     }
     /// One of its attempts has ended; told before it is asked for the order again.
     fn ended(&self, _ending: AttemptOutcome) {}
-    /// Writes it whole to a cache, and how long it will be waited for.
+    /// Writes it whole to a server, and how long it will be waited for.
     fn write_to<'a>(&'a self, stream: &'a Async<TcpStream>, left: Tenths) -> Wait<'a, io::Result<()>>;
-    /// Reads what the cache says to it; `None` if the connection broke or nothing of it can be read.
+    /// Reads what the server says to it; `None` if the connection broke or nothing of it can be read.
     fn hear<'a>(&'a self, stream: &'a Async<TcpStream>) -> Wait<'a, Option<Heard>>;
 }
 
-/// How a cache is asked whether it answers at all, in its own protocol.
+/// How a server is asked whether it answers at all, in its own protocol.
 pub trait Probe {
     /// Whether it does, and whether the connection may carry an attempt after it.
     fn probe<'a>(&'a self, stream: &'a Async<TcpStream>) -> Wait<'a, Option<bool>>;
--- a/crates/core/src/book.rs
+++ b/crates/core/src/book.rs
@@ -2,11 +2,11 @@
 //! at a time; what the router wants is only noted, and taken up by `flow` once the call is over.
 
 use crate::answer::{Answer, Ask, Verdict};
-use crate::members::{Changed, Line, Members};
+use crate::members::{Changed, ListedEndpoint, Members};
 use crate::pool::Conn;
 use chalkwalk_capture::{Done, Tape, Told};
 use chalkwalk_policy::admission::{Refusal, UnsentAttempt};
-use chalkwalk_policy::{AttemptOutcome, Cache, Carrier, Learned, RequestId, Router, Tenths};
+use chalkwalk_policy::{AttemptOutcome, Carrier, Learned, RequestId, Router, ServerIndex, Tenths};
 use slog::{Logger, info};
 use smol::channel::{Receiver, Sender, bounded};
 use std::cell::{Cell, RefCell};
@@ -45,14 +45,14 @@
 /// What the router wants done once the call to it is over.
 pub enum Note {
     StartAttempt(PendingAttempt),
-    Probe(Cache),
+    Probe(ServerIndex),
 }
 
 /// An attempt to be written: given up at `until`, and not written at all where that would be later than `by`.
 pub struct PendingAttempt {
     pub request_id: RequestId,
     pub attempt: usize,
-    pub cache: Cache,
+    pub server: ServerIndex,
     pub until: Tenths,
     pub by: Tenths,
     pub ask: Rc<dyn Ask>,
@@ -96,8 +96,8 @@
 }
 
 impl Carrier for Desk {
-    fn start_attempt(&mut self, request_id: RequestId, cache: Cache, until: Tenths, by: Tenths) {
-        self.done(|| Done::StartAttempt { request_id: request_id.0, cache, until, by });
+    fn start_attempt(&mut self, request_id: RequestId, server: ServerIndex, until: Tenths, by: Tenths) {
+        self.done(|| Done::StartAttempt { request_id: request_id.0, server, until, by });
         let Some(open) = self.open.get_mut(&request_id) else { return };
         let handle = Rc::new(AttemptHandle::new());
         let attempt = open.handles.len();
@@ -107,7 +107,7 @@
         self.notes.push(Note::StartAttempt(PendingAttempt {
             request_id,
             attempt,
-            cache,
+            server,
             until,
             by,
             ask,
@@ -129,9 +129,9 @@
         self.done(|| Done::Abandon(request_id.0));
         self.finish(request_id, Answer::bare(Verdict::Abandoned));
     }
-    fn probe(&mut self, cache: Cache) {
-        self.done(|| Done::Probe(cache));
-        self.notes.push(Note::Probe(cache));
+    fn probe(&mut self, server: ServerIndex) {
+        self.done(|| Done::Probe(server));
+        self.notes.push(Note::Probe(server));
     }
     fn wake(&mut self, token: u64, after: Tenths) {
         self.done(|| Done::Wake { token, after });
@@ -147,11 +147,11 @@
         self.done(|| Done::Watch);
         _ = self.wanted.try_send(());
     }
-    fn log(&mut self, event: &str, cache: &str) {
-        self.done(|| Done::Log { event: event.into(), cache: cache.into() });
-        match cache {
+    fn log(&mut self, event: &str, server: &str) {
+        self.done(|| Done::Log { event: event.into(), server: server.into() });
+        match server {
             "" => info!(self.log, "{}", event),
-            cache => info!(self.log, "{}", event; "cache" => cache),
+            server => info!(self.log, "{}", event; "cache" => server),
         }
     }
 }
@@ -326,7 +326,7 @@
         }
     }
 
-    /// So many proxies share the caches.
+    /// So many proxies share the servers.
     pub fn shared_by(&mut self, proxies: u64) {
         self.desk.told(|| Told::SharedBy(proxies));
         self.router.shared_by(proxies);
@@ -355,37 +355,37 @@
         self.house = house.clone();
     }
 
-    pub fn probed(&mut self, now: Tenths, cache: Cache, answered: bool) {
+    pub fn probed(&mut self, now: Tenths, server: ServerIndex, answered: bool) {
         let (router, desk) = self.at(now);
-        desk.told(|| Told::Probed { cache, answered });
-        router.probed(cache, answered, desk);
+        desk.told(|| Told::Probed { server, answered });
+        router.probed(server, answered, desk);
     }
 
-    /// Takes what a list says. Returns the caches that are off, and what it has changed.
+    /// Takes what a list says. Returns the servers that are off, and what it has changed.
     pub fn listed(
         &mut self,
         now: Tenths,
-        lines: &[Line],
+        lines: &[ListedEndpoint],
         (whole_list, doubted): (bool, bool),
-    ) -> (Vec<Cache>, Changed) {
-        let was_off: Vec<Cache> = self.members.off().collect();
+    ) -> (Vec<ServerIndex>, Changed) {
+        let was_off: Vec<ServerIndex> = self.members.off().collect();
         self.desk.now = now;
         self.router.clock(now);
-        let entries = self.members.take(now, lines, whole_list, doubted);
+        let endpoints = self.members.take(now, lines, whole_list, doubted);
         if let Some(tape) = &mut self.desk.tape {
-            tape.listed(now, whole_list, &entries);
+            tape.listed(now, whole_list, &endpoints);
         }
         match whole_list {
-            true => self.router.list_whole(&entries, &mut self.desk),
-            false => self.router.list_changes(&entries, &mut self.desk),
+            true => self.router.list_whole(&endpoints, &mut self.desk),
+            false => self.router.list_changes(&endpoints, &mut self.desk),
         }
         let changed = self.members.changed(&was_off);
         self.members.forget(&self.router);
         (self.members.off().collect(), changed)
     }
 
-    /// Operators take a cache out at that moment, or put it back; its place, if it has one.
-    pub fn barred(&mut self, now: Tenths, id: &str, (out, at): (bool, Tenths)) -> Option<Cache> {
+    /// Operators take a server out at that moment, or put it back; its place, if it has one.
+    pub fn barred(&mut self, now: Tenths, id: &str, (out, at): (bool, Tenths)) -> Option<ServerIndex> {
         let (router, desk) = self.at(now);
         desk.told(|| Told::Barred { id: id.into(), out, at });
         router.bar(id, out, at);
@@ -397,7 +397,7 @@
         let attempt = UnsentAttempt {
             request: pending.request_id,
             number: pending.attempt,
-            server: pending.cache,
+            server: pending.server,
             until: pending.until.min(pending.by),
             answered: self.is_over(pending.request_id),
             awaited,
@@ -405,12 +405,12 @@
         self.router.may_send(&attempt, now)
     }
 
-    /// Whether a cache may be asked anything: it is in service, and not left out by operators.
-    pub fn may_ask(&self, cache: Cache) -> bool {
-        self.router.may_ask(cache)
+    /// Whether a server may be asked anything: it is in service, and not left out by operators.
+    pub fn may_ask(&self, server: ServerIndex) -> bool {
+        self.router.may_ask(server)
     }
 
-    /// What was learned of the caches, for the process that comes after this one.
+    /// What was learned of the servers, for the process that comes after this one.
     pub fn learned(&self) -> Vec<Learned> {
         self.router.learned()
     }
@@ -429,12 +429,12 @@
         self.router.terms()
     }
 
-    /// Whether there is no cache to be asked by what was told.
+    /// Whether there is no server to be asked by what was told.
     pub fn none_ready(&self) -> bool {
         self.router.none_ready()
     }
 
-    /// Whether operators may mean a cache by this.
+    /// Whether operators may mean a server by this.
     pub fn has(&self, id: &str) -> bool {
         self.router.has(id)
     }
--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -27,7 +27,7 @@
 const PLACE_SOON: Duration = Duration::from_millis(60);
 
 pub struct Budget {
-    out: Arc<Semaphore>, // connections to caches
+    out: Arc<Semaphore>, // connections to servers
     clients: Arc<Semaphore>,
     both: Arc<Semaphore>,        // for either, as they come
     turned_away: Arc<Semaphore>, // clients that came when all of the others were busy
@@ -60,7 +60,7 @@
     }
 
     /// Takes half of all places as they become free: they are another process's of this proxy, as the two may hold no more
-    /// than one. `make_room` closes an idle connection to a cache.
+    /// than one. `make_room` closes an idle connection to a server.
     pub async fn half(&self, make_room: impl Fn()) -> Vec<Permit> {
         let mut places = Vec::new();
         for (of, half) in [&self.out, &self.clients, &self.both].into_iter().zip(self.half) {
@@ -79,7 +79,7 @@
         places
     }
 
-    /// Waits for a place for a connection to a cache; `make_room` closes one that is idle.
+    /// Waits for a place for a connection to a server; `make_room` closes one that is idle.
     pub async fn take(&self, make_room: impl Fn()) -> Permit {
         loop {
             if let Some(place) = self.out.try_acquire_arc().or_else(|| self.both.try_acquire_arc()) {
@@ -170,14 +170,14 @@
 mod tests {
     use super::*;
 
-    /// How many places there are for caches, and then for clients.
+    /// How many places there are for servers, and then for clients.
     fn places(budget: &Budget) -> (usize, usize) {
         let out: Vec<Permit> = std::iter::from_fn(|| budget.out.try_acquire_arc()).collect();
         let clients: Vec<Permit> = std::iter::from_fn(|| budget.try_client()).collect();
         (out.len(), clients.len())
     }
 
-    /// Clients that write slowly have the places that no cache needs, and two processes of a proxy have half each.
+    /// Clients that write slowly have the places that no server needs, and two processes of a proxy have half each.
     #[test]
     fn places_are_for_either_side_as_they_come_and_half_of_them_another_processs() {
         let budget = Budget::new(192);
--- a/crates/core/src/classes.rs
+++ b/crates/core/src/classes.rs
@@ -76,7 +76,7 @@
         Taking { class, time_limit: limits.time_limit.0, longest_body: limits.longest_body.0 }
     }
 
-    /// By how many proxies the caches are shared, as it was written down.
+    /// By how many proxies the servers are shared, as it was written down.
     pub fn proxies(&self) -> u64 {
         let now = self.now.borrow();
         let written = now.house.get("proxies").and_then(|n| n.parse::<f64>().ok());
--- a/crates/core/src/flow.rs
+++ b/crates/core/src/flow.rs
@@ -3,13 +3,13 @@
 use crate::answer::{Answer, Ask, Flow, Heard, Rest};
 use crate::book::{AttemptHandle, Book, Note, PendingAttempt};
 use crate::core::Core;
-use crate::members::{Changed, Line};
+use crate::members::{Changed, ListedEndpoint};
 use crate::pool::{Conn, SPARE};
 use crate::rules::Rules;
 use chalkwalk_limits::Table;
 use chalkwalk_net::{wait_until, within};
 use chalkwalk_policy::admission::{Refusal, Written};
-use chalkwalk_policy::{AttemptOutcome, Cache, RequestId, Tenths};
+use chalkwalk_policy::{AttemptOutcome, RequestId, ServerIndex, Tenths};
 use slog::{debug, info};
 use smol::channel::{Receiver, Sender, bounded};
 use smol::future::FutureExt;
@@ -28,7 +28,7 @@
     for note in notes {
         match note {
             Note::StartAttempt(pending) => core.ex.spawn(send(core.clone(), pending)).detach(),
-            Note::Probe(cache) => core.ex.spawn(probe(core.clone(), cache)).detach(),
+            Note::Probe(server) => core.ex.spawn(probe(core.clone(), server)).detach(),
         }
     }
     said
@@ -49,11 +49,11 @@
     tell(core, |book, now| book.give_up_all(now));
 }
 
-/// A source tells what the list says: the whole of it, or what changed. A doubted one brings no cache back that was told
+/// A source tells what the list says: the whole of it, or what changed. A doubted one brings no server back that was told
 /// to be off.
-pub fn listed(core: &Rc<Core>, lines: &[Line], whole_list: bool, doubted: bool) {
+pub fn listed(core: &Rc<Core>, lines: &[ListedEndpoint], whole_list: bool, doubted: bool) {
     let (off, changed) = tell(core, |book, now| book.listed(now, lines, (whole_list, doubted)));
-    off.into_iter().for_each(|cache| core.pool.forget(cache));
+    off.into_iter().for_each(|server| core.pool.forget(server));
     if changed != Changed::default() {
         info!(core.log, "servers changed"; "off" => named(&changed.off), "back" => named(&changed.back));
     }
@@ -68,10 +68,10 @@
     if more > 0 { format!("{some} and {more} more") } else { some }
 }
 
-/// Operators take a cache out at that moment, or put it back. What is idle to it is closed: it restarts meanwhile.
+/// Operators take a server out at that moment, or put it back. What is idle to it is closed: it restarts meanwhile.
 pub fn bar(core: &Rc<Core>, id: &str, out: bool, at: Tenths) {
-    let cache = tell(core, |book, now| book.barred(now, id, (out, at)));
-    cache.into_iter().for_each(|cache| core.pool.forget(cache));
+    let server = tell(core, |book, now| book.barred(now, id, (out, at)));
+    server.into_iter().for_each(|server| core.pool.forget(server));
 }
 
 /// A call to discovery failed after so long; the router will want another.
@@ -79,7 +79,7 @@
     tell(core, |book, now| book.discovery_call_failed(now, took));
 }
 
-/// So many proxies share the caches, this one included, as a source counts them.
+/// So many proxies share the servers, this one included, as a source counts them.
 pub fn shared_by(core: &Rc<Core>, proxies: u64) {
     core.book.borrow_mut().shared_by(proxies);
 }
@@ -155,12 +155,12 @@
 }
 
 /// A flow that nothing more comes of for so long, or that nobody takes more of, is broken off. The time limit is over by
-/// then, and a cache that is slow on purpose writes something each second.
+/// then, and a server that is slow on purpose writes something each second.
 const SILENCE: Duration = Duration::from_secs(10);
 
 async fn send(core: Rc<Core>, pending: PendingAttempt) {
     let begun = core.clock.now();
-    let PendingAttempt { request_id, attempt, cache, until, handle, .. } = &pending;
+    let PendingAttempt { request_id, attempt, server, until, handle, .. } = &pending;
     // Not one byte short of whole has run.
     let cut =
         |outcome| Came::Ended(if handle.written.get() { outcome } else { AttemptOutcome::NotSent }, None);
@@ -184,14 +184,14 @@
                 AttemptOutcome::Cancelled
             };
             let outcome =
-                stopped.or(pump(&core, (*cache, conn), rest, tell_parts, (handle, outcome, whole))).await;
+                stopped.or(pump(&core, (*server, conn), rest, tell_parts, (handle, outcome, whole))).await;
             (outcome, None)
         }
     };
     // The connection is closed, unless it is back in the pool, before the router hears of the ending.
     handle.hold(None);
     if outcome == AttemptOutcome::Unreachable {
-        core.pool.forget(*cache);
+        core.pool.forget(*server);
     }
     tell(&core, |book, now| book.ended(now, (*request_id, *attempt), outcome, took, answer));
 }
@@ -199,7 +199,7 @@
 /// Passes on what comes of an answer, until it ends, breaks off, or is taken no more.
 async fn pump(
     core: &Core,
-    (cache, conn): (Cache, Rc<Conn>),
+    (server, conn): (ServerIndex, Rc<Conn>),
     mut rest: Box<dyn Rest>,
     parts: Sender<Vec<u8>>,
     (handle, outcome, whole): (&AttemptHandle, AttemptOutcome, Rc<Cell<bool>>),
@@ -216,7 +216,7 @@
                 if rest.keeps()
                     && let Ok(conn) = Rc::try_unwrap(conn)
                 {
-                    core.pool.put(cache, conn);
+                    core.pool.put(server, conn);
                 }
                 return outcome;
             }
@@ -226,7 +226,7 @@
 }
 
 async fn start_attempt(core: &Rc<Core>, pending: &PendingAttempt) -> Came {
-    let PendingAttempt { cache, until, by, ask, handle, .. } = pending;
+    let PendingAttempt { server, until, by, ask, handle, .. } = pending;
     if core.clock.now() >= *until {
         return Came::Ended(AttemptOutcome::NotSent, None);
     }
@@ -245,15 +245,15 @@
     };
     handle.hold(None);
     if keep && let Ok(conn) = Rc::try_unwrap(conn) {
-        core.pool.put(*cache, conn);
+        core.pool.put(*server, conn);
     }
     Came::Ended(outcome, answer)
 }
 
 /// Writes the request to a connection; not one is written of which a part may come too late.
 async fn write(core: &Rc<Core>, pending: &PendingAttempt) -> Result<Rc<Conn>, AttemptOutcome> {
-    let PendingAttempt { request_id, cache, until, by, ask, handle, .. } = pending;
-    let conn = Rc::new(connection(core, *cache, false).await?);
+    let PendingAttempt { request_id, server, until, by, ask, handle, .. } = pending;
+    let conn = Rc::new(connection(core, *server, false).await?);
     // After a standstill what came in it is read first: a drain, an operator's word, a client's end.
     core.clock.hear().await;
     // On a process that is busy the connection and the end of the time are seen in one turn, and the client's going lies unread
@@ -262,7 +262,7 @@
     let may_send = core.book.borrow().may_send(now, pending, ask.awaited());
     if let Err(refusal) = may_send {
         core.refused.count(refusal);
-        debug!(core.log, "attempt withheld"; "cache" => cache, "why" => ?refusal);
+        debug!(core.log, "attempt withheld"; "cache" => server, "why" => ?refusal);
         if refusal == Refusal::ClientLeft {
             client_left(core, *request_id);
         }
@@ -275,7 +275,7 @@
         at: core.clock.now(),
         allowed_at: now,
         until: *until.min(by),
-        off_since: core.book.borrow().members.off_since(*cache),
+        off_since: core.book.borrow().members.off_since(*server),
         grace: core.rules.drain_grace.get(),
         awaited: ask.awaited(),
     };
@@ -283,18 +283,18 @@
     Ok(conn)
 }
 
-/// A connection to the cache, from the pool or new; else how the attempt ends that wanted it.
-async fn connection(core: &Core, cache: Cache, fresh: bool) -> Result<Conn, AttemptOutcome> {
-    let Some(addr) = core.book.borrow().members.addr(cache) else {
+/// A connection to the server, from the pool or new; else how the attempt ends that wanted it.
+async fn connection(core: &Core, server: ServerIndex, fresh: bool) -> Result<Conn, AttemptOutcome> {
+    let Some(addr) = core.book.borrow().members.addr(server) else {
         return Err(AttemptOutcome::Unreachable);
     };
-    if !fresh && let Some(conn) = core.pool.rested(cache, addr).await {
+    if !fresh && let Some(conn) = core.pool.rested(server, addr).await {
         return Ok(conn);
     }
     let permit = core.budget.take(|| core.pool.close_longest_idle()).await;
     let connected = within(core.rules.connect_time.get(), Async::<TcpStream>::connect(addr)).await;
     let stream = connected.ok_or(AttemptOutcome::Unreachable)?.map_err(|e| {
-        // Out of descriptors (EMFILE, ENFILE), buffers or ports, as Linux numbers it: that is no word on the cache.
+        // Out of descriptors (EMFILE, ENFILE), buffers or ports, as Linux numbers it: that is no word on the server.
         match e.raw_os_error() {
             Some(24 | 23 | 105 | 12 | 99) => AttemptOutcome::NotSent,
             _ => AttemptOutcome::Unreachable,
@@ -306,15 +306,15 @@
 
 // ---- probes ----
 
-async fn probe(core: Rc<Core>, cache: Cache) {
+async fn probe(core: Rc<Core>, server: ServerIndex) {
     let ask = async {
-        let conn = connection(&core, cache, true).await.ok()?;
-        if !core.book.borrow().may_ask(cache) {
+        let conn = connection(&core, server, true).await.ok()?;
+        if !core.book.borrow().may_ask(server) {
             return None;
         }
         let keep = core.probe.probe(&conn.stream).await?;
         if keep {
-            core.pool.put(cache, conn);
+            core.pool.put(server, conn);
         }
         Some(())
     };
@@ -322,7 +322,7 @@
     let answered = within(core.rules.connect_time.get() * 2, ask).await.flatten().is_some();
     if !answered {
         // What was idle to a machine that vanished is reset only when it is back, and by the first request on it.
-        core.pool.forget(cache);
+        core.pool.forget(server);
     }
-    tell(&core, |book, now| book.probed(now, cache, answered));
+    tell(&core, |book, now| book.probed(now, server, answered));
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,9 +1,9 @@
 //! The core: one proxy without its protocols. It owns the router and tells it all that happens, keeps the requests that are
-//! open and their one answer, connections by cache, descriptors, the phases of the program, its clock and its wakes.
+//! open and their one answer, connections by server, descriptors, the phases of the program, its clock and its wakes.
 //!
-//! It may use `policy`, `limits`, `membership`, `net`, smol and slog. No protocol ever enters it, neither of clients nor of caches,
-//! and no format of a list: a request comes in as something that can write itself to a cache and read what comes back (`answer::Ask`), and
-//! leaves as bytes with a verdict; a list comes in as plain lines (`members::Line`). It decides nothing.
+//! It may use `policy`, `limits`, `membership`, `net`, smol and slog. No protocol ever enters it, neither of clients nor of servers,
+//! and no format of a list: a request comes in as something that can write itself to a server and read what comes back (`answer::Ask`), and
+//! leaves as bytes with a verdict; a list comes in as plain lines (`members::ListedEndpoint`). It decides nothing.
 //!
 //! Modules point down only: `flow` and `drain` use `core`, which holds what those below it keep.
 
--- a/crates/core/src/members.rs
+++ b/crates/core/src/members.rs
@@ -1,11 +1,11 @@
-//! The caches as a list tells them, and the small indices that stand for them from here on.
+//! The servers as a list tells them, and the small indices that stand for them from here on.
 
-pub use chalkwalk_membership::Line;
-use chalkwalk_policy::{Cache, Entry, Router, Standing, Tenths};
+pub use chalkwalk_membership::ListedEndpoint;
+use chalkwalk_policy::{Endpoint, EndpointStatus, Router, ServerIndex, Tenths};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// What a list has changed, by the caches' ids in order.
+/// What a list has changed, by the servers' ids in order.
 #[derive(Debug, Default, PartialEq)]
 pub struct Changed {
     /// Draining or gone since.
@@ -14,7 +14,7 @@
     pub back: Vec<String>,
 }
 
-/// What the core itself needs of a cache.
+/// What the core itself needs of a server.
 struct Row {
     addr: SocketAddr,
     off_since: Option<Tenths>, // draining or gone, as told
@@ -24,8 +24,8 @@
 #[derive(Default)]
 pub struct Members {
     rows: Vec<Row>,
-    index: HashMap<String, Cache>,
-    free: Vec<Cache>, // below the number of rows, and no cache's
+    index: HashMap<String, ServerIndex>,
+    free: Vec<ServerIndex>, // below the number of rows, and no server's
     zones: Vec<String>,
     kinds: Vec<String>,
 }
@@ -35,27 +35,27 @@
         Members { zones: zones.to_vec(), kinds: kinds.to_vec(), ..Members::default() }
     }
 
-    pub fn addr(&self, cache: Cache) -> Option<SocketAddr> {
-        self.rows.get(cache).map(|row| row.addr)
+    pub fn addr(&self, server: ServerIndex) -> Option<SocketAddr> {
+        self.rows.get(server).map(|row| row.addr)
     }
 
-    /// The caches in service at these addresses, in that order.
-    pub fn at(&self, addrs: &[SocketAddr]) -> Vec<Cache> {
+    /// The servers in service at these addresses, in that order.
+    pub fn at(&self, addrs: &[SocketAddr]) -> Vec<ServerIndex> {
         let at =
             |addr: &SocketAddr| self.rows.iter().position(|row| row.addr == *addr && row.off_since.is_none());
         addrs.iter().filter_map(at).collect()
     }
 
-    /// Since when a cache is draining or gone, as told.
-    pub fn off_since(&self, cache: Cache) -> Option<Tenths> {
-        self.rows.get(cache)?.off_since
+    /// Since when a server is draining or gone, as told.
+    pub fn off_since(&self, server: ServerIndex) -> Option<Tenths> {
+        self.rows.get(server)?.off_since
     }
 
     /// What is off by now and was not, and the other way round, after what was off before.
-    pub fn changed(&self, was_off: &[Cache]) -> Changed {
+    pub fn changed(&self, was_off: &[ServerIndex]) -> Changed {
         let mut changed = Changed::default();
-        for (id, cache) in &self.index {
-            match (was_off.binary_search(cache).is_ok(), self.off_since(*cache).is_some()) {
+        for (id, server) in &self.index {
+            match (was_off.binary_search(server).is_ok(), self.off_since(*server).is_some()) {
                 (false, true) => changed.off.push(id.clone()),
                 (true, false) => changed.back.push(id.clone()),
                 _ => {}
@@ -66,57 +66,57 @@
         changed
     }
 
-    /// The place of a cache, if it has one.
-    pub fn place(&self, id: &str) -> Option<Cache> {
+    /// The place of a server, if it has one.
+    pub fn place(&self, id: &str) -> Option<ServerIndex> {
         self.index.get(id).copied()
     }
 
-    /// Whether the cache of this line is in service as far as was told, and has not started since the line was true.
-    pub fn serves(&self, line: &Line) -> bool {
-        let row = self.place(&line.id).map(|cache| &self.rows[cache]);
+    /// Whether the server of this line is in service as far as was told, and has not started since the line was true.
+    pub fn serves(&self, line: &ListedEndpoint) -> bool {
+        let row = self.place(&line.id).map(|server| &self.rows[server]);
         row.is_some_and(|row| row.off_since.is_none() && row.born <= line.born)
     }
 
-    /// Caches that are off.
-    pub fn off(&self) -> impl Iterator<Item = Cache> {
-        self.rows.iter().enumerate().filter(|(_, row)| row.off_since.is_some()).map(|(cache, _)| cache)
+    /// Servers that are off.
+    pub fn off(&self) -> impl Iterator<Item = ServerIndex> {
+        self.rows.iter().enumerate().filter(|(_, row)| row.off_since.is_some()).map(|(server, _)| server)
     }
 
-    /// Takes what a list says, and returns it by index for the router. Of a doubted one a cache is not ready that was told
+    /// Takes what a list says, and returns it by index for the router. Of a doubted one a server is not ready that was told
     /// to be off and has not started since.
     pub fn take<'a>(
         &mut self,
         now: Tenths,
-        lines: &'a [Line],
+        lines: &'a [ListedEndpoint],
         whole_list: bool,
         doubted: bool,
-    ) -> Vec<Entry<'a>> {
+    ) -> Vec<Endpoint<'a>> {
         let was_off: Vec<Option<Tenths>> = self.rows.iter().map(|row| row.off_since).collect();
         if whole_list {
             self.rows.iter_mut().for_each(|row| _ = row.off_since.get_or_insert(now));
         }
-        let entry = |line: &'a Line| {
-            let cache = self.row(&line.id, line.addr);
-            let row = &mut self.rows[cache];
+        let entry = |line: &'a ListedEndpoint| {
+            let server = self.row(&line.id, line.addr);
+            let row = &mut self.rows[server];
             let stays_off =
-                doubted && was_off.get(cache).is_some_and(Option::is_some) && line.born <= row.born;
-            let standing = if stays_off { Standing::Draining } else { line.standing };
+                doubted && was_off.get(server).is_some_and(Option::is_some) && line.born <= row.born;
+            let status = if stays_off { EndpointStatus::Draining } else { line.status };
             (row.addr, row.born) = (line.addr, line.born);
-            let since = was_off.get(cache).copied().flatten().unwrap_or(now);
-            row.off_since = (standing != Standing::Ready).then_some(since);
+            let since = was_off.get(server).copied().flatten().unwrap_or(now);
+            row.off_since = (status != EndpointStatus::Ready).then_some(since);
             let zone = self.zones.iter().position(|z| *z == line.zone).unwrap_or_else(|| {
                 self.zones.push(line.zone.clone());
                 self.zones.len() - 1
             });
             let kind = self.kinds.iter().position(|k| *k == line.kind).unwrap_or(usize::MAX);
-            Entry {
-                cache,
+            Endpoint {
+                server,
                 id: &line.id,
                 zone,
                 kind,
                 cell: line.cell,
                 size: line.size,
-                standing,
+                status,
                 born: line.born,
             }
         };
@@ -126,26 +126,26 @@
     /// Forgets what is gone and done with, and uses its index again: ids are ever new.
     pub fn forget(&mut self, router: &Router) {
         let Members { index, free, .. } = self;
-        index.retain(|_, cache| {
-            let done = router.done_with(*cache);
-            free.extend(done.then_some(*cache));
+        index.retain(|_, server| {
+            let done = router.done_with(*server);
+            free.extend(done.then_some(*server));
             !done
         });
         free.sort_unstable();
     }
 
     fn row(&mut self, id: &str, addr: SocketAddr) -> usize {
-        if let Some(cache) = self.index.get(id) {
-            return *cache;
+        if let Some(server) = self.index.get(id) {
+            return *server;
         }
-        let cache = self.free.pop().unwrap_or(self.rows.len());
-        self.index.insert(id.to_string(), cache);
+        let server = self.free.pop().unwrap_or(self.rows.len());
+        self.index.insert(id.to_string(), server);
         let row = Row { addr, off_since: None, born: 0 };
-        match self.rows.get_mut(cache) {
+        match self.rows.get_mut(server) {
             Some(place) => *place = row,
             None => self.rows.push(row),
         }
-        cache
+        server
     }
 }
 
@@ -154,7 +154,7 @@
     use super::*;
 
     #[test]
-    fn the_place_of_a_cache_that_is_done_with_is_the_next_ones() {
+    fn the_place_of_a_server_that_is_done_with_is_the_next_ones() {
         let mut members = Members::default();
         let mut places = Vec::new();
         for id in ["amber", "birch", "birch", "cedar", "delta"] {
--- a/crates/core/src/pool.rs
+++ b/crates/core/src/pool.rs
@@ -1,9 +1,9 @@
-//! Connections to caches, and those that are idle: the last used first. None is used that is near its end, not quiet, or
+//! Connections to servers, and those that are idle: the last used first. None is used that is near its end, not quiet, or
 //! just back.
 
 use crate::budget::Permit;
 use chalkwalk_net::quiet;
-use chalkwalk_policy::Cache;
+use chalkwalk_policy::ServerIndex;
 use smol::{Async, Timer};
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -29,40 +29,40 @@
     }
 }
 
-/// Kept for each cache at most: more than are ever out at once to a cache that is not late.
+/// Kept for each server at most: more than are ever out at once to a server that is not late.
 const MOST_IDLE: usize = 64;
 
-/// How long a connection beyond the first to a cache is kept idle: what a proxy uses side by side again and again stays, as
-/// the last used goes first, and what it needed once goes back. A cache has places for so many connections, and the ones
+/// How long a connection beyond the first to a server is kept idle: what a proxy uses side by side again and again stays, as
+/// the last used goes first, and what it needed once goes back. A server has places for so many connections, and the ones
 /// that each of a hundred proxies holds idle are the ones that none of them gets when it needs one. A second gave too few
 /// back (docs/notes/fleet.md), and less would open anew what answers of a tenth of a second need side by side.
 pub const SPARE: Duration = Duration::from_millis(250);
 
-/// How long a connection rests after an answer before the next request is written to it. A cache may send a second answer some
-/// milliseconds after the first, and nothing in it tells whose it is: read as the next one's it would be a value that no cache
+/// How long a connection rests after an answer before the next request is written to it. A server may send a second answer some
+/// milliseconds after the first, and nothing in it tells whose it is: read as the next one's it would be a value that no server
 /// made for it. Those seen came 1.5 to 5.8 ms after (docs/notes/endings.md); a request that finds no other waits for the rest, which
-/// is shorter than a handshake between zones and takes no place at the cache.
+/// is shorter than a handshake between zones and takes no place at the server.
 const REST: Duration = Duration::from_millis(10);
 
 pub struct Pool {
-    idle: RefCell<HashMap<Cache, Vec<Conn>>>,
+    idle: RefCell<HashMap<ServerIndex, Vec<Conn>>>,
     longest: Duration,
     rest: Duration,
 }
 
 impl Pool {
-    /// `idle_time`: after which caches close what is idle. It is used for half of that: a cache that closes earlier than
+    /// `idle_time`: after which servers close what is idle. It is used for half of that: a server that closes earlier than
     /// it says is seen by the look at what has come.
     pub fn new(idle_time: Duration) -> Pool {
         let longest = idle_time / 2;
-        // Half of what it may be kept, where caches close very early.
+        // Half of what it may be kept, where servers close very early.
         Pool { idle: RefCell::default(), longest, rest: REST.min(longest / 2) }
     }
 
     /// The connection used last of those that have rested, if it can still be used; where none has, the one that will be
     /// first, once it has.
-    pub async fn rested(&self, cache: Cache, addr: SocketAddr) -> Option<Conn> {
-        while let Some(conn) = self.take(cache, addr) {
+    pub async fn rested(&self, server: ServerIndex, addr: SocketAddr) -> Option<Conn> {
+        while let Some(conn) = self.take(server, addr) {
             if conn.rested(self.rest) {
                 return Some(conn);
             }
@@ -74,11 +74,12 @@
         None
     }
 
-    fn take(&self, cache: Cache, addr: SocketAddr) -> Option<Conn> {
+    fn take(&self, server: ServerIndex, addr: SocketAddr) -> Option<Conn> {
         let mut idle = self.idle.borrow_mut();
-        let of_cache = idle.get_mut(&cache)?;
-        while !of_cache.is_empty() {
-            let conn = of_cache.remove(of_cache.iter().rposition(|conn| conn.rested(self.rest)).unwrap_or(0));
+        let of_server = idle.get_mut(&server)?;
+        while !of_server.is_empty() {
+            let conn =
+                of_server.remove(of_server.iter().rposition(|conn| conn.rested(self.rest)).unwrap_or(0));
             if conn.addr == addr && self.usable(&conn) {
                 return Some(conn);
             }
@@ -90,33 +91,33 @@
         conn.since.elapsed() < self.longest && quiet(&conn.stream)
     }
 
-    pub fn put(&self, cache: Cache, conn: Conn) {
+    pub fn put(&self, server: ServerIndex, conn: Conn) {
         let mut idle = self.idle.borrow_mut();
-        let of_cache = idle.entry(cache).or_default();
-        if of_cache.len() < MOST_IDLE {
-            of_cache.push(Conn { since: Instant::now(), ..conn });
+        let of_server = idle.entry(server).or_default();
+        if of_server.len() < MOST_IDLE {
+            of_server.push(Conn { since: Instant::now(), ..conn });
         }
     }
 
-    /// Closes all that is idle to a cache: what broke one connection broke the others.
-    pub fn forget(&self, cache: Cache) {
-        self.idle.borrow_mut().remove(&cache);
+    /// Closes all that is idle to a server: what broke one connection broke the others.
+    pub fn forget(&self, server: ServerIndex) {
+        self.idle.borrow_mut().remove(&server);
     }
 
-    /// Closes the connection that has been idle longest, to whatever cache.
+    /// Closes the connection that has been idle longest, to whatever server.
     pub fn close_longest_idle(&self) {
         let mut idle = self.idle.borrow_mut();
         let oldest = idle.values_mut().filter(|v| !v.is_empty()).min_by_key(|v| v[0].since);
-        oldest.map(|of_cache| of_cache.remove(0));
+        oldest.map(|of_server| of_server.remove(0));
     }
 
-    /// Gives back what is beyond one to a cache and was not used just now.
+    /// Gives back what is beyond one to a server and was not used just now.
     pub fn trim(&self) {
-        for of_cache in self.idle.borrow_mut().values_mut() {
+        for of_server in self.idle.borrow_mut().values_mut() {
             // The last used stands at the end.
-            let beyond = of_cache.len().saturating_sub(1);
-            let spare = of_cache[..beyond].iter().take_while(|conn| conn.since.elapsed() >= SPARE).count();
-            of_cache.drain(..spare);
+            let beyond = of_server.len().saturating_sub(1);
+            let spare = of_server[..beyond].iter().take_while(|conn| conn.since.elapsed() >= SPARE).count();
+            of_server.drain(..spare);
         }
     }
 
@@ -136,7 +137,7 @@
     use std::thread::sleep;
 
     /// Of six connections that were used side by side one is kept, and two of those that are used side by side all the
-    /// time: a hundred proxies hold a hundred places of a cache and not six hundred.
+    /// time: a hundred proxies hold a hundred places of a server and not six hundred.
     #[test]
     fn connections_that_were_needed_once_are_given_back() {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
--- a/crates/core/src/rules.rs
+++ b/crates/core/src/rules.rs
@@ -18,9 +18,9 @@
     /// What an operator has set, if one has.
     pub limits: Option<Table>,
     pub connect_time: Cell<Duration>,
-    /// After which a cache closes a connection that is idle.
+    /// After which a server closes a connection that is idle.
     pub idle_time: Duration,
-    /// From a drain's notice on, in which a cache still takes attempts.
+    /// From a drain's notice on, in which a server still takes attempts.
     pub drain_grace: Cell<Tenths>,
     /// That the process may hold.
     pub descriptors: usize,
--- a/crates/etcd-list/src/follow.rs
+++ b/crates/etcd-list/src/follow.rs
@@ -6,7 +6,7 @@
 use chalkwalk_core::clock::span;
 use chalkwalk_core::core::Core;
 use chalkwalk_etcd_wire::{api, path};
-use chalkwalk_membership::form::{LEAVING, read_cache, read_instance};
+use chalkwalk_membership::form::{LEAVING, read_instance, read_server};
 use chalkwalk_membership::reconcile::Change;
 use chalkwalk_net::within;
 use chalkwalk_source::Feed;
@@ -188,7 +188,7 @@
                 let mut lines = Vec::new();
                 for (key, value) in keys {
                     match key {
-                        Key::Cache(id) => match read_cache(&id, &value, &self.feed.known) {
+                        Key::ServerIndex(id) => match read_server(&id, &value, &self.feed.known) {
                             Ok(line) => lines.push(line),
                             Err(fault) => {
                                 self.feed.pass_over(&fault);
@@ -210,11 +210,13 @@
                 let mut changes: Vec<(u64, Change)> = Vec::with_capacity(all.len());
                 for (revision, key, value) in all {
                     match (key, value) {
-                        (Key::Cache(id), Some(value)) => match read_cache(&id, &value, &self.feed.known) {
-                            Ok((line, back)) => changes.push((revision, Change::Put { line, back })),
-                            Err(fault) => self.feed.pass_over(&fault),
-                        },
-                        (Key::Cache(id), None) => changes.push((revision, Change::Gone(id))),
+                        (Key::ServerIndex(id), Some(value)) => {
+                            match read_server(&id, &value, &self.feed.known) {
+                                Ok((line, back)) => changes.push((revision, Change::Put { line, back })),
+                                Err(fault) => self.feed.pass_over(&fault),
+                            }
+                        }
+                        (Key::ServerIndex(id), None) => changes.push((revision, Change::Gone(id))),
                         (Key::Proxy(name), value) => self.live(name, value.as_deref()),
                     }
                 }
--- a/crates/etcd-list/src/machine.rs
+++ b/crates/etcd-list/src/machine.rs
@@ -7,7 +7,7 @@
 use chalkwalk_policy::discovery::Retry;
 
 const SECOND: Tenths = 10_000;
-/// Of keys that a whole list, or an answer in fragments, may hold: every cache, and as many proxies.
+/// Of keys that a whole list, or an answer in fragments, may hold: every server, and as many proxies.
 const MOST_KEYS: usize = 2 * MOST_LINES;
 /// Keys a page: some 300 kB, well below the 4 MiB that gRPC takes by default.
 pub const PAGE: i64 = 1000;
@@ -20,7 +20,7 @@
 const NEXT_ENDPOINT_SPREAD: Tenths = SECOND / 2;
 /// No operator states how long a fleet may neither watch nor ask.
 const ANY_TIME: Tenths = Tenths::MAX;
-const CACHES: &[u8] = b"caches/";
+const SERVERS: &[u8] = b"caches/";
 const PROXIES: &[u8] = b"proxies/";
 
 /// What to do next.
@@ -45,7 +45,7 @@
 /// Whose key it is.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Key {
-    Cache(String),
+    ServerIndex(String),
     Proxy(String),
 }
 
@@ -240,6 +240,6 @@
             let id = std::str::from_utf8(rest.strip_prefix(prefix)?).ok()?;
             (!id.is_empty()).then(|| make(id.to_string()))
         };
-        named(CACHES, Key::Cache).or_else(|| named(PROXIES, Key::Proxy))
+        named(SERVERS, Key::ServerIndex).or_else(|| named(PROXIES, Key::Proxy))
     }
 }
--- a/crates/etcd-list/tests/machine.rs
+++ b/crates/etcd-list/tests/machine.rs
@@ -49,7 +49,7 @@
 
     fn news(&mut self, got: Result<(News, Do), String>) {
         let key = |key: &Key| match key {
-            Key::Cache(id) => id.clone(),
+            Key::ServerIndex(id) => id.clone(),
             Key::Proxy(name) => format!("proxy {name}"),
         };
         match got {
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,4 +1,4 @@
-//! What the processes of one proxy tell each other over an upgrade: caches that operators took out, whether the proxy is in
+//! What the processes of one proxy tell each other over an upgrade: servers that operators took out, whether the proxy is in
 //! service, who is ready. Each process writes a file of its own, and of what two say on a matter the later word holds.
 //!
 //! It may use serde and a checksum. No file, clock or socket ever enters it: times are passed in, files come as texts.
@@ -12,7 +12,7 @@
 /// The first word of each file, with the version of its form. Another version is not read.
 const MARK: &str = "chalkwalk-handover-1";
 
-/// Longer than any that is written: ten thousand caches out, of 60 bytes each.
+/// Longer than any that is written: ten thousand servers out, of 60 bytes each.
 pub const LONGEST: usize = 1 << 20;
 
 /// Entries that say what holds anyway are kept for so long, so that every process has read them: it does so ten times a
@@ -29,24 +29,25 @@
 /// What was learned is taken up for so long after it was written down: as long as a restart or an upgrade takes.
 const FRESH: Tenths = 600_000;
 
-/// No more caches than these are told of, with ids of at most so many bytes: a fifth of the longest file.
+/// No more servers than these are told of, with ids of at most so many bytes: a fifth of the longest file.
 const MOST_LEARNED: usize = 2000;
 const LONGEST_ID: usize = 64;
 
-/// What a process has learned of the caches, when, and on what terms: of other ones it says nothing.
+/// What a process has learned of the servers, when, and on what terms: of other ones it says nothing.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Learned {
     pub at: Tenths,
     pub terms: u64,
     /// By id: when it started, its largest weight, part and room.
-    pub caches: BTreeMap<String, [u64; 4]>,
+    #[serde(rename = "caches")]
+    pub servers: BTreeMap<String, [u64; 4]>,
 }
 
 impl Learned {
     /// The same within the bounds that are kept.
     pub fn bounded(mut self) -> Learned {
         let mut kept = 0;
-        self.caches.retain(|id, _| {
+        self.servers.retain(|id, _| {
             kept += usize::from(id.len() <= LONGEST_ID);
             id.len() <= LONGEST_ID && kept <= MOST_LEARNED
         });
@@ -57,7 +58,7 @@
     /// was set back, and as old as any.
     pub fn holds(&self, terms: u64, now: Tenths) -> bool {
         self.terms == terms
-            && !self.caches.is_empty()
+            && !self.servers.is_empty()
             && (self.at..self.at.saturating_add(FRESH)).contains(&now)
     }
 }
@@ -70,8 +71,9 @@
     pub began: Tenths,
     /// Since when it is ready, if it is.
     pub ready: Option<Tenths>,
-    /// By the ids of caches: whether each is out.
-    pub caches: BTreeMap<String, Word>,
+    /// By the ids of servers: whether each is out.
+    #[serde(rename = "caches")]
+    pub servers: BTreeMap<String, Word>,
     /// Whether the proxy is out of service.
     pub service: Word,
     /// Not in the files of versions before.
@@ -80,14 +82,14 @@
 }
 
 impl Page {
-    /// Takes what another process says. Returns the caches of which it had a later word, and whether something else
+    /// Takes what another process says. Returns the servers of which it had a later word, and whether something else
     /// holds of the service.
     pub fn merge(&mut self, other: &Page) -> (Vec<String>, bool) {
         let mut changed = Vec::new();
-        for (id, word) in &other.caches {
-            let own = self.caches.get(id).copied().unwrap_or_default();
+        for (id, word) in &other.servers {
+            let own = self.servers.get(id).copied().unwrap_or_default();
             if word.at > own.at {
-                self.caches.insert(id.clone(), *word);
+                self.servers.insert(id.clone(), *word);
                 changed.push(id.clone());
             }
         }
@@ -98,23 +100,23 @@
         (changed, self.service.out != was.out)
     }
 
-    /// An operator says that a cache is out, or back. The later word holds, also where a clock was set back in between.
-    pub fn say(&mut self, cache: &str, out: bool, now: Tenths) {
-        let at = self.caches.get(cache).map_or(now, |word| now.max(word.at + 1));
-        self.caches.insert(cache.to_string(), Word { at, out });
+    /// An operator says that a server is out, or back. The later word holds, also where a clock was set back in between.
+    pub fn say(&mut self, server: &str, out: bool, now: Tenths) {
+        let at = self.servers.get(server).map_or(now, |word| now.max(word.at + 1));
+        self.servers.insert(server.to_string(), Word { at, out });
     }
 
     pub fn say_service(&mut self, out: bool, now: Tenths) {
         self.service = Word { at: now.max(self.service.at + 1), out };
     }
 
-    pub fn is_out(&self, cache: &str) -> bool {
-        self.word(cache).out
+    pub fn is_out(&self, server: &str) -> bool {
+        self.word(server).out
     }
 
-    /// The last word on a cache.
-    pub fn word(&self, cache: &str) -> Word {
-        self.caches.get(cache).copied().unwrap_or_default()
+    /// The last word on a server.
+    pub fn word(&self, server: &str) -> Word {
+        self.servers.get(server).copied().unwrap_or_default()
     }
 
     /// Whether the other has taken over from this one.
@@ -124,7 +126,7 @@
 
     /// Forgets what was settled long ago.
     pub fn tidy(&mut self, now: Tenths) {
-        self.caches.retain(|_, word| word.out || now < word.at + SETTLED);
+        self.servers.retain(|_, word| word.out || now < word.at + SETTLED);
     }
 
     /// As it is written to a file.
--- a/crates/handover/tests/pages.rs
+++ b/crates/handover/tests/pages.rs
@@ -22,7 +22,7 @@
     new.ready = Some(140);
     seen.push(format!("{} {}", old.succeeded_by(&new), new.succeeded_by(&old)));
     old.tidy(700_000);
-    seen.push(format!("{:?}", old.caches.keys().collect::<Vec<_>>()));
+    seen.push(format!("{:?}", old.servers.keys().collect::<Vec<_>>()));
     expect![[r#"
         (["amber"], false)
         (["amber", "birch"], true)
@@ -50,8 +50,8 @@
 
 fn any_page() -> impl Strategy<Value = Page> {
     let word = || (0..20u64, any::<bool>()).prop_map(|(at, out)| Word { at: 2 * at + u64::from(out), out });
-    (prop::collection::btree_map("[abc]", word(), 0..4), word()).prop_map(|(caches, service)| Page {
-        caches,
+    (prop::collection::btree_map("[abc]", word(), 0..4), word()).prop_map(|(servers, service)| Page {
+        servers,
         service,
         ..Page::default()
     })
@@ -67,7 +67,7 @@
         one.merge(&other);
         let mut once_more = one.clone();
         prop_assert_eq!(once_more.merge(&other), (vec![], false));
-        for id in a.caches.keys().chain(b.caches.keys()) {
+        for id in a.servers.keys().chain(b.servers.keys()) {
             prop_assert_eq!(one.is_out(id), other.is_out(id));
         }
         prop_assert_eq!(one.service, other.service);
@@ -78,16 +78,16 @@
 /// long for it.
 #[test]
 fn what_was_learned_is_bounded_and_holds_for_a_minute_on_its_terms() {
-    let caches = (0..5000).map(|i| (format!("s-{i:060}"), [u64::MAX; 4])).collect();
-    let learned = Learned { at: 10_000, terms: 7, caches }.bounded();
+    let servers = (0..5000).map(|i| (format!("s-{i:060}"), [u64::MAX; 4])).collect();
+    let learned = Learned { at: 10_000, terms: 7, servers }.bounded();
     let page = Page { learned: learned.clone(), ..Page::default() };
     assert!(page.written().len() < LONGEST / 2);
     assert_eq!(Page::read(&page.written()).unwrap().learned, learned);
     let holds = [(7, 10_000), (7, 609_999), (7, 610_000), (7, 9_999), (8, 10_000)];
     let holds = holds.map(|(terms, now)| learned.holds(terms, now));
-    assert_eq!((learned.caches.len(), holds), (2000, [true, true, false, false, false]));
+    assert_eq!((learned.servers.len(), holds), (2000, [true, true, false, false, false]));
     let absurd = Learned { at: u64::MAX, ..learned.clone() };
     assert!(!absurd.holds(7, 10_000));
-    let long = Learned { caches: [("x".repeat(65), [0; 4])].into(), ..learned };
+    let long = Learned { servers: [("x".repeat(65), [0; 4])].into(), ..learned };
     assert!(!long.bounded().holds(7, 10_000));
 }
--- a/crates/house/src/lib.rs
+++ b/crates/house/src/lib.rs
@@ -200,7 +200,7 @@
     use super::*;
     use serde_json::json;
 
-    /// A window or a grace is over no later for being read, a cold cache is cold no shorter, and no limit above 0 becomes none.
+    /// A window or a grace is over no later for being read, a cold server is cold no shorter, and no limit above 0 becomes none.
     #[test]
     fn times_between_two_tenths_are_read_to_the_safe_side() {
         let settings = |ns: f64| {
--- a/crates/http-door/src/lib.rs
+++ b/crates/http-door/src/lib.rs
@@ -1,17 +1,17 @@
-//! The HTTP/1.1 door: clients' connections on one side, attempts to caches on the other, as the platform's protocol has them.
+//! The HTTP/1.1 door: clients' connections on one side, attempts to servers on the other, as the platform's protocol has them.
 //!
 //! It may use `core`, `http1`, `limits` and `net`. Another protocol's door never enters it, nor a source of the list; it decides
 //! nothing. A request passes its stages in their order: `take_in`, `admit`, `route`, the core, and `relay`.
 
 mod admit;
-mod caches;
 mod clients;
 mod door;
 mod relay;
 mod route;
+mod servers;
 mod take_in;
 
 pub use admit::DOOR;
-pub use caches::Alive;
 pub use clients::accept;
 pub use door::Door;
+pub use servers::Alive;
--- a/crates/http-door/src/relay.rs
+++ b/crates/http-door/src/relay.rs
@@ -1,6 +1,6 @@
 //! Stage "relay": the final answer, written to the client.
 
-use crate::caches::seconds;
+use crate::servers::seconds;
 use chalkwalk_core::answer::{Answer, Flow, Verdict};
 use chalkwalk_http1::reason;
 use chalkwalk_net::{Held, more, within, write_all};
@@ -91,7 +91,7 @@
     keep
 }
 
-/// A long answer, part by part; `None` if it broke off, here or at the cache.
+/// A long answer, part by part; `None` if it broke off, here or at the server.
 async fn relay_flow(
     stream: &Async<TcpStream>,
     answer: &Reply,
--- a/crates/http-door/src/caches.rs
+++ b/crates/http-door/src/servers.rs
@@ -1,4 +1,4 @@
-//! The side of the caches: a request written on as it came, what an answer says of the attempt, and probes.
+//! The side of the servers: a request written on as it came, what an answer says of the attempt, and probes.
 
 use crate::admit::HttpRequest;
 use chalkwalk_core::answer::{Answer, Ask, Heard, Probe, Rest, Verdict, Wait};
@@ -77,7 +77,7 @@
 /// An answer of unknown length is waited for so long before it flows: short beside a target time, and most are whole by then.
 const LENGTH_SHOWS: Duration = Duration::from_millis(50);
 
-/// What a cache's answer says of the attempt. One of up to 64 KiB is read whole, so that one that breaks off can be asked for
+/// What a server's answer says of the attempt. One of up to 64 KiB is read whole, so that one that breaks off can be asked for
 /// elsewhere; a longer one is passed on from its first bytes on.
 async fn read(mut answering: Answering, stream: &Async<TcpStream>, room: &Room) -> Option<Heard> {
     let message = &answering.message;
@@ -90,7 +90,7 @@
         },
         404 => AttemptOutcome::CacheMiss,
         503 | 504 if turned_away => AttemptOutcome::Overloaded,
-        // No word on the cache: a client asked for what can't be had.
+        // No word on the server: a client asked for what can't be had.
         400..=499 => AttemptOutcome::InvalidRequest,
         _ => AttemptOutcome::ServerError,
     };
--- a/crates/limits/src/budget.rs
+++ b/crates/limits/src/budget.rs
@@ -11,7 +11,7 @@
     Own(RefCell<Budget>),
 }
 
-/// A fifth of all requests may be sent once more, and a few dozen in a row: enough for a cache that fails until it is left,
+/// A fifth of all requests may be sent once more, and a few dozen in a row: enough for a server that fails until it is left,
 /// too little for a retry storm. In tenths of an attempt: what a first one brings, what a further one costs, what is there
 /// at first, and the most.
 const BRINGS: u64 = 2;
--- a/crates/limits/src/draft.rs
+++ b/crates/limits/src/draft.rs
@@ -82,7 +82,7 @@
     pub time_limit: Tenths,
     pub target: Tenths,
     pub repeats: Repeats,
-    /// In which caches drop repeats of a tagged request.
+    /// In which servers drop repeats of a tagged request.
     pub window: Tenths,
 }
 
--- a/crates/limits/src/table.rs
+++ b/crates/limits/src/table.rs
@@ -32,7 +32,7 @@
     /// `None`: up to the time limit.
     pub attempt_timeout: (Option<Tenths>, From),
     pub hedging: (bool, From),
-    /// `None`: only where a cache is silent or an attempt lost.
+    /// `None`: only where a server is silent or an attempt lost.
     pub hedge_after: (Option<u64>, From),
     /// `None`: the module's own budget for all.
     pub retry_budget: (Option<u64>, From),
--- a/crates/membership/src/count.rs
+++ b/crates/membership/src/count.rs
@@ -1,4 +1,4 @@
-//! How many proxies share the caches, as counted where they can see each other, in place of the number that was written down.
+//! How many proxies share the servers, as counted where they can see each other, in place of the number that was written down.
 
 use chalkwalk_policy::Tenths;
 
@@ -8,7 +8,7 @@
 const SPANS: usize = 7;
 const SPAN: Tenths = 10 * SECOND;
 /// Whatever is counted, never less than half of what was written: a proxy that sees few others may be the one that is cut off,
-/// and what it takes of a cold cache is at most doubled. And never more than four times that, which would leave cold caches idle.
+/// and what it takes of a cold server is at most doubled. And never more than four times that, which would leave cold servers idle.
 const LEAST_PART: u64 = 2;
 const MOST_TIMES: u64 = 4;
 
--- a/crates/membership/src/form.rs
+++ b/crates/membership/src/form.rs
@@ -1,10 +1,10 @@
-//! How caches and proxies are written down outside the platform: as values under keys, and as a file. Version 1 of both.
+//! How servers and proxies are written down outside the platform: as values under keys, and as a file. Version 1 of both.
 //!
 //! A value is a JSON object; a file is TOML or JSON with the same fields. Fields that are not known are passed over in values,
 //! so that a newer writer does not stop older proxies, and refused in files, where they are a person's slip.
 
-use crate::{Line, MOST_LINES};
-use chalkwalk_policy::{Standing, Tenths};
+use crate::{ListedEndpoint, MOST_LINES};
+use chalkwalk_policy::{EndpointStatus, Tenths};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
@@ -14,7 +14,7 @@
 /// Of an id: it goes into keys, logs and 128 points each.
 const LONGEST_ID: usize = 256;
 
-/// One cache as it is written down.
+/// One server as it is written down.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Written {
     #[serde(default, skip_serializing_if = "String::is_empty")]
@@ -57,7 +57,7 @@
 }
 
 impl Written {
-    pub fn of(line: &Line) -> Written {
+    pub fn of(line: &ListedEndpoint) -> Written {
         Written {
             id: line.id.clone(),
             addr: line.addr.to_string(),
@@ -65,14 +65,14 @@
             kind: line.kind.clone(),
             cell: line.cell,
             weight: line.size as f64 / 100.0,
-            state: if line.standing == Standing::Ready { SERVING } else { DRAINING }.into(),
+            state: if line.status == EndpointStatus::Ready { SERVING } else { DRAINING }.into(),
             started_ms: line.born / 10,
             back: false,
         }
     }
 
     /// The line, and whether it is back on purpose; or what is wrong.
-    fn read(self, known: &Known) -> Result<(Line, bool), String> {
+    fn read(self, known: &Known) -> Result<(ListedEndpoint, bool), String> {
         if self.id.is_empty() || self.id.len() > LONGEST_ID || self.id.contains(char::is_control) {
             return Err(format!("an id has 1 to {LONGEST_ID} bytes, and no control characters"));
         }
@@ -80,9 +80,9 @@
         let Ok(addr) = self.addr.parse() else {
             return wrong("addr is an address and a port, not", &self.addr);
         };
-        let standing = match self.state.as_str() {
-            SERVING => Standing::Ready,
-            DRAINING => Standing::Draining,
+        let status = match self.state.as_str() {
+            SERVING => EndpointStatus::Ready,
+            DRAINING => EndpointStatus::Draining,
             other => return wrong("state is serving or draining, not", other),
         };
         if !known.zones.is_empty() && !known.zones.contains(&self.zone) {
@@ -99,7 +99,7 @@
         }
         let (size, back) = ((self.weight * 100.0).round() as u64, self.back);
         let Written { id, zone, kind, cell, .. } = self;
-        Ok((Line { id, addr, zone, kind, cell, size, standing, born }, back))
+        Ok((ListedEndpoint { id, addr, zone, kind, cell, size, status, born }, back))
     }
 }
 
@@ -112,14 +112,14 @@
     of: T,
 }
 
-/// The value of a cache's key.
-pub fn cache_value(line: &Line) -> Vec<u8> {
+/// The value of a server's key.
+pub fn server_value(line: &ListedEndpoint) -> Vec<u8> {
     let of = Written { id: String::new(), ..Written::of(line) };
     serde_json::to_vec(&Value { v: VERSION, of }).unwrap_or_default()
 }
 
-/// What the value under a cache's key says; the id is the key's.
-pub fn read_cache(id: &str, value: &[u8], known: &Known) -> Result<(Line, bool), String> {
+/// What the value under a server's key says; the id is the key's.
+pub fn read_server(id: &str, value: &[u8], known: &Known) -> Result<(ListedEndpoint, bool), String> {
     if value.len() > LONGEST_VALUE {
         return Err(format!("{id}: a value of {} bytes is above {LONGEST_VALUE}", value.len()));
     }
@@ -164,8 +164,8 @@
     serial: Option<u64>,
     #[serde(default)]
     checksum: Option<String>,
-    #[serde(default)]
-    cache: Vec<FileLine>,
+    #[serde(default, rename = "cache")]
+    server: Vec<FileLine>,
     #[serde(default, rename = "end")]
     _end: Option<End>,
 }
@@ -198,7 +198,7 @@
 #[derive(Debug)]
 pub struct Read {
     pub serial: Option<u64>,
-    pub lines: Vec<(Line, bool)>,
+    pub lines: Vec<(ListedEndpoint, bool)>,
 }
 
 /// Faults that are told of one file; the rest is counted.
@@ -252,12 +252,12 @@
     {
         return Err(format!("its checksum is {}, and {stated} is stated", checksum(text)));
     }
-    if file.cache.len() > MOST_LINES {
-        return Err(format!("{} caches are above {MOST_LINES}", file.cache.len()));
+    if file.server.len() > MOST_LINES {
+        return Err(format!("{} caches are above {MOST_LINES}", file.server.len()));
     }
     let (mut ids, mut addrs) = (BTreeSet::new(), BTreeSet::new());
     let (mut lines, mut faults) = (Vec::new(), Vec::new());
-    for (i, c) in file.cache.into_iter().enumerate() {
+    for (i, c) in file.server.into_iter().enumerate() {
         let FileLine { id, addr, zone, kind, cell, weight, state, started_ms, back } = c;
         match (Written { id, addr, zone, kind, cell, weight, state, started_ms, back }).read(known) {
             Ok((line, back)) => {
@@ -354,7 +354,7 @@
         /// Whatever stands under a key or in a file, or whatever a good one is turned into, there is an answer and no panic.
         #[test]
         fn any_bytes_are_answered(noise in proptest::collection::vec(any::<u8>(), 0..200), at in 0usize..200, with in any::<u8>()) {
-            _ = read_cache("a", &noise, &known());
+            _ = read_server("a", &noise, &known());
             _ = read_instance(&noise);
             let mut bytes = GOOD.as_bytes().to_vec();
             bytes[at % GOOD.len()] = with;
@@ -365,10 +365,10 @@
 
         #[test]
         fn what_is_written_under_a_key_reads_back(port in any::<u16>(), cell in any::<u64>(), size in 1u64..1_000_000, born in 0u64..1 << 50, off in any::<bool>()) {
-            let standing = if off { Standing::Draining } else { Standing::Ready };
+            let status = if off { EndpointStatus::Draining } else { EndpointStatus::Ready };
             let addr = std::net::SocketAddr::from(([127, 0, 0, 1], port));
-            let line = Line { id: "a/b".into(), addr, zone: "n".into(), kind: "cache".into(), cell, size, standing, born: born * 10 };
-            prop_assert_eq!(read_cache("a/b", &cache_value(&line), &known()), Ok((line, false)));
+            let line = ListedEndpoint { id: "a/b".into(), addr, zone: "n".into(), kind: "cache".into(), cell, size, status, born: born * 10 };
+            prop_assert_eq!(read_server("a/b", &server_value(&line), &known()), Ok((line, false)));
         }
     }
 }
--- a/crates/membership/src/kept.rs
+++ b/crates/membership/src/kept.rs
@@ -1,7 +1,7 @@
 //! The list as it was last known, for a start without any source: written down whole with a checksum, and judged by its age.
 
-use crate::Line;
-use crate::form::{Known, cache_value, read_cache};
+use crate::ListedEndpoint;
+use crate::form::{Known, read_server, server_value};
 use chalkwalk_policy::Tenths;
 use serde::{Deserialize, Serialize};
 
@@ -18,7 +18,7 @@
     /// Unix time.
     pub at: Tenths,
     pub revision: u64,
-    pub lines: Vec<Line>,
+    pub lines: Vec<ListedEndpoint>,
 }
 
 #[derive(Deserialize, Serialize)]
@@ -48,7 +48,8 @@
     }
 
     pub fn text(&self) -> String {
-        let line = |l: &Line| (l.id.clone(), String::from_utf8(cache_value(l)).unwrap_or_default());
+        let line =
+            |l: &ListedEndpoint| (l.id.clone(), String::from_utf8(server_value(l)).unwrap_or_default());
         let body =
             Body { at: self.at, revision: self.revision, lines: self.lines.iter().map(line).collect() };
         let body = serde_json::to_string(&body).unwrap_or_default();
@@ -64,7 +65,7 @@
             return Err("its checksum is another".into());
         }
         let body: Body = serde_json::from_str(body).map_err(|e| e.to_string())?;
-        let line = |(id, value): &(String, String)| Ok(read_cache(id, value.as_bytes(), known)?.0);
+        let line = |(id, value): &(String, String)| Ok(read_server(id, value.as_bytes(), known)?.0);
         let lines = body.lines.iter().map(line).collect::<Result<_, String>>()?;
         Ok(Kept { at: body.at, revision: body.revision, lines })
     }
@@ -73,21 +74,21 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use chalkwalk_policy::Standing;
+    use chalkwalk_policy::EndpointStatus;
 
     #[test]
     fn a_list_reads_back_and_not_where_any_byte_is_missing_or_another() {
-        let line = |id: &str, standing| Line {
+        let line = |id: &str, status| ListedEndpoint {
             id: id.into(),
             addr: "127.0.0.1:3000".parse().unwrap(),
             zone: "n".into(),
             kind: String::new(),
             cell: 3,
             size: 150,
-            standing,
+            status,
             born: 170,
         };
-        let lines = vec![line("a", Standing::Ready), line("b \"c\"", Standing::Draining)];
+        let lines = vec![line("a", EndpointStatus::Ready), line("b \"c\"", EndpointStatus::Draining)];
         let kept = Kept { at: 100 * HOUR, revision: 9, lines };
         let (text, known) = (kept.text(), Known::default());
         assert_eq!(Kept::read(&text, &known), Ok(Kept::read(&text, &known).unwrap()));
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,7 +1,7 @@
-//! Membership: which caches there are, worked out from what sources of the list say, and how many proxies share them.
+//! Membership: which servers there are, worked out from what sources of the list say, and how many proxies share them.
 //!
 //! It may use `policy`'s plain words, serde and its formats, and crc32fast. No socket, file or clock ever enters it: times are
-//! passed in, texts go in and come out. What it decides is what the core is told of the list; which cache a request goes to
+//! passed in, texts go in and come out. What it decides is what the core is told of the list; which server a request goes to
 //! stays the module's.
 
 pub mod count;
@@ -9,12 +9,12 @@
 pub mod kept;
 pub mod reconcile;
 
-use chalkwalk_policy::{Standing, Tenths};
+use chalkwalk_policy::{EndpointStatus, Tenths};
 use std::net::SocketAddr;
 
 /// One line of a list, from whatever source.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
+pub struct ListedEndpoint {
     pub id: String,
     pub addr: SocketAddr,
     pub zone: String,
@@ -22,10 +22,10 @@
     pub cell: u64,
     /// Stated, in hundredths; 100 where nothing is stated.
     pub size: u64,
-    pub standing: Standing,
+    pub status: EndpointStatus,
     /// When its process started, Unix time; 0: long ago.
     pub born: Tenths,
 }
 
-/// The longest list that is taken: ten thousand caches are the largest fleet in mind, and as many may be on their way out.
+/// The longest list that is taken: ten thousand servers are the largest fleet in mind, and as many may be on their way out.
 pub const MOST_LINES: usize = 20_000;
--- a/crates/membership/src/reconcile.rs
+++ b/crates/membership/src/reconcile.rs
@@ -1,8 +1,8 @@
 //! What a source says, reconciled with what it said before. A state machine without I/O: each call says what the core is to be
 //! told and what the log is to say, and `due` when to call `tick`.
 
-use crate::{Line, MOST_LINES};
-use chalkwalk_policy::{Standing, Tenths};
+use crate::{ListedEndpoint, MOST_LINES};
+use chalkwalk_policy::{EndpointStatus, Tenths};
 use std::collections::BTreeMap;
 
 const SECOND: Tenths = 10_000;
@@ -11,13 +11,13 @@
 /// From then on what it says is taken, but nothing that is off comes back by it, and nothing goes because it is missing.
 /// After so long it is believed in that as well, longer than a deploy takes.
 const DOUBTED: Tenths = 60 * SECOND;
-/// More than half of the caches gone unannounced within so long is more likely a fault of the list, or of the leases behind
-/// it, than of the caches. It is believed after as long as an operator needs to look, or a source to mend itself.
+/// More than half of the servers gone unannounced within so long is more likely a fault of the list, or of the leases behind
+/// it, than of the servers. It is believed after as long as an operator needs to look, or a source to mend itself.
 const SHORT_WITHIN: Tenths = 10 * SECOND;
 const SHORT_FOR: Tenths = 30 * SECOND;
-/// Of fewer caches than these no half says anything.
+/// Of fewer servers than these no half says anything.
 const FEW: usize = 3;
-/// Returns within so long that are taken at once; further ones wait, and longer each time: a cache that flaps would move its
+/// Returns within so long that are taken at once; further ones wait, and longer each time: a server that flaps would move its
 /// keys each time, and comes back cold.
 const FLAPS: u32 = 3;
 const FLAPS_WITHIN: Tenths = 60 * SECOND;
@@ -32,7 +32,7 @@
 pub enum Trust {
     /// Revisions order it, so a drain may be taken back by what comes later.
     Ordered,
-    /// Somebody puts it together (a file): what still lists a drained cache may not have heard of the drain. It is back
+    /// Somebody puts it together (a file): what still lists a drained server may not have heard of the drain. It is back
     /// with a new start, or where it says that it is back on purpose.
     PutTogether,
 }
@@ -41,19 +41,19 @@
 pub enum Change {
     /// `back`: on purpose, though it was drained and has not started since.
     Put {
-        line: Line,
+        line: ListedEndpoint,
         back: bool,
     },
     Gone(String),
 }
 
-/// For the log: what happened, and to which cache, or none.
+/// For the log: what happened, and to which server, or none.
 pub type Note = (&'static str, String);
 
 /// What the core is told.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Told {
-    pub lines: Vec<Line>,
+    pub lines: Vec<ListedEndpoint>,
     /// The first word of this source: whatever else was known is void.
     pub whole: bool,
     pub notes: Vec<Note>,
@@ -68,10 +68,10 @@
 #[derive(Debug)]
 struct Row {
     /// What the source says of it, or said last.
-    line: Line,
+    line: ListedEndpoint,
     listed: bool,
     back: bool,
-    told: Option<Line>,
+    told: Option<ListedEndpoint>,
     /// The start that was announced to be draining.
     drained: Option<Tenths>,
     /// The start with which it was off, whether announced or missing.
@@ -86,7 +86,7 @@
 }
 
 impl Row {
-    fn new(line: Line) -> Row {
+    fn new(line: ListedEndpoint) -> Row {
         Row {
             line,
             listed: true,
@@ -103,18 +103,18 @@
         }
     }
 
-    fn standing(&self) -> Option<Standing> {
-        self.told.as_ref().map(|line| line.standing)
+    fn status(&self) -> Option<EndpointStatus> {
+        self.told.as_ref().map(|line| line.status)
     }
 
     fn serving(&self) -> bool {
-        self.standing() == Some(Standing::Ready)
+        self.status() == Some(EndpointStatus::Ready)
     }
 
     /// Listed as in service: at once, unless it comes back too often.
-    fn returned(&mut self, now: Tenths, notes: &mut Vec<Note>) -> Standing {
-        if self.standing().is_none() || self.serving() {
-            return Standing::Ready;
+    fn returned(&mut self, now: Tenths, notes: &mut Vec<Note>) -> EndpointStatus {
+        if self.status().is_none() || self.serving() {
+            return EndpointStatus::Ready;
         }
         if self.held_until == 0 {
             if now >= self.returns_since + FLAPS_WITHIN {
@@ -130,15 +130,15 @@
             }
         }
         if now < self.held_until {
-            return Standing::Draining;
+            return EndpointStatus::Draining;
         }
         (self.held_until, self.drained, self.off) = (0, None, None);
-        Standing::Ready
+        EndpointStatus::Ready
     }
 
     /// How the core is to see it.
-    fn worked_out(&mut self, now: Tenths, stays_off: bool, notes: &mut Vec<Note>) -> Standing {
-        let on = self.listed && self.line.standing == Standing::Ready && !stays_off;
+    fn worked_out(&mut self, now: Tenths, stays_off: bool, notes: &mut Vec<Note>) -> EndpointStatus {
+        let on = self.listed && self.line.status == EndpointStatus::Ready && !stays_off;
         if stays_off && !self.refused {
             notes.push(("listed as in service, and stays drained", self.line.id.clone()));
         }
@@ -148,10 +148,10 @@
         }
         match self.lost {
             _ if on => self.returned(now, notes),
-            _ if stays_off => Standing::Draining,
-            Some((_, until)) if now < until => Standing::Ready,
-            _ if self.listed => self.line.standing,
-            _ => Standing::Gone,
+            _ if stays_off => EndpointStatus::Draining,
+            Some((_, until)) if now < until => EndpointStatus::Ready,
+            _ if self.listed => self.line.status,
+            _ => EndpointStatus::Gone,
         }
     }
 }
@@ -197,7 +197,12 @@
     }
 
     /// The list as of a revision. An error is a plain sentence, and nothing of it was taken.
-    pub fn whole(&mut self, now: Tenths, revision: u64, lines: Vec<(Line, bool)>) -> Result<Told, String> {
+    pub fn whole(
+        &mut self,
+        now: Tenths,
+        revision: u64,
+        lines: Vec<(ListedEndpoint, bool)>,
+    ) -> Result<Told, String> {
         if lines.len() > MOST_LINES {
             return Err(format!("a list of {} caches is above {MOST_LINES}", lines.len()));
         }
@@ -280,9 +285,9 @@
     }
 
     /// The list as the core was told it, without what is gone.
-    pub fn lines(&self) -> Vec<Line> {
+    pub fn lines(&self) -> Vec<ListedEndpoint> {
         let told = self.rows.values().filter_map(|row| row.told.clone());
-        told.filter(|line| line.standing != Standing::Gone).collect()
+        told.filter(|line| line.status != EndpointStatus::Gone).collect()
     }
 
     /// What time alone brings: an old state is believed in the end, and what is long gone is forgotten.
@@ -292,26 +297,26 @@
             self.highest = self.revision;
         }
         self.rows.retain(|_, row| {
-            row.listed || row.standing() != Some(Standing::Gone) || now < row.gone_since + REMEMBERED
+            row.listed || row.status() != Some(EndpointStatus::Gone) || now < row.gone_since + REMEMBERED
         });
     }
 
     /// Drains hold out of whatever list, but not those of a process that is gone by now. `tick` tells of them.
-    fn drain_by(&mut self, lines: &[(Line, bool)]) {
-        for (line, _) in lines.iter().filter(|(line, _)| line.standing == Standing::Draining) {
+    fn drain_by(&mut self, lines: &[(ListedEndpoint, bool)]) {
+        for (line, _) in lines.iter().filter(|(line, _)| line.status == EndpointStatus::Draining) {
             let row = self.rows.get_mut(&line.id).filter(|row| row.serving() && row.line.born <= line.born);
             if let Some(row) = row {
-                row.line.standing = Standing::Draining;
+                row.line.status = EndpointStatus::Draining;
                 row.drained = Some(row.drained.unwrap_or(0).max(line.born));
             }
         }
     }
 
-    fn put(&mut self, line: Line, back: bool) {
+    fn put(&mut self, line: ListedEndpoint, back: bool) {
         let row = self.rows.entry(line.id.clone()).or_insert_with(|| Row::new(line.clone()));
         row.listed = true;
         row.back = back;
-        if line.standing != Standing::Ready {
+        if line.status != EndpointStatus::Ready {
             row.drained = Some(row.drained.unwrap_or(0).max(line.born));
         }
         row.line = line;
@@ -321,7 +326,7 @@
     fn stays_off(&self, row: &Row) -> bool {
         let same = |start: Option<Tenths>| start.is_some_and(|born| row.line.born <= born);
         let drained = self.trust == Trust::PutTogether && !row.back && same(row.drained);
-        let on = row.listed && row.line.standing == Standing::Ready;
+        let on = row.listed && row.line.status == EndpointStatus::Ready;
         on && (drained || (self.doubted.is_some() && same(row.off)))
     }
 
@@ -330,15 +335,15 @@
         let mut rows = std::mem::take(&mut self.rows);
         for row in rows.values_mut() {
             let stays_off = self.stays_off(row);
-            let standing = row.worked_out(now, stays_off, &mut told.notes);
-            if standing != Standing::Ready {
+            let status = row.worked_out(now, stays_off, &mut told.notes);
+            if status != EndpointStatus::Ready {
                 row.off = Some(row.off.unwrap_or(0).max(row.line.born));
             }
-            if standing == Standing::Gone && row.standing() != Some(Standing::Gone) {
+            if status == EndpointStatus::Gone && row.status() != Some(EndpointStatus::Gone) {
                 row.gone_since = now;
             }
-            let line = Line { standing, ..row.line.clone() };
-            let known = row.told.is_some() || standing != Standing::Gone;
+            let line = ListedEndpoint { status, ..row.line.clone() };
+            let known = row.told.is_some() || status != EndpointStatus::Gone;
             if known && (told.whole || row.told.as_ref() != Some(&line)) {
                 told.lines.push(line.clone());
                 row.told = Some(line);
@@ -351,7 +356,7 @@
     fn lose(&mut self, now: Tenths, told: &mut Told) {
         let doubted = self.doubted;
         for row in self.rows.values_mut() {
-            if row.listed || row.line.standing != Standing::Ready {
+            if row.listed || row.line.status != EndpointStatus::Ready {
                 row.lost = None;
             }
         }
--- a/crates/membership/tests/reconcile.rs
+++ b/crates/membership/tests/reconcile.rs
@@ -1,8 +1,8 @@
 //! What a source says in whatever order and with whatever breaks, and what the core is told of it.
 
-use chalkwalk_membership::Line;
+use chalkwalk_membership::ListedEndpoint;
 use chalkwalk_membership::reconcile::{Change, Reconciler, Told, Trust};
-use chalkwalk_policy::{Standing, Tenths};
+use chalkwalk_policy::{EndpointStatus, Tenths};
 use expect_test::expect;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -10,20 +10,29 @@
 
 const S: Tenths = 10_000;
 
-fn line(id: &str, standing: Standing, born: Tenths) -> Line {
+fn line(id: &str, status: EndpointStatus, born: Tenths) -> ListedEndpoint {
     let addr = "127.0.0.1:3000".parse().unwrap();
-    Line { id: id.into(), addr, zone: "n".into(), kind: String::new(), cell: 0, size: 100, standing, born }
+    ListedEndpoint {
+        id: id.into(),
+        addr,
+        zone: "n".into(),
+        kind: String::new(),
+        cell: 0,
+        size: 100,
+        status,
+        born,
+    }
 }
 
-fn on(id: &str, born: Tenths) -> (Line, bool) {
-    (line(id, Standing::Ready, born), false)
+fn on(id: &str, born: Tenths) -> (ListedEndpoint, bool) {
+    (line(id, EndpointStatus::Ready, born), false)
 }
 
-fn off(id: &str, born: Tenths) -> (Line, bool) {
-    (line(id, Standing::Draining, born), false)
+fn off(id: &str, born: Tenths) -> (ListedEndpoint, bool) {
+    (line(id, EndpointStatus::Draining, born), false)
 }
 
-fn put((line, back): (Line, bool)) -> Change {
+fn put((line, back): (ListedEndpoint, bool)) -> Change {
     Change::Put { line, back }
 }
 
@@ -36,7 +45,7 @@
     }
 
     fn note(&mut self, now: Tenths, told: Told) {
-        let line = |l: &Line| format!(" {}:{:?}@{}", l.id, l.standing, l.born);
+        let line = |l: &ListedEndpoint| format!(" {}:{:?}@{}", l.id, l.status, l.born);
         let lines: String = told.lines.iter().map(line).collect();
         let notes: String = told.notes.iter().map(|(event, id)| format!(" ({event} {id})")).collect();
         let whole = if told.whole { " whole" } else { "" };
@@ -45,7 +54,7 @@
         self.1 += "\n";
     }
 
-    fn whole(&mut self, now: Tenths, revision: u64, lines: Vec<(Line, bool)>) {
+    fn whole(&mut self, now: Tenths, revision: u64, lines: Vec<(ListedEndpoint, bool)>) {
         match self.0.whole(now, revision, lines) {
             Ok(told) => self.note(now, told),
             Err(fault) => self.1 += &format!("{} s {fault}\n", now / S),
@@ -138,12 +147,12 @@
 }
 
 #[test]
-fn a_file_that_still_lists_a_drained_cache_does_not_bring_it_back() {
+fn a_file_that_still_lists_a_drained_server_does_not_bring_it_back() {
     let mut d = Desk::new(Trust::PutTogether);
     d.whole(0, 1, vec![on("a", 1), on("b", 0)]);
     d.whole(S, 2, vec![off("a", 1), off("b", 0)]);
     d.whole(2 * S, 3, vec![on("a", 1), on("b", 0)]);
-    d.whole(3 * S, 4, vec![on("a", 5), (line("b", Standing::Ready, 0), true)]);
+    d.whole(3 * S, 4, vec![on("a", 5), (line("b", EndpointStatus::Ready, 0), true)]);
     // Gone by the file and back without a drain: that is what its writer wants.
     d.whole(4 * S, 5, vec![on("b", 0)]);
     d.whole(5 * S, 6, vec![on("a", 5), on("b", 0)]);
@@ -194,7 +203,7 @@
 }
 
 #[test]
-fn a_cache_that_flaps_comes_back_later_each_time_and_goes_at_once() {
+fn a_server_that_flaps_comes_back_later_each_time_and_goes_at_once() {
     let mut d = Desk::new(Trust::Ordered);
     d.whole(0, 1, vec![on("a", 1), on("b", 1)]);
     for i in 1..=5 {
@@ -253,13 +262,13 @@
     ]
 }
 
-type State = BTreeMap<String, Line>;
+type State = BTreeMap<String, ListedEndpoint>;
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 3000, rng_seed: RngSeed::Fixed(1), failure_persistence: None, ..ProptestConfig::default() })]
 
     /// The same events in whatever batches, with whatever breaks, old lists and repeats between, end in the source's own
-    /// list, and at no moment is a cache in service whose newest word is a drain.
+    /// list, and at no moment is a server in service whose newest word is a drain.
     #[test]
     fn any_order_ends_in_the_same_list_and_never_serves_what_is_drained(
         events in proptest::collection::vec(event(), 1..40),
@@ -268,8 +277,8 @@
         // The source's history: its state after each revision, and the changes between.
         let mut states = vec![State::new()];
         let mut changes = Vec::new();
-        for (i, (cache, kind)) in events.iter().enumerate() {
-            let (id, mut state) = (format!("c{cache}"), states[i].clone());
+        for (i, (server, kind)) in events.iter().enumerate() {
+            let (id, mut state) = (format!("c{server}"), states[i].clone());
             let born = state.get(&id).map_or(i as u64 + 1, |l| l.born);
             let change = match kind {
                 0 => put(off(&id, born)),
@@ -320,9 +329,9 @@
             heard = heard.max(at);
             let view = hear(&told);
             for (id, line) in &states[heard] {
-                let serving = view.get(id).is_some_and(|l| l.standing == Standing::Ready);
+                let serving = view.get(id).is_some_and(|l| l.status == EndpointStatus::Ready);
                 prop_assert!(
-                    line.standing == Standing::Ready || !serving,
+                    line.status == EndpointStatus::Ready || !serving,
                     "{id} is drained at revision {heard}, and in service"
                 );
             }
@@ -334,7 +343,7 @@
             now = now.max(due);
             view = hear(&r.tick(now));
         }
-        view.retain(|_, l| l.standing != Standing::Gone);
+        view.retain(|_, l| l.status != EndpointStatus::Gone);
         prop_assert_eq!(&view, &states[changes.len()]);
         prop_assert_eq!(r.lines(), view.into_values().collect::<Vec<_>>());
     }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,5 +1,5 @@
 //! Bytes on sockets, waits that end, and room for long messages. It may use smol and the standard library; nothing of
-//! a protocol, a request or a cache ever enters it.
+//! a protocol, a request or a server ever enters it.
 
 use smol::future::FutureExt;
 use smol::{Async, Timer};
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -280,7 +280,7 @@
     if faults.is_empty() { Ok(told) } else { Err(faults) }
 }
 
-/// Where the list of caches comes from, instead of the platform's.
+/// Where the list of servers comes from, instead of the platform's.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Membership {
     pub from: From,
--- a/crates/operator/tests/files.rs
+++ b/crates/operator/tests/files.rs
@@ -46,7 +46,7 @@
     let route =
         |when: &str, limits: &str| format!("[[route]]\nname = 'r'\n{when}\n[route.limits]\n{limits}\n");
     let files = [
-        // What caches can't bear.
+        // What servers can't bear.
         class("record", "second_copies = true"),
         class("once", "second_copies = true"),
         "[defaults]\nsecond_copies = true".into(),
--- a/crates/platform/src/call.rs
+++ b/crates/platform/src/call.rs
@@ -13,7 +13,7 @@
 use std::pin::Pin;
 use std::time::{Duration, Instant};
 
-/// The longest list: 400 bytes a line hold ten thousand caches.
+/// The longest list: 400 bytes a line hold ten thousand servers.
 const LONGEST: usize = 4 << 20;
 /// A connection that is kept from one call to the next.
 pub type Link = Cell<Option<Async<TcpStream>>>;
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,4 +1,4 @@
-//! The platform: the configuration that it hands a proxy, and its list of caches as a source.
+//! The platform: the configuration that it hands a proxy, and its list of servers as a source.
 //!
 //! It may use `core`, `http1`, `limits`, `net` and `house`. A door never enters it, nor another source.
 
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/list.rs
@@ -1,4 +1,4 @@
-//! The platform's list: which caches there are. Starts from what was known, then the whole list and a watch. Single calls are
+//! The platform's list: which servers there are. Starts from what was known, then the whole list and a watch. Single calls are
 //! `call`'s, their times `terms`'.
 
 use crate::call::{Call, Fault, Link, Said, tenths};
@@ -6,12 +6,12 @@
 use chalkwalk_core::clock::span;
 use chalkwalk_core::core::Core;
 use chalkwalk_core::flow;
-use chalkwalk_core::members::Line;
+use chalkwalk_core::members::ListedEndpoint;
 use chalkwalk_house::fields::{Object, Read, flag, list, object, size, text, text_or, whole, whole_or};
 use chalkwalk_net::wait_until;
 use chalkwalk_policy::admission::Violation;
 use chalkwalk_policy::discovery::{OLDER_HEARD, called_in_time};
-use chalkwalk_policy::{Standing, Tenths};
+use chalkwalk_policy::{EndpointStatus, Tenths};
 use serde_json::Value;
 use slog::{info, warn};
 use smol::Timer;
@@ -24,7 +24,7 @@
 
 /// So many older answers in a row are the truth: the list has started again.
 const OLD_ANSWERS: u32 = 3;
-/// From then on what it says is taken, but no cache is ready by it that was told to be off: it may have started from
+/// From then on what it says is taken, but no server is ready by it that was told to be off: it may have started from
 /// an old state. After so long it is believed in that as well, longer than a deploy takes.
 const DOUBTED: Tenths = 600_000;
 
@@ -49,26 +49,26 @@
     heard_at: Option<Instant>,
 }
 
-/// A state that this proxy does not know is none in which a cache is to be asked.
-fn standing(state: &str) -> Standing {
+/// A state that this proxy does not know is none in which a server is to be asked.
+fn status(state: &str) -> EndpointStatus {
     match state {
-        "SERVING" => Standing::Ready,
-        "DELETED" => Standing::Gone,
-        _ => Standing::Draining,
+        "SERVING" => EndpointStatus::Ready,
+        "DELETED" => EndpointStatus::Gone,
+        _ => EndpointStatus::Draining,
     }
 }
 
-fn line(line: &Value) -> Read<Line> {
+fn line(line: &Value) -> Read<ListedEndpoint> {
     let e = object(line, "field servers")?;
     let word = |name: &str| text(e, name).map(str::to_string);
-    Ok(Line {
+    Ok(ListedEndpoint {
         id: word("id")?,
         addr: address(text(e, "addr")?, "field addr")?,
         zone: word("zone")?,
         kind: text_or(e, "kind", "")?.to_string(),
         cell: whole_or(e, "cell", 0)?,
         size: size(e, "weight")?,
-        standing: standing(text(e, "state")?),
+        status: status(text(e, "state")?),
         born: whole_or(e, "started_ms", 0)? * 10,
     })
 }
@@ -98,7 +98,7 @@
     }
 }
 
-/// Tells the core the list as this proxy last had it, and returns its version, if it names any cache.
+/// Tells the core the list as this proxy last had it, and returns its version, if it names any server.
 pub fn known(core: &Rc<Core>, known: &Value) -> Option<u64> {
     let said = known.as_object()?;
     match take(core, said, true, false).and_then(|()| whole(said, "version")) {
@@ -112,7 +112,7 @@
 
 /// Tells the core what a list says. Of one that is wrong anywhere, only what it says is off.
 fn take(core: &Rc<Core>, said: &Object, whole_list: bool, doubted: bool) -> Read<()> {
-    let lines: Vec<Read<Line>> = list(said, "servers")?.iter().map(line).collect();
+    let lines: Vec<Read<ListedEndpoint>> = list(said, "servers")?.iter().map(line).collect();
     if lines.iter().any(Read::is_err) {
         take_off(core, lines.iter().flatten());
     }
@@ -125,10 +125,12 @@
 }
 
 /// Takes of a list that is not believed otherwise what it says is draining or gone, where that is news: it was told, and the
-/// next list that is believed has the last word. Not of a cache that has started since.
-fn take_off<'a>(core: &Rc<Core>, lines: impl Iterator<Item = &'a Line>) {
-    let news = |line: &&Line| line.standing != Standing::Ready && core.book.borrow().members.serves(line);
-    let off: Vec<Line> = lines.filter(news).cloned().collect();
+/// next list that is believed has the last word. Not of a server that has started since.
+fn take_off<'a>(core: &Rc<Core>, lines: impl Iterator<Item = &'a ListedEndpoint>) {
+    let news = |line: &&ListedEndpoint| {
+        line.status != EndpointStatus::Ready && core.book.borrow().members.serves(line)
+    };
+    let off: Vec<ListedEndpoint> = lines.filter(news).cloned().collect();
     if !off.is_empty() {
         flow::listed(core, &off, false, false);
     }
@@ -183,7 +185,7 @@
 }
 
 /// Calls again at once after each answer, until one fails, which it returns. A watch goes on for 200 ms after an answer, and
-/// what changes in that time counts as told: whoever rested from it would send to caches that he was told are draining. So it
+/// what changes in that time counts as told: whoever rested from it would send to servers that he was told are draining. So it
 /// is after an answer that makes no sense as well, once in a row: then all of the list is asked for.
 ///
 /// A call that seems silent is made anew, and heard until the new one is answered: it may have been slow. So is the one to the old
--- a/crates/platform/src/shape.rs
+++ b/crates/platform/src/shape.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Shape(BTreeSet<String>);
 
-/// What is known of the caches at a start may be nothing.
+/// What is known of the servers at a start may be nothing.
 const LEFT_ALONE: &str = "known";
 
 impl Shape {
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -4,7 +4,7 @@
 //! Pure: what is known outside the router, and the time, are passed in. [`Violation`] names what must not happen all the same;
 //! the core counts each at run time.
 
-use crate::plain::{Cache, Request, RequestId, Tenths};
+use crate::plain::{Request, RequestId, ServerIndex, Tenths};
 use crate::policy::Router;
 
 const MILLISECOND: Tenths = 10;
@@ -19,7 +19,7 @@
     pub request: RequestId,
     /// Its place among the attempts for that request.
     pub number: usize,
-    pub server: Cache,
+    pub server: ServerIndex,
     /// The end of its time, or of the window in which a repeat is dropped, whichever is sooner.
     pub until: Tenths,
     /// Whether the client has its final answer.
@@ -127,8 +127,8 @@
     }
 
     /// Whether a server, or the origin, is in service as notified, and not out by an operator's word.
-    pub fn may_ask(&self, server: Cache) -> bool {
-        let ready = self.caches.get(server).is_some_and(|c| c.standing == crate::plain::Standing::Ready);
+    pub fn may_ask(&self, server: ServerIndex) -> bool {
+        let ready = self.servers.get(server).is_some_and(|c| c.status == crate::plain::EndpointStatus::Ready);
         ready && !self.is_barred(server)
     }
 
@@ -137,7 +137,7 @@
     pub(crate) fn may_repeat(
         &self,
         request: &Request,
-        server: Option<Cache>,
+        server: Option<ServerIndex>,
         then: Tenths,
         itself: Option<usize>,
     ) -> bool {
@@ -145,7 +145,7 @@
         let earlier =
             request.attempts.iter().enumerate().filter(|(i, s)| s.may_have_run && Some(*i) != itself);
         earlier.map(|(_, attempt)| attempt).all(|attempt| {
-            let (ran, next) = (&self.caches[attempt.cache], server.map(|server| &self.caches[server]));
+            let (ran, next) = (&self.servers[attempt.server], server.map(|server| &self.servers[server]));
             let drops_it = match rules.group.as_str() {
                 "all" => true,
                 group => next.is_some_and(|n| n.zone == ran.zone && (group == "zone" || n.cell == ran.cell)),
--- a/crates/policy/src/asked.rs
+++ b/crates/policy/src/asked.rs
@@ -1,7 +1,8 @@
 //! Ways into a router that decide nothing: what callers ask of it, and calls that only pass on.
 
 use crate::plain::{
-    Cache, Carrier, Held, HouseRules, Known, Learned, Request, RequestId, Standing, Tenths, mixed, point,
+    Carrier, EndpointStatus, Held, HouseRules, Learned, Request, RequestId, Server, ServerIndex, Tenths,
+    mixed, point,
 };
 use crate::policy::Router;
 use std::collections::BTreeMap;
@@ -21,13 +22,13 @@
         self.house.namespaces.len()
     }
 
-    /// Operators take a cache out at that moment, whatever any list says, or put it back. It is restarted in
+    /// Operators take a server out at that moment, whatever any list says, or put it back. It is restarted in
     /// between: back, it is as cold as one that started then, and what was held against it is void.
     pub fn bar(&mut self, id: &str, out: bool, at: Tenths) {
         _ = if out { Some(*self.barred.entry(id.into()).or_insert(at)) } else { self.barred.remove(id) };
-        for cache in (0..self.caches.len()).filter(|_| !out) {
-            if self.caches[cache].id == id {
-                self.started(cache, at);
+        for server in (0..self.servers.len()).filter(|_| !out) {
+            if self.servers[server].id == id {
+                self.started(server, at);
             }
         }
         self.rings();
@@ -41,23 +42,23 @@
         targets.chain(shape).fold(0, |seen, n| mixed(seen.rotate_left(7) ^ mixed(n + 1)))
     }
 
-    /// What was learned of the caches in service, of those where it differs from what holds at first.
+    /// What was learned of the servers in service, of those where it differs from what holds at first.
     pub fn learned(&self) -> Vec<Learned> {
-        let told = |c: &&Known| c.standing == Standing::Ready && (c.part, c.room) != (1000, 800);
+        let told = |c: &&Server| c.status == EndpointStatus::Ready && (c.part, c.room) != (1000, 800);
         let of =
-            |c: &Known| Learned { id: c.id.clone(), born: c.born, size: c.size, part: c.part, room: c.room };
-        self.caches.iter().filter(told).map(of).collect()
+            |c: &Server| Learned { id: c.id.clone(), born: c.born, size: c.size, part: c.part, room: c.room };
+        self.servers.iter().filter(told).map(of).collect()
     }
 
-    /// What a process before this one has learned on the same terms: taken up once the list names a cache that has not
+    /// What a process before this one has learned on the same terms: taken up once the list names a server that has not
     /// started since. Connections, silences, doubts, times, and all that is learned of the origin start afresh.
     pub fn carry(&mut self, learned: Vec<Learned>) {
         self.carried = learned.into_iter().map(|l| (l.id.clone(), l)).collect();
-        (0..self.caches.len()).for_each(|cache| self.recall(cache));
+        (0..self.servers.len()).for_each(|server| self.recall(server));
     }
 
-    pub(crate) fn recall(&mut self, cache: Cache) {
-        let c = &mut self.caches[cache];
+    pub(crate) fn recall(&mut self, server: ServerIndex) {
+        let c = &mut self.servers[server];
         if let Some(l) = self.carried.remove(&c.id).filter(|l| l.born == c.born) {
             // Within what could have been learned, whatever is said.
             (c.part, c.room) = (l.part.clamp(30, 1000), l.room.clamp(10, 10_000));
@@ -65,27 +66,27 @@
         }
     }
 
-    /// Whether operators have a cache out.
-    pub fn is_barred(&self, cache: Cache) -> bool {
-        self.caches.get(cache).is_some_and(|c| self.barred.contains_key(&c.id))
+    /// Whether operators have a server out.
+    pub fn is_barred(&self, server: ServerIndex) -> bool {
+        self.servers.get(server).is_some_and(|c| self.barred.contains_key(&c.id))
     }
 
-    /// Whether operators may mean this cache: it is listed, or was taken out. The origin is none.
+    /// Whether operators may mean this server: it is listed, or was taken out. The origin is none.
     pub fn has(&self, id: &str) -> bool {
-        let listed = |i: usize| Some(i) != self.origin && self.caches[i].standing != Standing::Gone;
-        self.barred.contains_key(id) || (0..self.caches.len()).any(|i| self.caches[i].id == id && listed(i))
+        let listed = |i: usize| Some(i) != self.origin && self.servers[i].status != EndpointStatus::Gone;
+        self.barred.contains_key(id) || (0..self.servers.len()).any(|i| self.servers[i].id == id && listed(i))
     }
 
-    /// Whether no cache of any zone is to be asked by what was told: none is listed as in service, or operators took all out.
+    /// Whether no server of any zone is to be asked by what was told: none is listed as in service, or operators took all out.
     pub fn none_ready(&self) -> bool {
         self.rings[2].is_empty()
     }
 
-    /// Whether nothing will name this cache any more, so that its place may be another's.
-    pub fn done_with(&self, cache: Cache) -> bool {
-        let c = &self.caches[cache];
-        let named = |l: &Request| l.attempts.iter().any(|s| s.cache == cache);
-        c.standing == Standing::Gone && c.calls == 0 && !self.requests.values().any(named)
+    /// Whether nothing will name this server any more, so that its place may be another's.
+    pub fn done_with(&self, server: ServerIndex) -> bool {
+        let c = &self.servers[server];
+        let named = |l: &Request| l.attempts.iter().any(|s| s.server == server);
+        c.status == EndpointStatus::Gone && c.calls == 0 && !self.requests.values().any(named)
     }
 
     /// Requests that are not done with yet.
@@ -93,7 +94,7 @@
         self.requests.len()
     }
 
-    /// So many proxies send to the caches, this one included, where that can be counted.
+    /// So many proxies send to the servers, this one included, where that can be counted.
     pub fn shared_by(&mut self, proxies: u64) {
         self.house.proxies = proxies.max(1);
     }
@@ -121,9 +122,9 @@
         router.place(self, out);
     }
 
-    /// Only these caches may serve it, and their order is the ring's: who holds its key is settled elsewhere.
-    pub fn ordered(self, router: &mut Router, caches: Vec<Cache>) {
-        router.requests.entry(self.0).and_modify(|l| l.order = Some(caches));
+    /// Only these servers may serve it, and their order is the ring's: who holds its key is settled elsewhere.
+    pub fn ordered(self, router: &mut Router, servers: Vec<ServerIndex>) {
+        router.requests.entry(self.0).and_modify(|l| l.order = Some(servers));
     }
 
     pub fn client_left(self, router: &mut Router, out: &mut dyn Carrier) {
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -7,6 +7,8 @@
 mod policy;
 mod state;
 
-pub use plain::{AttemptOutcome, Cache, Carrier, Entry, Learned, RequestId, Standing, Tenths, point_of};
+pub use plain::{
+    AttemptOutcome, Carrier, Endpoint, EndpointStatus, Learned, RequestId, ServerIndex, Tenths, point_of,
+};
 pub use policy::Router;
 pub use state::State;
--- a/crates/policy/src/plain.rs
+++ b/crates/policy/src/plain.rs
@@ -10,8 +10,8 @@
 /// Whole tenths of a millisecond.
 pub type Tenths = u64;
 
-/// A cache or the origin: a small index handed out at the door of one instance.
-pub type Cache = usize;
+/// A server or the origin: a small index handed out at the door of one instance.
+pub type ServerIndex = usize;
 
 /// A request that this instance has taken. Never reused within an instance's life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
     Completed,
-    /// Resolved, and the cache says that it held the value, or that it fetched it.
+    /// Resolved, and the server says that it held the value, or that it fetched it.
     CompletedFromCache,
     CompletedByFetch,
     CacheMiss,
@@ -37,7 +37,7 @@
 }
 
 impl AttemptOutcome {
-    /// Without what a cache says of where the value came from.
+    /// Without what a server says of where the value came from.
     pub(crate) fn plain(self) -> AttemptOutcome {
         if matches!(self, AttemptOutcome::CompletedFromCache | AttemptOutcome::CompletedByFetch) {
             AttemptOutcome::Completed
@@ -48,24 +48,24 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Standing {
+pub enum EndpointStatus {
     Ready,
     Draining,
     #[default]
     Gone,
 }
 
-/// One line of the list of caches.
+/// One line of the list of servers.
 #[derive(Clone, Copy, Debug)]
-pub struct Entry<'a> {
-    pub cache: Cache,
+pub struct Endpoint<'a> {
+    pub server: ServerIndex,
     pub id: &'a str,
     pub zone: usize,
     pub kind: usize,
     pub cell: u64,
     /// Stated, in hundredths; to be compared with those of others.
     pub size: u64,
-    pub standing: Standing,
+    pub status: EndpointStatus,
     pub born: Tenths,
 }
 
@@ -81,7 +81,7 @@
     pub proxies: u64,
     /// How soon discovery is called again after a call that brought nothing.
     pub discovery_retry: Retry,
-    pub through: bool, // caches fetch for themselves
+    pub through: bool, // servers fetch for themselves
     pub sizes: bool,   // what the list says of them is their own, and not their load of the moment
     pub origin_kind: Option<usize>,
     pub key_quiet: Tenths, // a key rests after an attempt that may still run, where its requests run in order
@@ -148,7 +148,7 @@
     pub late_counts: bool,
     pub in_order: bool,  // requests with one key run one at a time, as taken
     pub repeats: String, // replayable, tagged or single-use
-    pub group: String,   // which caches drop repeats of a tagged one: all, of one zone, of one cell
+    pub group: String,   // which servers drop repeats of a tagged one: all, of one zone, of one cell
     pub window: Tenths,
     pub max_attempts: usize,
     pub hedging: bool,
@@ -199,15 +199,15 @@
 
 #[derive(Default)]
 pub(crate) struct Attempt {
-    pub cache: Cache,
+    pub server: ServerIndex,
     pub sent: Tenths,
     pub company: u64,
     pub out: bool,
     pub may_have_run: bool,
     pub bad: bool,
     pub begun: bool, // its answer is on its way to the client
-    pub opens: bool, // no connection to the cache was held
-    pub fresh: bool, // the cache will likely ask the origin
+    pub opens: bool, // no connection to the server was held
+    pub fresh: bool, // the server will likely ask the origin
 }
 
 #[derive(Default)]
@@ -215,7 +215,7 @@
     pub rules: Held,
     pub key: u64,
     pub write: bool,
-    pub order: Option<Vec<Cache>>, // in place of the ring's, where it is settled elsewhere who may serve it
+    pub order: Option<Vec<ServerIndex>>, // in place of the ring's, where it is settled elsewhere who may serve it
     pub expires: Tenths,
     pub useful_until: Tenths,
     pub luck: u64, // 0 to 99: who gets the last part of a place where there is less than one
@@ -246,7 +246,7 @@
     pub rests_until: Tenths,
 }
 
-/// What one process of a proxy has learned of a cache that means the same to the next.
+/// What one process of a proxy has learned of a server that means the same to the next.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Learned {
     pub id: String,
@@ -260,16 +260,16 @@
     pub room: u64,
 }
 
-/// What this proxy knows of one cache (or of the origin).
+/// What this proxy knows of one server (or of the origin).
 #[derive(Default)]
-pub(crate) struct Known {
+pub(crate) struct Server {
     pub id: String,
     pub zone: usize,
     pub cell: u64,
     pub size: u64,        // as stated; the largest stated, where it is lowered by load
     pub held: (u64, u64), // hundredths of a request a core that it holds, as the list told before and last
     pub part: u64,        // thousandths of its keys that it keeps for what it was told to hold
-    pub standing: Standing,
+    pub status: EndpointStatus,
     pub born: Tenths,
     pub out: u64,           // own attempts in flight
     pub flows: u64,         // of these, whose answers have begun
@@ -292,15 +292,15 @@
 /// The way out: what a router wants done, each at the moment of the call.
 pub trait Carrier {
     /// Given up at `until`; not written at all where that would be later than `by`.
-    fn start_attempt(&mut self, request_id: RequestId, cache: Cache, until: Tenths, by: Tenths);
+    fn start_attempt(&mut self, request_id: RequestId, server: ServerIndex, until: Tenths, by: Tenths);
     fn cancel_attempt(&mut self, request_id: RequestId, attempt: usize);
     fn defer(&mut self, request_id: RequestId, back_in: Tenths);
     fn abandon(&mut self, request_id: RequestId);
-    fn probe(&mut self, cache: Cache);
+    fn probe(&mut self, server: ServerIndex);
     fn wake(&mut self, token: u64, after: Tenths);
     fn watch(&mut self);
-    /// A change of state, and the cache that it is of, or none.
-    fn log(&mut self, event: &str, cache: &str);
+    /// A change of state, and the server that it is of, or none.
+    fn log(&mut self, event: &str, server: &str);
 }
 
 /// Multiply-with-carry, after Marsaglia.
@@ -367,7 +367,7 @@
         self.0[4 * doubling + quarter] += 4;
     }
 
-    /// Halves what is counted, unless it is too little to tell from then on: a proxy with little traffic knows its caches by
+    /// Halves what is counted, unless it is too little to tell from then on: a proxy with little traffic knows its servers by
     /// what it heard before.
     pub fn fade(&mut self) {
         if self.0.iter().sum::<u32>() >= 160 {
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -1,51 +1,52 @@
 //! Every decision of chalkwalk stands in this file; `plain.rs` holds the types it is called with.
 //!
-//! One `Router` is one proxy. Set its clock, hand it lists of caches, and each request with `take`: its handle
+//! One `Router` is one proxy. Set its clock, hand it lists of servers, and each request with `take`: its handle
 //! takes `route(..)` once, then what happens. What it wants leaves by the `Carrier`. Same calls, same ways.
 
 use crate::discovery;
-use crate::plain::{Attempt, Learned, Standing, Tally, Tenths, leaning, mixed, point};
+use crate::plain::{Attempt, EndpointStatus, Learned, Tally, Tenths, leaning, mixed, point};
 use crate::plain::{
-    AttemptOutcome, Cache, Carrier, Chance, Entry, Held, HouseRules, Known, Line, Request, RequestId,
+    AttemptOutcome, Carrier, Chance, Endpoint, Held, HouseRules, Line, Request, RequestId, Server,
+    ServerIndex,
 };
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 const SECOND: Tenths = 10_000;
-const CACHE_TOKEN: u64 = 1 << 61; // wakes below this are requests, from here on caches
+const SERVER_TOKEN: u64 = 1 << 61; // wakes below this are requests, from here on servers
 const WATCH_TOKEN: u64 = 1 << 62;
 const LONGEST_LINE: usize = 100; // behind one key: more than ever come to their turn while they are useful
 
 impl HouseRules {
-    /// Thousandths of an attempt that a cold cache may have from this proxy in a second: four attempts from all
-    /// proxies together, as at their present worst cold caches bear twice that.
+    /// Thousandths of an attempt that a cold server may have from this proxy in a second: four attempts from all
+    /// proxies together, as at their present worst cold servers bear twice that.
     fn cold_floor(&self) -> u64 {
         4000 / self.proxies.max(4)
     }
 
-    /// Finds how much a cache takes at once by additive increase and multiplicative decrease. Late is what
+    /// Finds how much a server takes at once by additive increase and multiplicative decrease. Late is what
     /// took over half its target time, or 3/4 of the shortest: queues stay short enough for the most urgent,
     /// which the patient would crowd out; at the origin, over 3/4 of its own. A sixth of an attempt up and an
     /// eighth of the room down hold eight attempts where one in seven is late, and one where half are.
     fn resize(
         &self,
-        c: &mut Known,
+        c: &mut Server,
         outcome: AttemptOutcome,
         took: Tenths,
         company: u64,
         own: Tenths,
-        cache: bool,
+        server: bool,
     ) {
         let shortest = self.shortest().unwrap_or(own);
-        let late = took > if cache { (own / 2).min(shortest * 3 / 4) } else { own * 3 / 4 };
+        let late = took > if server { (own / 2).min(shortest * 3 / 4) } else { own * 3 / 4 };
         match outcome {
             AttemptOutcome::Completed if !late && company * 200 > c.room => c.room += 16,
             // What was out is too much at one seldom heard of: one of many proxies has few answers of it.
             AttemptOutcome::Completed | AttemptOutcome::TimedOut if late => {
                 c.room = (c.room * 7 / 8).min(if c.seldom { company * 100 } else { c.room });
             }
-            // One at a time is no load: guards caches that turn away a part of whatever comes. Where that is
-            // half, one run in sixteen is of four, and a cache that is truly full answers nothing in between.
-            AttemptOutcome::Overloaded if cache && c.refusals < 4 => {
+            // One at a time is no load: guards servers that turn away a part of whatever comes. Where that is
+            // half, one run in sixteen is of four, and a server that is truly full answers nothing in between.
+            AttemptOutcome::Overloaded if server && c.refusals < 4 => {
                 c.room -= (c.room / 4).min(c.room.saturating_sub(100))
             }
             AttemptOutcome::Overloaded => c.room -= c.room / 4,
@@ -65,11 +66,11 @@
     pub(crate) now: Tenths,
     pub(crate) house: HouseRules,
     pub(crate) chance: Chance,
-    pub(crate) caches: Vec<Known>,
-    pub(crate) rings: [Vec<(u64, Cache)>; 3], // of the own zone, of the others, of all
+    pub(crate) servers: Vec<Server>,
+    pub(crate) rings: [Vec<(u64, ServerIndex)>; 3], // of the own zone, of the others, of all
     pub(crate) pooled: u64, // hundredths of the keys that are looked up on the ring of all zones
-    pub(crate) admitted: [u64; 2], // thousandths of the requests that go to caches, and to the origin
-    pub(crate) origin: Option<Cache>,
+    pub(crate) admitted: [u64; 2], // thousandths of the requests that go to servers, and to the origin
+    pub(crate) origin: Option<ServerIndex>,
     pub(crate) requests: HashMap<u64, Request>,
     pub(crate) taken: u64,
     pub(crate) taken_lately: u64, // halved each second
@@ -79,10 +80,10 @@
     pub(crate) kept: [HashSet<u64>; 2],   // keys resolved lately, and before that
     pub(crate) faded: Tenths,
     pub(crate) failed_calls: u32, // to discovery, since its last answer
-    pub(crate) salt: u64,         // own, so that proxies pass a loaded cache for different keys
-    pub(crate) refused: u64,      // ten-thousandths of the attempts at caches that found no connection
-    pub(crate) links: [u64; 2],   // hundredths of caches to hold connections to, own zone and others
-    pub(crate) carried: BTreeMap<String, Learned>, // by a process before, of caches not yet listed
+    pub(crate) salt: u64,         // own, so that proxies pass a loaded server for different keys
+    pub(crate) refused: u64,      // ten-thousandths of the attempts at servers that found no connection
+    pub(crate) links: [u64; 2],   // hundredths of servers to hold connections to, own zone and others
+    pub(crate) carried: BTreeMap<String, Learned>, // by a process before, of servers not yet listed
     pub(crate) barred: BTreeMap<String, Tenths>, // ids that operators took out, listed or not: since when
 }
 
@@ -120,67 +121,68 @@
             }
             self.links = self.links.map(|most| (most + 25).min(1 << 30));
             self.pooled -= self.pooled.div_ceil(16); // let go within half a minute
-            for c in &mut self.caches {
+            for c in &mut self.servers {
                 if c.credit < 1000 {
                     c.credit += self.house.cold_floor(); // or a fleet all cold would stay so
                 }
                 (c.part, c.held.1) = ((c.part + 5).min(1000), c.held.1 - c.held.1 / 8); // in minutes
-                c.lately -= c.lately / 8; // so that a cache nobody asks is asked again
+                c.lately -= c.lately / 8; // so that a server nobody asks is asked again
                 c.stay -= if c.left { 0 } else { c.stay / 8 };
             }
         }
     }
 
-    pub fn list_whole(&mut self, entries: &[Entry], out: &mut dyn Carrier) {
-        self.caches.iter_mut().for_each(|c| c.standing = Standing::Gone);
-        self.list_changes(entries, out);
+    pub fn list_whole(&mut self, endpoints: &[Endpoint], out: &mut dyn Carrier) {
+        self.servers.iter_mut().for_each(|c| c.status = EndpointStatus::Gone);
+        self.list_changes(endpoints, out);
     }
 
-    pub fn list_changes(&mut self, entries: &[Entry], out: &mut dyn Carrier) {
+    pub fn list_changes(&mut self, endpoints: &[Endpoint], out: &mut dyn Carrier) {
         // The watch goes on: what changes just after an answer counts as told, asked for or not.
         let failed_calls = discovery::failures_after_answer(self.failed_calls);
         if std::mem::replace(&mut self.failed_calls, failed_calls) > 0 {
             out.log("discovery reached again", "");
         }
-        for e in entries {
-            let known = self.caches.len().max(e.cache + 1);
-            self.caches.resize_with(known, Known::default);
-            if self.caches[e.cache].id != e.id {
-                self.caches[e.cache] = Known { id: e.id.into(), room: 800, part: 1000, ..Known::default() };
+        for e in endpoints {
+            let known = self.servers.len().max(e.server + 1);
+            self.servers.resize_with(known, Server::default);
+            if self.servers[e.server].id != e.id {
+                self.servers[e.server] =
+                    Server { id: e.id.into(), room: 800, part: 1000, ..Server::default() };
             }
-            self.started(e.cache, e.born);
-            let c = &mut self.caches[e.cache];
-            (c.zone, c.cell, c.standing) = (e.zone, e.cell, e.standing);
+            self.started(e.server, e.born);
+            let c = &mut self.servers[e.server];
+            (c.zone, c.cell, c.status) = (e.zone, e.cell, e.status);
             // What makes no sense is as if nothing were said, and a size heard once is forgotten in minutes.
             let told = if (1..10_000_000).contains(&e.size) { e.size } else { c.size.max(1) };
             c.size = if self.house.sizes { e.size.max(1) } else { told.max(c.size - c.size / 128) };
             c.held = (c.held.1, if self.house.sizes { 0 } else { c.size * 100 / told - 100 });
             if Some(e.kind) == self.house.origin_kind {
-                self.origin = Some(e.cache);
+                self.origin = Some(e.server);
             }
-            self.recall(e.cache);
+            self.recall(e.server);
         }
-        self.spread(entries);
+        self.spread(endpoints);
         self.rings();
     }
 
     /// A new process under an old id, and never an older one: what was held against the old one is void. Some
     /// of many proxies begin with an attempt, by chance, or all would send theirs together.
-    pub(crate) fn started(&mut self, cache: Cache, at: Tenths) {
-        if at > self.caches[cache].born {
+    pub(crate) fn started(&mut self, server: ServerIndex, at: Tenths) {
+        if at > self.servers[server].born {
             let credit = self.house.cold_floor() + self.chance.below(1000);
-            let c = &mut self.caches[cache];
+            let c = &mut self.servers[server];
             (c.born, c.credit, c.doubt, c.left, c.stay, c.part) = (at, credit, 0, false, 0, 1000);
         }
     }
 
-    /// A cache that the list says holds over three requests a core, and more than the mean, keeps an eighth
+    /// A server that the list says holds over three requests a core, and more than the mean, keeps an eighth
     /// less of its keys, or else a sixtieth more: the same keys at every proxy, as all have the same list.
-    fn spread(&mut self, entries: &[Entry]) {
-        let ready = || (0..self.caches.len()).filter(|i| self.ready(*i));
-        let mean = ready().map(|i| self.caches[i].held.1).sum::<u64>() / ready().count().max(1) as u64;
-        for e in entries {
-            let c = &mut self.caches[e.cache];
+    fn spread(&mut self, endpoints: &[Endpoint]) {
+        let ready = || (0..self.servers.len()).filter(|i| self.ready(*i));
+        let mean = ready().map(|i| self.servers[i].held.1).sum::<u64>() / ready().count().max(1) as u64;
+        for e in endpoints {
+            let c = &mut self.servers[e.server];
             let (before, held) = c.held;
             c.part = match held > mean.max(300) {
                 true if held * 8 > before * 7 => (c.part * 7 / 8).max(30),
@@ -190,18 +192,18 @@
         }
     }
 
-    /// 128 points a cache, as the design has it, from the id alone: all proxies build one ring. The points of
-    /// caches that stay are kept as they are: a place is another's only after it was gone, and had none.
+    /// 128 points a server, as the design has it, from the id alone: all proxies build one ring. The points of
+    /// servers that stay are kept as they are: a place is another's only after it was gone, and had none.
     pub(crate) fn rings(&mut self) {
         let mut all = std::mem::take(&mut self.rings[2]);
-        let mut new: Vec<bool> = (0..self.caches.len()).map(|i| self.ready(i)).collect();
+        let mut new: Vec<bool> = (0..self.servers.len()).map(|i| self.ready(i)).collect();
         all.retain(|p| new[p.1]);
         all.iter().for_each(|p| new[p.1] = false);
-        for (i, c) in self.caches.iter().enumerate().filter(|(i, _)| new[*i]) {
+        for (i, c) in self.servers.iter().enumerate().filter(|(i, _)| new[*i]) {
             all.extend((0..128).map(|salt| (point(&c.id, salt + 1), i)));
         }
         all.sort(); // two runs, mostly
-        let (own, others) = all.iter().partition(|p| self.caches[p.1].zone == self.house.zone);
+        let (own, others) = all.iter().partition(|p| self.servers[p.1].zone == self.house.zone);
         self.rings = [own, others, all];
     }
 
@@ -215,8 +217,8 @@
         out.wake(WATCH_TOKEN, rest);
     }
 
-    fn ready(&self, cache: Cache) -> bool {
-        Some(cache) != self.origin && self.may_ask(cache)
+    fn ready(&self, server: ServerIndex) -> bool {
+        Some(server) != self.origin && self.may_ask(server)
     }
 
     /// What an answer seldom takes: three times what nine in ten stay under, as a few heavy requests together
@@ -227,19 +229,19 @@
         (3 * self.times.ninth(shortest / 4)).max(SECOND / 20)
     }
 
-    /// How long a cache with attempts out may say nothing: as long, and 1.5 s at most.
+    /// How long a server with attempts out may say nothing: as long, and 1.5 s at most.
     fn hush(&self) -> Tenths {
         self.overdue().min(SECOND * 3 / 2)
     }
 
-    fn silent(&self, cache: Cache) -> bool {
-        let c = &self.caches[cache];
+    fn silent(&self, server: ServerIndex) -> bool {
+        let c = &self.servers[server];
         c.out > c.flows && self.now - c.owes_since > self.hush()
     }
 
-    /// The share of its keys that a cache may have by now, in thousandths.
-    fn warmth(&self, cache: Cache) -> u64 {
-        let (c, house) = (&self.caches[cache], &self.house);
+    /// The share of its keys that a server may have by now, in thousandths.
+    fn warmth(&self, server: ServerIndex) -> u64 {
+        let (c, house) = (&self.servers[server], &self.house);
         let age = self.now.saturating_sub(c.born);
         if c.born == 0 || age >= house.cold_time {
             return 1000;
@@ -248,85 +250,88 @@
         (1000.0 * share) as u64
     }
 
-    /// A cold cache stands on the ring with the stated share of its keys only, the same keys at every proxy
+    /// A cold server stands on the ring with the stated share of its keys only, the same keys at every proxy
     /// and more by and by, and none passed for a part. Guards one that comes back, and the origin.
-    fn warm_enough(&self, cache: Cache, l: &Request, early: &[Cache]) -> bool {
-        let warmth = self.warmth(cache);
-        let its_share = l.order.is_some() || (early.contains(&cache) && mixed(l.key) % 1000 < warmth);
-        warmth == 1000 || (its_share && self.caches[cache].credit >= 1000)
+    fn warm_enough(&self, server: ServerIndex, l: &Request, early: &[ServerIndex]) -> bool {
+        let warmth = self.warmth(server);
+        let its_share = l.order.is_some() || (early.contains(&server) && mixed(l.key) % 1000 < warmth);
+        warmth == 1000 || (its_share && self.servers[server].credit >= 1000)
     }
 
-    /// A cold cache may be sent as much as the mean cache answers, cut by its warmth, and what it answers
+    /// A cold server may be sent as much as the mean server answers, cut by its warmth, and what it answers
     /// itself, if only that it lacks the key. Guards against pushing it over when far more is asked for than
     /// the fleet can do.
-    fn give_credit(&mut self, cache: Cache) {
+    fn give_credit(&mut self, server: ServerIndex) {
         let (ready, most) = (self.rings[2].len() as u64 / 128, 1000 + 2 * self.house.cold_floor());
-        for i in 0..self.caches.len() {
+        for i in 0..self.servers.len() {
             let warmth = self.warmth(i);
             if warmth < 1000 && self.ready(i) {
-                let due = if i == cache { 1000 } else { warmth * 5 / 4 / ready };
-                self.caches[i].credit = (self.caches[i].credit + due).min(most);
+                let due = if i == server { 1000 } else { warmth * 5 / 4 / ready };
+                self.servers[i].credit = (self.servers[i].credit + due).min(most);
             }
         }
     }
 
-    /// How many caches of the own zone, or of others, connections are held to.
+    /// How many servers of the own zone, or of others, connections are held to.
     fn linked(&self, place: usize) -> u64 {
-        let there = |c: &&Known| c.linked && usize::from(c.zone != self.house.zone) == place;
-        self.caches.iter().filter(there).count() as u64
+        let there = |c: &&Server| c.linked && usize::from(c.zone != self.house.zone) == place;
+        self.servers.iter().filter(there).count() as u64
     }
 
-    fn may_attempt(&self, l: &Request, cache: Cache) -> bool {
+    fn may_attempt(&self, l: &Request, server: ServerIndex) -> bool {
         l.attempts.len() < l.rules.max_attempts
             && (l.rules.hedging || !l.out())
-            && self.may_repeat(l, Some(cache), self.now, None)
+            && self.may_repeat(l, Some(server), self.now, None)
     }
 
-    /// Walks a ring from the key's point, passing caches at the cap, left, silent or too cold. Care 2 keeps
+    /// Walks a ring from the key's point, passing servers at the cap, left, silent or too cold. Care 2 keeps
     /// to a room, care 1 to 3/2 of it; care 0 asks a silent one too, or a left one where none is trusted.
-    fn walk(&self, ring: usize, l: &Request, care: u32) -> Option<Cache> {
+    fn walk(&self, ring: usize, l: &Request, care: u32) -> Option<ServerIndex> {
         let ring = if l.order.is_some() { &[][..] } else { &self.rings[ring][..] };
-        let mut zone: Vec<Cache> = l.order.iter().flatten().copied().filter(|c| self.ready(*c)).collect();
-        let (mut seen, start) = (vec![false; self.caches.len()], ring.partition_point(|p| p.0 < l.key));
+        let mut zone: Vec<ServerIndex> =
+            l.order.iter().flatten().copied().filter(|c| self.ready(*c)).collect();
+        let (mut seen, start) = (vec![false; self.servers.len()], ring.partition_point(|p| p.0 < l.key));
         for i in 0..ring.len() {
-            let cache = ring[(start + i) % ring.len()].1;
-            if !std::mem::replace(&mut seen[cache], true) {
-                zone.push(cache);
+            let server = ring[(start + i) % ring.len()].1;
+            if !std::mem::replace(&mut seen[server], true) {
+                zone.push(server);
                 if zone.len() * 128 == ring.len() {
                     break;
                 }
             }
         }
-        // A smaller cache gives up half of the keys that it is short of the largest by, the same everywhere:
+        // A smaller server gives up half of the keys that it is short of the largest by, the same everywhere:
         // half, as keys are work and room to be kept in, which is nowhere stated. Each is passed for what is
         // not in its part, other keys at each proxy, so that a hot one splits.
-        let most = zone.iter().map(|c| self.caches[*c].size).max().unwrap_or(1).max(1);
-        let by_size = |c: &Known| mixed(l.key) / 100_000_000 % 1000 < (c.size + most) * 500 / most;
-        let its_part = |c: &Known| care < 2 || (by_size(c) && mixed(l.key ^ self.salt) % 1000 < c.part);
-        // Guards against taking a trouble behind all caches (link, origin) for one of each of them.
-        let none_trusted = care == 0 && (0..self.caches.len()).all(|c| !self.ready(c) || self.caches[c].left);
-        let early: Vec<Cache> = zone.iter().copied().take_while(|c| its_part(&self.caches[*c])).collect();
+        let most = zone.iter().map(|c| self.servers[*c].size).max().unwrap_or(1).max(1);
+        let by_size = |c: &Server| mixed(l.key) / 100_000_000 % 1000 < (c.size + most) * 500 / most;
+        let its_part = |c: &Server| care < 2 || (by_size(c) && mixed(l.key ^ self.salt) % 1000 < c.part);
+        // Guards against taking a trouble behind all servers (link, origin) for one of each of them.
+        let none_trusted =
+            care == 0 && (0..self.servers.len()).all(|c| !self.ready(c) || self.servers[c].left);
+        let early: Vec<ServerIndex> =
+            zone.iter().copied().take_while(|c| its_part(&self.servers[*c])).collect();
         let may_open = [0, 1].map(|place| self.linked(place) * 100 + 100 <= self.links[place]);
-        let may_be_asked = |cache: &Cache| {
-            let (cache, c) = (*cache, &self.caches[*cache]);
+        let may_be_asked = |server: &ServerIndex| {
+            let (server, c) = (*server, &self.servers[*server]);
             let trusted = !c.left && (c.doubt < 6 || c.out == 0);
             (trusted || none_trusted)
-                && (care == 0 || !self.silent(cache))
+                && (care == 0 || !self.silent(server))
                 && (c.linked || may_open[usize::from(c.zone != self.house.zone)])
-                && !l.attempts.iter().any(|s| s.cache == cache && (s.bad || s.out))
+                && !l.attempts.iter().any(|s| s.server == server && (s.bad || s.out))
                 && (care == 2 || c.held.1 <= 300 + l.luck * 6)
-                && self.warm_enough(cache, l, &early)
+                && self.warm_enough(server, l, &early)
                 && its_part(c)
                 && c.out * 100 + l.luck < if care == 2 { c.room } else { c.room * 3 / 2 }
-                && self.may_attempt(l, cache)
+                && self.may_attempt(l, server)
         };
         if care == 0 {
             // Guards against deferring as those that are passed hold nothing: the mean is of the others.
             zone.retain(may_be_asked);
         }
-        let claims: u64 = zone.iter().map(|c| self.caches[*c].out).sum::<u64>() + 1;
+        let claims: u64 = zone.iter().map(|c| self.servers[*c].out).sum::<u64>() + 1;
         let cap = (claims * 5).div_ceil(4 * zone.len().max(1) as u64).max(2);
-        zone.into_iter().find(|c| self.caches[*c].out < cap && may_be_asked(c))
+        zone.into_iter().find(|c| self.servers[*c].out < cap && may_be_asked(c))
     }
 
     /// The same for a key that is known by its point alone.
@@ -400,11 +405,11 @@
         if l.write && self.house.origin_kind.is_some() && l.order.is_none() {
             return self.ask_origin(request_id, out);
         }
-        // Guards caches late together: one of many proxies hears too little of each to find its room.
+        // Guards servers late together: one of many proxies hears too little of each to find its room.
         if l.attempts.is_empty() && l.luck * 10 >= self.admitted[0] {
             return self.give_up(request_id, out);
         }
-        // Guards the origin behind the caches: when fetches fail or come late, requests for keys that are not
+        // Guards the origin behind the servers: when fetches fail or come late, requests for keys that are not
         // known to be held are deferred.
         if self.fresh(l) && l.luck * 10 >= self.admitted[1] {
             return self.spare_origin(request_id, out);
@@ -415,7 +420,7 @@
         };
         let rounds = first.into_iter().chain([(0, 1), (1, 1), (0, 0), (1, 0)]);
         match rounds.into_iter().find_map(|(ring, care)| self.walk(ring, l, care)) {
-            Some(cache) => self.start_attempt(request_id, cache, out),
+            Some(server) => self.start_attempt(request_id, server, out),
             None => self.give_up(request_id, out),
         }
     }
@@ -429,11 +434,11 @@
     }
 
     /// Misses and writes go to the origin, one fetch a key at a time; who comes meanwhile waits for it and
-    /// then asks the cache again. Guards the origin against a stampede on one key.
+    /// then asks the server again. Guards the origin against a stampede on one key.
     fn ask_origin(&mut self, request_id: RequestId, out: &mut dyn Carrier) {
         let l = &self.requests[&request_id.0];
         let left = l.useful_until.saturating_sub(self.now);
-        let up = |o: &Cache| self.may_ask(*o) && self.may_attempt(l, *o);
+        let up = |o: &ServerIndex| self.may_ask(*o) && self.may_attempt(l, *o);
         let Some(origin) = self.origin.filter(up) else {
             return self.give_up(request_id, out);
         };
@@ -442,7 +447,7 @@
             self.requests.entry(request_id.0).and_modify(|l| l.waits = true);
             return out.wake(request_id.0, left);
         }
-        let o = &self.caches[origin];
+        let o = &self.servers[origin];
         if o.out * 100 + l.luck >= o.room || o.lately > left || l.luck * 10 >= self.admitted[1] {
             return self.spare_origin(request_id, out);
         }
@@ -453,9 +458,9 @@
         self.start_attempt(request_id, origin, out);
     }
 
-    fn start_attempt(&mut self, request_id: RequestId, cache: Cache, out: &mut dyn Carrier) {
+    fn start_attempt(&mut self, request_id: RequestId, server: ServerIndex, out: &mut dyn Carrier) {
         let (hush, fresh) = (self.hush(), self.requests.get(&request_id.0).is_some_and(|l| self.fresh(l)));
-        let (Some(l), c) = (self.requests.get_mut(&request_id.0), &mut self.caches[cache]) else { return };
+        let (Some(l), c) = (self.requests.get_mut(&request_id.0), &mut self.servers[server]) else { return };
         if c.out == 0 {
             (c.owes_since, c.hushed) = (self.now, false);
         }
@@ -469,7 +474,7 @@
         let by = ran.map(|s| s.sent + ns.window).min().unwrap_or(l.expires);
         let opens = !std::mem::replace(&mut c.linked, true);
         let attempt = Attempt {
-            cache,
+            server,
             sent,
             company,
             out: true,
@@ -480,8 +485,8 @@
         };
         l.attempts.push(attempt);
         let copied = ns.hedge_after.and_then(|part| self.times.under(part));
-        out.start_attempt(request_id, cache, l.expires.min(sent + ns.attempt_timeout), by);
-        if Some(cache) != self.origin {
+        out.start_attempt(request_id, server, l.expires.min(sent + ns.attempt_timeout), by);
+        if Some(server) != self.origin {
             out.wake(request_id.0, copied.unwrap_or(hush).min(hush) + 1);
         }
     }
@@ -532,7 +537,7 @@
         self.release(key, false, out);
     }
 
-    /// Those who waited for a fetch go on: to the cache that now holds the key, or one of them to the origin.
+    /// Those who waited for a fetch go on: to the server that now holds the key, or one of them to the origin.
     fn release(&mut self, key: Option<u64>, stored: bool, out: &mut dyn Carrier) {
         for request_id in key.and_then(|k| self.fetches.remove(&k)).unwrap_or_default() {
             match self.requests.get(&request_id.0) {
@@ -544,12 +549,12 @@
     }
 
     /// Doubt grows where over one in four fails, and is enough after three in a row or if nothing listens: a
-    /// fast failer holds little and would keep its keys. One broken connection is no reason to leave a cache.
-    fn judge(&mut self, cache: Cache, outcome: AttemptOutcome, out: &mut dyn Carrier) {
+    /// fast failer holds little and would keep its keys. One broken connection is no reason to leave a server.
+    fn judge(&mut self, server: ServerIndex, outcome: AttemptOutcome, out: &mut dyn Carrier) {
         let hush = self.hush();
-        let c = &mut self.caches[cache];
+        let c = &mut self.servers[server];
         c.doubt = match outcome {
-            // Where others were answered just now, one connection was in trouble, and not the cache.
+            // Where others were answered just now, one connection was in trouble, and not the server.
             AttemptOutcome::Unreachable | AttemptOutcome::ConnectionLost
                 if c.answered > 0 && self.now < c.answered + hush =>
             {
@@ -559,7 +564,7 @@
             | AttemptOutcome::CompletedFromCache
             | AttemptOutcome::CompletedByFetch
             | AttemptOutcome::CacheMiss => c.doubt.saturating_sub(1),
-            // Guards against a request that no cache can use and that would have each of them left.
+            // Guards against a request that no server can use and that would have each of them left.
             AttemptOutcome::Overloaded
             | AttemptOutcome::Cancelled
             | AttemptOutcome::NotSent
@@ -572,27 +577,27 @@
         // Asked as none was trusted, it is taken back for its answers: seven make up for the most doubt.
         c.doubt = c.doubt.min(12);
         c.left &= c.doubt >= 6;
-        if c.doubt >= 9 && !c.left && Some(cache) != self.origin {
-            self.leave(cache, out);
+        if c.doubt >= 9 && !c.left && Some(server) != self.origin {
+            self.leave(server, out);
         }
     }
 
-    fn leave(&mut self, cache: Cache, out: &mut dyn Carrier) {
-        let c = &mut self.caches[cache];
+    fn leave(&mut self, server: ServerIndex, out: &mut dyn Carrier) {
+        let c = &mut self.servers[server];
         // From half a second, doubled at each leave up to eight: short troubles cost little, long ones too.
         (c.left, c.stay) = (true, (c.stay * 2).clamp(SECOND / 2, 8 * SECOND));
         out.log("cache left", &c.id);
         c.calls += 1;
         let wait = c.stay + self.chance.below(c.stay / 4);
-        out.wake(CACHE_TOKEN + cache as u64, wait);
+        out.wake(SERVER_TOKEN + server as u64, wait);
     }
 
-    /// Tries a cache again that was left: one attempt at a time until two were answered.
-    pub fn probed(&mut self, cache: Cache, answered: bool, out: &mut dyn Carrier) {
-        let Some(c) = self.caches.get_mut(cache) else { return };
+    /// Tries a server again that was left: one attempt at a time until two were answered.
+    pub fn probed(&mut self, server: ServerIndex, answered: bool, out: &mut dyn Carrier) {
+        let Some(c) = self.servers.get_mut(server) else { return };
         c.calls = c.calls.saturating_sub(1);
         if c.left && !answered {
-            self.leave(cache, out);
+            self.leave(server, out);
         } else if c.left {
             (c.left, c.doubt) = (false, 7);
             out.log("cache tried again", &c.id);
@@ -603,11 +608,11 @@
         if token >= WATCH_TOKEN {
             return out.watch();
         }
-        if token >= CACHE_TOKEN {
-            let cache = (token - CACHE_TOKEN) as Cache;
-            return match self.caches.get(cache) {
-                Some(_) if self.ready(cache) && self.house.probes => out.probe(cache),
-                _ => self.probed(cache, true, out),
+        if token >= SERVER_TOKEN {
+            let server = (token - SERVER_TOKEN) as ServerIndex;
+            return match self.servers.get(server) {
+                Some(_) if self.ready(server) && self.house.probes => out.probe(server),
+                _ => self.probed(server, true, out),
             };
         }
         let request_id = RequestId(token);
@@ -624,23 +629,23 @@
             return l.in_flight().for_each(|i| out.cancel_attempt(request_id, i));
         }
         let Some(i) = l.attempts.iter().rposition(|s| s.out) else { return };
-        let (cache, sent, hush) = (l.attempts[i].cache, l.attempts[i].sent, self.hush());
-        if Some(cache) == self.origin || self.now >= l.useful_until {
+        let (server, sent, hush) = (l.attempts[i].server, l.attempts[i].sent, self.hush());
+        if Some(server) == self.origin || self.now >= l.useful_until {
             return;
         }
         // Guards against attempts that are taken and never answered: one sent later was, and this is overdue.
-        let lost = self.caches[cache].heard > sent && self.now > sent + self.overdue();
+        let lost = self.servers[server].heard > sent && self.now > sent + self.overdue();
         // Guards the urgent against the slow tail, where the class asks for it: one copy, within its budget.
         let copied = l.rules.hedge_after.and_then(|part| self.times.under(part));
         let slow = i == 0 && copied.is_some_and(|under| self.now > sent + under);
         let slow = slow && l.rules.hedging && l.rules.purse.allows(self.now);
-        if !lost && !slow && (self.caches[cache].owes_since > sent || !self.silent(cache)) {
+        if !lost && !slow && (self.servers[server].owes_since > sent || !self.silent(server)) {
             return out.wake(token, hush + 1);
         }
-        // Nothing has come from this cache since the attempt: guards against caches that hang, vanish or pause.
+        // Nothing has come from this server since the attempt: guards against servers that hang, vanish or pause.
         // One silence is one failure, however many attempts it holds up: a pause is no hang.
-        if !lost && !slow && !std::mem::replace(&mut self.caches[cache].hushed, true) {
-            self.judge(cache, AttemptOutcome::TimedOut, out);
+        if !lost && !slow && !std::mem::replace(&mut self.servers[server].hushed, true) {
+            self.judge(server, AttemptOutcome::TimedOut, out);
         }
         let l = &self.requests[&token];
         if l.rules.hedging {
@@ -656,14 +661,14 @@
 
 impl RequestId {
     /// An attempt's answer has begun: it is the client's now, and no clock of ours runs for it, nor does the
-    /// cache owe anything for it. What else is out for the request is of no use any more.
+    /// server owe anything for it. What else is out for the request is of no use any more.
     pub fn answer_begun(self, router: &mut Router, attempt: usize, out: &mut dyn Carrier) {
         let (now, cancellation) = (router.now, router.house.cancellation);
         let Some(l) = router.requests.get_mut(&self.0) else { return };
         l.begun = true;
         if let Some(s) = l.attempts.get_mut(attempt).filter(|s| s.out && !s.begun) {
             s.begun = true;
-            let c = &mut router.caches[s.cache];
+            let c = &mut router.servers[s.server];
             (c.owes_since, c.answered, c.hushed, c.flows) = (now, now, false, c.flows + 1);
             c.heard = c.heard.max(s.sent);
         }
@@ -703,9 +708,9 @@
         // Who alone may serve it may be asked again across a connection that broke.
         s.bad = outcome != AttemptOutcome::CacheMiss
             && !(outcome == AttemptOutcome::ConnectionLost && l.order.is_some());
-        let (cache, sent, company, fresh, begun, opens) =
-            (s.cache, s.sent, s.company, s.fresh, s.begun, s.opens);
-        let c = &mut router.caches[cache];
+        let (server, sent, company, fresh, begun, opens) =
+            (s.server, s.sent, s.company, s.fresh, s.begun, s.opens);
+        let c = &mut router.servers[server];
         let silent = c.owes_since <= sent;
         c.seldom = router.now > c.answered + SECOND / 5;
         (c.out, c.flows) = (c.out - 1, c.flows - u64::from(begun));
@@ -720,37 +725,37 @@
             (c.owes_since, c.answered, c.hushed) = (router.now, router.now, false);
             c.heard = c.heard.max(sent);
         }
-        // Guards caches against being taken for late over attempts that they lost, while they answer later ones.
+        // Guards servers against being taken for late over attempts that they lost, while they answer later ones.
         let lost = outcome == AttemptOutcome::TimedOut && !silent && c.heard > sent && took > overdue;
         let outcome = if lost { AttemptOutcome::Cancelled } else { outcome };
-        let from_cache = Some(cache) != router.origin;
+        let from_server = Some(server) != router.origin;
         let refused = outcome == AttemptOutcome::Unreachable;
         c.linked &= !refused && outcome != AttemptOutcome::ConnectionLost;
-        if from_cache {
+        if from_server {
             router.refused = leaning(router.refused, refused);
         }
         let no_place = refused && opens && router.refused > 600;
         let target = l.rules.target;
-        // Guards caches short of places against hundreds that each want one at all: no more are held than
+        // Guards servers short of places against hundreds that each want one at all: no more are held than
         // were found, one more is tried every four seconds, and two more where that is let in. Two refused
-        // of thirty-two are more than one cache that died, which is left.
-        let place = usize::from(router.caches[cache].zone != router.house.zone);
+        // of thirty-two are more than one server that died, which is left.
+        let place = usize::from(router.servers[server].zone != router.house.zone);
         if no_place {
             router.links[place] = router.links[place].min(100 * router.linked(place).max(1));
         } else if opens
-            && from_cache
+            && from_server
             && matches!(outcome, AttemptOutcome::Completed | AttemptOutcome::CacheMiss)
         {
             router.links[place] = (router.links[place] + 200).min(1 << 30);
         }
-        let c = &mut router.caches[cache];
+        let c = &mut router.servers[server];
         if matches!(outcome, AttemptOutcome::Completed | AttemptOutcome::TimedOut) {
             c.lately = (c.lately * 7 + took.min(target)) / 8;
         }
-        if outcome == AttemptOutcome::Completed && from_cache {
+        if outcome == AttemptOutcome::Completed && from_server {
             router.times.add(took);
         }
-        if from_cache
+        if from_server
             && matches!(
                 outcome,
                 AttemptOutcome::Completed | AttemptOutcome::CacheMiss | AttemptOutcome::TimedOut
@@ -761,12 +766,12 @@
             let grown = if took > target / 2 { c.part } else { (c.part + 125).min(1000) };
             c.part = if took < target { grown } else { (c.part / 2).max(30) };
         }
-        router.house.resize(c, outcome, took, company, target, from_cache);
+        router.house.resize(c, outcome, took, company, target, from_server);
         let Some(l) = router.requests.get_mut(&self.0) else { return };
-        let key = (l.leads && !from_cache).then_some(l.key);
+        let key = (l.leads && !from_server).then_some(l.key);
         l.leads &= key.is_none();
         let (asked, over, in_ring) = (l.key, l.over, l.order.is_none());
-        // An error on a fetch may be the origin's, and says nothing of the cache.
+        // An error on a fetch may be the origin's, and says nothing of the server.
         let of_origin = fresh && outcome == AttemptOutcome::ServerError;
         // Guards against copies gone void: after an error the key is not kept after all.
         if router.house.through && outcome == AttemptOutcome::Completed {
@@ -775,7 +780,7 @@
             router.kept.iter_mut().for_each(|kept| _ = kept.remove(&asked));
         }
         if !(of_origin || no_place || outcome == AttemptOutcome::TimedOut && !silent) {
-            router.judge(cache, outcome, out);
+            router.judge(server, outcome, out);
         }
         if of_origin
             || matches!(
@@ -785,11 +790,11 @@
         {
             // An eighth down and a seventeenth up hold all requests while up to one in three is late.
             let late = took >= target || of_origin || outcome == AttemptOutcome::TimedOut;
-            let part = &mut router.admitted[usize::from(!from_cache || fresh)];
+            let part = &mut router.admitted[usize::from(!from_server || fresh)];
             *part = if late { *part * 7 / 8 } else { (*part + 60).min(1000) }.max(50);
         }
-        if from_cache && matches!(outcome, AttemptOutcome::Completed | AttemptOutcome::CacheMiss) {
-            router.give_credit(cache);
+        if from_server && matches!(outcome, AttemptOutcome::Completed | AttemptOutcome::CacheMiss) {
+            router.give_credit(server);
         }
         if outcome == AttemptOutcome::InvalidRequest && !finished && !over {
             out.abandon(self);
@@ -804,11 +809,11 @@
         } else if !router.requests[&self.0].out() {
             match outcome {
                 AttemptOutcome::Overloaded | AttemptOutcome::TimedOut | AttemptOutcome::NotSent
-                    if !from_cache =>
+                    if !from_server =>
                 {
                     router.give_up(self, out)
                 }
-                AttemptOutcome::Unreachable | AttemptOutcome::CacheMiss if from_cache => {
+                AttemptOutcome::Unreachable | AttemptOutcome::CacheMiss if from_server => {
                     router.move_on(self, true, out)
                 }
                 // One broken or spoilt at the origin says nothing of its load, and may have stored the value.
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -1,7 +1,9 @@
 //! All that a router knows, as numbers and texts: taken out, and put into a router of the same house, it decides as before.
 //! Nothing here decides, and what is worked out from the rest (rings, rules) is not in it.
 
-use crate::plain::{Attempt, Chance, Held, HouseRules, Known, Line, Request, RequestId, Standing, Tally};
+use crate::plain::{
+    Attempt, Chance, EndpointStatus, Held, HouseRules, Line, Request, RequestId, Server, Tally,
+};
 use crate::policy::Router;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -59,7 +61,7 @@
     usize: |n| n as u64, |n| usize::try_from(n).ok();
     u32: u64::from, |n| u32::try_from(n).ok();
     bool: u64::from, |n| (n < 2).then_some(n == 1);
-    Standing: |s| s as u64, |n| [Standing::Ready, Standing::Draining, Standing::Gone].get(n as usize).copied();
+    EndpointStatus: |s| s as u64, |n| [EndpointStatus::Ready, EndpointStatus::Draining, EndpointStatus::Gone].get(n as usize).copied();
     RequestId: |request_id: RequestId| request_id.0, |n| Some(RequestId(n));
 }
 
@@ -150,9 +152,9 @@
 
 fields! {
     Line { first, behind, rests_until }
-    Attempt { cache, sent, company, out, may_have_run, bad, begun, opens, fresh }
-    Known {
-        id, zone, cell, size, held, part, standing, born, out, flows, owes_since, answered, heard, hushed, doubt, left, linked, calls, stay,
+    Attempt { server, sent, company, out, may_have_run, bad, begun, opens, fresh }
+    Server {
+        id, zone, cell, size, held, part, status, born, out, flows, owes_since, answered, heard, hushed, doubt, left, linked, calls, stay,
         lately, refusals, seldom, room, credit,
     }
 }
@@ -233,7 +235,7 @@
         [self.salt, self.faded, self.refused].put(&mut to);
         (self.failed_calls, self.origin).put(&mut to);
         self.chance.put(&mut to);
-        self.caches.put(&mut to);
+        self.servers.put(&mut to);
         [self.admitted, self.links].put(&mut to);
         self.times.put(&mut to);
         self.fetches.put(&mut to);
@@ -258,7 +260,7 @@
         [r.salt, r.faded, r.refused] = Part::get(from)?;
         (r.failed_calls, r.origin) = Part::get(from)?;
         r.chance = Part::get(from)?;
-        r.caches = Part::get(from)?;
+        r.servers = Part::get(from)?;
         [r.admitted, r.links] = Part::get(from)?;
         r.times = Part::get(from)?;
         r.fetches = Part::get(from)?;
@@ -273,9 +275,9 @@
             let request = get_request(&r.house, from)?;
             r.requests.insert(request_id, request);
         }
-        let caches = r.caches.len();
-        let known = r.requests.values().flat_map(|l| &l.attempts).all(|s| s.cache < caches);
-        let good = from.words.next().is_none() && known && r.origin.is_none_or(|o| o < caches);
+        let servers = r.servers.len();
+        let known = r.requests.values().flat_map(|l| &l.attempts).all(|s| s.server < servers);
+        let good = from.words.next().is_none() && known && r.origin.is_none_or(|o| o < servers);
         good.then(|| {
             r.rings();
             r
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -4,7 +4,7 @@
 mod helper;
 
 use chalkwalk_policy::admission::{Refusal, UnsentAttempt, Violation, Written, may_close, may_start};
-use chalkwalk_policy::{AttemptOutcome, RequestId, Standing};
+use chalkwalk_policy::{AttemptOutcome, EndpointStatus, RequestId};
 use helper::{House, house};
 
 const REPLAYABLE: usize = 0;
@@ -32,7 +32,7 @@
 #[test]
 fn nothing_is_sent_to_a_server_that_began_to_drain_meanwhile_or_that_operators_took_out() {
     let (mut house, request) = decided(REPLAYABLE);
-    house.list(&[("amber", 0, Standing::Draining, 0)]);
+    house.list(&[("amber", 0, EndpointStatus::Draining, 0)]);
     assert_eq!(house.router.may_send(&attempt(request, 0), 100), Err(Refusal::ServerOff));
     let (mut house, request) = decided(REPLAYABLE);
     house.router.bar("amber", true, 50);
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -2,9 +2,9 @@
 
 mod helper;
 
-use chalkwalk_policy::{AttemptOutcome, Entry, Learned, Standing};
+use chalkwalk_policy::{AttemptOutcome, Endpoint, EndpointStatus, Learned};
 use expect_test::expect;
-use helper::{CACHE, House, WATCH, house};
+use helper::{House, SERVER, WATCH, house};
 
 const FOUR: [&str; 4] = ["amber", "birch", "cedar", "delta"];
 
@@ -17,13 +17,13 @@
     owners(house).iter().filter(|id| *id == "birch").count()
 }
 
-/// A key for each cache of `FOUR`, found by asking.
+/// A key for each server of `FOUR`, found by asking.
 fn key_of(house: &mut House, id: &str) -> String {
     (0..999).map(|i| format!("page/{i}")).find(|key| house.owner(key) == id).unwrap()
 }
 
 #[test]
-fn removing_a_cache_moves_only_its_keys_and_order_does_not_matter() {
+fn removing_a_server_moves_only_its_keys_and_order_does_not_matter() {
     let (mut a, mut b) = (house(&[]), house(&[]));
     a.ready(&FOUR);
     b.ready(&["delta", "amber", "cedar", "birch"]);
@@ -61,7 +61,7 @@
 #[test]
 fn an_empty_zone_rings_over_the_others() {
     let mut h = house(&[]);
-    h.list(&[("amber", 1, Standing::Ready, 0), ("birch", 2, Standing::Ready, 0)]);
+    h.list(&[("amber", 1, EndpointStatus::Ready, 0), ("birch", 2, EndpointStatus::Ready, 0)]);
     h.ask(0, "book/1");
     expect![[r#"
         lookup 0 -> cache 0
@@ -115,9 +115,9 @@
 fn tagged_repeats_only_inside_window_and_group() {
     let mut h = house(&[("namespace 1 group", "zone")]);
     h.list(&[
-        ("amber", 0, Standing::Ready, 0),
-        ("birch", 0, Standing::Ready, 0),
-        ("cedar", 1, Standing::Ready, 0),
+        ("amber", 0, EndpointStatus::Ready, 0),
+        ("birch", 0, EndpointStatus::Ready, 0),
+        ("cedar", 1, EndpointStatus::Ready, 0),
     ]);
     let a = h.ask(1, "book/1");
     h.end(a, 0, AttemptOutcome::ServerError);
@@ -153,13 +153,14 @@
 }
 
 #[test]
-fn nothing_new_to_a_draining_cache() {
+fn nothing_new_to_a_draining_server() {
     let mut h = house(&[]);
     h.ready(&FOUR);
     let key = key_of(&mut h, "birch");
     h.told();
     h.ask(0, &key);
-    let rows = FOUR.map(|id| (id, 0, if id == "birch" { Standing::Draining } else { Standing::Ready }, 0));
+    let rows = FOUR
+        .map(|id| (id, 0, if id == "birch" { EndpointStatus::Draining } else { EndpointStatus::Ready }, 0));
     h.list(&rows);
     h.ask(0, &key);
     h.ready(&["amber", "delta"]);
@@ -173,10 +174,10 @@
 }
 
 #[test]
-fn a_cold_cache_gets_its_share_of_keys_and_no_more_than_its_credit() {
+fn a_cold_server_gets_its_share_of_keys_and_no_more_than_its_credit() {
     let mut h = house(&[]);
     h.pass(200_000);
-    let mut rows = FOUR.map(|id| (id, 0, Standing::Ready, 0));
+    let mut rows = FOUR.map(|id| (id, 0, EndpointStatus::Ready, 0));
     h.list(&rows);
     let warm = of_birch(&mut h);
     rows[1].3 = h.now;
@@ -188,7 +189,7 @@
     let sent = ["4", "16"].map(|proxies| {
         let mut h = house(&[("proxies", proxies)]);
         h.pass(200_000);
-        h.list(&FOUR.map(|id| (id, 0, Standing::Ready, 200_000)));
+        h.list(&FOUR.map(|id| (id, 0, EndpointStatus::Ready, 200_000)));
         for _ in 0..2 {
             (0..40).for_each(|i| _ = h.ask(0, &format!("book/{i}")));
             (0..4).for_each(|_| h.pass(10_000));
@@ -212,7 +213,7 @@
     let a = h.ask(0, &key);
     h.end(a, 0, AttemptOutcome::Completed);
     h.pass(7000);
-    h.wake(CACHE + 2);
+    h.wake(SERVER + 2);
     h.router.probed(2, true, &mut h.trace);
     let (a, _) = (h.ask(0, &key), h.ask(0, &key));
     h.end(a, 0, AttemptOutcome::ServerError);
@@ -238,7 +239,7 @@
 }
 
 #[test]
-fn when_every_cache_fails_they_are_asked_all_the_same() {
+fn when_every_server_fails_they_are_asked_all_the_same() {
     let mut h = house(&[]);
     h.ready(&FOUR[..2]);
     let keys = ["amber", "birch"].map(|id| key_of(&mut h, id));
@@ -259,7 +260,7 @@
 }
 
 #[test]
-fn dead_caches_are_not_asked_because_the_others_are_full() {
+fn dead_servers_are_not_asked_because_the_others_are_full() {
     let mut h = house(&[]);
     h.ready(&["amber", "birch"]);
     let key = key_of(&mut h, "amber");
@@ -283,7 +284,7 @@
 }
 
 #[test]
-fn a_silent_cache_is_passed_with_a_second_copy_elsewhere_and_left_at_its_third_silence() {
+fn a_silent_server_is_passed_with_a_second_copy_elsewhere_and_left_at_its_third_silence() {
     let mut h = house(&[]);
     h.ready(&FOUR);
     let key = key_of(&mut h, "delta");
@@ -360,12 +361,12 @@
 }
 
 #[test]
-fn a_short_origin_is_spared_and_the_zones_act_as_one_cache() {
+fn a_short_origin_is_spared_and_the_zones_act_as_one_server() {
     let mut h = house(&ASIDE);
     h.list(&[
-        ("amber", 0, Standing::Ready, 0),
-        ("birch", 1, Standing::Ready, 0),
-        ("origin", 1, Standing::Ready, 0),
+        ("amber", 0, EndpointStatus::Ready, 0),
+        ("birch", 1, EndpointStatus::Ready, 0),
+        ("origin", 1, EndpointStatus::Ready, 0),
     ]);
     let before = of_birch(&mut h);
     for i in 0..120 {
@@ -385,7 +386,10 @@
 fn a_proxy_with_little_traffic_spares_a_short_origin_as_soon_as_a_busy_one() {
     let away = [5, 80].map(|a_second| {
         let mut h = house(&ASIDE);
-        h.list(&["amber", "birch", "origin"].map(|id| (id, usize::from(id != "amber"), Standing::Ready, 0)));
+        h.list(
+            &["amber", "birch", "origin"]
+                .map(|id| (id, usize::from(id != "amber"), EndpointStatus::Ready, 0)),
+        );
         for i in 0..10 * a_second {
             let a = h.ask(0, &format!("page/{i}"));
             h.end(a, 0, AttemptOutcome::CacheMiss);
@@ -415,11 +419,11 @@
     expect!["[1, 11, 111, 111] of 200 deferred"].assert_eq(&format!("{deferred:?} of 200 deferred"));
 }
 
-/// The keys that a late zone's caches give up go to the other zone, and come back when answers are in time again.
+/// The keys that a late zone's servers give up go to the other zone, and come back when answers are in time again.
 #[test]
 fn a_late_zone_gives_keys_to_the_others_until_it_is_in_time() {
     let mut h = house(&[]);
-    h.list(&[("amber", 0, Standing::Ready, 0), ("birch", 1, Standing::Ready, 0)]);
+    h.list(&[("amber", 0, EndpointStatus::Ready, 0), ("birch", 1, EndpointStatus::Ready, 0)]);
     let mut away = Vec::new();
     for late in ["", "amber", ""] {
         h.told();
@@ -438,7 +442,7 @@
 }
 
 #[test]
-fn failing_fetches_behind_caches_spare_the_keys_that_are_kept() {
+fn failing_fetches_behind_servers_spare_the_keys_that_are_kept() {
     let mut h = house(&[("through", "1")]);
     h.ready(&FOUR);
     h.owner("kept");
@@ -461,7 +465,7 @@
 }
 
 #[test]
-fn a_cache_whose_fetches_fail_alone_is_left_by_and_by() {
+fn a_server_whose_fetches_fail_alone_is_left_by_and_by() {
     let mut h = house(&[("through", "1")]);
     h.ready(&FOUR);
     let mut said = Vec::new();
@@ -549,10 +553,10 @@
     expect!["2 sent, 19 deferred"].assert_eq(&line);
 }
 
-/// Of twelve requests at once a cache gets as many as its room, after so many answers in time and then so many late, a
+/// Of twelve requests at once a server gets as many as its room, after so many answers in time and then so many late, a
 /// second apart. Where it answered a hundredth of a second before, one late answer tells little.
 #[test]
-fn a_late_answer_makes_a_room_what_was_out_at_a_cache_seldom_heard_of() {
+fn a_late_answer_makes_a_room_what_was_out_at_a_server_seldom_heard_of() {
     let apart = [(0, 0), (0, 1), (6, 1), (7, 1), (20, 1), (20, 2), (0, 5)].map(|(n, late)| (n, late, 10_000));
     let rooms = apart.into_iter().chain([(0, 5, 100)]).map(|(in_time, late, gap)| {
         let mut h = house(&[]);
@@ -580,7 +584,7 @@
 }
 
 #[test]
-fn one_broken_connection_does_not_leave_a_cache_and_a_third_in_a_row_does() {
+fn one_broken_connection_does_not_leave_a_server_and_a_third_in_a_row_does() {
     let mut h = house(&[("second copies", "0")]);
     h.ready(&FOUR);
     let key = key_of(&mut h, "birch");
@@ -612,7 +616,7 @@
 }
 
 #[test]
-fn a_request_no_cache_can_use_ends_at_once_and_leaves_no_cache() {
+fn a_request_no_server_can_use_ends_at_once_and_leaves_no_server() {
     let mut h = house(&[]);
     h.ready(&FOUR);
     for _ in 0..4 {
@@ -633,14 +637,14 @@
 }
 
 #[test]
-fn a_left_cache_that_answers_is_taken_back_without_a_probe() {
+fn a_left_server_that_answers_is_taken_back_without_a_probe() {
     let mut h = house(&[]);
     h.ready(&["amber"]);
     (0..3).for_each(|_| {
         let request_id = h.ask(2, "book/1");
         h.end(request_id, 0, AttemptOutcome::ServerError);
     });
-    // The only cache is asked all the same.
+    // The only server is asked all the same.
     (0..7).for_each(|_| {
         let request_id = h.ask(0, "book/1");
         h.end(request_id, 0, AttemptOutcome::Completed);
@@ -651,7 +655,7 @@
 }
 
 #[test]
-fn an_attempt_broken_at_the_origin_is_tried_again_by_way_of_the_cache() {
+fn an_attempt_broken_at_the_origin_is_tried_again_by_way_of_the_server() {
     let mut h = house(&[("origin kind", "9")]);
     h.ready(&["amber", "origin"]);
     let read = h.ask(0, "book/1");
@@ -674,7 +678,7 @@
     .assert_eq(&h.told());
 }
 
-/// What goes to each of four caches after the first three had 30 requests, of which they turned away some.
+/// What goes to each of four servers after the first three had 30 requests, of which they turned away some.
 fn sent_after(turned_away: fn(usize) -> bool) -> String {
     let mut h = house(&[("most shots", "1")]);
     h.ready(&FOUR);
@@ -691,18 +695,18 @@
     keys[..3].iter().for_each(|key| _ = h.ask(0, key));
     (0..8).for_each(|_| _ = h.ask(0, &keys[3]));
     let said = h.told();
-    let sent = [0, 1, 2, 3].map(|cache| said.matches(&format!("-> cache {cache}")).count());
+    let sent = [0, 1, 2, 3].map(|server| said.matches(&format!("-> cache {server}")).count());
     format!("{sent:?} sent, {} deferred", said.matches("deferred").count())
 }
 
 #[test]
-fn caches_that_turn_away_half_are_asked_and_the_others_not_held_to_the_mean_of_all() {
+fn servers_that_turn_away_half_are_asked_and_the_others_not_held_to_the_mean_of_all() {
     // One at a time still goes to those, half of them at least; the fourth takes what it has room for.
     expect!["[2, 2, 2, 5] sent, 0 deferred"].assert_eq(&sent_after(|i| b"yynyynyyyn"[i / 3] == b'y'));
 }
 
 #[test]
-fn a_cache_that_turns_away_again_and_again_is_full_and_gets_less_than_one() {
+fn a_server_that_turns_away_again_and_again_is_full_and_gets_less_than_one() {
     expect!["[1, 1, 1, 8] sent, 0 deferred"].assert_eq(&sent_after(|_| true));
 }
 
@@ -733,7 +737,7 @@
 }
 
 #[test]
-fn where_a_cache_answers_three_broken_connections_do_not_leave_it() {
+fn where_a_server_answers_three_broken_connections_do_not_leave_it() {
     let mut h = house(&[]);
     h.ready(&FOUR);
     h.pass(10_000);
@@ -765,7 +769,7 @@
 }
 
 #[test]
-fn an_attempt_that_later_ones_have_overtaken_is_sent_elsewhere_and_its_cache_not_taken_for_late() {
+fn an_attempt_that_later_ones_have_overtaken_is_sent_elsewhere_and_its_server_not_taken_for_late() {
     let mut h = house(&[]);
     h.ready(&["amber", "birch"]);
     let key = key_of(&mut h, "amber");
@@ -791,7 +795,7 @@
 }
 
 #[test]
-fn a_place_is_free_once_nothing_can_name_its_cache_and_the_next_one_there_starts_anew() {
+fn a_place_is_free_once_nothing_can_name_its_server_and_the_next_one_there_starts_anew() {
     let mut h = house(&[]);
     h.ready(&["amber", "birch"]);
     let key = key_of(&mut h, "birch");
@@ -802,7 +806,7 @@
     h.end(a, 0, AttemptOutcome::Unreachable);
     h.end(b, 0, AttemptOutcome::Completed);
     // It was left, and the request that met it is still open.
-    h.wake(CACHE + 1);
+    h.wake(SERVER + 1);
     said.push(h.router.done_with(1));
     h.end(a, 1, AttemptOutcome::Completed);
     said.push(h.router.done_with(1));
@@ -917,7 +921,7 @@
 /// One that operators take out is passed like one that is gone, by requests, probes and as the last resort, whatever the list
 /// says; put back it is as cold as one that starts then, and is asked within seconds.
 #[test]
-fn a_cache_that_operators_take_out_gets_nothing_until_they_put_it_back_cold() {
+fn a_server_that_operators_take_out_gets_nothing_until_they_put_it_back_cold() {
     let mut h = house(&[("proxies", "4")]);
     h.pass(1_000_000);
     h.ready(&FOUR);
@@ -950,14 +954,14 @@
 
 /// One that leaves the list while it is out, and comes back at another place, is put back there.
 #[test]
-fn a_cache_that_came_back_at_another_place_while_it_was_out_is_put_back() {
+fn a_server_that_came_back_at_another_place_while_it_was_out_is_put_back() {
     let mut h = house(&[]);
     h.pass(1_000_000);
     h.ready(&FOUR);
     h.router.bar("birch", true, h.now);
     h.ready(&["amber", "cedar", "delta"]);
-    let (id, standing) = ("birch", Standing::Ready);
-    let back = Entry { cache: 4, id, zone: 0, kind: 0, cell: 0, size: 100, standing, born: 0 };
+    let (id, status) = ("birch", EndpointStatus::Ready);
+    let back = Endpoint { server: 4, id, zone: 0, kind: 0, cell: 0, size: 100, status, born: 0 };
     h.router.list_changes(&[back], &mut h.trace);
     let mut asked = Vec::new();
     for out in [true, false] {
@@ -972,11 +976,11 @@
 /// A fleet all cold and empty misses whatever it is asked: its misses earn it credit like answers, or it would be asked
 /// ever less.
 #[test]
-fn misses_of_cold_caches_earn_their_credit_back() {
+fn misses_of_cold_servers_earn_their_credit_back() {
     let mut h = house(&[("origin kind", "9"), ("proxies", "4")]);
     h.pass(1_000_000);
-    let mut rows = FOUR.map(|id| (id, 0, Standing::Ready, 1_000_000)).to_vec();
-    rows.push(("origin", 0, Standing::Ready, 0));
+    let mut rows = FOUR.map(|id| (id, 0, EndpointStatus::Ready, 1_000_000)).to_vec();
+    rows.push(("origin", 0, EndpointStatus::Ready, 0));
     h.list(&rows);
     let mut asked = Vec::new();
     for second in 0..3 {
@@ -1150,7 +1154,7 @@
         let request_id = h.ask(0, &format!("new/{i}"));
         if h.told().contains("->") {
             asked[usize::from(i >= 500)] += 1;
-            // By turns, so that no cache is left for it.
+            // By turns, so that no server is left for it.
             let outcome = if i % 4 == 0 { AttemptOutcome::ServerError } else { AttemptOutcome::Overloaded };
             h.end(request_id, 0, outcome);
             (1..4).for_each(|attempt| h.end(request_id, attempt, AttemptOutcome::ServerError));
@@ -1183,14 +1187,14 @@
 }
 
 /// Once an attempt's answer has begun the request's others are withdrawn, and whatever becomes of them nothing more is sent for
-/// it; its cache owes nothing for it, however long it goes on.
+/// it; its server owes nothing for it, however long it goes on.
 #[test]
 fn an_answer_that_has_begun_is_the_only_one() {
     let mut h = house(&[("origin kind", "9")]);
     h.list(&[
-        ("amber", 0, Standing::Ready, 0),
-        ("birch", 0, Standing::Ready, 0),
-        ("origin", 0, Standing::Ready, 0),
+        ("amber", 0, EndpointStatus::Ready, 0),
+        ("birch", 0, EndpointStatus::Ready, 0),
+        ("origin", 0, EndpointStatus::Ready, 0),
     ]);
     let request_id = h.ask(0, "book");
     h.pass(8_000);
@@ -1216,10 +1220,10 @@
     assert!(!request_id.known(&h.router));
 }
 
-/// Half as large, three quarters of its keys, and no other cache loses any; where sizes are loads of the moment too, as the
+/// Half as large, three quarters of its keys, and no other server loses any; where sizes are loads of the moment too, as the
 /// largest heard of it is its size. Alone it has all.
 #[test]
-fn a_smaller_cache_stands_for_its_part_of_its_keys() {
+fn a_smaller_server_stands_for_its_part_of_its_keys() {
     let day = |size: u64, kind: &str, fleet: &[&str]| {
         let mut h = house(&[("size kind", kind)]);
         h.birch.1 = size;
@@ -1236,7 +1240,7 @@
 
 /// One in four of birch's answers past its target: it keeps fewer of its keys, and gets them back by and by.
 #[test]
-fn a_cache_that_is_late_keeps_fewer_of_its_keys_until_it_is_in_time() {
+fn a_server_that_is_late_keeps_fewer_of_its_keys_until_it_is_in_time() {
     let mut h = house(&[]);
     h.ready(&FOUR);
     let kept = [100, 10_000, 100].map(|slow| {
@@ -1259,7 +1263,7 @@
 /// Weights that move with load: birch, said to hold far more than the others, is passed for some of its keys and gets them
 /// back; what is absurd, or said of all alike, moves none for long.
 #[test]
-fn a_cache_that_the_list_says_is_loaded_keeps_fewer_of_its_keys() {
+fn a_server_that_the_list_says_is_loaded_keeps_fewer_of_its_keys() {
     let mut h = house(&[("size kind", "live")]);
     let mut day = |weights: &[u64]| {
         weights.iter().for_each(|w| {
@@ -1280,10 +1284,10 @@
         .assert_eq(&format!("{said:?}, absurd {absurd:?} of 200"));
 }
 
-/// One refused connection is a cache that died. Two are caches short of places: those with a connection are asked, in ring
+/// One refused connection is a server that died. Two are servers short of places: those with a connection are asked, in ring
 /// order, one more is tried after four seconds, and once that is let in two more may follow.
 #[test]
-fn where_connections_are_refused_the_caches_that_have_one_are_asked() {
+fn where_connections_are_refused_the_servers_that_have_one_are_asked() {
     let mut h = house(&[]);
     h.ready(&["amber", "birch", "cedar", "aspen", "alder", "elder"]);
     h.told();
@@ -1337,7 +1341,7 @@
     expect!["0"].assert_eq(&passed.to_string());
 }
 
-/// What a process before learned of a cache holds for the next one from its first request on, unless that cache has started
+/// What a process before learned of a server holds for the next one from its first request on, unless that server has started
 /// since; figures beyond all that could be learned are cut to it. Nothing else is carried: cedar is asked though it was left.
 #[test]
 fn the_first_requests_after_a_switch_go_by_what_was_learned_before() {
@@ -1369,7 +1373,7 @@
     let first = days.map(|(carried, born)| {
         let mut new = house(&[("cold time", "0")]);
         new.router.carry(carried);
-        let rows = FOUR.map(|id| (id, 0, Standing::Ready, if id == "birch" { born } else { 0 }));
+        let rows = FOUR.map(|id| (id, 0, EndpointStatus::Ready, if id == "birch" { born } else { 0 }));
         new.list(&rows);
         new.told();
         for i in 0..100 {
@@ -1378,16 +1382,16 @@
             new.end(request_id, 0, AttemptOutcome::Cancelled);
         }
         let told = new.told();
-        [1, 2].map(|cache| told.matches(&format!("> cache {cache}")).count())
+        [1, 2].map(|server| told.matches(&format!("> cache {server}")).count())
     });
     let of: Vec<&str> = learned.iter().map(|l| l.id.as_str()).collect();
     expect![[r#"["birch"]: [[30, 37], [16, 41], [30, 37], [30, 37]] of 100 to birch and cedar"#]]
         .assert_eq(&format!("{of:?}: {first:?} of 100 to birch and cedar"));
 }
 
-/// Warm caches that are late give up keys, and none of those go to one that is cold: it is asked for its own alone.
+/// Warm servers that are late give up keys, and none of those go to one that is cold: it is asked for its own alone.
 #[test]
-fn what_late_caches_give_up_is_not_pushed_on_a_cold_one() {
+fn what_late_servers_give_up_is_not_pushed_on_a_cold_one() {
     let day = |late: bool| {
         let mut h = house(&[]);
         h.ready(&FOUR);
@@ -1400,7 +1404,7 @@
             h.left_by_client(request_id);
         }
         let now = h.now;
-        h.list(&FOUR.map(|id| (id, 0, Standing::Ready, if id == "birch" { now } else { 0 })));
+        h.list(&FOUR.map(|id| (id, 0, EndpointStatus::Ready, if id == "birch" { now } else { 0 })));
         h.told();
         for i in 0..400 {
             h.pass(50);
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Many routers that share nothing but one service: what is harmless in one, and harmful when all do it.
 
 use chalkwalk_policy::discovery::{NOTIFIED_WITHIN, TURN};
-use chalkwalk_policy::{Cache, Carrier, RequestId, Router, Tenths};
+use chalkwalk_policy::{Carrier, RequestId, Router, ServerIndex, Tenths};
 use expect_test::expect;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -18,11 +18,11 @@
 }
 
 impl Carrier for Wants {
-    fn start_attempt(&mut self, _: RequestId, _: Cache, _: Tenths, _: Tenths) {}
+    fn start_attempt(&mut self, _: RequestId, _: ServerIndex, _: Tenths, _: Tenths) {}
     fn cancel_attempt(&mut self, _: RequestId, _: usize) {}
     fn defer(&mut self, _: RequestId, _: Tenths) {}
     fn abandon(&mut self, _: RequestId) {}
-    fn probe(&mut self, _: Cache) {}
+    fn probe(&mut self, _: ServerIndex) {}
     fn wake(&mut self, token: u64, after: Tenths) {
         assert_eq!(token, WATCH);
         self.wakes.push(self.now + after);
