--- a/crates/policy/tests/helper/mod.rs
+++ b/crates/policy/tests/helper/mod.rs
@@ -1,6 +1,8 @@
 //! A router whose decisions are written down line by line.
 
-use chalkwalk_policy::{AttemptOutcome, Cache, Carrier, Entry, RequestId, Router, Standing, Tenths};
+use chalkwalk_policy::{
+    AttemptOutcome, Carrier, Endpoint, EndpointStatus, RequestId, Router, ServerIndex, Tenths,
+};
 use std::collections::BTreeMap;
 
 #[derive(Default)]
@@ -19,10 +21,10 @@
 }
 
 impl Carrier for Trace {
-    fn start_attempt(&mut self, request_id: RequestId, cache: Cache, until: Tenths, by: Tenths) {
+    fn start_attempt(&mut self, request_id: RequestId, server: ServerIndex, until: Tenths, by: Tenths) {
         self.1 = until;
         let by = if by < until { format!(" by {by}") } else { String::new() };
-        self.line(format!("lookup {} -> cache {cache}{by}", request_id.0));
+        self.line(format!("lookup {} -> cache {server}{by}", request_id.0));
     }
     fn cancel_attempt(&mut self, request_id: RequestId, attempt: usize) {
         self.line(format!("lookup {} withdraws shot {attempt}", request_id.0));
@@ -33,8 +35,8 @@
     fn abandon(&mut self, request_id: RequestId) {
         self.line(format!("lookup {} abandoned", request_id.0));
     }
-    fn probe(&mut self, cache: Cache) {
-        self.line(format!("probe cache {cache}"));
+    fn probe(&mut self, server: ServerIndex) {
+        self.line(format!("probe cache {server}"));
     }
     fn wake(&mut self, token: u64, after: Tenths) {
         if token >= 1 << 61 {
@@ -44,13 +46,13 @@
     fn watch(&mut self) {
         self.line("watch the list".into());
     }
-    fn log(&mut self, event: &str, cache: &str) {
-        self.line(format!("log: {event} {cache}").trim_end().to_string());
+    fn log(&mut self, event: &str, server: &str) {
+        self.line(format!("log: {event} {server}").trim_end().to_string());
     }
 }
 
 pub const WATCH: u64 = 1 << 62;
-pub const CACHE: u64 = 1 << 61;
+pub const SERVER: u64 = 1 << 61;
 
 pub struct House {
     pub router: Router,
@@ -84,29 +86,29 @@
 
 impl House {
     /// Hands over the whole list: (id, zone, standing, born); kind 9 for an id "origin", else 0.
-    pub fn list(&mut self, rows: &[(&str, usize, Standing, Tenths)]) {
+    pub fn list(&mut self, rows: &[(&str, usize, EndpointStatus, Tenths)]) {
         for (id, ..) in rows {
             if !self.ids.iter().any(|known| known == id) {
                 self.ids.push(id.to_string());
             }
         }
         let (ids, birch) = (&self.ids, self.birch);
-        let row = |&(id, zone, standing, born)| Entry {
-            cache: ids.iter().position(|known| known == id).unwrap(),
+        let row = |&(id, zone, status, born)| Endpoint {
+            server: ids.iter().position(|known| known == id).unwrap(),
             id,
             zone,
             kind: if id == "origin" { 9 } else { usize::from(id == "birch") * birch.0 },
             cell: 0,
             size: if id == "birch" { birch.1 } else { 100 },
-            standing,
+            status,
             born,
         };
-        let entries: Vec<Entry> = rows.iter().map(row).collect();
-        self.router.list_whole(&entries, &mut self.trace);
+        let endpoints: Vec<Endpoint> = rows.iter().map(row).collect();
+        self.router.list_whole(&endpoints, &mut self.trace);
     }
 
     pub fn ready(&mut self, ids: &[&str]) {
-        let rows: Vec<_> = ids.iter().map(|id| (*id, 0, Standing::Ready, 0)).collect();
+        let rows: Vec<_> = ids.iter().map(|id| (*id, 0, EndpointStatus::Ready, 0)).collect();
         self.list(&rows);
     }
 
@@ -156,8 +158,8 @@
     }
 
     pub fn last_asked(&self) -> Option<String> {
-        let cache = self.trace.0.rsplit("cache ").next()?.trim().parse::<usize>().ok()?;
-        Some(self.ids[cache].clone())
+        let server = self.trace.0.rsplit("cache ").next()?.trim().parse::<usize>().ok()?;
+        Some(self.ids[server].clone())
     }
 
     pub fn told(&mut self) -> String {
--- a/crates/proxy/src/operators.rs
+++ b/crates/proxy/src/operators.rs
@@ -20,7 +20,7 @@
 /// be in force everywhere.
 const READ_AGAIN: Duration = Duration::from_millis(100);
 
-/// How often what was learned of the caches is written down, in tenths of a ms: a successor starts at any moment, and parts
+/// How often what was learned of the servers is written down, in tenths of a ms: a successor starts at any moment, and parts
 /// move by a half in a second at the worst. Every 5 s costs the disk little.
 const LEARNED_AGAIN: u64 = 50_000;
 
@@ -52,10 +52,10 @@
         // Nobody is served yet: it may wait for the disk.
         let glass = operators.pages.borrow().glass();
         let news = operators.take(glass.map(|glass| glass.look()).unwrap_or_default());
-        let caches = news.learned.caches.len();
+        let servers = news.learned.servers.len();
         let taken = operators.carry(news.learned);
-        if caches > 0 {
-            info!(core.log, "{}", if taken { "learned figures taken up" } else { "learned figures passed over" }; "caches" => caches);
+        if servers > 0 {
+            info!(core.log, "{}", if taken { "learned figures taken up" } else { "learned figures passed over" }; "caches" => servers);
         }
         core.ex.spawn(operators.clone().follow()).detach();
         let ex = core.clone();
@@ -115,16 +115,16 @@
             part,
             room,
         };
-        book.carry(learned.bounded().caches.into_iter().map(of).collect())
+        book.carry(learned.bounded().servers.into_iter().map(of).collect())
     }
 
-    /// Writes down what was learned of the caches, where that is anything.
+    /// Writes down what was learned of the servers, where that is anything.
     async fn write_learned(&self) {
         let (at, book) = (self.core.clock.now(), &self.core.book);
         let (terms, learned) = (book.borrow().terms(), book.borrow().learned());
-        let caches = learned.into_iter().map(|l| (l.id, [l.born, l.size, l.part, l.room])).collect();
-        let learned = Learned { at, terms, caches }.bounded();
-        if !learned.caches.is_empty() {
+        let servers = learned.into_iter().map(|l| (l.id, [l.born, l.size, l.part, l.room])).collect();
+        let learned = Learned { at, terms, servers }.bounded();
+        if !learned.servers.is_empty() {
             self.pages.borrow_mut().own.learned = learned;
             self.write().await;
         }
@@ -136,7 +136,7 @@
         let news = self.pages.borrow_mut().take(seen, &core.log);
         core.life.succeed(news.succeeded);
         self.share(news.company);
-        for id in &news.caches {
+        for id in &news.servers {
             let word = self.pages.borrow().own.word(id);
             flow::bar(core, id, word.out, word.at);
         }
@@ -192,7 +192,7 @@
         kept
     }
 
-    async fn do_cache(self: Rc<Self>, id: String, out: bool) -> Done {
+    async fn do_server(self: Rc<Self>, id: String, out: bool) -> Done {
         if !self.core.book.borrow().has(&id) {
             return Done::Unknown;
         }
@@ -200,17 +200,17 @@
             return Done::Yes;
         }
         // In force at once, whatever the disk does: it is due within a second.
-        let before = self.pages.borrow().own.caches.get(&id).copied();
+        let before = self.pages.borrow().own.servers.get(&id).copied();
         self.pages.borrow_mut().own.say(&id, out, self.core.clock.now());
         let said = self.pages.borrow().own.word(&id);
         flow::bar(&self.core, &id, out, said.at);
         if self.keep().await == Some(false) {
-            // Unless somebody has said something else meanwhile. A cache that was never out is not taken for cold.
+            // Unless somebody has said something else meanwhile. A server that was never out is not taken for cold.
             if self.pages.borrow().own.word(&id) == said {
                 let own = &mut self.pages.borrow_mut().own;
                 _ = match before {
-                    Some(word) => own.caches.insert(id.clone(), word),
-                    None => own.caches.remove(&id),
+                    Some(word) => own.servers.insert(id.clone(), word),
+                    None => own.servers.remove(&id),
                 };
                 flow::bar(&self.core, &id, !out, before.unwrap_or_default().at);
             }
@@ -255,8 +255,8 @@
         Box::pin(self.do_ready())
     }
 
-    fn cache(self: Rc<Self>, id: String, out: bool) -> Doing {
-        Box::pin(self.do_cache(id, out))
+    fn server(self: Rc<Self>, id: String, out: bool) -> Doing {
+        Box::pin(self.do_server(id, out))
     }
 
     fn service(self: Rc<Self>, out: bool) -> Doing {
--- a/crates/proxy/src/pages.rs
+++ b/crates/proxy/src/pages.rs
@@ -18,8 +18,8 @@
 /// What the others say.
 #[derive(Debug, Default)]
 pub struct News {
-    /// Caches of which there is a later word.
-    pub caches: Vec<String>,
+    /// Servers of which there is a later word.
+    pub servers: Vec<String>,
     pub service: bool,
     pub succeeded: bool,
     /// What another process has learned, by the latest word.
@@ -68,8 +68,8 @@
         for Seen { path, page, alive } in seen {
             match page {
                 Ok(other) => {
-                    let (caches, service) = self.own.merge(&other);
-                    news.caches.extend(caches);
+                    let (servers, service) = self.own.merge(&other);
+                    news.servers.extend(servers);
                     news.service |= service;
                     if other.learned.at > news.learned.at {
                         news.learned = other.learned.clone();
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -50,7 +50,7 @@
         bound.map_err(|e| format!("cannot listen on {at}: {e}"))
     });
     let console_listener = console_listener.transpose()?;
-    // Caches speak one protocol, by which they are probed.
+    // Servers speak one protocol, by which they are probed.
     let probe: Box<dyn Probe> =
         if resp.is_some() { Box::new(resp_door::Ping) } else { Box::new(http::Alive) };
     let writer = capture.as_ref().map(|c| {
@@ -78,7 +78,7 @@
             core.ex.spawn(resp_door::follow(door.clone())).detach();
             core.ex.spawn(resp_door::accept(door, resp_listener)).detach();
         }
-        // Caches that speak RESP can't be asked over HTTP: there its door has no namespace, and only says how the proxy is.
+        // Servers that speak RESP can't be asked over HTTP: there its door has no namespace, and only says how the proxy is.
         let namespaces = if resp.is_some() { Vec::new() } else { namespaces };
         let door = http::Door::new(core.clone(), namespaces);
         let feed = list.as_ref().and_then(List::feed);
@@ -168,7 +168,7 @@
 }
 
 /// Reads both files again, and takes both or neither: settings of the house, limits of the operator, where the list is. All
-/// else stays as it was at the start. What the configuration knows of caches is as old as the file, and what the list has
+/// else stays as it was at the start. What the configuration knows of servers is as old as the file, and what the list has
 /// told since is newer.
 fn reread(core: &Rc<Core>, door: &http::Door, given: &Given, list: Option<&List>, was: Was) {
     let read = given.read().and_then(|read| match needs_restart(core, &read, &was) {
--- a/crates/proxy/tests/sockets.rs
+++ b/crates/proxy/tests/sockets.rs
@@ -281,7 +281,7 @@
 }
 
 #[test]
-fn what_a_cache_holds_comes_back_unchanged_on_one_kept_connection() {
+fn what_a_server_holds_comes_back_unchanged_on_one_kept_connection() {
     let day = Day::new(&[("a", |n| (if n == 0 { HELD } else { CHUNKED }, false))]);
     let mut client = day.client();
     day.ask(&mut client, "GET", "page", "k");
@@ -430,7 +430,7 @@
 }
 
 #[test]
-fn a_silent_cache_is_passed_and_its_connection_closed_after_the_answer() {
+fn a_silent_server_is_passed_and_its_connection_closed_after_the_answer() {
     let day = Day::new(&[("a", |_| ("", false)), ("b", held)]);
     let mut client = day.client();
     for key in ["k1", "k2", "k3"] {
@@ -450,7 +450,7 @@
 }
 
 #[test]
-fn a_cache_that_was_left_is_probed_and_taken_back() {
+fn a_server_that_was_left_is_probed_and_taken_back() {
     let day = Day::new(&[("a", |n| if n < 3 { ("", true) } else { (HELD, false) })]);
     let mut client = day.client();
     (0..3).for_each(|_| day.ask(&mut client, "GET", "once", "k"));
@@ -470,7 +470,7 @@
 }
 
 #[test]
-fn without_a_cache_a_request_is_deferred_at_once() {
+fn without_a_server_a_request_is_deferred_at_once() {
     let gone = |lines: &[Value]| vec![whole(2, &lines[..0])];
     let day = Day::with(&[("a", held)], 1024, "", gone);
     day.ask(&mut day.client(), "GET", "page", "k");
@@ -632,7 +632,7 @@
 }
 
 #[test]
-fn a_list_that_starts_again_from_an_old_state_brings_no_drained_cache_back() {
+fn a_list_that_starts_again_from_an_old_state_brings_no_drained_server_back() {
     let again = |lines: &[Value]| {
         let mut off = lines.to_vec();
         off[0]["state"] = json!("DRAINING");
@@ -749,7 +749,7 @@
     for i in 0..24 {
         let mut client = day.client();
         day.write(&mut client, "GET", "once", &format!("k{i}"));
-        // Each of the thirteen that there is room for is out at a cache before the next one comes; a fourteenth
+        // Each of the thirteen that there is room for is out at a server before the next one comes; a fourteenth
         // has a place, and its attempt has none.
         wait_for(|| i >= 13 || day.told.0.lock().unwrap().len() > i);
         clients.push(client);
--- a/crates/proxy/tests/sockets/endings.rs
+++ b/crates/proxy/tests/sockets/endings.rs
@@ -23,26 +23,26 @@
     }
 }
 
-/// A cache as listed, where it listens itself or only holds what connects.
-pub struct Cache(TcpListener, pub Value);
+/// A server as listed, where it listens itself or only holds what connects.
+pub struct StandInServer(TcpListener, pub Value);
 
-pub fn cache(name: &str) -> Cache {
+pub fn server(name: &str) -> StandInServer {
     let (listener, addr) = a_listener();
-    Cache(listener, line(name, addr, "SERVING"))
+    StandInServer(listener, line(name, addr, "SERVING"))
 }
 
 /// One whose connections come up only once the test lets them: the system takes one for it, and that is the test's own.
-pub fn shut_cache(name: &str) -> (Cache, TcpStream) {
+pub fn shut_server(name: &str) -> (StandInServer, TcpStream) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
     socket.listen(0).unwrap();
     let listener = TcpListener::from(socket);
     let addr = listener.local_addr().unwrap();
     let filler = TcpStream::connect(addr).unwrap();
-    (Cache(listener, line(name, addr, "SERVING")), filler)
+    (StandInServer(listener, line(name, addr, "SERVING")), filler)
 }
 
-impl Cache {
+impl StandInServer {
     pub fn addr(&self) -> SocketAddr {
         self.0.local_addr().unwrap()
     }
@@ -62,19 +62,19 @@
 
 impl Fleet {
     /// `playing`: those that answer as the test says. `known`: what the list has, unless it is one of the test's own.
-    pub fn new(playing: Vec<Cache>, known: &[Value], set: impl FnOnce(&mut Value)) -> Fleet {
+    pub fn new(playing: Vec<StandInServer>, known: &[Value], set: impl FnOnce(&mut Value)) -> Fleet {
         let listed = whole(2, known);
         Fleet::with(playing, known, |listener, calls| list(listener, vec![listed], calls), set)
     }
 
     pub fn with(
-        playing: Vec<Cache>,
+        playing: Vec<StandInServer>,
         known: &[Value],
         listing: impl FnOnce(TcpListener, Arc<AtomicUsize>),
         set: impl FnOnce(&mut Value),
     ) -> Fleet {
         let (tell, came) = channel();
-        for Cache(listener, line) in playing {
+        for StandInServer(listener, line) in playing {
             let (tell, name) = (tell.clone(), line["id"].as_str().unwrap().to_string());
             spawn(move || {
                 for mut stream in listener.incoming().flatten() {
@@ -103,7 +103,7 @@
         fleet
     }
 
-    pub fn of(playing: Vec<Cache>, set: impl FnOnce(&mut Value)) -> Fleet {
+    pub fn of(playing: Vec<StandInServer>, set: impl FnOnce(&mut Value)) -> Fleet {
         let lines: Vec<Value> = playing.iter().map(|c| c.1.clone()).collect();
         Fleet::new(playing, &lines, set)
     }
@@ -133,7 +133,7 @@
     }
 
     /// What happens while the proxy stands still: it reads all of it in one turn.
-    fn standing<T>(&self, happens: impl FnOnce() -> T) -> T {
+    fn status<T>(&self, happens: impl FnOnce() -> T) -> T {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.proxy.id());
         wait_for(|| std::fs::read_to_string(&stat).is_ok_and(|s| s.contains(") T ")));
@@ -183,7 +183,7 @@
 
 /// What the request after it gets.
 fn second_answer() -> Option<String> {
-    let fleet = Fleet::of(vec![cache("a")], |_| ());
+    let fleet = Fleet::of(vec![server("a")], |_| ());
     let mut client = fleet.write("page", "k0");
     let mut attempt = fleet.attempt();
     let begun = Instant::now();
@@ -206,17 +206,17 @@
 #[test]
 fn who_leaves_while_a_connection_comes_up_is_not_sent_on() {
     for cancelling in [true, false] {
-        let (cache, _filler) = shut_cache("a");
-        let lines = vec![cache.1.clone()];
+        let (server, _filler) = shut_server("a");
+        let lines = vec![server.1.clone()];
         let fleet = Fleet::new(vec![], &lines, |said| {
             patient(said);
             said["settings"]["ceilings"]["cancelling"] = json!(cancelling);
         });
         let client = fleet.write("page", "k");
-        cache.wait_connecting();
-        let attempt = fleet.standing(|| {
+        server.wait_connecting();
+        let attempt = fleet.status(|| {
             drop(client);
-            cache.let_in()
+            server.let_in()
         });
         assert_eq!(written(attempt), "nothing", "cancelling: {cancelling}");
     }
@@ -225,7 +225,7 @@
 /// The same for a place for its connection: all are taken by requests that hang, and one becomes free as the client leaves.
 #[test]
 fn who_leaves_while_it_waits_for_a_place_is_not_sent_on() {
-    let fleet = Fleet::of(vec![cache("a"), cache("b"), cache("c")], |said| {
+    let fleet = Fleet::of(vec![server("a"), server("b"), server("c")], |said| {
         may_not_withdraw(said);
         said["limits"]["sockets"] = json!(46);
         said["settings"]["namespaces"][1] = namespace("once", "single_shot", 9000);
@@ -242,7 +242,7 @@
     let open = || std::fs::read_dir(&taken).map_or(0, |fds| fds.count());
     let before = open();
     wait_for(|| open() >= before);
-    fleet.standing(|| {
+    fleet.status(|| {
         drop(waits);
         attempts[0].answer(&HELD.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
     });
@@ -255,11 +255,11 @@
 #[test]
 fn who_leaves_while_another_has_its_key_is_not_sent_on() {
     for (kind, origin) in [("in order", false), ("fetch", true)] {
-        let mut caches = vec![cache("a")];
+        let mut servers = vec![server("a")];
         if origin {
-            caches.push(cache("origin"));
+            servers.push(server("origin"));
         }
-        let fleet = Fleet::of(caches, |said| {
+        let fleet = Fleet::of(servers, |said| {
             may_not_withdraw(said);
             said["settings"]["namespaces"][0]["keepOrder"] = json!(!origin);
         });
@@ -278,7 +278,7 @@
         let mut other = fleet.attempt();
         other.answer(HELD);
         assert_eq!((other.what.as_str(), heard(&mut third).as_str()), ("a other", "200 value"));
-        fleet.standing(|| {
+        fleet.status(|| {
             // Reset, not closed in order.
             socket2::SockRef::from(&second).set_linger(Some(Duration::ZERO)).unwrap();
             drop(std::mem::replace(&mut second, TcpStream::connect(fleet.addr).unwrap()));
@@ -290,14 +290,14 @@
     }
 }
 
-/// The same for the moment in which a silent cache is given up for the next.
+/// The same for the moment in which a silent server is given up for the next.
 #[test]
-fn who_leaves_as_a_silent_cache_is_given_up_is_not_sent_on() {
-    let fleet = Fleet::of(vec![cache("a"), cache("b")], |_| ());
+fn who_leaves_as_a_silent_server_is_given_up_is_not_sent_on() {
+    let fleet = Fleet::of(vec![server("a"), server("b")], |_| ());
     let client = fleet.write("page", "k");
     let silent = fleet.attempt();
-    fleet.standing(|| {
-        // Past what a cache may be silent for, here a time limit's half at the most.
+    fleet.status(|| {
+        // Past what a server may be silent for, here a time limit's half at the most.
         sleep(Duration::from_millis(1600));
         drop(client);
     });
@@ -313,7 +313,7 @@
 #[test]
 fn what_is_over_while_a_connection_comes_up_is_not_written() {
     // The time limit.
-    let (shut, _filler) = shut_cache("a");
+    let (shut, _filler) = shut_server("a");
     let lines = vec![shut.1.clone()];
     let fleet = Fleet::new(vec![], &lines, |said| {
         patient(said);
@@ -321,7 +321,7 @@
     });
     let mut client = fleet.write("page", "k");
     shut.wait_connecting();
-    let attempt = fleet.standing(|| {
+    let attempt = fleet.status(|| {
         let attempt = shut.let_in();
         sleep(Duration::from_millis(1000));
         attempt
@@ -330,8 +330,8 @@
     assert!(heard(&mut client).starts_with("50"));
     // The window: the first attempt breaks after it was read, the second waits for its connection.
     for _ in 0..20 {
-        let (shut, _filler) = shut_cache("b");
-        let open = cache("a");
+        let (shut, _filler) = shut_server("b");
+        let open = server("a");
         let lines = vec![open.1.clone(), shut.1.clone()];
         let fleet = Fleet::new(vec![open], &lines, |said| {
             patient(said);
@@ -343,7 +343,7 @@
         let Ok(first) = fleet.came.recv_timeout(Duration::from_millis(300)) else { continue };
         first.stream.shutdown(std::net::Shutdown::Both).unwrap();
         shut.wait_connecting();
-        let attempt = fleet.standing(|| {
+        let attempt = fleet.status(|| {
             let attempt = shut.let_in();
             sleep(Duration::from_millis(750));
             attempt
@@ -355,7 +355,7 @@
     panic!("no key was the open cache's");
 }
 
-/// A drain that is told while an attempt waits for its connection to that cache: the attempt goes elsewhere. So it does where both come
+/// A drain that is told while an attempt waits for its connection to that server: the attempt goes elsewhere. So it does where both come
 /// in a standstill that outlasts the grace, and are read in one turn.
 #[test]
 fn a_drain_told_while_a_connection_comes_up_takes_the_attempt_elsewhere() {
@@ -364,11 +364,11 @@
 }
 
 fn drained_meanwhile(in_a_standstill: bool) {
-    let (shut, _filler) = shut_cache("a");
-    let open = cache("b");
+    let (shut, _filler) = shut_server("a");
+    let open = server("b");
     let (known, both) = (vec![shut.1.clone()], [shut.1.clone(), open.1.clone()]);
     let drained = line("a", shut.addr(), "DRAINING");
-    // The drain and the other cache are the answer to the second call, which is held until the attempt waits.
+    // The drain and the other server are the answer to the second call, which is held until the attempt waits.
     let (go, told) = channel::<()>();
     let answers = [whole(2, &known), whole(3, &[drained, both[1].clone()])];
     let written_to = Arc::new(AtomicUsize::new(0));
@@ -399,7 +399,7 @@
         // It has read the answer as it calls again.
         wait_for(|| fleet.calls.load(Ordering::SeqCst) > 2);
     }
-    let attempt = fleet.standing(|| {
+    let attempt = fleet.status(|| {
         let attempt = shut.let_in();
         if in_a_standstill {
             // After the connection, as the system tells of what came in that order.
@@ -417,11 +417,11 @@
     assert_eq!(heard(&mut client), "200 value");
 }
 
-/// A cache that resets in the middle of a long body has surely not run it, and a single-use request goes on to the next.
+/// A server that resets in the middle of a long body has surely not run it, and a single-use request goes on to the next.
 #[test]
 fn a_reset_inside_a_body_has_not_run_and_a_single_use_request_goes_on() {
     const BODY: usize = 20 << 20;
-    let (cuts, whole_of) = (cache("a"), cache("b"));
+    let (cuts, whole_of) = (server("a"), server("b"));
     let lines = vec![cuts.1.clone(), whole_of.1.clone()];
     let fleet = Fleet::new(vec![], &lines, |said| {
         said["limits"]["memory_mb"] = json!(256);
@@ -431,7 +431,7 @@
     // Whichever is asked first resets after its first byte, the other takes all.
     let first = Arc::new(AtomicUsize::new(0));
     let (tell, told) = channel();
-    for Cache(listener, _) in [cuts, whole_of] {
+    for StandInServer(listener, _) in [cuts, whole_of] {
         let (first, tell) = (first.clone(), tell.clone());
         spawn(move || {
             for mut stream in listener.incoming().flatten() {
@@ -461,17 +461,17 @@
     assert_eq!(first.load(Ordering::SeqCst), 2);
 }
 
-/// A client that goes while a long answer flows to it takes the attempt along: its cache is not read on for nobody.
+/// A client that goes while a long answer flows to it takes the attempt along: its server is not read on for nobody.
 #[test]
 fn who_leaves_while_an_answer_flows_takes_its_attempt_along() {
-    let fleet = Fleet::of(vec![cache("a")], |_| ());
+    let fleet = Fleet::of(vec![server("a")], |_| ());
     let mut client = fleet.write("page", "k");
     let mut attempt = fleet.attempt();
     attempt.answer("HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n");
     attempt.answer(&"v".repeat(100_000));
     client.read_exact(&mut [0; 50_000]).unwrap();
     drop(client);
-    // Within what an answer may be at the longest: the cache's own connection ends.
+    // Within what an answer may be at the longest: the server's own connection ends.
     let part = "v".repeat(100_000);
     assert!((0..290).any(|_| attempt.stream.write_all(part.as_bytes()).is_err()));
 }
--- a/crates/proxy/tests/sockets/large.rs
+++ b/crates/proxy/tests/sockets/large.rs
@@ -82,7 +82,7 @@
     (leaked(&TEXT, text), false)
 }
 
-/// Its first bytes are the client's at once, past the time limit it is not cut off, and when its client goes the cache's
+/// Its first bytes are the client's at once, past the time limit it is not cut off, and when its client goes the server's
 /// connection is closed too.
 #[test]
 fn the_first_bytes_of_a_long_answer_do_not_wait_for_the_rest() {
--- a/crates/proxy/tests/sockets/leaving.rs
+++ b/crates/proxy/tests/sockets/leaving.rs
@@ -1,6 +1,6 @@
 //! The end of a process, and its start: what is owed when it is told to end at an odd moment.
 
-use super::outcomes::{Fleet, cache, heard, shut_cache};
+use super::outcomes::{Fleet, heard, server, shut_server};
 use super::*;
 use rustix::process::{Pid, Signal, kill_process};
 use std::collections::HashSet;
@@ -40,8 +40,8 @@
     }
 }
 
-/// With limits so short that the whole end takes half a second, clients go on sending on every connection: none that a cache
-/// was asked for is without an answer, whatever its cache does.
+/// With limits so short that the whole end takes half a second, clients go on sending on every connection: none that a server
+/// was asked for is without an answer, whatever its server does.
 #[test]
 fn clients_that_send_up_to_the_end_lose_nothing_where_limits_are_short() {
     let by_turns: Script = |n| (if n % 3 == 0 { "" } else { HELD }, false);
@@ -95,8 +95,8 @@
 /// read: each has its one answer before the process ends, and a second word to end, or to read anew, changes nothing.
 #[test]
 fn told_to_end_it_answers_what_waits_for_whatever() {
-    let (shut, _filler) = shut_cache("a");
-    let open = cache("b");
+    let (shut, _filler) = shut_server("a");
+    let open = server("b");
     let lines = vec![shut.1.clone(), open.1.clone()];
     let mut fleet = Fleet::new(vec![open], &lines, |said| {
         said["settings"]["ceilings"]["connectTimeoutNs"] = json!(5_000_000_000u64);
@@ -105,7 +105,7 @@
             json!([namespace("page", "free", 1500), namespace("once", "single_shot", 8000)]);
         said["settings"]["namespaces"][0]["keepOrder"] = json!(true);
     });
-    // Keys of both caches, each twice: the second waits for its turn.
+    // Keys of both servers, each twice: the second waits for its turn.
     let mut clients: Vec<TcpStream> = (0..16).map(|i| fleet.write("page", &format!("k{}", i / 2))).collect();
     // Beyond what is left to it: SIGKILL comes 3.7 s after the word.
     clients.extend((0..4).map(|i| fleet.write("once", &format!("o{i}"))));
@@ -145,7 +145,7 @@
 /// first moment, whatever the configuration knows.
 #[test]
 fn where_lists_are_pushed_it_is_up_once_its_agent_has_spoken() {
-    let (a, b) = (cache("a"), cache("b"));
+    let (a, b) = (server("a"), server("b"));
     let known = vec![a.1.clone(), b.1.clone()];
     let drained = [line("a", a.addr(), "DRAINING"), b.1.clone()];
     let (go, told) = std::sync::mpsc::channel::<()>();
@@ -189,7 +189,7 @@
 /// An answer without a length that never ends is broken off where any other would be too long.
 #[test]
 fn an_answer_that_never_ends_is_broken_off() {
-    let fleet = Fleet::of(vec![cache("a")], |_| ());
+    let fleet = Fleet::of(vec![server("a")], |_| ());
     let mut client = fleet.write("page", "k");
     let mut attempt = fleet.attempt();
     let writing = spawn(move || {
--- a/crates/proxy/tests/sockets/operators.rs
+++ b/crates/proxy/tests/sockets/operators.rs
@@ -18,18 +18,18 @@
 }
 
 impl Held {
-    fn new(name: &str, caches: &[Value]) -> Held {
-        Held::with(name, caches, vec![whole(2, caches)])
+    fn new(name: &str, servers: &[Value]) -> Held {
+        Held::with(name, servers, vec![whole(2, servers)])
     }
 
-    fn with(name: &str, caches: &[Value], listed: Vec<String>) -> Held {
+    fn with(name: &str, servers: &[Value], listed: Vec<String>) -> Held {
         let folder =
             PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let listener = TcpListener::bind(own_address()).unwrap();
         let (of_list, at) = a_listener();
         list(of_list, listed, Default::default());
-        let configuration = configuration(listener.local_addr().unwrap(), at, caches, 256);
+        let configuration = configuration(listener.local_addr().unwrap(), at, servers, 256);
         Held { listener, folder, configuration }
     }
 
@@ -94,7 +94,7 @@
     format!("{}{}", &head[9..12], if head.contains("Connection: close") { " and closes" } else { "" })
 }
 
-fn caches(names: &[&'static str]) -> (Told, Vec<Value>) {
+fn servers(names: &[&'static str]) -> (Told, Vec<Value>) {
     let (told, mut lines) = (Told::default(), Vec::new());
     for name in names {
         let (listener, addr) = a_listener();
@@ -108,7 +108,7 @@
 /// connection that is gone. What is spoilt in the folder is passed over.
 #[test]
 fn a_new_version_takes_over_under_load() {
-    let (_told, lines) = caches(&["amber", "birch"]);
+    let (_told, lines) = servers(&["amber", "birch"]);
     let held = Held::new("upgrade", &lines);
     std::fs::write(held.folder.join("chalkwalk.p.1.handover"), "half a").unwrap();
     let mut old = held.start();
@@ -139,7 +139,7 @@
 /// A successor that is gone again has taken nothing over: the old process, told to end, still takes who comes.
 #[test]
 fn a_successor_that_is_gone_again_leaves_the_old_process_as_it_was() {
-    let (_told, lines) = caches(&["amber"]);
+    let (_told, lines) = servers(&["amber"]);
     let held = Held::new("gone", &lines);
     let old = held.start();
     old.wait_ready();
@@ -155,7 +155,7 @@
 /// Emptied and then told to end, idle connections are closed by whichever comes first.
 #[test]
 fn an_emptied_proxy_that_is_told_to_end_holds_no_connection_longer() {
-    let (_told, lines) = caches(&["amber"]);
+    let (_told, lines) = servers(&["amber"]);
     let held = Held::new("both", &lines);
     let process = held.start();
     process.wait_ready();
@@ -172,7 +172,7 @@
 /// Calls that are none get their own no, and the silent ones make way.
 #[test]
 fn the_operators_door_says_no_to_what_is_no_call() {
-    let (_told, lines) = caches(&["amber"]);
+    let (_told, lines) = servers(&["amber"]);
     let held = Held::new("door", &lines);
     let process = held.start();
     process.wait_ready();
@@ -198,10 +198,10 @@
 }
 
 /// Out of service the proxy says so, serves on the connections it has, closes them with their answers or idle, and is
-/// back at once. A cache out and the service out hold over an upgrade; ids that nobody has are no ids.
+/// back at once. A server out and the service out hold over an upgrade; ids that nobody has are no ids.
 #[test]
 fn a_drain_empties_the_proxy_and_what_operators_said_holds_over_an_upgrade() {
-    let (told, lines) = caches(&["amber", "birch"]);
+    let (told, lines) = servers(&["amber", "birch"]);
     let held = Held::new("drain", &lines);
     let mut old = held.start();
     old.wait_ready();
@@ -346,11 +346,11 @@
     "#]]);
 }
 
-/// Lists of a thousand caches, for one of a thousand proxies: a start, a drain of a third, calls of operators for another
+/// Lists of a thousand servers, for one of a thousand proxies: a start, a drain of a third, calls of operators for another
 /// third, an upgrade. Each third of them stands at one address; memory stays well under the least that a proxy is given.
 #[test]
-fn a_thousand_caches_are_listed_drained_taken_out_and_handed_over() {
-    let (told, at) = caches(&["a", "b", "c"]);
+fn a_thousand_servers_are_listed_drained_taken_out_and_handed_over() {
+    let (told, at) = servers(&["a", "b", "c"]);
     let lines = |of_a: &str| -> Vec<Value> {
         let line = |i: usize| {
             let mut line = at[i % 3].clone();
@@ -395,7 +395,7 @@
 /// A disk that holds up whoever writes to it holds up no request and no answer to operators, and what they said is in force.
 #[test]
 fn a_disk_that_stands_still_holds_up_nobody() {
-    let (told, lines) = caches(&["amber", "birch"]);
+    let (told, lines) = servers(&["amber", "birch"]);
     let held = Held::new("slow-disk", &lines);
     let process = held.start();
     process.wait_ready();
@@ -418,7 +418,7 @@
 }
 
 /// The first requests after a switch, with what the process before learned, without it, and with that spoilt: none is lost, a
-/// cache that turns all away is asked less where that was learned, the draining one not at all, and the cold one little.
+/// server that turns all away is asked less where that was learned, the draining one not at all, and the cold one little.
 #[test]
 fn the_first_seconds_after_a_switch_keep_every_rule_with_learned_figures_or_without() {
     const FULL: &str = "HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
--- a/crates/proxy/tests/sources.rs
+++ b/crates/proxy/tests/sources.rs
@@ -9,8 +9,8 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// A cache that answers everything with its name.
-fn cache(name: &'static str) -> SocketAddr {
+/// A server that answers everything with its name.
+fn server(name: &'static str) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     spawn(move || {
@@ -120,13 +120,13 @@
 fn a_file_is_taken_whole_kept_on_disk_and_what_was_decided_is_decided_again() {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("sources-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    let (a, b) = (cache("amber"), cache("birch"));
+    let (a, b) = (server("amber"), server("birch"));
     let write = |text: String| std::fs::write(folder.join("list.toml"), text).unwrap();
     let list = |a_is, b_is| format!("version = 1\n{}{}[end]\n", line("a", a, a_is), line("b", b, b_is));
     write(list("serving", "draining"));
     let day = Day::new(&folder);
     day.answered_by("amber");
-    // A broken version and one without its end change nothing, and say so; a drained cache that is listed again stays off.
+    // A broken version and one without its end change nothing, and say so; a drained server that is listed again stays off.
     write(list("serving", "tired"));
     sleep(Duration::from_millis(250));
     write(list("draining", "serving").replace("[end]\n", ""));
--- a/crates/resp-door/src/cluster.rs
+++ b/crates/resp-door/src/cluster.rs
@@ -2,9 +2,9 @@
 
 use crate::door::Door;
 use chalkwalk_core::flow;
-use chalkwalk_core::members::Line;
+use chalkwalk_core::members::ListedEndpoint;
 use chalkwalk_net::{more, within, write_all};
-use chalkwalk_policy::Standing;
+use chalkwalk_policy::EndpointStatus;
 use chalkwalk_resp::{Bounds, Kind, Reader, Writer};
 use chalkwalk_slots::View;
 use slog::{info, warn};
@@ -21,16 +21,25 @@
 /// The servers that are asked first are in the list from the start, where the servers' own word is it.
 pub fn seeds(door: &Rc<Door>) {
     if door.lists {
-        let lines: Vec<Line> = door.settings.seeds.iter().map(|addr| line(door, *addr)).collect();
+        let lines: Vec<ListedEndpoint> = door.settings.seeds.iter().map(|addr| line(door, *addr)).collect();
         flow::listed(&door.core, &lines, true, false);
     }
 }
 
-fn line(door: &Door, addr: SocketAddr) -> Line {
+fn line(door: &Door, addr: SocketAddr) -> ListedEndpoint {
     // Where the servers stand is not theirs to say: all count as near.
     let zone = door.core.rules.zones.get(door.core.classes.zone()).cloned().unwrap_or_default();
-    let standing = Standing::Ready;
-    Line { id: addr.to_string(), addr, zone, kind: String::new(), cell: 0, size: 100, standing, born: 0 }
+    let status = EndpointStatus::Ready;
+    ListedEndpoint {
+        id: addr.to_string(),
+        addr,
+        zone,
+        kind: String::new(),
+        cell: 0,
+        size: 100,
+        status,
+        born: 0,
+    }
 }
 
 /// Keeps the map; never ends.
@@ -81,7 +90,8 @@
 /// Tells the core which servers there are, where nobody else does.
 fn list(door: &Rc<Door>, view: &View) {
     if door.lists {
-        let lines: Vec<Line> = view.nodes.iter().filter(|n| !n.fails).map(|n| line(door, n.addr)).collect();
+        let lines: Vec<ListedEndpoint> =
+            view.nodes.iter().filter(|n| !n.fails).map(|n| line(door, n.addr)).collect();
         flow::listed(&door.core, &lines, true, false);
     }
 }
--- a/crates/source/src/feed.rs
+++ b/crates/source/src/feed.rs
@@ -2,7 +2,7 @@
 
 use chalkwalk_core::core::Core;
 use chalkwalk_core::flow;
-use chalkwalk_membership::Line;
+use chalkwalk_membership::ListedEndpoint;
 use chalkwalk_membership::count::Count;
 use chalkwalk_membership::form::Known;
 use chalkwalk_membership::kept::{Age, Kept};
@@ -93,13 +93,13 @@
     }
 
     /// The list as the core was told it.
-    pub fn lines(&self) -> Vec<Line> {
+    pub fn lines(&self) -> Vec<ListedEndpoint> {
         self.reconciler.borrow().lines()
     }
 
     /// The whole list as of a revision; each line says whether it is back on purpose. An error is a plain sentence, is in
     /// the log, and nothing was taken.
-    pub fn whole(&self, revision: u64, lines: Vec<(Line, bool)>) -> Result<(), String> {
+    pub fn whole(&self, revision: u64, lines: Vec<(ListedEndpoint, bool)>) -> Result<(), String> {
         let told = self.reconciler.borrow_mut().whole(self.core.clock.now(), revision, lines);
         match told {
             Ok(told) => {
@@ -171,10 +171,10 @@
 
     fn tell(&self, told: Told) {
         self.heard();
-        for (event, cache) in &told.notes {
-            match cache.as_str() {
+        for (event, server) in &told.notes {
+            match server.as_str() {
                 "" => warn!(self.core.log, "{}", event),
-                cache => warn!(self.core.log, "{}", event; "cache" => cache),
+                server => warn!(self.core.log, "{}", event; "cache" => server),
             }
         }
         if told.whole || !told.lines.is_empty() {
--- a/crates/source/src/file.rs
+++ b/crates/source/src/file.rs
@@ -15,7 +15,7 @@
 /// From one look at the file to the next. A drain is heard well within the second that it may take; reading some kilobytes ten
 /// times a second costs next to nothing. Looking at the content needs no notices that renames and mounts would lose.
 const LOOK: Duration = Duration::from_millis(100);
-/// 20,000 caches take some 200 bytes each.
+/// 20,000 servers take some 200 bytes each.
 const LONGEST: u64 = 8 << 20;
 
 pub struct File {
@@ -69,11 +69,11 @@
         });
         match read {
             Ok(read) => {
-                let caches = read.lines.len();
+                let servers = read.lines.len();
                 // Files bear no order of their own: the one read last is the newest.
                 if self.feed.whole(self.feed.revision() + 1, read.lines).is_ok() {
                     self.serial.set(read.serial.or(self.serial.get()));
-                    info!(self.feed.core.log, "list file taken"; "caches" => caches);
+                    info!(self.feed.core.log, "list file taken"; "caches" => servers);
                 }
             }
             Err(faults) => {
