--- a/crates/benchlink/src/desk.rs
+++ b/crates/benchlink/src/desk.rs
@@ -1,7 +1,7 @@
 //! One instance: its router, and the small indices that stand for the wire's names at its door.
 
+use chalkwalk_house::PlatformSettings;
 use chalkwalk_house::fields::{Object, Read, flag, list, object, size, text, text_or, whole, whole_or};
-use chalkwalk_house::{self as house, House};
 use chalkwalk_policy::{
     AttemptOutcome, Carrier, Endpoint, EndpointStatus, RequestId, Router, ServerIndex, Tenths,
 };
@@ -29,7 +29,7 @@
 }
 
 pub struct Desk {
-    house: House,
+    settings: PlatformSettings,
     router: Router,
     servers: Door,
     zones: Door,
@@ -124,16 +124,16 @@
     pub fn open(up: &Object, actions: &mut Vec<Value>) -> Read<Desk> {
         let seed = whole(up, "randomSeed")?;
         let options = up.get("options").ok_or("field options: missing, expected an object")?;
-        let house = house::read(object(options, "field options")?)?;
+        let settings = chalkwalk_house::read(object(options, "field options")?)?;
         let mut zones = Door::default();
-        house.zones.iter().for_each(|z| {
+        settings.zones.iter().for_each(|z| {
             zones.index_of(z);
         });
         let servers = Door::default();
         let pen = &mut Pen { servers: &servers, wire_ids: &HashMap::new(), actions };
         Ok(Desk {
-            router: Router::new(seed, &house.rules, pen),
-            house,
+            router: Router::new(seed, &settings.values, pen),
+            settings,
             servers,
             zones,
             request_ids: HashMap::new(),
@@ -229,10 +229,10 @@
 
     fn knock(&mut self, event: &Object, actions: &mut Vec<Value>) -> Read<()> {
         let req = whole(event, "req")?;
-        let ns = place_of(&self.house.namespaces, text(event, "service")?, "service", "namespace")?;
+        let ns = place_of(&self.settings.namespaces, text(event, "service")?, "service", "namespace")?;
         let tenant = text_or(event, "project", "")?;
         if !tenant.is_empty() {
-            place_of(&self.house.tenants, tenant, "project", "tenant")?;
+            place_of(&self.settings.tenants, tenant, "project", "tenant")?;
         }
         let key = text_or(event, "routeKey", "")?;
         let expires = whole(event, "expiresNs")? / NS_PER_TENTH;
@@ -262,7 +262,7 @@
                     server: self.servers.index_of(text(e, "node")?),
                     id: text(e, "node")?,
                     zone: self.zones.index_of(text(e, "dc")?),
-                    kind: place_of(&self.house.kinds, text(e, "model")?, "model", "kind")?,
+                    kind: place_of(&self.settings.kinds, text(e, "model")?, "model", "kind")?,
                     cell: whole_or(e, "cluster", 0)?,
                     size: size(e, "powerHint")?,
                     status: status(text(e, "state")?)?,
--- a/crates/capture/src/record.rs
+++ b/crates/capture/src/record.rs
@@ -27,11 +27,11 @@
 pub enum Told {
     Start {
         seed: u64,
-        house: BTreeMap<String, String>,
+        settings: BTreeMap<String, String>,
     },
     /// Taken and routed. The key by its point; its text where the operator keeps it.
     Take {
-        ns: usize,
+        class: usize,
         point: u64,
         key: String,
         write: bool,
@@ -61,13 +61,13 @@
     Limits(BTreeMap<String, String>),
     Renewed {
         request_id: u64,
-        ns: usize,
+        class: usize,
         expires: Tenths,
     },
     SharedBy(u64),
     /// All that the module knows, and its house: a replay may begin here.
     Snapshot {
-        house: BTreeMap<String, String>,
+        settings: BTreeMap<String, String>,
         words: Vec<u64>,
         texts: Vec<String>,
     },
--- a/crates/capture/src/replay.rs
+++ b/crates/capture/src/replay.rs
@@ -187,13 +187,13 @@
 
 /// Makes one call; `None` where there is no module to make it to, or it makes no sense.
 fn again(router: &mut Option<Router>, at: Tenths, call: &Call, out: &mut Notes) -> Option<()> {
-    if let Told::Start { seed, house } = &call.told {
-        *router = Some(Router::new(*seed, house, out));
+    if let Told::Start { seed, settings } = &call.told {
+        *router = Some(Router::new(*seed, settings, out));
         return Some(());
     }
-    if let (Told::Snapshot { house, words, texts }, None) = (&call.told, &router) {
+    if let (Told::Snapshot { settings, words, texts }, None) = (&call.told, &router) {
         let state = State { words: words.clone(), texts: texts.clone() };
-        *router = Some(Router::of_state(house, &state)?);
+        *router = Some(Router::of_state(settings, &state)?);
         return Some(());
     }
     let router = router.as_mut()?;
@@ -209,11 +209,11 @@
                 });
             }
         }
-        Told::Take { ns, point, write, expires, order, .. } => {
-            if *ns >= router.classes() {
+        Told::Take { class, point, write, expires, order, .. } => {
+            if *class >= router.classes() {
                 return None;
             }
-            let request_id = router.take_at(*ns, *point, *write, *expires);
+            let request_id = router.take_at(*class, *point, *write, *expires);
             if let Some(order) = order {
                 request_id.ordered(router, order.clone());
             }
@@ -238,12 +238,12 @@
         Told::Lost => router.discovery_call_failed(0, out),
         Told::CallFailed { took } => router.discovery_call_failed(*took, out),
         Told::Left(request_id) => RequestId(*request_id).client_left(router, out),
-        Told::Limits(house) => router.limits(house),
-        Told::Renewed { request_id, ns, expires } => {
-            if *ns >= router.classes() {
+        Told::Limits(settings) => router.limits(settings),
+        Told::Renewed { request_id, class, expires } => {
+            if *class >= router.classes() {
                 return None;
             }
-            RequestId(*request_id).renewed(router, *ns, *expires, out);
+            RequestId(*request_id).renewed(router, *class, *expires, out);
         }
         Told::SharedBy(proxies) => router.shared_by(*proxies),
         Told::Barred { id, out: barred, at } => router.bar(id, *barred, *at),
--- a/crates/capture/src/tape.rs
+++ b/crates/capture/src/tape.rs
@@ -59,16 +59,16 @@
         now >= self.snapshot_at
     }
 
-    pub fn snapshot(&mut self, now: Tenths, house: &BTreeMap<String, String>, state: State) {
+    pub fn snapshot(&mut self, now: Tenths, settings: &BTreeMap<String, String>, state: State) {
         self.snapshot_at = now + self.each;
         let State { words, texts } = state;
-        self.told(now, Told::Snapshot { house: house.clone(), words, texts });
+        self.told(now, Told::Snapshot { settings: settings.clone(), words, texts });
     }
 
     pub fn take(
         &mut self,
         now: Tenths,
-        ns: usize,
+        class: usize,
         key: &str,
         write: bool,
         expires: Tenths,
@@ -76,7 +76,7 @@
     ) {
         let point = chalkwalk_policy::point_of(key);
         let key = if self.keys { key.to_string() } else { String::new() };
-        self.told(now, Told::Take { ns, point, key, write, expires, order: order.map(<[usize]>::to_vec) });
+        self.told(now, Told::Take { class, point, key, write, expires, order: order.map(<[usize]>::to_vec) });
     }
 
     #[allow(clippy::too_many_arguments)]
--- a/crates/capture/tests/replay.rs
+++ b/crates/capture/tests/replay.rs
@@ -53,7 +53,7 @@
     }
 }
 
-fn house() -> BTreeMap<String, String> {
+fn settings() -> BTreeMap<String, String> {
     let said = [
         ("zone", "0"),
         ("most shots", "4"),
@@ -103,8 +103,8 @@
         of: BTreeMap::new(),
         wakes: vec![],
     };
-    o.tape.told(start, Told::Start { seed, house: house() });
-    let mut router = Router::new(seed, &house(), &mut o);
+    o.tape.told(start, Told::Start { seed, settings: settings() });
+    let mut router = Router::new(seed, &settings(), &mut o);
     let ids: Vec<String> = (0..9).map(|i| format!("c{i}")).collect();
     let outcomes = [
         AttemptOutcome::Completed,
@@ -125,7 +125,7 @@
         if o.tape.wants_snapshot(now) {
             o.tape.snapshot(
                 now,
-                &house(),
+                &settings(),
                 router.state().expect("no reload, so each lookup has the house's rules"),
             );
         }
@@ -152,10 +152,10 @@
                 router.list_whole(&endpoints, &mut o);
             }
             0..7 => {
-                let (ns, key, write) = (below(2) as usize, format!("k{}", below(60)), below(10) == 0);
+                let (class, key, write) = (below(2) as usize, format!("k{}", below(60)), below(10) == 0);
                 let order = (below(9) == 0).then(|| vec![below(8) as usize, below(8) as usize]);
-                o.tape.take(now, ns, &key, write, now + 10_000, order.as_deref());
-                let request_id = router.take(ns, &key, write, now + 10_000);
+                o.tape.take(now, class, &key, write, now + 10_000, order.as_deref());
+                let request_id = router.take(class, &key, write, now + 10_000);
                 if let Some(order) = order {
                     request_id.ordered(&mut router, order);
                 }
--- a/crates/core/src/book.rs
+++ b/crates/core/src/book.rs
@@ -175,7 +175,7 @@
 
 pub struct Book {
     router: Router,
-    house: BTreeMap<String, String>, // as the router last read it
+    settings: BTreeMap<String, String>, // as the router last read it
     desk: Desk,
     pub members: Members,
 }
@@ -184,7 +184,7 @@
     /// `sooner` and `wanted` have room for one, which is enough to be told by.
     pub fn new(
         seed: u64,
-        house: &BTreeMap<String, String>,
+        settings: &BTreeMap<String, String>,
         members: Members,
         (sooner, wanted): (Sender<()>, Sender<()>),
         log: Logger,
@@ -202,13 +202,13 @@
             left_waiting: 0,
             tape,
         };
-        desk.told(|| Told::Start { seed, house: house.clone() });
-        let router = Router::new(seed, house, &mut desk);
-        // The router asks for the list where the house watches; elsewhere it comes by a watch all the same.
-        if house.get("watched").is_none_or(|watched| watched != "1") {
+        desk.told(|| Told::Start { seed, settings: settings.clone() });
+        let router = Router::new(seed, settings, &mut desk);
+        // The router asks for the list where the platform watches; elsewhere it comes by a watch all the same.
+        if settings.get("watched").is_none_or(|watched| watched != "1") {
             _ = desk.wanted.try_send(());
         }
-        Book { router, house: house.clone(), desk, members }
+        Book { router, settings: settings.clone(), desk, members }
     }
 
     fn at(&mut self, now: Tenths) -> (&mut Router, &mut Desk) {
@@ -217,7 +217,7 @@
         if let Some(tape) = self.desk.tape.as_mut().filter(|tape| tape.wants_snapshot(now))
             && let Some(state) = self.router.state()
         {
-            tape.snapshot(now, &self.house, state);
+            tape.snapshot(now, &self.settings, state);
         }
         (&mut self.router, &mut self.desk)
     }
@@ -337,22 +337,22 @@
     pub fn renewed(
         &mut self,
         now: Tenths,
-        house: &BTreeMap<String, String>,
+        settings: &BTreeMap<String, String>,
         of: impl Fn(&dyn Ask) -> Option<(usize, Tenths)>,
     ) {
         let (router, desk) = self.at(now);
-        desk.told(|| Told::Limits(house.clone()));
-        router.limits(house);
+        desk.told(|| Told::Limits(settings.clone()));
+        router.limits(settings);
         let mut open: Vec<(RequestId, Rc<dyn Ask>)> =
             desk.open.iter().map(|(l, o)| (*l, o.ask.clone())).collect();
         open.sort_unstable_by_key(|(request_id, _)| request_id.0);
         for (request_id, ask) in open {
             let Some((class, limit)) = of(&*ask) else { continue };
             let expires = ask.taken() + limit;
-            desk.told(|| Told::Renewed { request_id: request_id.0, ns: class, expires });
+            desk.told(|| Told::Renewed { request_id: request_id.0, class, expires });
             request_id.renewed(router, class, expires, desk);
         }
-        self.house = house.clone();
+        self.settings = settings.clone();
     }
 
     pub fn probed(&mut self, now: Tenths, server: ServerIndex, answered: bool) {
--- a/crates/core/src/classes.rs
+++ b/crates/core/src/classes.rs
@@ -7,14 +7,14 @@
 use std::rc::Rc;
 
 pub struct Classes {
-    now: RefCell<Settings>,
+    now: RefCell<ActiveSettings>,
     generation: Cell<u64>,
 }
 
-struct Settings {
-    house: BTreeMap<String, String>,
+struct ActiveSettings {
+    settings: BTreeMap<String, String>,
     account: Account,
-    of_house: Rc<Table>,
+    from_settings: Rc<Table>,
     limits: Option<Rc<Table>>, // what an operator has set
     longest: Tenths,           // of the time limits now and before
 }
@@ -29,20 +29,23 @@
 }
 
 impl Classes {
-    pub fn new(house: BTreeMap<String, String>, account: Account, limits: Option<Table>) -> Classes {
-        Classes { now: RefCell::new(Settings::new(house, account, limits, 0)), generation: Cell::new(0) }
+    pub fn new(settings: BTreeMap<String, String>, account: Account, limits: Option<Table>) -> Classes {
+        Classes {
+            now: RefCell::new(ActiveSettings::new(settings, account, limits, 0)),
+            generation: Cell::new(0),
+        }
     }
 
     fn table(&self) -> Rc<Table> {
         let now = self.now.borrow();
-        now.limits.clone().unwrap_or_else(|| now.of_house.clone())
+        now.limits.clone().unwrap_or_else(|| now.from_settings.clone())
     }
 
     /// Other settings hold from now on. Classes are counted anew: what was taken before knows by its generation that its
     /// place among them may be another's.
-    pub fn settle(&self, house: BTreeMap<String, String>, account: Account, limits: Option<Table>) {
+    pub fn settle(&self, settings: BTreeMap<String, String>, account: Account, limits: Option<Table>) {
         let longest = self.longest_limit();
-        *self.now.borrow_mut() = Settings::new(house, account, limits, longest);
+        *self.now.borrow_mut() = ActiveSettings::new(settings, account, limits, longest);
         self.generation.set(self.generation.get() + 1);
     }
 
@@ -64,9 +67,9 @@
         self.now.borrow().account.namespaces.iter().map(|n| n.name.clone()).collect()
     }
 
-    /// What the house says, by its names, without what an operator has set.
+    /// What the platform says, by its names, without what an operator has set.
     pub fn said(&self) -> BTreeMap<String, String> {
-        self.now.borrow().house.clone()
+        self.now.borrow().settings.clone()
     }
 
     pub fn find(&self, request: RequestAttributes) -> Taking {
@@ -79,31 +82,31 @@
     /// By how many proxies the servers are shared, as it was written down.
     pub fn proxies(&self) -> u64 {
         let now = self.now.borrow();
-        let written = now.house.get("proxies").and_then(|n| n.parse::<f64>().ok());
+        let written = now.settings.get("proxies").and_then(|n| n.parse::<f64>().ok());
         written.map_or(1, |n| n as u64).max(1)
     }
 
-    /// The zone that the proxy is in, by its place among the house's.
+    /// The zone that the proxy is in, by its place among the platform's.
     pub fn zone(&self) -> usize {
         let now = self.now.borrow();
-        now.house.get("zone").and_then(|n| n.parse::<f64>().ok()).unwrap_or(0.0) as usize
+        now.settings.get("zone").and_then(|n| n.parse::<f64>().ok()).unwrap_or(0.0) as usize
     }
 
-    /// Other limits of the operator hold from now on, for the same classes of the house.
+    /// Other limits of the operator hold from now on, for the same classes of the platform.
     pub fn renew(&self, limits: Option<Table>) {
         self.now.borrow_mut().limits = limits.map(Rc::new);
     }
 
-    /// The house's rules with a namespace for each class, as the router reads them; as they are where no operator has
+    /// The platform's settings with a namespace for each class, as the router reads them; as they are where no operator has
     /// set anything.
-    pub fn house(&self) -> BTreeMap<String, String> {
+    pub fn settings(&self) -> BTreeMap<String, String> {
         let now = self.now.borrow();
-        let mut said = now.house.clone();
+        let mut said = now.settings.clone();
         let Some(table) = now.limits.as_ref() else { return said };
         said.insert("namespaces".into(), table.classes().len().to_string());
         for (i, class) in table.classes().iter().enumerate() {
             let of = format!("namespace {} ", class.namespace);
-            let own = now.house.iter().filter_map(|(name, value)| Some((name.strip_prefix(&of)?, value)));
+            let own = now.settings.iter().filter_map(|(name, value)| Some((name.strip_prefix(&of)?, value)));
             said.extend(own.map(|(name, value)| (format!("namespace {i} {name}"), value.clone())));
             let l = &class.limits;
             let mut set = |name: &str, value: Option<u64>| {
@@ -123,15 +126,21 @@
     }
 }
 
-impl Settings {
+impl ActiveSettings {
     fn new(
-        house: BTreeMap<String, String>,
+        settings: BTreeMap<String, String>,
         account: Account,
         limits: Option<Table>,
         longest: Tenths,
-    ) -> Settings {
+    ) -> ActiveSettings {
         let own = account.namespaces.iter().map(|n| n.time_limit).max().unwrap_or(0);
-        let of_house = Rc::new(Table::of_house(&account));
-        Settings { house, account, of_house, limits: limits.map(Rc::new), longest: longest.max(own) }
+        let from_settings = Rc::new(Table::from_settings(&account));
+        ActiveSettings {
+            settings,
+            account,
+            from_settings,
+            limits: limits.map(Rc::new),
+            longest: longest.max(own),
+        }
     }
 }
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -50,13 +50,13 @@
         let (wanted, wanted_told) = bounded(1);
         let members = Members::new(&rules.zones, &rules.kinds);
         let classes = Classes::new(
-            std::mem::take(&mut rules.house),
+            std::mem::take(&mut rules.settings),
             std::mem::take(&mut rules.account),
             rules.limits.take(),
         );
         let clock = Clock::default();
         let tape = (tape, clock.now());
-        let book = Book::new(rules.seed, &classes.house(), members, (sooner, wanted), log.clone(), tape);
+        let book = Book::new(rules.seed, &classes.settings(), members, (sooner, wanted), log.clone(), tape);
         Rc::new(Core {
             clock,
             budget: Budget::new(rules.descriptors),
--- a/crates/core/src/flow.rs
+++ b/crates/core/src/flow.rs
@@ -87,23 +87,23 @@
 /// Other limits hold from now on, also for what is open: see `RequestId::renewed`.
 pub fn renew(core: &Rc<Core>, limits: Option<Table>) {
     core.classes.renew(limits);
-    let house = core.classes.house();
+    let settings = core.classes.settings();
     let of = |ask: &dyn Ask| {
         let taking = core.classes.find(ask.place()?);
         Some((taking.class, taking.time_limit))
     };
-    tell(core, |book, now| book.renewed(now, &house, of));
+    tell(core, |book, now| book.renewed(now, &settings, of));
 }
 
-/// Other settings of the house hold from now on, and an operator's limits on them. What is open keeps the rules that it was
+/// Other settings of the platform hold from now on, and an operator's limits on them. What is open keeps the rules that it was
 /// taken with.
 pub fn settle(core: &Rc<Core>, mut rules: Rules) {
     let limits = rules.limits.take();
     core.rules.connect_time.set(rules.connect_time.get());
     core.rules.drain_grace.set(rules.drain_grace.get());
-    core.classes.settle(rules.house, rules.account, limits);
-    let house = core.classes.house();
-    tell(core, |book, now| book.renewed(now, &house, |_| None));
+    core.classes.settle(rules.settings, rules.account, limits);
+    let settings = core.classes.settings();
+    tell(core, |book, now| book.renewed(now, &settings, |_| None));
 }
 
 /// Calls the router back at the times it has named; never ends.
--- a/crates/core/src/rules.rs
+++ b/crates/core/src/rules.rs
@@ -9,8 +9,8 @@
 pub struct Rules {
     pub name: String,
     pub seed: u64,
-    /// What the router is told, by the house's names.
-    pub house: BTreeMap<String, String>,
+    /// What the router is told, by the platform's names.
+    pub settings: BTreeMap<String, String>,
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
     /// What limits an operator may set.
--- a/crates/house/src/lib.rs
+++ b/crates/house/src/lib.rs
@@ -1,4 +1,4 @@
-//! Settings of the wire into the router's map, by the names of the house.
+//! Settings of the wire into the router's map, by the names of the platform.
 
 pub mod fields;
 
@@ -65,7 +65,7 @@
 const OF_TENANT: [(&str, &str, Form); 2] =
     [("allowancePerS", "allowance", Number), ("fraction", "share", Number)];
 
-fn in_house_words(word: &str) -> &str {
+fn standard_word(word: &str) -> &str {
     match word {
         "free" => "replayable",
         "guarded" => "tagged",
@@ -98,7 +98,7 @@
         Word if path == "weightKind" && !value.as_str().is_none_or(|w| WEIGHTS.contains(&w)) => {
             Err(wrong("one of off, nominal, rough, live"))
         }
-        Word => value.as_str().map(|w| in_house_words(w).to_string()).ok_or_else(|| wrong("a text")),
+        Word => value.as_str().map(|w| standard_word(w).to_string()).ok_or_else(|| wrong("a text")),
     }
 }
 
@@ -149,50 +149,50 @@
 }
 
 /// The router's map, and the names that later events are looked up by.
-pub struct House {
-    pub rules: BTreeMap<String, String>,
+pub struct PlatformSettings {
+    pub values: BTreeMap<String, String>,
     pub namespaces: Vec<String>,
     pub tenants: Vec<String>,
     pub kinds: Vec<String>,
     pub zones: Vec<String>,
 }
 
-pub fn read(options: &Object) -> Read<House> {
-    let mut rules = BTreeMap::new();
-    pick(options, &NAMED, ("", ""), &mut rules)?;
-    let namespaces = listed(options, "namespaces", ("namespace", "namespaces"), &OF_NAMESPACE, &mut rules)?;
+pub fn read(options: &Object) -> Read<PlatformSettings> {
+    let mut values = BTreeMap::new();
+    pick(options, &NAMED, ("", ""), &mut values)?;
+    let namespaces = listed(options, "namespaces", ("namespace", "namespaces"), &OF_NAMESPACE, &mut values)?;
     let both = |i: &usize| {
         ["streams", "in order"]
             .iter()
-            .all(|f| rules.get(&format!("namespace {i} {f}")).is_some_and(|v| v == "1"))
+            .all(|f| values.get(&format!("namespace {i} {f}")).is_some_and(|v| v == "1"))
     };
     if let Some(i) = (0..namespaces.len()).find(both) {
         return Err(format!(
             "setting namespaces[{i}].keepOrder: a stream has no end to wait for, and can't be kept in order"
         ));
     }
-    let tenants = listed(options, "tenants", ("tenant", "tenants"), &OF_TENANT, &mut rules)?;
-    let kinds = listed(options, "kinds", ("kind", "kinds"), &[], &mut rules)?;
-    let zones = listed(options, "zones", ("zone", "zones"), &[], &mut rules)?;
-    if rules.get("return advice").is_none_or(|said| said == "0") {
-        rules.remove("longest stay away");
+    let tenants = listed(options, "tenants", ("tenant", "tenants"), &OF_TENANT, &mut values)?;
+    let kinds = listed(options, "kinds", ("kind", "kinds"), &[], &mut values)?;
+    let zones = listed(options, "zones", ("zone", "zones"), &[], &mut values)?;
+    if values.get("return advice").is_none_or(|said| said == "0") {
+        values.remove("longest stay away");
     }
     let own = crate::fields::text_or(options, "az", "")?;
     if let Some(zone) = zones.iter().position(|z| z == own) {
-        rules.insert("zone".into(), zone.to_string());
+        values.insert("zone".into(), zone.to_string());
     }
     let watched = crate::fields::text_or(options, "discovery", "automatic")? == "subscribe";
-    rules.insert("watched".into(), u8::from(watched).to_string());
+    values.insert("watched".into(), u8::from(watched).to_string());
     if let Some(info) = options.get("familyInfo").filter(|v| !v.is_null()) {
         let info = object(info, "setting familyInfo")?;
         let mode = info.get("mode").and_then(Value::as_str);
-        rules.insert("through".into(), u8::from(mode == Some("through")).to_string());
+        values.insert("through".into(), u8::from(mode == Some("through")).to_string());
         let kind = info.get("originKind").and_then(Value::as_i64).filter(|k| *k >= 0);
         if let Some(kind) = kind.filter(|_| mode == Some("aside")) {
-            rules.insert("origin kind".into(), kind.to_string());
+            values.insert("origin kind".into(), kind.to_string());
         }
     }
-    Ok(House { rules, namespaces, tenants, kinds, zones })
+    Ok(PlatformSettings { values, namespaces, tenants, kinds, zones })
 }
 
 #[cfg(test)]
@@ -210,8 +210,8 @@
         };
         let told =
             [0.0, 1.0, 49_999.0, 50_000.0, 99_999.0, 100_000.0, 150_000.0, 199_999.0, 1e300].map(|ns| {
-                let rules = read(settings(ns).as_object().unwrap()).unwrap().rules;
-                let of = |name: &str| rules[name].clone();
+                let values = read(settings(ns).as_object().unwrap()).unwrap().values;
+                let of = |name: &str| values[name].clone();
                 let whole = ["drain grace", "ask time", "namespace 0 window"].map(of).join(" ");
                 let limits =
                     ["connect time", "namespace 0 target time", "namespace 0 time limit"].map(of).join(" ");
@@ -238,8 +238,8 @@
             ns.as_object_mut().unwrap().extend(more["of"].as_object().cloned().unwrap_or_default());
             let said = json!({"namespaces": [ns], "rules": more["rules"], "scoreParts": more["parts"]});
             match read(said.as_object().unwrap()) {
-                Ok(house) => ["namespace 0 in order", "key quiet", "tail", "miss allowed"]
-                    .map(|name| house.rules.get(name).cloned().unwrap_or("-".into()))
+                Ok(settings) => ["namespace 0 in order", "key quiet", "tail", "miss allowed"]
+                    .map(|name| settings.values.get(name).cloned().unwrap_or("-".into()))
                     .join(" "),
                 Err(fault) => fault,
             }
@@ -275,7 +275,7 @@
             json!({"weightKind": 3}),
         ]
         .map(|said| match read(said.as_object().unwrap()) {
-            Ok(house) => house.rules.get("size kind").cloned().unwrap_or("-".into()),
+            Ok(settings) => settings.values.get("size kind").cloned().unwrap_or("-".into()),
             Err(fault) => fault,
         });
         expect_test::expect![[r#"
--- a/crates/limits/src/budget.rs
+++ b/crates/limits/src/budget.rs
@@ -7,7 +7,7 @@
 /// The budget of retries that requests of a class share: their own, or that of all which have none.
 #[derive(Clone, Debug)]
 pub enum Purse {
-    House(Rc<Cell<u64>>),
+    Platform(Rc<Cell<u64>>),
     Own(RefCell<Budget>),
 }
 
@@ -21,7 +21,7 @@
 
 impl Default for Purse {
     fn default() -> Purse {
-        Purse::House(Rc::new(Cell::new(AT_FIRST)))
+        Purse::Platform(Rc::new(Cell::new(AT_FIRST)))
     }
 }
 
@@ -32,29 +32,29 @@
 
     pub fn first(&self, now: Tenths) {
         match self {
-            Purse::House(spare) => spare.set((spare.get() + BRINGS).min(MOST)),
+            Purse::Platform(spare) => spare.set((spare.get() + BRINGS).min(MOST)),
             Purse::Own(budget) => budget.borrow_mut().first(now),
         }
     }
 
     pub fn allows(&self, now: Tenths) -> bool {
         match self {
-            Purse::House(spare) => spare.get() >= COSTS,
+            Purse::Platform(spare) => spare.get() >= COSTS,
             Purse::Own(budget) => budget.borrow_mut().allows(now),
         }
     }
 
     pub fn spend(&self, now: Tenths) {
         match self {
-            Purse::House(spare) => spare.set(spare.get().saturating_sub(COSTS)),
+            Purse::Platform(spare) => spare.set(spare.get().saturating_sub(COSTS)),
             Purse::Own(budget) => budget.borrow_mut().spend(now),
         }
     }
 
-    /// What was counted: the house's one number, or a budget's five.
+    /// What was counted: the platform's one number, or a budget's five.
     pub fn counts(&self) -> [u64; 5] {
         match self {
-            Purse::House(spare) => [spare.get(), 0, 0, 0, 0],
+            Purse::Platform(spare) => [spare.get(), 0, 0, 0, 0],
             Purse::Own(budget) => {
                 let Budget { half, firsts, further, .. } = *budget.borrow();
                 [half, firsts[0], firsts[1], further[0], further[1]]
@@ -65,7 +65,7 @@
     /// Goes on from what was counted.
     pub fn count(&self, counts: [u64; 5]) {
         match self {
-            Purse::House(spare) => spare.set(counts[0]),
+            Purse::Platform(spare) => spare.set(counts[0]),
             Purse::Own(budget) => {
                 let mut budget = budget.borrow_mut();
                 let [half, a, b, c, d] = counts;
@@ -77,7 +77,7 @@
     /// Goes on counting what another has counted, if both are of one kind.
     pub fn count_from(&self, before: &Purse) {
         match (self, before) {
-            (Purse::House(spare), Purse::House(before)) => spare.set(before.get()),
+            (Purse::Platform(spare), Purse::Platform(before)) => spare.set(before.get()),
             (Purse::Own(own), Purse::Own(before)) => {
                 let share = own.borrow().share;
                 own.replace(Budget { share, ..before.borrow().clone() });
--- a/crates/limits/src/check.rs
+++ b/crates/limits/src/check.rs
@@ -1,7 +1,7 @@
-//! A draft held against the house's rules. Every fault is found at once, each with its line and the rule that it breaks.
+//! A draft held against the platform's settings. Every fault is found at once, each with its line and the rule that it breaks.
 
 use crate::Tenths;
-use crate::draft::{Account, Draft, Namespace, Repeats, Said, Settings};
+use crate::draft::{Account, Draft, LimitOverrides, Namespace, Repeats, Said};
 use crate::table::{Class, From, Limits, Table};
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -34,7 +34,7 @@
 
 fn line_of(from: &From) -> usize {
     match from {
-        From::House => 0,
+        From::Platform => 0,
         From::Defaults(line) | From::Class(_, line) | From::Route(_, line) => *line,
     }
 }
@@ -97,7 +97,7 @@
         }
     }
 
-    fn of_settings(&mut self, s: &Settings) {
+    fn of_settings(&mut self, s: &LimitOverrides) {
         for (name, said) in
             [("time_limit_ms", s.time_limit), ("target_ms", s.target), ("shot_wait_ms", s.attempt_timeout)]
         {
@@ -133,7 +133,7 @@
         }
     }
 
-    /// One class against the account. Each rule names the line that made it break; where the house alone would, none does.
+    /// One class against the account. Each rule names the line that made it break; where the platform alone would, none does.
     fn of_class(&mut self, class: &Class, ns: &Namespace, account: &Account) {
         let Limits {
             time_limit,
--- a/crates/limits/src/draft.rs
+++ b/crates/limits/src/draft.rs
@@ -17,7 +17,7 @@
 
 /// What may be set; nothing said, and the next wider one holds.
 #[derive(Clone, Debug, Default)]
-pub struct Settings {
+pub struct LimitOverrides {
     pub time_limit: Option<Said<Tenths>>,
     pub target: Option<Said<Tenths>>,
     pub max_attempts: Option<Said<u64>>,
@@ -48,7 +48,7 @@
     pub name: String,
     pub line: usize,
     pub when: Match,
-    pub settings: Settings,
+    pub settings: LimitOverrides,
 }
 
 /// What clients do by themselves.
@@ -62,9 +62,9 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct Draft {
-    pub defaults: Settings,
-    pub classes: Vec<(Said<String>, Settings)>, // by namespace
-    pub routes: Vec<Route>,                     // the first that matches holds
+    pub defaults: LimitOverrides,
+    pub classes: Vec<(Said<String>, LimitOverrides)>, // by namespace
+    pub routes: Vec<Route>,                           // the first that matches holds
     pub clients: Option<Clients>,
 }
 
@@ -75,7 +75,7 @@
     SingleUse,
 }
 
-/// What the house says of a namespace.
+/// What the platform says of a namespace.
 #[derive(Clone, Debug)]
 pub struct Namespace {
     pub name: String,
@@ -86,7 +86,7 @@
     pub window: Tenths,
 }
 
-/// The house's rules: the account that a file has to keep to.
+/// The platform's settings: the account that a file has to keep to.
 #[derive(Clone, Debug, Default)]
 pub struct Account {
     pub max_attempts: u64,
@@ -94,7 +94,7 @@
     pub connect_time: Tenths,
     pub longest_body: u64,
     pub namespaces: Vec<Namespace>,
-    /// Empty where the house names none: then any may be named.
+    /// Empty where the platform names none: then any may be named.
     pub tenants: Vec<String>,
     pub doors: Vec<String>,
 }
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -1,4 +1,4 @@
-//! Limits by class of request: time limits, attempts, hedged requests, budgets. What an operator says is held against the house's
+//! Limits by class of request: time limits, attempts, hedged requests, budgets. What an operator says is held against the platform's
 //! rules before any of it is used, all faults at once; what is accepted keeps them by construction.
 //!
 //! It may use the standard library alone: no socket, file or clock ever enters it. Times are whole tenths of a millisecond,
@@ -11,7 +11,7 @@
 
 pub use budget::{Budget, Purse};
 pub use check::{Fault, check};
-pub use draft::{Account, Clients, Draft, Match, Namespace, Repeats, Route, Said, Settings};
+pub use draft::{Account, Clients, Draft, LimitOverrides, Match, Namespace, Repeats, Route, Said};
 pub use table::{Class, From, Limits, RequestAttributes, Table};
 
 /// Whole tenths of a millisecond.
--- a/crates/limits/src/table.rs
+++ b/crates/limits/src/table.rs
@@ -1,12 +1,12 @@
 //! What holds for each request, and which line said so.
 
 use crate::Tenths;
-use crate::draft::{Account, Draft, Match, Said, Settings};
+use crate::draft::{Account, Draft, LimitOverrides, Match, Said};
 
 /// Who said what holds.
 #[derive(Clone, Debug, PartialEq)]
 pub enum From {
-    House,
+    Platform,
     Defaults(usize),
     Class(String, usize),
     Route(String, usize),
@@ -15,7 +15,7 @@
 impl std::fmt::Display for From {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            From::House => write!(f, "the house"),
+            From::Platform => write!(f, "the house"),
             From::Defaults(line) => write!(f, "line {line}, defaults"),
             From::Class(name, line) => write!(f, "line {line}, class {name}"),
             From::Route(name, line) => write!(f, "line {line}, route {name}"),
@@ -70,13 +70,13 @@
 }
 
 /// What the widest to the narrowest say, and who.
-struct Layers<'a>(Vec<(&'a Settings, &'a dyn Fn(usize) -> From)>);
+struct Layers<'a>(Vec<(&'a LimitOverrides, &'a dyn Fn(usize) -> From)>);
 
 impl Layers<'_> {
-    fn pick<T: Copy>(&self, house: T, field: impl Fn(&Settings) -> Option<Said<T>>) -> (T, From) {
+    fn pick<T: Copy>(&self, platform: T, field: impl Fn(&LimitOverrides) -> Option<Said<T>>) -> (T, From) {
         let said =
             self.0.iter().rev().find_map(|(s, from)| field(s).map(|said| (said.value, from(said.line))));
-        said.unwrap_or((house, From::House))
+        said.unwrap_or((platform, From::Platform))
     }
 }
 
@@ -88,8 +88,8 @@
     let ns = &account.namespaces[namespace];
     let (time_limit, limit_from) = layers.pick(ns.time_limit, |s| s.time_limit);
     let (mut target, mut target_from) = layers.pick(ns.target, |s| s.target);
-    if target > time_limit && target_from == From::House {
-        // A shorter limit takes the house's target with it.
+    if target > time_limit && target_from == From::Platform {
+        // A shorter limit takes the platform's target with it.
         (target, target_from) = (time_limit, limit_from.clone());
     }
     // Hedged requests are for what may run twice, whatever wider ones say.
@@ -142,7 +142,7 @@
     }
 
     /// What holds where no operator says anything.
-    pub fn of_house(account: &Account) -> Table {
+    pub fn from_settings(account: &Account) -> Table {
         Table::of(&Draft::default(), account)
     }
 
--- a/crates/limits/tests/accepted.rs
+++ b/crates/limits/tests/accepted.rs
@@ -1,4 +1,4 @@
-//! Whatever is accepted keeps the house's rules; whatever breaks one is refused.
+//! Whatever is accepted keeps the platform's settings; whatever breaks one is refused.
 
 use chalkwalk_limits::*;
 use proptest::option::of;
@@ -28,7 +28,7 @@
     }
 }
 
-fn settings() -> impl Strategy<Value = Settings> {
+fn settings() -> impl Strategy<Value = LimitOverrides> {
     let line = 1usize..50;
     let said = |range: std::ops::Range<u64>| of((range, 1usize..50).prop_map(|(v, l)| Said::new(v, l)));
     (
@@ -43,7 +43,7 @@
                 rest,
             )| {
                 let (open, longest_body) = rest;
-                Settings {
+                LimitOverrides {
                     time_limit,
                     target,
                     max_attempts,
@@ -87,9 +87,9 @@
         })
 }
 
-/// What somebody set, as against what the house has anyway.
+/// What somebody set, as against what the platform has anyway.
 fn set<T: Copy>(said: &(T, From)) -> Option<T> {
-    (said.1 != From::House).then_some(said.0)
+    (said.1 != From::Platform).then_some(said.0)
 }
 
 proptest! {
@@ -141,5 +141,5 @@
 #[test]
 fn nothing_said_changes_nothing() {
     let table = check(&Draft::default(), &account()).expect("an empty file");
-    assert!(table.classes().iter().all(|c| c.limits.time_limit == (20_000, From::House)));
+    assert!(table.classes().iter().all(|c| c.limits.time_limit == (20_000, From::Platform)));
 }
--- a/crates/membership/src/form.rs
+++ b/crates/membership/src/form.rs
@@ -48,7 +48,7 @@
 pub const SERVING: &str = "serving";
 pub const DRAINING: &str = "draining";
 
-/// What the house has names for.
+/// What the platform has names for.
 #[derive(Clone, Debug, Default)]
 pub struct Known {
     /// Any, where none is named.
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -4,7 +4,8 @@
 //! It may use serde, toml and `limits`; nothing of the running proxy enters it.
 
 use chalkwalk_limits::{
-    Account, Clients, Draft, Fault, Limits, Match, RequestAttributes, Route, Said, Settings, Table, check,
+    Account, Clients, Draft, Fault, LimitOverrides, Limits, Match, RequestAttributes, Route, Said, Table,
+    check,
 };
 use serde::Deserialize;
 use std::fmt::Write;
@@ -385,12 +386,12 @@
         value.as_ref().map(|s| Said::new(to(s.get_ref()), self.at(s.span().start)))
     }
 
-    fn settings(&self, f: &Fields) -> Settings {
+    fn settings(&self, f: &Fields) -> LimitOverrides {
         // Below zero and what is no number come out as 0, which is refused.
         let tenths = |ms: &f64| (ms * 10.0).round() as u64;
         let thousandths = |share: &f64| (share * 1000.0).round() as u64;
         let same = |n: &u64| *n;
-        Settings {
+        LimitOverrides {
             time_limit: self.said(&f.time_limit_ms, tenths),
             target: self.said(&f.target_ms, tenths),
             max_attempts: self.said(&f.max_attempts, same),
@@ -404,7 +405,7 @@
     }
 }
 
-/// Reads a file's text and holds it against the house's rules. Faults come all at once, by line.
+/// Reads a file's text and holds it against the platform's settings. Faults come all at once, by line.
 pub fn read(text: &str, account: &Account) -> Result<Operator, Vec<Fault>> {
     let lines = Lines(text);
     let file: File = toml::from_str(text).map_err(|e| {
--- a/crates/operator/tests/files.rs
+++ b/crates/operator/tests/files.rs
@@ -52,7 +52,7 @@
         "[defaults]\nsecond_copies = true".into(),
         class("record", "most_shots = 3\nshot_wait_ms = 700"),
         class("record", "most_shots = 3"),
-        // What the house does not allow.
+        // What the platform does not allow.
         class("page", "most_shots = 7"),
         "[defaults]\nmost_shots = 9".into(),
         class("page", "time_limit_ms = 1500"),
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,6 +1,6 @@
 //! The platform: the configuration that it hands a proxy, and its list of servers as a source.
 //!
-//! It may use `core`, `http1`, `limits`, `net` and `house`. A door never enters it, nor another source.
+//! It may use `core`, `http1`, `limits`, `net` and `values`. A door never enters it, nor another source.
 
 mod call;
 mod list;
@@ -11,8 +11,8 @@
 pub use shape::Shape;
 
 use chalkwalk_core::rules::Rules;
+use chalkwalk_house::PlatformSettings;
 use chalkwalk_house::fields::{Object, Read, object, text, text_or, whole};
-use chalkwalk_house::{self as house, House};
 use chalkwalk_http1 as http1;
 use chalkwalk_limits::{Account, Namespace, Repeats};
 use chalkwalk_policy::Tenths;
@@ -21,7 +21,7 @@
 use std::time::Duration;
 
 /// What the platform tells a proxy at its start.
-pub struct HouseRules {
+pub struct StartupConfig {
     pub listen: SocketAddr,
     /// Where operators call, if they do.
     pub console: Option<SocketAddr>,
@@ -42,18 +42,18 @@
 /// No house allows more: what is above is a slip of the pen.
 const MAX_ATTEMPTS: f64 = 1000.0;
 
-impl HouseRules {
-    pub fn load(path: &str) -> Read<HouseRules> {
+impl StartupConfig {
+    pub fn load(path: &str) -> Read<StartupConfig> {
         let text = std::fs::read_to_string(path).map_err(|e| format!("cannot read {path}: {e}"))?;
         let said: Value = serde_json::from_str(&text).map_err(|e| format!("{path} is no JSON: {e}"))?;
-        HouseRules::read(object(&said, "the configuration")?)
+        StartupConfig::read(object(&said, "the configuration")?)
     }
 
-    fn read(said: &Object) -> Read<HouseRules> {
+    fn read(said: &Object) -> Read<StartupConfig> {
         let settings = said.get("settings").ok_or("field settings: missing, expected an object")?;
-        let House { rules: house, namespaces, tenants, kinds, zones } =
-            house::read(object(settings, "field settings")?)?;
-        let number = |name: &str, or: f64| house.get(name).and_then(|v| v.parse().ok()).unwrap_or(or);
+        let PlatformSettings { values, namespaces, tenants, kinds, zones } =
+            chalkwalk_house::read(object(settings, "field settings")?)?;
+        let number = |name: &str, or: f64| values.get(name).and_then(|v| v.parse().ok()).unwrap_or(or);
         // No client waits for an hour; it bounds every wait here.
         let limit = |i: usize| number(&format!("namespace {i} time limit"), 0.0).min(3.6e7) as Tenths;
         let tenths = |name: &str, or: f64| Duration::from_micros(100 * number(name, or) as u64);
@@ -82,7 +82,7 @@
         let limits = said.get("limits").map_or(Ok(&nothing), |l| object(l, "field limits"))?;
         let seed = text_or(said, "seed", "0")?;
         let word =
-            |i: usize, name: &str| house.get(&format!("namespace {i} {name}")).map_or("", String::as_str);
+            |i: usize, name: &str| values.get(&format!("namespace {i} {name}")).map_or("", String::as_str);
         let of_namespace = |(i, name): (usize, &String)| Namespace {
             name: name.clone(),
             time_limit: limit(i),
@@ -119,7 +119,7 @@
             connect_time: tenths("connect time", 1e4).into(),
             idle_time: tenths("idle time", 1e5),
             drain_grace: (number("drain grace", 0.0) as Tenths).into(),
-            house,
+            settings: values,
             zones,
             kinds,
         };
@@ -127,7 +127,7 @@
             "" => Ok(None),
             at => address(at, &format!("field {name}")).map(Some),
         };
-        Ok(HouseRules {
+        Ok(StartupConfig {
             listen: address(text(said, "listen")?, "field listen")?,
             console: match (optional("console")?, std::env::var("ROUTER_CONSOLE")) {
                 (None, Ok(at)) if !at.is_empty() => Some(address(&at, "ROUTER_CONSOLE")?),
--- a/crates/policy/src/asked.rs
+++ b/crates/policy/src/asked.rs
@@ -1,7 +1,7 @@
 //! Ways into a router that decide nothing: what callers ask of it, and calls that only pass on.
 
 use crate::plain::{
-    Carrier, EndpointStatus, Held, HouseRules, Learned, Request, RequestId, Server, ServerIndex, Tenths,
+    Carrier, ClassHandle, EndpointStatus, Learned, Request, RequestId, Server, ServerIndex, Settings, Tenths,
     mixed, point,
 };
 use crate::policy::Router;
@@ -10,16 +10,16 @@
 impl Router {
     /// Other limits hold from now on, and budgets go on counting. What is open keeps the rules that it has,
     /// until `renewed` tells it others. Zones, kinds and the origin are the same.
-    pub fn limits(&mut self, said: &BTreeMap<String, String>) {
-        let house = HouseRules { proxies: self.house.proxies, ..HouseRules::read(said) };
-        let before = std::mem::replace(&mut self.house, house);
-        let pairs = self.house.namespaces.iter().zip(&before.namespaces);
-        pairs.for_each(|(ns, before)| ns.purse.count_from(&before.purse));
+    pub fn limits(&mut self, values: &BTreeMap<String, String>) {
+        let settings = Settings { proxies: self.settings.proxies, ..Settings::read(values) };
+        let before = std::mem::replace(&mut self.settings, settings);
+        let pairs = self.settings.classes.iter().zip(&before.classes);
+        pairs.for_each(|(class, before)| class.purse.count_from(&before.purse));
     }
 
     /// Classes of requests; `take` and `renewed` name one by its number.
     pub fn classes(&self) -> usize {
-        self.house.namespaces.len()
+        self.settings.classes.len()
     }
 
     /// Operators take a server out at that moment, whatever any list says, or put it back. It is restarted in
@@ -37,8 +37,8 @@
     /// What the figures of `learned` rest on: target times, the own zone, what weights say. Learned under others they mean
     /// something else.
     pub fn terms(&self) -> u64 {
-        let targets = self.house.namespaces.iter().map(|ns| ns.target);
-        let shape = [self.house.zone as u64, u64::from(self.house.sizes)];
+        let targets = self.settings.classes.iter().map(|class| class.target);
+        let shape = [self.settings.zone as u64, u64::from(self.settings.sizes)];
         targets.chain(shape).fold(0, |seen, n| mixed(seen.rotate_left(7) ^ mixed(n + 1)))
     }
 
@@ -62,7 +62,7 @@
         if let Some(l) = self.carried.remove(&c.id).filter(|l| l.born == c.born) {
             // Within what could have been learned, whatever is said.
             (c.part, c.room) = (l.part.clamp(30, 1000), l.room.clamp(10, 10_000));
-            c.size = if self.house.sizes { c.size } else { c.size.max(l.size.min(1_000_000)) };
+            c.size = if self.settings.sizes { c.size } else { c.size.max(l.size.min(1_000_000)) };
         }
     }
 
@@ -96,20 +96,20 @@
 
     /// So many proxies send to the servers, this one included, where that can be counted.
     pub fn shared_by(&mut self, proxies: u64) {
-        self.house.proxies = proxies.max(1);
+        self.settings.proxies = proxies.max(1);
     }
 
     /// Takes a request. It must be answered once, before `expires`; route it next.
-    pub fn take(&mut self, ns: usize, key: &str, write: bool, expires: Tenths) -> RequestId {
-        self.take_at(ns, point(key, 0), write, expires)
+    pub fn take(&mut self, class: usize, key: &str, write: bool, expires: Tenths) -> RequestId {
+        self.take_at(class, point(key, 0), write, expires)
     }
 }
 
 impl RequestId {
     /// Limits have changed while it is open: what is sent from now on goes by the new ones, and so does its
     /// time limit where that is shorter and can still be kept.
-    pub fn renewed(self, router: &mut Router, ns: usize, expires: Tenths, out: &mut dyn Carrier) {
-        let (now, rules) = (router.now, Held::of(&router.house.namespaces[ns]));
+    pub fn renewed(self, router: &mut Router, class: usize, expires: Tenths, out: &mut dyn Carrier) {
+        let (now, rules) = (router.now, ClassHandle::of(&router.settings.classes[class]));
         let Some(l) = router.requests.get_mut(&self.0).filter(|l| !l.over) else { return };
         l.rules = rules;
         if now < expires && expires < l.expires {
--- a/crates/policy/src/plain.rs
+++ b/crates/policy/src/plain.rs
@@ -69,9 +69,9 @@
     pub born: Tenths,
 }
 
-/// What the house allows, read once when the router starts.
+/// What the platform allows, read once when the router starts.
 #[derive(Default)]
-pub(crate) struct HouseRules {
+pub(crate) struct Settings {
     pub zone: usize,
     pub probes: bool,
     pub cancellation: bool,
@@ -86,22 +86,22 @@
     pub origin_kind: Option<usize>,
     pub key_quiet: Tenths, // a key rests after an attempt that may still run, where its requests run in order
 
-    pub namespaces: Vec<Rc<Namespace>>, // and the classes that limits make of them
+    pub classes: Vec<Rc<RequestClass>>, // and the classes that limits make of them
 }
 
-impl HouseRules {
+impl Settings {
     /// The shortest target time of all namespaces.
     pub fn shortest(&self) -> Option<Tenths> {
-        self.namespaces.iter().map(|n| n.target).min()
+        self.classes.iter().map(|n| n.target).min()
     }
 
-    pub fn read(said: &BTreeMap<String, String>) -> HouseRules {
-        let word = |name: &str| said.get(name).map_or("", String::as_str);
+    pub fn read(values: &BTreeMap<String, String>) -> Settings {
+        let word = |name: &str| values.get(name).map_or("", String::as_str);
         let num = |name: &str, or: f64| word(name).parse::<f64>().unwrap_or(or);
         let shared = Purse::default();
-        let namespace = |i: usize| {
+        let class = |i: usize| {
             let own = |name: &str| format!("namespace {i} {name}");
-            Namespace {
+            RequestClass {
                 target: num(&own("target time"), 1e4) as Tenths,
                 in_order: num(&own("in order"), 0.0) > 0.0,
                 late_counts: num(&own("late utility"), 0.0) > 0.0,
@@ -112,7 +112,7 @@
                 hedging: num(&own("second copies"), num("second copies", 0.0)) > 0.0,
                 attempt_timeout: num(&own("shot wait"), 1e12) as Tenths,
                 hedge_after: Some(num(&own("copies after"), 0.0) as u64).filter(|part| *part > 0),
-                purse: match said.get(&own("further shots")) {
+                purse: match values.get(&own("further shots")) {
                     Some(_) => Purse::own(num(&own("further shots"), 0.0) as u64),
                     None => shared.clone(),
                 },
@@ -120,7 +120,7 @@
                 open: Cell::new(0),
             }
         };
-        HouseRules {
+        Settings {
             discovery_retry: match num("watched", 0.0) > 0.0 {
                 true => Retry::asked(num("ask time", 1e5) as Tenths),
                 false => Retry::pushed(num("drain grace", 1e4) as Tenths),
@@ -136,14 +136,14 @@
             through: num("through", 0.0) > 0.0,
             sizes: word("size kind") != "live",
             origin_kind: (!word("origin kind").is_empty()).then(|| num("origin kind", 0.0) as usize),
-            namespaces: (0..num("namespaces", 0.0) as usize).map(namespace).map(Rc::new).collect(),
+            classes: (0..num("namespaces", 0.0) as usize).map(class).map(Rc::new).collect(),
         }
     }
 }
 
 /// What is done with requests of one namespace, or of one class of it.
 #[derive(Default)]
-pub(crate) struct Namespace {
+pub(crate) struct RequestClass {
     pub target: Tenths,
     pub late_counts: bool,
     pub in_order: bool,  // requests with one key run one at a time, as taken
@@ -159,7 +159,7 @@
     open: Cell<u64>,
 }
 
-impl Namespace {
+impl RequestClass {
     /// More requests are open than may be.
     pub fn crowded(&self) -> bool {
         self.open.get() > self.most_open
@@ -168,30 +168,30 @@
 
 /// A namespace's rules as a request holds them, which counts among its open ones meanwhile.
 #[derive(Default)]
-pub(crate) struct Held(Rc<Namespace>);
+pub(crate) struct ClassHandle(Rc<RequestClass>);
 
-impl Held {
-    pub fn of(rules: &Rc<Namespace>) -> Held {
+impl ClassHandle {
+    pub fn of(rules: &Rc<RequestClass>) -> ClassHandle {
         rules.open.set(rules.open.get() + 1);
-        Held(rules.clone())
+        ClassHandle(rules.clone())
     }
 }
 
-impl Held {
+impl ClassHandle {
     /// Whether these rules are the ones.
-    pub fn is(&self, rules: &Rc<Namespace>) -> bool {
+    pub fn is(&self, rules: &Rc<RequestClass>) -> bool {
         Rc::ptr_eq(&self.0, rules)
     }
 }
 
-impl Deref for Held {
-    type Target = Namespace;
-    fn deref(&self) -> &Namespace {
+impl Deref for ClassHandle {
+    type Target = RequestClass;
+    fn deref(&self) -> &RequestClass {
         &self.0
     }
 }
 
-impl Drop for Held {
+impl Drop for ClassHandle {
     fn drop(&mut self) {
         self.0.open.set(self.0.open.get().saturating_sub(1));
     }
@@ -212,7 +212,7 @@
 
 #[derive(Default)]
 pub(crate) struct Request {
-    pub rules: Held,
+    pub rules: ClassHandle,
     pub key: u64,
     pub write: bool,
     pub order: Option<Vec<ServerIndex>>, // in place of the ring's, where it is settled elsewhere who may serve it
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -6,8 +6,8 @@
 use crate::discovery;
 use crate::plain::{Attempt, EndpointStatus, Learned, Tally, Tenths, leaning, mixed, point};
 use crate::plain::{
-    AttemptOutcome, Carrier, Chance, Endpoint, Held, HouseRules, Line, Request, RequestId, Server,
-    ServerIndex,
+    AttemptOutcome, Carrier, Chance, ClassHandle, Endpoint, Line, Request, RequestId, Server, ServerIndex,
+    Settings,
 };
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -16,7 +16,7 @@
 const WATCH_TOKEN: u64 = 1 << 62;
 const LONGEST_LINE: usize = 100; // behind one key: more than ever come to their turn while they are useful
 
-impl HouseRules {
+impl Settings {
     /// Thousandths of an attempt that a cold server may have from this proxy in a second: four attempts from all
     /// proxies together, as at their present worst cold servers bear twice that.
     fn cold_floor(&self) -> u64 {
@@ -64,7 +64,7 @@
 #[derive(Default)]
 pub struct Router {
     pub(crate) now: Tenths,
-    pub(crate) house: HouseRules,
+    pub(crate) settings: Settings,
     pub(crate) chance: Chance,
     pub(crate) servers: Vec<Server>,
     pub(crate) rings: [Vec<(u64, ServerIndex)>; 3], // of the own zone, of the others, of all
@@ -88,15 +88,15 @@
 }
 
 impl Router {
-    pub fn new(seed: u64, said: &BTreeMap<String, String>, out: &mut dyn Carrier) -> Router {
-        let (house, mut chance) = (HouseRules::read(said), Chance(mixed(seed) | 1));
-        if said.get("watched").is_some_and(|w| w == "1") {
+    pub fn new(seed: u64, values: &BTreeMap<String, String>, out: &mut dyn Carrier) -> Router {
+        let (settings, mut chance) = (Settings::read(values), Chance(mixed(seed) | 1));
+        if values.get("watched").is_some_and(|w| w == "1") {
             // As all that were killed together start together. Over 3 s: a service that takes a call of each
             // of a fleet in 2 s to 8 s then holds few that wait too long, which are work for nobody.
             out.wake(WATCH_TOKEN, chance.below(3 * SECOND));
         }
         Router {
-            house,
+            settings,
             salt: mixed(chance.0),
             chance,
             admitted: [1000; 2],
@@ -123,7 +123,7 @@
             self.pooled -= self.pooled.div_ceil(16); // let go within half a minute
             for c in &mut self.servers {
                 if c.credit < 1000 {
-                    c.credit += self.house.cold_floor(); // or a fleet all cold would stay so
+                    c.credit += self.settings.cold_floor(); // or a fleet all cold would stay so
                 }
                 (c.part, c.held.1) = ((c.part + 5).min(1000), c.held.1 - c.held.1 / 8); // in minutes
                 c.lately -= c.lately / 8; // so that a server nobody asks is asked again
@@ -155,9 +155,9 @@
             (c.zone, c.cell, c.status) = (e.zone, e.cell, e.status);
             // What makes no sense is as if nothing were said, and a size heard once is forgotten in minutes.
             let told = if (1..10_000_000).contains(&e.size) { e.size } else { c.size.max(1) };
-            c.size = if self.house.sizes { e.size.max(1) } else { told.max(c.size - c.size / 128) };
-            c.held = (c.held.1, if self.house.sizes { 0 } else { c.size * 100 / told - 100 });
-            if Some(e.kind) == self.house.origin_kind {
+            c.size = if self.settings.sizes { e.size.max(1) } else { told.max(c.size - c.size / 128) };
+            c.held = (c.held.1, if self.settings.sizes { 0 } else { c.size * 100 / told - 100 });
+            if Some(e.kind) == self.settings.origin_kind {
                 self.origin = Some(e.server);
             }
             self.recall(e.server);
@@ -170,7 +170,7 @@
     /// of many proxies begin with an attempt, by chance, or all would send theirs together.
     pub(crate) fn started(&mut self, server: ServerIndex, at: Tenths) {
         if at > self.servers[server].born {
-            let credit = self.house.cold_floor() + self.chance.below(1000);
+            let credit = self.settings.cold_floor() + self.chance.below(1000);
             let c = &mut self.servers[server];
             (c.born, c.credit, c.doubt, c.left, c.stay, c.part) = (at, credit, 0, false, 0, 1000);
         }
@@ -203,7 +203,7 @@
             all.extend((0..128).map(|salt| (point(&c.id, salt + 1), i)));
         }
         all.sort(); // two runs, mostly
-        let (own, others) = all.iter().partition(|p| self.servers[p.1].zone == self.house.zone);
+        let (own, others) = all.iter().partition(|p| self.servers[p.1].zone == self.settings.zone);
         self.rings = [own, others, all];
     }
 
@@ -213,7 +213,7 @@
             out.log("discovery lost", "");
         }
         self.failed_calls = self.failed_calls.saturating_add(1);
-        let rest = self.house.discovery_retry.rest(took, self.failed_calls, |end| self.chance.below(end));
+        let rest = self.settings.discovery_retry.rest(took, self.failed_calls, |end| self.chance.below(end));
         out.wake(WATCH_TOKEN, rest);
     }
 
@@ -225,7 +225,7 @@
     /// hold up more.
     fn overdue(&self) -> Tenths {
         // Before there are any, nine in ten are taken to need a quarter of the shortest target time.
-        let shortest = self.house.shortest().unwrap_or(SECOND / 4);
+        let shortest = self.settings.shortest().unwrap_or(SECOND / 4);
         (3 * self.times.ninth(shortest / 4)).max(SECOND / 20)
     }
 
@@ -241,12 +241,13 @@
 
     /// The share of its keys that a server may have by now, in thousandths.
     fn warmth(&self, server: ServerIndex) -> u64 {
-        let (c, house) = (&self.servers[server], &self.house);
+        let (c, settings) = (&self.servers[server], &self.settings);
         let age = self.now.saturating_sub(c.born);
-        if c.born == 0 || age >= house.cold_time {
+        if c.born == 0 || age >= settings.cold_time {
             return 1000;
         }
-        let share = house.cold_share + (1.0 - house.cold_share) * age as f64 / house.cold_time as f64;
+        let share =
+            settings.cold_share + (1.0 - settings.cold_share) * age as f64 / settings.cold_time as f64;
         (1000.0 * share) as u64
     }
 
@@ -262,7 +263,7 @@
     /// itself, if only that it lacks the key. Guards against pushing it over when far more is asked for than
     /// the fleet can do.
     fn give_credit(&mut self, server: ServerIndex) {
-        let (ready, most) = (self.rings[2].len() as u64 / 128, 1000 + 2 * self.house.cold_floor());
+        let (ready, most) = (self.rings[2].len() as u64 / 128, 1000 + 2 * self.settings.cold_floor());
         for i in 0..self.servers.len() {
             let warmth = self.warmth(i);
             if warmth < 1000 && self.ready(i) {
@@ -274,7 +275,7 @@
 
     /// How many servers of the own zone, or of others, connections are held to.
     fn linked(&self, place: usize) -> u64 {
-        let there = |c: &&Server| c.linked && usize::from(c.zone != self.house.zone) == place;
+        let there = |c: &&Server| c.linked && usize::from(c.zone != self.settings.zone) == place;
         self.servers.iter().filter(there).count() as u64
     }
 
@@ -317,7 +318,7 @@
             let trusted = !c.left && (c.doubt < 6 || c.out == 0);
             (trusted || none_trusted)
                 && (care == 0 || !self.silent(server))
-                && (c.linked || may_open[usize::from(c.zone != self.house.zone)])
+                && (c.linked || may_open[usize::from(c.zone != self.settings.zone)])
                 && !l.attempts.iter().any(|s| s.server == server && (s.bad || s.out))
                 && (care == 2 || c.held.1 <= 300 + l.luck * 6)
                 && self.warm_enough(server, l, &early)
@@ -335,15 +336,15 @@
     }
 
     /// The same for a key that is known by its point alone.
-    pub fn take_at(&mut self, ns: usize, key: u64, write: bool, expires: Tenths) -> RequestId {
+    pub fn take_at(&mut self, class: usize, key: u64, write: bool, expires: Tenths) -> RequestId {
         let request_id = RequestId(self.taken);
         self.taken += 1;
         self.taken_lately += 1;
-        let rules = &self.house.namespaces[ns];
+        let rules = &self.settings.classes[class];
         rules.purse.first(self.now);
         let useful = if rules.late_counts { expires } else { expires.min(self.now + rules.target) };
         let luck = self.chance.below(100);
-        let rules = Held::of(rules);
+        let rules = ClassHandle::of(rules);
         let request =
             Request { rules, key, write, expires, useful_until: useful, luck, ..Request::default() };
         self.requests.insert(request_id.0, request);
@@ -351,7 +352,9 @@
     }
 
     fn fresh(&self, l: &Request) -> bool {
-        self.house.through && l.order.is_none() && (l.write || !self.kept.iter().any(|k| k.contains(&l.key)))
+        self.settings.through
+            && l.order.is_none()
+            && (l.write || !self.kept.iter().any(|k| k.contains(&l.key)))
     }
 
     /// Where a namespace asks for it, requests with one key run one at a time, as taken: whether this one
@@ -398,11 +401,11 @@
             return;
         }
         let l = &self.requests[&request_id.0];
-        // Guards one class of requests against another that fills the house.
+        // Guards one class of requests against another that fills the platform.
         if l.attempts.is_empty() && l.rules.crowded() {
             return self.give_up(request_id, out);
         }
-        if l.write && self.house.origin_kind.is_some() && l.order.is_none() {
+        if l.write && self.settings.origin_kind.is_some() && l.order.is_none() {
             return self.ask_origin(request_id, out);
         }
         // Guards servers late together: one of many proxies hears too little of each to find its room.
@@ -469,9 +472,9 @@
         l.waits = false;
         let (sent, company) = (self.now, c.out);
         // Guards a tagged request whose attempt waits for a connection: past the window it would run twice.
-        let ns = &l.rules;
-        let ran = l.attempts.iter().filter(|s| s.may_have_run && ns.repeats == "tagged");
-        let by = ran.map(|s| s.sent + ns.window).min().unwrap_or(l.expires);
+        let class = &l.rules;
+        let ran = l.attempts.iter().filter(|s| s.may_have_run && class.repeats == "tagged");
+        let by = ran.map(|s| s.sent + class.window).min().unwrap_or(l.expires);
         let opens = !std::mem::replace(&mut c.linked, true);
         let attempt = Attempt {
             server,
@@ -484,8 +487,8 @@
             ..Attempt::default()
         };
         l.attempts.push(attempt);
-        let copied = ns.hedge_after.and_then(|part| self.times.under(part));
-        out.start_attempt(request_id, server, l.expires.min(sent + ns.attempt_timeout), by);
+        let copied = class.hedge_after.and_then(|part| self.times.under(part));
+        out.start_attempt(request_id, server, l.expires.min(sent + class.attempt_timeout), by);
         if Some(server) != self.origin {
             out.wake(request_id.0, copied.unwrap_or(hush).min(hush) + 1);
         }
@@ -509,7 +512,7 @@
             return;
         }
         // Half a second to one and a half, spread so that those sent away do not return together.
-        let back_in = (SECOND / 2 + self.chance.below(SECOND)).min(self.house.longest_stay_away);
+        let back_in = (SECOND / 2 + self.chance.below(SECOND)).min(self.settings.longest_stay_away);
         if self.may_repeat(&self.requests[&request_id.0], None, self.now + back_in, None) {
             out.defer(request_id, back_in);
         } else {
@@ -521,7 +524,7 @@
     /// The request has its final answer: nothing more is sent for it.
     pub(crate) fn close(&mut self, request_id: RequestId, out: &mut dyn Carrier) {
         let Some(l) = self.requests.get_mut(&request_id.0) else { return };
-        if !l.over && self.house.cancellation {
+        if !l.over && self.settings.cancellation {
             l.in_flight().for_each(|i| out.cancel_attempt(request_id, i));
         }
         let (key, of_line) = (l.leads.then_some(l.key), l.key);
@@ -611,7 +614,7 @@
         if token >= SERVER_TOKEN {
             let server = (token - SERVER_TOKEN) as ServerIndex;
             return match self.servers.get(server) {
-                Some(_) if self.ready(server) && self.house.probes => out.probe(server),
+                Some(_) if self.ready(server) && self.settings.probes => out.probe(server),
                 _ => self.probed(server, true, out),
             };
         }
@@ -650,7 +653,7 @@
         let l = &self.requests[&token];
         if l.rules.hedging {
             self.move_on(request_id, false, out);
-        } else if self.house.cancellation
+        } else if self.settings.cancellation
             && l.rules.purse.allows(self.now)
             && self.may_repeat(&self.requests[&token], None, self.now, None)
         {
@@ -663,7 +666,7 @@
     /// An attempt's answer has begun: it is the client's now, and no clock of ours runs for it, nor does the
     /// server owe anything for it. What else is out for the request is of no use any more.
     pub fn answer_begun(self, router: &mut Router, attempt: usize, out: &mut dyn Carrier) {
-        let (now, cancellation) = (router.now, router.house.cancellation);
+        let (now, cancellation) = (router.now, router.settings.cancellation);
         let Some(l) = router.requests.get_mut(&self.0) else { return };
         l.begun = true;
         if let Some(s) = l.attempts.get_mut(attempt).filter(|s| s.out && !s.begun) {
@@ -701,7 +704,7 @@
             AttemptOutcome::TimedOut | AttemptOutcome::ConnectionLost | AttemptOutcome::Cancelled
         );
         if let Some(line) = router.lines.get_mut(&l.key).filter(|_| may_run && l.rules.in_order) {
-            line.rests_until = router.now + router.house.key_quiet;
+            line.rests_until = router.now + router.settings.key_quiet;
         }
         s.out = false;
         s.may_have_run = !not_run.contains(&outcome);
@@ -739,7 +742,7 @@
         // Guards servers short of places against hundreds that each want one at all: no more are held than
         // were found, one more is tried every four seconds, and two more where that is let in. Two refused
         // of thirty-two are more than one server that died, which is left.
-        let place = usize::from(router.servers[server].zone != router.house.zone);
+        let place = usize::from(router.servers[server].zone != router.settings.zone);
         if no_place {
             router.links[place] = router.links[place].min(100 * router.linked(place).max(1));
         } else if opens
@@ -766,7 +769,7 @@
             let grown = if took > target / 2 { c.part } else { (c.part + 125).min(1000) };
             c.part = if took < target { grown } else { (c.part / 2).max(30) };
         }
-        router.house.resize(c, outcome, took, company, target, from_server);
+        router.settings.resize(c, outcome, took, company, target, from_server);
         let Some(l) = router.requests.get_mut(&self.0) else { return };
         let key = (l.leads && !from_server).then_some(l.key);
         l.leads &= key.is_none();
@@ -774,7 +777,7 @@
         // An error on a fetch may be the origin's, and says nothing of the server.
         let of_origin = fresh && outcome == AttemptOutcome::ServerError;
         // Guards against copies gone void: after an error the key is not kept after all.
-        if router.house.through && outcome == AttemptOutcome::Completed {
+        if router.settings.through && outcome == AttemptOutcome::Completed {
             router.kept[0].insert(asked);
         } else if outcome == AttemptOutcome::ServerError {
             router.kept.iter_mut().for_each(|kept| _ = kept.remove(&asked));
@@ -804,7 +807,7 @@
             // Another attempt's answer is the client's by now, whatever became of this one.
         } else if finished || over || outcome == AttemptOutcome::InvalidRequest {
             router.close(self, out);
-        } else if outcome == AttemptOutcome::CacheMiss && router.house.origin_kind.is_some() && in_ring {
+        } else if outcome == AttemptOutcome::CacheMiss && router.settings.origin_kind.is_some() && in_ring {
             router.ask_origin(self, out);
         } else if !router.requests[&self.0].out() {
             match outcome {
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -2,7 +2,7 @@
 //! Nothing here decides, and what is worked out from the rest (rings, rules) is not in it.
 
 use crate::plain::{
-    Attempt, Chance, EndpointStatus, Held, HouseRules, Line, Request, RequestId, Server, Tally,
+    Attempt, Chance, ClassHandle, EndpointStatus, Line, Request, RequestId, Server, Settings, Tally,
 };
 use crate::policy::Router;
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -177,7 +177,7 @@
     }
 }
 
-/// The numbers of a request, without its rules, which are the house's.
+/// The numbers of a request, without its rules, which are the platform's.
 fn put_request(l: &Request, class: usize, to: &mut State) {
     let Request {
         rules: _,
@@ -202,8 +202,8 @@
     [*cut, *over, *begun, *waits, *leads].put(to);
 }
 
-fn get_request(house: &HouseRules, from: &mut Taking) -> Option<Request> {
-    let rules = Held::of(house.namespaces.get(usize::get(from)?)?);
+fn get_request(settings: &Settings, from: &mut Taking) -> Option<Request> {
+    let rules = ClassHandle::of(settings.classes.get(usize::get(from)?)?);
     let (key, write) = Part::get(from)?;
     let order = Part::get(from)?;
     let [expires, useful_until, luck] = Part::get(from)?;
@@ -230,8 +230,8 @@
     /// All that it knows. Nothing while a request still has rules that a reload has replaced: soon after there is.
     pub fn state(&self) -> Option<State> {
         let mut to = State::default();
-        let class = |l: &Request| self.house.namespaces.iter().position(|rules| l.rules.is(rules));
-        [self.now, self.house.proxies, self.pooled, self.taken, self.taken_lately].put(&mut to);
+        let class = |l: &Request| self.settings.classes.iter().position(|rules| l.rules.is(rules));
+        [self.now, self.settings.proxies, self.pooled, self.taken, self.taken_lately].put(&mut to);
         [self.salt, self.faded, self.refused].put(&mut to);
         (self.failed_calls, self.origin).put(&mut to);
         self.chance.put(&mut to);
@@ -242,7 +242,7 @@
         self.lines.put(&mut to);
         self.barred.clone().into_iter().collect::<Vec<(String, u64)>>().put(&mut to);
         self.kept.put(&mut to);
-        self.house.namespaces.iter().for_each(|rules| rules.purse.counts().put(&mut to));
+        self.settings.classes.iter().for_each(|rules| rules.purse.counts().put(&mut to));
         self.requests.len().put(&mut to);
         let ordered: BTreeMap<&u64, &Request> = self.requests.iter().collect();
         for (request_id, l) in ordered {
@@ -253,10 +253,10 @@
     }
 
     /// A router of that house which knows all that another knew; nothing where the state is none of such a router's.
-    pub fn of_state(said: &BTreeMap<String, String>, state: &State) -> Option<Router> {
+    pub fn of_state(values: &BTreeMap<String, String>, state: &State) -> Option<Router> {
         let from = &mut Taking { words: state.words.iter(), texts: state.texts.iter() };
-        let mut r = Router { house: HouseRules::read(said), ..Router::default() };
-        [r.now, r.house.proxies, r.pooled, r.taken, r.taken_lately] = Part::get(from)?;
+        let mut r = Router { settings: Settings::read(values), ..Router::default() };
+        [r.now, r.settings.proxies, r.pooled, r.taken, r.taken_lately] = Part::get(from)?;
         [r.salt, r.faded, r.refused] = Part::get(from)?;
         (r.failed_calls, r.origin) = Part::get(from)?;
         r.chance = Part::get(from)?;
@@ -267,12 +267,12 @@
         r.lines = Part::get(from)?;
         r.barred = Vec::<(String, u64)>::get(from)?.into_iter().collect();
         r.kept = Part::get(from)?;
-        for rules in &r.house.namespaces {
+        for rules in &r.settings.classes {
             rules.purse.count(Part::get(from)?);
         }
         for _ in 0..u64::get(from).filter(|n| *n <= MOST)? {
             let request_id = Part::get(from)?;
-            let request = get_request(&r.house, from)?;
+            let request = get_request(&r.settings, from)?;
             r.requests.insert(request_id, request);
         }
         let servers = r.servers.len();
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -5,7 +5,7 @@
 
 use chalkwalk_policy::admission::{Refusal, UnsentAttempt, Violation, Written, may_close, may_start};
 use chalkwalk_policy::{AttemptOutcome, EndpointStatus, RequestId};
-use helper::{House, house};
+use helper::{Harness, harness};
 
 const REPLAYABLE: usize = 0;
 const TAGGED: usize = 1;
@@ -16,59 +16,62 @@
 }
 
 /// One server, and a request whose attempt there was decided.
-fn decided(ns: usize) -> (House, RequestId) {
-    let mut house = house(&[]);
-    house.ready(&["amber"]);
-    let request = house.ask(ns, "k");
-    (house, request)
+fn decided(class: usize) -> (Harness, RequestId) {
+    let mut harness = harness(&[]);
+    harness.ready(&["amber"]);
+    let request = harness.ask(class, "k");
+    (harness, request)
 }
 
 #[test]
 fn an_attempt_that_was_decided_may_be_sent() {
-    let (house, request) = decided(SINGLE_USE);
-    assert_eq!(house.router.may_send(&attempt(request, 0), 100), Ok(()));
+    let (harness, request) = decided(SINGLE_USE);
+    assert_eq!(harness.router.may_send(&attempt(request, 0), 100), Ok(()));
 }
 
 #[test]
 fn nothing_is_sent_to_a_server_that_began_to_drain_meanwhile_or_that_operators_took_out() {
-    let (mut house, request) = decided(REPLAYABLE);
-    house.list(&[("amber", 0, EndpointStatus::Draining, 0)]);
-    assert_eq!(house.router.may_send(&attempt(request, 0), 100), Err(Refusal::ServerOff));
-    let (mut house, request) = decided(REPLAYABLE);
-    house.router.bar("amber", true, 50);
-    assert_eq!(house.router.may_send(&attempt(request, 0), 100), Err(Refusal::ServerOff));
-    assert!(!house.router.may_ask(7), "a server that nobody has named");
+    let (mut harness, request) = decided(REPLAYABLE);
+    harness.list(&[("amber", 0, EndpointStatus::Draining, 0)]);
+    assert_eq!(harness.router.may_send(&attempt(request, 0), 100), Err(Refusal::ServerOff));
+    let (mut harness, request) = decided(REPLAYABLE);
+    harness.router.bar("amber", true, 50);
+    assert_eq!(harness.router.may_send(&attempt(request, 0), 100), Err(Refusal::ServerOff));
+    assert!(!harness.router.may_ask(7), "a server that nobody has named");
 }
 
 #[test]
 fn nothing_is_sent_late_or_for_a_request_that_is_over() {
-    let (mut house, request) = decided(REPLAYABLE);
+    let (mut harness, request) = decided(REPLAYABLE);
     let this = attempt(request, 0);
-    assert_eq!(house.router.may_send(&this, 19_999), Ok(()));
-    assert_eq!(house.router.may_send(&this, 20_000), Err(Refusal::TooLate));
-    assert_eq!(house.router.may_send(&UnsentAttempt { answered: true, ..this }, 100), Err(Refusal::Answered));
+    assert_eq!(harness.router.may_send(&this, 19_999), Ok(()));
+    assert_eq!(harness.router.may_send(&this, 20_000), Err(Refusal::TooLate));
     assert_eq!(
-        house.router.may_send(&UnsentAttempt { awaited: false, ..this }, 100),
+        harness.router.may_send(&UnsentAttempt { answered: true, ..this }, 100),
+        Err(Refusal::Answered)
+    );
+    assert_eq!(
+        harness.router.may_send(&UnsentAttempt { awaited: false, ..this }, 100),
         Err(Refusal::ClientLeft)
     );
-    house.left_by_client(request);
-    assert_eq!(house.router.may_send(&this, 100), Err(Refusal::Answered));
+    harness.left_by_client(request);
+    assert_eq!(harness.router.may_send(&this, 100), Err(Refusal::Answered));
 }
 
 /// The same crossing for each effect: the first attempt may have run by the time at which the second is to be written.
 #[test]
 fn a_repeat_is_sent_only_where_its_effect_does_not_come_about_again() {
-    let sent = [REPLAYABLE, TAGGED].map(|ns| {
-        let (mut house, request) = decided(ns);
-        house.ready(&["amber", "birch"]);
-        house.end(request, 0, AttemptOutcome::ConnectionLost);
+    let sent = [REPLAYABLE, TAGGED].map(|class| {
+        let (mut harness, request) = decided(class);
+        harness.ready(&["amber", "birch"]);
+        harness.end(request, 0, AttemptOutcome::ConnectionLost);
         // The window of the tagged namespace is half a second.
-        [4_999, 5_000].map(|now| house.router.may_send(&attempt(request, 1), now))
+        [4_999, 5_000].map(|now| harness.router.may_send(&attempt(request, 1), now))
     });
     assert_eq!(sent, [[Ok(()), Ok(())], [Ok(()), Err(Refusal::MayRunTwice)]]);
     // What was decided as a single attempt is still out when a second asks.
-    let (house, request) = decided(SINGLE_USE);
-    assert_eq!(house.router.may_send(&attempt(request, 1), 100), Err(Refusal::MayRunTwice));
+    let (harness, request) = decided(SINGLE_USE);
+    assert_eq!(harness.router.may_send(&attempt(request, 1), 100), Err(Refusal::MayRunTwice));
 }
 
 #[test]
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -4,27 +4,27 @@
 
 use chalkwalk_policy::{AttemptOutcome, Endpoint, EndpointStatus, Learned};
 use expect_test::expect;
-use helper::{House, SERVER, WATCH, house};
+use helper::{Harness, SERVER, WATCH, harness};
 
 const FOUR: [&str; 4] = ["amber", "birch", "cedar", "delta"];
 
-fn owners(house: &mut House) -> Vec<String> {
-    (0..200).map(|i| house.owner(&format!("book/{i}"))).collect()
+fn owners(harness: &mut Harness) -> Vec<String> {
+    (0..200).map(|i| harness.owner(&format!("book/{i}"))).collect()
 }
 
 /// How many of the 200 keys go to birch.
-fn of_birch(house: &mut House) -> usize {
-    owners(house).iter().filter(|id| *id == "birch").count()
+fn of_birch(harness: &mut Harness) -> usize {
+    owners(harness).iter().filter(|id| *id == "birch").count()
 }
 
 /// A key for each server of `FOUR`, found by asking.
-fn key_of(house: &mut House, id: &str) -> String {
-    (0..999).map(|i| format!("page/{i}")).find(|key| house.owner(key) == id).unwrap()
+fn key_of(harness: &mut Harness, id: &str) -> String {
+    (0..999).map(|i| format!("page/{i}")).find(|key| harness.owner(key) == id).unwrap()
 }
 
 #[test]
 fn removing_a_server_moves_only_its_keys_and_order_does_not_matter() {
-    let (mut a, mut b) = (house(&[]), house(&[]));
+    let (mut a, mut b) = (harness(&[]), harness(&[]));
     a.ready(&FOUR);
     b.ready(&["delta", "amber", "cedar", "birch"]);
     let before = owners(&mut a);
@@ -39,7 +39,7 @@
 
 #[test]
 fn a_hot_key_spills_in_ring_order_at_the_cap() {
-    let mut h = house(&[]);
+    let mut h = harness(&[]);
     h.ready(&FOUR);
     (0..9).for_each(|_| {
         h.ask(0, "hot");
@@ -60,7 +60,7 @@
 
 #[test]
 fn an_empty_zone_rings_over_the_others() {
-    let mut h = house(&[]);
+    let mut h = harness(&[]);
     h.list(&[("amber", 1, EndpointStatus::Ready, 0), ("birch", 2, EndpointStatus::Ready, 0)]);
     h.ask(0, "book/1");
     expect![[r#"
@@ -71,7 +71,7 @@
 
 #[test]
 fn each_request_gets_one_answer_and_nothing_after() {
-    let mut h = house(&[]);
+    let mut h = harness(&[]);
     h.ready(&FOUR);
     let (a, b) = (h.ask(0, "book/1"), h.ask(0, "book/2"));
     h.end(a, 0, AttemptOutcome::Completed);
@@ -91,7 +91,7 @@
 
 #[test]
 fn single_use_moves_on_only_when_surely_not_run() {
-    let mut h = house(&[]);
+    let mut h = harness(&[]);
     h.ready(&FOUR);
     let (a, b) = (h.ask(2, "book/1"), h.ask(2, "book/2"));
     h.end(a, 0, AttemptOutcome::Unreachable);
@@ -113,7 +113,7 @@
 
 #[test]
 fn tagged_repeats_only_inside_window_and_group() {
-    let mut h = house(&[("namespace 1 group", "zone")]);
+    let mut h = harness(&[("namespace 1 group", "zone")]);
     h.list(&[
         ("amber", 0, EndpointStatus::Ready, 0),
         ("birch", 0, EndpointStatus::Ready, 0),
@@ -137,7 +137,7 @@
 
 #[test]
 fn without_second_copies_one_attempt_at_a_time() {
-    let mut h = house(&[("second copies", "0")]);
+    let mut h = harness(&[("second copies", "0")]);
     h.ready(&FOUR);
     let a = h.ask(0, "book/1");
     h.pass(8000);
@@ -154,7 +154,7 @@
 
 #[test]
 fn nothing_new_to_a_draining_server() {
-    let mut h = house(&[]);
+    let mut h = harness(&[]);
     h.ready(&FOUR);
     let key = key_of(&mut h, "birch");
     h.told();
@@ -175,7 +175,7 @@
 
 #[test]
 fn a_cold_server_gets_its_share_of_keys_and_no_more_than_its_credit() {
-    let mut h = house(&[]);
+    let mut h = harness(&[]);
     h.pass(200_000);
     let mut rows = FOUR.map(|id| (id, 0, EndpointStatus::Ready, 0));
     h.list(&rows);
@@ -187,7 +187,7 @@
     // All cold and nothing answered: one attempt each in a house of four proxies, and the rest is deferred. In a
     // house of 16 each has its part of those attempts.
     let sent = ["4", "16"].map(|proxies| {
-        let mut h = house(&[("proxies", proxies)]);
+        let mut h = harness(&[("proxies", proxies)]);
         h.pass(200_000);
         h.list(&FOUR.map(|id| (id, 0, EndpointStatus::Ready, 200_000)));
         for _ in 0..2 {
@@ -201,7 +201,7 @@
 
 #[test]
 fn a_fast_failer_is_left_probed_and_taken_back_by_and_by() {
-    let mut h = house(&[]);
+    let mut h = harness(&[]);
     h.ready(&FOUR);
     let key = key_of(&mut h, "cedar");
     h.told();
@@ -240,7 +240,7 @@
 
 #[test]
 fn when_every_server_fails_they_are_asked_all_the_same() {
-    let mut h = house(&[]);
+    let mut h = harness(&[]);
     h.ready(&FOUR[..2]);
     let keys = ["amber", "birch"].map(|id| key_of(&mut h, id));
     for key in keys.iter().chain(&keys).chain(&keys) {
@@ -261,7 +261,7 @@
 
 #[test]
 fn dead_servers_are_not_asked_because_the_others_are_full() {
-    let mut h = house(&[]);
+    let mut h = harness(&[]);
     h.ready(&["amber", "birch"]);
     let key = key_of(&mut h, "amber");
     h.told();
@@ -285,7 +285,7 @@
 
 #[test]
 fn a_silent_server_is_passed_with_a_second_copy_elsewhere_and_left_at_its_third_silence() {
-    let mut h = house(&[]);
+    let mut h = harness(&[]);
     h.ready(&FOUR);
     let key = key_of(&mut h, "delta");
     h.told();
@@ -321,7 +321,7 @@
 
 #[test]
 fn misses_and_writes_go_to_the_origin_one_fetch_a_key() {
-    let mut h = house(&ASIDE);
+    let mut h = harness(&ASIDE);
     h.ready(&["amber", "birch", "origin"]);
     let (a, b) = (h.ask(0, "book/1"), h.ask(0, "book/1"));
     h.end(a, 0, AttemptOutcome::CacheMiss);
@@ -341,9 +341,9 @@
 
 #[test]
 fn who_waits_for_a_failed_fetch_asks_the_origin_itself_or_is_deferred() {
-    let mut h = house(&ASIDE);
+    let mut h = harness(&ASIDE);
     h.ready(&["amber", "birch", "origin"]);
-    let [a, b, c] = [0; 3].map(|ns| h.ask(ns, "book/1"));
+    let [a, b, c] = [0; 3].map(|class| h.ask(class, "book/1"));
     [a, b, c].iter().for_each(|l| h.end(*l, 0, AttemptOutcome::CacheMiss));
     h.left_by_client(a);
     h.pass(10_000);
@@ -362,7 +362,7 @@
 
 #[test]
 fn a_short_origin_is_spared_and_the_zones_act_as_one_server() {
-    let mut h = house(&ASIDE);
+    let mut h = harness(&ASIDE);
     h.list(&[
         ("amber", 0, EndpointStatus::Ready, 0),
         ("birch", 1, EndpointStatus::Ready, 0),
@@ -385,7 +385,7 @@
 #[test]
 fn a_proxy_with_little_traffic_spares_a_short_origin_as_soon_as_a_busy_one() {
     let away = [5, 80].map(|a_second| {
-        let mut h = house(&ASIDE);
+        let mut h = harness(&ASIDE);
         h.list(
             &["amber", "birch", "origin"]
                 .map(|id| (id, usize::from(id != "amber"), EndpointStatus::Ready, 0)),
@@ -404,7 +404,7 @@
 #[test]
 fn where_over_one_in_three_is_late_some_are_deferred_at_once() {
     let deferred = [(10, false), (4, false), (2, false), (2, true)].map(|(one_in, at_origin)| {
-        let mut h = house(if at_origin { &ASIDE } else { &[] });
+        let mut h = harness(if at_origin { &ASIDE } else { &[] });
         h.ready(&["amber", "birch", "cedar", "origin"]);
         for i in 0..200 {
             let a = h.ask(0, &format!("page/{i}"));
@@ -422,7 +422,7 @@
 /// The keys that a late zone's servers give up go to the other zone, and come back when answers are in time again.
 #[test]
 fn a_late_zone_gives_keys_to_the_others_until_it_is_in_time() {
-    let mut h = house(&[]);
+    let mut h = harness(&[]);
     h.list(&[("amber", 0, EndpointStatus::Ready, 0), ("birch", 1, EndpointStatus::Ready, 0)]);
     let mut away = Vec::new();
     for late in ["", "amber", ""] {
@@ -443,7 +443,7 @@
 
 #[test]
 fn failing_fetches_behind_servers_spare_the_keys_that_are_kept() {
-    let mut h = house(&[("through", "1")]);
+    let mut h = harness(&[("through", "1")]);
     h.ready(&FOUR);
     h.owner("kept");
     for i in 0..60 {
@@ -466,9 +466,9 @@
 
 #[test]
 fn a_server_whose_fetches_fail_alone_is_left_by_and_by() {
-    let mut h = house(&[("through", "1")]);
+    let mut h = harness(&[("through", "1")]);
     h.ready(&FOUR);
-    let mut said = Vec::new();
+    let mut values = Vec::new();
     for i in 0..60 {
         let a = h.ask(0, &format!("book/{i}"));
         let outcome = if h.last_asked().as_deref() == Some("birch") {
@@ -478,19 +478,19 @@
         };
         h.end(a, 0, outcome);
         h.left_by_client(a);
-        said.push(h.told());
+        values.push(h.told());
     }
-    let (said, left) = (said.concat(), "log: cache birch left");
+    let (values, left) = (values.concat(), "log: cache birch left");
     expect!["15 sent to birch until it is left, 9 deferred"].assert_eq(&format!(
         "{} sent to birch until it is left, {} deferred",
-        said.split(left).next().unwrap().matches("cache 1").count(),
-        said.matches("deferred").count()
+        values.split(left).next().unwrap().matches("cache 1").count(),
+        values.matches("deferred").count()
     ));
 }
 
 #[test]
 fn a_lost_watch_is_renewed_and_spread_out() {
-    let mut h = house(&[("watched", "1")]);
+    let mut h = harness(&[("watched", "1")]);
     h.ready(&FOUR);
     for _ in 0..3 {
         h.router.discovery_call_failed(0, &mut h.trace);
@@ -517,7 +517,7 @@
 fn a_failed_call_for_the_list_is_repeated_while_what_it_missed_is_not_yet_told() {
     let told = [("0", "10000", ""), ("0", "0", ""), ("1", "", "20000"), ("1", "", "100000"), ("1", "", "0")];
     let told = told.map(|(watched, grace, time)| {
-        let mut h = house(&[("watched", watched), ("drain grace", grace), ("ask time", time)]);
+        let mut h = harness(&[("watched", watched), ("drain grace", grace), ("ask time", time)]);
         (0..40).for_each(|_| h.router.discovery_call_failed(0, &mut h.trace));
         let waits = h.told();
         let waits =
@@ -536,7 +536,7 @@
 
 #[test]
 fn late_answers_shrink_a_room_until_it_takes_less_than_one() {
-    let mut h = house(&[]);
+    let mut h = harness(&[]);
     h.ready(&["amber"]);
     for _ in 0..30 {
         let a = h.ask(0, "slow");
@@ -548,8 +548,9 @@
         h.end(a, 0, AttemptOutcome::CacheMiss);
         h.left_by_client(a);
     }
-    let said = h.told();
-    let line = format!("{} sent, {} deferred", said.matches("->").count(), said.matches("deferred").count());
+    let values = h.told();
+    let line =
+        format!("{} sent, {} deferred", values.matches("->").count(), values.matches("deferred").count());
     expect!["2 sent, 19 deferred"].assert_eq(&line);
 }
 
@@ -559,7 +560,7 @@
 fn a_late_answer_makes_a_room_what_was_out_at_a_server_seldom_heard_of() {
     let apart = [(0, 0), (0, 1), (6, 1), (7, 1), (20, 1), (20, 2), (0, 5)].map(|(n, late)| (n, late, 10_000));
     let rooms = apart.into_iter().chain([(0, 5, 100)]).map(|(in_time, late, gap)| {
-        let mut h = house(&[]);
+        let mut h = harness(&[]);
         h.ready(&["amber"]);
         for took in std::iter::repeat_n(100, in_time).chain(std::iter::repeat_n(9000, late)) {
             h.pass(gap);
@@ -585,7 +586,7 @@
 
 #[test]
 fn one_broken_connection_does_not_leave_a_server_and_a_third_in_a_row_does() {
-    let mut h = house(&[("second copies", "0")]);
+    let mut h = harness(&[("second copies", "0")]);
     h.ready(&FOUR);
     let key = key_of(&mut h, "birch");
     h.told();
@@ -617,7 +618,7 @@
 
 #[test]
 fn a_request_no_server_can_use_ends_at_once_and_leaves_no_server() {
-    let mut h = house(&[]);
+    let mut h = harness(&[]);
     h.ready(&FOUR);
     for _ in 0..4 {
         let request_id = h.ask(0, "book/1");
@@ -638,7 +639,7 @@
 
 #[test]
 fn a_left_server_that_answers_is_taken_back_without_a_probe() {
-    let mut h = house(&[]);
+    let mut h = harness(&[]);
     h.ready(&["amber"]);
     (0..3).for_each(|_| {
         let request_id = h.ask(2, "book/1");
@@ -656,7 +657,7 @@
 
 #[test]
 fn an_attempt_broken_at_the_origin_is_tried_again_by_way_of_the_server() {
-    let mut h = house(&[("origin kind", "9")]);
+    let mut h = harness(&[("origin kind", "9")]);
     h.ready(&["amber", "origin"]);
     let read = h.ask(0, "book/1");
     h.end(read, 0, AttemptOutcome::CacheMiss);
@@ -680,7 +681,7 @@
 
 /// What goes to each of four servers after the first three had 30 requests, of which they turned away some.
 fn sent_after(turned_away: fn(usize) -> bool) -> String {
-    let mut h = house(&[("most shots", "1")]);
+    let mut h = harness(&[("most shots", "1")]);
     h.ready(&FOUR);
     let keys = FOUR.map(|id| key_of(&mut h, id));
     for (i, key) in keys[..3].iter().cycle().take(30).enumerate() {
@@ -694,9 +695,9 @@
     h.told();
     keys[..3].iter().for_each(|key| _ = h.ask(0, key));
     (0..8).for_each(|_| _ = h.ask(0, &keys[3]));
-    let said = h.told();
-    let sent = [0, 1, 2, 3].map(|server| said.matches(&format!("-> cache {server}")).count());
-    format!("{sent:?} sent, {} deferred", said.matches("deferred").count())
+    let values = h.told();
+    let sent = [0, 1, 2, 3].map(|server| values.matches(&format!("-> cache {server}")).count());
+    format!("{sent:?} sent, {} deferred", values.matches("deferred").count())
 }
 
 #[test]
@@ -713,7 +714,7 @@
 #[test]
 fn an_attempt_is_not_lost_where_answers_take_as_long() {
     let sent = [100, 6000].map(|usual| {
-        let mut h = house(&[("namespace 0 target time", "30000")]);
+        let mut h = harness(&[("namespace 0 target time", "30000")]);
         h.ready(&["amber", "birch"]);
         let key = key_of(&mut h, "amber");
         for _ in 0..20 {
@@ -738,7 +739,7 @@
 
 #[test]
 fn where_a_server_answers_three_broken_connections_do_not_leave_it() {
-    let mut h = house(&[]);
+    let mut h = harness(&[]);
     h.ready(&FOUR);
     h.pass(10_000);
     let key = key_of(&mut h, "birch");
@@ -770,7 +771,7 @@
 
 #[test]
 fn an_attempt_that_later_ones_have_overtaken_is_sent_elsewhere_and_its_server_not_taken_for_late() {
-    let mut h = house(&[]);
+    let mut h = harness(&[]);
     h.ready(&["amber", "birch"]);
     let key = key_of(&mut h, "amber");
     h.told();
@@ -796,28 +797,28 @@
 
 #[test]
 fn a_place_is_free_once_nothing_can_name_its_server_and_the_next_one_there_starts_anew() {
-    let mut h = house(&[]);
+    let mut h = harness(&[]);
     h.ready(&["amber", "birch"]);
     let key = key_of(&mut h, "birch");
     let (a, b) = (h.ask(2, &key), h.ask(2, &key));
-    let mut said = Vec::new();
+    let mut values = Vec::new();
     h.ready(&["amber"]);
-    said.push(h.router.done_with(1));
+    values.push(h.router.done_with(1));
     h.end(a, 0, AttemptOutcome::Unreachable);
     h.end(b, 0, AttemptOutcome::Completed);
     // It was left, and the request that met it is still open.
     h.wake(SERVER + 1);
-    said.push(h.router.done_with(1));
+    values.push(h.router.done_with(1));
     h.end(a, 1, AttemptOutcome::Completed);
-    said.push(h.router.done_with(1));
-    expect!["[false, false, true]"].assert_eq(&format!("{said:?}"));
+    values.push(h.router.done_with(1));
+    expect!["[false, false, true]"].assert_eq(&format!("{values:?}"));
 }
 
 /// A class of its own for replayable requests, with what is said of it.
-fn class(said: &[(&str, &str)]) -> House {
-    let mut house = house(said);
-    house.ready(&["amber", "birch"]);
-    house
+fn class(values: &[(&str, &str)]) -> Harness {
+    let mut harness = harness(values);
+    harness.ready(&["amber", "birch"]);
+    harness
 }
 
 #[test]
@@ -897,7 +898,7 @@
     let mut h = class(&[]);
     let (long, late) = (h.ask(0, "book/1"), h.ask(0, "book/2"));
     h.pass(8000);
-    let new = h.said.clone();
+    let new = h.values.clone();
     h.router.limits(&new);
     // Nine tenths of a second from the start for one; seven tenths for the other, which are over.
     long.renewed(&mut h.router, 0, 9000, &mut h.trace);
@@ -922,7 +923,7 @@
 /// says; put back it is as cold as one that starts then, and is asked within seconds.
 #[test]
 fn a_server_that_operators_take_out_gets_nothing_until_they_put_it_back_cold() {
-    let mut h = house(&[("proxies", "4")]);
+    let mut h = harness(&[("proxies", "4")]);
     h.pass(1_000_000);
     h.ready(&FOUR);
     let warm = of_birch(&mut h);
@@ -955,7 +956,7 @@
 /// One that leaves the list while it is out, and comes back at another place, is put back there.
 #[test]
 fn a_server_that_came_back_at_another_place_while_it_was_out_is_put_back() {
-    let mut h = house(&[]);
+    let mut h = harness(&[]);
     h.pass(1_000_000);
     h.ready(&FOUR);
     h.router.bar("birch", true, h.now);
@@ -977,7 +978,7 @@
 /// ever less.
 #[test]
 fn misses_of_cold_servers_earn_their_credit_back() {
-    let mut h = house(&[("origin kind", "9"), ("proxies", "4")]);
+    let mut h = harness(&[("origin kind", "9"), ("proxies", "4")]);
     h.pass(1_000_000);
     let mut rows = FOUR.map(|id| (id, 0, EndpointStatus::Ready, 1_000_000)).to_vec();
     rows.push(("origin", 0, EndpointStatus::Ready, 0));
@@ -1006,7 +1007,7 @@
 #[test]
 fn requests_with_one_key_run_in_turn_where_that_is_asked_for() {
     let order = [("namespace 1 in order", "1"), ("namespace 2 in order", "1"), ("key quiet", "2000")];
-    let mut h = house(&order);
+    let mut h = harness(&order);
     h.ready(&FOUR);
     let first = h.ask(2, "hot");
     let second = h.ask(1, "hot");
@@ -1072,7 +1073,7 @@
 /// Whatever happens to them, no two requests of a key are out at once, none overtakes, and the line ends.
 #[test]
 fn no_order_is_broken_by_what_becomes_of_requests() {
-    let mut h = house(&[("namespace 1 in order", "1"), ("key quiet", "3000")]);
+    let mut h = harness(&[("namespace 1 in order", "1"), ("key quiet", "3000")]);
     h.ready(&FOUR);
     let (mut seed, mut out, mut started, mut over) = (11u64, Vec::new(), Vec::new(), 0);
     let mut keys: Vec<usize> = Vec::new();
@@ -1146,7 +1147,7 @@
 /// Where fetches fail for long, a proxy has less than one out: the origin is flooded by one from each of many.
 #[test]
 fn one_of_many_proxies_asks_a_failing_origin_now_and_then_only() {
-    let mut h = house(&[("through", "1")]);
+    let mut h = harness(&[("through", "1")]);
     h.ready(&FOUR);
     let mut asked = [0, 0];
     for i in 0..1000 {
@@ -1166,7 +1167,7 @@
 /// Where fetches failed for long all keys are asked again within 20 s, whatever is heard.
 #[test]
 fn after_failing_fetches_all_keys_are_asked_again_within_twenty_seconds() {
-    let mut h = house(&[("through", "1"), ("most shots", "1")]);
+    let mut h = harness(&[("through", "1"), ("most shots", "1")]);
     h.ready(&FOUR);
     let sent = [0, 5, 20].map(|seconds| {
         for i in 0..60 {
@@ -1190,7 +1191,7 @@
 /// it; its server owes nothing for it, however long it goes on.
 #[test]
 fn an_answer_that_has_begun_is_the_only_one() {
-    let mut h = house(&[("origin kind", "9")]);
+    let mut h = harness(&[("origin kind", "9")]);
     h.list(&[
         ("amber", 0, EndpointStatus::Ready, 0),
         ("birch", 0, EndpointStatus::Ready, 0),
@@ -1225,7 +1226,7 @@
 #[test]
 fn a_smaller_server_stands_for_its_part_of_its_keys() {
     let day = |size: u64, kind: &str, fleet: &[&str]| {
-        let mut h = house(&[("size kind", kind)]);
+        let mut h = harness(&[("size kind", kind)]);
         h.birch.1 = size;
         h.ready(fleet);
         owners(&mut h)
@@ -1241,7 +1242,7 @@
 /// One in four of birch's answers past its target: it keeps fewer of its keys, and gets them back by and by.
 #[test]
 fn a_server_that_is_late_keeps_fewer_of_its_keys_until_it_is_in_time() {
-    let mut h = house(&[]);
+    let mut h = harness(&[]);
     h.ready(&FOUR);
     let kept = [100, 10_000, 100].map(|slow| {
         h.told();
@@ -1264,7 +1265,7 @@
 /// back; what is absurd, or said of all alike, moves none for long.
 #[test]
 fn a_server_that_the_list_says_is_loaded_keeps_fewer_of_its_keys() {
-    let mut h = house(&[("size kind", "live")]);
+    let mut h = harness(&[("size kind", "live")]);
     let mut day = |weights: &[u64]| {
         weights.iter().for_each(|w| {
             h.birch.1 = *w;
@@ -1278,20 +1279,20 @@
         });
         h.told().matches("> cache 1").count()
     };
-    let said = [day(&[100]), day(&[10; 6]), day(&[100; 70]), day(&[0]), day(&[100; 9])];
+    let values = [day(&[100]), day(&[10; 6]), day(&[100; 70]), day(&[0]), day(&[100; 9])];
     let absurd = [day(&[u64::MAX / 1000]), day(&[100; 200]), day(&[100; 4000])];
     expect!["[48, 20, 48, 48, 48], absurd [48, 48, 48] of 200"]
-        .assert_eq(&format!("{said:?}, absurd {absurd:?} of 200"));
+        .assert_eq(&format!("{values:?}, absurd {absurd:?} of 200"));
 }
 
 /// One refused connection is a server that died. Two are servers short of places: those with a connection are asked, in ring
 /// order, one more is tried after four seconds, and once that is let in two more may follow.
 #[test]
 fn where_connections_are_refused_the_servers_that_have_one_are_asked() {
-    let mut h = house(&[]);
+    let mut h = harness(&[]);
     h.ready(&["amber", "birch", "cedar", "aspen", "alder", "elder"]);
     h.told();
-    let phase = |h: &mut House, full: bool| {
+    let phase = |h: &mut Harness, full: bool| {
         for i in 0..40 {
             let request_id = h.ask(0, &format!("page/{i}"));
             for attempt in 0..4 {
@@ -1327,7 +1328,7 @@
 /// shortest target time stands in.
 #[test]
 fn a_proxy_with_little_traffic_knows_how_long_answers_take() {
-    let mut h = house(&[]);
+    let mut h = harness(&[]);
     h.ready(&FOUR);
     let mut passed = 0;
     for i in 0..40 {
@@ -1345,7 +1346,7 @@
 /// since; figures beyond all that could be learned are cut to it. Nothing else is carried: cedar is asked though it was left.
 #[test]
 fn the_first_requests_after_a_switch_go_by_what_was_learned_before() {
-    let mut old = house(&[]);
+    let mut old = harness(&[]);
     old.ready(&FOUR);
     for i in 0..60 {
         old.pass(2_000);
@@ -1371,7 +1372,7 @@
         learned.iter().map(|l| Learned { part: u64::MAX, room: u64::MAX, size: u64::MAX, ..l.clone() });
     let days = [(Vec::new(), 0), (learned.clone(), 0), (learned.clone(), 5), (spoilt.collect(), 0)];
     let first = days.map(|(carried, born)| {
-        let mut new = house(&[("cold time", "0")]);
+        let mut new = harness(&[("cold time", "0")]);
         new.router.carry(carried);
         let rows = FOUR.map(|id| (id, 0, EndpointStatus::Ready, if id == "birch" { born } else { 0 }));
         new.list(&rows);
@@ -1393,7 +1394,7 @@
 #[test]
 fn what_late_servers_give_up_is_not_pushed_on_a_cold_one() {
     let day = |late: bool| {
-        let mut h = house(&[]);
+        let mut h = harness(&[]);
         h.ready(&FOUR);
         h.pass(10_000);
         for i in 0..200 {
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -37,11 +37,11 @@
 /// wait for over 5 s, and fails what waits for over 2 s, though it does that work all the same. The list changes every
 /// `changes`. Tells, for each five seconds, later for each 25, how many proxies act on a list older than 5 s at the end, and what calls came to.
 fn played(proxies: u64, a_second: u64, changes: Tenths) -> String {
-    let said = BTreeMap::from([("watched".to_string(), "1".to_string())]);
+    let values = BTreeMap::from([("watched".to_string(), "1".to_string())]);
     let mut fleet: Vec<(Router, Wants)> = (0..proxies)
         .map(|seed| {
             let mut wants = Wants::default();
-            (Router::new(seed, &said, &mut wants), wants)
+            (Router::new(seed, &values, &mut wants), wants)
         })
         .collect();
     let mut had = vec![None; fleet.len()]; // when each had the list last
@@ -174,11 +174,11 @@
     outage: Tenths,
     watched_for: Tenths,
 ) -> Vec<Tenths> {
-    let said = BTreeMap::from([("watched".to_string(), "1".to_string())]);
+    let values = BTreeMap::from([("watched".to_string(), "1".to_string())]);
     let mut fleet: Vec<(Router, Wants)> = (0..processes)
         .map(|seed| {
             let mut wants = Wants::default();
-            let mut router = Router::new(seed, &said, &mut wants);
+            let mut router = Router::new(seed, &values, &mut wants);
             wants.wakes.clear();
             router.discovery_call_failed(0, &mut wants);
             (router, wants)
--- a/crates/policy/tests/helper/mod.rs
+++ b/crates/policy/tests/helper/mod.rs
@@ -54,19 +54,19 @@
 pub const WATCH: u64 = 1 << 62;
 pub const SERVER: u64 = 1 << 61;
 
-pub struct House {
+pub struct Harness {
     pub router: Router,
     pub trace: Trace,
     pub now: Tenths,
-    pub said: BTreeMap<String, String>,
+    pub values: BTreeMap<String, String>,
     pub birch: (usize, u64), // its kind, and its size in hundredths
     ids: Vec<String>,
 }
 
 /// A house with one replayable, one tagged and one single-use namespace, 0 to 2, each with a target of 1 s.
-pub fn house(more: &[(&str, &str)]) -> House {
-    let mut said: BTreeMap<String, String> = BTreeMap::new();
-    let mut say = |name: &str, value: &str| said.insert(name.into(), value.into());
+pub fn harness(more: &[(&str, &str)]) -> Harness {
+    let mut values: BTreeMap<String, String> = BTreeMap::new();
+    let mut say = |name: &str, value: &str| values.insert(name.into(), value.into());
     for (i, repeats) in ["replayable", "tagged", "single-use"].iter().enumerate() {
         say(&format!("namespace {i} repeats"), repeats);
         say(&format!("namespace {i} target time"), "10000");
@@ -80,11 +80,11 @@
         say(name, value);
     });
     let mut trace = Trace::default();
-    let router = Router::new(7, &said, &mut trace);
-    House { router, trace, now: 0, said, birch: (0, 100), ids: Vec::new() }
+    let router = Router::new(7, &values, &mut trace);
+    Harness { router, trace, now: 0, values, birch: (0, 100), ids: Vec::new() }
 }
 
-impl House {
+impl Harness {
     /// Hands over the whole list: (id, zone, standing, born); kind 9 for an id "origin", else 0.
     pub fn list(&mut self, rows: &[(&str, usize, EndpointStatus, Tenths)]) {
         for (id, ..) in rows {
@@ -117,16 +117,16 @@
         self.router.clock(self.now);
     }
 
-    pub fn ask(&mut self, ns: usize, key: &str) -> RequestId {
-        self.routed(ns, key, false)
+    pub fn ask(&mut self, class: usize, key: &str) -> RequestId {
+        self.routed(class, key, false)
     }
 
-    pub fn write(&mut self, ns: usize, key: &str) -> RequestId {
-        self.routed(ns, key, true)
+    pub fn write(&mut self, class: usize, key: &str) -> RequestId {
+        self.routed(class, key, true)
     }
 
-    fn routed(&mut self, ns: usize, key: &str, write: bool) -> RequestId {
-        let request_id = self.router.take(ns, key, write, self.now + 20_000);
+    fn routed(&mut self, class: usize, key: &str, write: bool) -> RequestId {
+        let request_id = self.router.take(class, key, write, self.now + 20_000);
         request_id.route(&mut self.router, &mut self.trace);
         request_id
     }
@@ -153,8 +153,8 @@
         let request_id = self.ask(0, key);
         self.end(request_id, 0, AttemptOutcome::Completed);
         let asked = self.last_asked();
-        let said = std::mem::replace(&mut self.trace, kept).0;
-        asked.unwrap_or(said.trim().to_string())
+        let values = std::mem::replace(&mut self.trace, kept).0;
+        asked.unwrap_or(values.trim().to_string())
     }
 
     pub fn last_asked(&self) -> Option<String> {
--- a/crates/proxy/src/given.rs
+++ b/crates/proxy/src/given.rs
@@ -1,7 +1,7 @@
 //! The files that a proxy is given: the platform's configuration, and the operator's, read and checked together.
 
 use chalkwalk_operator::{self as operator, Capture, Membership, Resp};
-use chalkwalk_platform::HouseRules;
+use chalkwalk_platform::StartupConfig;
 
 pub struct Given {
     pub config: String,
@@ -10,7 +10,7 @@
 
 /// What they say.
 pub struct Read {
-    pub rules: HouseRules,
+    pub rules: StartupConfig,
     /// Where the list comes from, if not from the platform.
     pub membership: Option<Membership>,
     pub resp: Option<Resp>,
@@ -20,7 +20,7 @@
 impl Given {
     /// Both, or what is wrong with either.
     pub fn read(&self) -> Result<Read, String> {
-        let mut rules = HouseRules::load(&self.config)?;
+        let mut rules = StartupConfig::load(&self.config)?;
         rules.core.account.doors =
             vec![chalkwalk_http_door::DOOR.to_string(), chalkwalk_resp_door::DOOR.to_string()];
         let (mut membership, mut resp, mut capture) = (None, None, None);
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -122,7 +122,8 @@
     let place = rules.namespaces.iter().position(|n| *n == namespace);
     let place =
         place.ok_or(format!("no namespace \"{namespace}\"; there are {}", rules.namespaces.join(", ")))?;
-    let table = rules.core.limits.unwrap_or_else(|| chalkwalk_limits::Table::of_house(&rules.core.account));
+    let table =
+        rules.core.limits.unwrap_or_else(|| chalkwalk_limits::Table::from_settings(&rules.core.account));
     let door = if door.is_empty() { chalkwalk_http_door::DOOR } else { &door };
     print!(
         "{}",
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -11,7 +11,7 @@
 use chalkwalk_core::{drain, flow};
 use chalkwalk_http_door as http;
 use chalkwalk_operator::{Capture, Membership, Resp};
-use chalkwalk_platform::{self as platform, HouseRules, Shape};
+use chalkwalk_platform::{self as platform, Shape, StartupConfig};
 use chalkwalk_resp_door as resp_door;
 use chalkwalk_source::Feed;
 use slog::{Logger, info, warn};
@@ -35,7 +35,7 @@
     (listener, handed): (TcpListener, bool),
 ) -> Result<(), String> {
     let Read { rules, membership, resp, capture } = read;
-    let HouseRules { listen, console, list, known, namespaces, core: mut rules, shape } = rules;
+    let StartupConfig { listen, console, list, known, namespaces, core: mut rules, shape } = rules;
     // Places that no request can take.
     let own = if console.is_some() { console::DESCRIPTORS } else { 0 } + usize::from(handed);
     rules.descriptors = rules.descriptors.saturating_sub(own);
@@ -142,7 +142,7 @@
     shape: &'a Shape,
 }
 
-/// What indices at work stand for, by the house's names.
+/// What indices at work stand for, by the platform's names.
 const SETTLED: [&str; 7] = ["zones", "zone", "kinds", "origin kind", "through", "watched", "tenants"];
 
 /// Why what was read can't be taken without a restart, if it can't.
@@ -155,7 +155,7 @@
         return Some("its membership, RESP door or capture is another, which needs a restart".into());
     }
     let said = core.classes.said();
-    let other = SETTLED.iter().find(|name| said.get(**name) != rules.core.house.get(**name));
+    let other = SETTLED.iter().find(|name| said.get(**name) != rules.core.settings.get(**name));
     if let Some(name) = other {
         return Some(format!("its {name} are others, which needs a restart"));
     }
@@ -167,7 +167,7 @@
     (resp.is_some() && renamed).then(|| "its namespaces are others, which needs a restart with RESP".into())
 }
 
-/// Reads both files again, and takes both or neither: settings of the house, limits of the operator, where the list is. All
+/// Reads both files again, and takes both or neither: settings of the platform, limits of the operator, where the list is. All
 /// else stays as it was at the start. What the configuration knows of servers is as old as the file, and what the list has
 /// told since is newer.
 fn reread(core: &Rc<Core>, door: &http::Door, given: &Given, list: Option<&List>, was: Was) {
@@ -178,7 +178,7 @@
     match read {
         Ok(Read { rules, resp, .. }) => {
             let at = rules.list.map_or_else(|| "-".to_string(), |at| at.to_string());
-            let new = rules.core.house != core.classes.said();
+            let new = rules.core.settings != core.classes.said();
             info!(core.log, "configuration read again"; "list" => at, "settings" => if new { "new" } else { "as before" });
             if let Some(list) = list {
                 list.read_again(rules.list);
--- a/crates/proxy/tests/sockets.rs
+++ b/crates/proxy/tests/sockets.rs
@@ -1027,7 +1027,7 @@
     day.hear(&mut other);
     day.told
         .say(format!("the tightened class within 0.9 s: {}", begun.elapsed() < Duration::from_millis(900)));
-    // Written in halves, and against the house's rules: the one before holds.
+    // Written in halves, and against the platform's settings: the one before holds.
     for bad in [&SHORTER[..40], "version = 1\n[defaults]\nmost_shots = 50\n[end]"] {
         std::fs::write(&operator, bad).unwrap();
         day.signal("-HUP");
