--- a/crates/benchlink/src/desk.rs
+++ b/crates/benchlink/src/desk.rs
@@ -1,9 +1,9 @@
-//! One instance: its router, and the small indices that stand for the wire's names at its door.
+//! One instance: its balancer, and the small indices that stand for the wire's names at its door.
 
 use chalkwalk_house::PlatformSettings;
 use chalkwalk_house::fields::{Object, Read, flag, list, object, size, text, text_or, whole, whole_or};
 use chalkwalk_policy::{
-    AttemptOutcome, Carrier, Endpoint, EndpointStatus, RequestId, Router, ServerIndex, Tenths,
+    AttemptOutcome, Balancer, Effects, Endpoint, EndpointStatus, RequestId, ServerIndex, Tenths,
 };
 use serde_json::{Value, json};
 use std::collections::HashMap;
@@ -30,21 +30,21 @@
 
 pub struct Desk {
     settings: PlatformSettings,
-    router: Router,
+    balancer: Balancer,
     servers: Door,
     zones: Door,
     request_ids: HashMap<u64, RequestId>,
     wire_ids: HashMap<RequestId, u64>,
 }
 
-/// Writes what the router wants done as actions of the wire.
+/// Writes what the balancer wants done as actions of the wire.
 struct Pen<'a> {
     servers: &'a Door,
     wire_ids: &'a HashMap<RequestId, u64>,
     actions: &'a mut Vec<Value>,
 }
 
-impl Carrier for Pen<'_> {
+impl Effects for Pen<'_> {
     fn start_attempt(&mut self, request_id: RequestId, server: ServerIndex, until: Tenths, _by: Tenths) {
         let (req, node) = (self.wire_ids[&request_id], &self.servers.names[server]);
         self.actions
@@ -54,20 +54,20 @@
         self.actions
             .push(json!({"kind": "ABORT_ATTEMPT", "req": self.wire_ids[&request_id], "trial": attempt}));
     }
-    fn defer(&mut self, request_id: RequestId, back_in: Tenths) {
+    fn reject(&mut self, request_id: RequestId, back_in: Tenths) {
         let (req, wait) = (self.wire_ids[&request_id], back_in * NS_PER_TENTH);
         self.actions.push(json!({"kind": "OVERLOAD_REPLY", "req": req, "retryInNs": wait}));
     }
-    fn abandon(&mut self, request_id: RequestId) {
+    fn fail(&mut self, request_id: RequestId) {
         self.actions.push(json!({"kind": "RESPOND_ERROR", "req": self.wire_ids[&request_id]}));
     }
-    fn probe(&mut self, server: ServerIndex) {
+    fn check_health(&mut self, server: ServerIndex) {
         self.actions.push(json!({"kind": "POLL", "node": self.servers.names[server]}));
     }
-    fn wake(&mut self, token: u64, after: Tenths) {
+    fn set_timer(&mut self, token: u64, after: Tenths) {
         self.actions.push(json!({"kind": "REMIND", "name": token, "offsetNs": after * NS_PER_TENTH}));
     }
-    fn watch(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.actions.push(json!({"kind": "SUBSCRIBE", "active": true}));
     }
     fn log(&mut self, event: &str, server: &str) {
@@ -132,7 +132,7 @@
         let servers = Door::default();
         let pen = &mut Pen { servers: &servers, wire_ids: &HashMap::new(), actions };
         Ok(Desk {
-            router: Router::new(seed, &settings.values, pen),
+            balancer: Balancer::new(seed, &settings.values, pen),
             settings,
             servers,
             zones,
@@ -149,13 +149,13 @@
         lists: &HashMap<u64, Vec<Object>>,
         actions: &mut Vec<Value>,
     ) -> Read<()> {
-        self.router.clock(now);
+        self.balancer.advance_clock(now);
         match kind {
             "MEMBERS" => return self.members(event, lists, actions),
             "KNOCK" => return self.knock(event, actions),
             _ => {}
         }
-        // What the router may still be told about, before the pen borrows the door.
+        // What the balancer may still be told about, before the pen borrows the door.
         let request_id = match kind {
             "CANCELLED_BY_CLIENT" | "DONE" | "ACCEPTED" => {
                 let req = whole(event, "req")?;
@@ -168,7 +168,7 @@
             _ => None,
         };
         let pen = &mut Pen { servers: &self.servers, wire_ids: &self.wire_ids, actions };
-        let router = &mut self.router;
+        let balancer = &mut self.balancer;
         match kind {
             "DONE" => {
                 let (attempt, reason) = (whole(event, "trial")?, outcome(text(event, "reason")?)?);
@@ -180,25 +180,25 @@
                 };
                 let finished = flag(event, "finished")?;
                 if let Some((_, request_id)) = request_id {
-                    request_id.attempt_ended(router, attempt as usize, how, took, finished, pen);
+                    balancer.attempt_ended(request_id, attempt as usize, how, took, finished, pen);
                 }
             }
             "ACCEPTED" => {
                 let attempt = whole(event, "trial")?;
                 if let Some((_, request_id)) = request_id {
-                    request_id.answer_begun(router, attempt as usize, pen);
+                    balancer.response_started(request_id, attempt as usize, pen);
                 }
             }
             "CANCELLED_BY_CLIENT" => {
                 if let Some((_, request_id)) = request_id {
-                    request_id.client_left(router, pen);
+                    balancer.client_left(request_id, pen);
                 }
             }
-            "WAKEUP" => router.woken(whole(event, "name")?, pen),
+            "WAKEUP" => balancer.timer_fired(whole(event, "name")?, pen),
             "HEALTH_RESULT" => {
                 let answered = outcome(text(event, "reason")?)? == AttemptOutcome::Completed;
                 if let Some(server) = node.and_then(|n| self.servers.index.get(n)) {
-                    router.probed(*server, answered, pen);
+                    balancer.health_check_finished(*server, answered, pen);
                 }
             }
             "FROM_PEER" => {
@@ -211,7 +211,7 @@
             // A wake may end any request, not only its own.
             self.sweep();
         } else if let Some((req, request_id)) =
-            request_id.filter(|(_, request_id)| !request_id.known(&self.router))
+            request_id.filter(|(_, request_id)| !self.balancer.knows_request(*request_id))
         {
             self.request_ids.remove(&req);
             self.wire_ids.remove(&request_id);
@@ -219,11 +219,11 @@
         Ok(())
     }
 
-    /// Drops ids that the router is done with, now and then, so that a long day stays small.
+    /// Drops ids that the balancer is done with, now and then, so that a long day stays small.
     fn sweep(&mut self) {
-        if self.wire_ids.len() > 2 * self.router.open() + 1000 {
-            self.wire_ids.retain(|request_id, _| request_id.known(&self.router));
-            self.request_ids.retain(|_, request_id| request_id.known(&self.router));
+        if self.wire_ids.len() > 2 * self.balancer.open_requests() + 1000 {
+            self.wire_ids.retain(|request_id, _| self.balancer.knows_request(*request_id));
+            self.request_ids.retain(|_, request_id| self.balancer.knows_request(*request_id));
         }
     }
 
@@ -238,11 +238,11 @@
         let expires = whole(event, "expiresNs")? / NS_PER_TENTH;
         flag(event, "retry")?;
         let write = flag(event, "isWrite")?;
-        let request_id = self.router.take(ns, key, write, expires);
+        let request_id = self.balancer.accept_request(ns, key, write, expires);
         self.request_ids.insert(req, request_id);
         self.wire_ids.insert(request_id, req);
         let mut pen = Pen { servers: &self.servers, wire_ids: &self.wire_ids, actions };
-        request_id.route(&mut self.router, &mut pen);
+        self.balancer.route_request(request_id, &mut pen);
         Ok(())
     }
 
@@ -272,9 +272,9 @@
         }
         let pen = &mut Pen { servers: &self.servers, wire_ids: &self.wire_ids, actions };
         match scope {
-            "Partial" => self.router.list_changes(&endpoints, pen),
-            "Complete" | "Persisted" => self.router.list_whole(&endpoints, pen),
-            "Error" => self.router.discovery_call_failed(0, pen),
+            "Partial" => self.balancer.update_endpoints(&endpoints, pen),
+            "Complete" | "Persisted" => self.balancer.replace_endpoints(&endpoints, pen),
+            "Error" => self.balancer.discovery_call_failed(0, pen),
             other => return Err(format!("field scope: expected a kind of list, got \"{other}\"")),
         }
         Ok(())
--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -1,4 +1,4 @@
-//! Capture and replay: every call into the decision module and what it decided, as bytes; and the same calls made again.
+//! Capture and replay: every call into the balancer and what it decided, as bytes; and the same calls made again.
 //!
 //! It may use `policy`, serde with postcard, and crc32fast. `record` and `replay` and `tape` do no I/O; `file` alone knows files and a
 //! thread. Nothing of a protocol ever enters it.
--- a/crates/capture/src/record.rs
+++ b/crates/capture/src/record.rs
@@ -9,7 +9,7 @@
 /// Longer items are no capture's: a block is some kilobytes, a list of ten thousand servers a megabyte.
 const LONGEST: usize = 16 << 20;
 
-/// One line of the list as the module was told it.
+/// One line of the list as the balancer was told it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RecordedEndpoint {
     pub server: ServerIndex,
@@ -22,7 +22,7 @@
     pub born: Tenths,
 }
 
-/// What the module was told.
+/// What the balancer was told.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Told {
     Start {
@@ -65,7 +65,7 @@
         expires: Tenths,
     },
     SharedBy(u64),
-    /// All that the module knows, and its house: a replay may begin here.
+    /// All that the balancer knows, and its house: a replay may begin here.
     Snapshot {
         settings: BTreeMap<String, String>,
         words: Vec<u64>,
@@ -88,7 +88,7 @@
     },
 }
 
-/// What the module wanted done.
+/// What the balancer wanted done.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Done {
     StartAttempt {
@@ -268,7 +268,7 @@
         }
     }
 
-    /// As the module takes it; nothing for a standing that is none.
+    /// As the balancer takes it; nothing for a standing that is none.
     pub fn entry(&self) -> Option<Endpoint<'_>> {
         let status = *STATUSES.get(usize::from(self.status))?;
         let RecordedEndpoint { server, zone, kind, cell, size, born, .. } = *self;
--- a/crates/capture/src/replay.rs
+++ b/crates/capture/src/replay.rs
@@ -3,32 +3,32 @@
 use crate::record::{Block, Call, Done, Item, RecordedEndpoint, Told, outcome};
 use std::collections::BTreeMap;
 
-use chalkwalk_policy::{Carrier, RequestId, Router, ServerIndex, State, Tenths};
+use chalkwalk_policy::{Balancer, Effects, RequestId, ServerIndex, Snapshot, Tenths};
 
-/// Notes what the module wants.
+/// Notes what the balancer wants.
 #[derive(Default)]
 struct Notes(Vec<Done>);
 
-impl Carrier for Notes {
+impl Effects for Notes {
     fn start_attempt(&mut self, request_id: RequestId, server: ServerIndex, until: Tenths, by: Tenths) {
         self.0.push(Done::StartAttempt { request_id: request_id.0, server, until, by });
     }
     fn cancel_attempt(&mut self, request_id: RequestId, attempt: usize) {
         self.0.push(Done::CancelAttempt { request_id: request_id.0, attempt });
     }
-    fn defer(&mut self, request_id: RequestId, back_in: Tenths) {
+    fn reject(&mut self, request_id: RequestId, back_in: Tenths) {
         self.0.push(Done::Defer { request_id: request_id.0, back_in });
     }
-    fn abandon(&mut self, request_id: RequestId) {
+    fn fail(&mut self, request_id: RequestId) {
         self.0.push(Done::Abandon(request_id.0));
     }
-    fn probe(&mut self, server: ServerIndex) {
+    fn check_health(&mut self, server: ServerIndex) {
         self.0.push(Done::Probe(server));
     }
-    fn wake(&mut self, token: u64, after: Tenths) {
+    fn set_timer(&mut self, token: u64, after: Tenths) {
         self.0.push(Done::Wake { token, after });
     }
-    fn watch(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.0.push(Done::Watch);
     }
     fn log(&mut self, event: &str, server: &str) {
@@ -36,7 +36,7 @@
     }
 }
 
-/// A call after which the module decides otherwise than it did.
+/// A call after which the balancer decides otherwise than it did.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
     /// Of all calls, from 0.
@@ -51,7 +51,7 @@
 pub struct Replay {
     pub calls: u64,
     pub decisions: u64,
-    /// Starts of the module in it, each replayed from there.
+    /// Starts of the balancer in it, each replayed from there.
     pub starts: u64,
     /// Snapshots that a replay began with, and those that were held against it.
     pub begun: u64,
@@ -127,16 +127,16 @@
 }
 
 /// Replays items in their order. It goes on behind a difference: by then the two have parted, and more are likely to follow, up
-/// to the next snapshot, from which the module goes on as it did.
+/// to the next snapshot, from which the balancer goes on as it did.
 pub fn replay<'a>(items: impl Iterator<Item = &'a Item>) -> Replay {
-    let (mut replay, mut router) = (Replay::default(), None);
+    let (mut replay, mut balancer) = (Replay::default(), None);
     let (mut call, mut parted) = (0, false);
     for item in items {
         let block = match item {
             Item::Calls(block) => block,
             Item::Gap(calls) => {
-                // What the module was told meanwhile is not known: only a new start can be replayed.
-                router = None;
+                // What the balancer was told meanwhile is not known: only a new start can be replayed.
+                balancer = None;
                 replay.gaps += 1;
                 replay.passed += calls;
                 call += calls;
@@ -152,10 +152,10 @@
             replay.to = at;
             let mut notes = Notes::default();
             if parted && matches!(one.told, Told::Snapshot { .. }) {
-                (router, parted) = (None, false);
+                (balancer, parted) = (None, false);
             }
-            let running = router.is_some();
-            match again(&mut router, at, one, &mut notes) {
+            let running = balancer.is_some();
+            match again(&mut balancer, at, one, &mut notes) {
                 Some(()) => {
                     replay.calls += 1;
                     replay.decisions += one.done.len() as u64;
@@ -186,23 +186,23 @@
 }
 
 /// Makes one call; `None` where there is no module to make it to, or it makes no sense.
-fn again(router: &mut Option<Router>, at: Tenths, call: &Call, out: &mut Notes) -> Option<()> {
+fn again(balancer: &mut Option<Balancer>, at: Tenths, call: &Call, out: &mut Notes) -> Option<()> {
     if let Told::Start { seed, settings } = &call.told {
-        *router = Some(Router::new(*seed, settings, out));
+        *balancer = Some(Balancer::new(*seed, settings, out));
         return Some(());
     }
-    if let (Told::Snapshot { settings, words, texts }, None) = (&call.told, &router) {
-        let state = State { words: words.clone(), texts: texts.clone() };
-        *router = Some(Router::of_state(settings, &state)?);
+    if let (Told::Snapshot { settings, words, texts }, None) = (&call.told, &balancer) {
+        let state = Snapshot { words: words.clone(), texts: texts.clone() };
+        *balancer = Some(Balancer::from_snapshot(settings, &state)?);
         return Some(());
     }
-    let router = router.as_mut()?;
-    router.clock(at);
+    let balancer = balancer.as_mut()?;
+    balancer.advance_clock(at);
     match &call.told {
         Told::Start { .. } => {}
         // What was written down has to be what the calls so far have led to.
         Told::Snapshot { words, texts, .. } => {
-            if router.state() != Some(State { words: words.clone(), texts: texts.clone() }) {
+            if balancer.snapshot() != Some(Snapshot { words: words.clone(), texts: texts.clone() }) {
                 out.0.push(Done::Log {
                     event: "another state than the snapshot's".into(),
                     server: String::new(),
@@ -210,44 +210,46 @@
             }
         }
         Told::Take { class, point, write, expires, order, .. } => {
-            if *class >= router.classes() {
+            if *class >= balancer.class_count() {
                 return None;
             }
-            let request_id = router.take_at(*class, *point, *write, *expires);
+            let request_id = balancer.accept_request_at(*class, *point, *write, *expires);
             if let Some(order) = order {
-                request_id.ordered(router, order.clone());
+                balancer.restrict_to(request_id, order.clone());
             }
-            request_id.route(router, out);
+            balancer.route_request(request_id, out);
         }
         Told::Ended { request_id, attempt, outcome: number, took, finished, order } => {
             let request_id = RequestId(*request_id);
             if let Some(order) = order {
-                request_id.ordered(router, order.clone());
+                balancer.restrict_to(request_id, order.clone());
             }
-            request_id.attempt_ended(router, *attempt, outcome(*number)?, *took, *finished, out);
+            balancer.attempt_ended(request_id, *attempt, outcome(*number)?, *took, *finished, out);
         }
-        Told::Woken(token) => router.woken(*token, out),
-        Told::Probed { server, answered } => router.probed(*server, *answered, out),
+        Told::Woken(token) => balancer.timer_fired(*token, out),
+        Told::Probed { server, answered } => balancer.health_check_finished(*server, *answered, out),
         Told::Listed { whole, lines } => {
             let endpoints = lines.iter().map(RecordedEndpoint::entry).collect::<Option<Vec<_>>>()?;
             match whole {
-                true => router.list_whole(&endpoints, out),
-                false => router.list_changes(&endpoints, out),
+                true => balancer.replace_endpoints(&endpoints, out),
+                false => balancer.update_endpoints(&endpoints, out),
             }
         }
-        Told::Lost => router.discovery_call_failed(0, out),
-        Told::CallFailed { took } => router.discovery_call_failed(*took, out),
-        Told::Left(request_id) => RequestId(*request_id).client_left(router, out),
-        Told::Limits(settings) => router.limits(settings),
+        Told::Lost => balancer.discovery_call_failed(0, out),
+        Told::CallFailed { took } => balancer.discovery_call_failed(*took, out),
+        Told::Left(request_id) => balancer.client_left(RequestId(*request_id), out),
+        Told::Limits(settings) => balancer.apply_settings(settings),
         Told::Renewed { request_id, class, expires } => {
-            if *class >= router.classes() {
+            if *class >= balancer.class_count() {
                 return None;
             }
-            RequestId(*request_id).renewed(router, *class, *expires, out);
+            balancer.renew_limits(RequestId(*request_id), *class, *expires, out);
+        }
+        Told::SharedBy(proxies) => balancer.set_proxy_count(*proxies),
+        Told::Barred { id, out: barred, at } => balancer.set_disabled(id, *barred, *at),
+        Told::Begun { request_id, attempt } => {
+            balancer.response_started(RequestId(*request_id), *attempt, out)
         }
-        Told::SharedBy(proxies) => router.shared_by(*proxies),
-        Told::Barred { id, out: barred, at } => router.bar(id, *barred, *at),
-        Told::Begun { request_id, attempt } => RequestId(*request_id).answer_begun(router, *attempt, out),
     }
     Some(())
 }
--- a/crates/capture/src/tape.rs
+++ b/crates/capture/src/tape.rs
@@ -1,14 +1,14 @@
 //! Calls put together into blocks on the proxy's own thread; what takes the blocks may be slow, and then they are counted as lost.
 
 use crate::record::{Block, Call, Done, Item, RecordedEndpoint, Told, framed, number_of};
-use chalkwalk_policy::{AttemptOutcome, Endpoint, State, Tenths};
+use chalkwalk_policy::{AttemptOutcome, Endpoint, Snapshot, Tenths};
 use std::collections::BTreeMap;
 
 /// A block goes out once it holds so many calls, or its first is so old: a crash loses what is in one.
 const MOST_CALLS: usize = 128;
 const OLDEST: Tenths = 2_000;
 
-/// From one snapshot of the module to the next: some kilobytes each, and a replay of an evening's middle begins within that.
+/// From one snapshot of the balancer to the next: some kilobytes each, and a replay of an evening's middle begins within that.
 const SNAPSHOTS: Tenths = 600_000;
 
 /// Takes a block's bytes, or says that there is no room.
@@ -54,14 +54,14 @@
         }
     }
 
-    /// Whether the module's state is to be written down now: once in a while, and behind a gap.
+    /// Whether the balancer's state is to be written down now: once in a while, and behind a gap.
     pub fn wants_snapshot(&self, now: Tenths) -> bool {
         now >= self.snapshot_at
     }
 
-    pub fn snapshot(&mut self, now: Tenths, settings: &BTreeMap<String, String>, state: State) {
+    pub fn snapshot(&mut self, now: Tenths, settings: &BTreeMap<String, String>, state: Snapshot) {
         self.snapshot_at = now + self.each;
-        let State { words, texts } = state;
+        let Snapshot { words, texts } = state;
         self.told(now, Told::Snapshot { settings: settings.clone(), words, texts });
     }
 
--- a/crates/capture/tests/replay.rs
+++ b/crates/capture/tests/replay.rs
@@ -1,8 +1,8 @@
-//! A day of random troubles played to the module, captured, cut at any point, and replayed.
+//! A day of random troubles played to the balancer, captured, cut at any point, and replayed.
 
 use chalkwalk_capture::{Done, Item, Read, Tape, Told, cut, framed, read, replay};
 use chalkwalk_policy::{
-    AttemptOutcome, Carrier, Endpoint, EndpointStatus, RequestId, Router, ServerIndex, Tenths,
+    AttemptOutcome, Balancer, Effects, Endpoint, EndpointStatus, RequestId, ServerIndex, Tenths,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -21,7 +21,7 @@
     wakes: Vec<(Tenths, u64)>,
 }
 
-impl Carrier for Outside {
+impl Effects for Outside {
     fn start_attempt(&mut self, request_id: RequestId, server: ServerIndex, until: Tenths, by: Tenths) {
         self.tape.done(Done::StartAttempt { request_id: request_id.0, server, until, by });
         let nth = self.of.entry(request_id.0).or_default();
@@ -31,21 +31,21 @@
     fn cancel_attempt(&mut self, request_id: RequestId, attempt: usize) {
         self.tape.done(Done::CancelAttempt { request_id: request_id.0, attempt });
     }
-    fn defer(&mut self, request_id: RequestId, back_in: Tenths) {
+    fn reject(&mut self, request_id: RequestId, back_in: Tenths) {
         self.tape.done(Done::Defer { request_id: request_id.0, back_in });
     }
-    fn abandon(&mut self, request_id: RequestId) {
+    fn fail(&mut self, request_id: RequestId) {
         self.tape.done(Done::Abandon(request_id.0));
     }
-    fn probe(&mut self, server: ServerIndex) {
+    fn check_health(&mut self, server: ServerIndex) {
         self.tape.done(Done::Probe(server));
         self.wakes.push((self.now + 100, u64::MAX - server as u64));
     }
-    fn wake(&mut self, token: u64, after: Tenths) {
+    fn set_timer(&mut self, token: u64, after: Tenths) {
         self.tape.done(Done::Wake { token, after });
         self.wakes.push((self.now + after, token));
     }
-    fn watch(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.tape.done(Done::Watch);
     }
     fn log(&mut self, event: &str, server: &str) {
@@ -104,7 +104,7 @@
         wakes: vec![],
     };
     o.tape.told(start, Told::Start { seed, settings: settings() });
-    let mut router = Router::new(seed, &settings(), &mut o);
+    let mut balancer = Balancer::new(seed, &settings(), &mut o);
     let ids: Vec<String> = (0..9).map(|i| format!("c{i}")).collect();
     let outcomes = [
         AttemptOutcome::Completed,
@@ -121,12 +121,12 @@
     for step in 0..steps {
         o.now += below(60);
         let now = o.now;
-        router.clock(now);
+        balancer.advance_clock(now);
         if o.tape.wants_snapshot(now) {
             o.tape.snapshot(
                 now,
                 &settings(),
-                router.state().expect("no reload, so each lookup has the house's rules"),
+                balancer.snapshot().expect("no reload, so each lookup has the house's rules"),
             );
         }
         match below(20) {
@@ -149,17 +149,17 @@
                 };
                 let endpoints: Vec<Endpoint> = (0..9).map(entry).collect();
                 o.tape.listed(now, true, &endpoints);
-                router.list_whole(&endpoints, &mut o);
+                balancer.replace_endpoints(&endpoints, &mut o);
             }
             0..7 => {
                 let (class, key, write) = (below(2) as usize, format!("k{}", below(60)), below(10) == 0);
                 let order = (below(9) == 0).then(|| vec![below(8) as usize, below(8) as usize]);
                 o.tape.take(now, class, &key, write, now + 10_000, order.as_deref());
-                let request_id = router.take(class, &key, write, now + 10_000);
+                let request_id = balancer.accept_request(class, &key, write, now + 10_000);
                 if let Some(order) = order {
-                    request_id.ordered(&mut router, order);
+                    balancer.restrict_to(request_id, order);
                 }
-                request_id.route(&mut router, &mut o);
+                balancer.route_request(request_id, &mut o);
             }
             7..17 if !o.attempts.is_empty() => {
                 let (request_id, attempt, sent) =
@@ -169,12 +169,12 @@
                 let finished =
                     matches!(outcome, AttemptOutcome::Completed | AttemptOutcome::CompletedFromCache);
                 o.tape.ended(now, request_id.0, attempt, outcome, now - sent, finished, None);
-                request_id.attempt_ended(&mut router, attempt, outcome, now - sent, finished, &mut o);
+                balancer.attempt_ended(request_id, attempt, outcome, now - sent, finished, &mut o);
             }
             17 => {
                 let request_id = below(1 + step as u64 / 3);
                 o.tape.told(now, Told::Left(request_id));
-                RequestId(request_id).client_left(&mut router, &mut o);
+                balancer.client_left(RequestId(request_id), &mut o);
             }
             _ => {
                 let Some(i) = (0..o.wakes.len()).find(|i| o.wakes[*i].0 <= now) else { continue };
@@ -182,10 +182,10 @@
                 if token > u64::MAX - 100 {
                     let (server, answered) = ((u64::MAX - token) as usize, below(2) == 0);
                     o.tape.told(now, Told::Probed { server, answered });
-                    router.probed(server, answered, &mut o);
+                    balancer.health_check_finished(server, answered, &mut o);
                 } else {
                     o.tape.told(now, Told::Woken(token));
-                    router.woken(token, &mut o);
+                    balancer.timer_fired(token, &mut o);
                 }
             }
         }
--- a/crates/core/src/book.rs
+++ b/crates/core/src/book.rs
@@ -1,12 +1,12 @@
-//! The book: the router, the requests that are open, and what it wants done. All that happens is told to it here, one call
-//! at a time; what the router wants is only noted, and taken up by `flow` once the call is over.
+//! The book: the balancer, the requests that are open, and what it wants done. All that happens is told to it here, one call
+//! at a time; what the balancer wants is only noted, and taken up by `flow` once the call is over.
 
 use crate::answer::{Answer, Ask, Verdict};
 use crate::members::{Changed, ListedEndpoint, Members};
 use crate::pool::Conn;
 use chalkwalk_capture::{Done, Tape, Told};
 use chalkwalk_policy::admission::{Refusal, UnsentAttempt};
-use chalkwalk_policy::{AttemptOutcome, Carrier, Learned, RequestId, Router, ServerIndex, Tenths};
+use chalkwalk_policy::{AttemptOutcome, Balancer, Effects, Learned, RequestId, ServerIndex, Tenths};
 use slog::{Logger, info};
 use smol::channel::{Receiver, Sender, bounded};
 use std::cell::{Cell, RefCell};
@@ -42,7 +42,7 @@
     }
 }
 
-/// What the router wants done once the call to it is over.
+/// What the balancer wants done once the call to it is over.
 pub enum Note {
     StartAttempt(PendingAttempt),
     Probe(ServerIndex),
@@ -66,7 +66,7 @@
     out: usize,
 }
 
-/// What is known outside the router: never read by it, and lent to it as its way out.
+/// What is known outside the balancer: never read by it, and lent to it as its way out.
 struct Desk {
     now: Tenths,
     open: HashMap<RequestId, Open>,
@@ -74,10 +74,10 @@
     wakes: BinaryHeap<Reverse<(Tenths, u64, u64)>>,
     woken: u64,
     sooner: Sender<()>, // a wake is due before the one that is waited for
-    wanted: Sender<()>, // the router wants the list watched
+    wanted: Sender<()>, // the balancer wants the list watched
     log: Logger,
     left_waiting: u64,  // requests whose client left before any of their attempts was written
-    tape: Option<Tape>, // of all that the router is told and wants, where it is captured
+    tape: Option<Tape>, // of all that the balancer is told and wants, where it is captured
 }
 
 impl Desk {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// A call to the router begins.
+    /// A call to the balancer begins.
     fn told(&mut self, told: impl FnOnce() -> Told) {
         if let Some(tape) = &mut self.tape {
             tape.told(self.now, told());
@@ -95,7 +95,7 @@
     }
 }
 
-impl Carrier for Desk {
+impl Effects for Desk {
     fn start_attempt(&mut self, request_id: RequestId, server: ServerIndex, until: Tenths, by: Tenths) {
         self.done(|| Done::StartAttempt { request_id: request_id.0, server, until, by });
         let Some(open) = self.open.get_mut(&request_id) else { return };
@@ -120,20 +120,20 @@
             handle.give_up();
         }
     }
-    fn defer(&mut self, request_id: RequestId, back_in: Tenths) {
+    fn reject(&mut self, request_id: RequestId, back_in: Tenths) {
         self.done(|| Done::Defer { request_id: request_id.0, back_in });
         let back_in = Some(back_in).filter(|t| *t > 0);
         self.finish(request_id, Answer::bare(Verdict::Deferred(back_in)));
     }
-    fn abandon(&mut self, request_id: RequestId) {
+    fn fail(&mut self, request_id: RequestId) {
         self.done(|| Done::Abandon(request_id.0));
         self.finish(request_id, Answer::bare(Verdict::Abandoned));
     }
-    fn probe(&mut self, server: ServerIndex) {
+    fn check_health(&mut self, server: ServerIndex) {
         self.done(|| Done::Probe(server));
         self.notes.push(Note::Probe(server));
     }
-    fn wake(&mut self, token: u64, after: Tenths) {
+    fn set_timer(&mut self, token: u64, after: Tenths) {
         self.done(|| Done::Wake { token, after });
         let due = self.now + after;
         let sooner = self.wakes.peek().is_none_or(|Reverse(first)| due < first.0);
@@ -143,7 +143,7 @@
             _ = self.sooner.try_send(());
         }
     }
-    fn watch(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.done(|| Done::Watch);
         _ = self.wanted.try_send(());
     }
@@ -174,8 +174,8 @@
 }
 
 pub struct Book {
-    router: Router,
-    settings: BTreeMap<String, String>, // as the router last read it
+    balancer: Balancer,
+    settings: BTreeMap<String, String>, // as the balancer last read it
     desk: Desk,
     pub members: Members,
 }
@@ -203,30 +203,30 @@
             tape,
         };
         desk.told(|| Told::Start { seed, settings: settings.clone() });
-        let router = Router::new(seed, settings, &mut desk);
-        // The router asks for the list where the platform watches; elsewhere it comes by a watch all the same.
+        let balancer = Balancer::new(seed, settings, &mut desk);
+        // The balancer asks for the list where the platform watches; elsewhere it comes by a watch all the same.
         if settings.get("watched").is_none_or(|watched| watched != "1") {
             _ = desk.wanted.try_send(());
         }
-        Book { router, settings: settings.clone(), desk, members }
+        Book { balancer, settings: settings.clone(), desk, members }
     }
 
-    fn at(&mut self, now: Tenths) -> (&mut Router, &mut Desk) {
+    fn at(&mut self, now: Tenths) -> (&mut Balancer, &mut Desk) {
         self.desk.now = now;
-        self.router.clock(now);
+        self.balancer.advance_clock(now);
         if let Some(tape) = self.desk.tape.as_mut().filter(|tape| tape.wants_snapshot(now))
-            && let Some(state) = self.router.state()
+            && let Some(state) = self.balancer.snapshot()
         {
             tape.snapshot(now, &self.settings, state);
         }
-        (&mut self.router, &mut self.desk)
+        (&mut self.balancer, &mut self.desk)
     }
 
     pub fn stop_capture(&mut self) {
         self.desk.tape = None;
     }
 
-    /// What the router wants done by now.
+    /// What the balancer wants done by now.
     pub fn notes(&mut self) -> Vec<Note> {
         std::mem::take(&mut self.desk.notes)
     }
@@ -240,16 +240,16 @@
     pub fn take(&mut self, now: Tenths, ask: Rc<dyn Ask>) -> (RequestId, Receiver<Answer>) {
         let (answer, answered) = bounded(1);
         let order = ask.order().map(|addrs| self.members.at(&addrs));
-        let (router, desk) = self.at(now);
+        let (balancer, desk) = self.at(now);
         if let Some(tape) = &mut desk.tape {
             tape.take(now, ask.class(), ask.key(), ask.write(), ask.expires(), order.as_deref());
         }
-        let request_id = router.take(ask.class(), ask.key(), ask.write(), ask.expires());
+        let request_id = balancer.accept_request(ask.class(), ask.key(), ask.write(), ask.expires());
         if let Some(order) = order {
-            request_id.ordered(router, order);
+            balancer.restrict_to(request_id, order);
         }
         desk.open.insert(request_id, Open { ask, answer: Some(answer), handles: Vec::new(), out: 0 });
-        request_id.route(router, desk);
+        balancer.route_request(request_id, desk);
         (request_id, answered)
     }
 
@@ -277,7 +277,7 @@
             open.ask.order()
         });
         let order = order.map(|addrs| self.members.at(&addrs));
-        let (router, desk) = self.at(now);
+        let (balancer, desk) = self.at(now);
         if let Some(open) = desk.open.get_mut(&request_id) {
             open.out -= 1;
         }
@@ -289,22 +289,22 @@
             tape.ended(now, request_id.0, attempt, outcome, took, finished, order.as_deref());
         }
         if let Some(order) = order {
-            request_id.ordered(router, order);
+            balancer.restrict_to(request_id, order);
         }
-        request_id.attempt_ended(router, attempt, outcome, took, finished, desk);
+        balancer.attempt_ended(request_id, attempt, outcome, took, finished, desk);
         desk.tidy(request_id);
     }
 
     /// An attempt's answer has begun, and the request is resolved by it; the attempt goes on until the answer has ended.
     pub fn begun(&mut self, now: Tenths, (request_id, attempt): (RequestId, usize), answer: Answer) {
-        let (router, desk) = self.at(now);
+        let (balancer, desk) = self.at(now);
         desk.finish(request_id, answer);
         desk.told(|| Told::Begun { request_id: request_id.0, attempt });
-        request_id.answer_begun(router, attempt, desk);
+        balancer.response_started(request_id, attempt, desk);
     }
 
     pub fn client_left(&mut self, now: Tenths, request_id: RequestId) {
-        let (router, desk) = self.at(now);
+        let (balancer, desk) = self.at(now);
         if let Some(open) = desk.open.get_mut(&request_id)
             && open.answer.take().is_some()
             && !open.handles.iter().any(|handle| handle.written.get())
@@ -312,7 +312,7 @@
             desk.left_waiting += 1;
         }
         desk.told(|| Told::Left(request_id.0));
-        request_id.client_left(router, desk);
+        balancer.client_left(request_id, desk);
         desk.tidy(request_id);
     }
 
@@ -329,10 +329,10 @@
     /// So many proxies share the servers.
     pub fn shared_by(&mut self, proxies: u64) {
         self.desk.told(|| Told::SharedBy(proxies));
-        self.router.shared_by(proxies);
+        self.balancer.set_proxy_count(proxies);
     }
 
-    /// Other limits hold: the router reads them, and each request that is open has its class and its time limit anew, where
+    /// Other limits hold: the balancer reads them, and each request that is open has its class and its time limit anew, where
     /// it still has one.
     pub fn renewed(
         &mut self,
@@ -340,9 +340,9 @@
         settings: &BTreeMap<String, String>,
         of: impl Fn(&dyn Ask) -> Option<(usize, Tenths)>,
     ) {
-        let (router, desk) = self.at(now);
+        let (balancer, desk) = self.at(now);
         desk.told(|| Told::Limits(settings.clone()));
-        router.limits(settings);
+        balancer.apply_settings(settings);
         let mut open: Vec<(RequestId, Rc<dyn Ask>)> =
             desk.open.iter().map(|(l, o)| (*l, o.ask.clone())).collect();
         open.sort_unstable_by_key(|(request_id, _)| request_id.0);
@@ -350,15 +350,15 @@
             let Some((class, limit)) = of(&*ask) else { continue };
             let expires = ask.taken() + limit;
             desk.told(|| Told::Renewed { request_id: request_id.0, class, expires });
-            request_id.renewed(router, class, expires, desk);
+            balancer.renew_limits(request_id, class, expires, desk);
         }
         self.settings = settings.clone();
     }
 
     pub fn probed(&mut self, now: Tenths, server: ServerIndex, answered: bool) {
-        let (router, desk) = self.at(now);
+        let (balancer, desk) = self.at(now);
         desk.told(|| Told::Probed { server, answered });
-        router.probed(server, answered, desk);
+        balancer.health_check_finished(server, answered, desk);
     }
 
     /// Takes what a list says. Returns the servers that are off, and what it has changed.
@@ -370,25 +370,25 @@
     ) -> (Vec<ServerIndex>, Changed) {
         let was_off: Vec<ServerIndex> = self.members.off().collect();
         self.desk.now = now;
-        self.router.clock(now);
+        self.balancer.advance_clock(now);
         let endpoints = self.members.take(now, lines, whole_list, doubted);
         if let Some(tape) = &mut self.desk.tape {
             tape.listed(now, whole_list, &endpoints);
         }
         match whole_list {
-            true => self.router.list_whole(&endpoints, &mut self.desk),
-            false => self.router.list_changes(&endpoints, &mut self.desk),
+            true => self.balancer.replace_endpoints(&endpoints, &mut self.desk),
+            false => self.balancer.update_endpoints(&endpoints, &mut self.desk),
         }
         let changed = self.members.changed(&was_off);
-        self.members.forget(&self.router);
+        self.members.forget(&self.balancer);
         (self.members.off().collect(), changed)
     }
 
     /// Operators take a server out at that moment, or put it back; its place, if it has one.
     pub fn barred(&mut self, now: Tenths, id: &str, (out, at): (bool, Tenths)) -> Option<ServerIndex> {
-        let (router, desk) = self.at(now);
+        let (balancer, desk) = self.at(now);
         desk.told(|| Told::Barred { id: id.into(), out, at });
-        router.bar(id, out, at);
+        balancer.set_disabled(id, out, at);
         self.members.place(id)
     }
 
@@ -402,63 +402,63 @@
             answered: self.is_over(pending.request_id),
             awaited,
         };
-        self.router.may_send(&attempt, now)
+        self.balancer.may_send(&attempt, now)
     }
 
     /// Whether a server may be asked anything: it is in service, and not left out by operators.
     pub fn may_ask(&self, server: ServerIndex) -> bool {
-        self.router.may_ask(server)
+        self.balancer.may_ask(server)
     }
 
     /// What was learned of the servers, for the process that comes after this one.
     pub fn learned(&self) -> Vec<Learned> {
-        self.router.learned()
+        self.balancer.learned()
     }
 
     /// Takes up what a process before this one has learned. Not where all is captured, as a replay would not know of it.
     pub fn carry(&mut self, learned: Vec<Learned>) -> bool {
         let taken = self.desk.tape.is_none();
         if taken {
-            self.router.carry(learned);
+            self.balancer.restore_learned(learned);
         }
         taken
     }
 
-    /// The terms on which this router learns.
+    /// The terms on which this balancer learns.
     pub fn terms(&self) -> u64 {
-        self.router.terms()
+        self.balancer.learning_terms()
     }
 
     /// Whether there is no server to be asked by what was told.
     pub fn none_ready(&self) -> bool {
-        self.router.none_ready()
+        self.balancer.no_server_ready()
     }
 
     /// Whether operators may mean a server by this.
     pub fn has(&self, id: &str) -> bool {
-        self.router.has(id)
+        self.balancer.knows_server(id)
     }
 
-    /// A call to discovery failed; the router will want another.
+    /// A call to discovery failed; the balancer will want another.
     pub fn discovery_call_failed(&mut self, now: Tenths, took: Tenths) {
-        let (router, desk) = self.at(now);
+        let (balancer, desk) = self.at(now);
         desk.told(|| Told::CallFailed { took });
-        router.discovery_call_failed(took, desk);
+        balancer.discovery_call_failed(took, desk);
     }
 
-    /// When the router is to be woken next.
+    /// When the balancer is to be woken next.
     pub fn next_wake(&self) -> Option<Tenths> {
         self.desk.wakes.peek().map(|Reverse((due, ..))| *due)
     }
 
-    /// Wakes the router with what is due first, if it is.
+    /// Wakes the balancer with what is due first, if it is.
     pub fn wake(&mut self, now: Tenths) {
         if self.next_wake().is_some_and(|due| due <= now)
             && let Some(Reverse((_, _, token))) = self.desk.wakes.pop()
         {
-            let (router, desk) = self.at(now);
+            let (balancer, desk) = self.at(now);
             desk.told(|| Told::Woken(token));
-            router.woken(token, desk);
+            balancer.timer_fired(token, desk);
         }
     }
 }
--- a/crates/core/src/classes.rs
+++ b/crates/core/src/classes.rs
@@ -1,4 +1,4 @@
-//! Which limits hold for which requests, and the same in the words that the router reads.
+//! Which limits hold for which requests, and the same in the words that the balancer reads.
 
 use chalkwalk_limits::{Account, RequestAttributes, Table};
 use chalkwalk_policy::Tenths;
@@ -97,7 +97,7 @@
         self.now.borrow_mut().limits = limits.map(Rc::new);
     }
 
-    /// The platform's settings with a namespace for each class, as the router reads them; as they are where no operator has
+    /// The platform's settings with a namespace for each class, as the balancer reads them; as they are where no operator has
     /// set anything.
     pub fn settings(&self) -> BTreeMap<String, String> {
         let now = self.now.borrow();
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -82,12 +82,12 @@
         })
     }
 
-    /// Comes to its end when the router wants the list watched.
+    /// Comes to its end when the balancer wants the list watched.
     pub async fn list_wanted(&self) {
         _ = self.wanted.recv().await;
     }
 
-    /// What the router wanted by now, it has.
+    /// What the balancer wanted by now, it has.
     pub fn list_had(&self) {
         _ = self.wanted.try_recv();
     }
--- a/crates/core/src/flow.rs
+++ b/crates/core/src/flow.rs
@@ -19,7 +19,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// One call to the book at the present time; what the router wants then is taken up.
+/// One call to the book at the present time; what the balancer wants then is taken up.
 fn tell<T>(core: &Rc<Core>, call: impl FnOnce(&mut Book, Tenths) -> T) -> T {
     let mut book = core.book.borrow_mut();
     let said = call(&mut book, core.clock.now());
@@ -74,7 +74,7 @@
     server.into_iter().for_each(|server| core.pool.forget(server));
 }
 
-/// A call to discovery failed after so long; the router will want another.
+/// A call to discovery failed after so long; the balancer will want another.
 pub fn discovery_call_failed(core: &Rc<Core>, took: Tenths) {
     tell(core, |book, now| book.discovery_call_failed(now, took));
 }
@@ -106,7 +106,7 @@
     tell(core, |book, now| book.renewed(now, &settings, |_| None));
 }
 
-/// Calls the router back at the times it has named; never ends.
+/// Calls the balancer back at the times it has named; never ends.
 pub async fn wakes(core: Rc<Core>) {
     loop {
         let due = core.book.borrow().next_wake();
@@ -188,7 +188,7 @@
             (outcome, None)
         }
     };
-    // The connection is closed, unless it is back in the pool, before the router hears of the ending.
+    // The connection is closed, unless it is back in the pool, before the balancer hears of the ending.
     handle.hold(None);
     if outcome == AttemptOutcome::Unreachable {
         core.pool.forget(*server);
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,4 +1,4 @@
-//! The core: one proxy without its protocols. It owns the router and tells it all that happens, keeps the requests that are
+//! The core: one proxy without its protocols. It owns the balancer and tells it all that happens, keeps the requests that are
 //! open and their one answer, connections by server, descriptors, the phases of the program, its clock and its wakes.
 //!
 //! It may use `policy`, `limits`, `membership`, `net`, smol and slog. No protocol ever enters it, neither of clients nor of servers,
--- a/crates/core/src/members.rs
+++ b/crates/core/src/members.rs
@@ -1,7 +1,7 @@
 //! The servers as a list tells them, and the small indices that stand for them from here on.
 
 pub use chalkwalk_membership::ListedEndpoint;
-use chalkwalk_policy::{Endpoint, EndpointStatus, Router, ServerIndex, Tenths};
+use chalkwalk_policy::{Balancer, Endpoint, EndpointStatus, ServerIndex, Tenths};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
@@ -82,7 +82,7 @@
         self.rows.iter().enumerate().filter(|(_, row)| row.off_since.is_some()).map(|(server, _)| server)
     }
 
-    /// Takes what a list says, and returns it by index for the router. Of a doubted one a server is not ready that was told
+    /// Takes what a list says, and returns it by index for the balancer. Of a doubted one a server is not ready that was told
     /// to be off and has not started since.
     pub fn take<'a>(
         &mut self,
@@ -124,10 +124,10 @@
     }
 
     /// Forgets what is gone and done with, and uses its index again: ids are ever new.
-    pub fn forget(&mut self, router: &Router) {
+    pub fn forget(&mut self, balancer: &Balancer) {
         let Members { index, free, .. } = self;
         index.retain(|_, server| {
-            let done = router.done_with(*server);
+            let done = balancer.index_is_free(*server);
             free.extend(done.then_some(*server));
             !done
         });
--- a/crates/core/src/rules.rs
+++ b/crates/core/src/rules.rs
@@ -9,7 +9,7 @@
 pub struct Rules {
     pub name: String,
     pub seed: u64,
-    /// What the router is told, by the platform's names.
+    /// What the balancer is told, by the platform's names.
     pub settings: BTreeMap<String, String>,
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
--- a/crates/house/src/lib.rs
+++ b/crates/house/src/lib.rs
@@ -1,4 +1,4 @@
-//! Settings of the wire into the router's map, by the names of the platform.
+//! Settings of the wire into the balancer's map, by the names of the platform.
 
 pub mod fields;
 
@@ -148,7 +148,7 @@
     read.collect()
 }
 
-/// The router's map, and the names that later events are looked up by.
+/// The balancer's map, and the names that later events are looked up by.
 pub struct PlatformSettings {
     pub values: BTreeMap<String, String>,
     pub namespaces: Vec<String>,
--- a/crates/http-door/src/route.rs
+++ b/crates/http-door/src/route.rs
@@ -1,4 +1,4 @@
-//! Stage "route": a request is handed to the router, and its one final answer waited for.
+//! Stage "route": a request is handed to the balancer, and its one final answer waited for.
 
 use crate::admit::HttpRequest;
 use crate::relay::Reply;
@@ -26,7 +26,7 @@
     let expires = request.expires;
     let (request_id, answered) = flow::take(core, Rc::new(request));
     let late = async {
-        // The router answers by then; a request it forgot would hold the connection for ever.
+        // The balancer answers by then; a request it forgot would hold the connection for ever.
         Timer::at(core.clock.instant(expires) + OVERDUE).await;
         warn!(core.log, "a lookup without an answer");
         core.violations.check(&core.log, Some(Violation::NoFinalAnswer));
--- a/crates/limits/src/table.rs
+++ b/crates/limits/src/table.rs
@@ -34,7 +34,7 @@
     pub hedging: (bool, From),
     /// `None`: only where a server is silent or an attempt lost.
     pub hedge_after: (Option<u64>, From),
-    /// `None`: the module's own budget for all.
+    /// `None`: the balancer's own budget for all.
     pub retry_budget: (Option<u64>, From),
     /// `None`: as many as come.
     pub open: (Option<u64>, From),
--- a/crates/membership/src/count.rs
+++ b/crates/membership/src/count.rs
@@ -45,7 +45,7 @@
         self.highest[0] = self.highest[0].max(live);
     }
 
-    /// By how many the module divides. A higher count holds at once, a lower one after a minute; what nobody has counted
+    /// By how many the balancer divides. A higher count holds at once, a lower one after a minute; what nobody has counted
     /// for a minute is as it was written.
     pub fn holds(&mut self, now: Tenths) -> u64 {
         self.pass(now);
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! It may use `policy`'s plain words, serde and its formats, and crc32fast. No socket, file or clock ever enters it: times are
 //! passed in, texts go in and come out. What it decides is what the core is told of the list; which server a request goes to
-//! stays the module's.
+//! stays the balancer's.
 
 pub mod count;
 pub mod form;
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -152,7 +152,7 @@
     most_mb: Option<u64>,
 }
 
-/// Whether and where all that the module is told is written down.
+/// Whether and where all that the balancer is told is written down.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Capture {
     pub folder: PathBuf,
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/list.rs
@@ -136,7 +136,7 @@
     }
 }
 
-/// Watches whenever the router asks for it, until a call fails; the router hears of that and asks again. `known`: the
+/// Watches whenever the balancer asks for it, until a call fails; the balancer hears of that and asks again. `known`: the
 /// version of the list that was known at the start, from which the first call goes on. `at_once`: that one waits for no news.
 pub async fn follow(core: Rc<Core>, source: Rc<Source>, known: Option<u64>, at_once: bool) {
     let version = known.unwrap_or(0);
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,11 +1,11 @@
 //! Whether something may be sent, repeated, closed or started now. Asked right before it is done, by whoever does it: between a
 //! decision and its first byte lie waits for a place, a connection or a key's turn, and what was right may have gone wrong.
 //!
-//! Pure: what is known outside the router, and the time, are passed in. [`Violation`] names what must not happen all the same;
+//! Pure: what is known outside the balancer, and the time, are passed in. [`Violation`] names what must not happen all the same;
 //! the core counts each at run time.
 
 use crate::plain::{Request, RequestId, ServerIndex, Tenths};
-use crate::policy::Router;
+use crate::policy::Balancer;
 
 const MILLISECOND: Tenths = 10;
 /// From when a client closed its connection to the first byte of an attempt for it, at the most.
@@ -106,7 +106,7 @@
     }
 }
 
-impl Router {
+impl Balancer {
     /// Whether an attempt may be sent now.
     pub fn may_send(&self, attempt: &UnsentAttempt, now: Tenths) -> Result<(), Refusal> {
         if !self.may_ask(attempt.server) {
@@ -129,7 +129,7 @@
     /// Whether a server, or the origin, is in service as notified, and not out by an operator's word.
     pub fn may_ask(&self, server: ServerIndex) -> bool {
         let ready = self.servers.get(server).is_some_and(|c| c.status == crate::plain::EndpointStatus::Ready);
-        ready && !self.is_barred(server)
+        ready && !self.is_disabled(server)
     }
 
     /// Whether a repeat of the request, at that server or (for `None`) anywhere, does no harm until `then`. The attempt itself, where
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,4 +1,4 @@
-//! chalkwalk's decision module and the plain types it is called with.
+//! chalkwalk's balancer and the plain types it is called with.
 
 pub mod admission;
 mod asked;
@@ -8,7 +8,7 @@
 mod state;
 
 pub use plain::{
-    AttemptOutcome, Carrier, Endpoint, EndpointStatus, Learned, RequestId, ServerIndex, Tenths, point_of,
+    AttemptOutcome, Effects, Endpoint, EndpointStatus, Learned, RequestId, ServerIndex, Tenths, point_of,
 };
-pub use policy::Router;
-pub use state::State;
+pub use policy::Balancer;
+pub use state::Snapshot;
--- a/crates/policy/src/plain.rs
+++ b/crates/policy/src/plain.rs
@@ -1,4 +1,4 @@
-//! What goes in and out of the decision module. Nothing here decides.
+//! What goes in and out of the balancer. Nothing here decides.
 
 use crate::discovery::Retry;
 use chalkwalk_limits::Purse;
@@ -69,7 +69,7 @@
     pub born: Tenths,
 }
 
-/// What the platform allows, read once when the router starts.
+/// What the platform allows, read once when the balancer starts.
 #[derive(Default)]
 pub(crate) struct Settings {
     pub zone: usize,
@@ -289,16 +289,16 @@
     pub credit: u64,    // while it is cold: thousandths of an attempt that it may still be sent
 }
 
-/// The way out: what a router wants done, each at the moment of the call.
-pub trait Carrier {
+/// The way out: what a balancer wants done, each at the moment of the call.
+pub trait Effects {
     /// Given up at `until`; not written at all where that would be later than `by`.
     fn start_attempt(&mut self, request_id: RequestId, server: ServerIndex, until: Tenths, by: Tenths);
     fn cancel_attempt(&mut self, request_id: RequestId, attempt: usize);
-    fn defer(&mut self, request_id: RequestId, back_in: Tenths);
-    fn abandon(&mut self, request_id: RequestId);
-    fn probe(&mut self, server: ServerIndex);
-    fn wake(&mut self, token: u64, after: Tenths);
-    fn watch(&mut self);
+    fn reject(&mut self, request_id: RequestId, back_in: Tenths);
+    fn fail(&mut self, request_id: RequestId);
+    fn check_health(&mut self, server: ServerIndex);
+    fn set_timer(&mut self, token: u64, after: Tenths);
+    fn watch_endpoints(&mut self);
     /// A change of state, and the server that it is of, or none.
     fn log(&mut self, event: &str, server: &str);
 }
@@ -333,7 +333,7 @@
     h ^ (h >> 33)
 }
 
-/// Where a key stands, by which alone the module knows it.
+/// Where a key stands, by which alone the balancer knows it.
 pub fn point_of(key: &str) -> u64 {
     point(key, 0)
 }
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -1,12 +1,12 @@
 //! Every decision of chalkwalk stands in this file; `plain.rs` holds the types it is called with.
 //!
-//! One `Router` is one proxy. Set its clock, hand it lists of servers, and each request with `take`: its handle
-//! takes `route(..)` once, then what happens. What it wants leaves by the `Carrier`. Same calls, same ways.
+//! One `Balancer` is one proxy. Set its clock, hand it lists of servers, and each request with `take`: its handle
+//! takes `route(..)` once, then what happens. What it wants leaves by the `Effects`. Same calls, same ways.
 
 use crate::discovery;
 use crate::plain::{Attempt, EndpointStatus, Learned, Tally, Tenths, leaning, mixed, point};
 use crate::plain::{
-    AttemptOutcome, Carrier, Chance, ClassHandle, Endpoint, Line, Request, RequestId, Server, ServerIndex,
+    AttemptOutcome, Chance, ClassHandle, Effects, Endpoint, Line, Request, RequestId, Server, ServerIndex,
     Settings,
 };
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -62,7 +62,7 @@
 }
 
 #[derive(Default)]
-pub struct Router {
+pub struct Balancer {
     pub(crate) now: Tenths,
     pub(crate) settings: Settings,
     pub(crate) chance: Chance,
@@ -87,25 +87,25 @@
     pub(crate) barred: BTreeMap<String, Tenths>, // ids that operators took out, listed or not: since when
 }
 
-impl Router {
-    pub fn new(seed: u64, values: &BTreeMap<String, String>, out: &mut dyn Carrier) -> Router {
+impl Balancer {
+    pub fn new(seed: u64, values: &BTreeMap<String, String>, effects: &mut dyn Effects) -> Balancer {
         let (settings, mut chance) = (Settings::read(values), Chance(mixed(seed) | 1));
         if values.get("watched").is_some_and(|w| w == "1") {
             // As all that were killed together start together. Over 3 s: a service that takes a call of each
             // of a fleet in 2 s to 8 s then holds few that wait too long, which are work for nobody.
-            out.wake(WATCH_TOKEN, chance.below(3 * SECOND));
+            effects.set_timer(WATCH_TOKEN, chance.below(3 * SECOND));
         }
-        Router {
+        Balancer {
             settings,
             salt: mixed(chance.0),
             chance,
             admitted: [1000; 2],
             links: [1 << 30; 2],
-            ..Router::default()
+            ..Balancer::default()
         }
     }
 
-    pub fn clock(&mut self, now: Tenths) {
+    pub fn advance_clock(&mut self, now: Tenths) {
         self.now = now;
         // One second: long enough for some dozens of answers, short enough to see a trouble begin and end.
         while self.faded + SECOND <= now {
@@ -132,16 +132,16 @@
         }
     }
 
-    pub fn list_whole(&mut self, endpoints: &[Endpoint], out: &mut dyn Carrier) {
+    pub fn replace_endpoints(&mut self, endpoints: &[Endpoint], effects: &mut dyn Effects) {
         self.servers.iter_mut().for_each(|c| c.status = EndpointStatus::Gone);
-        self.list_changes(endpoints, out);
+        self.update_endpoints(endpoints, effects);
     }
 
-    pub fn list_changes(&mut self, endpoints: &[Endpoint], out: &mut dyn Carrier) {
+    pub fn update_endpoints(&mut self, endpoints: &[Endpoint], effects: &mut dyn Effects) {
         // The watch goes on: what changes just after an answer counts as told, asked for or not.
         let failed_calls = discovery::failures_after_answer(self.failed_calls);
         if std::mem::replace(&mut self.failed_calls, failed_calls) > 0 {
-            out.log("discovery reached again", "");
+            effects.log("discovery reached again", "");
         }
         for e in endpoints {
             let known = self.servers.len().max(e.server + 1);
@@ -208,13 +208,13 @@
     }
 
     /// A call to discovery that took so long brought nothing: the next one is made after a rest, within the term for changes.
-    pub fn discovery_call_failed(&mut self, took: Tenths, out: &mut dyn Carrier) {
+    pub fn discovery_call_failed(&mut self, took: Tenths, effects: &mut dyn Effects) {
         if self.failed_calls == 0 {
-            out.log("discovery lost", "");
+            effects.log("discovery lost", "");
         }
         self.failed_calls = self.failed_calls.saturating_add(1);
         let rest = self.settings.discovery_retry.rest(took, self.failed_calls, |end| self.chance.below(end));
-        out.wake(WATCH_TOKEN, rest);
+        effects.set_timer(WATCH_TOKEN, rest);
     }
 
     fn ready(&self, server: ServerIndex) -> bool {
@@ -336,7 +336,7 @@
     }
 
     /// The same for a key that is known by its point alone.
-    pub fn take_at(&mut self, class: usize, key: u64, write: bool, expires: Tenths) -> RequestId {
+    pub fn accept_request_at(&mut self, class: usize, key: u64, write: bool, expires: Tenths) -> RequestId {
         let request_id = RequestId(self.taken);
         self.taken += 1;
         self.taken_lately += 1;
@@ -359,7 +359,7 @@
 
     /// Where a namespace asks for it, requests with one key run one at a time, as taken: whether this one
     /// waits or is deferred at once, as its turn can't come while it is useful.
-    fn waits_its_turn(&mut self, request_id: RequestId, out: &mut dyn Carrier) -> bool {
+    fn waits_its_turn(&mut self, request_id: RequestId, effects: &mut dyn Effects) -> bool {
         let (l, each) = (&self.requests[&request_id.0], self.times.under(500).unwrap_or(0));
         let (key, useful) = (l.key, l.useful_until);
         if !l.rules.in_order || key == point("", 0) {
@@ -374,48 +374,48 @@
         }
         let turn = line.rests_until.max(self.now + each * (line.behind.len() as u64 + 1));
         if line.behind.len() >= LONGEST_LINE || turn >= useful {
-            self.give_up(request_id, out);
+            self.give_up(request_id, effects);
         } else {
             line.behind.push(request_id);
             self.requests.entry(request_id.0).and_modify(|l| l.waits = true);
-            out.wake(request_id.0, useful - self.now);
+            effects.set_timer(request_id.0, useful - self.now);
         }
         true
     }
 
     /// The line of a key goes on, once its first is over and the key has rested.
-    fn next_in_line(&mut self, key: u64, out: &mut dyn Carrier) {
+    fn next_in_line(&mut self, key: u64, effects: &mut dyn Effects) {
         let line = self.lines.get_mut(&key).filter(|line| line.first.is_none() && !line.behind.is_empty());
         let Some(line) = line else { return };
         if self.now < line.rests_until {
-            return out.wake(line.behind[0].0, line.rests_until - self.now);
+            return effects.set_timer(line.behind[0].0, line.rests_until - self.now);
         }
         let next = line.behind.remove(0);
         line.first = Some(next);
         self.requests.entry(next.0).and_modify(|l| l.waits = false);
-        self.place(next, out);
+        self.place(next, effects);
     }
 
-    pub(crate) fn place(&mut self, request_id: RequestId, out: &mut dyn Carrier) {
-        if self.waits_its_turn(request_id, out) {
+    pub(crate) fn place(&mut self, request_id: RequestId, effects: &mut dyn Effects) {
+        if self.waits_its_turn(request_id, effects) {
             return;
         }
         let l = &self.requests[&request_id.0];
         // Guards one class of requests against another that fills the platform.
         if l.attempts.is_empty() && l.rules.crowded() {
-            return self.give_up(request_id, out);
+            return self.give_up(request_id, effects);
         }
         if l.write && self.settings.origin_kind.is_some() && l.order.is_none() {
-            return self.ask_origin(request_id, out);
+            return self.ask_origin(request_id, effects);
         }
         // Guards servers late together: one of many proxies hears too little of each to find its room.
         if l.attempts.is_empty() && l.luck * 10 >= self.admitted[0] {
-            return self.give_up(request_id, out);
+            return self.give_up(request_id, effects);
         }
         // Guards the origin behind the servers: when fetches fail or come late, requests for keys that are not
         // known to be held are deferred.
         if self.fresh(l) && l.luck * 10 >= self.admitted[1] {
-            return self.spare_origin(request_id, out);
+            return self.spare_origin(request_id, effects);
         }
         let first = match mixed(l.key) / 1000 {
             part if part % 100 < self.pooled => [(2, 2), (2, 1)],
@@ -423,45 +423,45 @@
         };
         let rounds = first.into_iter().chain([(0, 1), (1, 1), (0, 0), (1, 0)]);
         match rounds.into_iter().find_map(|(ring, care)| self.walk(ring, l, care)) {
-            Some(server) => self.start_attempt(request_id, server, out),
-            None => self.give_up(request_id, out),
+            Some(server) => self.start_attempt(request_id, server, effects),
+            None => self.give_up(request_id, effects),
         }
     }
 
     /// The origin is short: fewer copies of a key leave room for more keys, so by and by requests go to the
     /// ring of all zones. Guards an origin that every zone by itself would ask for the same keys.
-    fn spare_origin(&mut self, request_id: RequestId, out: &mut dyn Carrier) {
+    fn spare_origin(&mut self, request_id: RequestId, effects: &mut dyn Effects) {
         // By the share sent away, whatever this proxy's traffic: one in twenty, and all keys go there.
         self.pooled = (self.pooled + 150u64.div_ceil(self.taken_lately.max(2))).min(100);
-        self.give_up(request_id, out);
+        self.give_up(request_id, effects);
     }
 
     /// Misses and writes go to the origin, one fetch a key at a time; who comes meanwhile waits for it and
     /// then asks the server again. Guards the origin against a stampede on one key.
-    fn ask_origin(&mut self, request_id: RequestId, out: &mut dyn Carrier) {
+    fn ask_origin(&mut self, request_id: RequestId, effects: &mut dyn Effects) {
         let l = &self.requests[&request_id.0];
         let left = l.useful_until.saturating_sub(self.now);
         let up = |o: &ServerIndex| self.may_ask(*o) && self.may_attempt(l, *o);
         let Some(origin) = self.origin.filter(up) else {
-            return self.give_up(request_id, out);
+            return self.give_up(request_id, effects);
         };
         if !l.write && self.fetches.contains_key(&l.key) {
             self.fetches.entry(l.key).or_default().push(request_id);
             self.requests.entry(request_id.0).and_modify(|l| l.waits = true);
-            return out.wake(request_id.0, left);
+            return effects.set_timer(request_id.0, left);
         }
         let o = &self.servers[origin];
         if o.out * 100 + l.luck >= o.room || o.lately > left || l.luck * 10 >= self.admitted[1] {
-            return self.spare_origin(request_id, out);
+            return self.spare_origin(request_id, effects);
         }
         if !l.write {
             self.fetches.insert(l.key, Vec::new());
             self.requests.entry(request_id.0).and_modify(|l| l.leads = true);
         }
-        self.start_attempt(request_id, origin, out);
+        self.start_attempt(request_id, origin, effects);
     }
 
-    fn start_attempt(&mut self, request_id: RequestId, server: ServerIndex, out: &mut dyn Carrier) {
+    fn start_attempt(&mut self, request_id: RequestId, server: ServerIndex, effects: &mut dyn Effects) {
         let (hush, fresh) = (self.hush(), self.requests.get(&request_id.0).is_some_and(|l| self.fresh(l)));
         let (Some(l), c) = (self.requests.get_mut(&request_id.0), &mut self.servers[server]) else { return };
         if c.out == 0 {
@@ -488,44 +488,44 @@
         };
         l.attempts.push(attempt);
         let copied = class.hedge_after.and_then(|part| self.times.under(part));
-        out.start_attempt(request_id, server, l.expires.min(sent + class.attempt_timeout), by);
+        effects.start_attempt(request_id, server, l.expires.min(sent + class.attempt_timeout), by);
         if Some(server) != self.origin {
-            out.wake(request_id.0, copied.unwrap_or(hush).min(hush) + 1);
+            effects.set_timer(request_id.0, copied.unwrap_or(hush).min(hush) + 1);
         }
     }
 
     /// Tries once more where the rules and the budget allow, else gives up.
-    fn move_on(&mut self, request_id: RequestId, free: bool, out: &mut dyn Carrier) {
+    fn move_on(&mut self, request_id: RequestId, free: bool, effects: &mut dyn Effects) {
         let l = &self.requests[&request_id.0];
         if self.now >= l.useful_until || !(free || l.rules.purse.allows(self.now)) {
-            return self.give_up(request_id, out);
+            return self.give_up(request_id, effects);
         }
         if !free {
             l.rules.purse.spend(self.now);
         }
-        self.place(request_id, out);
+        self.place(request_id, effects);
     }
 
     /// The final answer, at once. A deferral only where a further try is harmless.
-    fn give_up(&mut self, request_id: RequestId, out: &mut dyn Carrier) {
+    fn give_up(&mut self, request_id: RequestId, effects: &mut dyn Effects) {
         if self.requests[&request_id.0].out() {
             return;
         }
         // Half a second to one and a half, spread so that those sent away do not return together.
         let back_in = (SECOND / 2 + self.chance.below(SECOND)).min(self.settings.longest_stay_away);
         if self.may_repeat(&self.requests[&request_id.0], None, self.now + back_in, None) {
-            out.defer(request_id, back_in);
+            effects.reject(request_id, back_in);
         } else {
-            out.abandon(request_id);
+            effects.fail(request_id);
         }
-        self.close(request_id, out);
+        self.close(request_id, effects);
     }
 
     /// The request has its final answer: nothing more is sent for it.
-    pub(crate) fn close(&mut self, request_id: RequestId, out: &mut dyn Carrier) {
+    pub(crate) fn close(&mut self, request_id: RequestId, effects: &mut dyn Effects) {
         let Some(l) = self.requests.get_mut(&request_id.0) else { return };
         if !l.over && self.settings.cancellation {
-            l.in_flight().for_each(|i| out.cancel_attempt(request_id, i));
+            l.in_flight().for_each(|i| effects.cancel_attempt(request_id, i));
         }
         let (key, of_line) = (l.leads.then_some(l.key), l.key);
         (l.over, l.leads) = (true, false);
@@ -534,18 +534,18 @@
             if let Some(line) = self.lines.get_mut(&of_line) {
                 line.behind.retain(|other| *other != request_id);
                 line.first = line.first.filter(|first| *first != request_id);
-                self.next_in_line(of_line, out);
+                self.next_in_line(of_line, effects);
             }
         }
-        self.release(key, false, out);
+        self.release(key, false, effects);
     }
 
     /// Those who waited for a fetch go on: to the server that now holds the key, or one of them to the origin.
-    fn release(&mut self, key: Option<u64>, stored: bool, out: &mut dyn Carrier) {
+    fn release(&mut self, key: Option<u64>, stored: bool, effects: &mut dyn Effects) {
         for request_id in key.and_then(|k| self.fetches.remove(&k)).unwrap_or_default() {
             match self.requests.get(&request_id.0) {
-                Some(l) if l.waits && stored => self.place(request_id, out),
-                Some(l) if l.waits => self.ask_origin(request_id, out),
+                Some(l) if l.waits && stored => self.place(request_id, effects),
+                Some(l) if l.waits => self.ask_origin(request_id, effects),
                 _ => {}
             }
         }
@@ -553,7 +553,7 @@
 
     /// Doubt grows where over one in four fails, and is enough after three in a row or if nothing listens: a
     /// fast failer holds little and would keep its keys. One broken connection is no reason to leave a server.
-    fn judge(&mut self, server: ServerIndex, outcome: AttemptOutcome, out: &mut dyn Carrier) {
+    fn judge(&mut self, server: ServerIndex, outcome: AttemptOutcome, effects: &mut dyn Effects) {
         let hush = self.hush();
         let c = &mut self.servers[server];
         c.doubt = match outcome {
@@ -581,41 +581,41 @@
         c.doubt = c.doubt.min(12);
         c.left &= c.doubt >= 6;
         if c.doubt >= 9 && !c.left && Some(server) != self.origin {
-            self.leave(server, out);
+            self.leave(server, effects);
         }
     }
 
-    fn leave(&mut self, server: ServerIndex, out: &mut dyn Carrier) {
+    fn leave(&mut self, server: ServerIndex, effects: &mut dyn Effects) {
         let c = &mut self.servers[server];
         // From half a second, doubled at each leave up to eight: short troubles cost little, long ones too.
         (c.left, c.stay) = (true, (c.stay * 2).clamp(SECOND / 2, 8 * SECOND));
-        out.log("cache left", &c.id);
+        effects.log("cache left", &c.id);
         c.calls += 1;
         let wait = c.stay + self.chance.below(c.stay / 4);
-        out.wake(SERVER_TOKEN + server as u64, wait);
+        effects.set_timer(SERVER_TOKEN + server as u64, wait);
     }
 
     /// Tries a server again that was left: one attempt at a time until two were answered.
-    pub fn probed(&mut self, server: ServerIndex, answered: bool, out: &mut dyn Carrier) {
+    pub fn health_check_finished(&mut self, server: ServerIndex, answered: bool, effects: &mut dyn Effects) {
         let Some(c) = self.servers.get_mut(server) else { return };
         c.calls = c.calls.saturating_sub(1);
         if c.left && !answered {
-            self.leave(server, out);
+            self.leave(server, effects);
         } else if c.left {
             (c.left, c.doubt) = (false, 7);
-            out.log("cache tried again", &c.id);
+            effects.log("cache tried again", &c.id);
         }
     }
 
-    pub fn woken(&mut self, token: u64, out: &mut dyn Carrier) {
+    pub fn timer_fired(&mut self, token: u64, effects: &mut dyn Effects) {
         if token >= WATCH_TOKEN {
-            return out.watch();
+            return effects.watch_endpoints();
         }
         if token >= SERVER_TOKEN {
             let server = (token - SERVER_TOKEN) as ServerIndex;
             return match self.servers.get(server) {
-                Some(_) if self.ready(server) && self.settings.probes => out.probe(server),
-                _ => self.probed(server, true, out),
+                Some(_) if self.ready(server) && self.settings.probes => effects.check_health(server),
+                _ => self.health_check_finished(server, true, effects),
             };
         }
         let request_id = RequestId(token);
@@ -623,13 +623,13 @@
         if l.waits {
             let key = l.key;
             return if self.now >= l.useful_until {
-                self.give_up(request_id, out)
+                self.give_up(request_id, effects)
             } else {
-                self.next_in_line(key, out)
+                self.next_in_line(key, effects)
             };
         }
         if l.cut && self.now >= l.expires {
-            return l.in_flight().for_each(|i| out.cancel_attempt(request_id, i));
+            return l.in_flight().for_each(|i| effects.cancel_attempt(request_id, i));
         }
         let Some(i) = l.attempts.iter().rposition(|s| s.out) else { return };
         let (server, sent, hush) = (l.attempts[i].server, l.attempts[i].sent, self.hush());
@@ -643,54 +643,56 @@
         let slow = i == 0 && copied.is_some_and(|under| self.now > sent + under);
         let slow = slow && l.rules.hedging && l.rules.purse.allows(self.now);
         if !lost && !slow && (self.servers[server].owes_since > sent || !self.silent(server)) {
-            return out.wake(token, hush + 1);
+            return effects.set_timer(token, hush + 1);
         }
         // Nothing has come from this server since the attempt: guards against servers that hang, vanish or pause.
         // One silence is one failure, however many attempts it holds up: a pause is no hang.
         if !lost && !slow && !std::mem::replace(&mut self.servers[server].hushed, true) {
-            self.judge(server, AttemptOutcome::TimedOut, out);
+            self.judge(server, AttemptOutcome::TimedOut, effects);
         }
         let l = &self.requests[&token];
         if l.rules.hedging {
-            self.move_on(request_id, false, out);
+            self.move_on(request_id, false, effects);
         } else if self.settings.cancellation
             && l.rules.purse.allows(self.now)
             && self.may_repeat(&self.requests[&token], None, self.now, None)
         {
-            out.cancel_attempt(request_id, i);
+            effects.cancel_attempt(request_id, i);
         }
     }
 }
 
-impl RequestId {
+impl Balancer {
     /// An attempt's answer has begun: it is the client's now, and no clock of ours runs for it, nor does the
     /// server owe anything for it. What else is out for the request is of no use any more.
-    pub fn answer_begun(self, router: &mut Router, attempt: usize, out: &mut dyn Carrier) {
-        let (now, cancellation) = (router.now, router.settings.cancellation);
-        let Some(l) = router.requests.get_mut(&self.0) else { return };
+    pub fn response_started(&mut self, request_id: RequestId, attempt: usize, effects: &mut dyn Effects) {
+        let (now, cancellation) = (self.now, self.settings.cancellation);
+        let Some(l) = self.requests.get_mut(&request_id.0) else { return };
         l.begun = true;
         if let Some(s) = l.attempts.get_mut(attempt).filter(|s| s.out && !s.begun) {
             s.begun = true;
-            let c = &mut router.servers[s.server];
+            let c = &mut self.servers[s.server];
             (c.owes_since, c.answered, c.hushed, c.flows) = (now, now, false, c.flows + 1);
             c.heard = c.heard.max(s.sent);
         }
-        l.in_flight().filter(|i| *i != attempt && cancellation).for_each(|i| out.cancel_attempt(self, i));
+        l.in_flight()
+            .filter(|i| *i != attempt && cancellation)
+            .for_each(|i| effects.cancel_attempt(request_id, i));
     }
 
     /// An attempt ended; `finished` says that the client has its answer, by this or before.
     pub fn attempt_ended(
-        self,
-        router: &mut Router,
+        &mut self,
+        request_id: RequestId,
         attempt: usize,
         outcome: AttemptOutcome,
         took: Tenths,
         finished: bool,
-        out: &mut dyn Carrier,
+        effects: &mut dyn Effects,
     ) {
         let outcome = outcome.plain();
-        let overdue = router.overdue();
-        let Some(l) = router.requests.get_mut(&self.0) else { return };
+        let overdue = self.overdue();
+        let Some(l) = self.requests.get_mut(&request_id.0) else { return };
         let Some(s) = l.attempts.get_mut(attempt).filter(|s| s.out) else { return };
         let not_run = [
             AttemptOutcome::Overloaded,
@@ -703,8 +705,8 @@
             outcome,
             AttemptOutcome::TimedOut | AttemptOutcome::ConnectionLost | AttemptOutcome::Cancelled
         );
-        if let Some(line) = router.lines.get_mut(&l.key).filter(|_| may_run && l.rules.in_order) {
-            line.rests_until = router.now + router.settings.key_quiet;
+        if let Some(line) = self.lines.get_mut(&l.key).filter(|_| may_run && l.rules.in_order) {
+            line.rests_until = self.now + self.settings.key_quiet;
         }
         s.out = false;
         s.may_have_run = !not_run.contains(&outcome);
@@ -713,9 +715,9 @@
             && !(outcome == AttemptOutcome::ConnectionLost && l.order.is_some());
         let (server, sent, company, fresh, begun, opens) =
             (s.server, s.sent, s.company, s.fresh, s.begun, s.opens);
-        let c = &mut router.servers[server];
+        let c = &mut self.servers[server];
         let silent = c.owes_since <= sent;
-        c.seldom = router.now > c.answered + SECOND / 5;
+        c.seldom = self.now > c.answered + SECOND / 5;
         (c.out, c.flows) = (c.out - 1, c.flows - u64::from(begun));
         if matches!(
             outcome,
@@ -725,38 +727,38 @@
                 | AttemptOutcome::Overloaded
                 | AttemptOutcome::InvalidRequest
         ) {
-            (c.owes_since, c.answered, c.hushed) = (router.now, router.now, false);
+            (c.owes_since, c.answered, c.hushed) = (self.now, self.now, false);
             c.heard = c.heard.max(sent);
         }
         // Guards servers against being taken for late over attempts that they lost, while they answer later ones.
         let lost = outcome == AttemptOutcome::TimedOut && !silent && c.heard > sent && took > overdue;
         let outcome = if lost { AttemptOutcome::Cancelled } else { outcome };
-        let from_server = Some(server) != router.origin;
+        let from_server = Some(server) != self.origin;
         let refused = outcome == AttemptOutcome::Unreachable;
         c.linked &= !refused && outcome != AttemptOutcome::ConnectionLost;
         if from_server {
-            router.refused = leaning(router.refused, refused);
+            self.refused = leaning(self.refused, refused);
         }
-        let no_place = refused && opens && router.refused > 600;
+        let no_place = refused && opens && self.refused > 600;
         let target = l.rules.target;
         // Guards servers short of places against hundreds that each want one at all: no more are held than
         // were found, one more is tried every four seconds, and two more where that is let in. Two refused
         // of thirty-two are more than one server that died, which is left.
-        let place = usize::from(router.servers[server].zone != router.settings.zone);
+        let place = usize::from(self.servers[server].zone != self.settings.zone);
         if no_place {
-            router.links[place] = router.links[place].min(100 * router.linked(place).max(1));
+            self.links[place] = self.links[place].min(100 * self.linked(place).max(1));
         } else if opens
             && from_server
             && matches!(outcome, AttemptOutcome::Completed | AttemptOutcome::CacheMiss)
         {
-            router.links[place] = (router.links[place] + 200).min(1 << 30);
+            self.links[place] = (self.links[place] + 200).min(1 << 30);
         }
-        let c = &mut router.servers[server];
+        let c = &mut self.servers[server];
         if matches!(outcome, AttemptOutcome::Completed | AttemptOutcome::TimedOut) {
             c.lately = (c.lately * 7 + took.min(target)) / 8;
         }
         if outcome == AttemptOutcome::Completed && from_server {
-            router.times.add(took);
+            self.times.add(took);
         }
         if from_server
             && matches!(
@@ -769,21 +771,21 @@
             let grown = if took > target / 2 { c.part } else { (c.part + 125).min(1000) };
             c.part = if took < target { grown } else { (c.part / 2).max(30) };
         }
-        router.settings.resize(c, outcome, took, company, target, from_server);
-        let Some(l) = router.requests.get_mut(&self.0) else { return };
+        self.settings.resize(c, outcome, took, company, target, from_server);
+        let Some(l) = self.requests.get_mut(&request_id.0) else { return };
         let key = (l.leads && !from_server).then_some(l.key);
         l.leads &= key.is_none();
         let (asked, over, in_ring) = (l.key, l.over, l.order.is_none());
         // An error on a fetch may be the origin's, and says nothing of the server.
         let of_origin = fresh && outcome == AttemptOutcome::ServerError;
         // Guards against copies gone void: after an error the key is not kept after all.
-        if router.settings.through && outcome == AttemptOutcome::Completed {
-            router.kept[0].insert(asked);
+        if self.settings.through && outcome == AttemptOutcome::Completed {
+            self.kept[0].insert(asked);
         } else if outcome == AttemptOutcome::ServerError {
-            router.kept.iter_mut().for_each(|kept| _ = kept.remove(&asked));
+            self.kept.iter_mut().for_each(|kept| _ = kept.remove(&asked));
         }
         if !(of_origin || no_place || outcome == AttemptOutcome::TimedOut && !silent) {
-            router.judge(server, outcome, out);
+            self.judge(server, outcome, effects);
         }
         if of_origin
             || matches!(
@@ -793,36 +795,36 @@
         {
             // An eighth down and a seventeenth up hold all requests while up to one in three is late.
             let late = took >= target || of_origin || outcome == AttemptOutcome::TimedOut;
-            let part = &mut router.admitted[usize::from(!from_server || fresh)];
+            let part = &mut self.admitted[usize::from(!from_server || fresh)];
             *part = if late { *part * 7 / 8 } else { (*part + 60).min(1000) }.max(50);
         }
         if from_server && matches!(outcome, AttemptOutcome::Completed | AttemptOutcome::CacheMiss) {
-            router.give_credit(server);
+            self.give_credit(server);
         }
         if outcome == AttemptOutcome::InvalidRequest && !finished && !over {
-            out.abandon(self);
+            effects.fail(request_id);
         }
-        let l = &router.requests[&self.0];
+        let l = &self.requests[&request_id.0];
         if l.begun && l.out() && !over {
             // Another attempt's answer is the client's by now, whatever became of this one.
         } else if finished || over || outcome == AttemptOutcome::InvalidRequest {
-            router.close(self, out);
-        } else if outcome == AttemptOutcome::CacheMiss && router.settings.origin_kind.is_some() && in_ring {
-            router.ask_origin(self, out);
-        } else if !router.requests[&self.0].out() {
+            self.close(request_id, effects);
+        } else if outcome == AttemptOutcome::CacheMiss && self.settings.origin_kind.is_some() && in_ring {
+            self.ask_origin(request_id, effects);
+        } else if !self.requests[&request_id.0].out() {
             match outcome {
                 AttemptOutcome::Overloaded | AttemptOutcome::TimedOut | AttemptOutcome::NotSent
                     if !from_server =>
                 {
-                    router.give_up(self, out)
+                    self.give_up(request_id, effects)
                 }
                 AttemptOutcome::Unreachable | AttemptOutcome::CacheMiss if from_server => {
-                    router.move_on(self, true, out)
+                    self.move_on(request_id, true, effects)
                 }
                 // One broken or spoilt at the origin says nothing of its load, and may have stored the value.
-                _ => router.move_on(self, false, out),
+                _ => self.move_on(request_id, false, effects),
             }
         }
-        router.release(key, outcome == AttemptOutcome::Completed, out);
+        self.release(key, outcome == AttemptOutcome::Completed, effects);
     }
 }
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -1,15 +1,15 @@
-//! All that a router knows, as numbers and texts: taken out, and put into a router of the same house, it decides as before.
+//! All that a balancer knows, as numbers and texts: taken out, and put into a balancer of the same house, it decides as before.
 //! Nothing here decides, and what is worked out from the rest (rings, rules) is not in it.
 
 use crate::plain::{
     Attempt, Chance, ClassHandle, EndpointStatus, Line, Request, RequestId, Server, Settings, Tally,
 };
-use crate::policy::Router;
+use crate::policy::Balancer;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// A router's state. Equal states decide alike.
+/// A balancer's state. Equal states decide alike.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct State {
+pub struct Snapshot {
     pub words: Vec<u64>,
     pub texts: Vec<String>,
 }
@@ -22,12 +22,12 @@
 
 /// A part of a state: how it goes in and comes out.
 trait Part: Sized {
-    fn put(&self, to: &mut State);
+    fn put(&self, to: &mut Snapshot);
     fn get(from: &mut Taking) -> Option<Self>;
 }
 
 impl Part for u64 {
-    fn put(&self, to: &mut State) {
+    fn put(&self, to: &mut Snapshot) {
         to.words.push(*self);
     }
     fn get(from: &mut Taking) -> Option<u64> {
@@ -36,7 +36,7 @@
 }
 
 impl Part for String {
-    fn put(&self, to: &mut State) {
+    fn put(&self, to: &mut Snapshot) {
         to.texts.push(self.clone());
     }
     fn get(from: &mut Taking) -> Option<String> {
@@ -47,7 +47,7 @@
 macro_rules! as_word {
     ($($kind:ty: $to:expr, $of:expr;)*) => {$(
         impl Part for $kind {
-            fn put(&self, to: &mut State) {
+            fn put(&self, to: &mut Snapshot) {
                 to.words.push($to(*self));
             }
             fn get(from: &mut Taking) -> Option<$kind> {
@@ -65,11 +65,11 @@
     RequestId: |request_id: RequestId| request_id.0, |n| Some(RequestId(n));
 }
 
-/// More of anything than these would be no router's.
+/// More of anything than these would be no balancer's.
 const MOST: u64 = 1 << 24;
 
 impl<T: Part> Part for Vec<T> {
-    fn put(&self, to: &mut State) {
+    fn put(&self, to: &mut Snapshot) {
         self.len().put(to);
         self.iter().for_each(|part| part.put(to));
     }
@@ -80,7 +80,7 @@
 }
 
 impl<T: Part> Part for Option<T> {
-    fn put(&self, to: &mut State) {
+    fn put(&self, to: &mut Snapshot) {
         self.is_some().put(to);
         self.iter().for_each(|part| part.put(to));
     }
@@ -90,7 +90,7 @@
 }
 
 impl<T: Part, const N: usize> Part for [T; N] {
-    fn put(&self, to: &mut State) {
+    fn put(&self, to: &mut Snapshot) {
         self.iter().for_each(|part| part.put(to));
     }
     fn get(from: &mut Taking) -> Option<[T; N]> {
@@ -100,7 +100,7 @@
 }
 
 impl<A: Part, B: Part> Part for (A, B) {
-    fn put(&self, to: &mut State) {
+    fn put(&self, to: &mut Snapshot) {
         self.0.put(to);
         self.1.put(to);
     }
@@ -111,7 +111,7 @@
 
 /// In order of the keys: the order of a hash table is no part of the state.
 impl<T: Part> Part for HashMap<u64, T> {
-    fn put(&self, to: &mut State) {
+    fn put(&self, to: &mut Snapshot) {
         self.len().put(to);
         let ordered: BTreeMap<&u64, &T> = self.iter().collect();
         for (key, part) in ordered {
@@ -125,7 +125,7 @@
 }
 
 impl Part for HashSet<u64> {
-    fn put(&self, to: &mut State) {
+    fn put(&self, to: &mut Snapshot) {
         let mut keys: Vec<u64> = self.iter().copied().collect();
         keys.sort_unstable();
         keys.put(to);
@@ -138,7 +138,7 @@
 macro_rules! fields {
     ($($kind:ident { $($field:ident),* $(,)? })*) => {$(
         impl Part for $kind {
-            fn put(&self, to: &mut State) {
+            fn put(&self, to: &mut Snapshot) {
                 let $kind { $($field),* } = self;
                 $($field.put(to);)*
             }
@@ -160,7 +160,7 @@
 }
 
 impl Part for Chance {
-    fn put(&self, to: &mut State) {
+    fn put(&self, to: &mut Snapshot) {
         self.0.put(to);
     }
     fn get(from: &mut Taking) -> Option<Chance> {
@@ -169,7 +169,7 @@
 }
 
 impl Part for Tally {
-    fn put(&self, to: &mut State) {
+    fn put(&self, to: &mut Snapshot) {
         self.counts().put(to);
     }
     fn get(from: &mut Taking) -> Option<Tally> {
@@ -178,7 +178,7 @@
 }
 
 /// The numbers of a request, without its rules, which are the platform's.
-fn put_request(l: &Request, class: usize, to: &mut State) {
+fn put_request(l: &Request, class: usize, to: &mut Snapshot) {
     let Request {
         rules: _,
         key,
@@ -226,10 +226,10 @@
     })
 }
 
-impl Router {
+impl Balancer {
     /// All that it knows. Nothing while a request still has rules that a reload has replaced: soon after there is.
-    pub fn state(&self) -> Option<State> {
-        let mut to = State::default();
+    pub fn snapshot(&self) -> Option<Snapshot> {
+        let mut to = Snapshot::default();
         let class = |l: &Request| self.settings.classes.iter().position(|rules| l.rules.is(rules));
         [self.now, self.settings.proxies, self.pooled, self.taken, self.taken_lately].put(&mut to);
         [self.salt, self.faded, self.refused].put(&mut to);
@@ -252,10 +252,10 @@
         Some(to)
     }
 
-    /// A router of that house which knows all that another knew; nothing where the state is none of such a router's.
-    pub fn of_state(values: &BTreeMap<String, String>, state: &State) -> Option<Router> {
+    /// A balancer of that house which knows all that another knew; nothing where the state is none of such a balancer's.
+    pub fn from_snapshot(values: &BTreeMap<String, String>, state: &Snapshot) -> Option<Balancer> {
         let from = &mut Taking { words: state.words.iter(), texts: state.texts.iter() };
-        let mut r = Router { settings: Settings::read(values), ..Router::default() };
+        let mut r = Balancer { settings: Settings::read(values), ..Balancer::default() };
         [r.now, r.settings.proxies, r.pooled, r.taken, r.taken_lately] = Part::get(from)?;
         [r.salt, r.faded, r.refused] = Part::get(from)?;
         (r.failed_calls, r.origin) = Part::get(from)?;
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -26,36 +26,36 @@
 #[test]
 fn an_attempt_that_was_decided_may_be_sent() {
     let (harness, request) = decided(SINGLE_USE);
-    assert_eq!(harness.router.may_send(&attempt(request, 0), 100), Ok(()));
+    assert_eq!(harness.balancer.may_send(&attempt(request, 0), 100), Ok(()));
 }
 
 #[test]
 fn nothing_is_sent_to_a_server_that_began_to_drain_meanwhile_or_that_operators_took_out() {
     let (mut harness, request) = decided(REPLAYABLE);
     harness.list(&[("amber", 0, EndpointStatus::Draining, 0)]);
-    assert_eq!(harness.router.may_send(&attempt(request, 0), 100), Err(Refusal::ServerOff));
+    assert_eq!(harness.balancer.may_send(&attempt(request, 0), 100), Err(Refusal::ServerOff));
     let (mut harness, request) = decided(REPLAYABLE);
-    harness.router.bar("amber", true, 50);
-    assert_eq!(harness.router.may_send(&attempt(request, 0), 100), Err(Refusal::ServerOff));
-    assert!(!harness.router.may_ask(7), "a server that nobody has named");
+    harness.balancer.set_disabled("amber", true, 50);
+    assert_eq!(harness.balancer.may_send(&attempt(request, 0), 100), Err(Refusal::ServerOff));
+    assert!(!harness.balancer.may_ask(7), "a server that nobody has named");
 }
 
 #[test]
 fn nothing_is_sent_late_or_for_a_request_that_is_over() {
     let (mut harness, request) = decided(REPLAYABLE);
     let this = attempt(request, 0);
-    assert_eq!(harness.router.may_send(&this, 19_999), Ok(()));
-    assert_eq!(harness.router.may_send(&this, 20_000), Err(Refusal::TooLate));
+    assert_eq!(harness.balancer.may_send(&this, 19_999), Ok(()));
+    assert_eq!(harness.balancer.may_send(&this, 20_000), Err(Refusal::TooLate));
     assert_eq!(
-        harness.router.may_send(&UnsentAttempt { answered: true, ..this }, 100),
+        harness.balancer.may_send(&UnsentAttempt { answered: true, ..this }, 100),
         Err(Refusal::Answered)
     );
     assert_eq!(
-        harness.router.may_send(&UnsentAttempt { awaited: false, ..this }, 100),
+        harness.balancer.may_send(&UnsentAttempt { awaited: false, ..this }, 100),
         Err(Refusal::ClientLeft)
     );
     harness.left_by_client(request);
-    assert_eq!(harness.router.may_send(&this, 100), Err(Refusal::Answered));
+    assert_eq!(harness.balancer.may_send(&this, 100), Err(Refusal::Answered));
 }
 
 /// The same crossing for each effect: the first attempt may have run by the time at which the second is to be written.
@@ -66,12 +66,12 @@
         harness.ready(&["amber", "birch"]);
         harness.end(request, 0, AttemptOutcome::ConnectionLost);
         // The window of the tagged namespace is half a second.
-        [4_999, 5_000].map(|now| harness.router.may_send(&attempt(request, 1), now))
+        [4_999, 5_000].map(|now| harness.balancer.may_send(&attempt(request, 1), now))
     });
     assert_eq!(sent, [[Ok(()), Ok(())], [Ok(()), Err(Refusal::MayRunTwice)]]);
     // What was decided as a single attempt is still out when a second asks.
     let (harness, request) = decided(SINGLE_USE);
-    assert_eq!(harness.router.may_send(&attempt(request, 1), 100), Err(Refusal::MayRunTwice));
+    assert_eq!(harness.balancer.may_send(&attempt(request, 1), 100), Err(Refusal::MayRunTwice));
 }
 
 #[test]
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Short days of one router, each told as the decisions it made.
+//! Short days of one balancer, each told as the decisions it made.
 
 mod helper;
 
@@ -78,9 +78,9 @@
     h.left_by_client(a);
     h.end(a, 0, AttemptOutcome::ServerError);
     h.left_by_client(b);
-    h.wake(b.0);
+    h.fire_timer(b.0);
     h.end(b, 0, AttemptOutcome::ServerError);
-    assert!(!a.known(&h.router) && !b.known(&h.router));
+    assert!(!h.balancer.knows_request(a) && !h.balancer.knows_request(b));
     expect![[r#"
         lookup 0 -> cache 0
         lookup 1 -> cache 3
@@ -97,7 +97,7 @@
     h.end(a, 0, AttemptOutcome::Unreachable);
     h.end(a, 1, AttemptOutcome::ConnectionLost);
     h.pass(4000);
-    h.wake(b.0);
+    h.fire_timer(b.0);
     h.end(b, 0, AttemptOutcome::TimedOut);
     expect![[r#"
         lookup 0 -> cache 0
@@ -141,7 +141,7 @@
     h.ready(&FOUR);
     let a = h.ask(0, "book/1");
     h.pass(8000);
-    h.wake(a.0);
+    h.fire_timer(a.0);
     h.end(a, 0, AttemptOutcome::Cancelled);
     h.end(a, 1, AttemptOutcome::Completed);
     expect![[r#"
@@ -213,8 +213,8 @@
     let a = h.ask(0, &key);
     h.end(a, 0, AttemptOutcome::Completed);
     h.pass(7000);
-    h.wake(SERVER + 2);
-    h.router.probed(2, true, &mut h.trace);
+    h.fire_timer(SERVER + 2);
+    h.balancer.health_check_finished(2, true, &mut h.trace);
     let (a, _) = (h.ask(0, &key), h.ask(0, &key));
     h.end(a, 0, AttemptOutcome::ServerError);
     expect![[r#"
@@ -292,7 +292,7 @@
     for _ in 0..3 {
         let a = h.ask(0, &key);
         h.pass(3000);
-        h.wake(a.0);
+        h.fire_timer(a.0);
         let b = h.ask(0, &key);
         h.end(b, 0, AttemptOutcome::Completed);
         h.end(a, 1, AttemptOutcome::Completed);
@@ -347,7 +347,7 @@
     [a, b, c].iter().for_each(|l| h.end(*l, 0, AttemptOutcome::CacheMiss));
     h.left_by_client(a);
     h.pass(10_000);
-    h.wake(c.0);
+    h.fire_timer(c.0);
     expect![[r#"
         lookup 0 -> cache 0
         lookup 1 -> cache 0
@@ -412,7 +412,7 @@
                 h.end(a, 0, AttemptOutcome::CacheMiss);
             }
             let (attempt, took) = (usize::from(at_origin), if i % one_in == 0 { 10_000 } else { 1000 });
-            a.attempt_ended(&mut h.router, attempt, AttemptOutcome::Completed, took, true, &mut h.trace);
+            h.balancer.attempt_ended(a, attempt, AttemptOutcome::Completed, took, true, &mut h.trace);
         }
         h.told().matches("deferred").count()
     });
@@ -431,7 +431,7 @@
             h.pass(2_000);
             let a = h.ask(0, &format!("page/{i}"));
             let took = if h.last_asked().is_some_and(|id| late.contains(&id)) { 10_000 } else { 1000 };
-            a.attempt_ended(&mut h.router, 0, AttemptOutcome::Completed, took, true, &mut h.trace);
+            h.balancer.attempt_ended(a, 0, AttemptOutcome::Completed, took, true, &mut h.trace);
             if i == 29 {
                 h.told();
             }
@@ -493,8 +493,8 @@
     let mut h = harness(&[("watched", "1")]);
     h.ready(&FOUR);
     for _ in 0..3 {
-        h.router.discovery_call_failed(0, &mut h.trace);
-        h.wake(WATCH);
+        h.balancer.discovery_call_failed(0, &mut h.trace);
+        h.fire_timer(WATCH);
     }
     h.ready(&FOUR);
     expect![[r#"
@@ -518,7 +518,7 @@
     let told = [("0", "10000", ""), ("0", "0", ""), ("1", "", "20000"), ("1", "", "100000"), ("1", "", "0")];
     let told = told.map(|(watched, grace, time)| {
         let mut h = harness(&[("watched", watched), ("drain grace", grace), ("ask time", time)]);
-        (0..40).for_each(|_| h.router.discovery_call_failed(0, &mut h.trace));
+        (0..40).for_each(|_| h.balancer.discovery_call_failed(0, &mut h.trace));
         let waits = h.told();
         let waits =
             waits.lines().filter_map(|l| l.strip_prefix("wake in ")?.strip_suffix(" ms")?.parse().ok());
@@ -540,7 +540,7 @@
     h.ready(&["amber"]);
     for _ in 0..30 {
         let a = h.ask(0, "slow");
-        a.attempt_ended(&mut h.router, 0, AttemptOutcome::Completed, 9000, true, &mut h.trace);
+        h.balancer.attempt_ended(a, 0, AttemptOutcome::Completed, 9000, true, &mut h.trace);
     }
     h.told();
     for _ in 0..20 {
@@ -565,7 +565,7 @@
         for took in std::iter::repeat_n(100, in_time).chain(std::iter::repeat_n(9000, late)) {
             h.pass(gap);
             let a = h.ask(0, "slow");
-            a.attempt_ended(&mut h.router, 0, AttemptOutcome::Completed, took, true, &mut h.trace);
+            h.balancer.attempt_ended(a, 0, AttemptOutcome::Completed, took, true, &mut h.trace);
         }
         h.told();
         (0..12).for_each(|_| _ = h.ask(0, "slow"));
@@ -719,7 +719,7 @@
         let key = key_of(&mut h, "amber");
         for _ in 0..20 {
             let request_id = h.ask(0, &key);
-            request_id.attempt_ended(&mut h.router, 0, AttemptOutcome::Completed, usual, true, &mut h.trace);
+            h.balancer.attempt_ended(request_id, 0, AttemptOutcome::Completed, usual, true, &mut h.trace);
         }
         let slow = h.ask(0, &key);
         // One sent later is answered: a longer one is overtaken, and 1.5 s is no time where most take 0.6 s.
@@ -728,7 +728,7 @@
         h.end(request_id, 0, AttemptOutcome::Completed);
         h.told();
         h.pass(14_500);
-        h.wake(slow.0);
+        h.fire_timer(slow.0);
         h.told()
     });
     expect![[r#"
@@ -781,7 +781,7 @@
         let request_id = h.ask(0, &key);
         h.end(request_id, 0, AttemptOutcome::Completed);
     }
-    h.wake(lost.0);
+    h.fire_timer(lost.0);
     h.end(lost, 1, AttemptOutcome::Completed);
     expect![[r#"
         lookup 2 -> cache 0
@@ -803,14 +803,14 @@
     let (a, b) = (h.ask(2, &key), h.ask(2, &key));
     let mut values = Vec::new();
     h.ready(&["amber"]);
-    values.push(h.router.done_with(1));
+    values.push(h.balancer.index_is_free(1));
     h.end(a, 0, AttemptOutcome::Unreachable);
     h.end(b, 0, AttemptOutcome::Completed);
     // It was left, and the request that met it is still open.
-    h.wake(SERVER + 1);
-    values.push(h.router.done_with(1));
+    h.fire_timer(SERVER + 1);
+    values.push(h.balancer.index_is_free(1));
     h.end(a, 1, AttemptOutcome::Completed);
-    values.push(h.router.done_with(1));
+    values.push(h.balancer.index_is_free(1));
     expect!["[false, false, true]"].assert_eq(&format!("{values:?}"));
 }
 
@@ -883,7 +883,7 @@
     let (slow, other) = (h.ask(0, "book/1"), h.ask(1, "book/2"));
     for _ in 0..3 {
         h.pass(130);
-        [slow, other].iter().for_each(|request_id| h.wake(request_id.0));
+        [slow, other].iter().for_each(|request_id| h.fire_timer(request_id.0));
     }
     expect![[r#"
         lookup 30 -> cache 0
@@ -899,15 +899,15 @@
     let (long, late) = (h.ask(0, "book/1"), h.ask(0, "book/2"));
     h.pass(8000);
     let new = h.values.clone();
-    h.router.limits(&new);
+    h.balancer.apply_settings(&new);
     // Nine tenths of a second from the start for one; seven tenths for the other, which are over.
-    long.renewed(&mut h.router, 0, 9000, &mut h.trace);
-    late.renewed(&mut h.router, 0, 7000, &mut h.trace);
+    h.balancer.renew_limits(long, 0, 9000, &mut h.trace);
+    h.balancer.renew_limits(late, 0, 7000, &mut h.trace);
     h.told();
     h.pass(1000);
-    h.wake(long.0);
+    h.fire_timer(long.0);
     h.end(long, 0, AttemptOutcome::Cancelled);
-    h.wake(late.0);
+    h.fire_timer(late.0);
     h.pass(5000);
     h.end(late, 0, AttemptOutcome::Completed);
     expect![[r#"
@@ -927,13 +927,13 @@
     h.pass(1_000_000);
     h.ready(&FOUR);
     let warm = of_birch(&mut h);
-    h.router.bar("birch", true, h.now);
-    h.router.bar("birch", true, h.now);
+    h.balancer.set_disabled("birch", true, h.now);
+    h.balancer.set_disabled("birch", true, h.now);
     let barred = of_birch(&mut h);
     h.ready(&["amber", "cedar", "delta"]);
     h.ready(&FOUR);
     let listed_again = of_birch(&mut h);
-    h.router.bar("birch", false, h.now);
+    h.balancer.set_disabled("birch", false, h.now);
     h.ready(&FOUR);
     let back = of_birch(&mut h);
     h.pass(110_000);
@@ -942,14 +942,14 @@
         "{warm} warm, {barred} barred, {listed_again} listed again, {back} back, {later} later"
     ));
     // All of them out: nothing is sent, and nobody meant by an id that none has.
-    FOUR.iter().for_each(|id| h.router.bar(id, true, h.now));
+    FOUR.iter().for_each(|id| h.balancer.set_disabled(id, true, h.now));
     h.trace = Default::default();
     h.ask(0, "book/1");
     expect!["lookup 1000 deferred true false"].assert_eq(&format!(
         "{} {} {}",
         h.told().trim(),
-        h.router.has("birch"),
-        h.router.has("ember")
+        h.balancer.knows_server("birch"),
+        h.balancer.knows_server("ember")
     ));
 }
 
@@ -959,14 +959,14 @@
     let mut h = harness(&[]);
     h.pass(1_000_000);
     h.ready(&FOUR);
-    h.router.bar("birch", true, h.now);
+    h.balancer.set_disabled("birch", true, h.now);
     h.ready(&["amber", "cedar", "delta"]);
     let (id, status) = ("birch", EndpointStatus::Ready);
     let back = Endpoint { server: 4, id, zone: 0, kind: 0, cell: 0, size: 100, status, born: 0 };
-    h.router.list_changes(&[back], &mut h.trace);
+    h.balancer.update_endpoints(&[back], &mut h.trace);
     let mut asked = Vec::new();
     for out in [true, false] {
-        h.router.bar("birch", out, h.now);
+        h.balancer.set_disabled("birch", out, h.now);
         h.trace = Default::default();
         (0..200).for_each(|i| _ = h.ask(0, &format!("book/{i}")));
         asked.push(h.told().contains("-> cache 4"));
@@ -1026,14 +1026,14 @@
     h.end(second, 1, AttemptOutcome::ServerError);
     h.left_by_client(second);
     h.pass(5_000);
-    h.wake(3);
+    h.fire_timer(3);
     h.trace.mark("its last shot has ended too");
     h.end(second, 2, AttemptOutcome::Cancelled);
     h.pass(1_999);
-    h.wake(3);
+    h.fire_timer(3);
     h.trace.mark("the key has rested");
     h.pass(1);
-    h.wake(3);
+    h.fire_timer(3);
     h.trace.mark("a hundred wait, and two more come");
     let waiting: Vec<_> = (0..102).map(|_| h.ask(1, "hot")).collect();
     expect![[r#"
@@ -1061,7 +1061,7 @@
     h.trace.mark("its shot has ended");
     h.end(chalkwalk_policy::RequestId(3), 0, AttemptOutcome::Cancelled);
     h.pass(2_000);
-    h.wake(waiting[0].0);
+    h.fire_timer(waiting[0].0);
     expect![[r#"
         lookup 3 withdraws shot 0
         --- its shot has ended
@@ -1095,10 +1095,10 @@
         let due: Vec<u64> = wakes.iter().filter(|w| w.0 <= now).map(|w| w.1).collect();
         wakes.retain(|w| w.0 > now);
         // Resting lines wake their first; here everyone is woken now and then.
-        due.into_iter().for_each(|token| h.wake(token));
-        (0..h.router.open() as u64).for_each(|_| {
+        due.into_iter().for_each(|token| h.fire_timer(token));
+        (0..h.balancer.open_requests() as u64).for_each(|_| {
             if let Some(w) = wakes.first() {
-                h.wake(w.1);
+                h.fire_timer(w.1);
             }
         });
         for line in h.told().lines() {
@@ -1140,7 +1140,7 @@
     expect!["543 started, 895 turned away, 0 still open"].assert_eq(&format!(
         "{} started, {over} turned away, {} still open",
         distinct(&started).len(),
-        h.router.open()
+        h.balancer.open_requests()
     ));
 }
 
@@ -1199,16 +1199,16 @@
     ]);
     let request_id = h.ask(0, "book");
     h.pass(8_000);
-    h.wake(request_id.0); // silent for so long: a hedged request
+    h.fire_timer(request_id.0); // silent for so long: a hedged request
     h.trace.mark("the first begins");
-    request_id.answer_begun(&mut h.router, 0, &mut h.trace);
-    request_id.attempt_ended(&mut h.router, 1, AttemptOutcome::CacheMiss, 100, true, &mut h.trace);
+    h.balancer.response_started(request_id, 0, &mut h.trace);
+    h.balancer.attempt_ended(request_id, 1, AttemptOutcome::CacheMiss, 100, true, &mut h.trace);
     h.pass(20_000);
-    h.wake(request_id.0);
+    h.fire_timer(request_id.0);
     h.trace.mark("another of its key, past any silence");
     let other = h.ask(0, "book");
     h.end(other, 0, AttemptOutcome::Completed);
-    request_id.attempt_ended(&mut h.router, 0, AttemptOutcome::ConnectionLost, 100, true, &mut h.trace);
+    h.balancer.attempt_ended(request_id, 0, AttemptOutcome::ConnectionLost, 100, true, &mut h.trace);
     expect![[r#"
         lookup 0 -> cache 1
         lookup 0 -> cache 0
@@ -1218,7 +1218,7 @@
         lookup 1 -> cache 1
     "#]]
     .assert_eq(&h.told());
-    assert!(!request_id.known(&h.router));
+    assert!(!h.balancer.knows_request(request_id));
 }
 
 /// Half as large, three quarters of its keys, and no other server loses any; where sizes are loads of the moment too, as the
@@ -1251,7 +1251,7 @@
             let request_id = h.ask(0, &format!("page/{i}"));
             let late = i % 4 == 0 && h.last_asked().is_some_and(|id| id == "birch");
             let took = if late { slow } else { 100 };
-            request_id.attempt_ended(&mut h.router, 0, AttemptOutcome::Completed, took, true, &mut h.trace);
+            h.balancer.attempt_ended(request_id, 0, AttemptOutcome::Completed, took, true, &mut h.trace);
             if i == 199 {
                 h.told();
             }
@@ -1335,9 +1335,9 @@
         h.pass(5_000);
         let request_id = h.ask(0, &format!("page/{i}"));
         h.pass(4_000);
-        h.wake(request_id.0);
+        h.fire_timer(request_id.0);
         passed += h.told().lines().count() - 1;
-        request_id.attempt_ended(&mut h.router, 0, AttemptOutcome::Completed, 4_000, true, &mut h.trace);
+        h.balancer.attempt_ended(request_id, 0, AttemptOutcome::Completed, 4_000, true, &mut h.trace);
     }
     expect!["0"].assert_eq(&passed.to_string());
 }
@@ -1357,8 +1357,8 @@
             Some("cedar") => (100, AttemptOutcome::ConnectionLost),
             _ => (100, AttemptOutcome::Completed),
         };
-        request_id.attempt_ended(
-            &mut old.router,
+        old.balancer.attempt_ended(
+            request_id,
             0,
             outcome,
             took,
@@ -1367,13 +1367,13 @@
         );
         old.left_by_client(request_id);
     }
-    let learned = old.router.learned();
+    let learned = old.balancer.learned();
     let spoilt =
         learned.iter().map(|l| Learned { part: u64::MAX, room: u64::MAX, size: u64::MAX, ..l.clone() });
     let days = [(Vec::new(), 0), (learned.clone(), 0), (learned.clone(), 5), (spoilt.collect(), 0)];
     let first = days.map(|(carried, born)| {
         let mut new = harness(&[("cold time", "0")]);
-        new.router.carry(carried);
+        new.balancer.restore_learned(carried);
         let rows = FOUR.map(|id| (id, 0, EndpointStatus::Ready, if id == "birch" { born } else { 0 }));
         new.list(&rows);
         new.told();
@@ -1401,7 +1401,7 @@
             h.pass(200);
             let request_id = h.ask(0, &format!("page/{i}"));
             let took = if late && i % 2 == 0 { 10_000 } else { 100 };
-            request_id.attempt_ended(&mut h.router, 0, AttemptOutcome::Completed, took, true, &mut h.trace);
+            h.balancer.attempt_ended(request_id, 0, AttemptOutcome::Completed, took, true, &mut h.trace);
             h.left_by_client(request_id);
         }
         let now = h.now;
@@ -1412,7 +1412,7 @@
             let request_id = h.ask(0, &format!("page/{i}"));
             let cold = h.last_asked().is_some_and(|id| id == "birch");
             let took = if late && !cold && i % 2 == 0 { 10_000 } else { 100 };
-            request_id.attempt_ended(&mut h.router, 0, AttemptOutcome::Completed, took, true, &mut h.trace);
+            h.balancer.attempt_ended(request_id, 0, AttemptOutcome::Completed, took, true, &mut h.trace);
             h.left_by_client(request_id);
         }
         h.told().matches("> cache 1").count()
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Many routers that share nothing but one service: what is harmless in one, and harmful when all do it.
 
 use chalkwalk_policy::discovery::{NOTIFIED_WITHIN, TURN};
-use chalkwalk_policy::{Carrier, RequestId, Router, ServerIndex, Tenths};
+use chalkwalk_policy::{Balancer, Effects, RequestId, ServerIndex, Tenths};
 use expect_test::expect;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -17,17 +17,17 @@
     now: Tenths,
 }
 
-impl Carrier for Wants {
+impl Effects for Wants {
     fn start_attempt(&mut self, _: RequestId, _: ServerIndex, _: Tenths, _: Tenths) {}
     fn cancel_attempt(&mut self, _: RequestId, _: usize) {}
-    fn defer(&mut self, _: RequestId, _: Tenths) {}
-    fn abandon(&mut self, _: RequestId) {}
-    fn probe(&mut self, _: ServerIndex) {}
-    fn wake(&mut self, token: u64, after: Tenths) {
+    fn reject(&mut self, _: RequestId, _: Tenths) {}
+    fn fail(&mut self, _: RequestId) {}
+    fn check_health(&mut self, _: ServerIndex) {}
+    fn set_timer(&mut self, token: u64, after: Tenths) {
         assert_eq!(token, WATCH);
         self.wakes.push(self.now + after);
     }
-    fn watch(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.watch = true;
     }
     fn log(&mut self, _: &str, _: &str) {}
@@ -38,10 +38,10 @@
 /// `changes`. Tells, for each five seconds, later for each 25, how many proxies act on a list older than 5 s at the end, and what calls came to.
 fn played(proxies: u64, a_second: u64, changes: Tenths) -> String {
     let values = BTreeMap::from([("watched".to_string(), "1".to_string())]);
-    let mut fleet: Vec<(Router, Wants)> = (0..proxies)
+    let mut fleet: Vec<(Balancer, Wants)> = (0..proxies)
         .map(|seed| {
             let mut wants = Wants::default();
-            (Router::new(seed, &values, &mut wants), wants)
+            (Balancer::new(seed, &values, &mut wants), wants)
         })
         .collect();
     let mut had = vec![None; fleet.len()]; // when each had the list last
@@ -50,26 +50,26 @@
     let (mut served, mut failed, mut away) = (0, 0, 0);
     let mut told = Vec::new();
     for now in (0..1_500_000).step_by(STEP as usize) {
-        let answer = |fleet: &mut Vec<(Router, Wants)>, who: usize, had: &mut Vec<Option<Tenths>>| {
+        let answer = |fleet: &mut Vec<(Balancer, Wants)>, who: usize, had: &mut Vec<Option<Tenths>>| {
             had[who] = Some(now);
-            let (router, wants) = &mut fleet[who];
-            router.list_changes(&[], wants);
+            let (balancer, wants) = &mut fleet[who];
+            balancer.update_endpoints(&[], wants);
             wants.watch = true;
         };
         // Whoever watches is told of each change, and comes back for the next.
         if now % changes == 0 {
             std::mem::take(&mut watching).into_iter().for_each(|who| answer(&mut fleet, who, &mut had));
         }
-        for (who, (router, wants)) in fleet.iter_mut().enumerate() {
+        for (who, (balancer, wants)) in fleet.iter_mut().enumerate() {
             wants.now = now;
-            router.clock(now);
+            balancer.advance_clock(now);
             let due = wants.wakes.iter().filter(|at| **at <= now).count();
             wants.wakes.retain(|at| *at > now);
-            (0..due).for_each(|_| router.woken(WATCH, wants));
+            (0..due).for_each(|_| balancer.timer_fired(WATCH, wants));
             if std::mem::take(&mut wants.watch) {
                 if queue.len() as u64 >= 5 * a_second {
                     away += 1;
-                    router.discovery_call_failed(0, wants);
+                    balancer.discovery_call_failed(0, wants);
                 } else {
                     queue.push_back((who, now, false));
                 }
@@ -78,8 +78,8 @@
         for (who, since, given_up) in &mut queue {
             if !*given_up && now > *since + 20_000 {
                 (*given_up, failed) = (true, failed + 1);
-                let (router, wants) = &mut fleet[*who];
-                router.discovery_call_failed(now - *since, wants);
+                let (balancer, wants) = &mut fleet[*who];
+                balancer.discovery_call_failed(now - *since, wants);
             }
         }
         if now % (10_000 / a_second) == 0
@@ -175,13 +175,13 @@
     watched_for: Tenths,
 ) -> Vec<Tenths> {
     let values = BTreeMap::from([("watched".to_string(), "1".to_string())]);
-    let mut fleet: Vec<(Router, Wants)> = (0..processes)
+    let mut fleet: Vec<(Balancer, Wants)> = (0..processes)
         .map(|seed| {
             let mut wants = Wants::default();
-            let mut router = Router::new(seed, &values, &mut wants);
+            let mut balancer = Balancer::new(seed, &values, &mut wants);
             wants.wakes.clear();
-            router.discovery_call_failed(0, &mut wants);
-            (router, wants)
+            balancer.discovery_call_failed(0, &mut wants);
+            (balancer, wants)
         })
         .collect();
     let mut queue: VecDeque<(usize, Tenths, bool)> = VecDeque::new(); // who, since when, whether it was refused
@@ -189,17 +189,18 @@
     let mut work = 0;
     for now in (0..outage + watched_for).step_by(STEP as usize) {
         let down = now < outage;
-        for (who, (router, wants)) in fleet.iter_mut().enumerate().filter(|(who, _)| answered[*who].is_none())
+        for (who, (balancer, wants)) in
+            fleet.iter_mut().enumerate().filter(|(who, _)| answered[*who].is_none())
         {
             wants.now = now;
-            router.clock(now);
+            balancer.advance_clock(now);
             let due = wants.wakes.iter().filter(|at| **at <= now).count();
             wants.wakes.retain(|at| *at > now);
-            (0..due).for_each(|_| router.woken(WATCH, wants));
+            (0..due).for_each(|_| balancer.timer_fired(WATCH, wants));
             if std::mem::take(&mut wants.watch) {
                 let full = !down && queue.len() as u64 >= 5 * service.capacity;
                 match full || (down && service.refuses_at_once) {
-                    true => router.discovery_call_failed(0, wants),
+                    true => balancer.discovery_call_failed(0, wants),
                     false => queue.push_back((who, now, false)),
                 }
             }
@@ -208,8 +209,8 @@
             queue.iter_mut().filter(|(_, since, refused)| !refused && now >= *since + TURN)
         {
             *refused = true;
-            let (router, wants) = &mut fleet[*who];
-            router.discovery_call_failed(now - *since, wants);
+            let (balancer, wants) = &mut fleet[*who];
+            balancer.discovery_call_failed(now - *since, wants);
         }
         if down || !service.works_on_expired {
             queue.retain(|(.., refused)| !refused);
--- a/crates/policy/tests/helper/mod.rs
+++ b/crates/policy/tests/helper/mod.rs
@@ -1,7 +1,7 @@
-//! A router whose decisions are written down line by line.
+//! A balancer whose decisions are written down line by line.
 
 use chalkwalk_policy::{
-    AttemptOutcome, Carrier, Endpoint, EndpointStatus, RequestId, Router, ServerIndex, Tenths,
+    AttemptOutcome, Balancer, Effects, Endpoint, EndpointStatus, RequestId, ServerIndex, Tenths,
 };
 use std::collections::BTreeMap;
 
@@ -20,7 +20,7 @@
     }
 }
 
-impl Carrier for Trace {
+impl Effects for Trace {
     fn start_attempt(&mut self, request_id: RequestId, server: ServerIndex, until: Tenths, by: Tenths) {
         self.1 = until;
         let by = if by < until { format!(" by {by}") } else { String::new() };
@@ -29,21 +29,21 @@
     fn cancel_attempt(&mut self, request_id: RequestId, attempt: usize) {
         self.line(format!("lookup {} withdraws shot {attempt}", request_id.0));
     }
-    fn defer(&mut self, request_id: RequestId, _back_in: Tenths) {
+    fn reject(&mut self, request_id: RequestId, _back_in: Tenths) {
         self.line(format!("lookup {} deferred", request_id.0));
     }
-    fn abandon(&mut self, request_id: RequestId) {
+    fn fail(&mut self, request_id: RequestId) {
         self.line(format!("lookup {} abandoned", request_id.0));
     }
-    fn probe(&mut self, server: ServerIndex) {
+    fn check_health(&mut self, server: ServerIndex) {
         self.line(format!("probe cache {server}"));
     }
-    fn wake(&mut self, token: u64, after: Tenths) {
+    fn set_timer(&mut self, token: u64, after: Tenths) {
         if token >= 1 << 61 {
             self.line(format!("wake in {} ms", after / 10));
         }
     }
-    fn watch(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.line("watch the list".into());
     }
     fn log(&mut self, event: &str, server: &str) {
@@ -55,7 +55,7 @@
 pub const SERVER: u64 = 1 << 61;
 
 pub struct Harness {
-    pub router: Router,
+    pub balancer: Balancer,
     pub trace: Trace,
     pub now: Tenths,
     pub values: BTreeMap<String, String>,
@@ -80,8 +80,8 @@
         say(name, value);
     });
     let mut trace = Trace::default();
-    let router = Router::new(7, &values, &mut trace);
-    Harness { router, trace, now: 0, values, birch: (0, 100), ids: Vec::new() }
+    let balancer = Balancer::new(7, &values, &mut trace);
+    Harness { balancer, trace, now: 0, values, birch: (0, 100), ids: Vec::new() }
 }
 
 impl Harness {
@@ -104,7 +104,7 @@
             born,
         };
         let endpoints: Vec<Endpoint> = rows.iter().map(row).collect();
-        self.router.list_whole(&endpoints, &mut self.trace);
+        self.balancer.replace_endpoints(&endpoints, &mut self.trace);
     }
 
     pub fn ready(&mut self, ids: &[&str]) {
@@ -114,7 +114,7 @@
 
     pub fn pass(&mut self, tenths: Tenths) {
         self.now += tenths;
-        self.router.clock(self.now);
+        self.balancer.advance_clock(self.now);
     }
 
     pub fn ask(&mut self, class: usize, key: &str) -> RequestId {
@@ -126,8 +126,8 @@
     }
 
     fn routed(&mut self, class: usize, key: &str, write: bool) -> RequestId {
-        let request_id = self.router.take(class, key, write, self.now + 20_000);
-        request_id.route(&mut self.router, &mut self.trace);
+        let request_id = self.balancer.accept_request(class, key, write, self.now + 20_000);
+        self.balancer.route_request(request_id, &mut self.trace);
         request_id
     }
 
@@ -136,15 +136,15 @@
             outcome,
             AttemptOutcome::Completed | AttemptOutcome::CompletedFromCache | AttemptOutcome::CompletedByFetch
         );
-        request_id.attempt_ended(&mut self.router, attempt, outcome, 100, finished, &mut self.trace);
+        self.balancer.attempt_ended(request_id, attempt, outcome, 100, finished, &mut self.trace);
     }
 
     pub fn left_by_client(&mut self, request_id: RequestId) {
-        request_id.client_left(&mut self.router, &mut self.trace);
+        self.balancer.client_left(request_id, &mut self.trace);
     }
 
-    pub fn wake(&mut self, token: u64) {
-        self.router.woken(token, &mut self.trace);
+    pub fn fire_timer(&mut self, token: u64) {
+        self.balancer.timer_fired(token, &mut self.trace);
     }
 
     /// Where a key goes while nothing else is in flight.
--- a/crates/proxy/src/captures.rs
+++ b/crates/proxy/src/captures.rs
@@ -126,7 +126,7 @@
     Ok(out)
 }
 
-/// All that concerns one request, in order. Requests are numbered as they are taken, from each start of the module.
+/// All that concerns one request, in order. Requests are numbered as they are taken, from each start of the balancer.
 pub fn show(named: &[PathBuf], request: u64) -> Result<String, String> {
     let mut out = String::new();
     let mut taken = 0;
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! chalkwalk: a router for fleets of servers, on sockets. This program wires the core, its doors and its sources of
+//! chalkwalk: a balancer for fleets of servers, on sockets. This program wires the core, its doors and its sources of
 //! the list together, and has the command line; nothing else is in it.
 
 mod captures;
--- a/crates/resp-door/src/clients.rs
+++ b/crates/resp-door/src/clients.rs
@@ -430,7 +430,7 @@
             return Err("ERR the command is longer than its class allows");
         }
         let taken = core.clock.came_after();
-        // One whose time is over is deferred by the router, at once.
+        // One whose time is over is deferred by the balancer, at once.
         let expires = may_start(core.clock.now(), taken + time_limit, core.last_answer()).unwrap_or(taken);
         let stale = !write && door.settings.stale.get(ns) == Some(&true);
         let command = (words.bytes.first() != Some(&b'*')).then(|| {
--- a/crates/slots/src/lib.rs
+++ b/crates/slots/src/lib.rs
@@ -1,7 +1,7 @@
 //! Which server holds a hash slot, and what a server's answer means for a request, after the public cluster specification.
 //!
 //! It may use the standard library alone: no socket, clock or wire type ever enters it; nodes are their addresses, and times are
-//! passed in. Which of the servers that may serve a request it goes to, and whether it is tried again, stays the module's.
+//! passed in. Which of the servers that may serve a request it goes to, and whether it is tried again, stays the balancer's.
 
 mod map;
 mod meaning;
