--- a/crates/capture/src/file.rs
+++ b/crates/capture/src/file.rs
@@ -1,6 +1,6 @@
 //! Captures as files: segments by name, written by a thread of their own, the oldest gone first.
 
-use crate::record::MARK;
+use crate::format::FILE_MARK;
 use std::fs::File;
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
@@ -10,7 +10,7 @@
 
 /// How much is kept, in bytes.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Keep {
+pub struct Retention {
     pub folder: PathBuf,
     pub segment: u64,
     pub most: u64,
@@ -27,7 +27,7 @@
 
 impl Writer {
     /// Opens the first segment. `name` is the instance's, and part of every file's name, so that many may share a folder.
-    pub fn open(keep: Keep, name: &str) -> Result<Writer, String> {
+    pub fn open(keep: Retention, name: &str) -> Result<Writer, String> {
         std::fs::create_dir_all(&keep.folder).map_err(|e| format!("{}: {e}", keep.folder.display()))?;
         let safe: String =
             name.chars().map(|c| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' }).collect();
@@ -48,7 +48,7 @@
     }
 
     /// Takes blocks without ever waiting; what there is no room for is not taken.
-    pub fn sink(&self) -> crate::tape::Sink {
+    pub fn sink(&self) -> crate::recorder::Sink {
         let into = self.into.clone();
         Box::new(move |block| into.try_send(block).is_ok())
     }
@@ -66,7 +66,7 @@
 }
 
 struct Segments {
-    keep: Keep,
+    keep: Retention,
     name: String,
     prefix: String,
     nth: u32,
@@ -97,9 +97,9 @@
         self.tidy();
         let path = self.keep.folder.join(format!("{}.{:06}.capture", self.prefix, self.nth));
         let mut file = File::create(path)?;
-        file.write_all(MARK)?;
+        file.write_all(FILE_MARK)?;
         self.nth += 1;
-        self.written = MARK.len() as u64;
+        self.written = FILE_MARK.len() as u64;
         self.open = Some(file);
         Ok(())
     }
--- a/crates/capture/src/record.rs
+++ b/crates/capture/src/format.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-pub const MARK: &[u8] = b"chalkwalk capture 2\n";
+pub const FILE_MARK: &[u8] = b"chalkwalk capture 2\n";
 const HEAD: usize = 8;
 /// Longer items are no capture's: a block is some kilobytes, a list of ten thousand servers a megabyte.
 const LONGEST: usize = 16 << 20;
@@ -24,13 +24,13 @@
 
 /// What the balancer was told.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub enum Told {
+pub enum Event {
     Start {
         seed: u64,
         settings: BTreeMap<String, String>,
     },
     /// Taken and routed. The key by its point; its text where the operator keeps it.
-    Take {
+    RequestAccepted {
         class: usize,
         point: u64,
         key: String,
@@ -38,7 +38,7 @@
         expires: Tenths,
         order: Option<Vec<ServerIndex>>,
     },
-    Ended {
+    AttemptEnded {
         request_id: u64,
         attempt: usize,
         outcome: u8,
@@ -46,25 +46,25 @@
         finished: bool,
         order: Option<Vec<ServerIndex>>,
     },
-    Woken(u64),
-    Probed {
+    TimerFired(u64),
+    HealthCheckFinished {
         server: ServerIndex,
         answered: bool,
     },
-    Listed {
+    EndpointsListed {
         whole: bool,
         lines: Vec<RecordedEndpoint>,
     },
     /// A call to discovery failed, in captures of versions that did not tell how long it took.
-    Lost,
-    Left(u64),
-    Limits(BTreeMap<String, String>),
-    Renewed {
+    DiscoveryLost,
+    ClientLeft(u64),
+    SettingsChanged(BTreeMap<String, String>),
+    LimitsRenewed {
         request_id: u64,
         class: usize,
         expires: Tenths,
     },
-    SharedBy(u64),
+    ProxyCount(u64),
     /// All that the balancer knows, and its house: a replay may begin here.
     Snapshot {
         settings: BTreeMap<String, String>,
@@ -72,25 +72,25 @@
         texts: Vec<String>,
     },
     /// Operators took a server out or put it back.
-    Barred {
+    ServerDisabled {
         id: String,
         out: bool,
         at: Tenths,
     },
     /// An attempt's answer has begun, and is the client's.
-    Begun {
+    ResponseStarted {
         request_id: u64,
         attempt: usize,
     },
     /// A call to discovery failed after so long.
-    CallFailed {
+    DiscoveryCallFailed {
         took: Tenths,
     },
 }
 
 /// What the balancer wanted done.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub enum Done {
+pub enum Decision {
     StartAttempt {
         request_id: u64,
         server: ServerIndex,
@@ -101,45 +101,45 @@
         request_id: u64,
         attempt: usize,
     },
-    Defer {
+    Reject {
         request_id: u64,
         back_in: Tenths,
     },
-    Abandon(u64),
-    Probe(ServerIndex),
-    Wake {
+    Fail(u64),
+    CheckHealth(ServerIndex),
+    SetTimer {
         token: u64,
         after: Tenths,
     },
-    Watch,
+    WatchEndpoints,
     Log {
         event: String,
         server: String,
     },
     /// In captures of versions before the move: connections are not given back since.
-    GiveBack(ServerIndex),
+    ReleaseConnection(ServerIndex),
 }
 
-impl Told {
+impl Event {
     /// The request that it is about.
     pub fn request_id(&self) -> Option<u64> {
         match self {
-            Told::Ended { request_id, .. }
-            | Told::Begun { request_id, .. }
-            | Told::Left(request_id)
-            | Told::Renewed { request_id, .. } => Some(*request_id),
+            Event::AttemptEnded { request_id, .. }
+            | Event::ResponseStarted { request_id, .. }
+            | Event::ClientLeft(request_id)
+            | Event::LimitsRenewed { request_id, .. } => Some(*request_id),
             _ => None,
         }
     }
 }
 
-impl Done {
+impl Decision {
     pub fn request_id(&self) -> Option<u64> {
         match self {
-            Done::StartAttempt { request_id, .. }
-            | Done::CancelAttempt { request_id, .. }
-            | Done::Defer { request_id, .. }
-            | Done::Abandon(request_id) => Some(*request_id),
+            Decision::StartAttempt { request_id, .. }
+            | Decision::CancelAttempt { request_id, .. }
+            | Decision::Reject { request_id, .. }
+            | Decision::Fail(request_id) => Some(*request_id),
             _ => None,
         }
     }
@@ -147,28 +147,28 @@
 
 /// One call, so long after the one before.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Call {
+pub struct RecordedCall {
     pub after: Tenths,
-    pub told: Told,
-    pub done: Vec<Done>,
+    pub told: Event,
+    pub done: Vec<Decision>,
 }
 
 /// Calls from a moment on.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct Block {
+pub struct CallBlock {
     pub from: Tenths,
-    pub calls: Vec<Call>,
+    pub calls: Vec<RecordedCall>,
 }
 
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub enum Item {
-    Calls(Block),
+pub enum CaptureItem {
+    Calls(CallBlock),
     /// So many calls are missing here, as nobody took them: the disk was slow, or full.
     Gap(u64),
 }
 
 /// An item with its length and checksum.
-pub fn framed(item: &Item) -> Vec<u8> {
+pub fn encode_item(item: &CaptureItem) -> Vec<u8> {
     let body = postcard::to_stdvec(item).unwrap_or_default();
     let mut out = Vec::with_capacity(HEAD + body.len());
     out.extend((body.len() as u32).to_le_bytes());
@@ -179,20 +179,20 @@
 
 /// What a capture holds, up to its last whole item.
 #[derive(Debug, Default)]
-pub struct Read {
-    pub items: Vec<Item>,
+pub struct CaptureContents {
+    pub items: Vec<CaptureItem>,
     /// What is wrong with the rest, and where it begins.
     pub fault: Option<(usize, &'static str)>,
 }
 
 /// Reads one segment. Only a text that is no capture at all is an error; one that is cut short, or spoilt somewhere, is read up
 /// to there.
-pub fn read(bytes: &[u8]) -> Result<Read, &'static str> {
-    let mut read = Read::default();
-    let Some(mut rest) = bytes.strip_prefix(MARK) else {
-        let cut = MARK.starts_with(bytes);
+pub fn read(bytes: &[u8]) -> Result<CaptureContents, &'static str> {
+    let mut read = CaptureContents::default();
+    let Some(mut rest) = bytes.strip_prefix(FILE_MARK) else {
+        let cut = FILE_MARK.starts_with(bytes);
         return if cut {
-            Ok(Read { fault: Some((0, "cut short")), ..read })
+            Ok(CaptureContents { fault: Some((0, "cut short")), ..read })
         } else {
             Err("no capture of a form that is known")
         };
@@ -212,7 +212,7 @@
     Ok(read)
 }
 
-fn item(bytes: &[u8]) -> Result<(Item, usize), &'static str> {
+fn item(bytes: &[u8]) -> Result<(CaptureItem, usize), &'static str> {
     let (head, rest) = bytes.split_at_checked(HEAD).ok_or("cut short")?;
     let word = |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
     let len = word(0) as usize;
--- a/crates/capture/src/tape.rs
+++ b/crates/capture/src/recorder.rs
@@ -1,6 +1,8 @@
 //! Calls put together into blocks on the proxy's own thread; what takes the blocks may be slow, and then they are counted as lost.
 
-use crate::record::{Block, Call, Done, Item, RecordedEndpoint, Told, framed, number_of};
+use crate::format::{
+    CallBlock, CaptureItem, Decision, Event, RecordedCall, RecordedEndpoint, encode_item, number_of,
+};
 use chalkwalk_policy::{AttemptOutcome, Endpoint, Snapshot, Tenths};
 use std::collections::BTreeMap;
 
@@ -14,8 +16,8 @@
 /// Takes a block's bytes, or says that there is no room.
 pub type Sink = Box<dyn FnMut(Vec<u8>) -> bool>;
 
-pub struct Tape {
-    block: Block,
+pub struct Recorder {
+    block: CallBlock,
     at: Tenths,
     lost: u64,
     sink: Sink,
@@ -24,31 +26,31 @@
     each: Tenths,
 }
 
-impl Tape {
+impl Recorder {
     /// `keys`: whether the texts of keys are kept.
-    pub fn new(sink: Sink, keys: bool) -> Tape {
-        Tape { block: Block::default(), at: 0, lost: 0, sink, keys, snapshot_at: 0, each: SNAPSHOTS }
+    pub fn new(sink: Sink, keys: bool) -> Recorder {
+        Recorder { block: CallBlock::default(), at: 0, lost: 0, sink, keys, snapshot_at: 0, each: SNAPSHOTS }
     }
 
     /// From one snapshot to the next so long.
-    pub fn snapshots_each(mut self, each: Tenths) -> Tape {
+    pub fn snapshots_each(mut self, each: Tenths) -> Recorder {
         self.each = each;
         self
     }
 
     /// A call begins; what it decides follows by `done`.
-    pub fn told(&mut self, now: Tenths, told: Told) {
+    pub fn told(&mut self, now: Tenths, told: Event) {
         if self.block.calls.len() >= MOST_CALLS || now > self.block.from + OLDEST {
             self.flush();
         }
         if self.block.calls.is_empty() {
             (self.block.from, self.at) = (now, now);
         }
-        self.block.calls.push(Call { after: now.saturating_sub(self.at), told, done: Vec::new() });
+        self.block.calls.push(RecordedCall { after: now.saturating_sub(self.at), told, done: Vec::new() });
         self.at = self.at.max(now);
     }
 
-    pub fn done(&mut self, done: Done) {
+    pub fn done(&mut self, done: Decision) {
         if let Some(call) = self.block.calls.last_mut() {
             call.done.push(done);
         }
@@ -62,7 +64,7 @@
     pub fn snapshot(&mut self, now: Tenths, settings: &BTreeMap<String, String>, state: Snapshot) {
         self.snapshot_at = now + self.each;
         let Snapshot { words, texts } = state;
-        self.told(now, Told::Snapshot { settings: settings.clone(), words, texts });
+        self.told(now, Event::Snapshot { settings: settings.clone(), words, texts });
     }
 
     pub fn take(
@@ -76,7 +78,10 @@
     ) {
         let point = chalkwalk_policy::point_of(key);
         let key = if self.keys { key.to_string() } else { String::new() };
-        self.told(now, Told::Take { class, point, key, write, expires, order: order.map(<[usize]>::to_vec) });
+        self.told(
+            now,
+            Event::RequestAccepted { class, point, key, write, expires, order: order.map(<[usize]>::to_vec) },
+        );
     }
 
     #[allow(clippy::too_many_arguments)]
@@ -93,12 +98,15 @@
         let order = order.map(<[usize]>::to_vec);
         self.told(
             now,
-            Told::Ended { request_id, attempt, outcome: number_of(outcome), took, finished, order },
+            Event::AttemptEnded { request_id, attempt, outcome: number_of(outcome), took, finished, order },
         );
     }
 
     pub fn listed(&mut self, now: Tenths, whole: bool, endpoints: &[Endpoint]) {
-        self.told(now, Told::Listed { whole, lines: endpoints.iter().map(RecordedEndpoint::of).collect() });
+        self.told(
+            now,
+            Event::EndpointsListed { whole, lines: endpoints.iter().map(RecordedEndpoint::of).collect() },
+        );
     }
 
     /// Hands on what is there. After calls that nobody took a gap goes first.
@@ -108,17 +116,17 @@
         }
         let block = std::mem::take(&mut self.block);
         let calls = block.calls.len() as u64;
-        if self.lost > 0 && (self.sink)(framed(&Item::Gap(self.lost))) {
+        if self.lost > 0 && (self.sink)(encode_item(&CaptureItem::Gap(self.lost))) {
             // A replay goes on from the next snapshot.
             (self.lost, self.snapshot_at) = (0, 0);
         }
-        if self.lost > 0 || !(self.sink)(framed(&Item::Calls(block))) {
+        if self.lost > 0 || !(self.sink)(encode_item(&CaptureItem::Calls(block))) {
             self.lost += calls;
         }
     }
 }
 
-impl Drop for Tape {
+impl Drop for Recorder {
     fn drop(&mut self) {
         self.flush();
     }
--- a/crates/capture/src/replay.rs
+++ b/crates/capture/src/replay.rs
@@ -1,38 +1,38 @@
 //! The calls of a capture made again to a module of now, and where it decides otherwise.
 
-use crate::record::{Block, Call, Done, Item, RecordedEndpoint, Told, outcome};
+use crate::format::{CallBlock, CaptureItem, Decision, Event, RecordedCall, RecordedEndpoint, outcome};
 use std::collections::BTreeMap;
 
 use chalkwalk_policy::{Balancer, Effects, RequestId, ServerIndex, Snapshot, Tenths};
 
 /// Notes what the balancer wants.
 #[derive(Default)]
-struct Notes(Vec<Done>);
+struct DecisionLog(Vec<Decision>);
 
-impl Effects for Notes {
+impl Effects for DecisionLog {
     fn start_attempt(&mut self, request_id: RequestId, server: ServerIndex, until: Tenths, by: Tenths) {
-        self.0.push(Done::StartAttempt { request_id: request_id.0, server, until, by });
+        self.0.push(Decision::StartAttempt { request_id: request_id.0, server, until, by });
     }
     fn cancel_attempt(&mut self, request_id: RequestId, attempt: usize) {
-        self.0.push(Done::CancelAttempt { request_id: request_id.0, attempt });
+        self.0.push(Decision::CancelAttempt { request_id: request_id.0, attempt });
     }
     fn reject(&mut self, request_id: RequestId, back_in: Tenths) {
-        self.0.push(Done::Defer { request_id: request_id.0, back_in });
+        self.0.push(Decision::Reject { request_id: request_id.0, back_in });
     }
     fn fail(&mut self, request_id: RequestId) {
-        self.0.push(Done::Abandon(request_id.0));
+        self.0.push(Decision::Fail(request_id.0));
     }
     fn check_health(&mut self, server: ServerIndex) {
-        self.0.push(Done::Probe(server));
+        self.0.push(Decision::CheckHealth(server));
     }
     fn set_timer(&mut self, token: u64, after: Tenths) {
-        self.0.push(Done::Wake { token, after });
+        self.0.push(Decision::SetTimer { token, after });
     }
     fn watch_endpoints(&mut self) {
-        self.0.push(Done::Watch);
+        self.0.push(Decision::WatchEndpoints);
     }
     fn log(&mut self, event: &str, server: &str) {
-        self.0.push(Done::Log { event: event.into(), server: server.into() });
+        self.0.push(Decision::Log { event: event.into(), server: server.into() });
     }
 }
 
@@ -42,9 +42,9 @@
     /// Of all calls, from 0.
     pub call: u64,
     pub at: Tenths,
-    pub told: Told,
-    pub was: Vec<Done>,
-    pub is: Vec<Done>,
+    pub told: Event,
+    pub was: Vec<Decision>,
+    pub is: Vec<Decision>,
 }
 
 #[derive(Debug, Default)]
@@ -68,23 +68,23 @@
 }
 
 /// The kind of a decision, in a word.
-fn kind(done: Option<&Done>) -> &'static str {
+fn kind(done: Option<&Decision>) -> &'static str {
     match done {
         None => "nothing",
-        Some(Done::StartAttempt { .. }) => "shot",
-        Some(Done::CancelAttempt { .. }) => "withdrawal",
-        Some(Done::Defer { .. }) => "deferral",
-        Some(Done::Abandon(_)) => "abandonment",
-        Some(Done::Probe(_)) => "probe",
-        Some(Done::GiveBack(_)) => "given back",
-        Some(Done::Wake { .. }) => "wake",
-        Some(Done::Watch) => "watch",
-        Some(Done::Log { .. }) => "log",
+        Some(Decision::StartAttempt { .. }) => "shot",
+        Some(Decision::CancelAttempt { .. }) => "withdrawal",
+        Some(Decision::Reject { .. }) => "deferral",
+        Some(Decision::Fail(_)) => "abandonment",
+        Some(Decision::CheckHealth(_)) => "probe",
+        Some(Decision::ReleaseConnection(_)) => "given back",
+        Some(Decision::SetTimer { .. }) => "wake",
+        Some(Decision::WatchEndpoints) => "watch",
+        Some(Decision::Log { .. }) => "log",
     }
 }
 
 /// Where two ways of deciding part first: the kinds there.
-fn parting(was: &[Done], is: &[Done]) -> String {
+fn parting(was: &[Decision], is: &[Decision]) -> String {
     let at = was.iter().zip(is).take_while(|(a, b)| a == b).count();
     match (kind(was.get(at)), kind(is.get(at))) {
         (was, is) if was == is => format!("another {was}"),
@@ -94,47 +94,47 @@
 
 /// The items from the last snapshot before a call on, up to that call: all that it takes to see it again. Calls are numbered
 /// from 0. Nothing where no snapshot or start stands before it.
-pub fn cut(items: &[Item], until: u64) -> Option<Vec<Item>> {
+pub fn cut(items: &[CaptureItem], until: u64) -> Option<Vec<CaptureItem>> {
     let (mut nth, mut from, mut kept) = (0, None, Vec::new());
     for item in items {
         let block = match item {
-            Item::Calls(block) => block,
-            Item::Gap(calls) => {
+            CaptureItem::Calls(block) => block,
+            CaptureItem::Gap(calls) => {
                 kept.clear();
                 (nth, from) = (nth + calls, None);
                 continue;
             }
         };
-        let (mut at, mut own) = (block.from, Block { from: block.from, calls: Vec::new() });
+        let (mut at, mut own) = (block.from, CallBlock { from: block.from, calls: Vec::new() });
         for call in &block.calls {
             at += call.after;
-            if matches!(call.told, Told::Snapshot { .. } | Told::Start { .. }) {
+            if matches!(call.told, Event::Snapshot { .. } | Event::Start { .. }) {
                 kept.clear();
-                own = Block { from: at, calls: Vec::new() };
+                own = CallBlock { from: at, calls: Vec::new() };
                 from = Some(nth);
             }
             let after = if own.calls.is_empty() && own.from == at { 0 } else { call.after };
-            own.calls.push(Call { after, ..call.clone() });
+            own.calls.push(RecordedCall { after, ..call.clone() });
             if nth == until {
-                kept.push(Item::Calls(own));
+                kept.push(CaptureItem::Calls(own));
                 return from.map(|_| kept);
             }
             nth += 1;
         }
-        kept.push(Item::Calls(own));
+        kept.push(CaptureItem::Calls(own));
     }
     None
 }
 
 /// Replays items in their order. It goes on behind a difference: by then the two have parted, and more are likely to follow, up
 /// to the next snapshot, from which the balancer goes on as it did.
-pub fn replay<'a>(items: impl Iterator<Item = &'a Item>) -> Replay {
+pub fn replay<'a>(items: impl Iterator<Item = &'a CaptureItem>) -> Replay {
     let (mut replay, mut balancer) = (Replay::default(), None);
     let (mut call, mut parted) = (0, false);
     for item in items {
         let block = match item {
-            Item::Calls(block) => block,
-            Item::Gap(calls) => {
+            CaptureItem::Calls(block) => block,
+            CaptureItem::Gap(calls) => {
                 // What the balancer was told meanwhile is not known: only a new start can be replayed.
                 balancer = None;
                 replay.gaps += 1;
@@ -150,8 +150,8 @@
         for one in &block.calls {
             at += one.after;
             replay.to = at;
-            let mut notes = Notes::default();
-            if parted && matches!(one.told, Told::Snapshot { .. }) {
+            let mut notes = DecisionLog::default();
+            if parted && matches!(one.told, Event::Snapshot { .. }) {
                 (balancer, parted) = (None, false);
             }
             let running = balancer.is_some();
@@ -159,11 +159,11 @@
                 Some(()) => {
                     replay.calls += 1;
                     replay.decisions += one.done.len() as u64;
-                    replay.starts += u64::from(matches!(one.told, Told::Start { .. }));
-                    if matches!(one.told, Told::Snapshot { .. }) {
+                    replay.starts += u64::from(matches!(one.told, Event::Start { .. }));
+                    if matches!(one.told, Event::Snapshot { .. }) {
                         *(if running { &mut replay.compared } else { &mut replay.begun }) += 1;
                     }
-                    parted &= !matches!(one.told, Told::Start { .. });
+                    parted &= !matches!(one.told, Event::Start { .. });
                     if notes.0 != one.done {
                         replay.differences += 1;
                         *replay.kinds.entry(parting(&one.done, &notes.0)).or_default() += 1;
@@ -186,12 +186,17 @@
 }
 
 /// Makes one call; `None` where there is no module to make it to, or it makes no sense.
-fn again(balancer: &mut Option<Balancer>, at: Tenths, call: &Call, out: &mut Notes) -> Option<()> {
-    if let Told::Start { seed, settings } = &call.told {
+fn again(
+    balancer: &mut Option<Balancer>,
+    at: Tenths,
+    call: &RecordedCall,
+    out: &mut DecisionLog,
+) -> Option<()> {
+    if let Event::Start { seed, settings } = &call.told {
         *balancer = Some(Balancer::new(*seed, settings, out));
         return Some(());
     }
-    if let (Told::Snapshot { settings, words, texts }, None) = (&call.told, &balancer) {
+    if let (Event::Snapshot { settings, words, texts }, None) = (&call.told, &balancer) {
         let state = Snapshot { words: words.clone(), texts: texts.clone() };
         *balancer = Some(Balancer::from_snapshot(settings, &state)?);
         return Some(());
@@ -199,17 +204,17 @@
     let balancer = balancer.as_mut()?;
     balancer.advance_clock(at);
     match &call.told {
-        Told::Start { .. } => {}
+        Event::Start { .. } => {}
         // What was written down has to be what the calls so far have led to.
-        Told::Snapshot { words, texts, .. } => {
+        Event::Snapshot { words, texts, .. } => {
             if balancer.snapshot() != Some(Snapshot { words: words.clone(), texts: texts.clone() }) {
-                out.0.push(Done::Log {
+                out.0.push(Decision::Log {
                     event: "another state than the snapshot's".into(),
                     server: String::new(),
                 });
             }
         }
-        Told::Take { class, point, write, expires, order, .. } => {
+        Event::RequestAccepted { class, point, write, expires, order, .. } => {
             if *class >= balancer.class_count() {
                 return None;
             }
@@ -219,35 +224,37 @@
             }
             balancer.route_request(request_id, out);
         }
-        Told::Ended { request_id, attempt, outcome: number, took, finished, order } => {
+        Event::AttemptEnded { request_id, attempt, outcome: number, took, finished, order } => {
             let request_id = RequestId(*request_id);
             if let Some(order) = order {
                 balancer.restrict_to(request_id, order.clone());
             }
             balancer.attempt_ended(request_id, *attempt, outcome(*number)?, *took, *finished, out);
         }
-        Told::Woken(token) => balancer.timer_fired(*token, out),
-        Told::Probed { server, answered } => balancer.health_check_finished(*server, *answered, out),
-        Told::Listed { whole, lines } => {
+        Event::TimerFired(token) => balancer.timer_fired(*token, out),
+        Event::HealthCheckFinished { server, answered } => {
+            balancer.health_check_finished(*server, *answered, out)
+        }
+        Event::EndpointsListed { whole, lines } => {
             let endpoints = lines.iter().map(RecordedEndpoint::entry).collect::<Option<Vec<_>>>()?;
             match whole {
                 true => balancer.replace_endpoints(&endpoints, out),
                 false => balancer.update_endpoints(&endpoints, out),
             }
         }
-        Told::Lost => balancer.discovery_call_failed(0, out),
-        Told::CallFailed { took } => balancer.discovery_call_failed(*took, out),
-        Told::Left(request_id) => balancer.client_left(RequestId(*request_id), out),
-        Told::Limits(settings) => balancer.apply_settings(settings),
-        Told::Renewed { request_id, class, expires } => {
+        Event::DiscoveryLost => balancer.discovery_call_failed(0, out),
+        Event::DiscoveryCallFailed { took } => balancer.discovery_call_failed(*took, out),
+        Event::ClientLeft(request_id) => balancer.client_left(RequestId(*request_id), out),
+        Event::SettingsChanged(settings) => balancer.apply_settings(settings),
+        Event::LimitsRenewed { request_id, class, expires } => {
             if *class >= balancer.class_count() {
                 return None;
             }
             balancer.renew_limits(RequestId(*request_id), *class, *expires, out);
         }
-        Told::SharedBy(proxies) => balancer.set_proxy_count(*proxies),
-        Told::Barred { id, out: barred, at } => balancer.set_disabled(id, *barred, *at),
-        Told::Begun { request_id, attempt } => {
+        Event::ProxyCount(proxies) => balancer.set_proxy_count(*proxies),
+        Event::ServerDisabled { id, out: barred, at } => balancer.set_disabled(id, *barred, *at),
+        Event::ResponseStarted { request_id, attempt } => {
             balancer.response_started(RequestId(*request_id), *attempt, out)
         }
     }
--- a/crates/capture/tests/replay.rs
+++ b/crates/capture/tests/replay.rs
@@ -1,6 +1,8 @@
 //! A day of random troubles played to the balancer, captured, cut at any point, and replayed.
 
-use chalkwalk_capture::{Done, Item, Read, Tape, Told, cut, framed, read, replay};
+use chalkwalk_capture::{
+    CaptureContents, CaptureItem, Decision, Event, Recorder, cut, encode_item, read, replay,
+};
 use chalkwalk_policy::{
     AttemptOutcome, Balancer, Effects, Endpoint, EndpointStatus, RequestId, ServerIndex, Tenths,
 };
@@ -10,11 +12,11 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-const MARK: &[u8] = b"chalkwalk capture 2\n";
+const FILE_MARK: &[u8] = b"chalkwalk capture 2\n";
 
 /// A proxy's outside: attempts that are out, wakes that are due, and the tape.
 struct Outside {
-    tape: Tape,
+    recorder: Recorder,
     now: Tenths,
     attempts: Vec<(RequestId, usize, Tenths)>,
     of: BTreeMap<u64, usize>,
@@ -23,33 +25,33 @@
 
 impl Effects for Outside {
     fn start_attempt(&mut self, request_id: RequestId, server: ServerIndex, until: Tenths, by: Tenths) {
-        self.tape.done(Done::StartAttempt { request_id: request_id.0, server, until, by });
+        self.recorder.done(Decision::StartAttempt { request_id: request_id.0, server, until, by });
         let nth = self.of.entry(request_id.0).or_default();
         self.attempts.push((request_id, *nth, self.now));
         *nth += 1;
     }
     fn cancel_attempt(&mut self, request_id: RequestId, attempt: usize) {
-        self.tape.done(Done::CancelAttempt { request_id: request_id.0, attempt });
+        self.recorder.done(Decision::CancelAttempt { request_id: request_id.0, attempt });
     }
     fn reject(&mut self, request_id: RequestId, back_in: Tenths) {
-        self.tape.done(Done::Defer { request_id: request_id.0, back_in });
+        self.recorder.done(Decision::Reject { request_id: request_id.0, back_in });
     }
     fn fail(&mut self, request_id: RequestId) {
-        self.tape.done(Done::Abandon(request_id.0));
+        self.recorder.done(Decision::Fail(request_id.0));
     }
     fn check_health(&mut self, server: ServerIndex) {
-        self.tape.done(Done::Probe(server));
+        self.recorder.done(Decision::CheckHealth(server));
         self.wakes.push((self.now + 100, u64::MAX - server as u64));
     }
     fn set_timer(&mut self, token: u64, after: Tenths) {
-        self.tape.done(Done::Wake { token, after });
+        self.recorder.done(Decision::SetTimer { token, after });
         self.wakes.push((self.now + after, token));
     }
     fn watch_endpoints(&mut self) {
-        self.tape.done(Done::Watch);
+        self.recorder.done(Decision::WatchEndpoints);
     }
     fn log(&mut self, event: &str, server: &str) {
-        self.tape.done(Done::Log { event: event.into(), server: server.into() });
+        self.recorder.done(Decision::Log { event: event.into(), server: server.into() });
     }
 }
 
@@ -78,7 +80,7 @@
 
 /// Plays so many steps, and gives the capture's bytes. A bad disk takes no block while it is bad.
 fn day(seed: u64, steps: usize, bad: impl Fn(usize) -> bool + 'static) -> Vec<u8> {
-    let bytes = Rc::new(RefCell::new(MARK.to_vec()));
+    let bytes = Rc::new(RefCell::new(FILE_MARK.to_vec()));
     let (into, count) = (bytes.clone(), RefCell::new(0));
     let sink = Box::new(move |block: Vec<u8>| {
         let nth = count.replace_with(|n| *n + 1);
@@ -97,13 +99,13 @@
     };
     let start = 17_000_000_000_000;
     let mut o = Outside {
-        tape: Tape::new(sink, seed.is_multiple_of(2)).snapshots_each(2_000),
+        recorder: Recorder::new(sink, seed.is_multiple_of(2)).snapshots_each(2_000),
         now: start,
         attempts: vec![],
         of: BTreeMap::new(),
         wakes: vec![],
     };
-    o.tape.told(start, Told::Start { seed, settings: settings() });
+    o.recorder.told(start, Event::Start { seed, settings: settings() });
     let mut balancer = Balancer::new(seed, &settings(), &mut o);
     let ids: Vec<String> = (0..9).map(|i| format!("c{i}")).collect();
     let outcomes = [
@@ -122,8 +124,8 @@
         o.now += below(60);
         let now = o.now;
         balancer.advance_clock(now);
-        if o.tape.wants_snapshot(now) {
-            o.tape.snapshot(
+        if o.recorder.wants_snapshot(now) {
+            o.recorder.snapshot(
                 now,
                 &settings(),
                 balancer.snapshot().expect("no reload, so each lookup has the house's rules"),
@@ -148,13 +150,13 @@
                     }
                 };
                 let endpoints: Vec<Endpoint> = (0..9).map(entry).collect();
-                o.tape.listed(now, true, &endpoints);
+                o.recorder.listed(now, true, &endpoints);
                 balancer.replace_endpoints(&endpoints, &mut o);
             }
             0..7 => {
                 let (class, key, write) = (below(2) as usize, format!("k{}", below(60)), below(10) == 0);
                 let order = (below(9) == 0).then(|| vec![below(8) as usize, below(8) as usize]);
-                o.tape.take(now, class, &key, write, now + 10_000, order.as_deref());
+                o.recorder.take(now, class, &key, write, now + 10_000, order.as_deref());
                 let request_id = balancer.accept_request(class, &key, write, now + 10_000);
                 if let Some(order) = order {
                     balancer.restrict_to(request_id, order);
@@ -168,12 +170,12 @@
                     if below(4) > 0 { AttemptOutcome::Completed } else { outcomes[below(10) as usize] };
                 let finished =
                     matches!(outcome, AttemptOutcome::Completed | AttemptOutcome::CompletedFromCache);
-                o.tape.ended(now, request_id.0, attempt, outcome, now - sent, finished, None);
+                o.recorder.ended(now, request_id.0, attempt, outcome, now - sent, finished, None);
                 balancer.attempt_ended(request_id, attempt, outcome, now - sent, finished, &mut o);
             }
             17 => {
                 let request_id = below(1 + step as u64 / 3);
-                o.tape.told(now, Told::Left(request_id));
+                o.recorder.told(now, Event::ClientLeft(request_id));
                 balancer.client_left(RequestId(request_id), &mut o);
             }
             _ => {
@@ -181,10 +183,10 @@
                 let (_, token) = o.wakes.swap_remove(i);
                 if token > u64::MAX - 100 {
                     let (server, answered) = ((u64::MAX - token) as usize, below(2) == 0);
-                    o.tape.told(now, Told::Probed { server, answered });
+                    o.recorder.told(now, Event::HealthCheckFinished { server, answered });
                     balancer.health_check_finished(server, answered, &mut o);
                 } else {
-                    o.tape.told(now, Told::Woken(token));
+                    o.recorder.told(now, Event::TimerFired(token));
                     balancer.timer_fired(token, &mut o);
                 }
             }
@@ -197,7 +199,7 @@
 #[test]
 fn the_same_is_decided_again_and_twice_and_at_a_thousand_cuts() {
     let bytes = day(7, 2_500, |_| false);
-    let Read { items, fault } = read(&bytes).unwrap();
+    let CaptureContents { items, fault } = read(&bytes).unwrap();
     let whole = replay(items.iter());
     assert_eq!((fault, &whole.first, whole.differences, whole.passed), (None, &None, 0, 0));
     assert!(whole.calls > 1_500 && whole.decisions > 1_500 && whole.starts == 1, "{whole:?}");
@@ -215,20 +217,20 @@
 }
 
 /// The items from the nth snapshot on.
-fn from_snapshot(items: &[Item], nth: usize) -> Vec<Item> {
+fn from_snapshot(items: &[CaptureItem], nth: usize) -> Vec<CaptureItem> {
     let mut left = nth;
     for (i, item) in items.iter().enumerate() {
-        let Item::Calls(block) = item else { continue };
+        let CaptureItem::Calls(block) = item else { continue };
         let mut at = block.from;
         for (c, call) in block.calls.iter().enumerate() {
             at += call.after;
-            if !matches!(call.told, Told::Snapshot { .. }) {
+            if !matches!(call.told, Event::Snapshot { .. }) {
                 continue;
             }
             if left == 0 {
                 let mut calls = block.calls[c..].to_vec();
                 calls[0].after = 0;
-                let first = Item::Calls(chalkwalk_capture::Block { from: at, calls });
+                let first = CaptureItem::Calls(chalkwalk_capture::CallBlock { from: at, calls });
                 return std::iter::once(first).chain(items[i + 1..].iter().cloned()).collect();
             }
             left -= 1;
@@ -253,8 +255,8 @@
     }
     // A state with a word changed is another's, or none at all, and the next snapshot shows it.
     let mut part = from_snapshot(&items, 3);
-    let Item::Calls(block) = &mut part[0] else { unreachable!() };
-    let Told::Snapshot { words, .. } = &mut block.calls[0].told else { unreachable!() };
+    let CaptureItem::Calls(block) = &mut part[0] else { unreachable!() };
+    let Event::Snapshot { words, .. } = &mut block.calls[0].told else { unreachable!() };
     words[4] += 1;
     assert!(replay(part.iter()).differences > 0);
 }
@@ -275,15 +277,15 @@
 fn a_decision_that_is_another_is_named_with_what_was_told_before_it() {
     let bytes = day(8, 2_000, |_| false);
     let mut items = read(&bytes).unwrap().items;
-    let Some(Item::Calls(block)) = items.get_mut(5) else { panic!("no block") };
+    let Some(CaptureItem::Calls(block)) = items.get_mut(5) else { panic!("no block") };
     let at = block
         .calls
         .iter()
-        .position(|c| c.done.iter().any(|d| matches!(d, Done::StartAttempt { .. })))
+        .position(|c| c.done.iter().any(|d| matches!(d, Decision::StartAttempt { .. })))
         .expect("a shot");
     let call = &mut block.calls[at];
     for done in &mut call.done {
-        if let Done::StartAttempt { server, .. } = done {
+        if let Decision::StartAttempt { server, .. } = done {
             *server += 1;
         }
     }
@@ -299,7 +301,7 @@
     let bytes = day(9, 6_000, |nth| (10..14).contains(&nth));
     let items = read(&bytes).unwrap().items;
     let gaps: Vec<u64> =
-        items.iter().filter_map(|i| if let Item::Gap(n) = i { Some(*n) } else { None }).collect();
+        items.iter().filter_map(|i| if let CaptureItem::Gap(n) = i { Some(*n) } else { None }).collect();
     let replayed = replay(items.iter());
     assert!(gaps.len() == 1 && gaps[0] > 200, "{gaps:?}");
     assert!(replayed.differences == 0 && replayed.calls > 3_000 && replayed.begun == 1, "{replayed:?}");
@@ -313,14 +315,14 @@
     #[test]
     fn spoilt_bytes_are_told(noise in proptest::collection::vec(any::<u8>(), 0..300), at in any::<usize>(), with in 1u8..) {
         _ = read(&noise);
-        _ = read(&[MARK, &noise].concat());
+        _ = read(&[FILE_MARK, &noise].concat());
         let good = day(3, 400, |_| false);
         let mut bytes = good.clone();
-        let at = MARK.len() + at % (bytes.len() - MARK.len());
+        let at = FILE_MARK.len() + at % (bytes.len() - FILE_MARK.len());
         bytes[at] ^= with;
         let (found, all) = (read(&bytes).unwrap(), read(&good).unwrap());
         prop_assert!(found.fault.is_some_and(|(from, _)| from <= at));
         prop_assert!(all.items.starts_with(&found.items));
-        prop_assert_eq!(framed(&all.items[0]).len() + MARK.len() <= good.len(), true);
+        prop_assert_eq!(encode_item(&all.items[0]).len() + FILE_MARK.len() <= good.len(), true);
     }
 }
--- a/crates/core/src/budget.rs
+++ b/crates/engine/src/budget.rs
@@ -26,7 +26,7 @@
 /// a moment later.
 const PLACE_SOON: Duration = Duration::from_millis(60);
 
-pub struct Budget {
+pub struct DescriptorBudget {
     out: Arc<Semaphore>, // connections to servers
     clients: Arc<Semaphore>,
     both: Arc<Semaphore>,        // for either, as they come
@@ -38,8 +38,8 @@
     half: [usize; 3], // of out, of those and clients, and of all three
 }
 
-impl Budget {
-    pub fn new(descriptors: usize) -> Budget {
+impl DescriptorBudget {
+    pub fn new(descriptors: usize) -> DescriptorBudget {
         let all = descriptors.saturating_sub(BESIDES).max(16);
         // A third each, and a third for whoever needs it: each client that waits for an answer needs an attempt out at least,
         // and one that writes slowly, or reads, needs none.
@@ -47,7 +47,7 @@
         // Held for a moment each, the time it takes to say no; with fewer than four, others wait unseen for it.
         let turned_away = (all / 16).max(4);
         let clients = all - out - both - turned_away;
-        Budget {
+        DescriptorBudget {
             out: Arc::new(Semaphore::new(out)),
             clients: Arc::new(Semaphore::new(clients)),
             both: Arc::new(Semaphore::new(both)),
@@ -171,7 +171,7 @@
     use super::*;
 
     /// How many places there are for servers, and then for clients.
-    fn places(budget: &Budget) -> (usize, usize) {
+    fn places(budget: &DescriptorBudget) -> (usize, usize) {
         let out: Vec<Permit> = std::iter::from_fn(|| budget.out.try_acquire_arc()).collect();
         let clients: Vec<Permit> = std::iter::from_fn(|| budget.try_client()).collect();
         (out.len(), clients.len())
@@ -180,7 +180,7 @@
     /// Clients that write slowly have the places that no server needs, and two processes of a proxy have half each.
     #[test]
     fn places_are_for_either_side_as_they_come_and_half_of_them_another_processs() {
-        let budget = Budget::new(192);
+        let budget = DescriptorBudget::new(192);
         let alone = places(&budget);
         let lent = smol::block_on(budget.half(|| ()));
         let together = places(&budget);
@@ -192,7 +192,7 @@
     /// While clients have places of their own left, none that is idle is closed for an attempt that waits.
     #[test]
     fn an_attempt_that_waits_closes_no_client_that_is_not_in_its_way() {
-        let budget = Budget::new(192);
+        let budget = DescriptorBudget::new(192);
         let (close, closed) = smol::channel::bounded(1);
         budget.idles(close, false);
         let mut held: Vec<Permit> =
--- a/crates/core/src/classes.rs
+++ b/crates/engine/src/classes.rs
@@ -21,7 +21,7 @@
 
 /// What of a class the door needs when it takes a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Taking {
+pub struct ClassLimits {
     pub class: usize,
     pub time_limit: Tenths,
     /// In bytes.
@@ -72,11 +72,11 @@
         self.now.borrow().settings.clone()
     }
 
-    pub fn find(&self, request: RequestAttributes) -> Taking {
+    pub fn find(&self, request: RequestAttributes) -> ClassLimits {
         let table = self.table();
         let class = table.find(request);
         let limits = &table.classes()[class].limits;
-        Taking { class, time_limit: limits.time_limit.0, longest_body: limits.longest_body.0 }
+        ClassLimits { class, time_limit: limits.time_limit.0, longest_body: limits.longest_body.0 }
     }
 
     /// By how many proxies the servers are shared, as it was written down.
--- a/crates/core/src/rules.rs
+++ b/crates/engine/src/config.rs
@@ -1,4 +1,4 @@
-//! What the core is told at its start.
+//! What the engine is told at its start.
 
 use chalkwalk_limits::{Account, Table};
 use chalkwalk_policy::Tenths;
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-pub struct Rules {
+pub struct EngineConfig {
     pub name: String,
     pub seed: u64,
     /// What the balancer is told, by the platform's names.
--- a/crates/core/src/drain.rs
+++ b/crates/engine/src/drain.rs
@@ -1,9 +1,9 @@
 //! The end of a proxy: told to leave, it still takes who comes for a moment, serves on those it has, answers all that it
 //! took, and is gone before it would be killed.
 
-use crate::core::Core;
+use crate::engine::Engine;
 use crate::flow;
-use crate::life::Phase;
+use crate::lifecycle::Phase;
 use chalkwalk_net::wait_until;
 use chalkwalk_policy::Tenths;
 use slog::info;
@@ -31,29 +31,29 @@
 
 /// From the word to end, which came at that moment, to the last phase. `accepting` is the doors' task, which ends once `Emptying` is reached and whoever
 /// has a connection by then is let in.
-pub async fn leave(core: &Rc<Core>, accepting: Task<()>, told: Tenths) {
-    let (accepting_until, last) = terms(core.classes.longest_limit());
+pub async fn leave(engine: &Rc<Engine>, accepting: Task<()>, told: Tenths) {
+    let (accepting_until, last) = terms(engine.classes.longest_limit());
     let last = told + last;
-    core.leave(told, last);
-    info!(core.log, "leaving"; "open" => core.book.borrow().open(), "succeeded" => core.life.succeeded());
+    engine.leave(told, last);
+    info!(engine.log, "leaving"; "open" => engine.requests.borrow().open(), "succeeded" => engine.lifecycle.succeeded());
     // A successor takes who comes from now on.
-    if !core.life.succeeded() {
-        Timer::at(core.clock.instant(told + accepting_until)).await;
+    if !engine.lifecycle.succeeded() {
+        Timer::at(engine.clock.instant(told + accepting_until)).await;
     }
-    core.life.enter(Phase::Emptying);
+    engine.lifecycle.enter(Phase::Emptying);
     // Where all places are taken, those that wait for one do so no longer than to the last answer.
-    wait_until(core.clock.instant(last), accepting).await;
-    while core.clients() > 0 && core.clock.now() < last {
+    wait_until(engine.clock.instant(last), accepting).await;
+    while engine.clients() > 0 && engine.clock.now() < last {
         Timer::after(Duration::from_millis(10)).await;
     }
     // Whatever is left is given up now: later it would be lost.
-    flow::give_up_all(core);
-    let end = core.clock.instant(last) + WRITING;
-    while core.clients() > 0 && Instant::now() < end {
+    flow::give_up_all(engine);
+    let end = engine.clock.instant(last) + WRITING;
+    while engine.clients() > 0 && Instant::now() < end {
         Timer::after(Duration::from_millis(5)).await;
     }
-    core.life.enter(Phase::Ended);
-    flow::count_left(core, "ended");
+    engine.lifecycle.enter(Phase::Ended);
+    flow::count_left(engine, "ended");
 }
 
 #[cfg(test)]
--- a/crates/core/src/core.rs
+++ b/crates/engine/src/engine.rs
@@ -1,16 +1,16 @@
 //! One proxy: what its parts share.
 
-use crate::answer::Probe;
-use crate::book::Book;
-use crate::budget::Budget;
+use crate::budget::DescriptorBudget;
 use crate::classes::Classes;
 use crate::clock::Clock;
-use crate::life::{Life, Phase};
+use crate::config::EngineConfig;
+use crate::lifecycle::{Lifecycle, Phase};
 use crate::members::Members;
-use crate::pool::Pool;
-use crate::rules::Rules;
+use crate::pool::ConnectionPool;
+use crate::requests::RequestTable;
+use crate::response::HealthCheck;
 use crate::violations::{Refused, Violations};
-use chalkwalk_capture::Tape;
+use chalkwalk_capture::Recorder;
 use chalkwalk_net::{Room, wait_until};
 use chalkwalk_policy::Tenths;
 use slog::Logger;
@@ -19,17 +19,17 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-pub struct Core {
-    pub rules: Rules,
+pub struct Engine {
+    pub rules: EngineConfig,
     pub classes: Classes,
     pub clock: Clock,
-    pub budget: Budget,
+    pub budget: DescriptorBudget,
     /// For long answers.
     pub room: Room,
-    pub life: Life,
-    pub book: RefCell<Book>,
-    pub pool: Pool,
-    pub probe: Box<dyn Probe>,
+    pub lifecycle: Lifecycle,
+    pub requests: RefCell<RequestTable>,
+    pub pool: ConnectionPool,
+    pub probe: Box<dyn HealthCheck>,
     pub ex: LocalExecutor<'static>,
     pub log: Logger,
     /// Attempts that were not written, by why not.
@@ -44,8 +44,13 @@
     heard_list: Cell<bool>,
 }
 
-impl Core {
-    pub fn new(mut rules: Rules, probe: Box<dyn Probe>, log: Logger, tape: Option<Tape>) -> Rc<Core> {
+impl Engine {
+    pub fn new(
+        mut rules: EngineConfig,
+        probe: Box<dyn HealthCheck>,
+        log: Logger,
+        recorder: Option<Recorder>,
+    ) -> Rc<Engine> {
         let (sooner, sooner_told) = bounded(1);
         let (wanted, wanted_told) = bounded(1);
         let members = Members::new(&rules.zones, &rules.kinds);
@@ -55,17 +60,24 @@
             rules.limits.take(),
         );
         let clock = Clock::default();
-        let tape = (tape, clock.now());
-        let book = Book::new(rules.seed, &classes.settings(), members, (sooner, wanted), log.clone(), tape);
-        Rc::new(Core {
+        let recorder = (recorder, clock.now());
+        let requests = RequestTable::new(
+            rules.seed,
+            &classes.settings(),
+            members,
+            (sooner, wanted),
+            log.clone(),
+            recorder,
+        );
+        Rc::new(Engine {
             clock,
-            budget: Budget::new(rules.descriptors),
+            budget: DescriptorBudget::new(rules.descriptors),
             // A third of the memory: the rest of the proxy needs a few megabytes, and as much again is the system's for
             // what is on its way.
             room: Room::new(rules.memory / 3),
-            life: Life::default(),
-            book: RefCell::new(book),
-            pool: Pool::new(rules.idle_time),
+            lifecycle: Lifecycle::default(),
+            requests: RefCell::new(requests),
+            pool: ConnectionPool::new(rules.idle_time),
             probe,
             ex: LocalExecutor::new(),
             log,
@@ -103,7 +115,7 @@
 
     /// The capture ends, with all that was told by now.
     pub fn stop_capture(&self) {
-        self.book.borrow_mut().stop_capture();
+        self.requests.borrow_mut().stop_capture();
     }
 
     /// Open connections of clients.
@@ -119,23 +131,23 @@
     /// The proxy has been told to end: since when, and when every answer must be out.
     pub fn leave(&self, told: Tenths, last: Tenths) {
         self.leaving.set(Some((told, last)));
-        self.life.enter(Phase::Leaving);
+        self.lifecycle.enter(Phase::Leaving);
     }
 }
 
 /// A client's connection among those that the proxy waits for before it ends.
-pub struct Counted {
-    pub core: Rc<Core>,
+pub struct ClientConnection {
+    pub engine: Rc<Engine>,
     /// Its place among those that are closed one after the other when the proxy leaves, in thousandths.
     place: u64,
 }
 
-impl Counted {
-    pub fn new(core: &Rc<Core>) -> Counted {
-        core.clients.set(core.clients.get() + 1);
-        core.welcomed.set(core.welcomed.get() + 1);
+impl ClientConnection {
+    pub fn new(engine: &Rc<Engine>) -> ClientConnection {
+        engine.clients.set(engine.clients.get() + 1);
+        engine.welcomed.set(engine.welcomed.get() + 1);
         // Steps of the golden section lie evenly spread, however many there are.
-        Counted { core: core.clone(), place: core.welcomed.get() * 618 % 1000 }
+        ClientConnection { engine: engine.clone(), place: engine.welcomed.get() * 618 % 1000 }
     }
 
     /// When it is closed: from the first moment on with an answer that says so, at the second though it is idle.
@@ -148,13 +160,14 @@
     /// Out of service, with answers within the first second, and idle within two: the front has heard of it by then, and at
     /// four seconds none may be open that had a request in the last two. Told to end as well, whichever comes first.
     fn turn(&self) -> Option<(Tenths, Tenths)> {
-        let life = &self.core.life;
-        let leaving = self.core.leaving.get().map(|(told, last)| {
+        let lifecycle = &self.engine.lifecycle;
+        let leaving = self.engine.leaving.get().map(|(told, last)| {
             let late = told + (last - told) * (4000 + self.place) / 6000;
-            (if life.succeeded() { told + 10 * self.place } else { late }, late)
+            (if lifecycle.succeeded() { told + 10 * self.place } else { late }, late)
         });
-        let emptied =
-            life.out_since().map(|since| (since + 2000 + 8 * self.place, since + 10_000 + 8 * self.place));
+        let emptied = lifecycle
+            .out_since()
+            .map(|since| (since + 2000 + 8 * self.place, since + 10_000 + 8 * self.place));
         match (leaving, emptied) {
             (Some(a), Some(b)) => Some((a.0.min(b.0), a.1.min(b.1))),
             (a, b) => a.or(b),
@@ -162,24 +175,24 @@
     }
 
     pub fn turn_is_over(&self) -> bool {
-        self.turn().is_some_and(|(answered, _)| answered <= self.core.clock.now())
+        self.turn().is_some_and(|(answered, _)| answered <= self.engine.clock.now())
     }
 
     /// Comes to its end when it is closed though idle.
     pub async fn turn_comes(&self) {
         loop {
-            let turns = self.core.life.turns();
+            let turns = self.engine.lifecycle.turns();
             match self.turn() {
                 None => turns.await,
-                Some((_, idle)) if idle <= self.core.clock.now() => return,
-                Some((_, idle)) => _ = wait_until(self.core.clock.instant(idle), turns).await,
+                Some((_, idle)) if idle <= self.engine.clock.now() => return,
+                Some((_, idle)) => _ = wait_until(self.engine.clock.instant(idle), turns).await,
             }
         }
     }
 }
 
-impl Drop for Counted {
+impl Drop for ClientConnection {
     fn drop(&mut self) {
-        self.core.clients.set(self.core.clients.get() - 1);
+        self.engine.clients.set(self.engine.clients.get() - 1);
     }
 }
--- a/crates/core/src/flow.rs
+++ b/crates/engine/src/flow.rs
@@ -1,11 +1,11 @@
-//! The way of a request through the core: taken, sent in attempts, ended; and the calls that sources of the list make.
+//! The way of a request through the engine: taken, sent in attempts, ended; and the calls that sources of the list make.
 
-use crate::answer::{Answer, Ask, Flow, Heard, Rest};
-use crate::book::{AttemptHandle, Book, Note, PendingAttempt};
-use crate::core::Core;
+use crate::config::EngineConfig;
+use crate::engine::Engine;
 use crate::members::{Changed, ListedEndpoint};
-use crate::pool::{Conn, SPARE};
-use crate::rules::Rules;
+use crate::pool::{SPARE, ServerConnection};
+use crate::requests::{AttemptHandle, Command, PendingAttempt, RequestTable};
+use crate::response::{BodyStream, ClientRequest, Response, ResponseBody, ServerResponse};
 use chalkwalk_limits::Table;
 use chalkwalk_net::{wait_until, within};
 use chalkwalk_policy::admission::{Refusal, Written};
@@ -19,43 +19,43 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// One call to the book at the present time; what the balancer wants then is taken up.
-fn tell<T>(core: &Rc<Core>, call: impl FnOnce(&mut Book, Tenths) -> T) -> T {
-    let mut book = core.book.borrow_mut();
-    let said = call(&mut book, core.clock.now());
-    let notes = book.notes();
-    drop(book);
-    for note in notes {
+/// One call to the request table at the present time; what the balancer wants then is taken up.
+fn tell<T>(engine: &Rc<Engine>, call: impl FnOnce(&mut RequestTable, Tenths) -> T) -> T {
+    let mut requests = engine.requests.borrow_mut();
+    let said = call(&mut requests, engine.clock.now());
+    let take_commands = requests.take_commands();
+    drop(requests);
+    for note in take_commands {
         match note {
-            Note::StartAttempt(pending) => core.ex.spawn(send(core.clone(), pending)).detach(),
-            Note::Probe(server) => core.ex.spawn(probe(core.clone(), server)).detach(),
+            Command::StartAttempt(pending) => engine.ex.spawn(send(engine.clone(), pending)).detach(),
+            Command::HealthCheck(server) => engine.ex.spawn(probe(engine.clone(), server)).detach(),
         }
     }
     said
 }
 
 /// Takes a request; its one final answer comes by the channel.
-pub fn take(core: &Rc<Core>, ask: Rc<dyn Ask>) -> (RequestId, Receiver<Answer>) {
-    tell(core, |book, now| book.take(now, ask))
+pub fn take(engine: &Rc<Engine>, ask: Rc<dyn ClientRequest>) -> (RequestId, Receiver<Response>) {
+    tell(engine, |requests, now| requests.take(now, ask))
 }
 
 /// Whoever asked has gone, or given it up: nothing more is sent for it.
-pub fn client_left(core: &Rc<Core>, request_id: RequestId) {
-    tell(core, |book, now| book.client_left(now, request_id));
+pub fn client_left(engine: &Rc<Engine>, request_id: RequestId) {
+    tell(engine, |requests, now| requests.client_left(now, request_id));
 }
 
 /// Whatever is open is given up now.
-pub fn give_up_all(core: &Rc<Core>) {
-    tell(core, |book, now| book.give_up_all(now));
+pub fn give_up_all(engine: &Rc<Engine>) {
+    tell(engine, |requests, now| requests.give_up_all(now));
 }
 
 /// A source tells what the list says: the whole of it, or what changed. A doubted one brings no server back that was told
 /// to be off.
-pub fn listed(core: &Rc<Core>, lines: &[ListedEndpoint], whole_list: bool, doubted: bool) {
-    let (off, changed) = tell(core, |book, now| book.listed(now, lines, (whole_list, doubted)));
-    off.into_iter().for_each(|server| core.pool.forget(server));
+pub fn listed(engine: &Rc<Engine>, lines: &[ListedEndpoint], whole_list: bool, doubted: bool) {
+    let (off, changed) = tell(engine, |requests, now| requests.listed(now, lines, (whole_list, doubted)));
+    off.into_iter().for_each(|server| engine.pool.forget(server));
     if changed != Changed::default() {
-        info!(core.log, "servers changed"; "off" => named(&changed.off), "back" => named(&changed.back));
+        info!(engine.log, "servers changed"; "off" => named(&changed.off), "back" => named(&changed.back));
     }
 }
 
@@ -69,97 +69,97 @@
 }
 
 /// Operators take a server out at that moment, or put it back. What is idle to it is closed: it restarts meanwhile.
-pub fn bar(core: &Rc<Core>, id: &str, out: bool, at: Tenths) {
-    let server = tell(core, |book, now| book.barred(now, id, (out, at)));
-    server.into_iter().for_each(|server| core.pool.forget(server));
+pub fn bar(engine: &Rc<Engine>, id: &str, out: bool, at: Tenths) {
+    let server = tell(engine, |requests, now| requests.barred(now, id, (out, at)));
+    server.into_iter().for_each(|server| engine.pool.forget(server));
 }
 
 /// A call to discovery failed after so long; the balancer will want another.
-pub fn discovery_call_failed(core: &Rc<Core>, took: Tenths) {
-    tell(core, |book, now| book.discovery_call_failed(now, took));
+pub fn discovery_call_failed(engine: &Rc<Engine>, took: Tenths) {
+    tell(engine, |requests, now| requests.discovery_call_failed(now, took));
 }
 
 /// So many proxies share the servers, this one included, as a source counts them.
-pub fn shared_by(core: &Rc<Core>, proxies: u64) {
-    core.book.borrow_mut().shared_by(proxies);
+pub fn shared_by(engine: &Rc<Engine>, proxies: u64) {
+    engine.requests.borrow_mut().shared_by(proxies);
 }
 
 /// Other limits hold from now on, also for what is open: see `RequestId::renewed`.
-pub fn renew(core: &Rc<Core>, limits: Option<Table>) {
-    core.classes.renew(limits);
-    let settings = core.classes.settings();
-    let of = |ask: &dyn Ask| {
-        let taking = core.classes.find(ask.place()?);
+pub fn renew(engine: &Rc<Engine>, limits: Option<Table>) {
+    engine.classes.renew(limits);
+    let settings = engine.classes.settings();
+    let of = |ask: &dyn ClientRequest| {
+        let taking = engine.classes.find(ask.place()?);
         Some((taking.class, taking.time_limit))
     };
-    tell(core, |book, now| book.renewed(now, &settings, of));
+    tell(engine, |requests, now| requests.renewed(now, &settings, of));
 }
 
 /// Other settings of the platform hold from now on, and an operator's limits on them. What is open keeps the rules that it was
 /// taken with.
-pub fn settle(core: &Rc<Core>, mut rules: Rules) {
+pub fn settle(engine: &Rc<Engine>, mut rules: EngineConfig) {
     let limits = rules.limits.take();
-    core.rules.connect_time.set(rules.connect_time.get());
-    core.rules.drain_grace.set(rules.drain_grace.get());
-    core.classes.settle(rules.settings, rules.account, limits);
-    let settings = core.classes.settings();
-    tell(core, |book, now| book.renewed(now, &settings, |_| None));
+    engine.rules.connect_time.set(rules.connect_time.get());
+    engine.rules.drain_grace.set(rules.drain_grace.get());
+    engine.classes.settle(rules.settings, rules.account, limits);
+    let settings = engine.classes.settings();
+    tell(engine, |requests, now| requests.renewed(now, &settings, |_| None));
 }
 
 /// Calls the balancer back at the times it has named; never ends.
-pub async fn wakes(core: Rc<Core>) {
+pub async fn wakes(engine: Rc<Engine>) {
     loop {
-        let due = core.book.borrow().next_wake();
+        let due = engine.requests.borrow().next_wake();
         match due {
-            Some(due) if due <= core.clock.now() => tell(&core, |book, now| book.wake(now)),
-            Some(due) => _ = wait_until(core.clock.instant(due), core.sooner.recv()).await,
-            None => _ = core.sooner.recv().await,
+            Some(due) if due <= engine.clock.now() => tell(&engine, |requests, now| requests.wake(now)),
+            Some(due) => _ = wait_until(engine.clock.instant(due), engine.sooner.recv()).await,
+            None => _ = engine.sooner.recv().await,
         }
     }
 }
 
 /// Gives back what is spare, twice in the time it may be, and closes what is idle too long with each eighth round, about
 /// once a second, as that looks at each connection; counts in the log once a minute what has become more; never ends.
-pub async fn sweep(core: Rc<Core>) {
+pub async fn sweep(engine: Rc<Engine>) {
     let (mut told, mut rounds) = (0, 0u32);
     loop {
         for _ in 0..8 {
             Timer::after(SPARE / 2).await;
-            core.pool.trim();
+            engine.pool.trim();
         }
-        core.pool.sweep();
+        engine.pool.sweep();
         rounds += 1;
-        let left = core.book.borrow().left_waiting();
+        let left = engine.requests.borrow().left_waiting();
         if rounds.is_multiple_of(60) && std::mem::replace(&mut told, left) != left {
-            count_left(&core, "clients left");
+            count_left(&engine, "clients left");
         }
     }
 }
 
 /// Says how many requests were left so far while they waited, how many attempts were withheld as their request was over, and how often
 /// what must not happen has happened.
-pub(crate) fn count_left(core: &Core, event: &'static str) {
-    let left = core.book.borrow().left_waiting();
-    let violations = core.violations.total();
-    info!(core.log, "{}", event;
-        "left_waiting" => left, "withheld" => core.refused.over(), "violations" => violations);
+pub(crate) fn count_left(engine: &Engine, event: &'static str) {
+    let left = engine.requests.borrow().left_waiting();
+    let violations = engine.violations.total();
+    info!(engine.log, "{}", event;
+        "left_waiting" => left, "withheld" => engine.refused.over(), "violations" => violations);
 }
 
 // ---- one attempt, from the connection to its ending ----
 
 /// How an attempt came out, or how far it has come.
 enum Came {
-    Ended(AttemptOutcome, Option<Answer>),
+    Ended(AttemptOutcome, Option<Response>),
     /// The answer has begun, and goes on.
-    Begun(AttemptOutcome, Answer, Rc<Conn>, Box<dyn Rest>),
+    Begun(AttemptOutcome, Response, Rc<ServerConnection>, Box<dyn ResponseBody>),
 }
 
 /// A flow that nothing more comes of for so long, or that nobody takes more of, is broken off. The time limit is over by
 /// then, and a server that is slow on purpose writes something each second.
 const SILENCE: Duration = Duration::from_secs(10);
 
-async fn send(core: Rc<Core>, pending: PendingAttempt) {
-    let begun = core.clock.now();
+async fn send(engine: Rc<Engine>, pending: PendingAttempt) {
+    let begun = engine.clock.now();
     let PendingAttempt { request_id, attempt, server, until, handle, .. } = &pending;
     // Not one byte short of whole has run.
     let cut =
@@ -168,39 +168,39 @@
         _ = handle.stopped.recv().await;
         cut(AttemptOutcome::Cancelled)
     };
-    let attempt_through = stopped.or(start_attempt(&core, &pending));
-    let end = core.clock.instant(*until);
+    let attempt_through = stopped.or(start_attempt(&engine, &pending));
+    let end = engine.clock.instant(*until);
     let came = wait_until(end, attempt_through).await.unwrap_or_else(|| cut(AttemptOutcome::TimedOut));
-    let took = core.clock.now() - begun;
+    let took = engine.clock.now() - begun;
     let (outcome, answer) = match came {
         Came::Ended(outcome, answer) => (outcome, answer),
         Came::Begun(outcome, mut answer, conn, rest) => {
             let (tell_parts, parts) = bounded(1);
             let whole = Rc::new(Cell::new(false));
-            answer.flow = Some(Flow { length: rest.length(), parts, whole: whole.clone() });
-            tell(&core, |book, now| book.begun(now, (*request_id, *attempt), answer));
+            answer.flow = Some(BodyStream { length: rest.length(), parts, whole: whole.clone() });
+            tell(&engine, |requests, now| requests.begun(now, (*request_id, *attempt), answer));
             let stopped = async {
                 _ = handle.stopped.recv().await;
                 AttemptOutcome::Cancelled
             };
             let outcome =
-                stopped.or(pump(&core, (*server, conn), rest, tell_parts, (handle, outcome, whole))).await;
+                stopped.or(pump(&engine, (*server, conn), rest, tell_parts, (handle, outcome, whole))).await;
             (outcome, None)
         }
     };
     // The connection is closed, unless it is back in the pool, before the balancer hears of the ending.
     handle.hold(None);
     if outcome == AttemptOutcome::Unreachable {
-        core.pool.forget(*server);
+        engine.pool.forget(*server);
     }
-    tell(&core, |book, now| book.ended(now, (*request_id, *attempt), outcome, took, answer));
+    tell(&engine, |requests, now| requests.ended(now, (*request_id, *attempt), outcome, took, answer));
 }
 
 /// Passes on what comes of an answer, until it ends, breaks off, or is taken no more.
 async fn pump(
-    core: &Core,
-    (server, conn): (ServerIndex, Rc<Conn>),
-    mut rest: Box<dyn Rest>,
+    engine: &Engine,
+    (server, conn): (ServerIndex, Rc<ServerConnection>),
+    mut rest: Box<dyn ResponseBody>,
     parts: Sender<Vec<u8>>,
     (handle, outcome, whole): (&AttemptHandle, AttemptOutcome, Rc<Cell<bool>>),
 ) -> AttemptOutcome {
@@ -216,7 +216,7 @@
                 if rest.keeps()
                     && let Ok(conn) = Rc::try_unwrap(conn)
                 {
-                    core.pool.put(server, conn);
+                    engine.pool.put(server, conn);
                 }
                 return outcome;
             }
@@ -225,18 +225,18 @@
     }
 }
 
-async fn start_attempt(core: &Rc<Core>, pending: &PendingAttempt) -> Came {
+async fn start_attempt(engine: &Rc<Engine>, pending: &PendingAttempt) -> Came {
     let PendingAttempt { server, until, by, ask, handle, .. } = pending;
-    if core.clock.now() >= *until {
+    if engine.clock.now() >= *until {
         return Came::Ended(AttemptOutcome::NotSent, None);
     }
-    let end = core.clock.instant(*by.min(until));
-    let conn = match wait_until(end, write(core, pending)).await {
+    let end = engine.clock.instant(*by.min(until));
+    let conn = match wait_until(end, write(engine, pending)).await {
         Some(Ok(conn)) => conn,
         Some(Err(outcome)) => return Came::Ended(outcome, None),
         None => return Came::Ended(AttemptOutcome::NotSent, None),
     };
-    let Some(Heard { outcome, answer, keep, rest }) = ask.hear(&conn.stream).await else {
+    let Some(ServerResponse { outcome, answer, keep, rest }) = ask.hear(&conn.stream).await else {
         return Came::Ended(AttemptOutcome::ConnectionLost, None);
     };
     let answer = match (rest, answer) {
@@ -245,26 +245,29 @@
     };
     handle.hold(None);
     if keep && let Ok(conn) = Rc::try_unwrap(conn) {
-        core.pool.put(*server, conn);
+        engine.pool.put(*server, conn);
     }
     Came::Ended(outcome, answer)
 }
 
 /// Writes the request to a connection; not one is written of which a part may come too late.
-async fn write(core: &Rc<Core>, pending: &PendingAttempt) -> Result<Rc<Conn>, AttemptOutcome> {
+async fn write(
+    engine: &Rc<Engine>,
+    pending: &PendingAttempt,
+) -> Result<Rc<ServerConnection>, AttemptOutcome> {
     let PendingAttempt { request_id, server, until, by, ask, handle, .. } = pending;
-    let conn = Rc::new(connection(core, *server, false).await?);
+    let conn = Rc::new(connection(engine, *server, false).await?);
     // After a standstill what came in it is read first: a drain, an operator's word, a client's end.
-    core.clock.hear().await;
+    engine.clock.hear().await;
     // On a process that is busy the connection and the end of the time are seen in one turn, and the client's going lies unread
     // while a connection, a place, a key's turn or a rest is over. An attempt so stopped surely has not run, and goes elsewhere.
-    let now = core.clock.now();
-    let may_send = core.book.borrow().may_send(now, pending, ask.awaited());
+    let now = engine.clock.now();
+    let may_send = engine.requests.borrow().may_send(now, pending, ask.awaited());
     if let Err(refusal) = may_send {
-        core.refused.count(refusal);
-        debug!(core.log, "attempt withheld"; "cache" => server, "why" => ?refusal);
+        engine.refused.count(refusal);
+        debug!(engine.log, "attempt withheld"; "cache" => server, "why" => ?refusal);
         if refusal == Refusal::ClientLeft {
-            client_left(core, *request_id);
+            client_left(engine, *request_id);
         }
         return Err(AttemptOutcome::NotSent);
     }
@@ -272,27 +275,31 @@
     ask.write_to(&conn.stream, until - now).await.map_err(|_| AttemptOutcome::Unreachable)?;
     handle.written.set(true);
     let written = Written {
-        at: core.clock.now(),
+        at: engine.clock.now(),
         allowed_at: now,
         until: *until.min(by),
-        off_since: core.book.borrow().members.off_since(*server),
-        grace: core.rules.drain_grace.get(),
+        off_since: engine.requests.borrow().members.off_since(*server),
+        grace: engine.rules.drain_grace.get(),
         awaited: ask.awaited(),
     };
-    core.violations.check(&core.log, written.violation());
+    engine.violations.check(&engine.log, written.violation());
     Ok(conn)
 }
 
 /// A connection to the server, from the pool or new; else how the attempt ends that wanted it.
-async fn connection(core: &Core, server: ServerIndex, fresh: bool) -> Result<Conn, AttemptOutcome> {
-    let Some(addr) = core.book.borrow().members.addr(server) else {
+async fn connection(
+    engine: &Engine,
+    server: ServerIndex,
+    fresh: bool,
+) -> Result<ServerConnection, AttemptOutcome> {
+    let Some(addr) = engine.requests.borrow().members.addr(server) else {
         return Err(AttemptOutcome::Unreachable);
     };
-    if !fresh && let Some(conn) = core.pool.rested(server, addr).await {
+    if !fresh && let Some(conn) = engine.pool.rested(server, addr).await {
         return Ok(conn);
     }
-    let permit = core.budget.take(|| core.pool.close_longest_idle()).await;
-    let connected = within(core.rules.connect_time.get(), Async::<TcpStream>::connect(addr)).await;
+    let permit = engine.budget.take(|| engine.pool.close_longest_idle()).await;
+    let connected = within(engine.rules.connect_time.get(), Async::<TcpStream>::connect(addr)).await;
     let stream = connected.ok_or(AttemptOutcome::Unreachable)?.map_err(|e| {
         // Out of descriptors (EMFILE, ENFILE), buffers or ports, as Linux numbers it: that is no word on the server.
         match e.raw_os_error() {
@@ -301,28 +308,28 @@
         }
     })?;
     _ = stream.get_ref().set_nodelay(true);
-    Ok(Conn::new(stream, addr, permit))
+    Ok(ServerConnection::new(stream, addr, permit))
 }
 
 // ---- probes ----
 
-async fn probe(core: Rc<Core>, server: ServerIndex) {
+async fn probe(engine: Rc<Engine>, server: ServerIndex) {
     let ask = async {
-        let conn = connection(&core, server, true).await.ok()?;
-        if !core.book.borrow().may_ask(server) {
+        let conn = connection(&engine, server, true).await.ok()?;
+        if !engine.requests.borrow().may_ask(server) {
             return None;
         }
-        let keep = core.probe.probe(&conn.stream).await?;
+        let keep = engine.probe.probe(&conn.stream).await?;
         if keep {
-            core.pool.put(server, conn);
+            engine.pool.put(server, conn);
         }
         Some(())
     };
     // As long as a connection may take, and as long again for the answer.
-    let answered = within(core.rules.connect_time.get() * 2, ask).await.flatten().is_some();
+    let answered = within(engine.rules.connect_time.get() * 2, ask).await.flatten().is_some();
     if !answered {
         // What was idle to a machine that vanished is reset only when it is back, and by the first request on it.
-        core.pool.forget(server);
+        engine.pool.forget(server);
     }
-    tell(&core, |book, now| book.probed(now, server, answered));
+    tell(&engine, |requests, now| requests.probed(now, server, answered));
 }
--- a/crates/core/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,22 +1,22 @@
-//! The core: one proxy without its protocols. It owns the balancer and tells it all that happens, keeps the requests that are
+//! The engine: one proxy without its protocols. It owns the balancer and tells it all that happens, keeps the requests that are
 //! open and their one answer, connections by server, descriptors, the phases of the program, its clock and its wakes.
 //!
 //! It may use `policy`, `limits`, `membership`, `net`, smol and slog. No protocol ever enters it, neither of clients nor of servers,
-//! and no format of a list: a request comes in as something that can write itself to a server and read what comes back (`answer::Ask`), and
+//! and no format of a list: a request comes in as something that can write itself to a server and read what comes back (`response::ClientRequest`), and
 //! leaves as bytes with a verdict; a list comes in as plain lines (`members::ListedEndpoint`). It decides nothing.
 //!
-//! Modules point down only: `flow` and `drain` use `core`, which holds what those below it keep.
+//! Modules point down only: `flow` and `drain` use `engine`, which holds what those below it keep.
 
-pub mod answer;
-pub mod book;
 pub mod budget;
 pub mod classes;
 pub mod clock;
-pub mod core;
+pub mod config;
 pub mod drain;
+pub mod engine;
 pub mod flow;
-pub mod life;
+pub mod lifecycle;
 pub mod members;
 pub mod pool;
-pub mod rules;
+pub mod requests;
+pub mod response;
 pub mod violations;
--- a/crates/core/src/life.rs
+++ b/crates/engine/src/lifecycle.rs
@@ -16,16 +16,16 @@
     Ended,
 }
 
-pub struct Life {
+pub struct Lifecycle {
     phase: Cell<Phase>,
     out_since: Cell<Option<Tenths>>, // operators have emptied the proxy
     succeeded: Cell<bool>,           // another process of this proxy has taken over
     turned: Event,
 }
 
-impl Default for Life {
-    fn default() -> Life {
-        Life {
+impl Default for Lifecycle {
+    fn default() -> Lifecycle {
+        Lifecycle {
             phase: Cell::new(Phase::Starting),
             out_since: Cell::new(None),
             succeeded: Cell::new(false),
@@ -34,7 +34,7 @@
     }
 }
 
-impl Life {
+impl Lifecycle {
     pub fn enter(&self, phase: Phase) {
         if phase > self.phase.get() {
             self.phase.set(phase);
--- a/crates/core/src/members.rs
+++ b/crates/engine/src/members.rs
@@ -14,7 +14,7 @@
     pub back: Vec<String>,
 }
 
-/// What the core itself needs of a server.
+/// What the engine itself needs of a server.
 struct Row {
     addr: SocketAddr,
     off_since: Option<Tenths>, // draining or gone, as told
--- a/crates/core/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -11,16 +11,16 @@
 use std::time::{Duration, Instant};
 
 /// A connection and its place in the budget.
-pub struct Conn {
+pub struct ServerConnection {
     pub stream: Async<TcpStream>,
     pub addr: SocketAddr,
     pub since: Instant, // in the pool
     _permit: Permit,
 }
 
-impl Conn {
-    pub fn new(stream: Async<TcpStream>, addr: SocketAddr, permit: Permit) -> Conn {
-        Conn { stream, addr, since: Instant::now(), _permit: permit }
+impl ServerConnection {
+    pub fn new(stream: Async<TcpStream>, addr: SocketAddr, permit: Permit) -> ServerConnection {
+        ServerConnection { stream, addr, since: Instant::now(), _permit: permit }
     }
 
     /// What came after its last answer has been seen by now.
@@ -44,24 +44,24 @@
 /// is shorter than a handshake between zones and takes no place at the server.
 const REST: Duration = Duration::from_millis(10);
 
-pub struct Pool {
-    idle: RefCell<HashMap<ServerIndex, Vec<Conn>>>,
+pub struct ConnectionPool {
+    idle: RefCell<HashMap<ServerIndex, Vec<ServerConnection>>>,
     longest: Duration,
     rest: Duration,
 }
 
-impl Pool {
+impl ConnectionPool {
     /// `idle_time`: after which servers close what is idle. It is used for half of that: a server that closes earlier than
     /// it says is seen by the look at what has come.
-    pub fn new(idle_time: Duration) -> Pool {
+    pub fn new(idle_time: Duration) -> ConnectionPool {
         let longest = idle_time / 2;
         // Half of what it may be kept, where servers close very early.
-        Pool { idle: RefCell::default(), longest, rest: REST.min(longest / 2) }
+        ConnectionPool { idle: RefCell::default(), longest, rest: REST.min(longest / 2) }
     }
 
     /// The connection used last of those that have rested, if it can still be used; where none has, the one that will be
     /// first, once it has.
-    pub async fn rested(&self, server: ServerIndex, addr: SocketAddr) -> Option<Conn> {
+    pub async fn rested(&self, server: ServerIndex, addr: SocketAddr) -> Option<ServerConnection> {
         while let Some(conn) = self.take(server, addr) {
             if conn.rested(self.rest) {
                 return Some(conn);
@@ -74,7 +74,7 @@
         None
     }
 
-    fn take(&self, server: ServerIndex, addr: SocketAddr) -> Option<Conn> {
+    fn take(&self, server: ServerIndex, addr: SocketAddr) -> Option<ServerConnection> {
         let mut idle = self.idle.borrow_mut();
         let of_server = idle.get_mut(&server)?;
         while !of_server.is_empty() {
@@ -87,15 +87,15 @@
         None
     }
 
-    fn usable(&self, conn: &Conn) -> bool {
+    fn usable(&self, conn: &ServerConnection) -> bool {
         conn.since.elapsed() < self.longest && quiet(&conn.stream)
     }
 
-    pub fn put(&self, server: ServerIndex, conn: Conn) {
+    pub fn put(&self, server: ServerIndex, conn: ServerConnection) {
         let mut idle = self.idle.borrow_mut();
         let of_server = idle.entry(server).or_default();
         if of_server.len() < MOST_IDLE {
-            of_server.push(Conn { since: Instant::now(), ..conn });
+            of_server.push(ServerConnection { since: Instant::now(), ..conn });
         }
     }
 
@@ -132,7 +132,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::budget::Budget;
+    use crate::budget::DescriptorBudget;
     use std::net::TcpListener;
     use std::thread::sleep;
 
@@ -142,17 +142,18 @@
     fn connections_that_were_needed_once_are_given_back() {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
-        let (pool, budget) = (Pool::new(Duration::from_secs(30)), Budget::new(64));
+        let (pool, budget) = (ConnectionPool::new(Duration::from_secs(30)), DescriptorBudget::new(64));
         let open = || {
             let permit = smol::block_on(budget.take(|| ()));
-            Conn::new(Async::new(TcpStream::connect(addr).unwrap()).unwrap(), addr, permit)
+            ServerConnection::new(Async::new(TcpStream::connect(addr).unwrap()).unwrap(), addr, permit)
         };
-        let both: Vec<Conn> = (0..6).map(|_| open()).collect();
+        let both: Vec<ServerConnection> = (0..6).map(|_| open()).collect();
         both.into_iter().for_each(|conn| pool.put(0, conn));
         let mut kept = Vec::new();
         for side_by_side in [2, 0] {
             for _ in 0..6 {
-                let used: Vec<Conn> = (0..side_by_side).filter_map(|_| pool.take(0, addr)).collect();
+                let used: Vec<ServerConnection> =
+                    (0..side_by_side).filter_map(|_| pool.take(0, addr)).collect();
                 used.into_iter().for_each(|conn| pool.put(0, conn));
                 sleep(SPARE / 5);
                 pool.trim();
--- a/crates/core/src/book.rs
+++ b/crates/engine/src/requests.rs
@@ -1,10 +1,10 @@
-//! The book: the balancer, the requests that are open, and what it wants done. All that happens is told to it here, one call
+//! The request table: the balancer, the requests that are open, and what it wants done. All that happens is told to it here, one call
 //! at a time; what the balancer wants is only noted, and taken up by `flow` once the call is over.
 
-use crate::answer::{Answer, Ask, Verdict};
 use crate::members::{Changed, ListedEndpoint, Members};
-use crate::pool::Conn;
-use chalkwalk_capture::{Done, Tape, Told};
+use crate::pool::ServerConnection;
+use crate::response::{ClientRequest, Response, ResponseStatus};
+use chalkwalk_capture::{Decision, Event, Recorder};
 use chalkwalk_policy::admission::{Refusal, UnsentAttempt};
 use chalkwalk_policy::{AttemptOutcome, Balancer, Effects, Learned, RequestId, ServerIndex, Tenths};
 use slog::{Logger, info};
@@ -17,7 +17,7 @@
 
 /// One attempt as seen from outside its task: how it is called off.
 pub struct AttemptHandle {
-    conn: RefCell<Option<Rc<Conn>>>,
+    conn: RefCell<Option<Rc<ServerConnection>>>,
     pub written: Cell<bool>, // to the last byte
     stop: Sender<()>,
     pub stopped: Receiver<()>,
@@ -37,15 +37,15 @@
         _ = self.stop.try_send(());
     }
 
-    pub fn hold(&self, conn: Option<Rc<Conn>>) {
+    pub fn hold(&self, conn: Option<Rc<ServerConnection>>) {
         *self.conn.borrow_mut() = conn;
     }
 }
 
 /// What the balancer wants done once the call to it is over.
-pub enum Note {
+pub enum Command {
     StartAttempt(PendingAttempt),
-    Probe(ServerIndex),
+    HealthCheck(ServerIndex),
 }
 
 /// An attempt to be written: given up at `until`, and not written at all where that would be later than `by`.
@@ -55,56 +55,56 @@
     pub server: ServerIndex,
     pub until: Tenths,
     pub by: Tenths,
-    pub ask: Rc<dyn Ask>,
+    pub ask: Rc<dyn ClientRequest>,
     pub handle: Rc<AttemptHandle>,
 }
 
-struct Open {
-    ask: Rc<dyn Ask>,
-    answer: Option<Sender<Answer>>, // until the request has its final answer
+struct OpenRequest {
+    ask: Rc<dyn ClientRequest>,
+    answer: Option<Sender<Response>>, // until the request has its final answer
     handles: Vec<Rc<AttemptHandle>>,
     out: usize,
 }
 
 /// What is known outside the balancer: never read by it, and lent to it as its way out.
-struct Desk {
+struct EffectSink {
     now: Tenths,
-    open: HashMap<RequestId, Open>,
-    notes: Vec<Note>,
+    open: HashMap<RequestId, OpenRequest>,
+    take_commands: Vec<Command>,
     wakes: BinaryHeap<Reverse<(Tenths, u64, u64)>>,
     woken: u64,
     sooner: Sender<()>, // a wake is due before the one that is waited for
     wanted: Sender<()>, // the balancer wants the list watched
     log: Logger,
-    left_waiting: u64,  // requests whose client left before any of their attempts was written
-    tape: Option<Tape>, // of all that the balancer is told and wants, where it is captured
+    left_waiting: u64, // requests whose client left before any of their attempts was written
+    recorder: Option<Recorder>, // of all that the balancer is told and wants, where it is captured
 }
 
-impl Desk {
-    fn done(&mut self, done: impl FnOnce() -> Done) {
-        if let Some(tape) = &mut self.tape {
-            tape.done(done());
+impl EffectSink {
+    fn done(&mut self, done: impl FnOnce() -> Decision) {
+        if let Some(recorder) = &mut self.recorder {
+            recorder.done(done());
         }
     }
 
     /// A call to the balancer begins.
-    fn told(&mut self, told: impl FnOnce() -> Told) {
-        if let Some(tape) = &mut self.tape {
-            tape.told(self.now, told());
+    fn told(&mut self, told: impl FnOnce() -> Event) {
+        if let Some(recorder) = &mut self.recorder {
+            recorder.told(self.now, told());
         }
     }
 }
 
-impl Effects for Desk {
+impl Effects for EffectSink {
     fn start_attempt(&mut self, request_id: RequestId, server: ServerIndex, until: Tenths, by: Tenths) {
-        self.done(|| Done::StartAttempt { request_id: request_id.0, server, until, by });
+        self.done(|| Decision::StartAttempt { request_id: request_id.0, server, until, by });
         let Some(open) = self.open.get_mut(&request_id) else { return };
         let handle = Rc::new(AttemptHandle::new());
         let attempt = open.handles.len();
         open.handles.push(handle.clone());
         open.out += 1;
         let ask = open.ask.clone();
-        self.notes.push(Note::StartAttempt(PendingAttempt {
+        self.take_commands.push(Command::StartAttempt(PendingAttempt {
             request_id,
             attempt,
             server,
@@ -115,26 +115,26 @@
         }));
     }
     fn cancel_attempt(&mut self, request_id: RequestId, attempt: usize) {
-        self.done(|| Done::CancelAttempt { request_id: request_id.0, attempt });
+        self.done(|| Decision::CancelAttempt { request_id: request_id.0, attempt });
         if let Some(handle) = self.open.get(&request_id).and_then(|open| open.handles.get(attempt)) {
             handle.give_up();
         }
     }
     fn reject(&mut self, request_id: RequestId, back_in: Tenths) {
-        self.done(|| Done::Defer { request_id: request_id.0, back_in });
+        self.done(|| Decision::Reject { request_id: request_id.0, back_in });
         let back_in = Some(back_in).filter(|t| *t > 0);
-        self.finish(request_id, Answer::bare(Verdict::Deferred(back_in)));
+        self.finish(request_id, Response::bare(ResponseStatus::Rejected(back_in)));
     }
     fn fail(&mut self, request_id: RequestId) {
-        self.done(|| Done::Abandon(request_id.0));
-        self.finish(request_id, Answer::bare(Verdict::Abandoned));
+        self.done(|| Decision::Fail(request_id.0));
+        self.finish(request_id, Response::bare(ResponseStatus::Failed));
     }
     fn check_health(&mut self, server: ServerIndex) {
-        self.done(|| Done::Probe(server));
-        self.notes.push(Note::Probe(server));
+        self.done(|| Decision::CheckHealth(server));
+        self.take_commands.push(Command::HealthCheck(server));
     }
     fn set_timer(&mut self, token: u64, after: Tenths) {
-        self.done(|| Done::Wake { token, after });
+        self.done(|| Decision::SetTimer { token, after });
         let due = self.now + after;
         let sooner = self.wakes.peek().is_none_or(|Reverse(first)| due < first.0);
         self.woken += 1;
@@ -144,11 +144,11 @@
         }
     }
     fn watch_endpoints(&mut self) {
-        self.done(|| Done::Watch);
+        self.done(|| Decision::WatchEndpoints);
         _ = self.wanted.try_send(());
     }
     fn log(&mut self, event: &str, server: &str) {
-        self.done(|| Done::Log { event: event.into(), server: server.into() });
+        self.done(|| Decision::Log { event: event.into(), server: server.into() });
         match server {
             "" => info!(self.log, "{}", event),
             server => info!(self.log, "{}", event; "cache" => server),
@@ -156,8 +156,8 @@
     }
 }
 
-impl Desk {
-    fn finish(&mut self, request_id: RequestId, answer: Answer) {
+impl EffectSink {
+    fn finish(&mut self, request_id: RequestId, answer: Response) {
         if let Some(open) = self.open.get_mut(&request_id)
             && let Some(waiting) = open.answer.take()
         {
@@ -173,14 +173,14 @@
     }
 }
 
-pub struct Book {
+pub struct RequestTable {
     balancer: Balancer,
     settings: BTreeMap<String, String>, // as the balancer last read it
-    desk: Desk,
+    sink: EffectSink,
     pub members: Members,
 }
 
-impl Book {
+impl RequestTable {
     /// `sooner` and `wanted` have room for one, which is enough to be told by.
     pub fn new(
         seed: u64,
@@ -188,79 +188,79 @@
         members: Members,
         (sooner, wanted): (Sender<()>, Sender<()>),
         log: Logger,
-        (tape, now): (Option<Tape>, Tenths),
-    ) -> Book {
-        let mut desk = Desk {
+        (recorder, now): (Option<Recorder>, Tenths),
+    ) -> RequestTable {
+        let mut sink = EffectSink {
             now,
             open: HashMap::new(),
-            notes: Vec::new(),
+            take_commands: Vec::new(),
             wakes: BinaryHeap::new(),
             woken: 0,
             sooner,
             wanted,
             log,
             left_waiting: 0,
-            tape,
+            recorder,
         };
-        desk.told(|| Told::Start { seed, settings: settings.clone() });
-        let balancer = Balancer::new(seed, settings, &mut desk);
+        sink.told(|| Event::Start { seed, settings: settings.clone() });
+        let balancer = Balancer::new(seed, settings, &mut sink);
         // The balancer asks for the list where the platform watches; elsewhere it comes by a watch all the same.
         if settings.get("watched").is_none_or(|watched| watched != "1") {
-            _ = desk.wanted.try_send(());
+            _ = sink.wanted.try_send(());
         }
-        Book { balancer, settings: settings.clone(), desk, members }
+        RequestTable { balancer, settings: settings.clone(), sink, members }
     }
 
-    fn at(&mut self, now: Tenths) -> (&mut Balancer, &mut Desk) {
-        self.desk.now = now;
+    fn at(&mut self, now: Tenths) -> (&mut Balancer, &mut EffectSink) {
+        self.sink.now = now;
         self.balancer.advance_clock(now);
-        if let Some(tape) = self.desk.tape.as_mut().filter(|tape| tape.wants_snapshot(now))
+        if let Some(recorder) = self.sink.recorder.as_mut().filter(|recorder| recorder.wants_snapshot(now))
             && let Some(state) = self.balancer.snapshot()
         {
-            tape.snapshot(now, &self.settings, state);
+            recorder.snapshot(now, &self.settings, state);
         }
-        (&mut self.balancer, &mut self.desk)
+        (&mut self.balancer, &mut self.sink)
     }
 
     pub fn stop_capture(&mut self) {
-        self.desk.tape = None;
+        self.sink.recorder = None;
     }
 
     /// What the balancer wants done by now.
-    pub fn notes(&mut self) -> Vec<Note> {
-        std::mem::take(&mut self.desk.notes)
+    pub fn take_commands(&mut self) -> Vec<Command> {
+        std::mem::take(&mut self.sink.take_commands)
     }
 
     /// Requests without their answer, or with an attempt out.
     pub fn open(&self) -> usize {
-        self.desk.open.len()
+        self.sink.open.len()
     }
 
     /// Takes a request and routes it; its final answer comes by the channel.
-    pub fn take(&mut self, now: Tenths, ask: Rc<dyn Ask>) -> (RequestId, Receiver<Answer>) {
+    pub fn take(&mut self, now: Tenths, ask: Rc<dyn ClientRequest>) -> (RequestId, Receiver<Response>) {
         let (answer, answered) = bounded(1);
         let order = ask.order().map(|addrs| self.members.at(&addrs));
-        let (balancer, desk) = self.at(now);
-        if let Some(tape) = &mut desk.tape {
-            tape.take(now, ask.class(), ask.key(), ask.write(), ask.expires(), order.as_deref());
+        let (balancer, sink) = self.at(now);
+        if let Some(recorder) = &mut sink.recorder {
+            recorder.take(now, ask.class(), ask.key(), ask.write(), ask.expires(), order.as_deref());
         }
         let request_id = balancer.accept_request(ask.class(), ask.key(), ask.write(), ask.expires());
         if let Some(order) = order {
             balancer.restrict_to(request_id, order);
         }
-        desk.open.insert(request_id, Open { ask, answer: Some(answer), handles: Vec::new(), out: 0 });
-        balancer.route_request(request_id, desk);
+        sink.open.insert(request_id, OpenRequest { ask, answer: Some(answer), handles: Vec::new(), out: 0 });
+        balancer.route_request(request_id, sink);
         (request_id, answered)
     }
 
     /// Whether a request has its final answer, or nobody waits for one any more.
     fn is_over(&self, request_id: RequestId) -> bool {
-        self.desk.open.get(&request_id).is_none_or(|open| open.answer.is_none())
+        self.sink.open.get(&request_id).is_none_or(|open| open.answer.is_none())
     }
 
     /// Requests so far whose client left before any of their attempts was written.
     pub fn left_waiting(&self) -> u64 {
-        self.desk.left_waiting
+        self.sink.left_waiting
     }
 
     /// An attempt has ended, and its connection is closed or back in the pool.
@@ -270,65 +270,65 @@
         (request_id, attempt): (RequestId, usize),
         outcome: AttemptOutcome,
         took: Tenths,
-        answer: Option<Answer>,
+        answer: Option<Response>,
     ) {
-        let order = self.desk.open.get(&request_id).and_then(|open| {
+        let order = self.sink.open.get(&request_id).and_then(|open| {
             open.ask.ended(outcome);
             open.ask.order()
         });
         let order = order.map(|addrs| self.members.at(&addrs));
-        let (balancer, desk) = self.at(now);
-        if let Some(open) = desk.open.get_mut(&request_id) {
+        let (balancer, sink) = self.at(now);
+        if let Some(open) = sink.open.get_mut(&request_id) {
             open.out -= 1;
         }
         if let Some(answer) = answer {
-            desk.finish(request_id, answer);
+            sink.finish(request_id, answer);
         }
-        let finished = desk.open.get(&request_id).is_none_or(|open| open.answer.is_none());
-        if let Some(tape) = &mut desk.tape {
-            tape.ended(now, request_id.0, attempt, outcome, took, finished, order.as_deref());
+        let finished = sink.open.get(&request_id).is_none_or(|open| open.answer.is_none());
+        if let Some(recorder) = &mut sink.recorder {
+            recorder.ended(now, request_id.0, attempt, outcome, took, finished, order.as_deref());
         }
         if let Some(order) = order {
             balancer.restrict_to(request_id, order);
         }
-        balancer.attempt_ended(request_id, attempt, outcome, took, finished, desk);
-        desk.tidy(request_id);
+        balancer.attempt_ended(request_id, attempt, outcome, took, finished, sink);
+        sink.tidy(request_id);
     }
 
     /// An attempt's answer has begun, and the request is resolved by it; the attempt goes on until the answer has ended.
-    pub fn begun(&mut self, now: Tenths, (request_id, attempt): (RequestId, usize), answer: Answer) {
-        let (balancer, desk) = self.at(now);
-        desk.finish(request_id, answer);
-        desk.told(|| Told::Begun { request_id: request_id.0, attempt });
-        balancer.response_started(request_id, attempt, desk);
+    pub fn begun(&mut self, now: Tenths, (request_id, attempt): (RequestId, usize), answer: Response) {
+        let (balancer, sink) = self.at(now);
+        sink.finish(request_id, answer);
+        sink.told(|| Event::ResponseStarted { request_id: request_id.0, attempt });
+        balancer.response_started(request_id, attempt, sink);
     }
 
     pub fn client_left(&mut self, now: Tenths, request_id: RequestId) {
-        let (balancer, desk) = self.at(now);
-        if let Some(open) = desk.open.get_mut(&request_id)
+        let (balancer, sink) = self.at(now);
+        if let Some(open) = sink.open.get_mut(&request_id)
             && open.answer.take().is_some()
             && !open.handles.iter().any(|handle| handle.written.get())
         {
-            desk.left_waiting += 1;
+            sink.left_waiting += 1;
         }
-        desk.told(|| Told::Left(request_id.0));
-        balancer.client_left(request_id, desk);
-        desk.tidy(request_id);
+        sink.told(|| Event::ClientLeft(request_id.0));
+        balancer.client_left(request_id, sink);
+        sink.tidy(request_id);
     }
 
     /// Abandons all that is open.
     pub fn give_up_all(&mut self, now: Tenths) {
-        let mut open: Vec<RequestId> = self.desk.open.keys().copied().collect();
+        let mut open: Vec<RequestId> = self.sink.open.keys().copied().collect();
         open.sort_unstable_by_key(|request_id| request_id.0);
         for request_id in open {
-            self.desk.finish(request_id, Answer::bare(Verdict::Abandoned));
+            self.sink.finish(request_id, Response::bare(ResponseStatus::Failed));
             self.client_left(now, request_id);
         }
     }
 
     /// So many proxies share the servers.
     pub fn shared_by(&mut self, proxies: u64) {
-        self.desk.told(|| Told::SharedBy(proxies));
+        self.sink.told(|| Event::ProxyCount(proxies));
         self.balancer.set_proxy_count(proxies);
     }
 
@@ -338,27 +338,27 @@
         &mut self,
         now: Tenths,
         settings: &BTreeMap<String, String>,
-        of: impl Fn(&dyn Ask) -> Option<(usize, Tenths)>,
+        of: impl Fn(&dyn ClientRequest) -> Option<(usize, Tenths)>,
     ) {
-        let (balancer, desk) = self.at(now);
-        desk.told(|| Told::Limits(settings.clone()));
+        let (balancer, sink) = self.at(now);
+        sink.told(|| Event::SettingsChanged(settings.clone()));
         balancer.apply_settings(settings);
-        let mut open: Vec<(RequestId, Rc<dyn Ask>)> =
-            desk.open.iter().map(|(l, o)| (*l, o.ask.clone())).collect();
+        let mut open: Vec<(RequestId, Rc<dyn ClientRequest>)> =
+            sink.open.iter().map(|(l, o)| (*l, o.ask.clone())).collect();
         open.sort_unstable_by_key(|(request_id, _)| request_id.0);
         for (request_id, ask) in open {
             let Some((class, limit)) = of(&*ask) else { continue };
             let expires = ask.taken() + limit;
-            desk.told(|| Told::Renewed { request_id: request_id.0, class, expires });
-            balancer.renew_limits(request_id, class, expires, desk);
+            sink.told(|| Event::LimitsRenewed { request_id: request_id.0, class, expires });
+            balancer.renew_limits(request_id, class, expires, sink);
         }
         self.settings = settings.clone();
     }
 
     pub fn probed(&mut self, now: Tenths, server: ServerIndex, answered: bool) {
-        let (balancer, desk) = self.at(now);
-        desk.told(|| Told::Probed { server, answered });
-        balancer.health_check_finished(server, answered, desk);
+        let (balancer, sink) = self.at(now);
+        sink.told(|| Event::HealthCheckFinished { server, answered });
+        balancer.health_check_finished(server, answered, sink);
     }
 
     /// Takes what a list says. Returns the servers that are off, and what it has changed.
@@ -369,15 +369,15 @@
         (whole_list, doubted): (bool, bool),
     ) -> (Vec<ServerIndex>, Changed) {
         let was_off: Vec<ServerIndex> = self.members.off().collect();
-        self.desk.now = now;
+        self.sink.now = now;
         self.balancer.advance_clock(now);
         let endpoints = self.members.take(now, lines, whole_list, doubted);
-        if let Some(tape) = &mut self.desk.tape {
-            tape.listed(now, whole_list, &endpoints);
+        if let Some(recorder) = &mut self.sink.recorder {
+            recorder.listed(now, whole_list, &endpoints);
         }
         match whole_list {
-            true => self.balancer.replace_endpoints(&endpoints, &mut self.desk),
-            false => self.balancer.update_endpoints(&endpoints, &mut self.desk),
+            true => self.balancer.replace_endpoints(&endpoints, &mut self.sink),
+            false => self.balancer.update_endpoints(&endpoints, &mut self.sink),
         }
         let changed = self.members.changed(&was_off);
         self.members.forget(&self.balancer);
@@ -386,8 +386,8 @@
 
     /// Operators take a server out at that moment, or put it back; its place, if it has one.
     pub fn barred(&mut self, now: Tenths, id: &str, (out, at): (bool, Tenths)) -> Option<ServerIndex> {
-        let (balancer, desk) = self.at(now);
-        desk.told(|| Told::Barred { id: id.into(), out, at });
+        let (balancer, sink) = self.at(now);
+        sink.told(|| Event::ServerDisabled { id: id.into(), out, at });
         balancer.set_disabled(id, out, at);
         self.members.place(id)
     }
@@ -417,7 +417,7 @@
 
     /// Takes up what a process before this one has learned. Not where all is captured, as a replay would not know of it.
     pub fn carry(&mut self, learned: Vec<Learned>) -> bool {
-        let taken = self.desk.tape.is_none();
+        let taken = self.sink.recorder.is_none();
         if taken {
             self.balancer.restore_learned(learned);
         }
@@ -441,24 +441,24 @@
 
     /// A call to discovery failed; the balancer will want another.
     pub fn discovery_call_failed(&mut self, now: Tenths, took: Tenths) {
-        let (balancer, desk) = self.at(now);
-        desk.told(|| Told::CallFailed { took });
-        balancer.discovery_call_failed(took, desk);
+        let (balancer, sink) = self.at(now);
+        sink.told(|| Event::DiscoveryCallFailed { took });
+        balancer.discovery_call_failed(took, sink);
     }
 
     /// When the balancer is to be woken next.
     pub fn next_wake(&self) -> Option<Tenths> {
-        self.desk.wakes.peek().map(|Reverse((due, ..))| *due)
+        self.sink.wakes.peek().map(|Reverse((due, ..))| *due)
     }
 
     /// Wakes the balancer with what is due first, if it is.
     pub fn wake(&mut self, now: Tenths) {
         if self.next_wake().is_some_and(|due| due <= now)
-            && let Some(Reverse((_, _, token))) = self.desk.wakes.pop()
+            && let Some(Reverse((_, _, token))) = self.sink.wakes.pop()
         {
-            let (balancer, desk) = self.at(now);
-            desk.told(|| Told::Woken(token));
-            balancer.timer_fired(token, desk);
+            let (balancer, sink) = self.at(now);
+            sink.told(|| Event::TimerFired(token));
+            balancer.timer_fired(token, sink);
         }
     }
 }
--- a/crates/core/src/answer.rs
+++ b/crates/engine/src/response.rs
@@ -1,4 +1,4 @@
-//! What a request is to the core: something that can be written to a server, and whose answer is bytes with a verdict.
+//! What a request is to the engine: something that can be written to a server, and whose answer is bytes with a verdict.
 
 use chalkwalk_limits::RequestAttributes;
 use chalkwalk_net::Held;
@@ -13,27 +13,27 @@
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    Resolved,
+pub enum ResponseStatus {
+    Served,
     /// May be tried again, after so long where that is told.
-    Deferred(Option<Tenths>),
-    Abandoned,
+    Rejected(Option<Tenths>),
+    Failed,
 }
 
 /// The one final answer of a request, to be worded by the door it came by.
-pub struct Answer {
-    pub verdict: Verdict,
+pub struct Response {
+    pub status: ResponseStatus,
     /// What the body is, in the server's own words; empty if it did not say.
     pub kind: String,
     pub body: Vec<u8>,
     /// Its part of the room for long answers.
     pub held: Option<Held>,
     /// What comes after the body that is here, where it is longer than is read whole.
-    pub flow: Option<Flow>,
+    pub flow: Option<BodyStream>,
 }
 
 /// The rest of an answer, part by part as a server gives it. One part waits at most: who takes it slowly slows the server.
-pub struct Flow {
+pub struct BodyStream {
     /// Of the whole body in bytes, where it is told.
     pub length: Option<u64>,
     pub parts: Receiver<Vec<u8>>,
@@ -41,25 +41,25 @@
     pub whole: Rc<Cell<bool>>,
 }
 
-impl Answer {
-    pub fn bare(verdict: Verdict) -> Answer {
-        Answer { verdict, kind: String::new(), body: Vec::new(), held: None, flow: None }
+impl Response {
+    pub fn bare(status: ResponseStatus) -> Response {
+        Response { status, kind: String::new(), body: Vec::new(), held: None, flow: None }
     }
 }
 
 /// What came back on a connection for an attempt.
-pub struct Heard {
+pub struct ServerResponse {
     pub outcome: AttemptOutcome,
     /// Where it resolves the request.
-    pub answer: Option<Answer>,
+    pub answer: Option<Response>,
     /// Whether the connection may carry another attempt.
     pub keep: bool,
     /// What of the answer is still to come on the connection, where the request is resolved before that.
-    pub rest: Option<Box<dyn Rest>>,
+    pub rest: Option<Box<dyn ResponseBody>>,
 }
 
 /// What of an answer is still to come.
-pub trait Rest {
+pub trait ResponseBody {
     /// The next part, `None` at the end; an error if it breaks off.
     fn part<'a>(&'a mut self, stream: &'a Async<TcpStream>) -> Wait<'a, Result<Option<Vec<u8>>, ()>>;
     /// Of the whole body in bytes, where it is told.
@@ -71,7 +71,7 @@
 pub type Wait<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
 
 /// A request as its door took it.
-pub trait Ask {
+pub trait ClientRequest {
     /// The class whose limits held when it was taken.
     fn class(&self) -> usize;
     /// What a class is found by; `None` once other settings hold than it was taken under.
@@ -95,11 +95,11 @@
     /// Writes it whole to a server, and how long it will be waited for.
     fn write_to<'a>(&'a self, stream: &'a Async<TcpStream>, left: Tenths) -> Wait<'a, io::Result<()>>;
     /// Reads what the server says to it; `None` if the connection broke or nothing of it can be read.
-    fn hear<'a>(&'a self, stream: &'a Async<TcpStream>) -> Wait<'a, Option<Heard>>;
+    fn hear<'a>(&'a self, stream: &'a Async<TcpStream>) -> Wait<'a, Option<ServerResponse>>;
 }
 
 /// How a server is asked whether it answers at all, in its own protocol.
-pub trait Probe {
+pub trait HealthCheck {
     /// Whether it does, and whether the connection may carry an attempt after it.
     fn probe<'a>(&'a self, stream: &'a Async<TcpStream>) -> Wait<'a, Option<bool>>;
 }
--- a/crates/etcd-list/src/announce.rs
+++ b/crates/etcd-list/src/announce.rs
@@ -1,8 +1,8 @@
 //! This proxy's own key, under a lease that ends with it.
 
 use crate::call::Link;
-use chalkwalk_core::core::Core;
-use chalkwalk_core::life::Phase;
+use chalkwalk_engine::engine::Engine;
+use chalkwalk_engine::lifecycle::Phase;
 use chalkwalk_etcd_wire::{api, path};
 use chalkwalk_membership::form::{Instance, instance_value};
 use slog::info;
@@ -13,7 +13,7 @@
 
 /// What a proxy says of itself, and its lease where it has one.
 pub struct Announcement {
-    pub core: Rc<Core>,
+    pub engine: Rc<Engine>,
     pub key: String,
     pub instance: Instance,
     pub lease_s: u64,
@@ -24,22 +24,22 @@
 const TIMES: u32 = 3;
 
 impl Announcement {
-    pub fn new(core: &Rc<Core>, prefix: &str, instance: Instance, lease_s: u64) -> Announcement {
-        let key = format!("{prefix}proxies/{}", core.rules.name);
-        Announcement { core: core.clone(), key, instance, lease_s, lease: Cell::new(0) }
+    pub fn new(engine: &Rc<Engine>, prefix: &str, instance: Instance, lease_s: u64) -> Announcement {
+        let key = format!("{prefix}proxies/{}", engine.rules.name);
+        Announcement { engine: engine.clone(), key, instance, lease_s, lease: Cell::new(0) }
     }
 
     /// Keeps the key there for as long as the connection holds and the proxy serves; then gives the lease up. An error is of
     /// the connection.
     pub async fn hold(&self, link: &Link) -> Result<(), String> {
         let leaving = async {
-            self.core.life.reached(Phase::Leaving).await;
+            self.engine.lifecycle.reached(Phase::Leaving).await;
             Ok(())
         };
         smol::future::or(leaving, self.keep(link)).await?;
         let id = self.lease.replace(0);
         if id != 0 {
-            info!(self.core.log, "own key given up"; "key" => &self.key);
+            info!(self.engine.log, "own key given up"; "key" => &self.key);
             let revoke = api::LeaseRevokeRequest { id };
             _ = link.ask::<api::LeaseRevokeResponse>(path::LEASE_REVOKE, &revoke).await;
         }
@@ -65,7 +65,7 @@
         let ask = api::LeaseKeepAliveRequest { id };
         let answer: api::LeaseKeepAliveResponse = link.ask(path::LEASE_KEEP_ALIVE, &ask).await?;
         if answer.ttl <= 0 {
-            info!(self.core.log, "own lease had run out"; "key" => &self.key);
+            info!(self.engine.log, "own lease had run out"; "key" => &self.key);
             self.lease.set(0);
         }
         Ok(answer.ttl > 0)
--- a/crates/etcd-list/src/follow.rs
+++ b/crates/etcd-list/src/follow.rs
@@ -3,8 +3,8 @@
 use crate::announce::Announcement;
 use crate::call::{Link, Stream};
 use crate::machine::{Do, Key, Machine, News, PAGE};
-use chalkwalk_core::clock::span;
-use chalkwalk_core::core::Core;
+use chalkwalk_engine::clock::span;
+use chalkwalk_engine::engine::Engine;
 use chalkwalk_etcd_wire::{api, path};
 use chalkwalk_membership::form::{LEAVING, read_instance, read_server};
 use chalkwalk_membership::reconcile::Change;
@@ -36,13 +36,13 @@
 
 impl Etcd {
     pub fn new(
-        core: &Rc<Core>,
+        engine: &Rc<Engine>,
         feed: Rc<Feed>,
         endpoints: Vec<SocketAddr>,
         prefix: &str,
         announcement: Option<Announcement>,
     ) -> Rc<Etcd> {
-        let machine = RefCell::new(Machine::new(prefix, endpoints.len(), core.rules.seed));
+        let machine = RefCell::new(Machine::new(prefix, endpoints.len(), engine.rules.seed));
         Rc::new(Etcd {
             feed,
             endpoints,
@@ -60,19 +60,19 @@
             let Do::Connect { endpoint, after } = next else { return };
             Timer::after(span(after)).await;
             let addr = self.endpoints[endpoint];
-            let begun = self.feed.core.clock.now();
-            let fault = match Link::open(&self.feed.core.ex, addr).await {
+            let begun = self.feed.engine.clock.now();
+            let fault = match Link::open(&self.feed.engine.ex, addr).await {
                 Ok(link) => self.session(link).await,
                 Err(fault) => fault,
             };
             self.feed.lost(&format!("{addr}: {fault}"));
             let refused = self.refused.replace(false);
             let mut machine = self.machine.borrow_mut();
-            let took = self.feed.core.clock.now() - begun;
+            let took = self.feed.engine.clock.now() - begun;
             next = if refused { machine.refused() } else { machine.failed(took) };
             if let Do::Connect { endpoint, after } = &next {
                 let rest_ms = after / 10;
-                info!(self.feed.core.log, "etcd call failed"; "endpoint" => %addr, "fault" => fault, "took_ms" => took / 10, "next" => %self.endpoints[*endpoint], "rest_ms" => rest_ms);
+                info!(self.feed.engine.log, "etcd call failed"; "endpoint" => %addr, "fault" => fault, "took_ms" => took / 10, "next" => %self.endpoints[*endpoint], "rest_ms" => rest_ms);
             }
         }
     }
--- a/crates/http-door/src/admit.rs
+++ b/crates/http-door/src/admit.rs
@@ -2,7 +2,7 @@
 
 use crate::door::{Door, OpenId};
 use crate::relay::Reply;
-use chalkwalk_core::classes::Taking;
+use chalkwalk_engine::classes::ClassLimits;
 use chalkwalk_http1::Message;
 use chalkwalk_limits::RequestAttributes;
 use chalkwalk_policy::Tenths;
@@ -50,12 +50,12 @@
     client: &Rc<Async<TcpStream>>,
 ) -> Result<HttpRequest, Reply> {
     let wrong = |status| Err(Reply::bare(status));
-    let core = &door.core;
+    let engine = &door.engine;
     let target = message.word(&message.target);
     let path = target.split('?').next().unwrap_or("");
     let method = message.word(&message.method);
     if path == "/up" && method == "GET" {
-        return wrong(if core.life.usable() { 200 } else { 503 });
+        return wrong(if engine.lifecycle.usable() { 200 } else { 503 });
     }
     if !matches!(method, "GET" | "PUT") {
         return wrong(405);
@@ -72,18 +72,18 @@
     }
     let Some(left) = message.field("X-Time-Left").and_then(time_left) else { return wrong(400) };
     let place = RequestAttributes { namespace: ns, path, tenant: tenant(&message), door: DOOR };
-    let Taking { class, time_limit, longest_body } = core.classes.find(place);
+    let ClassLimits { class, time_limit, longest_body } = engine.classes.find(place);
     if message.body.len() as u64 > longest_body {
         return wrong(413);
     }
-    let expires = may_start(core.clock.now(), came + left.min(time_limit), core.last_answer());
+    let expires = may_start(engine.clock.now(), came + left.min(time_limit), engine.last_answer());
     let Some(expires) = expires else { return wrong(408) };
     let start = message.target.start + path.rfind('/').map_or(0, |slash| slash + 1);
     let key = start..message.target.start + path.len();
     let write = method == "PUT";
     let id = message.bytes("X-Correlation-Id").unwrap_or_default().to_vec();
     let Some(open) = door.open_ids.open(id) else { return wrong(409) };
-    let generation = core.classes.generation();
+    let generation = engine.classes.generation();
     Ok(HttpRequest {
         door: door.clone(),
         key,
--- a/crates/http-door/src/clients.rs
+++ b/crates/http-door/src/clients.rs
@@ -5,9 +5,9 @@
 use crate::relay::{self, Reply};
 use crate::route::route;
 use crate::take_in::take_in;
-use chalkwalk_core::budget::Permit;
-use chalkwalk_core::core::Counted;
-use chalkwalk_core::life::Phase;
+use chalkwalk_engine::budget::Permit;
+use chalkwalk_engine::engine::ClientConnection;
+use chalkwalk_engine::lifecycle::Phase;
 use chalkwalk_net::quiet;
 use chalkwalk_policy::Tenths;
 use slog::warn;
@@ -26,15 +26,15 @@
 
 /// Takes connections until the proxy empties; whoever has one by then is let in.
 pub async fn accept(door: Rc<Door>, listener: Async<TcpListener>) {
-    let core = &door.core;
+    let engine = &door.engine;
     let mut held = None;
     let over = async {
-        core.life.reached(Phase::Emptying).await;
+        engine.lifecycle.reached(Phase::Emptying).await;
     };
     let taking = async {
         let mut failing = false;
         // No connection that is accepted next came before that.
-        let mut clear = core.clock.came_after();
+        let mut clear = engine.clock.came_after();
         loop {
             match listener.get_ref().accept() {
                 Ok((stream, _)) => {
@@ -42,20 +42,20 @@
                     let Ok(stream) = Async::new(stream) else { continue };
                     held = Some(stream);
                     // Room is made only for one that is here: whoever is closed for nothing comes again.
-                    let (permit, taken) = core.budget.take_for_client().await;
+                    let (permit, taken) = engine.budget.take_for_client().await;
                     if let Some(stream) = held.take() {
                         welcome(&door, stream, permit, taken, clear);
                     }
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                     _ = listener.readable().await;
-                    clear = core.clock.came_after();
+                    clear = engine.clock.came_after();
                 }
                 Err(e) => {
                     if !std::mem::replace(&mut failing, true) {
-                        warn!(core.log, "cannot accept"; "fault" => %e);
+                        warn!(engine.log, "cannot accept"; "fault" => %e);
                     }
-                    core.budget.close_idle();
+                    engine.budget.close_idle();
                     Timer::after(ACCEPT_AGAIN).await;
                 }
             }
@@ -65,15 +65,15 @@
     // Whoever has a connection by now may have written a request to it: taken in, before the door closes.
     let waiting = || listener.get_ref().accept().ok().and_then(|(stream, _)| Async::new(stream).ok());
     while let Some(stream) = held.take().or_else(waiting) {
-        let (permit, taken) = core.budget.take_for_client().await;
-        welcome(&door, stream, permit, taken, core.clock.came_after());
+        let (permit, taken) = engine.budget.take_for_client().await;
+        welcome(&door, stream, permit, taken, engine.clock.came_after());
     }
 }
 
 fn welcome(door: &Rc<Door>, stream: Async<TcpStream>, permit: Permit, taken: bool, clear: Tenths) {
     _ = stream.get_ref().set_nodelay(true);
-    let open = Counted::new(&door.core);
-    door.core.ex.spawn(serve(door.clone(), stream, permit, open, taken, clear)).detach();
+    let open = ClientConnection::new(&door.engine);
+    door.engine.ex.spawn(serve(door.clone(), stream, permit, open, taken, clear)).detach();
 }
 
 /// One connection, to its end: the stages in their order. Requests that are not taken are turned away at once.
@@ -81,25 +81,25 @@
     door: Rc<Door>,
     stream: Async<TcpStream>,
     mut permit: Permit,
-    open: Counted,
+    open: ClientConnection,
     mut taken: bool,
     clear: Tenths,
 ) {
-    let (core, stream) = (&door.core, Rc::new(stream));
+    let (engine, stream) = (&door.engine, Rc::new(stream));
     let mut rest = Vec::new();
     let mut opened = Some(Instant::now());
     // What is there already may have waited for as long as the connection did: that much less time is left to it. It is
     // whole then, and what is still on its way has not waited.
-    let (mut waited, welcomed) = (!quiet(&stream), core.clock.now());
+    let (mut waited, welcomed) = (!quiet(&stream), engine.clock.now());
     loop {
         let message = match take_in(&open, &stream, &mut rest, opened.take()).await {
             Ok(Some(message)) => message,
             Ok(None) => return,
             Err(status) => return relay::turn_down(&stream, Reply::bare(status)).await,
         };
-        let waited = std::mem::take(&mut waited) && core.clock.now() < welcomed + READ_AT_ONCE;
-        let came = if waited { clear } else { core.clock.came_after() };
-        if !taken && let Some(place) = core.budget.make_place().await {
+        let waited = std::mem::take(&mut waited) && engine.clock.now() < welcomed + READ_AT_ONCE;
+        let came = if waited { clear } else { engine.clock.came_after() };
+        if !taken && let Some(place) = engine.budget.make_place().await {
             // It came while all others were busy; by now one is not.
             _ = std::mem::replace(&mut permit, place);
             taken = true;
@@ -109,7 +109,7 @@
             // More at once than one request: none of it is taken.
             _ if !rest.is_empty() => Reply::bare(400),
             Ok(_) if !taken => Reply::bare(503),
-            Ok(request) => match route(core, &stream, &mut rest, request).await {
+            Ok(request) => match route(engine, &stream, &mut rest, request).await {
                 Some(answer) => answer,
                 None => return,
             },
--- a/crates/http-door/src/door.rs
+++ b/crates/http-door/src/door.rs
@@ -1,20 +1,20 @@
 //! What all connections of this door share.
 
-use chalkwalk_core::core::Core;
+use chalkwalk_engine::engine::Engine;
 use std::cell::RefCell;
 use std::collections::HashSet;
 use std::rc::Rc;
 
 pub struct Door {
-    pub(crate) core: Rc<Core>,
+    pub(crate) engine: Rc<Engine>,
     /// The names of the namespaces, by which clients name them.
     pub(crate) namespaces: RefCell<Vec<String>>,
     pub(crate) open_ids: OpenIds,
 }
 
 impl Door {
-    pub fn new(core: Rc<Core>, namespaces: Vec<String>) -> Rc<Door> {
-        Rc::new(Door { core, namespaces: RefCell::new(namespaces), open_ids: OpenIds::default() })
+    pub fn new(engine: Rc<Engine>, namespaces: Vec<String>) -> Rc<Door> {
+        Rc::new(Door { engine, namespaces: RefCell::new(namespaces), open_ids: OpenIds::default() })
     }
 
     /// Requests are of these namespaces from now on.
--- a/crates/http-door/src/relay.rs
+++ b/crates/http-door/src/relay.rs
@@ -1,7 +1,7 @@
 //! Stage "relay": the final answer, written to the client.
 
 use crate::servers::seconds;
-use chalkwalk_core::answer::{Answer, Flow, Verdict};
+use chalkwalk_engine::response::{BodyStream, Response, ResponseStatus};
 use chalkwalk_http1::reason;
 use chalkwalk_net::{Held, more, within, write_all};
 use chalkwalk_policy::Tenths;
@@ -16,7 +16,7 @@
     kind: String,
     body: Vec<u8>,
     _held: Option<Held>,
-    flow: Option<Box<Flow>>,
+    flow: Option<Box<BodyStream>>,
 }
 
 impl Reply {
@@ -25,12 +25,12 @@
     }
 }
 
-impl From<Answer> for Reply {
-    fn from(answer: Answer) -> Reply {
-        let (status, back_in) = match answer.verdict {
-            Verdict::Resolved => (200, None),
-            Verdict::Deferred(back_in) => (503, back_in),
-            Verdict::Abandoned => (500, None),
+impl From<Response> for Reply {
+    fn from(answer: Response) -> Reply {
+        let (status, back_in) = match answer.status {
+            ResponseStatus::Served => (200, None),
+            ResponseStatus::Rejected(back_in) => (503, back_in),
+            ResponseStatus::Failed => (500, None),
         };
         Reply {
             status,
@@ -95,7 +95,7 @@
 async fn relay_flow(
     stream: &Async<TcpStream>,
     answer: &Reply,
-    flow: Flow,
+    flow: BodyStream,
     close: bool,
     open_ended: bool,
 ) -> Option<()> {
--- a/crates/http-door/src/route.rs
+++ b/crates/http-door/src/route.rs
@@ -2,8 +2,8 @@
 
 use crate::admit::HttpRequest;
 use crate::relay::Reply;
-use chalkwalk_core::core::Core;
-use chalkwalk_core::flow;
+use chalkwalk_engine::engine::Engine;
+use chalkwalk_engine::flow;
 use chalkwalk_net::more;
 use chalkwalk_policy::admission::Violation;
 use slog::warn;
@@ -18,24 +18,24 @@
 
 /// `None` if the client has gone away. One that sends more before its answer breaks the protocol and gets none.
 pub async fn route(
-    core: &Rc<Core>,
+    engine: &Rc<Engine>,
     stream: &Async<TcpStream>,
     rest: &mut Vec<u8>,
     request: HttpRequest,
 ) -> Option<Reply> {
     let expires = request.expires;
-    let (request_id, answered) = flow::take(core, Rc::new(request));
+    let (request_id, answered) = flow::take(engine, Rc::new(request));
     let late = async {
         // The balancer answers by then; a request it forgot would hold the connection for ever.
-        Timer::at(core.clock.instant(expires) + OVERDUE).await;
-        warn!(core.log, "a lookup without an answer");
-        core.violations.check(&core.log, Some(Violation::NoFinalAnswer));
-        flow::client_left(core, request_id);
+        Timer::at(engine.clock.instant(expires) + OVERDUE).await;
+        warn!(engine.log, "a lookup without an answer");
+        engine.violations.check(&engine.log, Some(Violation::NoFinalAnswer));
+        flow::client_left(engine, request_id);
         Some(Reply::bare(500))
     };
     let gone = async {
         let came = matches!(more(stream, rest).await, Ok(1..));
-        flow::client_left(core, request_id);
+        flow::client_left(engine, request_id);
         came.then(|| Reply::bare(400))
     };
     let answer = async {
--- a/crates/http-door/src/servers.rs
+++ b/crates/http-door/src/servers.rs
@@ -1,7 +1,9 @@
 //! The side of the servers: a request written on as it came, what an answer says of the attempt, and probes.
 
 use crate::admit::HttpRequest;
-use chalkwalk_core::answer::{Answer, Ask, Heard, Probe, Rest, Verdict, Wait};
+use chalkwalk_engine::response::{
+    ClientRequest, HealthCheck, Response, ResponseBody, ResponseStatus, ServerResponse, Wait,
+};
 use chalkwalk_http1::{self as http1, Answering};
 use chalkwalk_net::{Held, Room, quiet, wait_until, write_all};
 use chalkwalk_policy::{AttemptOutcome, Tenths};
@@ -15,13 +17,13 @@
     format!("{}.{:04}", tenths / 10_000, tenths % 10_000)
 }
 
-impl Ask for HttpRequest {
+impl ClientRequest for HttpRequest {
     fn class(&self) -> usize {
         self.class
     }
 
     fn place(&self) -> Option<chalkwalk_limits::RequestAttributes<'_>> {
-        (self.generation == self.door.core.classes.generation()).then(|| HttpRequest::place(self))
+        (self.generation == self.door.engine.classes.generation()).then(|| HttpRequest::place(self))
     }
 
     fn taken(&self) -> Tenths {
@@ -64,10 +66,10 @@
         })
     }
 
-    fn hear<'a>(&'a self, stream: &'a Async<TcpStream>) -> Wait<'a, Option<Heard>> {
+    fn hear<'a>(&'a self, stream: &'a Async<TcpStream>) -> Wait<'a, Option<ServerResponse>> {
         Box::pin(async move {
             let answering = Answering::begin(stream).await.ok()?;
-            read(answering, stream, &self.door.core.room).await
+            read(answering, stream, &self.door.engine.room).await
         })
     }
 }
@@ -79,7 +81,7 @@
 
 /// What a server's answer says of the attempt. One of up to 64 KiB is read whole, so that one that breaks off can be asked for
 /// elsewhere; a longer one is passed on from its first bytes on.
-async fn read(mut answering: Answering, stream: &Async<TcpStream>, room: &Room) -> Option<Heard> {
+async fn read(mut answering: Answering, stream: &Async<TcpStream>, room: &Room) -> Option<ServerResponse> {
     let message = &answering.message;
     let turned_away = message.field("X-Unprocessed").is_some_and(|v| v == "1");
     let outcome = match message.status {
@@ -128,21 +130,21 @@
     }
     let keep = answering.keeps();
     if !resolved {
-        return Some(Heard { outcome, answer: None, keep, rest: None });
+        return Some(ServerResponse { outcome, answer: None, keep, rest: None });
     }
     let kind = answering.message.field("Content-Type").unwrap_or("").to_string();
     let begun = body.len();
-    let answer = Some(Answer { kind, body, ..Answer::bare(Verdict::Resolved) });
+    let answer = Some(Response { kind, body, ..Response::bare(ResponseStatus::Served) });
     if whole {
-        return Some(Heard { outcome, answer, keep, rest: None });
+        return Some(ServerResponse { outcome, answer, keep, rest: None });
     }
     let held = room.take(PART.0 * PART.1, usize::MAX);
     if held.is_some() {
         answering.most = PART.0;
     }
     let left = http1::LONGEST_OF_ALL.saturating_sub(begun);
-    let rest: Box<dyn Rest> = Box::new(Flowing { answering, left, _held: held });
-    Some(Heard { outcome, answer, keep, rest: Some(rest) })
+    let rest: Box<dyn ResponseBody> = Box::new(Flowing { answering, left, _held: held });
+    Some(ServerResponse { outcome, answer, keep, rest: Some(rest) })
 }
 
 /// The rest of a long answer, with its part of the room for them; without one it is read in smaller parts.
@@ -152,7 +154,7 @@
     _held: Option<Held>,
 }
 
-impl Rest for Flowing {
+impl ResponseBody for Flowing {
     fn part<'a>(&'a mut self, stream: &'a Async<TcpStream>) -> Wait<'a, Result<Option<Vec<u8>>, ()>> {
         Box::pin(async move {
             let part = self.answering.part(stream).await.map_err(|_| ())?;
@@ -172,7 +174,7 @@
 /// The platform's probe: `GET /alive`.
 pub struct Alive;
 
-impl Probe for Alive {
+impl HealthCheck for Alive {
     fn probe<'a>(&'a self, stream: &'a Async<TcpStream>) -> Wait<'a, Option<bool>> {
         Box::pin(async move {
             let host = stream.get_ref().peer_addr().ok()?;
--- a/crates/http-door/src/take_in.rs
+++ b/crates/http-door/src/take_in.rs
@@ -1,6 +1,6 @@
 //! Stage "take in": a message read whole off a client's connection, or the connection's end.
 
-use chalkwalk_core::core::Counted;
+use chalkwalk_engine::engine::ClientConnection;
 use chalkwalk_http1::{self as http1, Fault, Message, Taking};
 use chalkwalk_net::{more, quiet, wait_until, within};
 use smol::Async;
@@ -21,7 +21,7 @@
 
 /// `opened` says when the connection was, if nothing has come on it yet.
 pub async fn take_in(
-    open: &Counted,
+    open: &ClientConnection,
     stream: &Async<TcpStream>,
     rest: &mut Vec<u8>,
     opened: Option<Instant>,
@@ -29,15 +29,15 @@
     if !begins(open, stream, rest, opened).await {
         return Ok(None);
     }
-    let core = &open.core;
-    let longest = core.classes.longest_body() as usize;
-    let taking = Taking { head_by: Instant::now() + SLOWEST, longest, room: &core.room };
+    let engine = &open.engine;
+    let longest = engine.classes.longest_body() as usize;
+    let taking = Taking { head_by: Instant::now() + SLOWEST, longest, room: &engine.room };
     http1::question(stream, rest, taking).await.map(Some)
 }
 
 /// Waits for the first byte of a message; false if the connection is to be closed.
 async fn begins(
-    open: &Counted,
+    open: &ClientConnection,
     stream: &Async<TcpStream>,
     rest: &mut Vec<u8>,
     opened: Option<Instant>,
@@ -48,7 +48,7 @@
         return matches!(got, Ok(1..));
     }
     let (close, closed) = bounded(1);
-    let turn = open.core.budget.idles(close, opened.is_none());
+    let turn = open.engine.budget.idles(close, opened.is_none());
     let end = opened.map_or_else(|| Instant::now() + IDLE, |at| at + SLOWEST);
     let begun = async { matches!(more(stream, rest).await, Ok(1..)) };
     let made_way = async {
@@ -60,7 +60,7 @@
         false
     };
     let begun = wait_until(end, begun.or(made_way).or(leaving)).await.unwrap_or(false);
-    open.core.budget.busy(turn);
+    open.engine.budget.busy(turn);
     // What has come by the moment of closing is still taken.
     begun || (!quiet(stream) && matches!(more(stream, rest).await, Ok(1..)))
 }
--- a/crates/platform/src/call.rs
+++ b/crates/platform/src/call.rs
@@ -2,7 +2,7 @@
 
 use crate::list::Source;
 use crate::terms;
-use chalkwalk_core::clock::span;
+use chalkwalk_engine::clock::span;
 use chalkwalk_http1::{self as http1, Answering};
 use chalkwalk_net::{quiet, within};
 use chalkwalk_policy::Tenths;
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,6 +1,6 @@
 //! The platform: the configuration that it hands a proxy, and its list of servers as a source.
 //!
-//! It may use `core`, `http1`, `limits`, `net` and `values`. A door never enters it, nor another source.
+//! It may use `engine`, `http1`, `limits`, `net` and `values`. A door never enters it, nor another source.
 
 mod call;
 mod list;
@@ -10,7 +10,7 @@
 pub use list::{Source, follow, known};
 pub use shape::Shape;
 
-use chalkwalk_core::rules::Rules;
+use chalkwalk_engine::config::EngineConfig;
 use chalkwalk_house::PlatformSettings;
 use chalkwalk_house::fields::{Object, Read, object, text, text_or, whole};
 use chalkwalk_http1 as http1;
@@ -30,7 +30,7 @@
     /// The list as this proxy last had it.
     pub known: Value,
     pub namespaces: Vec<String>,
-    pub core: Rules,
+    pub engine: EngineConfig,
     /// What it has said at all.
     pub shape: Shape,
 }
@@ -103,7 +103,7 @@
             tenants,
             doors: Vec::new(),
         };
-        let core = Rules {
+        let engine = EngineConfig {
             name: text_or(said, "name", "")?.to_string(),
             seed: u64::from_str_radix(seed, 16)
                 .map_err(|_| format!("field seed: expected a hexadecimal number, got \"{seed}\""))?,
@@ -136,7 +136,7 @@
             list: optional("discovery")?,
             known: said.get("known").cloned().unwrap_or(Value::Null),
             namespaces,
-            core,
+            engine,
             shape: Shape::of(said),
         })
     }
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/list.rs
@@ -3,10 +3,10 @@
 
 use crate::call::{Call, Fault, Link, Said, tenths};
 use crate::{address, terms};
-use chalkwalk_core::clock::span;
-use chalkwalk_core::core::Core;
-use chalkwalk_core::flow;
-use chalkwalk_core::members::ListedEndpoint;
+use chalkwalk_engine::clock::span;
+use chalkwalk_engine::engine::Engine;
+use chalkwalk_engine::flow;
+use chalkwalk_engine::members::ListedEndpoint;
 use chalkwalk_house::fields::{Object, Read, flag, list, object, size, text, text_or, whole, whole_or};
 use chalkwalk_net::wait_until;
 use chalkwalk_policy::admission::Violation;
@@ -98,54 +98,54 @@
     }
 }
 
-/// Tells the core the list as this proxy last had it, and returns its version, if it names any server.
-pub fn known(core: &Rc<Core>, known: &Value) -> Option<u64> {
+/// Tells the engine the list as this proxy last had it, and returns its version, if it names any server.
+pub fn known(engine: &Rc<Engine>, known: &Value) -> Option<u64> {
     let said = known.as_object()?;
-    match take(core, said, true, false).and_then(|()| whole(said, "version")) {
+    match take(engine, said, true, false).and_then(|()| whole(said, "version")) {
         Ok(version) => Some(version).filter(|_| list(said, "servers").is_ok_and(|lines| !lines.is_empty())),
         Err(fault) => {
-            warn!(core.log, "known list passed over"; "fault" => fault);
+            warn!(engine.log, "known list passed over"; "fault" => fault);
             None
         }
     }
 }
 
-/// Tells the core what a list says. Of one that is wrong anywhere, only what it says is off.
-fn take(core: &Rc<Core>, said: &Object, whole_list: bool, doubted: bool) -> Read<()> {
+/// Tells the engine what a list says. Of one that is wrong anywhere, only what it says is off.
+fn take(engine: &Rc<Engine>, said: &Object, whole_list: bool, doubted: bool) -> Read<()> {
     let lines: Vec<Read<ListedEndpoint>> = list(said, "servers")?.iter().map(line).collect();
     if lines.iter().any(Read::is_err) {
-        take_off(core, lines.iter().flatten());
+        take_off(engine, lines.iter().flatten());
     }
     let lines = lines.into_iter().collect::<Read<Vec<_>>>()?;
-    flow::listed(core, &lines, whole_list, doubted);
-    if core.book.borrow().none_ready() {
-        warn!(core.log, "no cache in service by the list"; "lines" => lines.len());
+    flow::listed(engine, &lines, whole_list, doubted);
+    if engine.requests.borrow().none_ready() {
+        warn!(engine.log, "no cache in service by the list"; "lines" => lines.len());
     }
     Ok(())
 }
 
 /// Takes of a list that is not believed otherwise what it says is draining or gone, where that is news: it was told, and the
 /// next list that is believed has the last word. Not of a server that has started since.
-fn take_off<'a>(core: &Rc<Core>, lines: impl Iterator<Item = &'a ListedEndpoint>) {
+fn take_off<'a>(engine: &Rc<Engine>, lines: impl Iterator<Item = &'a ListedEndpoint>) {
     let news = |line: &&ListedEndpoint| {
-        line.status != EndpointStatus::Ready && core.book.borrow().members.serves(line)
+        line.status != EndpointStatus::Ready && engine.requests.borrow().members.serves(line)
     };
     let off: Vec<ListedEndpoint> = lines.filter(news).cloned().collect();
     if !off.is_empty() {
-        flow::listed(core, &off, false, false);
+        flow::listed(engine, &off, false, false);
     }
 }
 
 /// Watches whenever the balancer asks for it, until a call fails; the balancer hears of that and asks again. `known`: the
 /// version of the list that was known at the start, from which the first call goes on. `at_once`: that one waits for no news.
-pub async fn follow(core: Rc<Core>, source: Rc<Source>, known: Option<u64>, at_once: bool) {
+pub async fn follow(engine: Rc<Engine>, source: Rc<Source>, known: Option<u64>, at_once: bool) {
     let version = known.unwrap_or(0);
     let mut held = Held { version, since: known.is_some(), highest: version, at_once, ..Held::default() };
-    let mut chance = fastrand::Rng::with_seed(core.rules.seed);
+    let mut chance = fastrand::Rng::with_seed(engine.rules.seed);
     let mut first = true;
     loop {
         let wanted = async {
-            core.list_wanted().await;
+            engine.list_wanted().await;
             true
         };
         let moved = async { source.moved.recv().await.is_err() };
@@ -154,11 +154,11 @@
         if !(nothing || wanted.or(moved).await) {
             held.moved();
         }
-        let lost = watch(&core, &source, &mut held, &mut chance).await;
-        core.list_had();
-        flow::discovery_call_failed(&core, lost.took);
+        let lost = watch(&engine, &source, &mut held, &mut chance).await;
+        engine.list_had();
+        flow::discovery_call_failed(&engine, lost.took);
         let unheard = held.heard_at.map(|at| at.elapsed().as_millis() as u64);
-        warn!(core.log, "discovery call failed";
+        warn!(engine.log, "discovery call failed";
             "call" => held.calls, "fault" => lost.fault, "took_ms" => lost.took / 10,
             "version" => held.version, "unheard_ms" => unheard);
     }
@@ -191,11 +191,11 @@
 /// A call that seems silent is made anew, and heard until the new one is answered: it may have been slow. So is the one to the old
 /// address where discovery has moved: what was about to be written there counts as told. A list that has moved is asked for all
 /// it has, at once.
-async fn watch(core: &Rc<Core>, source: &Source, held: &mut Held, chance: &mut fastrand::Rng) -> Lost {
+async fn watch(engine: &Rc<Engine>, source: &Source, held: &mut Held, chance: &mut fastrand::Rng) -> Lost {
     let link = Link::default();
     let mut older: Option<Call> = None;
     let mut older_elsewhere = false;
-    let mut newer = held.begin(core, source, &link, chance);
+    let mut newer = held.begin(engine, source, &link, chance);
     loop {
         let silent_at = newer.silent_at();
         let came = {
@@ -220,7 +220,7 @@
             said.or(of_older).or(moved).or(over).await
         };
         let odd = match came {
-            Came::Said(Ok(body)) => hear(core, held, &body).err(),
+            Came::Said(Ok(body)) => hear(engine, held, &body).err(),
             Came::Said(Err(fault @ Fault::CutShort)) => Some(fault.to_string()),
             // Only a service that has too much to do is surely the one that told this version; after any other fault the
             // whole list is asked for.
@@ -229,9 +229,9 @@
                 // The older one may still bring what the newer did not; the rest after it is that much shorter.
                 if let Some(call) = older.take()
                     && let Some(Ok(body)) = wait_until(newer.begun + span(OLDER_HEARD), call.answer).await
-                    && hear_older(core, held, &body, older_elsewhere)
+                    && hear_older(engine, held, &body, older_elsewhere)
                 {
-                    newer = held.begin(core, source, &link, chance);
+                    newer = held.begin(engine, source, &link, chance);
                     continue;
                 }
                 return Lost::by(&newer, fault.to_string());
@@ -240,22 +240,22 @@
                 older = None;
                 // Where it failed, the newer one is there.
                 if let Ok(body) = said {
-                    hear_older(core, held, &body, older_elsewhere);
+                    hear_older(engine, held, &body, older_elsewhere);
                 }
                 continue;
             }
             Came::Moved => {
-                info!(core.log, "discovery moved"; "address" => %source.at.get());
+                info!(engine.log, "discovery moved"; "address" => %source.at.get());
                 held.moved();
                 link.take();
-                older = Some(std::mem::replace(&mut newer, held.begin(core, source, &link, chance)));
+                older = Some(std::mem::replace(&mut newer, held.begin(engine, source, &link, chance)));
                 older_elsewhere = true;
                 continue;
             }
             Came::Silent => {
-                info!(core.log, "discovery call silent, made anew"; "call" => newer.number);
+                info!(engine.log, "discovery call silent, made anew"; "call" => newer.number);
                 older_elsewhere = false;
-                older = Some(std::mem::replace(&mut newer, held.begin(core, source, &link, chance)));
+                older = Some(std::mem::replace(&mut newer, held.begin(engine, source, &link, chance)));
                 continue;
             }
         };
@@ -266,10 +266,10 @@
             if !again {
                 return Lost::by(&newer, fault);
             }
-            warn!(core.log, "list answer passed over"; "call" => newer.number, "fault" => fault);
+            warn!(engine.log, "list answer passed over"; "call" => newer.number, "fault" => fault);
             Timer::after(terms::at_once(chance)).await;
         }
-        newer = held.begin(core, source, &link, chance);
+        newer = held.begin(engine, source, &link, chance);
     }
 }
 
@@ -277,7 +277,7 @@
     /// Makes the next call, and counts it where that is later than the term for changes allows.
     fn begin<'a>(
         &mut self,
-        core: &Core,
+        engine: &Engine,
         source: &'a Source,
         link: &'a Link,
         chance: &mut fastrand::Rng,
@@ -287,7 +287,7 @@
         let before = self.called_at.replace((call.begun, call.wait));
         let in_time =
             before.is_none_or(|(before, wait)| called_in_time(tenths(call.begun - before), tenths(wait)));
-        core.violations.check(&core.log, (!in_time).then_some(Violation::DiscoveryNotCalled));
+        engine.violations.check(&engine.log, (!in_time).then_some(Violation::DiscoveryNotCalled));
         call
     }
 
@@ -309,39 +309,39 @@
 
 /// Takes the answer to a call beside which another was made; whether all of it was taken. The old address may have another history:
 /// only what it says is off counts.
-fn hear_older(core: &Rc<Core>, held: &mut Held, body: &[u8], elsewhere: bool) -> bool {
+fn hear_older(engine: &Rc<Engine>, held: &mut Held, body: &[u8], elsewhere: bool) -> bool {
     let heard = match elsewhere {
-        true => hear_what_is_off(core, body),
-        false => hear(core, held, body),
+        true => hear_what_is_off(engine, body),
+        false => hear(engine, held, body),
     };
     if let Err(fault) = &heard {
-        warn!(core.log, "list answer passed over"; "fault" => fault);
+        warn!(engine.log, "list answer passed over"; "fault" => fault);
     }
     heard.is_ok() && !elsewhere
 }
 
 /// Takes of an answer only what it says is off.
-fn hear_what_is_off(core: &Rc<Core>, body: &[u8]) -> Read<()> {
+fn hear_what_is_off(engine: &Rc<Engine>, body: &[u8]) -> Read<()> {
     let said: Value = serde_json::from_slice(body).map_err(|e| format!("no JSON: {e}"))?;
     let lines = list(object(&said, "the list")?, "servers")?;
-    take_off(core, lines.iter().flat_map(line).collect::<Vec<_>>().iter());
+    take_off(engine, lines.iter().flat_map(line).collect::<Vec<_>>().iter());
     Ok(())
 }
 
-fn hear(core: &Rc<Core>, held: &mut Held, body: &[u8]) -> Read<()> {
+fn hear(engine: &Rc<Engine>, held: &mut Held, body: &[u8]) -> Read<()> {
     let said: Value = serde_json::from_slice(body).map_err(|e| format!("no JSON: {e}"))?;
     let said = object(&said, "the list")?;
     let version = whole(said, "version")?;
     if version < held.version && held.older < OLD_ANSWERS {
         held.older += 1;
-        hear_what_is_off(core, body)?;
+        hear_what_is_off(engine, body)?;
         return Err(format!("an old list, {version} after {}", held.version));
     }
-    let now = core.clock.now();
+    let now = engine.clock.now();
     let since = (version < held.highest).then(|| held.doubted.unwrap_or(now));
     let doubted = since.filter(|since| now < since + DOUBTED);
-    take(core, said, flag(said, "full")?, doubted.is_some())?;
-    core.list_heard();
+    take(engine, said, flag(said, "full")?, doubted.is_some())?;
+    engine.list_heard();
     let highest = if since.is_some() && doubted.is_none() { version } else { held.highest.max(version) };
     let odd = held.odd && !held.since;
     (held.version, held.highest, held.doubted) = (version, highest, doubted);
--- a/crates/platform/src/terms.rs
+++ b/crates/platform/src/terms.rs
@@ -4,7 +4,7 @@
 //! What a call has to tell counts as told at the latest 6 s after it fell silent, or 2 s after its wait is over where that is
 //! later. A watch waits for 5.5 s at most, so that another call is made beside a silent one before the first of the two.
 
-use chalkwalk_core::clock::span;
+use chalkwalk_engine::clock::span;
 use chalkwalk_policy::discovery::{SILENT_AFTER, WATCH, WATCH_SILENT_AFTER};
 use std::time::Duration;
 
--- a/crates/proxy/src/captures.rs
+++ b/crates/proxy/src/captures.rs
@@ -1,6 +1,8 @@
 //! What the command line does with captures.
 
-use chalkwalk_capture::{Call, Difference, Done, Item, MARK, Told, cut, framed, read, replay};
+use chalkwalk_capture::{
+    CaptureItem, Decision, Difference, Event, FILE_MARK, RecordedCall, cut, encode_item, read, replay,
+};
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 
@@ -22,7 +24,7 @@
 }
 
 /// A segment's file, its items, and its length.
-type Segment = (PathBuf, Vec<Item>, usize);
+type Segment = (PathBuf, Vec<CaptureItem>, usize);
 
 /// Reads all of them, as far as they can be; says what is missing.
 fn all(named: &[PathBuf], out: &mut String) -> Result<Vec<Segment>, String> {
@@ -39,10 +41,10 @@
     Ok(segments)
 }
 
-fn calls(items: &[Item]) -> impl Iterator<Item = (u64, &Call)> {
+fn calls(items: &[CaptureItem]) -> impl Iterator<Item = (u64, &RecordedCall)> {
     let blocks = items.iter().filter_map(|item| match item {
-        Item::Calls(block) => Some(block),
-        Item::Gap(_) => None,
+        CaptureItem::Calls(block) => Some(block),
+        CaptureItem::Gap(_) => None,
     });
     blocks.flat_map(|block| {
         block.calls.iter().scan(block.from, |at, call| {
@@ -64,11 +66,11 @@
         let (mut taken, mut count, mut first, mut last) = (0u64, 0u64, None, 0);
         for (at, call) in calls(&items) {
             count += 1;
-            taken += u64::from(matches!(call.told, Told::Take { .. }));
+            taken += u64::from(matches!(call.told, Event::RequestAccepted { .. }));
             first.get_or_insert(at);
             last = at;
         }
-        let gaps = items.iter().filter(|item| matches!(item, Item::Gap(_))).count();
+        let gaps = items.iter().filter(|item| matches!(item, CaptureItem::Gap(_))).count();
         _ = writeln!(
             out,
             "{}: {bytes} bytes, {count} calls, {taken} lookups ({:.1} bytes each), {gaps} gaps, from {} to {}",
@@ -118,9 +120,9 @@
 /// Writes the smallest capture that still shows a call, numbered from 0 over the segments of one instance that are named.
 pub fn cut_to(named: &[PathBuf], call: u64, to: &Path) -> Result<String, String> {
     let mut out = String::new();
-    let items: Vec<Item> = all(named, &mut out)?.into_iter().flat_map(|(_, items, _)| items).collect();
+    let items: Vec<CaptureItem> = all(named, &mut out)?.into_iter().flat_map(|(_, items, _)| items).collect();
     let part = cut(&items, call).ok_or(format!("there is no call {call}, or no snapshot before it"))?;
-    let bytes: Vec<u8> = MARK.iter().copied().chain(part.iter().flat_map(framed)).collect();
+    let bytes: Vec<u8> = FILE_MARK.iter().copied().chain(part.iter().flat_map(encode_item)).collect();
     std::fs::write(to, &bytes).map_err(|e| format!("{}: {e}", to.display()))?;
     _ = writeln!(out, "{}: {} bytes", to.display(), bytes.len());
     Ok(out)
@@ -133,18 +135,18 @@
     for (_, items, _) in all(named, &mut out)? {
         for (at, call) in calls(&items) {
             let this = match &call.told {
-                Told::Start { .. } => {
+                Event::Start { .. } => {
                     taken = 0;
                     None
                 }
-                Told::Take { .. } => {
+                Event::RequestAccepted { .. } => {
                     taken += 1;
                     Some(taken - 1)
                 }
                 other => other.request_id(),
             };
-            let concerns = |done: &&Done| done.request_id() == Some(request);
-            let done: Vec<&Done> = call.done.iter().filter(concerns).collect();
+            let concerns = |done: &&Decision| done.request_id() == Some(request);
+            let done: Vec<&Decision> = call.done.iter().filter(concerns).collect();
             if this == Some(request) || !done.is_empty() {
                 _ = writeln!(out, "{}  told {:?}", seconds(at), call.told);
                 done.iter().for_each(|d| _ = writeln!(out, "{:>16}  {d:?}", ""));
--- a/crates/proxy/src/given.rs
+++ b/crates/proxy/src/given.rs
@@ -21,14 +21,14 @@
     /// Both, or what is wrong with either.
     pub fn read(&self) -> Result<Read, String> {
         let mut rules = StartupConfig::load(&self.config)?;
-        rules.core.account.doors =
+        rules.engine.account.doors =
             vec![chalkwalk_http_door::DOOR.to_string(), chalkwalk_resp_door::DOOR.to_string()];
         let (mut membership, mut resp, mut capture) = (None, None, None);
         if let Some(path) = &self.operator {
             let text = std::fs::read_to_string(path).map_err(|e| format!("cannot read {path}: {e}"))?;
-            let said = operator::read(&text, &rules.core.account);
+            let said = operator::read(&text, &rules.engine.account);
             let said = said.map_err(|faults| operator::worded(path, &faults))?;
-            rules.core.limits = Some(said.limits);
+            rules.engine.limits = Some(said.limits);
             (membership, resp, capture) = (said.membership, said.resp, said.capture);
         }
         if rules.list.is_none() && membership.is_none() && resp.is_none() {
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! chalkwalk: a balancer for fleets of servers, on sockets. This program wires the core, its doors and its sources of
+//! chalkwalk: a balancer for fleets of servers, on sockets. This program wires the engine, its doors and its sources of
 //! the list together, and has the command line; nothing else is in it.
 
 mod captures;
@@ -100,7 +100,7 @@
     // The library's 128 are soon filled while all clients connect at once; one over waits for a second.
     let longer = socket2::SockRef::from(&listener).listen(1024);
     longer.map_err(|e| format!("cannot listen on {}: {e}", rules.listen))?;
-    let (log, _flushed) = logger(&rules.core.name, json);
+    let (log, _flushed) = logger(&rules.engine.name, json);
     serve::run(given, read, log, signals, (listener, handed))
 }
 
@@ -108,7 +108,7 @@
     let given = given(&mut args)?;
     no_more(args)?;
     let rules = given.read()?.rules;
-    println!("{}: fine", rules.core.name);
+    println!("{}: fine", rules.engine.name);
     Ok(())
 }
 
@@ -123,7 +123,7 @@
     let place =
         place.ok_or(format!("no namespace \"{namespace}\"; there are {}", rules.namespaces.join(", ")))?;
     let table =
-        rules.core.limits.unwrap_or_else(|| chalkwalk_limits::Table::from_settings(&rules.core.account));
+        rules.engine.limits.unwrap_or_else(|| chalkwalk_limits::Table::from_settings(&rules.engine.account));
     let door = if door.is_empty() { chalkwalk_http_door::DOOR } else { &door };
     print!(
         "{}",
--- a/crates/proxy/src/operators.rs
+++ b/crates/proxy/src/operators.rs
@@ -2,8 +2,8 @@
 
 use crate::pages::{News, Pages, Seen};
 use chalkwalk_console::{self as console, Controls, Doing, Done};
-use chalkwalk_core::core::Core;
-use chalkwalk_core::flow;
+use chalkwalk_engine::engine::Engine;
+use chalkwalk_engine::flow;
 use chalkwalk_handover::Learned;
 use chalkwalk_net::within;
 use chalkwalk_policy as policy;
@@ -30,7 +30,7 @@
 const LAST_LOOK: Duration = Duration::from_millis(200);
 
 pub struct Operators {
-    core: Rc<Core>,
+    engine: Rc<Engine>,
     /// One writes at a time, and the last has the last word.
     writing: Mutex<()>,
     pages: RefCell<Pages>,
@@ -40,11 +40,11 @@
 
 impl Operators {
     /// Takes over what another process of this proxy has been told, and hears operators and the others from now on.
-    pub fn start(core: &Rc<Core>, listener: Async<TcpListener>) -> Rc<Operators> {
+    pub fn start(engine: &Rc<Engine>, listener: Async<TcpListener>) -> Rc<Operators> {
         let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty()).map(Into::into);
-        let pages = Pages::new(folder, &core.rules.name, core.clock.now());
+        let pages = Pages::new(folder, &engine.rules.name, engine.clock.now());
         let operators = Rc::new(Operators {
-            core: core.clone(),
+            engine: engine.clone(),
             writing: Mutex::new(()),
             pages: RefCell::new(pages),
             lent: RefCell::default(),
@@ -55,22 +55,22 @@
         let servers = news.learned.servers.len();
         let taken = operators.carry(news.learned);
         if servers > 0 {
-            info!(core.log, "{}", if taken { "learned figures taken up" } else { "learned figures passed over" }; "caches" => servers);
+            info!(engine.log, "{}", if taken { "learned figures taken up" } else { "learned figures passed over" }; "caches" => servers);
         }
-        core.ex.spawn(operators.clone().follow()).detach();
-        let ex = core.clone();
+        engine.ex.spawn(operators.clone().follow()).detach();
+        let ex = engine.clone();
         let spawn = move |task: console::Task| ex.ex.spawn(task).detach();
-        core.ex.spawn(console::accept(listener, operators.clone(), spawn)).detach();
+        engine.ex.spawn(console::accept(listener, operators.clone(), spawn)).detach();
         operators
     }
 
     async fn follow(self: Rc<Operators>) {
-        let mut learned_at = self.core.clock.now();
+        let mut learned_at = self.engine.clock.now();
         loop {
             self.read().await;
             self.tell_ready().await;
-            if self.core.clock.now() >= learned_at + LEARNED_AGAIN {
-                learned_at = self.core.clock.now();
+            if self.engine.clock.now() >= learned_at + LEARNED_AGAIN {
+                learned_at = self.engine.clock.now();
                 self.write_learned().await;
             }
             Timer::after(READ_AGAIN).await;
@@ -79,11 +79,11 @@
 
     /// Has the others know whether this process serves.
     async fn tell_ready(&self) {
-        let (ready, serves) = (self.pages.borrow().own.ready.is_some(), self.core.life.serves());
+        let (ready, serves) = (self.pages.borrow().own.ready.is_some(), self.engine.lifecycle.serves());
         if serves != ready {
-            self.pages.borrow_mut().own.ready = serves.then(|| self.core.clock.now());
+            self.pages.borrow_mut().own.ready = serves.then(|| self.engine.clock.now());
             self.write().await;
-            info!(self.core.log, "{}", if serves { "ready" } else { "no longer ready" });
+            info!(self.engine.log, "{}", if serves { "ready" } else { "no longer ready" });
         }
     }
 
@@ -104,8 +104,8 @@
 
     /// Takes up what a process before this one has learned, if that still means the same.
     fn carry(&self, learned: Learned) -> bool {
-        let mut book = self.core.book.borrow_mut();
-        if !learned.holds(book.terms(), self.core.clock.now()) {
+        let mut requests = self.engine.requests.borrow_mut();
+        if !learned.holds(requests.terms(), self.engine.clock.now()) {
             return false;
         }
         let of = |(id, [born, size, part, room]): (String, [u64; 4])| policy::Learned {
@@ -115,13 +115,13 @@
             part,
             room,
         };
-        book.carry(learned.bounded().servers.into_iter().map(of).collect())
+        requests.carry(learned.bounded().servers.into_iter().map(of).collect())
     }
 
     /// Writes down what was learned of the servers, where that is anything.
     async fn write_learned(&self) {
-        let (at, book) = (self.core.clock.now(), &self.core.book);
-        let (terms, learned) = (book.borrow().terms(), book.borrow().learned());
+        let (at, requests) = (self.engine.clock.now(), &self.engine.requests);
+        let (terms, learned) = (requests.borrow().terms(), requests.borrow().learned());
         let servers = learned.into_iter().map(|l| (l.id, [l.born, l.size, l.part, l.room])).collect();
         let learned = Learned { at, terms, servers }.bounded();
         if !learned.servers.is_empty() {
@@ -132,17 +132,17 @@
 
     /// Takes what the other processes say.
     fn take(&self, seen: Vec<Seen>) -> News {
-        let core = &self.core;
-        let news = self.pages.borrow_mut().take(seen, &core.log);
-        core.life.succeed(news.succeeded);
+        let engine = &self.engine;
+        let news = self.pages.borrow_mut().take(seen, &engine.log);
+        engine.lifecycle.succeed(news.succeeded);
         self.share(news.company);
         for id in &news.servers {
             let word = self.pages.borrow().own.word(id);
-            flow::bar(core, id, word.out, word.at);
+            flow::bar(engine, id, word.out, word.at);
         }
         if news.service {
             let service = self.pages.borrow().own.service;
-            core.life.put_out(service.out.then_some(service.at));
+            engine.lifecycle.put_out(service.out.then_some(service.at));
         }
         news
     }
@@ -151,9 +151,9 @@
     fn share(&self, company: bool) {
         let mut lent = self.lent.borrow_mut();
         if company && lent.is_none() {
-            let core = self.core.clone();
-            *lent = Some(self.core.ex.spawn(async move {
-                let _places = core.budget.half(|| core.pool.close_longest_idle()).await;
+            let engine = self.engine.clone();
+            *lent = Some(self.engine.ex.spawn(async move {
+                let _places = engine.budget.half(|| engine.pool.close_longest_idle()).await;
                 std::future::pending().await
             }));
         } else if !company {
@@ -164,14 +164,14 @@
     /// Whether the others can read what this one has to say.
     async fn write(&self) -> bool {
         let _one = self.writing.lock().await;
-        let pen = self.pages.borrow_mut().pen(self.core.clock.now());
+        let pen = self.pages.borrow_mut().pen(self.engine.clock.now());
         let written = match pen {
             Ok(Some(pen)) => unblock(|| pen.write()).await,
             Ok(None) => Ok(()),
             Err(e) => Err(e),
         };
         if let Err(e) = &written {
-            warn!(self.core.log, "handover not written"; "fault" => %e);
+            warn!(self.engine.log, "handover not written"; "fault" => %e);
         }
         written.is_ok()
     }
@@ -184,16 +184,16 @@
         let keeping = async move {
             _ = tell.try_send(this.write().await);
         };
-        self.core.ex.spawn(keeping).detach();
+        self.engine.ex.spawn(keeping).detach();
         let kept = within(KEPT_BY, told.recv()).await.and_then(Result::ok);
         if kept.is_none() {
-            warn!(self.core.log, "handover late");
+            warn!(self.engine.log, "handover late");
         }
         kept
     }
 
     async fn do_server(self: Rc<Self>, id: String, out: bool) -> Done {
-        if !self.core.book.borrow().has(&id) {
+        if !self.engine.requests.borrow().has(&id) {
             return Done::Unknown;
         }
         if self.pages.borrow().own.is_out(&id) == out {
@@ -201,9 +201,9 @@
         }
         // In force at once, whatever the disk does: it is due within a second.
         let before = self.pages.borrow().own.servers.get(&id).copied();
-        self.pages.borrow_mut().own.say(&id, out, self.core.clock.now());
+        self.pages.borrow_mut().own.say(&id, out, self.engine.clock.now());
         let said = self.pages.borrow().own.word(&id);
-        flow::bar(&self.core, &id, out, said.at);
+        flow::bar(&self.engine, &id, out, said.at);
         if self.keep().await == Some(false) {
             // Unless somebody has said something else meanwhile. A server that was never out is not taken for cold.
             if self.pages.borrow().own.word(&id) == said {
@@ -212,11 +212,11 @@
                     Some(word) => own.servers.insert(id.clone(), word),
                     None => own.servers.remove(&id),
                 };
-                flow::bar(&self.core, &id, !out, before.unwrap_or_default().at);
+                flow::bar(&self.engine, &id, !out, before.unwrap_or_default().at);
             }
             return Done::NotKept;
         }
-        info!(self.core.log, "{}", if out { "cache left out" } else { "cache put back" }; "cache" => id);
+        info!(self.engine.log, "{}", if out { "cache left out" } else { "cache put back" }; "cache" => id);
         Done::Yes
     }
 
@@ -225,17 +225,17 @@
         if before.out == out {
             return Done::Yes;
         }
-        self.pages.borrow_mut().own.say_service(out, self.core.clock.now());
+        self.pages.borrow_mut().own.say_service(out, self.engine.clock.now());
         let said = self.pages.borrow().own.service;
-        self.core.life.put_out(out.then_some(said.at));
+        self.engine.lifecycle.put_out(out.then_some(said.at));
         if self.keep().await == Some(false) {
             if self.pages.borrow().own.service == said {
                 self.pages.borrow_mut().own.service = before;
-                self.core.life.put_out(before.out.then_some(before.at));
+                self.engine.lifecycle.put_out(before.out.then_some(before.at));
             }
             return Done::NotKept;
         }
-        info!(self.core.log, "{}", if out { "out of service" } else { "in service" });
+        info!(self.engine.log, "{}", if out { "out of service" } else { "in service" });
         Done::Yes
     }
 
@@ -246,7 +246,7 @@
             _ = self.writing.lock().await;
         };
         let told = within(KEPT_BY, told).await.is_some();
-        if told && self.core.life.serves() { Done::Yes } else { Done::No }
+        if told && self.engine.lifecycle.serves() { Done::Yes } else { Done::No }
     }
 }
 
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -4,11 +4,11 @@
 use crate::operators::Operators;
 use crate::sources::List;
 use async_signal::{Signal, Signals};
-use chalkwalk_capture::{Keep, Tape, Writer};
+use chalkwalk_capture::{Recorder, Retention, Writer};
 use chalkwalk_console as console;
-use chalkwalk_core::answer::Probe;
-use chalkwalk_core::core::Core;
-use chalkwalk_core::{drain, flow};
+use chalkwalk_engine::engine::Engine;
+use chalkwalk_engine::response::HealthCheck;
+use chalkwalk_engine::{drain, flow};
 use chalkwalk_http_door as http;
 use chalkwalk_operator::{Capture, Membership, Resp};
 use chalkwalk_platform::{self as platform, Shape, StartupConfig};
@@ -35,7 +35,7 @@
     (listener, handed): (TcpListener, bool),
 ) -> Result<(), String> {
     let Read { rules, membership, resp, capture } = read;
-    let StartupConfig { listen, console, list, known, namespaces, core: mut rules, shape } = rules;
+    let StartupConfig { listen, console, list, known, namespaces, engine: mut rules, shape } = rules;
     // Places that no request can take.
     let own = if console.is_some() { console::DESCRIPTORS } else { 0 } + usize::from(handed);
     rules.descriptors = rules.descriptors.saturating_sub(own);
@@ -51,59 +51,65 @@
     });
     let console_listener = console_listener.transpose()?;
     // Servers speak one protocol, by which they are probed.
-    let probe: Box<dyn Probe> =
+    let probe: Box<dyn HealthCheck> =
         if resp.is_some() { Box::new(resp_door::Ping) } else { Box::new(http::Alive) };
     let writer = capture.as_ref().map(|c| {
-        let keep = Keep { folder: c.folder.clone(), segment: c.segment, most: c.most };
+        let keep = Retention { folder: c.folder.clone(), segment: c.segment, most: c.most };
         Writer::open(keep, &rules.name).map(|writer| (writer, c.keys))
     });
     let writer = writer.transpose().map_err(|e| format!("cannot capture: {e}"))?;
-    let tape = writer.as_ref().map(|(writer, keys)| Tape::new(writer.sink(), *keys));
-    let core = Core::new(rules, probe, log, tape);
-    smol::block_on(core.ex.run(async {
-        let beating = core.clone();
-        core.ex.spawn(async move { beating.clock.keep_beat().await }).detach();
-        core.ex.spawn(flow::wakes(core.clone())).detach();
-        core.ex.spawn(flow::sweep(core.clone())).detach();
-        let known = platform::known(&core, &known);
+    let recorder = writer.as_ref().map(|(writer, keys)| Recorder::new(writer.sink(), *keys));
+    let engine = Engine::new(rules, probe, log, recorder);
+    smol::block_on(engine.ex.run(async {
+        let beating = engine.clone();
+        engine.ex.spawn(async move { beating.clock.keep_beat().await }).detach();
+        engine.ex.spawn(flow::wakes(engine.clone())).detach();
+        engine.ex.spawn(flow::sweep(engine.clone())).detach();
+        let known = platform::known(&engine, &known);
         let of_servers = resp.is_some() && membership.is_none() && list.is_none();
         let list = if of_servers {
             None
         } else {
-            Some(List::follow(&core, (list, known), membership.as_ref(), (listen, handed)))
+            Some(List::follow(&engine, (list, known), membership.as_ref(), (listen, handed)))
         };
         if let (Some(resp), Some(resp_listener)) = (&resp, resp_listener) {
-            let door = resp_door::Door::new(&core, settings(resp, core.classes.names().len()), of_servers);
+            let door =
+                resp_door::Door::new(&engine, settings(resp, engine.classes.names().len()), of_servers);
             resp_door::seeds(&door);
-            core.ex.spawn(resp_door::follow(door.clone())).detach();
-            core.ex.spawn(resp_door::accept(door, resp_listener)).detach();
+            engine.ex.spawn(resp_door::follow(door.clone())).detach();
+            engine.ex.spawn(resp_door::accept(door, resp_listener)).detach();
         }
         // Servers that speak RESP can't be asked over HTTP: there its door has no namespace, and only says how the proxy is.
         let namespaces = if resp.is_some() { Vec::new() } else { namespaces };
-        let door = http::Door::new(core.clone(), namespaces);
+        let door = http::Door::new(engine.clone(), namespaces);
         let feed = list.as_ref().and_then(List::feed);
         let pushed = matches!(list, Some(List::Platform(_)))
-            && core.classes.said().get("watched").is_some_and(|watched| watched == "0");
-        let operators = console_listener.map(|listener| Operators::start(&core, listener));
-        let accepting =
-            core.ex.spawn(open_doors(core.clone(), door.clone(), listener, feed, (handed, pushed, listen)));
+            && engine.classes.said().get("watched").is_some_and(|watched| watched == "0");
+        let operators = console_listener.map(|listener| Operators::start(&engine, listener));
+        let accepting = engine.ex.spawn(open_doors(
+            engine.clone(),
+            door.clone(),
+            listener,
+            feed,
+            (handed, pushed, listen),
+        ));
         loop {
             match signals.next().await {
                 Some(Ok(Signal::Hup)) => {
                     let was = Was { membership: &membership, resp: &resp, capture: &capture, shape: &shape };
-                    reread(&core, &door, &given, list.as_ref(), was);
+                    reread(&engine, &door, &given, list.as_ref(), was);
                 }
                 Some(Ok(_)) => break,
                 None | Some(Err(_)) => _ = Timer::after(Duration::from_secs(1)).await,
             }
         }
-        let told = core.clock.now();
+        let told = engine.clock.now();
         // Whether another process has taken over is known as of this moment.
         if let Some(operators) = &operators {
             operators.read_soon().await;
         }
-        drain::leave(&core, accepting, told).await;
-        core.stop_capture();
+        drain::leave(&engine, accepting, told).await;
+        engine.stop_capture();
     }));
     if let Some((writer, _)) = writer {
         writer.close();
@@ -114,21 +120,21 @@
 /// Takes clients. Where another process may be taking them, not before this one can serve them: it has heard the list, or has
 /// waited for it for as long as it may.
 async fn open_doors(
-    core: Rc<Core>,
+    engine: Rc<Engine>,
     door: Rc<http::Door>,
     listener: Async<TcpListener>,
     feed: Option<Rc<Feed>>,
     (handed, pushed, listen): (bool, bool, SocketAddr),
 ) {
     let serves = async {
-        List::serve(&core, feed, (handed, pushed)).await;
-        info!(core.log, "serving"; "listen" => %listen);
+        List::serve(&engine, feed, (handed, pushed)).await;
+        info!(engine.log, "serving"; "listen" => %listen);
     };
     if handed {
         serves.await;
         http::accept(door, listener).await;
     } else {
-        let accepting = core.ex.spawn(http::accept(door, listener));
+        let accepting = engine.ex.spawn(http::accept(door, listener));
         serves.await;
         accepting.await;
     }
@@ -146,7 +152,7 @@
 const SETTLED: [&str; 7] = ["zones", "zone", "kinds", "origin kind", "through", "watched", "tenants"];
 
 /// Why what was read can't be taken without a restart, if it can't.
-fn needs_restart(core: &Core, read: &Read, was: &Was) -> Option<String> {
+fn needs_restart(engine: &Engine, read: &Read, was: &Was) -> Option<String> {
     let Read { rules, membership, resp, capture } = read;
     if let Some(field) = was.shape.lacking_in(&rules.shape) {
         return Some(format!("field {field}: missing, and was there at the start"));
@@ -154,32 +160,32 @@
     if membership != was.membership || resp != was.resp || capture != was.capture {
         return Some("its membership, RESP door or capture is another, which needs a restart".into());
     }
-    let said = core.classes.said();
-    let other = SETTLED.iter().find(|name| said.get(**name) != rules.core.settings.get(**name));
+    let said = engine.classes.said();
+    let other = SETTLED.iter().find(|name| said.get(**name) != rules.engine.settings.get(**name));
     if let Some(name) = other {
         return Some(format!("its {name} are others, which needs a restart"));
     }
-    if rules.core.zones != core.rules.zones || rules.core.kinds != core.rules.kinds {
+    if rules.engine.zones != engine.rules.zones || rules.engine.kinds != engine.rules.kinds {
         return Some("its zones or kinds are others, which needs a restart".into());
     }
     // The RESP door knows namespaces by their places.
-    let renamed = rules.namespaces != core.classes.names();
+    let renamed = rules.namespaces != engine.classes.names();
     (resp.is_some() && renamed).then(|| "its namespaces are others, which needs a restart with RESP".into())
 }
 
 /// Reads both files again, and takes both or neither: settings of the platform, limits of the operator, where the list is. All
 /// else stays as it was at the start. What the configuration knows of servers is as old as the file, and what the list has
 /// told since is newer.
-fn reread(core: &Rc<Core>, door: &http::Door, given: &Given, list: Option<&List>, was: Was) {
-    let read = given.read().and_then(|read| match needs_restart(core, &read, &was) {
+fn reread(engine: &Rc<Engine>, door: &http::Door, given: &Given, list: Option<&List>, was: Was) {
+    let read = given.read().and_then(|read| match needs_restart(engine, &read, &was) {
         Some(fault) => Err(fault),
         None => Ok(read),
     });
     match read {
         Ok(Read { rules, resp, .. }) => {
             let at = rules.list.map_or_else(|| "-".to_string(), |at| at.to_string());
-            let new = rules.core.settings != core.classes.said();
-            info!(core.log, "configuration read again"; "list" => at, "settings" => if new { "new" } else { "as before" });
+            let new = rules.engine.settings != engine.classes.said();
+            info!(engine.log, "configuration read again"; "list" => at, "settings" => if new { "new" } else { "as before" });
             if let Some(list) = list {
                 list.read_again(rules.list);
             }
@@ -187,15 +193,15 @@
                 if resp.is_none() {
                     door.rename(rules.namespaces);
                 }
-                flow::settle(core, rules.core);
+                flow::settle(engine, rules.engine);
             } else if given.operator.is_some() {
-                flow::renew(core, rules.core.limits);
+                flow::renew(engine, rules.engine.limits);
             }
         }
         // A line for each fault, as they are read one by one.
         Err(faults) => {
             for fault in faults.lines() {
-                warn!(core.log, "new configuration passed over"; "fault" => fault);
+                warn!(engine.log, "new configuration passed over"; "fault" => fault);
             }
         }
     }
--- a/crates/proxy/src/sources.rs
+++ b/crates/proxy/src/sources.rs
@@ -1,7 +1,7 @@
 //! Where the list comes from: the platform, or what the operator's file names.
 
-use chalkwalk_core::core::Core;
-use chalkwalk_core::life::Phase;
+use chalkwalk_engine::engine::Engine;
+use chalkwalk_engine::lifecycle::Phase;
 use chalkwalk_etcd_list::{Announcement, Etcd};
 use chalkwalk_membership::form::{Instance, SERVING};
 use chalkwalk_membership::reconcile::Trust;
@@ -31,7 +31,7 @@
 impl List {
     /// Follows it from now on. `at_once`: another process of this proxy serves until this one has heard it.
     pub fn follow(
-        core: &Rc<Core>,
+        engine: &Rc<Engine>,
         (at, known): (Option<SocketAddr>, Option<u64>),
         from: Option<&Membership>,
         (listen, at_once): (SocketAddr, bool),
@@ -39,31 +39,31 @@
         let Some(from) = from else {
             // The configuration was read with one of the two.
             let source = Source::new(at.unwrap_or(listen));
-            core.ex.spawn(platform::follow(core.clone(), source.clone(), known, at_once)).detach();
+            engine.ex.spawn(platform::follow(engine.clone(), source.clone(), known, at_once)).detach();
             return List::Platform(source);
         };
         let trust = match from.from {
             From::File(_) => Trust::PutTogether,
             From::Etcd(_) => Trust::Ordered,
         };
-        let feed = Feed::new(core, trust, from.keep.clone());
+        let feed = Feed::new(engine, trust, from.keep.clone());
         feed.start();
-        core.ex.spawn(feed.clone().tend()).detach();
-        core.ex.spawn(feed.clone().keep()).detach();
+        engine.ex.spawn(feed.clone().tend()).detach();
+        engine.ex.spawn(feed.clone().keep()).detach();
         match &from.from {
             From::File(path) => {
                 let file = File::new(feed.clone(), path);
-                core.ex.spawn(file.clone().follow()).detach();
+                engine.ex.spawn(file.clone().follow()).detach();
                 List::File(file, feed)
             }
             From::Etcd(etcd) => {
                 let own = etcd.count.then(|| {
-                    let zone = core.rules.zones.get(core.classes.zone()).cloned().unwrap_or_default();
+                    let zone = engine.rules.zones.get(engine.classes.zone()).cloned().unwrap_or_default();
                     let instance = Instance { zone, phase: SERVING.into(), listen: listen.to_string() };
-                    Announcement::new(core, &etcd.prefix, instance, etcd.lease_s)
+                    Announcement::new(engine, &etcd.prefix, instance, etcd.lease_s)
                 });
-                let etcd = Etcd::new(core, feed.clone(), etcd.endpoints.clone(), &etcd.prefix, own);
-                core.ex.spawn(etcd.follow()).detach();
+                let etcd = Etcd::new(engine, feed.clone(), etcd.endpoints.clone(), &etcd.prefix, own);
+                engine.ex.spawn(etcd.follow()).detach();
                 List::Etcd(feed)
             }
         }
@@ -71,7 +71,7 @@
 
     /// To be used once there is a list, or where it does not come in time: from a feed the first, and where another process
     /// serves meanwhile, the platform's word on what it was given; where the platform pushes it, what its agent has.
-    pub async fn serve(core: &Core, feed: Option<Rc<Feed>>, (handed, pushed): (bool, bool)) {
+    pub async fn serve(engine: &Engine, feed: Option<Rc<Feed>>, (handed, pushed): (bool, bool)) {
         let end = Instant::now()
             + match (&feed, handed) {
                 (Some(_), _) => FIRST_LIST,
@@ -80,12 +80,12 @@
             };
         let there = || match &feed {
             Some(feed) => !feed.lines().is_empty(),
-            None => !(handed || pushed) || core.has_heard_list(),
+            None => !(handed || pushed) || engine.has_heard_list(),
         };
         while !there() && Instant::now() < end {
             Timer::after(LOOK).await;
         }
-        core.life.enter(Phase::Serving);
+        engine.lifecycle.enter(Phase::Serving);
     }
 
     pub fn feed(&self) -> Option<Rc<Feed>> {
--- a/crates/resp-door/src/clients.rs
+++ b/crates/resp-door/src/clients.rs
@@ -5,12 +5,12 @@
 use crate::door::Door;
 use crate::parts::{Gather, gathered, part};
 use crate::request::RespRequest;
-use chalkwalk_core::answer::{Answer, Verdict};
-use chalkwalk_core::budget::Permit;
-use chalkwalk_core::classes::Taking;
-use chalkwalk_core::core::{Core, Counted};
-use chalkwalk_core::flow;
-use chalkwalk_core::life::Phase;
+use chalkwalk_engine::budget::Permit;
+use chalkwalk_engine::classes::ClassLimits;
+use chalkwalk_engine::engine::{ClientConnection, Engine};
+use chalkwalk_engine::flow;
+use chalkwalk_engine::lifecycle::Phase;
+use chalkwalk_engine::response::{Response, ResponseStatus};
 use chalkwalk_limits::RequestAttributes;
 use chalkwalk_net::{more, within, write_all};
 use chalkwalk_policy::RequestId;
@@ -47,24 +47,24 @@
 
 /// Takes connections until the proxy empties.
 pub async fn accept(door: Rc<Door>, listener: Async<TcpListener>) {
-    let core = &door.core;
-    let over = async { core.life.reached(Phase::Emptying).await };
+    let engine = &door.engine;
+    let over = async { engine.lifecycle.reached(Phase::Emptying).await };
     let taking = async {
         let mut failing = false;
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
                     failing = false;
-                    let (permit, taken) = core.budget.take_for_client().await;
+                    let (permit, taken) = engine.budget.take_for_client().await;
                     _ = stream.get_ref().set_nodelay(true);
-                    let serving = serve(door.clone(), stream, permit, taken, Counted::new(core));
-                    core.ex.spawn(serving).detach();
+                    let serving = serve(door.clone(), stream, permit, taken, ClientConnection::new(engine));
+                    engine.ex.spawn(serving).detach();
                 }
                 Err(e) => {
                     if !std::mem::replace(&mut failing, true) {
-                        warn!(core.log, "cannot accept"; "fault" => %e);
+                        warn!(engine.log, "cannot accept"; "fault" => %e);
                     }
-                    core.budget.close_idle();
+                    engine.budget.close_idle();
                     Timer::after(ACCEPT_AGAIN).await;
                 }
             }
@@ -90,15 +90,15 @@
 struct Open {
     door: Rc<Door>,
     request_id: RequestId,
-    answer: Receiver<Answer>,
+    answer: Receiver<Response>,
     answered: Rc<Cell<bool>>,
     resp3: bool,
 }
 
 impl Open {
-    async fn answer(&self) -> Option<Answer> {
+    async fn answer(&self) -> Option<Response> {
         let answer = self.answer.recv().await.ok();
-        if matches!(answer, Some(Answer { verdict: Verdict::Deferred(_), .. })) {
+        if matches!(answer, Some(Response { status: ResponseStatus::Rejected(_), .. })) {
             // Perhaps nobody may serve it by an old map.
             self.door.want_map();
         }
@@ -109,7 +109,7 @@
 impl Drop for Open {
     fn drop(&mut self) {
         if !self.answered.get() {
-            flow::client_left(&self.door.core, self.request_id);
+            flow::client_left(&self.door.engine, self.request_id);
         }
     }
 }
@@ -122,20 +122,26 @@
 }
 
 /// Told to close, as others need its place.
-async fn closed_for_others(core: &Core, used: bool) {
+async fn closed_for_others(engine: &Engine, used: bool) {
     let (close, told) = bounded(1);
-    let turn = core.budget.idles(close, used);
-    struct Idle<'a>(&'a Core, chalkwalk_core::budget::Turn);
+    let turn = engine.budget.idles(close, used);
+    struct Idle<'a>(&'a Engine, chalkwalk_engine::budget::Turn);
     impl Drop for Idle<'_> {
         fn drop(&mut self) {
             self.0.budget.busy(self.1);
         }
     }
-    let _idle = Idle(core, turn);
+    let _idle = Idle(engine, turn);
     _ = told.recv().await;
 }
 
-async fn serve(door: Rc<Door>, stream: Async<TcpStream>, _permit: Permit, taken: bool, open: Counted) {
+async fn serve(
+    door: Rc<Door>,
+    stream: Async<TcpStream>,
+    _permit: Permit,
+    taken: bool,
+    open: ClientConnection,
+) {
     // Bounded by places, not by the channel: that would hold room for all of them on every idle connection.
     let (into, out) = unbounded::<Placed>();
     let waiting = Rc::new(Cell::new(0));
@@ -210,27 +216,27 @@
             let mut out = Writer::new(resp3);
             match gathered(answers, how, write, &mut out) {
                 None => (out.take(), false),
-                Some(verdict) => (worded(Some(Answer::bare(verdict)), resp3), false),
+                Some(status) => (worded(Some(Response::bare(status)), resp3), false),
             }
         }
     }
 }
 
 /// The final answer in the dialect's words.
-fn worded(answer: Option<Answer>, resp3: bool) -> Vec<u8> {
+fn worded(answer: Option<Response>, resp3: bool) -> Vec<u8> {
     let mut out = Writer::new(resp3);
     match answer {
-        Some(Answer { verdict: Verdict::Resolved, body, .. }) => match body.as_slice() {
+        Some(Response { status: ResponseStatus::Served, body, .. }) => match body.as_slice() {
             // Servers are spoken to in the second version of the protocol.
             b"$-1\r\n" | b"*-1\r\n" if resp3 => out.null(),
             _ => return body,
         },
-        Some(Answer { verdict: Verdict::Deferred(back_in), .. }) => {
+        Some(Response { status: ResponseStatus::Rejected(back_in), .. }) => {
             // Drivers try again by themselves for this code.
             let when = back_in.map_or(String::new(), |t| format!(", come back in {} ms", t.div_ceil(10)));
             out.error(&format!("TRYAGAIN deferred{when}"));
         }
-        Some(Answer { verdict: Verdict::Abandoned, .. }) => out.error("ERR abandoned: it may have run"),
+        Some(Response { status: ResponseStatus::Failed, .. }) => out.error("ERR abandoned: it may have run"),
         None => out.error("ERR abandoned"),
     }
     out.take()
@@ -262,9 +268,9 @@
     }
 
     /// Reads and takes commands until the client ends, is wrong, or its turn to go has come.
-    async fn run(&mut self, open: &Counted, taken: bool, into: Sender<Placed>) {
+    async fn run(&mut self, open: &ClientConnection, taken: bool, into: Sender<Placed>) {
         let in_order = Arc::new(Semaphore::new(MOST_IN_ORDER));
-        let core = &self.door.core;
+        let engine = &self.door.engine;
         let mut reader = Reader::new(Bounds::default());
         let (mut buf, mut start, mut used) = (Vec::new(), 0, false);
         loop {
@@ -308,7 +314,7 @@
                 more(self.stream, &mut buf).await.unwrap_or(0) > 0
             };
             let gone = async {
-                let told = async { closed_for_others(core, used).await };
+                let told = async { closed_for_others(engine, used).await };
                 let turn = async { open.turn_comes().await };
                 match idle {
                     true => told.or(turn).await,
@@ -421,17 +427,18 @@
         (write, slot): (bool, u16),
         permit: Permit,
     ) -> Result<(Open, Receiver<()>), &'static str> {
-        let (door, core) = (self.door, &self.door.core);
+        let (door, engine) = (self.door, &self.door.engine);
         let ns = door.settings.namespace_of(keys[0].as_bytes(), write);
         let place =
             RequestAttributes { namespace: ns, path: &keys[0], tenant: &self.client.user, door: crate::DOOR };
-        let Taking { class, time_limit, longest_body } = core.classes.find(place);
+        let ClassLimits { class, time_limit, longest_body } = engine.classes.find(place);
         if words.bytes.len() as u64 > longest_body.max(64) {
             return Err("ERR the command is longer than its class allows");
         }
-        let taken = core.clock.came_after();
+        let taken = engine.clock.came_after();
         // One whose time is over is deferred by the balancer, at once.
-        let expires = may_start(core.clock.now(), taken + time_limit, core.last_answer()).unwrap_or(taken);
+        let expires =
+            may_start(engine.clock.now(), taken + time_limit, engine.last_answer()).unwrap_or(taken);
         let stale = !write && door.settings.stale.get(ns) == Some(&true);
         let command = (words.bytes.first() != Some(&b'*')).then(|| {
             let mut out = Writer::default();
@@ -453,13 +460,14 @@
             way: RefCell::new(Way::new(slot, stale)),
             begun: RefCell::default(),
         });
-        let (request_id, answer) = flow::take(core, ask);
+        let (request_id, answer) = flow::take(engine, ask);
         // It is done for the connection once it is answered, whenever the answer is read.
         let (done, told): (Sender<()>, Receiver<()>) = bounded(1);
         let (here, answered_here) = bounded(1);
         let answered = Rc::new(Cell::new(false));
         let by = answered.clone();
-        core.ex
+        engine
+            .ex
             .spawn(async move {
                 if let Ok(answer) = answer.recv().await {
                     by.set(true);
--- a/crates/resp-door/src/cluster.rs
+++ b/crates/resp-door/src/cluster.rs
@@ -1,8 +1,8 @@
 //! The slot map, learned from the servers: one call at a time, of one after the other.
 
 use crate::door::Door;
-use chalkwalk_core::flow;
-use chalkwalk_core::members::ListedEndpoint;
+use chalkwalk_engine::flow;
+use chalkwalk_engine::members::ListedEndpoint;
 use chalkwalk_net::{more, within, write_all};
 use chalkwalk_policy::EndpointStatus;
 use chalkwalk_resp::{Bounds, Kind, Reader, Writer};
@@ -22,13 +22,13 @@
 pub fn seeds(door: &Rc<Door>) {
     if door.lists {
         let lines: Vec<ListedEndpoint> = door.settings.seeds.iter().map(|addr| line(door, *addr)).collect();
-        flow::listed(&door.core, &lines, true, false);
+        flow::listed(&door.engine, &lines, true, false);
     }
 }
 
 fn line(door: &Door, addr: SocketAddr) -> ListedEndpoint {
     // Where the servers stand is not theirs to say: all count as near.
-    let zone = door.core.rules.zones.get(door.core.classes.zone()).cloned().unwrap_or_default();
+    let zone = door.engine.rules.zones.get(door.engine.classes.zone()).cloned().unwrap_or_default();
     let status = EndpointStatus::Ready;
     ListedEndpoint {
         id: addr.to_string(),
@@ -46,10 +46,10 @@
 pub async fn follow(door: Rc<Door>) {
     let mut told = false;
     loop {
-        let now = door.core.clock.now();
+        let now = door.engine.clock.now();
         let due = door.refresh.borrow().due().unwrap_or(now);
         if due > now {
-            let wait = Timer::at(door.core.clock.instant(due));
+            let wait = Timer::at(door.engine.clock.instant(due));
             let wanted = async { _ = door.wanted.1.recv().await };
             smol::future::or(async { _ = wait.await }, wanted).await;
             continue;
@@ -66,14 +66,14 @@
             list(&door, &view);
             Ok(())
         });
-        door.refresh.borrow_mut().ended(door.core.clock.now(), taken.is_ok());
+        door.refresh.borrow_mut().ended(door.engine.clock.now(), taken.is_ok());
         match taken {
             Ok(()) if !told => {
                 told = true;
-                info!(door.core.log, "slot map known"; "parts" => door.map.borrow().parts().len());
+                info!(door.engine.log, "slot map known"; "parts" => door.map.borrow().parts().len());
             }
             Ok(()) => {}
-            Err(fault) => warn!(door.core.log, "slot map call failed"; "node" => %addr, "fault" => fault),
+            Err(fault) => warn!(door.engine.log, "slot map call failed"; "node" => %addr, "fault" => fault),
         }
     }
 }
@@ -87,12 +87,12 @@
     nodes
 }
 
-/// Tells the core which servers there are, where nobody else does.
+/// Tells the engine which servers there are, where nobody else does.
 fn list(door: &Rc<Door>, view: &View) {
     if door.lists {
         let lines: Vec<ListedEndpoint> =
             view.nodes.iter().filter(|n| !n.fails).map(|n| line(door, n.addr)).collect();
-        flow::listed(&door.core, &lines, true, false);
+        flow::listed(&door.engine, &lines, true, false);
     }
 }
 
--- a/crates/resp-door/src/door.rs
+++ b/crates/resp-door/src/door.rs
@@ -1,14 +1,14 @@
 //! What all connections of this door share.
 
 use crate::settings::Settings;
-use chalkwalk_core::core::Core;
+use chalkwalk_engine::engine::Engine;
 use chalkwalk_slots::{Map, Refresh};
 use smol::channel::{Receiver, Sender, bounded};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
 pub struct Door {
-    pub(crate) core: Rc<Core>,
+    pub(crate) engine: Rc<Engine>,
     pub(crate) settings: Settings,
     pub(crate) map: RefCell<Map>,
     pub(crate) refresh: RefCell<Refresh>,
@@ -20,9 +20,9 @@
 
 impl Door {
     /// `lists`: no other source has the list, so the servers' own word is it.
-    pub fn new(core: &Rc<Core>, settings: Settings, lists: bool) -> Rc<Door> {
+    pub fn new(engine: &Rc<Engine>, settings: Settings, lists: bool) -> Rc<Door> {
         Rc::new(Door {
-            core: core.clone(),
+            engine: engine.clone(),
             settings,
             map: RefCell::default(),
             refresh: RefCell::default(),
--- a/crates/resp-door/src/lib.rs
+++ b/crates/resp-door/src/lib.rs
@@ -1,7 +1,7 @@
 //! The RESP door: clients' connections on one side, attempts to servers on the other, both in the cluster dialect of RESP, after
 //! its public specifications.
 //!
-//! It may use `core`, `resp`, `slots`, `limits`, `membership` and `net`. Another protocol's door never enters it, nor a source of the
+//! It may use `engine`, `resp`, `slots`, `limits`, `membership` and `net`. Another protocol's door never enters it, nor a source of the
 //! list but what the servers say of themselves; it decides nothing. `command` says what a command is, `client` answers what is not
 //! for servers, `clients` keeps a connection's order, `request` is an attempt and its answer, `cluster` learns the slot map.
 
--- a/crates/resp-door/src/parts.rs
+++ b/crates/resp-door/src/parts.rs
@@ -1,7 +1,7 @@
 //! A command over several slots, in parts of one slot each, and its one answer out of theirs. No I/O.
 
 use crate::command::Words;
-use chalkwalk_core::answer::{Answer, Verdict};
+use chalkwalk_engine::response::{Response, ResponseStatus};
 use chalkwalk_policy::Tenths;
 use chalkwalk_resp::{Bounds, Kind, Reader, Writer, number};
 
@@ -34,27 +34,27 @@
 /// The one answer. Each part has its answer and the places of its keys among all. A write of which a part has run, or may have,
 /// is never deferred: a further try would run that part again.
 pub fn gathered(
-    parts: Vec<(Option<Answer>, Vec<usize>)>,
+    parts: Vec<(Option<Response>, Vec<usize>)>,
     how: Gather,
     write: bool,
     out: &mut Writer,
-) -> Option<Verdict> {
-    let verdict = |a: &Option<Answer>| a.as_ref().map_or(Verdict::Abandoned, |a| a.verdict);
-    let ran = parts.iter().any(|(a, _)| verdict(a) == Verdict::Resolved);
+) -> Option<ResponseStatus> {
+    let status = |a: &Option<Response>| a.as_ref().map_or(ResponseStatus::Failed, |a| a.status);
+    let ran = parts.iter().any(|(a, _)| status(a) == ResponseStatus::Served);
     let mut back_in: Option<Tenths> = None;
     let mut deferred = false;
     for (answer, _) in &parts {
-        match verdict(answer) {
-            Verdict::Resolved => {}
-            Verdict::Deferred(when) => {
+        match status(answer) {
+            ResponseStatus::Served => {}
+            ResponseStatus::Rejected(when) => {
                 deferred = true;
                 back_in = back_in.max(when);
             }
-            Verdict::Abandoned => return Some(Verdict::Abandoned),
+            ResponseStatus::Failed => return Some(ResponseStatus::Failed),
         }
     }
     if deferred {
-        return Some(if write && ran { Verdict::Abandoned } else { Verdict::Deferred(back_in) });
+        return Some(if write && ran { ResponseStatus::Failed } else { ResponseStatus::Rejected(back_in) });
     }
     let total: usize = parts.iter().map(|(_, places)| places.len()).sum();
     let mut values: Vec<Option<Vec<u8>>> = vec![None; total];
@@ -62,7 +62,7 @@
     for (answer, places) in parts {
         let body = answer.map_or(Vec::new(), |a| a.body);
         let Ok(Some((frames, _))) = Reader::new(Bounds::default()).pull(&body) else {
-            return Some(Verdict::Abandoned);
+            return Some(ResponseStatus::Failed);
         };
         if matches!(frames[0].kind, Kind::Error | Kind::BulkError) {
             // The first error is the answer.
@@ -99,33 +99,33 @@
     use super::*;
     use crate::command::tests::words;
 
-    fn answer(verdict: Verdict, body: &str) -> Option<Answer> {
-        Some(Answer { body: body.into(), ..Answer::bare(verdict) })
+    fn answer(status: ResponseStatus, body: &str) -> Option<Response> {
+        Some(Response { body: body.into(), ..Response::bare(status) })
     }
 
-    fn told(parts: Vec<(Option<Answer>, Vec<usize>)>, how: Gather, write: bool) -> String {
+    fn told(parts: Vec<(Option<Response>, Vec<usize>)>, how: Gather, write: bool) -> String {
         let mut out = Writer::default();
         match gathered(parts, how, write, &mut out) {
-            Some(verdict) => format!("{verdict:?}"),
+            Some(status) => format!("{status:?}"),
             None => String::from_utf8_lossy(out.bytes()).replace("\r\n", " "),
         }
     }
 
     #[test]
     fn parts_make_one_answer_and_a_write_that_ran_in_part_is_never_deferred() {
-        let ok = |body| answer(Verdict::Resolved, body);
-        let later = || answer(Verdict::Deferred(Some(700)), "");
+        let ok = |body| answer(ResponseStatus::Served, body);
+        let later = || answer(ResponseStatus::Rejected(Some(700)), "");
         let values = vec![(ok("*2\r\n$1\r\nc\r\n$-1\r\n"), vec![2, 0]), (ok("*1\r\n$1\r\nb\r\n"), vec![1])];
         assert_eq!(told(values, Gather::Values, false), "*3 $-1 $1 b $1 c ");
         assert_eq!(told(vec![(ok(":2\r\n"), vec![0, 1]), (ok(":1\r\n"), vec![2])], Gather::Sum, true), ":3 ");
         let deferred = || vec![(ok("+OK\r\n"), vec![0]), (later(), vec![1])];
-        assert_eq!(told(deferred(), Gather::All, true), "Abandoned");
-        assert_eq!(told(deferred(), Gather::All, false), "Deferred(Some(700))");
+        assert_eq!(told(deferred(), Gather::All, true), "Failed");
+        assert_eq!(told(deferred(), Gather::All, false), "Rejected(Some(700))");
         assert_eq!(
             told(vec![(later(), vec![0]), (later(), vec![1])], Gather::All, true),
-            "Deferred(Some(700))"
+            "Rejected(Some(700))"
         );
-        assert_eq!(told(vec![(None, vec![0]), (ok("+OK\r\n"), vec![1])], Gather::All, false), "Abandoned");
+        assert_eq!(told(vec![(None, vec![0]), (ok("+OK\r\n"), vec![1])], Gather::All, false), "Failed");
         assert_eq!(told(vec![(ok("-WRONGTYPE x\r\n"), vec![0])], Gather::Sum, true), "-WRONGTYPE x ");
         let sub = part(&words("MSET a 1 b 2 c 3"), &[1, 5], 2);
         assert_eq!(
--- a/crates/resp-door/src/request.rs
+++ b/crates/resp-door/src/request.rs
@@ -2,7 +2,9 @@
 
 use crate::command::Words;
 use crate::door::Door;
-use chalkwalk_core::answer::{Answer, Ask, Heard, Probe, Verdict, Wait};
+use chalkwalk_engine::response::{
+    ClientRequest, HealthCheck, Response, ResponseStatus, ServerResponse, Wait,
+};
 use chalkwalk_limits::RequestAttributes;
 use chalkwalk_net::{more, write_all};
 use chalkwalk_policy::{AttemptOutcome, Tenths};
@@ -34,7 +36,7 @@
     pub begun: RefCell<Vec<SocketAddr>>,
 }
 
-impl Ask for RespRequest {
+impl ClientRequest for RespRequest {
     fn class(&self) -> usize {
         self.class
     }
@@ -91,7 +93,7 @@
         })
     }
 
-    fn hear<'a>(&'a self, stream: &'a Async<TcpStream>) -> Wait<'a, Option<Heard>> {
+    fn hear<'a>(&'a self, stream: &'a Async<TcpStream>) -> Wait<'a, Option<ServerResponse>> {
         Box::pin(async move {
             let from = stream.get_ref().peer_addr().ok()?;
             let (mut buf, mut from_at) = (Vec::new(), 0);
@@ -130,8 +132,15 @@
         begun.extend(with.then_some(to));
     }
 
-    fn read(&self, from: SocketAddr, frames: Vec<Frame>, mut buf: Vec<u8>, at: usize, keep: bool) -> Heard {
-        let none = |outcome| Heard { outcome, answer: None, keep, rest: None };
+    fn read(
+        &self,
+        from: SocketAddr,
+        frames: Vec<Frame>,
+        mut buf: Vec<u8>,
+        at: usize,
+        keep: bool,
+    ) -> ServerResponse {
+        let none = |outcome| ServerResponse { outcome, answer: None, keep, rest: None };
         if let [Frame { kind: Kind::Error, at: text, .. }] = &frames[..] {
             let error = String::from_utf8_lossy(&buf[at + text.start..at + text.end]).to_string();
             let means = meaning(&error, from, SLOTS);
@@ -140,27 +149,35 @@
             }
             match means {
                 // Surely not run, and no word on the server's health: it goes on elsewhere.
-                Meaning::Moved { .. } | Meaning::Ask { .. } => return none(AttemptOutcome::CacheMiss),
+                Meaning::Moved { .. } | Meaning::Ask { .. } => {
+                    return none(AttemptOutcome::CacheMiss);
+                }
                 Meaning::NotNow | Meaning::NotHere => return none(AttemptOutcome::Overloaded),
                 Meaning::Answer => {}
             }
         }
         let len = buf.len() - at;
-        let held = self.door.core.room.take(len, usize::MAX);
+        let held = self.door.engine.room.take(len, usize::MAX);
         if len > ORDINARY && held.is_none() {
             // Read by now, but not to be kept while all others are.
-            return Heard { outcome: AttemptOutcome::ServerError, answer: None, keep: false, rest: None };
+            return ServerResponse {
+                outcome: AttemptOutcome::ServerError,
+                answer: None,
+                keep: false,
+                rest: None,
+            };
         }
         buf.drain(..at);
-        let answer = Answer { verdict: Verdict::Resolved, kind: String::new(), body: buf, held, flow: None };
-        Heard { outcome: AttemptOutcome::Completed, answer: Some(answer), keep, rest: None }
+        let answer =
+            Response { status: ResponseStatus::Served, kind: String::new(), body: buf, held, flow: None };
+        ServerResponse { outcome: AttemptOutcome::Completed, answer: Some(answer), keep, rest: None }
     }
 }
 
 /// `PING`, which any server answers at once; one that loads answers with an error, and is not to be sent to.
 pub struct Ping;
 
-impl Probe for Ping {
+impl HealthCheck for Ping {
     fn probe<'a>(&'a self, stream: &'a Async<TcpStream>) -> Wait<'a, Option<bool>> {
         Box::pin(async move {
             let mut out = Writer::default();
