--- a/crates/source/src/feed.rs
+++ b/crates/source/src/feed.rs
@@ -1,7 +1,7 @@
-//! From what a source reads to what the core is told.
+//! From what a source reads to what the engine is told.
 
-use chalkwalk_core::core::Core;
-use chalkwalk_core::flow;
+use chalkwalk_engine::engine::Engine;
+use chalkwalk_engine::flow;
 use chalkwalk_membership::ListedEndpoint;
 use chalkwalk_membership::count::Count;
 use chalkwalk_membership::form::Known;
@@ -20,7 +20,7 @@
 pub type Keep = Option<PathBuf>;
 
 pub struct Feed {
-    pub core: Rc<Core>,
+    pub engine: Rc<Engine>,
     pub known: Known,
     reconciler: RefCell<Reconciler>,
     count: RefCell<Count>,
@@ -37,12 +37,12 @@
 const WRITES: Duration = Duration::from_secs(1);
 
 impl Feed {
-    pub fn new(core: &Rc<Core>, trust: Trust, keep: Keep) -> Rc<Feed> {
+    pub fn new(engine: &Rc<Engine>, trust: Trust, keep: Keep) -> Rc<Feed> {
         let (sooner, sooner_told) = bounded(1);
-        let written = core.classes.proxies();
-        let known = Known { zones: core.rules.zones.clone(), kinds: core.rules.kinds.clone() };
+        let written = engine.classes.proxies();
+        let known = Known { zones: engine.rules.zones.clone(), kinds: engine.rules.kinds.clone() };
         Rc::new(Feed {
-            core: core.clone(),
+            engine: engine.clone(),
             known,
             reconciler: RefCell::new(Reconciler::new(trust)),
             count: RefCell::new(Count::new(written)),
@@ -56,7 +56,7 @@
         })
     }
 
-    /// Tells the core the list as it was last kept, before any source is asked.
+    /// Tells the engine the list as it was last kept, before any source is asked.
     pub fn start(&self) {
         let Some(path) = &self.keep else { return };
         let fault = match std::fs::read_to_string(path).map_err(|e| e.to_string()) {
@@ -68,19 +68,19 @@
             Err(_) if !path.exists() => return,
             Err(fault) => fault,
         };
-        warn!(self.core.log, "kept list passed over"; "fault" => fault);
+        warn!(self.engine.log, "kept list passed over"; "fault" => fault);
     }
 
     fn start_from(&self, kept: Kept) {
-        let now = self.core.clock.now();
+        let now = self.engine.clock.now();
         let minutes = now.saturating_sub(kept.at) / 600_000;
         let count = kept.lines.len();
         match kept.age(now) {
             Age::TooOld => {
-                return warn!(self.core.log, "kept list passed over"; "fault" => "too old", "minutes" => minutes);
+                return warn!(self.engine.log, "kept list passed over"; "fault" => "too old", "minutes" => minutes);
             }
-            Age::Old => warn!(self.core.log, "kept list is old"; "minutes" => minutes, "caches" => count),
-            Age::Young => info!(self.core.log, "kept list taken"; "minutes" => minutes, "caches" => count),
+            Age::Old => warn!(self.engine.log, "kept list is old"; "minutes" => minutes, "caches" => count),
+            Age::Young => info!(self.engine.log, "kept list taken"; "minutes" => minutes, "caches" => count),
         }
         let lines = kept.lines.into_iter().map(|line| (line, false)).collect();
         _ = self.whole(kept.revision, lines);
@@ -92,7 +92,7 @@
         self.reconciler.borrow().revision()
     }
 
-    /// The list as the core was told it.
+    /// The list as the engine was told it.
     pub fn lines(&self) -> Vec<ListedEndpoint> {
         self.reconciler.borrow().lines()
     }
@@ -100,7 +100,7 @@
     /// The whole list as of a revision; each line says whether it is back on purpose. An error is a plain sentence, is in
     /// the log, and nothing was taken.
     pub fn whole(&self, revision: u64, lines: Vec<(ListedEndpoint, bool)>) -> Result<(), String> {
-        let told = self.reconciler.borrow_mut().whole(self.core.clock.now(), revision, lines);
+        let told = self.reconciler.borrow_mut().whole(self.engine.clock.now(), revision, lines);
         match told {
             Ok(told) => {
                 self.tell(told);
@@ -109,7 +109,7 @@
             Err(fault) => {
                 self.pass_over(&fault);
                 // Drains in it hold all the same.
-                let told = self.reconciler.borrow_mut().tick(self.core.clock.now());
+                let told = self.reconciler.borrow_mut().tick(self.engine.clock.now());
                 self.tell(told);
                 Err(fault)
             }
@@ -118,13 +118,13 @@
 
     /// What the source says from now on is of another history.
     pub fn another_history(&self) {
-        warn!(self.core.log, "another history, and doubted");
-        self.reconciler.borrow_mut().another_history(self.core.clock.now());
+        warn!(self.engine.log, "another history, and doubted");
+        self.reconciler.borrow_mut().another_history(self.engine.clock.now());
     }
 
     /// What changed, each with its revision, in order.
     pub fn changes(&self, changes: Vec<(u64, Change)>) {
-        let told = self.reconciler.borrow_mut().changes(self.core.clock.now(), changes);
+        let told = self.reconciler.borrow_mut().changes(self.engine.clock.now(), changes);
         self.tell(told);
     }
 
@@ -138,34 +138,34 @@
     pub fn pass_over(&self, fault: &str) {
         self.passed_over.set(self.passed_over.get() + 1);
         for fault in fault.lines() {
-            warn!(self.core.log, "list passed over"; "fault" => fault, "passed_over" => self.passed_over.get());
+            warn!(self.engine.log, "list passed over"; "fault" => fault, "passed_over" => self.passed_over.get());
         }
     }
 
     /// The source can't be had; said once until it is heard again.
     pub fn lost(&self, fault: &str) {
         if !self.lost.replace(true) {
-            warn!(self.core.log, "list lost"; "fault" => fault);
+            warn!(self.engine.log, "list lost"; "fault" => fault);
         }
     }
 
     fn heard(&self) {
         if self.lost.replace(false) {
-            info!(self.core.log, "list heard again");
+            info!(self.engine.log, "list heard again");
         }
     }
 
     /// So many proxies are live by what the source says.
     pub fn counted(&self, live: u64) {
-        self.count.borrow_mut().counted(self.core.clock.now(), live);
+        self.count.borrow_mut().counted(self.engine.clock.now(), live);
         self.divide();
     }
 
     fn divide(&self) {
-        let now_by = self.count.borrow_mut().holds(self.core.clock.now());
+        let now_by = self.count.borrow_mut().holds(self.engine.clock.now());
         if self.divided_by.replace(now_by) != now_by {
-            info!(self.core.log, "caches shared by"; "proxies" => now_by);
-            flow::shared_by(&self.core, now_by);
+            info!(self.engine.log, "caches shared by"; "proxies" => now_by);
+            flow::shared_by(&self.engine, now_by);
         }
     }
 
@@ -173,13 +173,13 @@
         self.heard();
         for (event, server) in &told.notes {
             match server.as_str() {
-                "" => warn!(self.core.log, "{}", event),
-                server => warn!(self.core.log, "{}", event; "cache" => server),
+                "" => warn!(self.engine.log, "{}", event),
+                server => warn!(self.engine.log, "{}", event; "cache" => server),
             }
         }
         if told.whole || !told.lines.is_empty() {
             self.unkept.set(true);
-            flow::listed(&self.core, &told.lines, told.whole, false);
+            flow::listed(&self.engine, &told.lines, told.whole, false);
         }
         // What is due may be sooner than what is waited for.
         _ = self.sooner.try_send(());
@@ -192,16 +192,16 @@
     /// What time alone brings; never ends.
     pub async fn tend(self: Rc<Feed>) {
         loop {
-            let wait = self.due().map(|due| due.saturating_sub(self.core.clock.now()));
+            let wait = self.due().map(|due| due.saturating_sub(self.engine.clock.now()));
             // Counts fall by themselves, looked at once in a while.
             let wait =
-                chalkwalk_core::clock::span(wait.unwrap_or(Tenths::MAX / 2)).min(Duration::from_secs(5));
+                chalkwalk_engine::clock::span(wait.unwrap_or(Tenths::MAX / 2)).min(Duration::from_secs(5));
             _ = smol::future::or(async { _ = Timer::after(wait).await }, async {
                 _ = self.sooner_told.recv().await;
             })
             .await;
-            if self.due().is_some_and(|due| due <= self.core.clock.now()) {
-                let told = self.reconciler.borrow_mut().tick(self.core.clock.now());
+            if self.due().is_some_and(|due| due <= self.engine.clock.now()) {
+                let told = self.reconciler.borrow_mut().tick(self.engine.clock.now());
                 self.tell(told);
             }
             self.divide();
@@ -217,14 +217,14 @@
             if !self.unkept.replace(false) {
                 continue;
             }
-            let kept = Kept { at: self.core.clock.now(), revision: self.revision(), lines: self.lines() };
+            let kept = Kept { at: self.engine.clock.now(), revision: self.revision(), lines: self.lines() };
             let (to, text) = (path.clone(), kept.text());
             match smol::unblock(move || write_down(&to, &text)).await {
                 Ok(()) => failed = false,
                 Err(e) => {
                     self.unkept.set(true);
                     if !std::mem::replace(&mut failed, true) {
-                        warn!(self.core.log, "list not kept"; "fault" => %e);
+                        warn!(self.engine.log, "list not kept"; "fault" => %e);
                     }
                 }
             }
--- a/crates/source/src/file.rs
+++ b/crates/source/src/file.rs
@@ -73,7 +73,7 @@
                 // Files bear no order of their own: the one read last is the newest.
                 if self.feed.whole(self.feed.revision() + 1, read.lines).is_ok() {
                     self.serial.set(read.serial.or(self.serial.get()));
-                    info!(self.feed.core.log, "list file taken"; "caches" => servers);
+                    info!(self.feed.engine.log, "list file taken"; "caches" => servers);
                 }
             }
             Err(faults) => {
--- a/crates/source/src/lib.rs
+++ b/crates/source/src/lib.rs
@@ -1,7 +1,7 @@
 //! Sources of the list beside the platform's own. `feed` is what they share: they hand it what they read, it has it reconciled,
-//! tells the core, logs, keeps the list on disk and counts proxies. `file` is one of them, a watched file.
+//! tells the engine, logs, keeps the list on disk and counts proxies. `file` is one of them, a watched file.
 //!
-//! It may use `core`, `membership`, smol and slog. A door never enters it, nor the wire of a source that speaks a protocol:
+//! It may use `engine`, `membership`, smol and slog. A door never enters it, nor the wire of a source that speaks a protocol:
 //! such a source is a package of its own that ends in a feed.
 
 mod feed;
