--- a/Makefile
+++ b/Makefile
@@ -12,6 +12,6 @@
 run: build
 	target/release/chalkwalk serve --config $(CONFIG)
 lab: build
-	target/release/chalkwalk-lab try
+	target/release/chalkwalk-testbed try
 ci:
 	.ci/run
--- a/crates/console/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -5,7 +5,7 @@
 //! of a request's.
 
 use chalkwalk_http1 as http1;
-use chalkwalk_net::{Room, more, wait_until, within, write_all};
+use chalkwalk_sockets::{Room, more, wait_until, within, write_all};
 use percent_encoding::percent_decode_str;
 use smol::channel::{Sender, bounded};
 use smol::future::FutureExt;
--- a/crates/policy/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -4,8 +4,8 @@
 //! Pure: what is known outside the balancer, and the time, are passed in. [`Violation`] names what must not happen all the same;
 //! the core counts each at run time.
 
+use crate::balancer::Balancer;
 use crate::plain::{Request, RequestId, ServerIndex, Tenths};
-use crate::policy::Balancer;
 
 const MILLISECOND: Tenths = 10;
 /// From when a client closed its connection to the first byte of an attempt for it, at the most.
--- a/crates/policy/src/asked.rs
+++ b/crates/balancer/src/asked.rs
@@ -1,10 +1,10 @@
 //! Ways into a balancer that decide nothing: what callers ask of it, and calls that only pass on.
 
+use crate::balancer::Balancer;
 use crate::plain::{
     ClassHandle, Effects, EndpointStatus, Learned, Request, RequestId, Server, ServerIndex, Settings, Tenths,
     mixed, point,
 };
-use crate::policy::Balancer;
 use std::collections::BTreeMap;
 
 impl Balancer {
--- a/crates/policy/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -2,13 +2,13 @@
 
 pub mod admission;
 mod asked;
+mod balancer;
 pub mod discovery;
 mod plain;
-mod policy;
 mod state;
 
+pub use balancer::Balancer;
 pub use plain::{
     AttemptOutcome, Effects, Endpoint, EndpointStatus, Learned, RequestId, ServerIndex, Tenths, point_of,
 };
-pub use policy::Balancer;
 pub use state::Snapshot;
--- a/crates/policy/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -1,10 +1,10 @@
 //! All that a balancer knows, as numbers and texts: taken out, and put into a balancer of the same house, it decides as before.
 //! Nothing here decides, and what is worked out from the rest (rings, rules) is not in it.
 
+use crate::balancer::Balancer;
 use crate::plain::{
     Attempt, Chance, ClassHandle, EndpointStatus, Line, Request, RequestId, Server, Settings, Tally,
 };
-use crate::policy::Balancer;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 /// A balancer's state. Equal states decide alike.
--- a/crates/policy/tests/admission.rs
+++ b/crates/balancer/tests/admission.rs
@@ -3,8 +3,8 @@
 #[allow(dead_code)] // shared with other tests, which use the rest
 mod helper;
 
-use chalkwalk_policy::admission::{Refusal, UnsentAttempt, Violation, Written, may_close, may_start};
-use chalkwalk_policy::{AttemptOutcome, EndpointStatus, RequestId};
+use chalkwalk_balancer::admission::{Refusal, UnsentAttempt, Violation, Written, may_close, may_start};
+use chalkwalk_balancer::{AttemptOutcome, EndpointStatus, RequestId};
 use helper::{Harness, harness};
 
 const REPLAYABLE: usize = 0;
--- a/crates/policy/tests/decisions.rs
+++ b/crates/balancer/tests/decisions.rs
@@ -2,7 +2,7 @@
 
 mod helper;
 
-use chalkwalk_policy::{AttemptOutcome, Endpoint, EndpointStatus, Learned};
+use chalkwalk_balancer::{AttemptOutcome, Endpoint, EndpointStatus, Learned};
 use expect_test::expect;
 use helper::{Harness, SERVER, WATCH, harness};
 
@@ -1057,9 +1057,9 @@
     "#]]
     .assert_eq(&h.told());
     // An attempt that is out still counts, though its request is over.
-    h.left_by_client(chalkwalk_policy::RequestId(3));
+    h.left_by_client(chalkwalk_balancer::RequestId(3));
     h.trace.mark("its shot has ended");
-    h.end(chalkwalk_policy::RequestId(3), 0, AttemptOutcome::Cancelled);
+    h.end(chalkwalk_balancer::RequestId(3), 0, AttemptOutcome::Cancelled);
     h.pass(2_000);
     h.fire_timer(waiting[0].0);
     expect![[r#"
@@ -1129,7 +1129,7 @@
                 AttemptOutcome::ServerError,
                 AttemptOutcome::Unreachable,
             ];
-            h.end(chalkwalk_policy::RequestId(request_id), attempt, outcomes[pick(5) as usize]);
+            h.end(chalkwalk_balancer::RequestId(request_id), attempt, outcomes[pick(5) as usize]);
         }
     }
     let distinct = |list: &[u64]| {
--- a/crates/policy/tests/fleet.rs
+++ b/crates/balancer/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Many routers that share nothing but one service: what is harmless in one, and harmful when all do it.
 
-use chalkwalk_policy::discovery::{NOTIFIED_WITHIN, TURN};
-use chalkwalk_policy::{Balancer, Effects, RequestId, ServerIndex, Tenths};
+use chalkwalk_balancer::discovery::{NOTIFIED_WITHIN, TURN};
+use chalkwalk_balancer::{Balancer, Effects, RequestId, ServerIndex, Tenths};
 use expect_test::expect;
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/policy/tests/helper/mod.rs
+++ b/crates/balancer/tests/helper/mod.rs
@@ -1,6 +1,6 @@
 //! A balancer whose decisions are written down line by line.
 
-use chalkwalk_policy::{
+use chalkwalk_balancer::{
     AttemptOutcome, Balancer, Effects, Endpoint, EndpointStatus, RequestId, ServerIndex, Tenths,
 };
 use std::collections::BTreeMap;
--- a/crates/capture/src/format.rs
+++ b/crates/capture/src/format.rs
@@ -1,6 +1,6 @@
 //! The form of a capture, version 2 (1 had no sizes of servers): a mark, then items, each with its length and checksum.
 
-use chalkwalk_policy::{AttemptOutcome, Endpoint, EndpointStatus, ServerIndex, Tenths};
+use chalkwalk_balancer::{AttemptOutcome, Endpoint, EndpointStatus, ServerIndex, Tenths};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/capture/src/recorder.rs
+++ b/crates/capture/src/recorder.rs
@@ -3,7 +3,7 @@
 use crate::format::{
     CallBlock, CaptureItem, Decision, Event, RecordedCall, RecordedEndpoint, encode_item, number_of,
 };
-use chalkwalk_policy::{AttemptOutcome, Endpoint, Snapshot, Tenths};
+use chalkwalk_balancer::{AttemptOutcome, Endpoint, Snapshot, Tenths};
 use std::collections::BTreeMap;
 
 /// A block goes out once it holds so many calls, or its first is so old: a crash loses what is in one.
@@ -76,7 +76,7 @@
         expires: Tenths,
         order: Option<&[usize]>,
     ) {
-        let point = chalkwalk_policy::point_of(key);
+        let point = chalkwalk_balancer::point_of(key);
         let key = if self.keys { key.to_string() } else { String::new() };
         self.told(
             now,
--- a/crates/capture/src/replay.rs
+++ b/crates/capture/src/replay.rs
@@ -3,7 +3,7 @@
 use crate::format::{CallBlock, CaptureItem, Decision, Event, RecordedCall, RecordedEndpoint, outcome};
 use std::collections::BTreeMap;
 
-use chalkwalk_policy::{Balancer, Effects, RequestId, ServerIndex, Snapshot, Tenths};
+use chalkwalk_balancer::{Balancer, Effects, RequestId, ServerIndex, Snapshot, Tenths};
 
 /// Notes what the balancer wants.
 #[derive(Default)]
--- a/crates/capture/tests/replay.rs
+++ b/crates/capture/tests/replay.rs
@@ -1,11 +1,11 @@
 //! A day of random troubles played to the balancer, captured, cut at any point, and replayed.
 
+use chalkwalk_balancer::{
+    AttemptOutcome, Balancer, Effects, Endpoint, EndpointStatus, RequestId, ServerIndex, Tenths,
+};
 use chalkwalk_capture::{
     CaptureContents, CaptureItem, Decision, Event, Recorder, cut, encode_item, read, replay,
 };
-use chalkwalk_policy::{
-    AttemptOutcome, Balancer, Effects, Endpoint, EndpointStatus, RequestId, ServerIndex, Tenths,
-};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::cell::RefCell;
--- a/crates/operator/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -1,7 +1,7 @@
 //! Files as operators write them: bad ones are refused at load with every fault, its line, and the rule in plain words.
 
+use chalkwalk_config::{explain, read, worded};
 use chalkwalk_limits::{Account, Namespace, Repeats, RequestAttributes};
-use chalkwalk_operator::{explain, read, worded};
 use expect_test::expect;
 
 fn account() -> Account {
--- a/crates/etcd-list/src/call.rs
+++ b/crates/discovery-etcd/src/call.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use chalkwalk_etcd_wire::{CONTENT_TYPE, Frames, Message, REASON, STATUS, code, framed};
-use chalkwalk_net::within;
+use chalkwalk_sockets::within;
 use h2::client::{SendRequest, handshake};
 use h2::{RecvStream, SendStream};
 use http::{HeaderMap, Request};
--- a/crates/etcd-list/src/follow.rs
+++ b/crates/discovery-etcd/src/follow.rs
@@ -3,13 +3,13 @@
 use crate::announce::Announcement;
 use crate::call::{Link, Stream};
 use crate::machine::{Do, Key, Machine, News, PAGE};
+use chalkwalk_discovery_feed::Feed;
 use chalkwalk_engine::clock::span;
 use chalkwalk_engine::engine::Engine;
 use chalkwalk_etcd_wire::{api, path};
 use chalkwalk_membership::form::{LEAVING, read_instance, read_server};
 use chalkwalk_membership::reconcile::Change;
-use chalkwalk_net::within;
-use chalkwalk_source::Feed;
+use chalkwalk_sockets::within;
 use slog::info;
 use smol::Timer;
 use std::cell::{Cell, RefCell};
--- a/crates/etcd-list/src/machine.rs
+++ b/crates/discovery-etcd/src/machine.rs
@@ -1,10 +1,10 @@
 //! What to ask etcd next and what its answers mean, without I/O: one machine from the first connection on.
 
+use chalkwalk_balancer::Tenths;
+use chalkwalk_balancer::discovery::Retry;
 use chalkwalk_etcd_wire::api::{Event, KeyValue, RangeResponse, WatchResponse, event::Kind};
 use chalkwalk_etcd_wire::prefix_end;
 use chalkwalk_membership::MOST_LINES;
-use chalkwalk_policy::Tenths;
-use chalkwalk_policy::discovery::Retry;
 
 const SECOND: Tenths = 10_000;
 /// Of keys that a whole list, or an answer in fragments, may hold: every server, and as many proxies.
--- a/crates/etcd-list/tests/machine.rs
+++ b/crates/discovery-etcd/tests/machine.rs
@@ -1,6 +1,6 @@
 //! The machine by itself: what it asks for, whatever is answered.
 
-use chalkwalk_etcd_list::machine::{Do, Key, Machine, News};
+use chalkwalk_discovery_etcd::machine::{Do, Key, Machine, News};
 use chalkwalk_etcd_wire::api::{Event, KeyValue, RangeResponse, ResponseHeader, WatchResponse};
 use expect_test::expect;
 use proptest::prelude::*;
--- a/crates/source/src/feed.rs
+++ b/crates/discovery-feed/src/feed.rs
@@ -1,5 +1,6 @@
 //! From what a source reads to what the engine is told.
 
+use chalkwalk_balancer::Tenths;
 use chalkwalk_engine::engine::Engine;
 use chalkwalk_engine::flow;
 use chalkwalk_membership::ListedEndpoint;
@@ -7,7 +8,6 @@
 use chalkwalk_membership::form::Known;
 use chalkwalk_membership::kept::{Age, Kept};
 use chalkwalk_membership::reconcile::{Change, Reconciler, Told, Trust};
-use chalkwalk_policy::Tenths;
 use slog::{info, warn};
 use smol::Timer;
 use smol::channel::{Receiver, Sender, bounded};
--- a/crates/platform/src/call.rs
+++ b/crates/discovery/src/call.rs
@@ -2,11 +2,11 @@
 
 use crate::list::Source;
 use crate::terms;
+use chalkwalk_balancer::Tenths;
+use chalkwalk_balancer::discovery::GIVE_UP_CONNECTING;
 use chalkwalk_engine::clock::span;
 use chalkwalk_http1::{self as http1, Answering};
-use chalkwalk_net::{quiet, within};
-use chalkwalk_policy::Tenths;
-use chalkwalk_policy::discovery::GIVE_UP_CONNECTING;
+use chalkwalk_sockets::{quiet, within};
 use smol::Async;
 use std::cell::Cell;
 use std::net::TcpStream;
--- a/crates/platform/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -10,12 +10,12 @@
 pub use list::{Source, follow, known};
 pub use shape::Shape;
 
+use chalkwalk_balancer::Tenths;
 use chalkwalk_engine::config::EngineConfig;
-use chalkwalk_house::PlatformSettings;
-use chalkwalk_house::fields::{Object, Read, object, text, text_or, whole};
 use chalkwalk_http1 as http1;
 use chalkwalk_limits::{Account, Namespace, Repeats};
-use chalkwalk_policy::Tenths;
+use chalkwalk_settings::PlatformSettings;
+use chalkwalk_settings::fields::{Object, Read, object, text, text_or, whole};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -52,7 +52,7 @@
     fn read(said: &Object) -> Read<StartupConfig> {
         let settings = said.get("settings").ok_or("field settings: missing, expected an object")?;
         let PlatformSettings { values, namespaces, tenants, kinds, zones } =
-            chalkwalk_house::read(object(settings, "field settings")?)?;
+            chalkwalk_settings::read(object(settings, "field settings")?)?;
         let number = |name: &str, or: f64| values.get(name).and_then(|v| v.parse().ok()).unwrap_or(or);
         // No client waits for an hour; it bounds every wait here.
         let limit = |i: usize| number(&format!("namespace {i} time limit"), 0.0).min(3.6e7) as Tenths;
--- a/crates/platform/src/list.rs
+++ b/crates/discovery/src/list.rs
@@ -3,15 +3,15 @@
 
 use crate::call::{Call, Fault, Link, Said, tenths};
 use crate::{address, terms};
+use chalkwalk_balancer::admission::Violation;
+use chalkwalk_balancer::discovery::{OLDER_HEARD, called_in_time};
+use chalkwalk_balancer::{EndpointStatus, Tenths};
 use chalkwalk_engine::clock::span;
 use chalkwalk_engine::engine::Engine;
 use chalkwalk_engine::flow;
 use chalkwalk_engine::members::ListedEndpoint;
-use chalkwalk_house::fields::{Object, Read, flag, list, object, size, text, text_or, whole, whole_or};
-use chalkwalk_net::wait_until;
-use chalkwalk_policy::admission::Violation;
-use chalkwalk_policy::discovery::{OLDER_HEARD, called_in_time};
-use chalkwalk_policy::{EndpointStatus, Tenths};
+use chalkwalk_settings::fields::{Object, Read, flag, list, object, size, text, text_or, whole, whole_or};
+use chalkwalk_sockets::wait_until;
 use serde_json::Value;
 use slog::{info, warn};
 use smol::Timer;
--- a/crates/platform/src/shape.rs
+++ b/crates/discovery/src/shape.rs
@@ -1,7 +1,7 @@
 //! Which fields a configuration has, whatever they say: a later one that lacks any of them is taken for spoilt, as no list of
 //! needed fields can know what its writer meant to say.
 
-use chalkwalk_house::fields::Object;
+use chalkwalk_settings::fields::Object;
 use serde_json::Value;
 use std::collections::BTreeSet;
 
--- a/crates/platform/src/terms.rs
+++ b/crates/discovery/src/terms.rs
@@ -1,11 +1,11 @@
 //! How long single calls to discovery may take. Decides without I/O or a clock: chance is passed in. The term that all of it
-//! adds up to, and the rests after calls that failed, are `chalkwalk_policy::discovery`'s.
+//! adds up to, and the rests after calls that failed, are `chalkwalk_balancer::discovery`'s.
 //!
 //! What a call has to tell counts as told at the latest 6 s after it fell silent, or 2 s after its wait is over where that is
 //! later. A watch waits for 5.5 s at most, so that another call is made beside a silent one before the first of the two.
 
+use chalkwalk_balancer::discovery::{SILENT_AFTER, WATCH, WATCH_SILENT_AFTER};
 use chalkwalk_engine::clock::span;
-use chalkwalk_policy::discovery::{SILENT_AFTER, WATCH, WATCH_SILENT_AFTER};
 use std::time::Duration;
 
 /// How long a call may take beside its wait. Discovery is one small service for all, and works through its calls in turn:
@@ -43,7 +43,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use chalkwalk_policy::discovery::{NOTIFIED_WITHIN, TURN};
+    use chalkwalk_balancer::discovery::{NOTIFIED_WITHIN, TURN};
 
     /// A call is made beside a silent one by the time at which a change counts as told, and, answered at the end of its turn, tells
     /// it within half a second of when what the silent one missed does. No call is taken for silent before its wait is over.
--- a/crates/engine/src/budget.rs
+++ b/crates/engine/src/budget.rs
@@ -1,8 +1,8 @@
 //! One budget of descriptors for clients, attempts and the pool. Idle ones go first.
 
-use chalkwalk_net::within;
-use chalkwalk_policy::Tenths;
-use chalkwalk_policy::admission::may_close;
+use chalkwalk_balancer::Tenths;
+use chalkwalk_balancer::admission::may_close;
+use chalkwalk_sockets::within;
 use smol::channel::Sender;
 use smol::future::FutureExt;
 use smol::lock::{Semaphore, SemaphoreGuardArc};
--- a/crates/engine/src/classes.rs
+++ b/crates/engine/src/classes.rs
@@ -1,7 +1,7 @@
 //! Which limits hold for which requests, and the same in the words that the balancer reads.
 
+use chalkwalk_balancer::Tenths;
 use chalkwalk_limits::{Account, RequestAttributes, Table};
-use chalkwalk_policy::Tenths;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/engine/src/clock.rs
+++ b/crates/engine/src/clock.rs
@@ -1,6 +1,6 @@
 //! The proxy's clock, and what it can't tell: when something came that it reads after a standstill.
 
-use chalkwalk_policy::Tenths;
+use chalkwalk_balancer::Tenths;
 use smol::Timer;
 use std::cell::Cell;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
--- a/crates/engine/src/config.rs
+++ b/crates/engine/src/config.rs
@@ -1,7 +1,7 @@
 //! What the engine is told at its start.
 
+use chalkwalk_balancer::Tenths;
 use chalkwalk_limits::{Account, Table};
-use chalkwalk_policy::Tenths;
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/engine/src/drain.rs
+++ b/crates/engine/src/drain.rs
@@ -4,8 +4,8 @@
 use crate::engine::Engine;
 use crate::flow;
 use crate::lifecycle::Phase;
-use chalkwalk_net::wait_until;
-use chalkwalk_policy::Tenths;
+use chalkwalk_balancer::Tenths;
+use chalkwalk_sockets::wait_until;
 use slog::info;
 use smol::{Task, Timer};
 use std::rc::Rc;
--- a/crates/engine/src/lifecycle.rs
+++ b/crates/engine/src/lifecycle.rs
@@ -1,6 +1,6 @@
 //! The program's phases, from start to exit, as named states of one object.
 
-use chalkwalk_policy::Tenths;
+use chalkwalk_balancer::Tenths;
 use event_listener::Event;
 use std::cell::Cell;
 
--- a/crates/engine/src/members.rs
+++ b/crates/engine/src/members.rs
@@ -1,7 +1,7 @@
 //! The servers as a list tells them, and the small indices that stand for them from here on.
 
+use chalkwalk_balancer::{Balancer, Endpoint, EndpointStatus, ServerIndex, Tenths};
 pub use chalkwalk_membership::ListedEndpoint;
-use chalkwalk_policy::{Balancer, Endpoint, EndpointStatus, ServerIndex, Tenths};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -2,8 +2,8 @@
 //! just back.
 
 use crate::budget::Permit;
-use chalkwalk_net::quiet;
-use chalkwalk_policy::ServerIndex;
+use chalkwalk_balancer::ServerIndex;
+use chalkwalk_sockets::quiet;
 use smol::{Async, Timer};
 use std::cell::RefCell;
 use std::collections::HashMap;
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -4,9 +4,9 @@
 use crate::members::{Changed, ListedEndpoint, Members};
 use crate::pool::ServerConnection;
 use crate::response::{ClientRequest, Response, ResponseStatus};
+use chalkwalk_balancer::admission::{Refusal, UnsentAttempt};
+use chalkwalk_balancer::{AttemptOutcome, Balancer, Effects, Learned, RequestId, ServerIndex, Tenths};
 use chalkwalk_capture::{Decision, Event, Recorder};
-use chalkwalk_policy::admission::{Refusal, UnsentAttempt};
-use chalkwalk_policy::{AttemptOutcome, Balancer, Effects, Learned, RequestId, ServerIndex, Tenths};
 use slog::{Logger, info};
 use smol::channel::{Receiver, Sender, bounded};
 use std::cell::{Cell, RefCell};
--- a/crates/engine/src/response.rs
+++ b/crates/engine/src/response.rs
@@ -1,8 +1,8 @@
 //! What a request is to the engine: something that can be written to a server, and whose answer is bytes with a verdict.
 
+use chalkwalk_balancer::{AttemptOutcome, Tenths};
 use chalkwalk_limits::RequestAttributes;
-use chalkwalk_net::Held;
-use chalkwalk_policy::{AttemptOutcome, Tenths};
+use chalkwalk_sockets::Held;
 use smol::Async;
 use smol::channel::Receiver;
 use std::cell::Cell;
--- a/crates/engine/src/violations.rs
+++ b/crates/engine/src/violations.rs
@@ -1,6 +1,6 @@
 //! Counts, at run time, of attempts that were refused right before their first byte, and of what must not happen at all.
 
-use chalkwalk_policy::admission::{Refusal, Violation};
+use chalkwalk_balancer::admission::{Refusal, Violation};
 use slog::{Logger, warn};
 use std::cell::Cell;
 
--- a/crates/http-door/src/admit.rs
+++ b/crates/http-frontend/src/admit.rs
@@ -2,11 +2,11 @@
 
 use crate::door::{Door, OpenId};
 use crate::relay::Reply;
+use chalkwalk_balancer::Tenths;
+use chalkwalk_balancer::admission::may_start;
 use chalkwalk_engine::classes::ClassLimits;
 use chalkwalk_http1::Message;
 use chalkwalk_limits::RequestAttributes;
-use chalkwalk_policy::Tenths;
-use chalkwalk_policy::admission::may_start;
 use smol::Async;
 use std::net::TcpStream;
 use std::ops::Range;
--- a/crates/http-door/src/relay.rs
+++ b/crates/http-frontend/src/relay.rs
@@ -1,10 +1,10 @@
 //! Stage "relay": the final answer, written to the client.
 
 use crate::servers::seconds;
+use chalkwalk_balancer::Tenths;
 use chalkwalk_engine::response::{BodyStream, Response, ResponseStatus};
 use chalkwalk_http1::reason;
-use chalkwalk_net::{Held, more, within, write_all};
-use chalkwalk_policy::Tenths;
+use chalkwalk_sockets::{Held, more, within, write_all};
 use smol::Async;
 use std::net::{Shutdown, TcpStream};
 use std::time::Duration;
--- a/crates/http-door/src/route.rs
+++ b/crates/http-frontend/src/route.rs
@@ -2,10 +2,10 @@
 
 use crate::admit::HttpRequest;
 use crate::relay::Reply;
+use chalkwalk_balancer::admission::Violation;
 use chalkwalk_engine::engine::Engine;
 use chalkwalk_engine::flow;
-use chalkwalk_net::more;
-use chalkwalk_policy::admission::Violation;
+use chalkwalk_sockets::more;
 use slog::warn;
 use smol::future::FutureExt;
 use smol::{Async, Timer};
--- a/crates/http-door/src/servers.rs
+++ b/crates/http-frontend/src/servers.rs
@@ -1,12 +1,12 @@
 //! The side of the servers: a request written on as it came, what an answer says of the attempt, and probes.
 
 use crate::admit::HttpRequest;
+use chalkwalk_balancer::{AttemptOutcome, Tenths};
 use chalkwalk_engine::response::{
     ClientRequest, HealthCheck, Response, ResponseBody, ResponseStatus, ServerResponse, Wait,
 };
 use chalkwalk_http1::{self as http1, Answering};
-use chalkwalk_net::{Held, Room, quiet, wait_until, write_all};
-use chalkwalk_policy::{AttemptOutcome, Tenths};
+use chalkwalk_sockets::{Held, Room, quiet, wait_until, write_all};
 use smol::Async;
 use std::io;
 use std::net::TcpStream;
--- a/crates/http-door/src/take_in.rs
+++ b/crates/http-frontend/src/take_in.rs
@@ -2,7 +2,7 @@
 
 use chalkwalk_engine::engine::ClientConnection;
 use chalkwalk_http1::{self as http1, Fault, Message, Taking};
-use chalkwalk_net::{more, quiet, wait_until, within};
+use chalkwalk_sockets::{more, quiet, wait_until, within};
 use smol::Async;
 use smol::channel::bounded;
 use smol::future::FutureExt;
--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -1,7 +1,7 @@
 //! A body part by part, as it comes: for answers that are longer than is read whole.
 
 use crate::{Fault, Form, Head, Message, head_of};
-use chalkwalk_net::more_of;
+use chalkwalk_sockets::more_of;
 use smol::Async;
 use std::net::TcpStream;
 
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -5,7 +5,7 @@
 
 pub use body::{Answering, Body};
 
-use chalkwalk_net::{Held, Room, more, more_of, wait_until, within, write_all};
+use chalkwalk_sockets::{Held, Room, more, more_of, wait_until, within, write_all};
 use smol::{Async, Timer};
 use std::io;
 use std::net::{SocketAddr, TcpStream};
--- a/crates/membership/src/count.rs
+++ b/crates/membership/src/count.rs
@@ -1,6 +1,6 @@
 //! How many proxies share the servers, as counted where they can see each other, in place of the number that was written down.
 
-use chalkwalk_policy::Tenths;
+use chalkwalk_balancer::Tenths;
 
 const SECOND: Tenths = 10_000;
 /// A fall is believed once so many spans, the present one included, have no higher count, which is a minute at the least: a
--- a/crates/membership/src/form.rs
+++ b/crates/membership/src/form.rs
@@ -4,7 +4,7 @@
 //! so that a newer writer does not stop older proxies, and refused in files, where they are a person's slip.
 
 use crate::{ListedEndpoint, MOST_LINES};
-use chalkwalk_policy::{EndpointStatus, Tenths};
+use chalkwalk_balancer::{EndpointStatus, Tenths};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
--- a/crates/membership/src/kept.rs
+++ b/crates/membership/src/kept.rs
@@ -2,7 +2,7 @@
 
 use crate::ListedEndpoint;
 use crate::form::{Known, read_server, server_value};
-use chalkwalk_policy::Tenths;
+use chalkwalk_balancer::Tenths;
 use serde::{Deserialize, Serialize};
 
 const MARK: &str = "chalkwalk list 1 ";
@@ -74,7 +74,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use chalkwalk_policy::EndpointStatus;
+    use chalkwalk_balancer::EndpointStatus;
 
     #[test]
     fn a_list_reads_back_and_not_where_any_byte_is_missing_or_another() {
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod kept;
 pub mod reconcile;
 
-use chalkwalk_policy::{EndpointStatus, Tenths};
+use chalkwalk_balancer::{EndpointStatus, Tenths};
 use std::net::SocketAddr;
 
 /// One line of a list, from whatever source.
--- a/crates/membership/src/reconcile.rs
+++ b/crates/membership/src/reconcile.rs
@@ -2,7 +2,7 @@
 //! told and what the log is to say, and `due` when to call `tick`.
 
 use crate::{ListedEndpoint, MOST_LINES};
-use chalkwalk_policy::{EndpointStatus, Tenths};
+use chalkwalk_balancer::{EndpointStatus, Tenths};
 use std::collections::BTreeMap;
 
 const SECOND: Tenths = 10_000;
--- a/crates/membership/tests/reconcile.rs
+++ b/crates/membership/tests/reconcile.rs
@@ -1,8 +1,8 @@
 //! What a source says in whatever order and with whatever breaks, and what the core is told of it.
 
+use chalkwalk_balancer::{EndpointStatus, Tenths};
 use chalkwalk_membership::ListedEndpoint;
 use chalkwalk_membership::reconcile::{Change, Reconciler, Told, Trust};
-use chalkwalk_policy::{EndpointStatus, Tenths};
 use expect_test::expect;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
--- a/crates/proxy/src/given.rs
+++ b/crates/proxy/src/given.rs
@@ -1,7 +1,7 @@
 //! The files that a proxy is given: the platform's configuration, and the operator's, read and checked together.
 
-use chalkwalk_operator::{self as operator, Capture, Membership, Resp};
-use chalkwalk_platform::StartupConfig;
+use chalkwalk_config::{self as operator, Capture, Membership, Resp};
+use chalkwalk_discovery::StartupConfig;
 
 pub struct Given {
     pub config: String,
@@ -22,7 +22,7 @@
     pub fn read(&self) -> Result<Read, String> {
         let mut rules = StartupConfig::load(&self.config)?;
         rules.engine.account.doors =
-            vec![chalkwalk_http_door::DOOR.to_string(), chalkwalk_resp_door::DOOR.to_string()];
+            vec![chalkwalk_http_frontend::DOOR.to_string(), chalkwalk_resp_frontend::DOOR.to_string()];
         let (mut membership, mut resp, mut capture) = (None, None, None);
         if let Some(path) = &self.operator {
             let text = std::fs::read_to_string(path).map_err(|e| format!("cannot read {path}: {e}"))?;
--- a/crates/proxy/src/operators.rs
+++ b/crates/proxy/src/operators.rs
@@ -1,12 +1,12 @@
 //! What operators say to this proxy, kept for the process that comes after it, and heard from the one before it.
 
 use crate::pages::{News, Pages, Seen};
-use chalkwalk_console::{self as console, Controls, Doing, Done};
+use chalkwalk_admin::{self as console, Controls, Doing, Done};
+use chalkwalk_balancer as policy;
 use chalkwalk_engine::engine::Engine;
 use chalkwalk_engine::flow;
 use chalkwalk_handover::Learned;
-use chalkwalk_net::within;
-use chalkwalk_policy as policy;
+use chalkwalk_sockets::within;
 use slog::{info, warn};
 use smol::channel::bounded;
 use smol::lock::Mutex;
--- a/crates/proxy/src/sources.rs
+++ b/crates/proxy/src/sources.rs
@@ -1,13 +1,13 @@
 //! Where the list comes from: the platform, or what the operator's file names.
 
+use chalkwalk_config::{From, Membership};
+use chalkwalk_discovery::{self as platform, Source};
+use chalkwalk_discovery_etcd::{Announcement, Etcd};
+use chalkwalk_discovery_feed::{Feed, File};
 use chalkwalk_engine::engine::Engine;
 use chalkwalk_engine::lifecycle::Phase;
-use chalkwalk_etcd_list::{Announcement, Etcd};
 use chalkwalk_membership::form::{Instance, SERVING};
 use chalkwalk_membership::reconcile::Trust;
-use chalkwalk_operator::{From, Membership};
-use chalkwalk_platform::{self as platform, Source};
-use chalkwalk_source::{Feed, File};
 use smol::Timer;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/resp-door/src/cluster.rs
+++ b/crates/resp-frontend/src/cluster.rs
@@ -1,12 +1,12 @@
 //! The slot map, learned from the servers: one call at a time, of one after the other.
 
 use crate::door::Door;
+use chalkwalk_balancer::EndpointStatus;
 use chalkwalk_engine::flow;
 use chalkwalk_engine::members::ListedEndpoint;
-use chalkwalk_net::{more, within, write_all};
-use chalkwalk_policy::EndpointStatus;
 use chalkwalk_resp::{Bounds, Kind, Reader, Writer};
-use chalkwalk_slots::View;
+use chalkwalk_slot_map::View;
+use chalkwalk_sockets::{more, within, write_all};
 use slog::{info, warn};
 use smol::{Async, Timer};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/resp-door/src/door.rs
+++ b/crates/resp-frontend/src/door.rs
@@ -2,7 +2,7 @@
 
 use crate::settings::Settings;
 use chalkwalk_engine::engine::Engine;
-use chalkwalk_slots::{Map, Refresh};
+use chalkwalk_slot_map::{Map, Refresh};
 use smol::channel::{Receiver, Sender, bounded};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
--- a/crates/resp-door/src/parts.rs
+++ b/crates/resp-frontend/src/parts.rs
@@ -1,8 +1,8 @@
 //! A command over several slots, in parts of one slot each, and its one answer out of theirs. No I/O.
 
 use crate::command::Words;
+use chalkwalk_balancer::Tenths;
 use chalkwalk_engine::response::{Response, ResponseStatus};
-use chalkwalk_policy::Tenths;
 use chalkwalk_resp::{Bounds, Kind, Reader, Writer, number};
 
 /// How the answers of parts come together.
--- a/crates/resp-door/src/request.rs
+++ b/crates/resp-frontend/src/request.rs
@@ -2,14 +2,14 @@
 
 use crate::command::Words;
 use crate::door::Door;
+use chalkwalk_balancer::{AttemptOutcome, Tenths};
 use chalkwalk_engine::response::{
     ClientRequest, HealthCheck, Response, ResponseStatus, ServerResponse, Wait,
 };
 use chalkwalk_limits::RequestAttributes;
-use chalkwalk_net::{more, write_all};
-use chalkwalk_policy::{AttemptOutcome, Tenths};
 use chalkwalk_resp::{Bounds, Frame, Kind, Reader, Writer};
-use chalkwalk_slots::{Meaning, SLOTS, Way, meaning};
+use chalkwalk_slot_map::{Meaning, SLOTS, Way, meaning};
+use chalkwalk_sockets::{more, write_all};
 use smol::Async;
 use std::cell::RefCell;
 use std::io;
--- a/crates/benchlink/src/desk.rs
+++ b/crates/simulator-adapter/src/desk.rs
@@ -1,10 +1,10 @@
 //! One instance: its balancer, and the small indices that stand for the wire's names at its door.
 
-use chalkwalk_house::PlatformSettings;
-use chalkwalk_house::fields::{Object, Read, flag, list, object, size, text, text_or, whole, whole_or};
-use chalkwalk_policy::{
+use chalkwalk_balancer::{
     AttemptOutcome, Balancer, Effects, Endpoint, EndpointStatus, RequestId, ServerIndex, Tenths,
 };
+use chalkwalk_settings::PlatformSettings;
+use chalkwalk_settings::fields::{Object, Read, flag, list, object, size, text, text_or, whole, whole_or};
 use serde_json::{Value, json};
 use std::collections::HashMap;
 
@@ -124,7 +124,7 @@
     pub fn open(up: &Object, actions: &mut Vec<Value>) -> Read<Desk> {
         let seed = whole(up, "randomSeed")?;
         let options = up.get("options").ok_or("field options: missing, expected an object")?;
-        let settings = chalkwalk_house::read(object(options, "field options")?)?;
+        let settings = chalkwalk_settings::read(object(options, "field options")?)?;
         let mut zones = Door::default();
         settings.zones.iter().for_each(|z| {
             zones.index_of(z);
--- a/crates/benchlink/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -3,7 +3,7 @@
 
 mod desk;
 
-use chalkwalk_house::fields::{Object, Read, list, object, text, whole};
+use chalkwalk_settings::fields::{Object, Read, list, object, text, whole};
 use desk::{Desk, NS_PER_TENTH};
 use serde_json::{Value, json};
 use std::collections::HashMap;
@@ -92,6 +92,6 @@
             break format!("cannot write: {e}");
         }
     };
-    eprintln!("chalkwalk-benchlink: line {number}: {fault}");
+    eprintln!("chalkwalk-simulator-adapter: line {number}: {fault}");
     ExitCode::from(2)
 }
--- a/crates/lab/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,26 +1,26 @@
-//! chalkwalk-lab: stand-ins, load, troubles and a judge on loopback.
+//! chalkwalk-testbed: stand-ins, load, troubles and a judge on loopback.
 
-use chalkwalk_lab::baseline::{self, Break, Kind};
-use chalkwalk_lab::experiment::Experiment;
-use chalkwalk_lab::fleet::Start;
-use chalkwalk_lab::measure::Figures;
-use chalkwalk_lab::report::{page, table};
-use chalkwalk_lab::run::{self, Played};
-use chalkwalk_lab::soak::Soak;
+use chalkwalk_testbed::baseline::{self, Break, Kind};
+use chalkwalk_testbed::experiment::Experiment;
+use chalkwalk_testbed::fleet::Start;
+use chalkwalk_testbed::measure::Figures;
+use chalkwalk_testbed::report::{page, table};
+use chalkwalk_testbed::run::{self, Played};
+use chalkwalk_testbed::soak::Soak;
 use pico_args::Arguments;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 const USAGE: &str = "\
-usage: chalkwalk-lab try [--proxy COMMAND]                      a small fleet with a trouble, 20 s, live
-       chalkwalk-lab run FILE [--proxy COMMAND] [--json FILE] [--report DIR] [--logs DIR]
-       chalkwalk-lab compare FILE --proxy A --proxy B [...] [--rounds N]
-       chalkwalk-lab soak [--seed N] [--seeds K] [--seconds S] [--proxies P] [--proxy COMMAND] [--logs DIR] [--show]
+usage: chalkwalk-testbed try [--proxy COMMAND]                      a small fleet with a trouble, 20 s, live
+       chalkwalk-testbed run FILE [--proxy COMMAND] [--json FILE] [--report DIR] [--logs DIR]
+       chalkwalk-testbed compare FILE --proxy A --proxy B [...] [--rounds N]
+       chalkwalk-testbed soak [--seed N] [--seeds K] [--seconds S] [--proxies P] [--proxy COMMAND] [--logs DIR] [--show]
                                                                 random overlapping faults; fails where a rule breaks
-       chalkwalk-lab check FILE...                              reads experiments and says what is wrong
-       chalkwalk-lab fleet [--proxies N] [--caches M] [--proxy COMMAND]    stays up until a signal
-       chalkwalk-lab proxy relay|random|ring [--break RULE]     a proxy to measure beside
-       chalkwalk-lab version
+       chalkwalk-testbed check FILE...                              reads experiments and says what is wrong
+       chalkwalk-testbed fleet [--proxies N] [--caches M] [--proxy COMMAND]    stays up until a signal
+       chalkwalk-testbed proxy relay|random|ring [--break RULE]     a proxy to measure beside
+       chalkwalk-testbed version
 
 run and compare take --seed N, --proxies N and --rate R in place of the experiment's own.
 --proxy takes any command that reads ROUTER_CONFIG; without it, the chalkwalk beside this program is run.
@@ -293,16 +293,16 @@
             "proxy" => proxy(args),
             "keep" => keep(args),
             "version" => {
-                println!("chalkwalk-lab {}", env!("CARGO_PKG_VERSION"));
+                println!("chalkwalk-testbed {}", env!("CARGO_PKG_VERSION"));
                 Ok(ExitCode::SUCCESS)
             }
-            other => Err(format!("unknown command {other}; chalkwalk-lab --help lists them")),
+            other => Err(format!("unknown command {other}; chalkwalk-testbed --help lists them")),
         },
-        Ok(None) => Err("no command; chalkwalk-lab --help lists them".into()),
+        Ok(None) => Err("no command; chalkwalk-testbed --help lists them".into()),
         Err(e) => Err(e.to_string()),
     };
     said.unwrap_or_else(|fault| {
-        eprintln!("chalkwalk-lab: {fault}");
+        eprintln!("chalkwalk-testbed: {fault}");
         ExitCode::from(2)
     })
 }
--- a/crates/lab/tests/judge.rs
+++ b/crates/testbed/tests/judge.rs
@@ -3,7 +3,7 @@
 use expect_test::expect;
 use std::process::Command;
 
-const LAB: &str = env!("CARGO_BIN_EXE_chalkwalk-lab");
+const LAB: &str = env!("CARGO_BIN_EXE_chalkwalk-testbed");
 
 /// The rules that a proxy was found to break, and whether the lab says by its exit that all is well.
 fn broken(experiment: &str, proxy: &str) -> String {
@@ -102,7 +102,7 @@
     let odd = "title = 'x'\nseconds = 3\nwhatever = 1\n";
     expect![[r#"
         exit status: 2
-        chalkwalk-lab: FILE: line 6: mode is "beside", and has to be "aside" or "through"
+        chalkwalk-testbed: FILE: line 6: mode is "beside", and has to be "aside" or "through"
         FILE: line 11: namespace page: the target time is over the time limit
         FILE: line 14: repeats is "often", and has to be "replayable", "tagged" or "single-use"
         FILE: line 15: fails needs "share"
@@ -111,6 +111,6 @@
         FILE: line 19: zone-lost has no "share"
         FILE: line 25: there is no cache 2; they are numbered from 0 to 1
         exit status: 2
-        chalkwalk-lab: FILE: line 3: unknown field `whatever`, expected one of `title`, `seed`, `seconds`, `world`, `fleet`, `load`, `rules`, `bounds`, `namespace`, `trouble`
+        chalkwalk-testbed: FILE: line 3: unknown field `whatever`, expected one of `title`, `seed`, `seconds`, `world`, `fleet`, `load`, `rules`, `bounds`, `namespace`, `trouble`
     "#]].assert_eq(&(check(bad) + &check(odd)));
 }
