--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -5,13 +5,13 @@
 //! the core counts each at run time.
 
 use crate::balancer::Balancer;
-use crate::plain::{Request, RequestId, ServerIndex, Tenths};
+use crate::plain::{Request, RequestId, ServerIndex};
+use chalkwalk_time::{Span, Timestamp};
 
-const MILLISECOND: Tenths = 10;
 /// From when a client closed its connection to the first byte of an attempt for it, at the most.
-const CLIENT_GONE: Tenths = 100 * MILLISECOND;
+const CLIENT_GONE: Span = Span::from_millis(100);
 /// A client that had an answer a moment ago may be asking again, across the close: many round trips.
-const JUST_USED: Tenths = 50 * MILLISECOND;
+const JUST_USED: Span = Span::from_millis(50);
 
 /// An attempt in the moment before its first byte.
 #[derive(Clone, Copy, Debug)]
@@ -21,7 +21,7 @@
     pub number: usize,
     pub server: ServerIndex,
     /// The end of its time, or of the window in which a repeat is dropped, whichever is sooner.
-    pub until: Tenths,
+    pub until: Timestamp,
     /// Whether the client has its final answer.
     pub answered: bool,
     /// Whether the client is still there, as far as can be read.
@@ -80,13 +80,13 @@
 /// An attempt whose last byte was just written.
 #[derive(Clone, Copy, Debug)]
 pub struct Written {
-    pub at: Tenths,
+    pub at: Timestamp,
     /// When it was last asked whether it may be sent.
-    pub allowed_at: Tenths,
-    pub until: Tenths,
+    pub allowed_at: Timestamp,
+    pub until: Timestamp,
     /// Since when the server is off, as notified by now.
-    pub off_since: Option<Tenths>,
-    pub grace: Tenths,
+    pub off_since: Option<Timestamp>,
+    pub grace: Span,
     /// Whether the client is still there.
     pub awaited: bool,
 }
@@ -108,7 +108,7 @@
 
 impl Balancer {
     /// Whether an attempt may be sent now.
-    pub fn may_send(&self, attempt: &UnsentAttempt, now: Tenths) -> Result<(), Refusal> {
+    pub fn may_send(&self, attempt: &UnsentAttempt, now: Timestamp) -> Result<(), Refusal> {
         if !self.may_ask(attempt.server) {
             return Err(Refusal::ServerOff);
         }
@@ -138,7 +138,7 @@
         &self,
         request: &Request,
         server: Option<ServerIndex>,
-        then: Tenths,
+        then: Timestamp,
         itself: Option<usize>,
     ) -> bool {
         let rules = &request.rules;
@@ -158,13 +158,13 @@
 
 /// Whether a client's connection between two requests may be closed for others' sake. One that never carried a request may, as
 /// whoever opened it sends again; on one that was just used the next request may be on its way.
-pub fn may_close(used: bool, idle_for: Tenths) -> bool {
+pub fn may_close(used: bool, idle_for: Span) -> bool {
     !used || idle_for > JUST_USED
 }
 
 /// Whether a request that was read may be started: its time is not over, and would not end after the process's last answer.
 /// Returns the end of its time.
-pub fn may_start(now: Tenths, expires: Tenths, last_answer: Option<Tenths>) -> Option<Tenths> {
-    let expires = expires.min(last_answer.unwrap_or(Tenths::MAX));
+pub fn may_start(now: Timestamp, expires: Timestamp, last_answer: Option<Timestamp>) -> Option<Timestamp> {
+    let expires = expires.min(last_answer.unwrap_or(Timestamp::MAX));
     (expires > now).then_some(expires)
 }
--- a/crates/balancer/src/asked.rs
+++ b/crates/balancer/src/asked.rs
@@ -2,9 +2,10 @@
 
 use crate::balancer::Balancer;
 use crate::plain::{
-    ClassHandle, Effects, EndpointStatus, Learned, Request, RequestId, Server, ServerIndex, Settings, Tenths,
-    mixed, point,
+    ClassHandle, Effects, EndpointStatus, Learned, Request, RequestId, Server, ServerIndex, Settings, mixed,
+    point,
 };
+use chalkwalk_time::Timestamp;
 use std::collections::BTreeMap;
 
 impl Balancer {
@@ -24,7 +25,7 @@
 
     /// Operators take a server out at that moment, whatever any list says, or put it back. It is restarted in
     /// between: back, it is as cold as one that started then, and what was held against it is void.
-    pub fn set_disabled(&mut self, id: &str, out: bool, at: Tenths) {
+    pub fn set_disabled(&mut self, id: &str, out: bool, at: Timestamp) {
         _ = if out { Some(*self.barred.entry(id.into()).or_insert(at)) } else { self.barred.remove(id) };
         for server in (0..self.servers.len()).filter(|_| !out) {
             if self.servers[server].id == id {
@@ -37,7 +38,7 @@
     /// What the figures of `learned` rest on: target times, the own zone, what weights say. Learned under others they mean
     /// something else.
     pub fn learning_terms(&self) -> u64 {
-        let targets = self.settings.classes.iter().map(|class| class.target);
+        let targets = self.settings.classes.iter().map(|class| class.target.ticks());
         let shape = [self.settings.zone as u64, u64::from(self.settings.sizes)];
         targets.chain(shape).fold(0, |seen, n| mixed(seen.rotate_left(7) ^ mixed(n + 1)))
     }
@@ -100,7 +101,7 @@
     }
 
     /// Takes a request. It must be answered once, before `expires`; route it next.
-    pub fn accept_request(&mut self, class: usize, key: &str, write: bool, expires: Tenths) -> RequestId {
+    pub fn accept_request(&mut self, class: usize, key: &str, write: bool, expires: Timestamp) -> RequestId {
         self.accept_request_at(class, point(key, 0), write, expires)
     }
 }
@@ -112,7 +113,7 @@
         &mut self,
         request_id: RequestId,
         class: usize,
-        expires: Tenths,
+        expires: Timestamp,
         effects: &mut dyn Effects,
     ) {
         let (now, rules) = (self.now, ClassHandle::of(&self.settings.classes[class]));
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -4,14 +4,15 @@
 //! takes `route(..)` once, then what happens. What it wants leaves by the `Effects`. Same calls, same ways.
 
 use crate::discovery;
-use crate::plain::{Attempt, EndpointStatus, Learned, Tally, Tenths, leaning, mixed, point};
+use crate::plain::{Attempt, EndpointStatus, Learned, Tally, leaning, mixed, point};
 use crate::plain::{
     AttemptOutcome, Chance, ClassHandle, Effects, Endpoint, Line, Request, RequestId, Server, ServerIndex,
     Settings,
 };
+use chalkwalk_time::{Span, Timestamp};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-const SECOND: Tenths = 10_000;
+const SECOND: Span = Span::from_secs(1);
 const SERVER_TOKEN: u64 = 1 << 61; // wakes below this are requests, from here on servers
 const WATCH_TOKEN: u64 = 1 << 62;
 const LONGEST_LINE: usize = 100; // behind one key: more than ever come to their turn while they are useful
@@ -31,9 +32,9 @@
         &self,
         c: &mut Server,
         outcome: AttemptOutcome,
-        took: Tenths,
+        took: Span,
         company: u64,
-        own: Tenths,
+        own: Span,
         server: bool,
     ) {
         let shortest = self.shortest().unwrap_or(own);
@@ -63,7 +64,7 @@
 
 #[derive(Default)]
 pub struct Balancer {
-    pub(crate) now: Tenths,
+    pub(crate) now: Timestamp,
     pub(crate) settings: Settings,
     pub(crate) chance: Chance,
     pub(crate) servers: Vec<Server>,
@@ -78,13 +79,13 @@
     pub(crate) times: Tally,
     pub(crate) lines: HashMap<u64, Line>, // by key, where requests run in order
     pub(crate) kept: [HashSet<u64>; 2],   // keys resolved lately, and before that
-    pub(crate) faded: Tenths,
+    pub(crate) faded: Timestamp,
     pub(crate) failed_calls: u32, // to discovery, since its last answer
     pub(crate) salt: u64,         // own, so that proxies pass a loaded server for different keys
     pub(crate) refused: u64,      // ten-thousandths of the attempts at servers that found no connection
     pub(crate) links: [u64; 2],   // hundredths of servers to hold connections to, own zone and others
     pub(crate) carried: BTreeMap<String, Learned>, // by a process before, of servers not yet listed
-    pub(crate) barred: BTreeMap<String, Tenths>, // ids that operators took out, listed or not: since when
+    pub(crate) barred: BTreeMap<String, Timestamp>, // ids that operators took out, listed or not: since when
 }
 
 impl Balancer {
@@ -93,7 +94,7 @@
         if values.get("watched").is_some_and(|w| w == "1") {
             // As all that were killed together start together. Over 3 s: a service that takes a call of each
             // of a fleet in 2 s to 8 s then holds few that wait too long, which are work for nobody.
-            effects.set_timer(WATCH_TOKEN, chance.below(3 * SECOND));
+            effects.set_timer(WATCH_TOKEN, chance.span_below(3 * SECOND));
         }
         Balancer {
             settings,
@@ -105,7 +106,7 @@
         }
     }
 
-    pub fn advance_clock(&mut self, now: Tenths) {
+    pub fn advance_clock(&mut self, now: Timestamp) {
         self.now = now;
         // One second: long enough for some dozens of answers, short enough to see a trouble begin and end.
         while self.faded + SECOND <= now {
@@ -115,7 +116,7 @@
             self.lines.retain(|_, l| l.first.is_some() || !l.behind.is_empty() || now < l.rests_until);
             self.admitted = self.admitted.map(|part| (part + 50).min(1000)); // within 20 s whatever is heard
             // Keys are remembered for 4 to 8 s: longer, and too many pass whose copy is gone by then.
-            if (self.faded / SECOND).is_multiple_of(4) {
+            if self.faded.whole_periods(SECOND).is_multiple_of(4) {
                 self.kept.swap(0, 1);
                 self.kept[0].clear();
             }
@@ -127,7 +128,7 @@
                 }
                 (c.part, c.held.1) = ((c.part + 5).min(1000), c.held.1 - c.held.1 / 8); // in minutes
                 c.lately -= c.lately / 8; // so that a server nobody asks is asked again
-                c.stay -= if c.left { 0 } else { c.stay / 8 };
+                c.stay -= if c.left { Span::ZERO } else { c.stay / 8 };
             }
         }
     }
@@ -168,11 +169,11 @@
 
     /// A new process under an old id, and never an older one: what was held against the old one is void. Some
     /// of many proxies begin with an attempt, by chance, or all would send theirs together.
-    pub(crate) fn started(&mut self, server: ServerIndex, at: Tenths) {
+    pub(crate) fn started(&mut self, server: ServerIndex, at: Timestamp) {
         if at > self.servers[server].born {
             let credit = self.settings.cold_floor() + self.chance.below(1000);
             let c = &mut self.servers[server];
-            (c.born, c.credit, c.doubt, c.left, c.stay, c.part) = (at, credit, 0, false, 0, 1000);
+            (c.born, c.credit, c.doubt, c.left, c.stay, c.part) = (at, credit, 0, false, Span::ZERO, 1000);
         }
     }
 
@@ -208,12 +209,13 @@
     }
 
     /// A call to discovery that took so long brought nothing: the next one is made after a rest, within the term for changes.
-    pub fn discovery_call_failed(&mut self, took: Tenths, effects: &mut dyn Effects) {
+    pub fn discovery_call_failed(&mut self, took: Span, effects: &mut dyn Effects) {
         if self.failed_calls == 0 {
             effects.log("discovery lost", "");
         }
         self.failed_calls = self.failed_calls.saturating_add(1);
-        let rest = self.settings.discovery_retry.rest(took, self.failed_calls, |end| self.chance.below(end));
+        let rest =
+            self.settings.discovery_retry.rest(took, self.failed_calls, |end| self.chance.span_below(end));
         effects.set_timer(WATCH_TOKEN, rest);
     }
 
@@ -223,14 +225,14 @@
 
     /// What an answer seldom takes: three times what nine in ten stay under, as a few heavy requests together
     /// hold up more.
-    fn overdue(&self) -> Tenths {
+    fn overdue(&self) -> Span {
         // Before there are any, nine in ten are taken to need a quarter of the shortest target time.
         let shortest = self.settings.shortest().unwrap_or(SECOND / 4);
         (3 * self.times.ninth(shortest / 4)).max(SECOND / 20)
     }
 
     /// How long a server with attempts out may say nothing: as long, and 1.5 s at most.
-    fn hush(&self) -> Tenths {
+    fn hush(&self) -> Span {
         self.overdue().min(SECOND * 3 / 2)
     }
 
@@ -242,12 +244,12 @@
     /// The share of its keys that a server may have by now, in thousandths.
     fn warmth(&self, server: ServerIndex) -> u64 {
         let (c, settings) = (&self.servers[server], &self.settings);
-        let age = self.now.saturating_sub(c.born);
-        if c.born == 0 || age >= settings.cold_time {
+        let age = self.now.saturating_since(c.born);
+        if c.born.is_zero() || age >= settings.cold_time {
             return 1000;
         }
-        let share =
-            settings.cold_share + (1.0 - settings.cold_share) * age as f64 / settings.cold_time as f64;
+        let share = settings.cold_share
+            + (1.0 - settings.cold_share) * age.ticks() as f64 / settings.cold_time.ticks() as f64;
         (1000.0 * share) as u64
     }
 
@@ -336,7 +338,13 @@
     }
 
     /// The same for a key that is known by its point alone.
-    pub fn accept_request_at(&mut self, class: usize, key: u64, write: bool, expires: Tenths) -> RequestId {
+    pub fn accept_request_at(
+        &mut self,
+        class: usize,
+        key: u64,
+        write: bool,
+        expires: Timestamp,
+    ) -> RequestId {
         let request_id = RequestId(self.taken);
         self.taken += 1;
         self.taken_lately += 1;
@@ -360,7 +368,7 @@
     /// Where a namespace asks for it, requests with one key run one at a time, as taken: whether this one
     /// waits or is deferred at once, as its turn can't come while it is useful.
     fn waits_its_turn(&mut self, request_id: RequestId, effects: &mut dyn Effects) -> bool {
-        let (l, each) = (&self.requests[&request_id.0], self.times.under(500).unwrap_or(0));
+        let (l, each) = (&self.requests[&request_id.0], self.times.under(500).unwrap_or(Span::ZERO));
         let (key, useful) = (l.key, l.useful_until);
         if !l.rules.in_order || key == point("", 0) {
             return false;
@@ -440,7 +448,7 @@
     /// then asks the server again. Guards the origin against a stampede on one key.
     fn ask_origin(&mut self, request_id: RequestId, effects: &mut dyn Effects) {
         let l = &self.requests[&request_id.0];
-        let left = l.useful_until.saturating_sub(self.now);
+        let left = l.useful_until.saturating_since(self.now);
         let up = |o: &ServerIndex| self.may_ask(*o) && self.may_attempt(l, *o);
         let Some(origin) = self.origin.filter(up) else {
             return self.give_up(request_id, effects);
@@ -490,7 +498,7 @@
         let copied = class.hedge_after.and_then(|part| self.times.under(part));
         effects.start_attempt(request_id, server, l.expires.min(sent + class.attempt_timeout), by);
         if Some(server) != self.origin {
-            effects.set_timer(request_id.0, copied.unwrap_or(hush).min(hush) + 1);
+            effects.set_timer(request_id.0, copied.unwrap_or(hush).min(hush) + Span::TICK);
         }
     }
 
@@ -512,7 +520,7 @@
             return;
         }
         // Half a second to one and a half, spread so that those sent away do not return together.
-        let back_in = (SECOND / 2 + self.chance.below(SECOND)).min(self.settings.longest_stay_away);
+        let back_in = (SECOND / 2 + self.chance.span_below(SECOND)).min(self.settings.longest_stay_away);
         if self.may_repeat(&self.requests[&request_id.0], None, self.now + back_in, None) {
             effects.reject(request_id, back_in);
         } else {
@@ -559,7 +567,7 @@
         c.doubt = match outcome {
             // Where others were answered just now, one connection was in trouble, and not the server.
             AttemptOutcome::Unreachable | AttemptOutcome::ConnectionLost
-                if c.answered > 0 && self.now < c.answered + hush =>
+                if !c.answered.is_zero() && self.now < c.answered + hush =>
             {
                 c.doubt + 2
             }
@@ -591,7 +599,7 @@
         (c.left, c.stay) = (true, (c.stay * 2).clamp(SECOND / 2, 8 * SECOND));
         effects.log("cache left", &c.id);
         c.calls += 1;
-        let wait = c.stay + self.chance.below(c.stay / 4);
+        let wait = c.stay + self.chance.span_below(c.stay / 4);
         effects.set_timer(SERVER_TOKEN + server as u64, wait);
     }
 
@@ -643,7 +651,7 @@
         let slow = i == 0 && copied.is_some_and(|under| self.now > sent + under);
         let slow = slow && l.rules.hedging && l.rules.purse.allows(self.now);
         if !lost && !slow && (self.servers[server].owes_since > sent || !self.silent(server)) {
-            return effects.set_timer(token, hush + 1);
+            return effects.set_timer(token, hush + Span::TICK);
         }
         // Nothing has come from this server since the attempt: guards against servers that hang, vanish or pause.
         // One silence is one failure, however many attempts it holds up: a pause is no hang.
@@ -686,7 +694,7 @@
         request_id: RequestId,
         attempt: usize,
         outcome: AttemptOutcome,
-        took: Tenths,
+        took: Span,
         finished: bool,
         effects: &mut dyn Effects,
     ) {
--- a/crates/balancer/src/discovery.rs
+++ b/crates/balancer/src/discovery.rs
@@ -15,64 +15,64 @@
 //! together, and meet it again together. Spread over 3 s, with 2 s in which each may wait for its turn, a service that answers
 //! the whole fleet once in 5 s refuses none of them.
 
-use crate::plain::Tenths;
+use chalkwalk_time::Span;
 
-const SECOND: Tenths = 10_000;
+const SECOND: Span = Span::from_secs(1);
 
 /// A change counts as notified at the latest so long after discovery had it and could be reached.
-pub const NOTIFIED_WITHIN: Tenths = 6 * SECOND;
+pub const NOTIFIED_WITHIN: Span = Span::from_secs(6);
 /// How long the service lets a call wait for its turn.
-pub const TURN: Tenths = 2 * SECOND;
+pub const TURN: Span = Span::from_secs(2);
 /// A connection that does not come up is given up after so long. The first SYN is sent again after 1 s.
-pub const GIVE_UP_CONNECTING: Tenths = 2 * SECOND;
+pub const GIVE_UP_CONNECTING: Span = Span::from_secs(2);
 /// A call for the present list that has no answer is followed by another beside it: a second beyond its turn, so that no call
 /// is made twice to a service that merely has much to do.
-pub const SILENT_AFTER: Tenths = TURN + SECOND;
+pub const SILENT_AFTER: Span = TURN.plus(SECOND);
 
 /// How long a watch may wait for news, at the most. What a silent one misses counts as notified 2 s after its wait is over; a
 /// shorter wait costs every process more calls in calm times, a longer one leaves a silent watch unnoticed for longer than any
 /// other fault.
-pub const WATCH: Tenths = 5 * SECOND + SECOND / 2;
+pub const WATCH: Span = Span::from_millis(5_500);
 /// So long after its wait a watch without an answer is taken for silent, and another call is made beside it.
-pub const WATCH_SILENT_AFTER: Tenths = SECOND / 2;
+pub const WATCH_SILENT_AFTER: Span = Span::from_millis(500);
 /// From the beginning of a call that brought nothing to that of the next, at the most: what the first missed is told by the next,
 /// at the end of its turn at the latest.
-pub const CALLS_APART: Tenths = NOTIFIED_WITHIN - TURN;
+pub const CALLS_APART: Span = NOTIFIED_WITHIN.minus(TURN);
 
 /// No failing call is repeated sooner, or calls that fail at once would spin.
-const SHORTEST_REST: Tenths = SECOND / 4;
+const SHORTEST_REST: Span = Span::from_millis(250);
 /// For starved cores, the transfer and reading a long list.
-const HEADROOM: Tenths = SECOND / 4;
+const HEADROOM: Span = Span::from_millis(250);
 /// From the beginning of a call that brought nothing to that of the next.
-const RETRIED_WITHIN: Tenths = CALLS_APART - HEADROOM;
+const RETRIED_WITHIN: Span = CALLS_APART.minus(HEADROOM);
 /// A call that took so long was waited for: half of a turn, and well above what a call takes on a busy machine.
-const WAITED: Tenths = SECOND;
+const WAITED: Span = Span::from_secs(1);
 /// After a call that was waited for no rest is shorter, as a service that works on calls which it has refused by then has to get
 /// through a whole fleet's calls from one call of a process to its next: 3.5 s with the turn.
-const SHORTEST_REST_AFTER_WAITING: Tenths = SECOND + SECOND / 2;
+const SHORTEST_REST_AFTER_WAITING: Span = Span::from_millis(1_500);
 /// So many calls in a row that failed, the last after waiting, over a minute of nothing else, are taken for a service that the
 /// fleet itself keeps from working.
 const CONGESTED_AFTER: u32 = 20;
 /// The rest then. It exceeds the term, and is the one exception: a fleet that keeps to the term would go on keeping the service
 /// from answering anybody. Eight seconds in the mean, so that a queue of five seconds runs dry first.
-const REST_WHILE_CONGESTED: (Tenths, Tenths) = (4 * SECOND, 12 * SECOND);
+const REST_WHILE_CONGESTED: (Span, Span) = (Span::from_secs(4), Span::from_secs(12));
 
 /// An older call beside a newer one that failed is heard until so long after the beginning of the newer: the shortest rest follows.
-pub const OLDER_HEARD: Tenths = RETRIED_WITHIN - 2 * SHORTEST_REST;
+pub const OLDER_HEARD: Span = RETRIED_WITHIN.minus(SHORTEST_REST.times(2));
 
 // The term, part by part: what takes the longest before the next call can be made.
-const _: () = assert!(GIVE_UP_CONNECTING + 2 * SHORTEST_REST <= RETRIED_WITHIN);
-const _: () = assert!(SILENT_AFTER <= RETRIED_WITHIN);
-const _: () = assert!(WATCH_SILENT_AFTER + 2 * SHORTEST_REST <= TURN);
+const _: () = assert!(GIVE_UP_CONNECTING.plus(SHORTEST_REST.times(2)).fits(RETRIED_WITHIN));
+const _: () = assert!(SILENT_AFTER.fits(RETRIED_WITHIN));
+const _: () = assert!(WATCH_SILENT_AFTER.plus(SHORTEST_REST.times(2)).fits(TURN));
 // A silent watch is followed by another call while what it misses does not count as notified yet.
-const _: () = assert!(WATCH + WATCH_SILENT_AFTER <= NOTIFIED_WITHIN);
+const _: () = assert!(WATCH.plus(WATCH_SILENT_AFTER).fits(NOTIFIED_WITHIN));
 
 /// Whether a call that begins so long after the one before keeps the term; that one could wait for news for `wait`. The grace of
 /// drains covers the headroom.
-pub fn called_in_time(apart: Tenths, wait: Tenths) -> bool {
+pub fn called_in_time(apart: Span, wait: Span) -> bool {
     // A watch may fail just before it is taken for silent, and the shortest rest follows. What it missed counts as notified a turn
     // after its wait.
-    let watched = if wait > 0 { wait + WATCH_SILENT_AFTER + 2 * SHORTEST_REST } else { 0 };
+    let watched = if wait > Span::ZERO { wait + WATCH_SILENT_AFTER + 2 * SHORTEST_REST } else { Span::ZERO };
     apart <= CALLS_APART.max(watched) + HEADROOM
 }
 
@@ -84,29 +84,29 @@
 /// The rests after failed calls, as the settings of a deployment bound them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Retry {
-    shortest: Tenths,
+    shortest: Span,
     /// From the beginning of the failed call on.
-    within: Tenths,
+    within: Span,
     /// The longest rest after any call.
-    most: Tenths,
+    most: Span,
 }
 
 impl Retry {
     /// Where the list is asked for. `ask_time`: for so long a process may neither watch nor ask.
-    pub fn asked(ask_time: Tenths) -> Retry {
+    pub fn asked(ask_time: Span) -> Retry {
         Retry { shortest: SHORTEST_REST, within: RETRIED_WITHIN, most: ask_time.max(2 * SHORTEST_REST) }
     }
 
     /// Where the list is pushed by an agent of the process's own: what it has counts as notified at once, and only the grace
     /// runs. A quarter of it leaves time for further tries; nobody shares the agent.
-    pub fn pushed(grace: Tenths) -> Retry {
+    pub fn pushed(grace: Span) -> Retry {
         let longest = (grace / 4).clamp(SECOND / 20, RETRIED_WITHIN);
         Retry { shortest: longest / 4, within: RETRIED_WITHIN, most: longest }
     }
 
     /// How long to rest after a call that took so long and brought nothing, the last of so many in a row; `below` draws an even
     /// number below another.
-    pub fn rest(&self, took: Tenths, in_a_row: u32, below: impl FnOnce(Tenths) -> Tenths) -> Tenths {
+    pub fn rest(&self, took: Span, in_a_row: u32, below: impl FnOnce(Span) -> Span) -> Span {
         let waited = took >= WAITED;
         let (shortest, longest) = match waited && in_a_row > CONGESTED_AFTER {
             true => REST_WHILE_CONGESTED,
@@ -117,6 +117,6 @@
         };
         let longest = longest.min(self.most);
         let shortest = shortest.min(longest * 9 / 10);
-        shortest + below((longest - shortest).max(1))
+        shortest + below((longest - shortest).max(Span::TICK))
     }
 }
--- a/crates/balancer/src/plain.rs
+++ b/crates/balancer/src/plain.rs
@@ -2,14 +2,12 @@
 
 use crate::discovery::Retry;
 use chalkwalk_limits::Purse;
+use chalkwalk_time::{Span, Timestamp};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::ops::Deref;
 use std::rc::Rc;
 
-/// Whole tenths of a millisecond.
-pub type Tenths = u64;
-
 /// A server or the origin: a small index handed out at the door of one instance.
 pub type ServerIndex = usize;
 
@@ -66,7 +64,7 @@
     /// Stated, in hundredths; to be compared with those of others.
     pub size: u64,
     pub status: EndpointStatus,
-    pub born: Tenths,
+    pub born: Timestamp,
 }
 
 /// What the platform allows, read once when the balancer starts.
@@ -75,42 +73,43 @@
     pub zone: usize,
     pub probes: bool,
     pub cancellation: bool,
-    pub longest_stay_away: Tenths, // 0: clients are not told when to return
+    pub longest_stay_away: Span, // 0: clients are not told when to return
     pub cold_share: f64,
-    pub cold_time: Tenths,
+    pub cold_time: Span,
     pub proxies: u64,
     /// How soon discovery is called again after a call that brought nothing.
     pub discovery_retry: Retry,
     pub through: bool, // servers fetch for themselves
     pub sizes: bool,   // what the list says of them is their own, and not their load of the moment
     pub origin_kind: Option<usize>,
-    pub key_quiet: Tenths, // a key rests after an attempt that may still run, where its requests run in order
+    pub key_quiet: Span, // a key rests after an attempt that may still run, where its requests run in order
 
     pub classes: Vec<Rc<RequestClass>>, // and the classes that limits make of them
 }
 
 impl Settings {
     /// The shortest target time of all namespaces.
-    pub fn shortest(&self) -> Option<Tenths> {
+    pub fn shortest(&self) -> Option<Span> {
         self.classes.iter().map(|n| n.target).min()
     }
 
     pub fn read(values: &BTreeMap<String, String>) -> Settings {
         let word = |name: &str| values.get(name).map_or("", String::as_str);
         let num = |name: &str, or: f64| word(name).parse::<f64>().unwrap_or(or);
+        let ticks = |number: f64| Span::from_ticks(number as u64);
         let shared = Purse::default();
         let class = |i: usize| {
             let own = |name: &str| format!("namespace {i} {name}");
             RequestClass {
-                target: num(&own("target time"), 1e4) as Tenths,
+                target: ticks(num(&own("target time"), 1e4)),
                 in_order: num(&own("in order"), 0.0) > 0.0,
                 late_counts: num(&own("late utility"), 0.0) > 0.0,
                 repeats: word(&own("repeats")).to_string(),
                 group: word(&own("group")).to_string(),
-                window: num(&own("window"), 0.0) as Tenths,
+                window: ticks(num(&own("window"), 0.0)),
                 max_attempts: num(&own("most shots"), num("most shots", 1.0)) as usize,
                 hedging: num(&own("second copies"), num("second copies", 0.0)) > 0.0,
-                attempt_timeout: num(&own("shot wait"), 1e12) as Tenths,
+                attempt_timeout: ticks(num(&own("shot wait"), 1e12)),
                 hedge_after: Some(num(&own("copies after"), 0.0) as u64).filter(|part| *part > 0),
                 purse: match values.get(&own("further shots")) {
                     Some(_) => Purse::own(num(&own("further shots"), 0.0) as u64),
@@ -122,17 +121,17 @@
         };
         Settings {
             discovery_retry: match num("watched", 0.0) > 0.0 {
-                true => Retry::asked(num("ask time", 1e5) as Tenths),
-                false => Retry::pushed(num("drain grace", 1e4) as Tenths),
+                true => Retry::asked(ticks(num("ask time", 1e5))),
+                false => Retry::pushed(ticks(num("drain grace", 1e4))),
             },
             zone: num("zone", 0.0) as usize,
             probes: num("probes", 0.0) > 0.0,
             cancellation: num("withdrawals", 0.0) > 0.0,
-            longest_stay_away: num("longest stay away", 0.0) as Tenths,
+            longest_stay_away: ticks(num("longest stay away", 0.0)),
             cold_share: num("cold share", 1.0),
-            cold_time: num("cold time", 0.0) as Tenths,
+            cold_time: ticks(num("cold time", 0.0)),
             proxies: num("proxies", 1.0) as u64,
-            key_quiet: num("key quiet", 0.0) as Tenths,
+            key_quiet: ticks(num("key quiet", 0.0)),
             through: num("through", 0.0) > 0.0,
             sizes: word("size kind") != "live",
             origin_kind: (!word("origin kind").is_empty()).then(|| num("origin kind", 0.0) as usize),
@@ -144,15 +143,15 @@
 /// What is done with requests of one namespace, or of one class of it.
 #[derive(Default)]
 pub(crate) struct RequestClass {
-    pub target: Tenths,
+    pub target: Span,
     pub late_counts: bool,
     pub in_order: bool,  // requests with one key run one at a time, as taken
     pub repeats: String, // replayable, tagged or single-use
     pub group: String,   // which servers drop repeats of a tagged one: all, of one zone, of one cell
-    pub window: Tenths,
+    pub window: Span,
     pub max_attempts: usize,
     pub hedging: bool,
-    pub attempt_timeout: Tenths,  // a single attempt is given up after that
+    pub attempt_timeout: Span,    // a single attempt is given up after that
     pub hedge_after: Option<u64>, // a hedged request goes out after what so many thousandths of answers take
     pub purse: Purse,             // for retries
     pub most_open: u64,
@@ -200,7 +199,7 @@
 #[derive(Default)]
 pub(crate) struct Attempt {
     pub server: ServerIndex,
-    pub sent: Tenths,
+    pub sent: Timestamp,
     pub company: u64,
     pub out: bool,
     pub may_have_run: bool,
@@ -216,8 +215,8 @@
     pub key: u64,
     pub write: bool,
     pub order: Option<Vec<ServerIndex>>, // in place of the ring's, where it is settled elsewhere who may serve it
-    pub expires: Tenths,
-    pub useful_until: Tenths,
+    pub expires: Timestamp,
+    pub useful_until: Timestamp,
     pub luck: u64, // 0 to 99: who gets the last part of a place where there is less than one
     pub attempts: Vec<Attempt>,
     pub cut: bool, // its time limit was shortened while it was open
@@ -243,7 +242,7 @@
 pub(crate) struct Line {
     pub first: Option<RequestId>, // until it is over and all its attempts have ended
     pub behind: Vec<RequestId>,   // as taken
-    pub rests_until: Tenths,
+    pub rests_until: Timestamp,
 }
 
 /// What one process of a proxy has learned of a server that means the same to the next.
@@ -251,7 +250,7 @@
 pub struct Learned {
     pub id: String,
     /// Of another start these figures say nothing.
-    pub born: Tenths,
+    pub born: Timestamp,
     /// The largest weight heard, in hundredths, where weights move with load.
     pub size: u64,
     /// Thousandths of its keys that it keeps.
@@ -270,34 +269,34 @@
     pub held: (u64, u64), // hundredths of a request a core that it holds, as the list told before and last
     pub part: u64,        // thousandths of its keys that it keeps for what it was told to hold
     pub status: EndpointStatus,
-    pub born: Tenths,
-    pub out: u64,           // own attempts in flight
-    pub flows: u64,         // of these, whose answers have begun
-    pub owes_since: Tenths, // last answer, or the first attempt since nothing was out
-    pub answered: Tenths,   // last
-    pub heard: Tenths,      // when the attempt was sent that was answered and had been sent last
-    pub hushed: bool,       // the present silence was counted
-    pub doubt: u64,         // up by 3 for a failure, down by 1 for an answer
+    pub born: Timestamp,
+    pub out: u64,              // own attempts in flight
+    pub flows: u64,            // of these, whose answers have begun
+    pub owes_since: Timestamp, // last answer, or the first attempt since nothing was out
+    pub answered: Timestamp,   // last
+    pub heard: Timestamp,      // when the attempt was sent that was answered and had been sent last
+    pub hushed: bool,          // the present silence was counted
+    pub doubt: u64,            // up by 3 for a failure, down by 1 for an answer
     pub left: bool,
-    pub linked: bool,   // a connection to it is held, as far as told
-    pub calls: u32,     // wakes and probes for it that are still to come back
-    pub stay: Tenths,   // how long it is left alone next
-    pub lately: Tenths, // what its answers took, the last counting most
-    pub refusals: u64,  // as full, since an answer
-    pub seldom: bool,   // it had answered nothing for a fifth of a second before its last
-    pub room: u64,      // hundredths of an attempt that it takes at once without being late
-    pub credit: u64,    // while it is cold: thousandths of an attempt that it may still be sent
+    pub linked: bool,  // a connection to it is held, as far as told
+    pub calls: u32,    // wakes and probes for it that are still to come back
+    pub stay: Span,    // how long it is left alone next
+    pub lately: Span,  // what its answers took, the last counting most
+    pub refusals: u64, // as full, since an answer
+    pub seldom: bool,  // it had answered nothing for a fifth of a second before its last
+    pub room: u64,     // hundredths of an attempt that it takes at once without being late
+    pub credit: u64,   // while it is cold: thousandths of an attempt that it may still be sent
 }
 
 /// The way out: what a balancer wants done, each at the moment of the call.
 pub trait Effects {
     /// Given up at `until`; not written at all where that would be later than `by`.
-    fn start_attempt(&mut self, request_id: RequestId, server: ServerIndex, until: Tenths, by: Tenths);
+    fn start_attempt(&mut self, request_id: RequestId, server: ServerIndex, until: Timestamp, by: Timestamp);
     fn cancel_attempt(&mut self, request_id: RequestId, attempt: usize);
-    fn reject(&mut self, request_id: RequestId, back_in: Tenths);
+    fn reject(&mut self, request_id: RequestId, back_in: Span);
     fn fail(&mut self, request_id: RequestId);
     fn check_health(&mut self, server: ServerIndex);
-    fn set_timer(&mut self, token: u64, after: Tenths);
+    fn set_timer(&mut self, token: u64, after: Span);
     fn watch_endpoints(&mut self);
     /// A change of state, and the server that it is of, or none.
     fn log(&mut self, event: &str, server: &str);
@@ -308,6 +307,11 @@
 pub(crate) struct Chance(pub u64);
 
 impl Chance {
+    /// An even draw of a span below another.
+    pub fn span_below(&mut self, end: Span) -> Span {
+        Span::from_ticks(self.below(end.ticks()))
+    }
+
     pub fn below(&mut self, n: u64) -> u64 {
         self.0 = (self.0 & 0xffff_ffff) * 4_294_957_665 + (self.0 >> 32);
         ((self.0 & 0xffff_ffff) * n.max(1)) >> 32
@@ -359,7 +363,8 @@
         Tally(counts)
     }
 
-    pub fn add(&mut self, took: Tenths) {
+    pub fn add(&mut self, took: Span) {
+        let took = took.ticks();
         let doubling = ((took / 8 + 1).ilog2() as usize).min(DOUBLINGS - 1);
         // The bin begins at 8 * (2^doubling - 1), and is as long as 8 * 2^doubling.
         let quarter = ((took + 8) >> (doubling + 1)).saturating_sub(4).min(3) as usize;
@@ -376,13 +381,13 @@
     }
 
     /// The time that nine in ten stayed under, to a doubling, or `usual` where too few were measured.
-    pub fn ninth(&self, usual: Tenths) -> Tenths {
+    pub fn ninth(&self, usual: Span) -> Span {
         let bin = |i: usize| self.0[4 * i..4 * i + 4].iter().sum::<u32>();
         let count: u32 = self.0.iter().sum();
         let mut left = count / 10;
         for i in (0..DOUBLINGS).rev() {
             if count >= 20 && bin(i) > left {
-                return 16 << i;
+                return Span::from_ticks(16 << i);
             }
             left -= bin(i).min(left);
         }
@@ -391,14 +396,14 @@
 
     /// The time that so many thousandths stayed under, to a quarter of a doubling; `None` where too few were measured
     /// to tell.
-    pub fn under(&self, part: u64) -> Option<Tenths> {
+    pub fn under(&self, part: u64) -> Option<Span> {
         let count: u64 = self.0.iter().map(|n| u64::from(*n)).sum();
         let mut left = count * (1000 - part) / 1000;
         for i in (0..self.0.len()).rev() {
             let n = u64::from(self.0[i]);
             if n > left && count >= 80 {
                 let (doubling, quarter) = (i / 4, i as u64 % 4);
-                return Some(((5 + quarter) << (doubling + 1)) - 8);
+                return Some(Span::from_ticks(((5 + quarter) << (doubling + 1)) - 8));
             }
             left -= n.min(left);
         }
@@ -414,15 +419,18 @@
     fn a_tally_tells_what_a_part_stays_under_to_a_quarter_of_a_doubling() {
         let mut tally = Tally::default();
         assert_eq!(tally.under(900), None);
-        (0..1000).for_each(|took| tally.add(took));
-        let told = [500, 900, 950, 990].map(|part| tally.under(part));
+        (0..1000).for_each(|took| tally.add(Span::from_ticks(took)));
+        let told = [500, 900, 950, 990].map(|part| tally.under(part).map(Span::ticks));
         assert_eq!(told, [Some(504), Some(1016), Some(1016), Some(1016)]);
         // The next bin's begin, and never below what it is of.
         for took in 0..3000 {
             let mut tally = Tally::default();
-            (0..20).for_each(|_| tally.add(took));
+            (0..20).for_each(|_| tally.add(Span::from_ticks(took)));
             let under = tally.under(900).unwrap();
-            assert!(under > took && under <= took + (took + 8) / 4 + 8, "{took}: {under}");
+            assert!(
+                under > Span::from_ticks(took) && under <= Span::from_ticks(took + (took + 8) / 4 + 8),
+                "{took}: {under}"
+            );
         }
     }
 }
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -5,6 +5,7 @@
 use crate::plain::{
     Attempt, Chance, ClassHandle, EndpointStatus, Line, Request, RequestId, Server, Settings, Tally,
 };
+use chalkwalk_time::{Span, Timestamp};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 /// A balancer's state. Equal states decide alike.
@@ -58,6 +59,8 @@
 }
 
 as_word! {
+    Timestamp: |at: Timestamp| at.ticks(), |n| Some(Timestamp::from_ticks(n));
+    Span: |span: Span| span.ticks(), |n| Some(Span::from_ticks(n));
     usize: |n| n as u64, |n| usize::try_from(n).ok();
     u32: u64::from, |n| u32::try_from(n).ok();
     bool: u64::from, |n| (n < 2).then_some(n == 1);
@@ -197,7 +200,8 @@
     class.put(to);
     (*key, *write).put(to);
     order.put(to);
-    [*expires, *useful_until, *luck].put(to);
+    [*expires, *useful_until].put(to);
+    luck.put(to);
     attempts.put(to);
     [*cut, *over, *begun, *waits, *leads].put(to);
 }
@@ -206,7 +210,8 @@
     let rules = ClassHandle::of(settings.classes.get(usize::get(from)?)?);
     let (key, write) = Part::get(from)?;
     let order = Part::get(from)?;
-    let [expires, useful_until, luck] = Part::get(from)?;
+    let [expires, useful_until] = Part::get(from)?;
+    let luck = Part::get(from)?;
     let attempts = Part::get(from)?;
     let [cut, over, begun, waits, leads] = Part::get(from)?;
     Some(Request {
@@ -231,8 +236,11 @@
     pub fn snapshot(&self) -> Option<Snapshot> {
         let mut to = Snapshot::default();
         let class = |l: &Request| self.settings.classes.iter().position(|rules| l.rules.is(rules));
-        [self.now, self.settings.proxies, self.pooled, self.taken, self.taken_lately].put(&mut to);
-        [self.salt, self.faded, self.refused].put(&mut to);
+        self.now.put(&mut to);
+        [self.settings.proxies, self.pooled, self.taken, self.taken_lately].put(&mut to);
+        self.salt.put(&mut to);
+        self.faded.put(&mut to);
+        self.refused.put(&mut to);
         (self.failed_calls, self.origin).put(&mut to);
         self.chance.put(&mut to);
         self.servers.put(&mut to);
@@ -240,7 +248,7 @@
         self.times.put(&mut to);
         self.fetches.put(&mut to);
         self.lines.put(&mut to);
-        self.barred.clone().into_iter().collect::<Vec<(String, u64)>>().put(&mut to);
+        self.barred.clone().into_iter().collect::<Vec<(String, Timestamp)>>().put(&mut to);
         self.kept.put(&mut to);
         self.settings.classes.iter().for_each(|rules| rules.purse.counts().put(&mut to));
         self.requests.len().put(&mut to);
@@ -256,8 +264,11 @@
     pub fn from_snapshot(values: &BTreeMap<String, String>, state: &Snapshot) -> Option<Balancer> {
         let from = &mut Taking { words: state.words.iter(), texts: state.texts.iter() };
         let mut r = Balancer { settings: Settings::read(values), ..Balancer::default() };
-        [r.now, r.settings.proxies, r.pooled, r.taken, r.taken_lately] = Part::get(from)?;
-        [r.salt, r.faded, r.refused] = Part::get(from)?;
+        r.now = Part::get(from)?;
+        [r.settings.proxies, r.pooled, r.taken, r.taken_lately] = Part::get(from)?;
+        r.salt = Part::get(from)?;
+        r.faded = Part::get(from)?;
+        r.refused = Part::get(from)?;
         (r.failed_calls, r.origin) = Part::get(from)?;
         r.chance = Part::get(from)?;
         r.servers = Part::get(from)?;
@@ -265,7 +276,7 @@
         r.times = Part::get(from)?;
         r.fetches = Part::get(from)?;
         r.lines = Part::get(from)?;
-        r.barred = Vec::<(String, u64)>::get(from)?.into_iter().collect();
+        r.barred = Vec::<(String, Timestamp)>::get(from)?.into_iter().collect();
         r.kept = Part::get(from)?;
         for rules in &r.settings.classes {
             rules.purse.count(Part::get(from)?);
--- a/crates/balancer/tests/admission.rs
+++ b/crates/balancer/tests/admission.rs
@@ -5,14 +5,19 @@
 
 use chalkwalk_balancer::admission::{Refusal, UnsentAttempt, Violation, Written, may_close, may_start};
 use chalkwalk_balancer::{AttemptOutcome, EndpointStatus, RequestId};
+use chalkwalk_time::{Span, Timestamp};
 use helper::{Harness, harness};
 
 const REPLAYABLE: usize = 0;
 const TAGGED: usize = 1;
 const SINGLE_USE: usize = 2;
 
+fn at(ticks: u64) -> Timestamp {
+    Timestamp::from_ticks(ticks)
+}
+
 fn attempt(request: RequestId, number: usize) -> UnsentAttempt {
-    UnsentAttempt { request, number, server: 0, until: 20_000, answered: false, awaited: true }
+    UnsentAttempt { request, number, server: 0, until: at(20_000), answered: false, awaited: true }
 }
 
 /// One server, and a request whose attempt there was decided.
@@ -26,17 +31,17 @@
 #[test]
 fn an_attempt_that_was_decided_may_be_sent() {
     let (harness, request) = decided(SINGLE_USE);
-    assert_eq!(harness.balancer.may_send(&attempt(request, 0), 100), Ok(()));
+    assert_eq!(harness.balancer.may_send(&attempt(request, 0), at(100)), Ok(()));
 }
 
 #[test]
 fn nothing_is_sent_to_a_server_that_began_to_drain_meanwhile_or_that_operators_took_out() {
     let (mut harness, request) = decided(REPLAYABLE);
     harness.list(&[("amber", 0, EndpointStatus::Draining, 0)]);
-    assert_eq!(harness.balancer.may_send(&attempt(request, 0), 100), Err(Refusal::ServerOff));
+    assert_eq!(harness.balancer.may_send(&attempt(request, 0), at(100)), Err(Refusal::ServerOff));
     let (mut harness, request) = decided(REPLAYABLE);
-    harness.balancer.set_disabled("amber", true, 50);
-    assert_eq!(harness.balancer.may_send(&attempt(request, 0), 100), Err(Refusal::ServerOff));
+    harness.balancer.set_disabled("amber", true, at(50));
+    assert_eq!(harness.balancer.may_send(&attempt(request, 0), at(100)), Err(Refusal::ServerOff));
     assert!(!harness.balancer.may_ask(7), "a server that nobody has named");
 }
 
@@ -44,18 +49,18 @@
 fn nothing_is_sent_late_or_for_a_request_that_is_over() {
     let (mut harness, request) = decided(REPLAYABLE);
     let this = attempt(request, 0);
-    assert_eq!(harness.balancer.may_send(&this, 19_999), Ok(()));
-    assert_eq!(harness.balancer.may_send(&this, 20_000), Err(Refusal::TooLate));
+    assert_eq!(harness.balancer.may_send(&this, at(19_999)), Ok(()));
+    assert_eq!(harness.balancer.may_send(&this, at(20_000)), Err(Refusal::TooLate));
     assert_eq!(
-        harness.balancer.may_send(&UnsentAttempt { answered: true, ..this }, 100),
+        harness.balancer.may_send(&UnsentAttempt { answered: true, ..this }, at(100)),
         Err(Refusal::Answered)
     );
     assert_eq!(
-        harness.balancer.may_send(&UnsentAttempt { awaited: false, ..this }, 100),
+        harness.balancer.may_send(&UnsentAttempt { awaited: false, ..this }, at(100)),
         Err(Refusal::ClientLeft)
     );
     harness.left_by_client(request);
-    assert_eq!(harness.balancer.may_send(&this, 100), Err(Refusal::Answered));
+    assert_eq!(harness.balancer.may_send(&this, at(100)), Err(Refusal::Answered));
 }
 
 /// The same crossing for each effect: the first attempt may have run by the time at which the second is to be written.
@@ -66,23 +71,29 @@
         harness.ready(&["amber", "birch"]);
         harness.end(request, 0, AttemptOutcome::ConnectionLost);
         // The window of the tagged namespace is half a second.
-        [4_999, 5_000].map(|now| harness.balancer.may_send(&attempt(request, 1), now))
+        [4_999, 5_000].map(|now| harness.balancer.may_send(&attempt(request, 1), at(now)))
     });
     assert_eq!(sent, [[Ok(()), Ok(())], [Ok(()), Err(Refusal::MayRunTwice)]]);
     // What was decided as a single attempt is still out when a second asks.
     let (harness, request) = decided(SINGLE_USE);
-    assert_eq!(harness.balancer.may_send(&attempt(request, 1), 100), Err(Refusal::MayRunTwice));
+    assert_eq!(harness.balancer.may_send(&attempt(request, 1), at(100)), Err(Refusal::MayRunTwice));
 }
 
 #[test]
 fn what_must_not_have_happened_by_a_write_is_named() {
-    let good =
-        Written { at: 1000, allowed_at: 990, until: 1000, off_since: Some(500), grace: 500, awaited: false };
+    let good = Written {
+        at: at(1000),
+        allowed_at: at(990),
+        until: at(1000),
+        off_since: Some(at(500)),
+        grace: Span::from_ticks(500),
+        awaited: false,
+    };
     assert_eq!(good.violation(), None);
     let found = |written: Written| written.violation();
-    assert_eq!(found(Written { grace: 499, ..good }), Some(Violation::SentAfterGrace));
-    assert_eq!(found(Written { until: 999, ..good }), Some(Violation::SentTooLate));
-    let held_up = Written { at: 2001, allowed_at: 1000, until: 9000, off_since: None, ..good };
+    assert_eq!(found(Written { grace: Span::from_ticks(499), ..good }), Some(Violation::SentAfterGrace));
+    assert_eq!(found(Written { until: at(999), ..good }), Some(Violation::SentTooLate));
+    let held_up = Written { at: at(2001), allowed_at: at(1000), until: at(9000), off_since: None, ..good };
     assert_eq!(found(held_up), Some(Violation::SentAfterClientLeft));
     assert_eq!(found(Written { awaited: true, ..held_up }), None);
 }
@@ -90,11 +101,11 @@
 #[test]
 fn a_connection_is_closed_for_others_unless_it_was_just_used_and_a_late_request_is_not_started() {
     assert_eq!(
-        [(false, 0), (true, 500), (true, 501)].map(|(used, idle)| may_close(used, idle)),
+        [(false, 0), (true, 500), (true, 501)].map(|(used, idle)| may_close(used, Span::from_ticks(idle))),
         [true, false, true]
     );
-    assert_eq!(may_start(100, 200, None), Some(200));
-    assert_eq!(may_start(100, 200, Some(150)), Some(150));
-    assert_eq!(may_start(100, 200, Some(100)), None);
-    assert_eq!(may_start(200, 200, None), None);
+    assert_eq!(may_start(at(100), at(200), None), Some(at(200)));
+    assert_eq!(may_start(at(100), at(200), Some(at(150))), Some(at(150)));
+    assert_eq!(may_start(at(100), at(200), Some(at(100))), None);
+    assert_eq!(may_start(at(200), at(200), None), None);
 }
--- a/crates/balancer/tests/decisions.rs
+++ b/crates/balancer/tests/decisions.rs
@@ -3,6 +3,7 @@
 mod helper;
 
 use chalkwalk_balancer::{AttemptOutcome, Endpoint, EndpointStatus, Learned};
+use chalkwalk_time::{Span, Timestamp};
 use expect_test::expect;
 use helper::{Harness, SERVER, WATCH, harness};
 
@@ -412,7 +413,14 @@
                 h.end(a, 0, AttemptOutcome::CacheMiss);
             }
             let (attempt, took) = (usize::from(at_origin), if i % one_in == 0 { 10_000 } else { 1000 });
-            h.balancer.attempt_ended(a, attempt, AttemptOutcome::Completed, took, true, &mut h.trace);
+            h.balancer.attempt_ended(
+                a,
+                attempt,
+                AttemptOutcome::Completed,
+                Span::from_ticks(took),
+                true,
+                &mut h.trace,
+            );
         }
         h.told().matches("deferred").count()
     });
@@ -431,7 +439,14 @@
             h.pass(2_000);
             let a = h.ask(0, &format!("page/{i}"));
             let took = if h.last_asked().is_some_and(|id| late.contains(&id)) { 10_000 } else { 1000 };
-            h.balancer.attempt_ended(a, 0, AttemptOutcome::Completed, took, true, &mut h.trace);
+            h.balancer.attempt_ended(
+                a,
+                0,
+                AttemptOutcome::Completed,
+                Span::from_ticks(took),
+                true,
+                &mut h.trace,
+            );
             if i == 29 {
                 h.told();
             }
@@ -493,7 +508,7 @@
     let mut h = harness(&[("watched", "1")]);
     h.ready(&FOUR);
     for _ in 0..3 {
-        h.balancer.discovery_call_failed(0, &mut h.trace);
+        h.balancer.discovery_call_failed(Span::ZERO, &mut h.trace);
         h.fire_timer(WATCH);
     }
     h.ready(&FOUR);
@@ -518,7 +533,7 @@
     let told = [("0", "10000", ""), ("0", "0", ""), ("1", "", "20000"), ("1", "", "100000"), ("1", "", "0")];
     let told = told.map(|(watched, grace, time)| {
         let mut h = harness(&[("watched", watched), ("drain grace", grace), ("ask time", time)]);
-        (0..40).for_each(|_| h.balancer.discovery_call_failed(0, &mut h.trace));
+        (0..40).for_each(|_| h.balancer.discovery_call_failed(Span::ZERO, &mut h.trace));
         let waits = h.told();
         let waits =
             waits.lines().filter_map(|l| l.strip_prefix("wake in ")?.strip_suffix(" ms")?.parse().ok());
@@ -540,7 +555,7 @@
     h.ready(&["amber"]);
     for _ in 0..30 {
         let a = h.ask(0, "slow");
-        h.balancer.attempt_ended(a, 0, AttemptOutcome::Completed, 9000, true, &mut h.trace);
+        h.balancer.attempt_ended(a, 0, AttemptOutcome::Completed, Span::from_ticks(9000), true, &mut h.trace);
     }
     h.told();
     for _ in 0..20 {
@@ -565,7 +580,14 @@
         for took in std::iter::repeat_n(100, in_time).chain(std::iter::repeat_n(9000, late)) {
             h.pass(gap);
             let a = h.ask(0, "slow");
-            h.balancer.attempt_ended(a, 0, AttemptOutcome::Completed, took, true, &mut h.trace);
+            h.balancer.attempt_ended(
+                a,
+                0,
+                AttemptOutcome::Completed,
+                Span::from_ticks(took),
+                true,
+                &mut h.trace,
+            );
         }
         h.told();
         (0..12).for_each(|_| _ = h.ask(0, "slow"));
@@ -719,7 +741,14 @@
         let key = key_of(&mut h, "amber");
         for _ in 0..20 {
             let request_id = h.ask(0, &key);
-            h.balancer.attempt_ended(request_id, 0, AttemptOutcome::Completed, usual, true, &mut h.trace);
+            h.balancer.attempt_ended(
+                request_id,
+                0,
+                AttemptOutcome::Completed,
+                Span::from_ticks(usual),
+                true,
+                &mut h.trace,
+            );
         }
         let slow = h.ask(0, &key);
         // One sent later is answered: a longer one is overtaken, and 1.5 s is no time where most take 0.6 s.
@@ -834,7 +863,7 @@
         lookup 0 deferred
     "#]]
     .assert_eq(&h.told());
-    assert_eq!(until, 3000);
+    assert_eq!(until, Timestamp::from_ticks(3000));
 }
 
 #[test]
@@ -901,8 +930,8 @@
     let new = h.values.clone();
     h.balancer.apply_settings(&new);
     // Nine tenths of a second from the start for one; seven tenths for the other, which are over.
-    h.balancer.renew_limits(long, 0, 9000, &mut h.trace);
-    h.balancer.renew_limits(late, 0, 7000, &mut h.trace);
+    h.balancer.renew_limits(long, 0, Timestamp::from_ticks(9000), &mut h.trace);
+    h.balancer.renew_limits(late, 0, Timestamp::from_ticks(7000), &mut h.trace);
     h.told();
     h.pass(1000);
     h.fire_timer(long.0);
@@ -927,13 +956,13 @@
     h.pass(1_000_000);
     h.ready(&FOUR);
     let warm = of_birch(&mut h);
-    h.balancer.set_disabled("birch", true, h.now);
-    h.balancer.set_disabled("birch", true, h.now);
+    h.balancer.set_disabled("birch", true, Timestamp::from_ticks(h.now));
+    h.balancer.set_disabled("birch", true, Timestamp::from_ticks(h.now));
     let barred = of_birch(&mut h);
     h.ready(&["amber", "cedar", "delta"]);
     h.ready(&FOUR);
     let listed_again = of_birch(&mut h);
-    h.balancer.set_disabled("birch", false, h.now);
+    h.balancer.set_disabled("birch", false, Timestamp::from_ticks(h.now));
     h.ready(&FOUR);
     let back = of_birch(&mut h);
     h.pass(110_000);
@@ -942,7 +971,7 @@
         "{warm} warm, {barred} barred, {listed_again} listed again, {back} back, {later} later"
     ));
     // All of them out: nothing is sent, and nobody meant by an id that none has.
-    FOUR.iter().for_each(|id| h.balancer.set_disabled(id, true, h.now));
+    FOUR.iter().for_each(|id| h.balancer.set_disabled(id, true, Timestamp::from_ticks(h.now)));
     h.trace = Default::default();
     h.ask(0, "book/1");
     expect!["lookup 1000 deferred true false"].assert_eq(&format!(
@@ -959,14 +988,15 @@
     let mut h = harness(&[]);
     h.pass(1_000_000);
     h.ready(&FOUR);
-    h.balancer.set_disabled("birch", true, h.now);
+    h.balancer.set_disabled("birch", true, Timestamp::from_ticks(h.now));
     h.ready(&["amber", "cedar", "delta"]);
     let (id, status) = ("birch", EndpointStatus::Ready);
-    let back = Endpoint { server: 4, id, zone: 0, kind: 0, cell: 0, size: 100, status, born: 0 };
+    let back =
+        Endpoint { server: 4, id, zone: 0, kind: 0, cell: 0, size: 100, status, born: Timestamp::ZERO };
     h.balancer.update_endpoints(&[back], &mut h.trace);
     let mut asked = Vec::new();
     for out in [true, false] {
-        h.balancer.set_disabled("birch", out, h.now);
+        h.balancer.set_disabled("birch", out, Timestamp::from_ticks(h.now));
         h.trace = Default::default();
         (0..200).for_each(|i| _ = h.ask(0, &format!("book/{i}")));
         asked.push(h.told().contains("-> cache 4"));
@@ -1202,13 +1232,27 @@
     h.fire_timer(request_id.0); // silent for so long: a hedged request
     h.trace.mark("the first begins");
     h.balancer.response_started(request_id, 0, &mut h.trace);
-    h.balancer.attempt_ended(request_id, 1, AttemptOutcome::CacheMiss, 100, true, &mut h.trace);
+    h.balancer.attempt_ended(
+        request_id,
+        1,
+        AttemptOutcome::CacheMiss,
+        Span::from_ticks(100),
+        true,
+        &mut h.trace,
+    );
     h.pass(20_000);
     h.fire_timer(request_id.0);
     h.trace.mark("another of its key, past any silence");
     let other = h.ask(0, "book");
     h.end(other, 0, AttemptOutcome::Completed);
-    h.balancer.attempt_ended(request_id, 0, AttemptOutcome::ConnectionLost, 100, true, &mut h.trace);
+    h.balancer.attempt_ended(
+        request_id,
+        0,
+        AttemptOutcome::ConnectionLost,
+        Span::from_ticks(100),
+        true,
+        &mut h.trace,
+    );
     expect![[r#"
         lookup 0 -> cache 1
         lookup 0 -> cache 0
@@ -1251,7 +1295,14 @@
             let request_id = h.ask(0, &format!("page/{i}"));
             let late = i % 4 == 0 && h.last_asked().is_some_and(|id| id == "birch");
             let took = if late { slow } else { 100 };
-            h.balancer.attempt_ended(request_id, 0, AttemptOutcome::Completed, took, true, &mut h.trace);
+            h.balancer.attempt_ended(
+                request_id,
+                0,
+                AttemptOutcome::Completed,
+                Span::from_ticks(took),
+                true,
+                &mut h.trace,
+            );
             if i == 199 {
                 h.told();
             }
@@ -1337,7 +1388,14 @@
         h.pass(4_000);
         h.fire_timer(request_id.0);
         passed += h.told().lines().count() - 1;
-        h.balancer.attempt_ended(request_id, 0, AttemptOutcome::Completed, 4_000, true, &mut h.trace);
+        h.balancer.attempt_ended(
+            request_id,
+            0,
+            AttemptOutcome::Completed,
+            Span::from_ticks(4_000),
+            true,
+            &mut h.trace,
+        );
     }
     expect!["0"].assert_eq(&passed.to_string());
 }
@@ -1361,7 +1419,7 @@
             request_id,
             0,
             outcome,
-            took,
+            Span::from_ticks(took),
             outcome == AttemptOutcome::Completed,
             &mut old.trace,
         );
@@ -1401,7 +1459,14 @@
             h.pass(200);
             let request_id = h.ask(0, &format!("page/{i}"));
             let took = if late && i % 2 == 0 { 10_000 } else { 100 };
-            h.balancer.attempt_ended(request_id, 0, AttemptOutcome::Completed, took, true, &mut h.trace);
+            h.balancer.attempt_ended(
+                request_id,
+                0,
+                AttemptOutcome::Completed,
+                Span::from_ticks(took),
+                true,
+                &mut h.trace,
+            );
             h.left_by_client(request_id);
         }
         let now = h.now;
@@ -1412,7 +1477,14 @@
             let request_id = h.ask(0, &format!("page/{i}"));
             let cold = h.last_asked().is_some_and(|id| id == "birch");
             let took = if late && !cold && i % 2 == 0 { 10_000 } else { 100 };
-            h.balancer.attempt_ended(request_id, 0, AttemptOutcome::Completed, took, true, &mut h.trace);
+            h.balancer.attempt_ended(
+                request_id,
+                0,
+                AttemptOutcome::Completed,
+                Span::from_ticks(took),
+                true,
+                &mut h.trace,
+            );
             h.left_by_client(request_id);
         }
         h.told().matches("> cache 1").count()
--- a/crates/balancer/tests/fleet.rs
+++ b/crates/balancer/tests/fleet.rs
@@ -1,31 +1,32 @@
 //! Many routers that share nothing but one service: what is harmless in one, and harmful when all do it.
 
 use chalkwalk_balancer::discovery::{NOTIFIED_WITHIN, TURN};
-use chalkwalk_balancer::{Balancer, Effects, RequestId, ServerIndex, Tenths};
+use chalkwalk_balancer::{Balancer, Effects, RequestId, ServerIndex};
+use chalkwalk_time::{Span, Timestamp};
 use expect_test::expect;
 use std::collections::{BTreeMap, VecDeque};
 
 const WATCH: u64 = 1 << 62;
 /// Time passes by 10 ms, well under what a call takes.
-const STEP: Tenths = 100;
+const STEP: u64 = 100;
 
 /// What one of them wants of the list's service.
 #[derive(Default)]
 struct Wants {
-    wakes: Vec<Tenths>,
+    wakes: Vec<u64>,
     watch: bool,
-    now: Tenths,
+    now: u64,
 }
 
 impl Effects for Wants {
-    fn start_attempt(&mut self, _: RequestId, _: ServerIndex, _: Tenths, _: Tenths) {}
+    fn start_attempt(&mut self, _: RequestId, _: ServerIndex, _: Timestamp, _: Timestamp) {}
     fn cancel_attempt(&mut self, _: RequestId, _: usize) {}
-    fn reject(&mut self, _: RequestId, _: Tenths) {}
+    fn reject(&mut self, _: RequestId, _: Span) {}
     fn fail(&mut self, _: RequestId) {}
     fn check_health(&mut self, _: ServerIndex) {}
-    fn set_timer(&mut self, token: u64, after: Tenths) {
+    fn set_timer(&mut self, token: u64, after: Span) {
         assert_eq!(token, WATCH);
-        self.wakes.push(self.now + after);
+        self.wakes.push(self.now + after.ticks());
     }
     fn watch_endpoints(&mut self) {
         self.watch = true;
@@ -36,7 +37,7 @@
 /// So many proxies, all started at once, and a service that works through `a_second` calls in turn, turns away what would
 /// wait for over 5 s, and fails what waits for over 2 s, though it does that work all the same. The list changes every
 /// `changes`. Tells, for each five seconds, later for each 25, how many proxies act on a list older than 5 s at the end, and what calls came to.
-fn played(proxies: u64, a_second: u64, changes: Tenths) -> String {
+fn played(proxies: u64, a_second: u64, changes: u64) -> String {
     let values = BTreeMap::from([("watched".to_string(), "1".to_string())]);
     let mut fleet: Vec<(Balancer, Wants)> = (0..proxies)
         .map(|seed| {
@@ -46,11 +47,11 @@
         .collect();
     let mut had = vec![None; fleet.len()]; // when each had the list last
     let mut watching: Vec<usize> = Vec::new();
-    let mut queue: VecDeque<(usize, Tenths, bool)> = VecDeque::new(); // who, since when, whether it was given up
+    let mut queue: VecDeque<(usize, u64, bool)> = VecDeque::new(); // who, since when, whether it was given up
     let (mut served, mut failed, mut away) = (0, 0, 0);
     let mut told = Vec::new();
     for now in (0..1_500_000).step_by(STEP as usize) {
-        let answer = |fleet: &mut Vec<(Balancer, Wants)>, who: usize, had: &mut Vec<Option<Tenths>>| {
+        let answer = |fleet: &mut Vec<(Balancer, Wants)>, who: usize, had: &mut Vec<Option<u64>>| {
             had[who] = Some(now);
             let (balancer, wants) = &mut fleet[who];
             balancer.update_endpoints(&[], wants);
@@ -62,14 +63,14 @@
         }
         for (who, (balancer, wants)) in fleet.iter_mut().enumerate() {
             wants.now = now;
-            balancer.advance_clock(now);
+            balancer.advance_clock(Timestamp::from_ticks(now));
             let due = wants.wakes.iter().filter(|at| **at <= now).count();
             wants.wakes.retain(|at| *at > now);
             (0..due).for_each(|_| balancer.timer_fired(WATCH, wants));
             if std::mem::take(&mut wants.watch) {
                 if queue.len() as u64 >= 5 * a_second {
                     away += 1;
-                    balancer.discovery_call_failed(0, wants);
+                    balancer.discovery_call_failed(Span::ZERO, wants);
                 } else {
                     queue.push_back((who, now, false));
                 }
@@ -79,7 +80,7 @@
             if !*given_up && now > *since + 20_000 {
                 (*given_up, failed) = (true, failed + 1);
                 let (balancer, wants) = &mut fleet[*who];
-                balancer.discovery_call_failed(now - *since, wants);
+                balancer.discovery_call_failed(Span::from_ticks(now - *since), wants);
             }
         }
         if now % (10_000 / a_second) == 0
@@ -168,23 +169,18 @@
 
 /// The fleet loses discovery for so long and meets it again. Returns how long after the return each process was answered first,
 /// in ms, in order; processes that were not in the time watched are left out.
-fn notified_after_outage(
-    processes: u64,
-    service: Service,
-    outage: Tenths,
-    watched_for: Tenths,
-) -> Vec<Tenths> {
+fn notified_after_outage(processes: u64, service: Service, outage: u64, watched_for: u64) -> Vec<u64> {
     let values = BTreeMap::from([("watched".to_string(), "1".to_string())]);
     let mut fleet: Vec<(Balancer, Wants)> = (0..processes)
         .map(|seed| {
             let mut wants = Wants::default();
             let mut balancer = Balancer::new(seed, &values, &mut wants);
             wants.wakes.clear();
-            balancer.discovery_call_failed(0, &mut wants);
+            balancer.discovery_call_failed(Span::ZERO, &mut wants);
             (balancer, wants)
         })
         .collect();
-    let mut queue: VecDeque<(usize, Tenths, bool)> = VecDeque::new(); // who, since when, whether it was refused
+    let mut queue: VecDeque<(usize, u64, bool)> = VecDeque::new(); // who, since when, whether it was refused
     let mut answered = vec![None; fleet.len()];
     let mut work = 0;
     for now in (0..outage + watched_for).step_by(STEP as usize) {
@@ -193,24 +189,24 @@
             fleet.iter_mut().enumerate().filter(|(who, _)| answered[*who].is_none())
         {
             wants.now = now;
-            balancer.advance_clock(now);
+            balancer.advance_clock(Timestamp::from_ticks(now));
             let due = wants.wakes.iter().filter(|at| **at <= now).count();
             wants.wakes.retain(|at| *at > now);
             (0..due).for_each(|_| balancer.timer_fired(WATCH, wants));
             if std::mem::take(&mut wants.watch) {
                 let full = !down && queue.len() as u64 >= 5 * service.capacity;
                 match full || (down && service.refuses_at_once) {
-                    true => balancer.discovery_call_failed(0, wants),
+                    true => balancer.discovery_call_failed(Span::ZERO, wants),
                     false => queue.push_back((who, now, false)),
                 }
             }
         }
         for (who, since, refused) in
-            queue.iter_mut().filter(|(_, since, refused)| !refused && now >= *since + TURN)
+            queue.iter_mut().filter(|(_, since, refused)| !refused && now >= *since + TURN.ticks())
         {
             *refused = true;
             let (balancer, wants) = &mut fleet[*who];
-            balancer.discovery_call_failed(now - *since, wants);
+            balancer.discovery_call_failed(Span::from_ticks(now - *since), wants);
         }
         if down || !service.works_on_expired {
             queue.retain(|(.., refused)| !refused);
@@ -226,7 +222,7 @@
         }
         work = work.min(10_000);
     }
-    let mut after: Vec<Tenths> = answered.into_iter().flatten().collect();
+    let mut after: Vec<u64> = answered.into_iter().flatten().collect();
     after.sort_unstable();
     after
 }
@@ -237,10 +233,10 @@
     seconds: u64,
     works_on_expired: bool,
     refuses_at_once: bool,
-) -> (usize, Vec<Tenths>) {
+) -> (usize, Vec<u64>) {
     let service = Service { capacity: processes / seconds, works_on_expired, refuses_at_once };
     let after = notified_after_outage(processes, service, 200_000, 300_000);
-    let in_time = after.iter().filter(|ms| **ms <= NOTIFIED_WITHIN / 10).count();
+    let in_time = after.iter().filter(|ms| **ms <= (NOTIFIED_WITHIN / 10).ticks()).count();
     (processes as usize - in_time, after)
 }
 
--- a/crates/balancer/tests/helper/mod.rs
+++ b/crates/balancer/tests/helper/mod.rs
@@ -1,12 +1,13 @@
 //! A balancer whose decisions are written down line by line.
 
 use chalkwalk_balancer::{
-    AttemptOutcome, Balancer, Effects, Endpoint, EndpointStatus, RequestId, ServerIndex, Tenths,
+    AttemptOutcome, Balancer, Effects, Endpoint, EndpointStatus, RequestId, ServerIndex,
 };
+use chalkwalk_time::{Span, Timestamp};
 use std::collections::BTreeMap;
 
 #[derive(Default)]
-pub struct Trace(String, pub Tenths); // what was said, and until when the last attempt is out
+pub struct Trace(String, pub Timestamp); // what was said, and until when the last attempt is out
 
 impl Trace {
     /// A line of the test's own.
@@ -21,7 +22,7 @@
 }
 
 impl Effects for Trace {
-    fn start_attempt(&mut self, request_id: RequestId, server: ServerIndex, until: Tenths, by: Tenths) {
+    fn start_attempt(&mut self, request_id: RequestId, server: ServerIndex, until: Timestamp, by: Timestamp) {
         self.1 = until;
         let by = if by < until { format!(" by {by}") } else { String::new() };
         self.line(format!("lookup {} -> cache {server}{by}", request_id.0));
@@ -29,7 +30,7 @@
     fn cancel_attempt(&mut self, request_id: RequestId, attempt: usize) {
         self.line(format!("lookup {} withdraws shot {attempt}", request_id.0));
     }
-    fn reject(&mut self, request_id: RequestId, _back_in: Tenths) {
+    fn reject(&mut self, request_id: RequestId, _back_in: Span) {
         self.line(format!("lookup {} deferred", request_id.0));
     }
     fn fail(&mut self, request_id: RequestId) {
@@ -38,7 +39,7 @@
     fn check_health(&mut self, server: ServerIndex) {
         self.line(format!("probe cache {server}"));
     }
-    fn set_timer(&mut self, token: u64, after: Tenths) {
+    fn set_timer(&mut self, token: u64, after: Span) {
         if token >= 1 << 61 {
             self.line(format!("wake in {} ms", after / 10));
         }
@@ -57,7 +58,7 @@
 pub struct Harness {
     pub balancer: Balancer,
     pub trace: Trace,
-    pub now: Tenths,
+    pub now: u64,
     pub values: BTreeMap<String, String>,
     pub birch: (usize, u64), // its kind, and its size in hundredths
     ids: Vec<String>,
@@ -86,14 +87,14 @@
 
 impl Harness {
     /// Hands over the whole list: (id, zone, standing, born); kind 9 for an id "origin", else 0.
-    pub fn list(&mut self, rows: &[(&str, usize, EndpointStatus, Tenths)]) {
+    pub fn list(&mut self, rows: &[(&str, usize, EndpointStatus, u64)]) {
         for (id, ..) in rows {
             if !self.ids.iter().any(|known| known == id) {
                 self.ids.push(id.to_string());
             }
         }
         let (ids, birch) = (&self.ids, self.birch);
-        let row = |&(id, zone, status, born)| Endpoint {
+        let row = |id, zone, status, born| Endpoint {
             server: ids.iter().position(|known| known == id).unwrap(),
             id,
             zone,
@@ -101,9 +102,10 @@
             cell: 0,
             size: if id == "birch" { birch.1 } else { 100 },
             status,
-            born,
+            born: Timestamp::from_ticks(born),
         };
-        let endpoints: Vec<Endpoint> = rows.iter().map(row).collect();
+        let endpoints: Vec<Endpoint> =
+            rows.iter().map(|(id, zone, status, born)| row(id, *zone, *status, *born)).collect();
         self.balancer.replace_endpoints(&endpoints, &mut self.trace);
     }
 
@@ -112,9 +114,9 @@
         self.list(&rows);
     }
 
-    pub fn pass(&mut self, tenths: Tenths) {
-        self.now += tenths;
-        self.balancer.advance_clock(self.now);
+    pub fn pass(&mut self, ticks: u64) {
+        self.now += ticks;
+        self.balancer.advance_clock(Timestamp::from_ticks(self.now));
     }
 
     pub fn ask(&mut self, class: usize, key: &str) -> RequestId {
@@ -126,7 +128,8 @@
     }
 
     fn routed(&mut self, class: usize, key: &str, write: bool) -> RequestId {
-        let request_id = self.balancer.accept_request(class, key, write, self.now + 20_000);
+        let request_id =
+            self.balancer.accept_request(class, key, write, Timestamp::from_ticks(self.now + 20_000));
         self.balancer.route_request(request_id, &mut self.trace);
         request_id
     }
@@ -136,7 +139,14 @@
             outcome,
             AttemptOutcome::Completed | AttemptOutcome::CompletedFromCache | AttemptOutcome::CompletedByFetch
         );
-        self.balancer.attempt_ended(request_id, attempt, outcome, 100, finished, &mut self.trace);
+        self.balancer.attempt_ended(
+            request_id,
+            attempt,
+            outcome,
+            Span::from_ticks(100),
+            finished,
+            &mut self.trace,
+        );
     }
 
     pub fn left_by_client(&mut self, request_id: RequestId) {
--- a/crates/capture/src/format.rs
+++ b/crates/capture/src/format.rs
@@ -1,6 +1,7 @@
 //! The form of a capture, version 2 (1 had no sizes of servers): a mark, then items, each with its length and checksum.
 
-use chalkwalk_balancer::{AttemptOutcome, Endpoint, EndpointStatus, ServerIndex, Tenths};
+use chalkwalk_balancer::{AttemptOutcome, Endpoint, EndpointStatus, ServerIndex};
+use chalkwalk_time::{Span, Timestamp};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -19,7 +20,7 @@
     pub cell: u64,
     pub size: u64,
     pub status: u8,
-    pub born: Tenths,
+    pub born: Timestamp,
 }
 
 /// What the balancer was told.
@@ -35,14 +36,14 @@
         point: u64,
         key: String,
         write: bool,
-        expires: Tenths,
+        expires: Timestamp,
         order: Option<Vec<ServerIndex>>,
     },
     AttemptEnded {
         request_id: u64,
         attempt: usize,
         outcome: u8,
-        took: Tenths,
+        took: Span,
         finished: bool,
         order: Option<Vec<ServerIndex>>,
     },
@@ -62,7 +63,7 @@
     LimitsRenewed {
         request_id: u64,
         class: usize,
-        expires: Tenths,
+        expires: Timestamp,
     },
     ProxyCount(u64),
     /// All that the balancer knows, and its house: a replay may begin here.
@@ -75,7 +76,7 @@
     ServerDisabled {
         id: String,
         out: bool,
-        at: Tenths,
+        at: Timestamp,
     },
     /// An attempt's answer has begun, and is the client's.
     ResponseStarted {
@@ -84,7 +85,7 @@
     },
     /// A call to discovery failed after so long.
     DiscoveryCallFailed {
-        took: Tenths,
+        took: Span,
     },
 }
 
@@ -94,8 +95,8 @@
     StartAttempt {
         request_id: u64,
         server: ServerIndex,
-        until: Tenths,
-        by: Tenths,
+        until: Timestamp,
+        by: Timestamp,
     },
     CancelAttempt {
         request_id: u64,
@@ -103,13 +104,13 @@
     },
     Reject {
         request_id: u64,
-        back_in: Tenths,
+        back_in: Span,
     },
     Fail(u64),
     CheckHealth(ServerIndex),
     SetTimer {
         token: u64,
-        after: Tenths,
+        after: Span,
     },
     WatchEndpoints,
     Log {
@@ -148,7 +149,7 @@
 /// One call, so long after the one before.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RecordedCall {
-    pub after: Tenths,
+    pub after: Span,
     pub told: Event,
     pub done: Vec<Decision>,
 }
@@ -156,7 +157,7 @@
 /// Calls from a moment on.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct CallBlock {
-    pub from: Tenths,
+    pub from: Timestamp,
     pub calls: Vec<RecordedCall>,
 }
 
--- a/crates/capture/src/recorder.rs
+++ b/crates/capture/src/recorder.rs
@@ -3,50 +3,59 @@
 use crate::format::{
     CallBlock, CaptureItem, Decision, Event, RecordedCall, RecordedEndpoint, encode_item, number_of,
 };
-use chalkwalk_balancer::{AttemptOutcome, Endpoint, Snapshot, Tenths};
+use chalkwalk_balancer::{AttemptOutcome, Endpoint, Snapshot};
+use chalkwalk_time::{Span, Timestamp};
 use std::collections::BTreeMap;
 
 /// A block goes out once it holds so many calls, or its first is so old: a crash loses what is in one.
 const MOST_CALLS: usize = 128;
-const OLDEST: Tenths = 2_000;
+const OLDEST: Span = Span::from_millis(200);
 
 /// From one snapshot of the balancer to the next: some kilobytes each, and a replay of an evening's middle begins within that.
-const SNAPSHOTS: Tenths = 600_000;
+const SNAPSHOTS: Span = Span::from_secs(60);
 
 /// Takes a block's bytes, or says that there is no room.
 pub type Sink = Box<dyn FnMut(Vec<u8>) -> bool>;
 
 pub struct Recorder {
     block: CallBlock,
-    at: Tenths,
+    at: Timestamp,
     lost: u64,
     sink: Sink,
     keys: bool,
-    snapshot_at: Tenths,
-    each: Tenths,
+    snapshot_at: Timestamp,
+    each: Span,
 }
 
 impl Recorder {
     /// `keys`: whether the texts of keys are kept.
     pub fn new(sink: Sink, keys: bool) -> Recorder {
-        Recorder { block: CallBlock::default(), at: 0, lost: 0, sink, keys, snapshot_at: 0, each: SNAPSHOTS }
+        Recorder {
+            block: CallBlock::default(),
+            at: Timestamp::ZERO,
+            lost: 0,
+            sink,
+            keys,
+            snapshot_at: Timestamp::ZERO,
+            each: SNAPSHOTS,
+        }
     }
 
     /// From one snapshot to the next so long.
-    pub fn snapshots_each(mut self, each: Tenths) -> Recorder {
+    pub fn snapshots_each(mut self, each: Span) -> Recorder {
         self.each = each;
         self
     }
 
     /// A call begins; what it decides follows by `done`.
-    pub fn told(&mut self, now: Tenths, told: Event) {
+    pub fn told(&mut self, now: Timestamp, told: Event) {
         if self.block.calls.len() >= MOST_CALLS || now > self.block.from + OLDEST {
             self.flush();
         }
         if self.block.calls.is_empty() {
             (self.block.from, self.at) = (now, now);
         }
-        self.block.calls.push(RecordedCall { after: now.saturating_sub(self.at), told, done: Vec::new() });
+        self.block.calls.push(RecordedCall { after: now.saturating_since(self.at), told, done: Vec::new() });
         self.at = self.at.max(now);
     }
 
@@ -57,11 +66,11 @@
     }
 
     /// Whether the balancer's state is to be written down now: once in a while, and behind a gap.
-    pub fn wants_snapshot(&self, now: Tenths) -> bool {
+    pub fn wants_snapshot(&self, now: Timestamp) -> bool {
         now >= self.snapshot_at
     }
 
-    pub fn snapshot(&mut self, now: Tenths, settings: &BTreeMap<String, String>, state: Snapshot) {
+    pub fn snapshot(&mut self, now: Timestamp, settings: &BTreeMap<String, String>, state: Snapshot) {
         self.snapshot_at = now + self.each;
         let Snapshot { words, texts } = state;
         self.told(now, Event::Snapshot { settings: settings.clone(), words, texts });
@@ -69,11 +78,11 @@
 
     pub fn take(
         &mut self,
-        now: Tenths,
+        now: Timestamp,
         class: usize,
         key: &str,
         write: bool,
-        expires: Tenths,
+        expires: Timestamp,
         order: Option<&[usize]>,
     ) {
         let point = chalkwalk_balancer::point_of(key);
@@ -87,11 +96,11 @@
     #[allow(clippy::too_many_arguments)]
     pub fn ended(
         &mut self,
-        now: Tenths,
+        now: Timestamp,
         request_id: u64,
         attempt: usize,
         outcome: AttemptOutcome,
-        took: Tenths,
+        took: Span,
         finished: bool,
         order: Option<&[usize]>,
     ) {
@@ -102,7 +111,7 @@
         );
     }
 
-    pub fn listed(&mut self, now: Tenths, whole: bool, endpoints: &[Endpoint]) {
+    pub fn listed(&mut self, now: Timestamp, whole: bool, endpoints: &[Endpoint]) {
         self.told(
             now,
             Event::EndpointsListed { whole, lines: endpoints.iter().map(RecordedEndpoint::of).collect() },
@@ -118,7 +127,7 @@
         let calls = block.calls.len() as u64;
         if self.lost > 0 && (self.sink)(encode_item(&CaptureItem::Gap(self.lost))) {
             // A replay goes on from the next snapshot.
-            (self.lost, self.snapshot_at) = (0, 0);
+            (self.lost, self.snapshot_at) = (0, Timestamp::ZERO);
         }
         if self.lost > 0 || !(self.sink)(encode_item(&CaptureItem::Calls(block))) {
             self.lost += calls;
--- a/crates/capture/src/replay.rs
+++ b/crates/capture/src/replay.rs
@@ -1,22 +1,23 @@
 //! The calls of a capture made again to a module of now, and where it decides otherwise.
 
 use crate::format::{CallBlock, CaptureItem, Decision, Event, RecordedCall, RecordedEndpoint, outcome};
+use chalkwalk_time::{Span, Timestamp};
 use std::collections::BTreeMap;
 
-use chalkwalk_balancer::{Balancer, Effects, RequestId, ServerIndex, Snapshot, Tenths};
+use chalkwalk_balancer::{Balancer, Effects, RequestId, ServerIndex, Snapshot};
 
 /// Notes what the balancer wants.
 #[derive(Default)]
 struct DecisionLog(Vec<Decision>);
 
 impl Effects for DecisionLog {
-    fn start_attempt(&mut self, request_id: RequestId, server: ServerIndex, until: Tenths, by: Tenths) {
+    fn start_attempt(&mut self, request_id: RequestId, server: ServerIndex, until: Timestamp, by: Timestamp) {
         self.0.push(Decision::StartAttempt { request_id: request_id.0, server, until, by });
     }
     fn cancel_attempt(&mut self, request_id: RequestId, attempt: usize) {
         self.0.push(Decision::CancelAttempt { request_id: request_id.0, attempt });
     }
-    fn reject(&mut self, request_id: RequestId, back_in: Tenths) {
+    fn reject(&mut self, request_id: RequestId, back_in: Span) {
         self.0.push(Decision::Reject { request_id: request_id.0, back_in });
     }
     fn fail(&mut self, request_id: RequestId) {
@@ -25,7 +26,7 @@
     fn check_health(&mut self, server: ServerIndex) {
         self.0.push(Decision::CheckHealth(server));
     }
-    fn set_timer(&mut self, token: u64, after: Tenths) {
+    fn set_timer(&mut self, token: u64, after: Span) {
         self.0.push(Decision::SetTimer { token, after });
     }
     fn watch_endpoints(&mut self) {
@@ -41,7 +42,7 @@
 pub struct Difference {
     /// Of all calls, from 0.
     pub call: u64,
-    pub at: Tenths,
+    pub at: Timestamp,
     pub told: Event,
     pub was: Vec<Decision>,
     pub is: Vec<Decision>,
@@ -63,8 +64,8 @@
     pub differences: u64,
     /// How many of them are of each kind: what was wanted first where the two part, and what is instead.
     pub kinds: BTreeMap<String, u64>,
-    pub from: Tenths,
-    pub to: Tenths,
+    pub from: Timestamp,
+    pub to: Timestamp,
 }
 
 /// The kind of a decision, in a word.
@@ -113,7 +114,7 @@
                 own = CallBlock { from: at, calls: Vec::new() };
                 from = Some(nth);
             }
-            let after = if own.calls.is_empty() && own.from == at { 0 } else { call.after };
+            let after = if own.calls.is_empty() && own.from == at { Span::ZERO } else { call.after };
             own.calls.push(RecordedCall { after, ..call.clone() });
             if nth == until {
                 kept.push(CaptureItem::Calls(own));
@@ -144,7 +145,7 @@
             }
         };
         let mut at = block.from;
-        if replay.from == 0 {
+        if replay.from == Timestamp::ZERO {
             replay.from = at;
         }
         for one in &block.calls {
@@ -188,7 +189,7 @@
 /// Makes one call; `None` where there is no module to make it to, or it makes no sense.
 fn again(
     balancer: &mut Option<Balancer>,
-    at: Tenths,
+    at: Timestamp,
     call: &RecordedCall,
     out: &mut DecisionLog,
 ) -> Option<()> {
@@ -242,7 +243,7 @@
                 false => balancer.update_endpoints(&endpoints, out),
             }
         }
-        Event::DiscoveryLost => balancer.discovery_call_failed(0, out),
+        Event::DiscoveryLost => balancer.discovery_call_failed(Span::ZERO, out),
         Event::DiscoveryCallFailed { took } => balancer.discovery_call_failed(*took, out),
         Event::ClientLeft(request_id) => balancer.client_left(RequestId(*request_id), out),
         Event::SettingsChanged(settings) => balancer.apply_settings(settings),
--- a/crates/capture/tests/replay.rs
+++ b/crates/capture/tests/replay.rs
@@ -1,11 +1,12 @@
 //! A day of random troubles played to the balancer, captured, cut at any point, and replayed.
 
 use chalkwalk_balancer::{
-    AttemptOutcome, Balancer, Effects, Endpoint, EndpointStatus, RequestId, ServerIndex, Tenths,
+    AttemptOutcome, Balancer, Effects, Endpoint, EndpointStatus, RequestId, ServerIndex,
 };
 use chalkwalk_capture::{
     CaptureContents, CaptureItem, Decision, Event, Recorder, cut, encode_item, read, replay,
 };
+use chalkwalk_time::{Span, Timestamp};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::cell::RefCell;
@@ -17,14 +18,14 @@
 /// A proxy's outside: attempts that are out, wakes that are due, and the tape.
 struct Outside {
     recorder: Recorder,
-    now: Tenths,
-    attempts: Vec<(RequestId, usize, Tenths)>,
+    now: Timestamp,
+    attempts: Vec<(RequestId, usize, Timestamp)>,
     of: BTreeMap<u64, usize>,
-    wakes: Vec<(Tenths, u64)>,
+    wakes: Vec<(Timestamp, u64)>,
 }
 
 impl Effects for Outside {
-    fn start_attempt(&mut self, request_id: RequestId, server: ServerIndex, until: Tenths, by: Tenths) {
+    fn start_attempt(&mut self, request_id: RequestId, server: ServerIndex, until: Timestamp, by: Timestamp) {
         self.recorder.done(Decision::StartAttempt { request_id: request_id.0, server, until, by });
         let nth = self.of.entry(request_id.0).or_default();
         self.attempts.push((request_id, *nth, self.now));
@@ -33,7 +34,7 @@
     fn cancel_attempt(&mut self, request_id: RequestId, attempt: usize) {
         self.recorder.done(Decision::CancelAttempt { request_id: request_id.0, attempt });
     }
-    fn reject(&mut self, request_id: RequestId, back_in: Tenths) {
+    fn reject(&mut self, request_id: RequestId, back_in: Span) {
         self.recorder.done(Decision::Reject { request_id: request_id.0, back_in });
     }
     fn fail(&mut self, request_id: RequestId) {
@@ -41,9 +42,9 @@
     }
     fn check_health(&mut self, server: ServerIndex) {
         self.recorder.done(Decision::CheckHealth(server));
-        self.wakes.push((self.now + 100, u64::MAX - server as u64));
+        self.wakes.push((self.now + Span::from_ticks(100), u64::MAX - server as u64));
     }
-    fn set_timer(&mut self, token: u64, after: Tenths) {
+    fn set_timer(&mut self, token: u64, after: Span) {
         self.recorder.done(Decision::SetTimer { token, after });
         self.wakes.push((self.now + after, token));
     }
@@ -99,13 +100,13 @@
     };
     let start = 17_000_000_000_000;
     let mut o = Outside {
-        recorder: Recorder::new(sink, seed.is_multiple_of(2)).snapshots_each(2_000),
-        now: start,
+        recorder: Recorder::new(sink, seed.is_multiple_of(2)).snapshots_each(Span::from_ticks(2_000)),
+        now: Timestamp::from_ticks(start),
         attempts: vec![],
         of: BTreeMap::new(),
         wakes: vec![],
     };
-    o.recorder.told(start, Event::Start { seed, settings: settings() });
+    o.recorder.told(Timestamp::from_ticks(start), Event::Start { seed, settings: settings() });
     let mut balancer = Balancer::new(seed, &settings(), &mut o);
     let ids: Vec<String> = (0..9).map(|i| format!("c{i}")).collect();
     let outcomes = [
@@ -121,7 +122,7 @@
         AttemptOutcome::NotSent,
     ];
     for step in 0..steps {
-        o.now += below(60);
+        o.now += Span::from_ticks(below(60));
         let now = o.now;
         balancer.advance_clock(now);
         if o.recorder.wants_snapshot(now) {
@@ -137,7 +138,8 @@
                     let kind = usize::from(i == 8);
                     let status =
                         if i == 8 || below(6) > 0 { EndpointStatus::Ready } else { EndpointStatus::Draining };
-                    let born = if below(4) == 0 { now - below(60_000) } else { 0 };
+                    let born =
+                        if below(4) == 0 { now - Span::from_ticks(below(60_000)) } else { Timestamp::ZERO };
                     Endpoint {
                         server: i,
                         id: &ids[i],
@@ -156,8 +158,8 @@
             0..7 => {
                 let (class, key, write) = (below(2) as usize, format!("k{}", below(60)), below(10) == 0);
                 let order = (below(9) == 0).then(|| vec![below(8) as usize, below(8) as usize]);
-                o.recorder.take(now, class, &key, write, now + 10_000, order.as_deref());
-                let request_id = balancer.accept_request(class, &key, write, now + 10_000);
+                o.recorder.take(now, class, &key, write, now + Span::from_ticks(10_000), order.as_deref());
+                let request_id = balancer.accept_request(class, &key, write, now + Span::from_ticks(10_000));
                 if let Some(order) = order {
                     balancer.restrict_to(request_id, order);
                 }
@@ -229,7 +231,7 @@
             }
             if left == 0 {
                 let mut calls = block.calls[c..].to_vec();
-                calls[0].after = 0;
+                calls[0].after = Span::ZERO;
                 let first = CaptureItem::Calls(chalkwalk_capture::CallBlock { from: at, calls });
                 return std::iter::once(first).chain(items[i + 1..].iter().cloned()).collect();
             }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -7,6 +7,7 @@
     Account, Clients, Draft, Fault, LimitOverrides, Limits, Match, RequestAttributes, Route, Said, Table,
     check,
 };
+use chalkwalk_time::Span;
 use serde::Deserialize;
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -388,14 +389,14 @@
 
     fn settings(&self, f: &Fields) -> LimitOverrides {
         // Below zero and what is no number come out as 0, which is refused.
-        let tenths = |ms: &f64| (ms * 10.0).round() as u64;
+        let span = |ms: &f64| Span::from_ticks((ms * 10.0).round() as u64);
         let thousandths = |share: &f64| (share * 1000.0).round() as u64;
         let same = |n: &u64| *n;
         LimitOverrides {
-            time_limit: self.said(&f.time_limit_ms, tenths),
-            target: self.said(&f.target_ms, tenths),
+            time_limit: self.said(&f.time_limit_ms, span),
+            target: self.said(&f.target_ms, span),
             max_attempts: self.said(&f.max_attempts, same),
-            attempt_timeout: self.said(&f.attempt_timeout_ms, tenths),
+            attempt_timeout: self.said(&f.attempt_timeout_ms, span),
             hedging: self.said(&f.hedging, |b| *b),
             hedge_after: self.said(&f.hedge_after, thousandths),
             retry_budget: self.said(&f.retry_budget, thousandths),
@@ -483,12 +484,12 @@
 pub fn explain(table: &Table, request: RequestAttributes) -> String {
     let class = table.find(request);
     let l: &Limits = &table.classes()[class].limits;
-    let ms = |tenths: u64| format!("{} ms", tenths as f64 / 10.0);
+    let ms = |span: Span| format!("{} ms", span.as_millis_f64());
     let part = |thousandths: u64| format!("{}", thousandths as f64 / 1000.0);
     let or = |said: Option<String>, else_: &str| said.unwrap_or_else(|| else_.to_string());
     let rows = [
-        ("time limit", ms(l.time_limit.0), &l.time_limit.1),
-        ("target time", ms(l.target.0), &l.target.1),
+        ("time limit", ms(Span::from_ticks(l.time_limit.0.ticks())), &l.time_limit.1),
+        ("target time", ms(Span::from_ticks(l.target.0.ticks())), &l.target.1),
         ("most shots", l.max_attempts.0.to_string(), &l.max_attempts.1),
         ("wait for a shot", or(l.attempt_timeout.0.map(ms), "up to the time limit"), &l.attempt_timeout.1),
         ("second copies", if l.hedging.0 { "allowed" } else { "never" }.into(), &l.hedging.1),
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -2,6 +2,7 @@
 
 use chalkwalk_config::{explain, read, worded};
 use chalkwalk_limits::{Account, Namespace, Repeats, RequestAttributes};
+use chalkwalk_time::Span;
 use expect_test::expect;
 
 fn account() -> Account {
@@ -10,17 +11,17 @@
         time_limit: limit,
         target: limit / 2,
         repeats,
-        window: 15_000,
+        window: Span::from_ticks(15_000),
     };
     Account {
         max_attempts: 6,
         hedging: true,
-        connect_time: 1000,
+        connect_time: Span::from_ticks(1000),
         longest_body: 65_536,
         namespaces: vec![
-            namespace("page", Repeats::Replayable, 10_000),
-            namespace("record", Repeats::Tagged, 20_000),
-            namespace("once", Repeats::SingleUse, 20_000),
+            namespace("page", Repeats::Replayable, Span::from_ticks(10_000)),
+            namespace("record", Repeats::Tagged, Span::from_ticks(20_000)),
+            namespace("once", Repeats::SingleUse, Span::from_ticks(20_000)),
         ],
         tenants: vec!["north".into()],
         doors: vec!["http".into()],
--- a/crates/discovery-etcd/src/follow.rs
+++ b/crates/discovery-etcd/src/follow.rs
@@ -4,7 +4,6 @@
 use crate::call::{Link, Stream};
 use crate::machine::{Do, Key, Machine, News, PAGE};
 use chalkwalk_discovery_feed::Feed;
-use chalkwalk_engine::clock::span;
 use chalkwalk_engine::engine::Engine;
 use chalkwalk_etcd_wire::{api, path};
 use chalkwalk_membership::form::{LEAVING, read_instance, read_server};
@@ -58,7 +57,7 @@
         let mut next = self.machine.borrow().start();
         loop {
             let Do::Connect { endpoint, after } = next else { return };
-            Timer::after(span(after)).await;
+            Timer::after(Duration::from(after)).await;
             let addr = self.endpoints[endpoint];
             let begun = self.feed.engine.clock.now();
             let fault = match Link::open(&self.feed.engine.ex, addr).await {
@@ -71,8 +70,8 @@
             let took = self.feed.engine.clock.now() - begun;
             next = if refused { machine.refused() } else { machine.failed(took) };
             if let Do::Connect { endpoint, after } = &next {
-                let rest_ms = after / 10;
-                info!(self.feed.engine.log, "etcd call failed"; "endpoint" => %addr, "fault" => fault, "took_ms" => took / 10, "next" => %self.endpoints[*endpoint], "rest_ms" => rest_ms);
+                let rest_ms = after.as_millis();
+                info!(self.feed.engine.log, "etcd call failed"; "endpoint" => %addr, "fault" => fault, "took_ms" => took.as_millis(), "next" => %self.endpoints[*endpoint], "rest_ms" => rest_ms);
             }
         }
     }
--- a/crates/discovery-etcd/src/machine.rs
+++ b/crates/discovery-etcd/src/machine.rs
@@ -1,25 +1,24 @@
 //! What to ask etcd next and what its answers mean, without I/O: one machine from the first connection on.
 
-use chalkwalk_balancer::Tenths;
 use chalkwalk_balancer::discovery::Retry;
 use chalkwalk_etcd_wire::api::{Event, KeyValue, RangeResponse, WatchResponse, event::Kind};
 use chalkwalk_etcd_wire::prefix_end;
 use chalkwalk_membership::MOST_LINES;
+use chalkwalk_time::Span;
 
-const SECOND: Tenths = 10_000;
 /// Of keys that a whole list, or an answer in fragments, may hold: every server, and as many proxies.
 const MOST_KEYS: usize = 2 * MOST_LINES;
 /// Keys a page: some 300 kB, well below the 4 MiB that gRPC takes by default.
 pub const PAGE: i64 = 1000;
 /// After a watch is lost, at once for nobody: five hundred proxies that lose it together come back over so long.
-const FIRST_SPREAD: Tenths = SECOND;
+const FIRST_SPREAD: Span = Span::from_secs(1);
 /// After a list that was refused. Three are, so that all is known again within a second.
-const REFUSED_SPREAD: Tenths = SECOND / 4;
+const REFUSED_SPREAD: Span = Span::from_millis(250);
 /// From one endpoint to the next until each was tried: of three endpoints two may hang, two seconds each, within the term for
 /// changes.
-const NEXT_ENDPOINT_SPREAD: Tenths = SECOND / 2;
+const NEXT_ENDPOINT_SPREAD: Span = Span::from_millis(500);
 /// No operator states how long a fleet may neither watch nor ask.
-const ANY_TIME: Tenths = Tenths::MAX;
+const ANY_TIME: Span = Span::MAX;
 const SERVERS: &[u8] = b"caches/";
 const PROXIES: &[u8] = b"proxies/";
 
@@ -28,7 +27,7 @@
 pub enum Do {
     Connect {
         endpoint: usize,
-        after: Tenths,
+        after: Span,
     },
     /// The keys from one on, as of a revision; 0 is the present one.
     Range {
@@ -105,7 +104,7 @@
 
     /// The first step of all.
     pub fn start(&self) -> Do {
-        Do::Connect { endpoint: self.endpoint, after: 0 }
+        Do::Connect { endpoint: self.endpoint, after: Span::ZERO }
     }
 
     pub fn opened(&mut self) -> Do {
@@ -126,7 +125,7 @@
 
     /// The connection, or what was asked on it, is lost after so long: the next endpoint, after a rest that keeps the term for
     /// changes. Once each endpoint has failed, the rest is that of every source.
-    pub fn failed(&mut self, took: Tenths) -> Do {
+    pub fn failed(&mut self, took: Span) -> Do {
         self.endpoint = (self.endpoint + 1) % self.endpoints;
         let tried = self.fails as usize;
         let after = match tried {
@@ -145,11 +144,11 @@
     }
 
     /// xorshift, after Marsaglia.
-    fn below(&mut self, end: Tenths) -> Tenths {
+    fn below(&mut self, end: Span) -> Span {
         self.chance ^= self.chance << 13;
         self.chance ^= self.chance >> 7;
         self.chance ^= self.chance << 17;
-        self.chance % end.max(1)
+        Span::from_ticks(self.chance % end.ticks().max(1))
     }
 
     /// A page of the whole list. An error ends the connection.
--- a/crates/discovery-etcd/tests/machine.rs
+++ b/crates/discovery-etcd/tests/machine.rs
@@ -2,6 +2,7 @@
 
 use chalkwalk_discovery_etcd::machine::{Do, Key, Machine, News};
 use chalkwalk_etcd_wire::api::{Event, KeyValue, RangeResponse, ResponseHeader, WatchResponse};
+use chalkwalk_time::Span;
 use expect_test::expect;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -74,7 +75,7 @@
             }
             Err(fault) => {
                 self.1 += &format!("{fault}; ");
-                let then = self.0.failed(0);
+                let then = self.0.failed(Span::ZERO);
                 self.did(then);
             }
         }
@@ -201,8 +202,8 @@
             let mut machine = Machine::new("/c/", 3, 1000 + seed);
             let mut at = 0;
             loop {
-                let Do::Connect { after, .. } = machine.failed(0) else { unreachable!() };
-                at += after / 10;
+                let Do::Connect { after, .. } = machine.failed(Span::ZERO) else { unreachable!() };
+                at += after.as_millis();
                 within[(at / 100) as usize] += 1;
                 if at >= away_ms {
                     break;
@@ -230,8 +231,10 @@
             let (mut at, mut begun) = (0, Vec::new());
             while at < 300_000 {
                 begun.push(at);
-                let Do::Connect { after, .. } = machine.failed(attempt_takes) else { unreachable!() };
-                at += attempt_takes + after;
+                let Do::Connect { after, .. } = machine.failed(Span::from_ticks(attempt_takes)) else {
+                    unreachable!()
+                };
+                at += attempt_takes + after.ticks();
             }
             // Etcd returns just after an attempt began that is doomed by then.
             let longest = begun.windows(2).map(|pair| pair[1] - pair[0]).max().unwrap_or(0);
@@ -275,7 +278,7 @@
                     next
                 }
                 Err(_) => {
-                    let next = machine.failed(0);
+                    let next = machine.failed(Span::ZERO);
                     prop_assert!(matches!(next, Do::Connect { endpoint: 0 | 1, .. }), "{:?}", next);
                     machine.opened()
                 }
--- a/crates/discovery-feed/src/feed.rs
+++ b/crates/discovery-feed/src/feed.rs
@@ -1,6 +1,5 @@
 //! From what a source reads to what the engine is told.
 
-use chalkwalk_balancer::Tenths;
 use chalkwalk_engine::engine::Engine;
 use chalkwalk_engine::flow;
 use chalkwalk_membership::ListedEndpoint;
@@ -8,6 +7,7 @@
 use chalkwalk_membership::form::Known;
 use chalkwalk_membership::kept::{Age, Kept};
 use chalkwalk_membership::reconcile::{Change, Reconciler, Told, Trust};
+use chalkwalk_time::{Span, Timestamp};
 use slog::{info, warn};
 use smol::Timer;
 use smol::channel::{Receiver, Sender, bounded};
@@ -73,7 +73,7 @@
 
     fn start_from(&self, kept: Kept) {
         let now = self.engine.clock.now();
-        let minutes = now.saturating_sub(kept.at) / 600_000;
+        let minutes = now.saturating_since(kept.at) / Span::from_secs(60);
         let count = kept.lines.len();
         match kept.age(now) {
             Age::TooOld => {
@@ -185,17 +185,16 @@
         _ = self.sooner.try_send(());
     }
 
-    fn due(&self) -> Option<Tenths> {
+    fn due(&self) -> Option<Timestamp> {
         self.reconciler.borrow().due()
     }
 
     /// What time alone brings; never ends.
     pub async fn tend(self: Rc<Feed>) {
         loop {
-            let wait = self.due().map(|due| due.saturating_sub(self.engine.clock.now()));
+            let wait = self.due().map(|due| due.saturating_since(self.engine.clock.now()));
             // Counts fall by themselves, looked at once in a while.
-            let wait =
-                chalkwalk_engine::clock::span(wait.unwrap_or(Tenths::MAX / 2)).min(Duration::from_secs(5));
+            let wait = Duration::from(wait.unwrap_or(Span::MAX / 2)).min(Duration::from_secs(5));
             _ = smol::future::or(async { _ = Timer::after(wait).await }, async {
                 _ = self.sooner_told.recv().await;
             })
--- a/crates/discovery/src/call.rs
+++ b/crates/discovery/src/call.rs
@@ -2,11 +2,10 @@
 
 use crate::list::Source;
 use crate::terms;
-use chalkwalk_balancer::Tenths;
 use chalkwalk_balancer::discovery::GIVE_UP_CONNECTING;
-use chalkwalk_engine::clock::span;
 use chalkwalk_http1::{self as http1, Answering};
 use chalkwalk_sockets::{quiet, within};
+use chalkwalk_time::Span;
 use smol::Async;
 use std::cell::Cell;
 use std::net::TcpStream;
@@ -71,15 +70,11 @@
     }
 
     /// How long it has taken by now.
-    pub fn took(&self) -> Tenths {
-        tenths(self.begun.elapsed())
+    pub fn took(&self) -> Span {
+        Span::from(self.begun.elapsed())
     }
 }
 
-pub fn tenths(time: Duration) -> Tenths {
-    (time.as_micros() / 100) as Tenths
-}
-
 /// One call; where a kept link turns out to be closed meanwhile, on a new one.
 async fn call(source: &Source, link: &Link, target: &str) -> Said {
     if let Some(kept) = link.take().filter(quiet)
@@ -88,7 +83,8 @@
         return said;
     }
     // A machine that is cut off never answers; one that is there does so sooner than it lets a call wait.
-    let stream = within(span(GIVE_UP_CONNECTING), Async::<TcpStream>::connect(source.address())).await;
+    let stream =
+        within(Duration::from(GIVE_UP_CONNECTING), Async::<TcpStream>::connect(source.address())).await;
     let stream = stream.unwrap_or_else(|| Err(std::io::ErrorKind::TimedOut.into()));
     let stream = stream.map_err(|e| Fault::Failed(format!("no connection: {e}")))?;
     ask(source, stream, link, target).await.map_err(Fault::Failed)?
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -10,12 +10,12 @@
 pub use list::{Source, follow, known};
 pub use shape::Shape;
 
-use chalkwalk_balancer::Tenths;
 use chalkwalk_engine::config::EngineConfig;
 use chalkwalk_http1 as http1;
 use chalkwalk_limits::{Account, Namespace, Repeats};
 use chalkwalk_settings::PlatformSettings;
 use chalkwalk_settings::fields::{Object, Read, object, text, text_or, whole};
+use chalkwalk_time::Span;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -55,8 +55,9 @@
             chalkwalk_settings::read(object(settings, "field settings")?)?;
         let number = |name: &str, or: f64| values.get(name).and_then(|v| v.parse().ok()).unwrap_or(or);
         // No client waits for an hour; it bounds every wait here.
-        let limit = |i: usize| number(&format!("namespace {i} time limit"), 0.0).min(3.6e7) as Tenths;
-        let tenths = |name: &str, or: f64| Duration::from_micros(100 * number(name, or) as u64);
+        let limit = |i: usize| number(&format!("namespace {i} time limit"), 0.0).min(3.6e7) as u64;
+        let ticks = |name: &str, or: f64| Span::from_ticks(number(name, or) as u64);
+        let duration = |name: &str, or: f64| Duration::from(ticks(name, or));
         let nothing = Object::new();
         for (i, name) in namespaces.iter().enumerate() {
             let bad = |what: &str| {
@@ -85,19 +86,19 @@
             |i: usize, name: &str| values.get(&format!("namespace {i} {name}")).map_or("", String::as_str);
         let of_namespace = |(i, name): (usize, &String)| Namespace {
             name: name.clone(),
-            time_limit: limit(i),
-            target: number(&format!("namespace {i} target time"), 1e4) as Tenths,
+            time_limit: Span::from_ticks(limit(i)),
+            target: ticks(&format!("namespace {i} target time"), 1e4),
             repeats: match word(i, "repeats") {
                 "replayable" => Repeats::Replayable,
                 "tagged" => Repeats::Tagged,
                 _ => Repeats::SingleUse,
             },
-            window: number(&format!("namespace {i} window"), 0.0) as Tenths,
+            window: ticks(&format!("namespace {i} window"), 0.0),
         };
         let account = Account {
             max_attempts: number("most shots", 1.0) as u64,
             hedging: number("second copies", 0.0) > 0.0,
-            connect_time: number("connect time", 1e4) as Tenths,
+            connect_time: ticks("connect time", 1e4),
             longest_body: http1::LONGEST_OF_ALL as u64,
             namespaces: namespaces.iter().enumerate().map(of_namespace).collect(),
             tenants,
@@ -116,9 +117,9 @@
             memory: limits.get("memory_mb").and_then(Value::as_u64).unwrap_or(32) as usize * 1_000_000,
             account,
             limits: None,
-            connect_time: tenths("connect time", 1e4).into(),
-            idle_time: tenths("idle time", 1e5),
-            drain_grace: (number("drain grace", 0.0) as Tenths).into(),
+            connect_time: duration("connect time", 1e4).into(),
+            idle_time: duration("idle time", 1e5),
+            drain_grace: ticks("drain grace", 0.0).into(),
             settings: values,
             zones,
             kinds,
--- a/crates/discovery/src/list.rs
+++ b/crates/discovery/src/list.rs
@@ -1,17 +1,17 @@
 //! The platform's list: which servers there are. Starts from what was known, then the whole list and a watch. Single calls are
 //! `call`'s, their times `terms`'.
 
-use crate::call::{Call, Fault, Link, Said, tenths};
+use crate::call::{Call, Fault, Link, Said};
 use crate::{address, terms};
+use chalkwalk_balancer::EndpointStatus;
 use chalkwalk_balancer::admission::Violation;
 use chalkwalk_balancer::discovery::{OLDER_HEARD, called_in_time};
-use chalkwalk_balancer::{EndpointStatus, Tenths};
-use chalkwalk_engine::clock::span;
 use chalkwalk_engine::engine::Engine;
 use chalkwalk_engine::flow;
 use chalkwalk_engine::members::ListedEndpoint;
 use chalkwalk_settings::fields::{Object, Read, flag, list, object, size, text, text_or, whole, whole_or};
 use chalkwalk_sockets::wait_until;
+use chalkwalk_time::{Span, Timestamp};
 use serde_json::Value;
 use slog::{info, warn};
 use smol::Timer;
@@ -26,7 +26,7 @@
 const OLD_ANSWERS: u32 = 3;
 /// From then on what it says is taken, but no server is ready by it that was told to be off: it may have started from
 /// an old state. After so long it is believed in that as well, longer than a deploy takes.
-const DOUBTED: Tenths = 600_000;
+const DOUBTED: Span = Span::from_secs(60);
 
 #[derive(Default)]
 struct Held {
@@ -36,7 +36,7 @@
     since: bool,
     older: u32,
     highest: u64,
-    doubted: Option<Tenths>, // since when its versions are below the highest
+    doubted: Option<Timestamp>, // since when its versions are below the highest
     /// The next call is answered at once, though nothing is newer: a process that takes over serves once it knows so.
     at_once: bool,
     /// The last answer made no sense.
@@ -69,7 +69,7 @@
         cell: whole_or(e, "cell", 0)?,
         size: size(e, "weight")?,
         status: status(text(e, "state")?),
-        born: whole_or(e, "started_ms", 0)? * 10,
+        born: Timestamp::ZERO + Span::from_millis(whole_or(e, "started_ms", 0)?),
     })
 }
 
@@ -159,7 +159,7 @@
         flow::discovery_call_failed(&engine, lost.took);
         let unheard = held.heard_at.map(|at| at.elapsed().as_millis() as u64);
         warn!(engine.log, "discovery call failed";
-            "call" => held.calls, "fault" => lost.fault, "took_ms" => lost.took / 10,
+            "call" => held.calls, "fault" => lost.fault, "took_ms" => lost.took.as_millis(),
             "version" => held.version, "unheard_ms" => unheard);
     }
 }
@@ -167,7 +167,7 @@
 /// Why calls are not made one after the other any more.
 struct Lost {
     fault: String,
-    took: Tenths,
+    took: Span,
 }
 
 impl Lost {
@@ -228,7 +228,8 @@
                 held.since &= matches!(fault, Fault::Busy);
                 // The older one may still bring what the newer did not; the rest after it is that much shorter.
                 if let Some(call) = older.take()
-                    && let Some(Ok(body)) = wait_until(newer.begun + span(OLDER_HEARD), call.answer).await
+                    && let Some(Ok(body)) =
+                        wait_until(newer.begun + Duration::from(OLDER_HEARD), call.answer).await
                     && hear_older(engine, held, &body, older_elsewhere)
                 {
                     newer = held.begin(engine, source, &link, chance);
@@ -285,8 +286,8 @@
         self.calls += 1;
         let call = Call::begin(source, link, self.calls, self.next_call(chance));
         let before = self.called_at.replace((call.begun, call.wait));
-        let in_time =
-            before.is_none_or(|(before, wait)| called_in_time(tenths(call.begun - before), tenths(wait)));
+        let in_time = before
+            .is_none_or(|(before, wait)| called_in_time(Span::from(call.begun - before), Span::from(wait)));
         engine.violations.check(&engine.log, (!in_time).then_some(Violation::DiscoveryNotCalled));
         call
     }
@@ -339,7 +340,7 @@
     }
     let now = engine.clock.now();
     let since = (version < held.highest).then(|| held.doubted.unwrap_or(now));
-    let doubted = since.filter(|since| now < since + DOUBTED);
+    let doubted = since.filter(|since| now < *since + DOUBTED);
     take(engine, said, flag(said, "full")?, doubted.is_some())?;
     engine.list_heard();
     let highest = if since.is_some() && doubted.is_none() { version } else { held.highest.max(version) };
--- a/crates/discovery/src/terms.rs
+++ b/crates/discovery/src/terms.rs
@@ -5,7 +5,6 @@
 //! later. A watch waits for 5.5 s at most, so that another call is made beside a silent one before the first of the two.
 
 use chalkwalk_balancer::discovery::{SILENT_AFTER, WATCH, WATCH_SILENT_AFTER};
-use chalkwalk_engine::clock::span;
 use std::time::Duration;
 
 /// How long a call may take beside its wait. Discovery is one small service for all, and works through its calls in turn:
@@ -18,7 +17,7 @@
 /// How long a watch waits for news, at the longest: from three quarters of the longest on by chance. Those of a whole fleet
 /// begin together, after each change, and would all have to be answered in the same moment.
 pub fn watch(chance: &mut fastrand::Rng) -> Duration {
-    let most = span(WATCH).as_millis() as u64;
+    let most = Duration::from(WATCH).as_millis() as u64;
     Duration::from_millis(chance.u64(most * 3 / 4..=most))
 }
 
@@ -32,7 +31,7 @@
 /// answered, even if it waits for its turn as long as it may, within half a second of the time at which what the first missed
 /// counts as told, which the grace has to cover as it covers a process that is held up.
 pub fn silent(wait: Duration) -> Duration {
-    (wait + span(WATCH_SILENT_AFTER)).max(span(SILENT_AFTER))
+    (wait + Duration::from(WATCH_SILENT_AFTER)).max(Duration::from(SILENT_AFTER))
 }
 
 /// After how long a call without an answer is given up.
@@ -53,9 +52,12 @@
         let waits = (0..1000).map(|_| watch(&mut chance)).chain([Duration::ZERO]);
         for wait in waits {
             let at = silent(wait);
-            let told = (wait + span(TURN)).max(span(NOTIFIED_WITHIN));
-            assert!(wait < at && at <= span(NOTIFIED_WITHIN), "{wait:?}: {at:?}");
-            assert!(at + span(TURN) <= told + span(WATCH_SILENT_AFTER), "{wait:?}: {at:?}");
+            let told = (wait + Duration::from(TURN)).max(Duration::from(NOTIFIED_WITHIN));
+            assert!(wait < at && at <= Duration::from(NOTIFIED_WITHIN), "{wait:?}: {at:?}");
+            assert!(
+                at + Duration::from(TURN) <= told + Duration::from(WATCH_SILENT_AFTER),
+                "{wait:?}: {at:?}"
+            );
             assert!(at < over(wait), "{wait:?}: given up before another is made");
         }
     }
--- a/crates/engine/src/budget.rs
+++ b/crates/engine/src/budget.rs
@@ -1,8 +1,8 @@
 //! One budget of descriptors for clients, attempts and the pool. Idle ones go first.
 
-use chalkwalk_balancer::Tenths;
 use chalkwalk_balancer::admission::may_close;
 use chalkwalk_sockets::within;
+use chalkwalk_time::Span;
 use smol::channel::Sender;
 use smol::future::FutureExt;
 use smol::lock::{Semaphore, SemaphoreGuardArc};
@@ -159,8 +159,7 @@
 
     pub fn close_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let may_go =
-            |used: bool, since: Instant| may_close(used, (since.elapsed().as_micros() / 100) as Tenths);
+        let may_go = |used: bool, since: Instant| may_close(used, Span::from(since.elapsed()));
         let longest = idle.iter().find(|((used, _), (since, _))| may_go(*used, *since)).map(|(id, _)| *id);
         longest.and_then(|id| idle.remove(&id)).is_some_and(|(_, close)| close.try_send(()).is_ok())
     }
--- a/crates/engine/src/classes.rs
+++ b/crates/engine/src/classes.rs
@@ -1,7 +1,7 @@
 //! Which limits hold for which requests, and the same in the words that the balancer reads.
 
-use chalkwalk_balancer::Tenths;
 use chalkwalk_limits::{Account, RequestAttributes, Table};
+use chalkwalk_time::Span;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -16,14 +16,14 @@
     account: Account,
     from_settings: Rc<Table>,
     limits: Option<Rc<Table>>, // what an operator has set
-    longest: Tenths,           // of the time limits now and before
+    longest: Span,             // of the time limits now and before
 }
 
 /// What of a class the door needs when it takes a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClassLimits {
     pub class: usize,
-    pub time_limit: Tenths,
+    pub time_limit: Span,
     /// In bytes.
     pub longest_body: u64,
 }
@@ -31,7 +31,7 @@
 impl Classes {
     pub fn new(settings: BTreeMap<String, String>, account: Account, limits: Option<Table>) -> Classes {
         Classes {
-            now: RefCell::new(ActiveSettings::new(settings, account, limits, 0)),
+            now: RefCell::new(ActiveSettings::new(settings, account, limits, Span::ZERO)),
             generation: Cell::new(0),
         }
     }
@@ -59,7 +59,7 @@
     }
 
     /// Of the time limits of all requests that may be open.
-    pub fn longest_limit(&self) -> Tenths {
+    pub fn longest_limit(&self) -> Span {
         self.now.borrow().longest
     }
 
@@ -114,10 +114,10 @@
                     said.insert(format!("namespace {i} {name}"), value.to_string());
                 }
             };
-            set("target time", Some(l.target.0));
+            set("target time", Some(l.target.0.ticks()));
             set("most shots", Some(l.max_attempts.0));
             set("second copies", Some(u64::from(l.hedging.0)));
-            set("shot wait", l.attempt_timeout.0);
+            set("shot wait", l.attempt_timeout.0.map(Span::ticks));
             set("copies after", l.hedge_after.0);
             set("further shots", l.retry_budget.0);
             set("most open", l.open.0);
@@ -131,9 +131,9 @@
         settings: BTreeMap<String, String>,
         account: Account,
         limits: Option<Table>,
-        longest: Tenths,
+        longest: Span,
     ) -> ActiveSettings {
-        let own = account.namespaces.iter().map(|n| n.time_limit).max().unwrap_or(0);
+        let own = account.namespaces.iter().map(|n| n.time_limit).max().unwrap_or(Span::ZERO);
         let from_settings = Rc::new(Table::from_settings(&account));
         ActiveSettings {
             settings,
--- a/crates/engine/src/clock.rs
+++ b/crates/engine/src/clock.rs
@@ -1,15 +1,15 @@
 //! The proxy's clock, and what it can't tell: when something came that it reads after a standstill.
 
-use chalkwalk_balancer::Tenths;
+use chalkwalk_time::{Span, Timestamp};
 use smol::Timer;
 use std::cell::Cell;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Unix time at the start, and from there on what has passed: it never goes back.
 pub struct Clock {
-    unix: Tenths,
+    unix: Timestamp,
     start: Instant,
-    beat: Cell<Tenths>, // when all that had come was last known to be heard
+    beat: Cell<Timestamp>, // when all that had come was last known to be heard
 }
 
 /// Short beside any time limit, long beside what a turn of the executor takes.
@@ -17,27 +17,23 @@
 /// Many turns of the executor.
 const HEAR: Duration = Duration::from_millis(2);
 /// Two beats and a half: 50 ms, as late as the rules allow an answer to be.
-const STANDSTILL: Tenths = 500;
-
-pub fn span(tenths: Tenths) -> Duration {
-    Duration::from_micros(tenths.saturating_mul(100))
-}
+const STANDSTILL: Span = Span::from_millis(50);
 
 impl Default for Clock {
     fn default() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let unix = (unix.as_micros() / 100) as Tenths;
+        let unix = Timestamp::ZERO + Span::from(unix);
         Clock { unix, start: Instant::now(), beat: Cell::new(unix) }
     }
 }
 
 impl Clock {
-    pub fn now(&self) -> Tenths {
-        self.unix + (self.start.elapsed().as_micros() / 100) as Tenths
+    pub fn now(&self) -> Timestamp {
+        self.unix + Span::from(self.start.elapsed())
     }
 
-    pub fn instant(&self, at: Tenths) -> Instant {
-        self.start + span(at.saturating_sub(self.unix))
+    pub fn instant(&self, at: Timestamp) -> Instant {
+        self.start + Duration::from(at.saturating_since(self.unix))
     }
 
     /// Notes again and again that all is heard; never ends.
@@ -60,7 +56,7 @@
     }
 
     /// What is heard now came after this: now, or before a standstill (a stopped process, a starved core).
-    pub fn came_after(&self) -> Tenths {
+    pub fn came_after(&self) -> Timestamp {
         let (now, beat) = (self.now(), self.beat.get());
         if now > beat + STANDSTILL { beat } else { now }
     }
--- a/crates/engine/src/config.rs
+++ b/crates/engine/src/config.rs
@@ -1,7 +1,7 @@
 //! What the engine is told at its start.
 
-use chalkwalk_balancer::Tenths;
 use chalkwalk_limits::{Account, Table};
+use chalkwalk_time::Span;
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -21,7 +21,7 @@
     /// After which a server closes a connection that is idle.
     pub idle_time: Duration,
     /// From a drain's notice on, in which a server still takes attempts.
-    pub drain_grace: Cell<Tenths>,
+    pub drain_grace: Cell<Span>,
     /// That the process may hold.
     pub descriptors: usize,
     /// In bytes; a part of it is for long answers.
--- a/crates/engine/src/drain.rs
+++ b/crates/engine/src/drain.rs
@@ -4,34 +4,34 @@
 use crate::engine::Engine;
 use crate::flow;
 use crate::lifecycle::Phase;
-use chalkwalk_balancer::Tenths;
 use chalkwalk_sockets::wait_until;
+use chalkwalk_time::{Span, Timestamp};
 use slog::info;
 use smol::{Task, Timer};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
 /// How long connections are taken after the word to end: a front hears of it within 0.4 s.
-const STILL_ACCEPTING: Tenths = 5_000;
+const STILL_ACCEPTING: Span = Span::from_millis(500);
 /// What is left at the least, between the last connection and the last answer, for whoever came with it.
-const LAST_COMERS: Tenths = 500;
+const LAST_COMERS: Span = Span::from_millis(50);
 /// From the last answer's moment on, for writing what was given up then, on a core that has little time for this proxy: SIGKILL
 /// comes 0.05 s after that.
 const WRITING: Duration = Duration::from_millis(200);
 /// From that word, beside the longest time limit, to the last answer: SIGKILL comes 0.7 s beside it.
-const TO_THE_LAST: Tenths = 4_500;
+const TO_THE_LAST: Span = Span::from_millis(450);
 /// The longest that SIGKILL waits for time limits.
-const LONGEST_LIMIT: Tenths = 30_000;
+const LONGEST_LIMIT: Span = Span::from_secs(3);
 
 /// After the word to end: until when connections are taken, and when every answer must be out, by the longest time limit.
-fn terms(longest_limit: Tenths) -> (Tenths, Tenths) {
+fn terms(longest_limit: Span) -> (Span, Span) {
     let last = longest_limit.min(LONGEST_LIMIT) + TO_THE_LAST;
     (STILL_ACCEPTING.min(last - LAST_COMERS), last)
 }
 
 /// From the word to end, which came at that moment, to the last phase. `accepting` is the doors' task, which ends once `Emptying` is reached and whoever
 /// has a connection by then is let in.
-pub async fn leave(engine: &Rc<Engine>, accepting: Task<()>, told: Tenths) {
+pub async fn leave(engine: &Rc<Engine>, accepting: Task<()>, told: Timestamp) {
     let (accepting_until, last) = terms(engine.classes.longest_limit());
     let last = told + last;
     engine.leave(told, last);
@@ -65,11 +65,12 @@
     #[test]
     fn each_step_of_the_end_is_in_time_whatever_the_limits_are() {
         let told = [0, 1, 300, 499, 500, 2_000, 3_000, 6_000, 30_000, 100_000].map(|limit| {
-            let (accepting, last) = terms(limit);
-            let kill = limit.min(LONGEST_LIMIT) + 7_000;
-            assert!(accepting >= 4_000 && accepting < last, "{limit}");
+            let (accepting, last) = terms(Span::from_ticks(limit));
+            let kill = limit.min(LONGEST_LIMIT.ticks()) + 7_000;
+            assert!(accepting >= Span::from_ticks(4_000) && accepting < last, "{limit}");
             assert!(
-                last >= limit.min(LONGEST_LIMIT) && last + 10 * WRITING.as_millis() as Tenths + 500 <= kill,
+                last >= Span::from_ticks(limit.min(LONGEST_LIMIT.ticks()))
+                    && last + Span::from(WRITING) + Span::from_ticks(500) <= Span::from_ticks(kill),
                 "{limit}"
             );
             format!("{}: {} {} {}", limit / 10, accepting / 10, last / 10, kill / 10)
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -10,9 +10,9 @@
 use crate::requests::RequestTable;
 use crate::response::HealthCheck;
 use crate::violations::{Refused, Violations};
-use chalkwalk_balancer::Tenths;
 use chalkwalk_capture::Recorder;
 use chalkwalk_sockets::{Room, wait_until};
+use chalkwalk_time::{Span, Timestamp};
 use slog::Logger;
 use smol::LocalExecutor;
 use smol::channel::{Receiver, bounded};
@@ -40,7 +40,7 @@
     wanted: Receiver<()>,
     clients: Cell<usize>, // their open connections
     welcomed: Cell<u64>,
-    leaving: Cell<Option<(Tenths, Tenths)>>, // since when, and when every answer must be out
+    leaving: Cell<Option<(Timestamp, Timestamp)>>, // since when, and when every answer must be out
     heard_list: Cell<bool>,
 }
 
@@ -124,12 +124,12 @@
     }
 
     /// When every answer must be out, once the proxy has been told to end.
-    pub fn last_answer(&self) -> Option<Tenths> {
+    pub fn last_answer(&self) -> Option<Timestamp> {
         self.leaving.get().map(|(_, last)| last)
     }
 
     /// The proxy has been told to end: since when, and when every answer must be out.
-    pub fn leave(&self, told: Tenths, last: Tenths) {
+    pub fn leave(&self, told: Timestamp, last: Timestamp) {
         self.leaving.set(Some((told, last)));
         self.lifecycle.enter(Phase::Leaving);
     }
@@ -159,15 +159,18 @@
     ///
     /// Out of service, with answers within the first second, and idle within two: the front has heard of it by then, and at
     /// four seconds none may be open that had a request in the last two. Told to end as well, whichever comes first.
-    fn turn(&self) -> Option<(Tenths, Tenths)> {
+    fn turn(&self) -> Option<(Timestamp, Timestamp)> {
         let lifecycle = &self.engine.lifecycle;
         let leaving = self.engine.leaving.get().map(|(told, last)| {
             let late = told + (last - told) * (4000 + self.place) / 6000;
-            (if lifecycle.succeeded() { told + 10 * self.place } else { late }, late)
+            (if lifecycle.succeeded() { told + Span::from_ticks(10 * self.place) } else { late }, late)
+        });
+        let emptied = lifecycle.out_since().map(|since| {
+            (
+                since + Span::from_ticks(2000) + Span::from_ticks(8 * self.place),
+                since + Span::from_ticks(10_000) + Span::from_ticks(8 * self.place),
+            )
         });
-        let emptied = lifecycle
-            .out_since()
-            .map(|since| (since + 2000 + 8 * self.place, since + 10_000 + 8 * self.place));
         match (leaving, emptied) {
             (Some(a), Some(b)) => Some((a.0.min(b.0), a.1.min(b.1))),
             (a, b) => a.or(b),
--- a/crates/engine/src/flow.rs
+++ b/crates/engine/src/flow.rs
@@ -7,9 +7,10 @@
 use crate::requests::{AttemptHandle, Command, PendingAttempt, RequestTable};
 use crate::response::{BodyStream, ClientRequest, Response, ResponseBody, ServerResponse};
 use chalkwalk_balancer::admission::{Refusal, Written};
-use chalkwalk_balancer::{AttemptOutcome, RequestId, ServerIndex, Tenths};
+use chalkwalk_balancer::{AttemptOutcome, RequestId, ServerIndex};
 use chalkwalk_limits::Table;
 use chalkwalk_sockets::{wait_until, within};
+use chalkwalk_time::{Span, Timestamp};
 use slog::{debug, info};
 use smol::channel::{Receiver, Sender, bounded};
 use smol::future::FutureExt;
@@ -20,7 +21,7 @@
 use std::time::Duration;
 
 /// One call to the request table at the present time; what the balancer wants then is taken up.
-fn tell<T>(engine: &Rc<Engine>, call: impl FnOnce(&mut RequestTable, Tenths) -> T) -> T {
+fn tell<T>(engine: &Rc<Engine>, call: impl FnOnce(&mut RequestTable, Timestamp) -> T) -> T {
     let mut requests = engine.requests.borrow_mut();
     let said = call(&mut requests, engine.clock.now());
     let take_commands = requests.take_commands();
@@ -69,13 +70,13 @@
 }
 
 /// Operators take a server out at that moment, or put it back. What is idle to it is closed: it restarts meanwhile.
-pub fn bar(engine: &Rc<Engine>, id: &str, out: bool, at: Tenths) {
+pub fn bar(engine: &Rc<Engine>, id: &str, out: bool, at: Timestamp) {
     let server = tell(engine, |requests, now| requests.barred(now, id, (out, at)));
     server.into_iter().for_each(|server| engine.pool.forget(server));
 }
 
 /// A call to discovery failed after so long; the balancer will want another.
-pub fn discovery_call_failed(engine: &Rc<Engine>, took: Tenths) {
+pub fn discovery_call_failed(engine: &Rc<Engine>, took: Span) {
     tell(engine, |requests, now| requests.discovery_call_failed(now, took));
 }
 
@@ -272,7 +273,7 @@
         return Err(AttemptOutcome::NotSent);
     }
     handle.hold(Some(conn.clone()));
-    ask.write_to(&conn.stream, until - now).await.map_err(|_| AttemptOutcome::Unreachable)?;
+    ask.write_to(&conn.stream, *until - now).await.map_err(|_| AttemptOutcome::Unreachable)?;
     handle.written.set(true);
     let written = Written {
         at: engine.clock.now(),
--- a/crates/engine/src/lifecycle.rs
+++ b/crates/engine/src/lifecycle.rs
@@ -1,6 +1,6 @@
 //! The program's phases, from start to exit, as named states of one object.
 
-use chalkwalk_balancer::Tenths;
+use chalkwalk_time::Timestamp;
 use event_listener::Event;
 use std::cell::Cell;
 
@@ -18,8 +18,8 @@
 
 pub struct Lifecycle {
     phase: Cell<Phase>,
-    out_since: Cell<Option<Tenths>>, // operators have emptied the proxy
-    succeeded: Cell<bool>,           // another process of this proxy has taken over
+    out_since: Cell<Option<Timestamp>>, // operators have emptied the proxy
+    succeeded: Cell<bool>,              // another process of this proxy has taken over
     turned: Event,
 }
 
@@ -65,14 +65,14 @@
     }
 
     /// Operators empty the proxy from then on, or no longer.
-    pub fn put_out(&self, since: Option<Tenths>) {
+    pub fn put_out(&self, since: Option<Timestamp>) {
         if self.out_since.get().is_some() != since.is_some() {
             self.out_since.set(since);
             self.turned.notify(usize::MAX);
         }
     }
 
-    pub fn out_since(&self) -> Option<Tenths> {
+    pub fn out_since(&self) -> Option<Timestamp> {
         self.out_since.get()
     }
 
--- a/crates/engine/src/members.rs
+++ b/crates/engine/src/members.rs
@@ -1,7 +1,8 @@
 //! The servers as a list tells them, and the small indices that stand for them from here on.
 
-use chalkwalk_balancer::{Balancer, Endpoint, EndpointStatus, ServerIndex, Tenths};
+use chalkwalk_balancer::{Balancer, Endpoint, EndpointStatus, ServerIndex};
 pub use chalkwalk_membership::ListedEndpoint;
+use chalkwalk_time::Timestamp;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
@@ -17,8 +18,8 @@
 /// What the engine itself needs of a server.
 struct Row {
     addr: SocketAddr,
-    off_since: Option<Tenths>, // draining or gone, as told
-    born: Tenths,
+    off_since: Option<Timestamp>, // draining or gone, as told
+    born: Timestamp,
 }
 
 #[derive(Default)]
@@ -47,7 +48,7 @@
     }
 
     /// Since when a server is draining or gone, as told.
-    pub fn off_since(&self, server: ServerIndex) -> Option<Tenths> {
+    pub fn off_since(&self, server: ServerIndex) -> Option<Timestamp> {
         self.rows.get(server)?.off_since
     }
 
@@ -86,12 +87,12 @@
     /// to be off and has not started since.
     pub fn take<'a>(
         &mut self,
-        now: Tenths,
+        now: Timestamp,
         lines: &'a [ListedEndpoint],
         whole_list: bool,
         doubted: bool,
     ) -> Vec<Endpoint<'a>> {
-        let was_off: Vec<Option<Tenths>> = self.rows.iter().map(|row| row.off_since).collect();
+        let was_off: Vec<Option<Timestamp>> = self.rows.iter().map(|row| row.off_since).collect();
         if whole_list {
             self.rows.iter_mut().for_each(|row| _ = row.off_since.get_or_insert(now));
         }
@@ -140,7 +141,7 @@
         }
         let server = self.free.pop().unwrap_or(self.rows.len());
         self.index.insert(id.to_string(), server);
-        let row = Row { addr, off_since: None, born: 0 };
+        let row = Row { addr, off_since: None, born: Timestamp::ZERO };
         match self.rows.get_mut(server) {
             Some(place) => *place = row,
             None => self.rows.push(row),
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -5,8 +5,9 @@
 use crate::pool::ServerConnection;
 use crate::response::{ClientRequest, Response, ResponseStatus};
 use chalkwalk_balancer::admission::{Refusal, UnsentAttempt};
-use chalkwalk_balancer::{AttemptOutcome, Balancer, Effects, Learned, RequestId, ServerIndex, Tenths};
+use chalkwalk_balancer::{AttemptOutcome, Balancer, Effects, Learned, RequestId, ServerIndex};
 use chalkwalk_capture::{Decision, Event, Recorder};
+use chalkwalk_time::{Span, Timestamp};
 use slog::{Logger, info};
 use smol::channel::{Receiver, Sender, bounded};
 use std::cell::{Cell, RefCell};
@@ -53,8 +54,8 @@
     pub request_id: RequestId,
     pub attempt: usize,
     pub server: ServerIndex,
-    pub until: Tenths,
-    pub by: Tenths,
+    pub until: Timestamp,
+    pub by: Timestamp,
     pub ask: Rc<dyn ClientRequest>,
     pub handle: Rc<AttemptHandle>,
 }
@@ -68,10 +69,10 @@
 
 /// What is known outside the balancer: never read by it, and lent to it as its way out.
 struct EffectSink {
-    now: Tenths,
+    now: Timestamp,
     open: HashMap<RequestId, OpenRequest>,
     take_commands: Vec<Command>,
-    wakes: BinaryHeap<Reverse<(Tenths, u64, u64)>>,
+    wakes: BinaryHeap<Reverse<(Timestamp, u64, u64)>>,
     woken: u64,
     sooner: Sender<()>, // a wake is due before the one that is waited for
     wanted: Sender<()>, // the balancer wants the list watched
@@ -96,7 +97,7 @@
 }
 
 impl Effects for EffectSink {
-    fn start_attempt(&mut self, request_id: RequestId, server: ServerIndex, until: Tenths, by: Tenths) {
+    fn start_attempt(&mut self, request_id: RequestId, server: ServerIndex, until: Timestamp, by: Timestamp) {
         self.done(|| Decision::StartAttempt { request_id: request_id.0, server, until, by });
         let Some(open) = self.open.get_mut(&request_id) else { return };
         let handle = Rc::new(AttemptHandle::new());
@@ -120,9 +121,9 @@
             handle.give_up();
         }
     }
-    fn reject(&mut self, request_id: RequestId, back_in: Tenths) {
+    fn reject(&mut self, request_id: RequestId, back_in: Span) {
         self.done(|| Decision::Reject { request_id: request_id.0, back_in });
-        let back_in = Some(back_in).filter(|t| *t > 0);
+        let back_in = Some(back_in).filter(|t| *t > Span::ZERO);
         self.finish(request_id, Response::bare(ResponseStatus::Rejected(back_in)));
     }
     fn fail(&mut self, request_id: RequestId) {
@@ -133,7 +134,7 @@
         self.done(|| Decision::CheckHealth(server));
         self.take_commands.push(Command::HealthCheck(server));
     }
-    fn set_timer(&mut self, token: u64, after: Tenths) {
+    fn set_timer(&mut self, token: u64, after: Span) {
         self.done(|| Decision::SetTimer { token, after });
         let due = self.now + after;
         let sooner = self.wakes.peek().is_none_or(|Reverse(first)| due < first.0);
@@ -188,7 +189,7 @@
         members: Members,
         (sooner, wanted): (Sender<()>, Sender<()>),
         log: Logger,
-        (recorder, now): (Option<Recorder>, Tenths),
+        (recorder, now): (Option<Recorder>, Timestamp),
     ) -> RequestTable {
         let mut sink = EffectSink {
             now,
@@ -211,7 +212,7 @@
         RequestTable { balancer, settings: settings.clone(), sink, members }
     }
 
-    fn at(&mut self, now: Tenths) -> (&mut Balancer, &mut EffectSink) {
+    fn at(&mut self, now: Timestamp) -> (&mut Balancer, &mut EffectSink) {
         self.sink.now = now;
         self.balancer.advance_clock(now);
         if let Some(recorder) = self.sink.recorder.as_mut().filter(|recorder| recorder.wants_snapshot(now))
@@ -237,7 +238,7 @@
     }
 
     /// Takes a request and routes it; its final answer comes by the channel.
-    pub fn take(&mut self, now: Tenths, ask: Rc<dyn ClientRequest>) -> (RequestId, Receiver<Response>) {
+    pub fn take(&mut self, now: Timestamp, ask: Rc<dyn ClientRequest>) -> (RequestId, Receiver<Response>) {
         let (answer, answered) = bounded(1);
         let order = ask.order().map(|addrs| self.members.at(&addrs));
         let (balancer, sink) = self.at(now);
@@ -266,10 +267,10 @@
     /// An attempt has ended, and its connection is closed or back in the pool.
     pub fn ended(
         &mut self,
-        now: Tenths,
+        now: Timestamp,
         (request_id, attempt): (RequestId, usize),
         outcome: AttemptOutcome,
-        took: Tenths,
+        took: Span,
         answer: Option<Response>,
     ) {
         let order = self.sink.open.get(&request_id).and_then(|open| {
@@ -296,14 +297,14 @@
     }
 
     /// An attempt's answer has begun, and the request is resolved by it; the attempt goes on until the answer has ended.
-    pub fn begun(&mut self, now: Tenths, (request_id, attempt): (RequestId, usize), answer: Response) {
+    pub fn begun(&mut self, now: Timestamp, (request_id, attempt): (RequestId, usize), answer: Response) {
         let (balancer, sink) = self.at(now);
         sink.finish(request_id, answer);
         sink.told(|| Event::ResponseStarted { request_id: request_id.0, attempt });
         balancer.response_started(request_id, attempt, sink);
     }
 
-    pub fn client_left(&mut self, now: Tenths, request_id: RequestId) {
+    pub fn client_left(&mut self, now: Timestamp, request_id: RequestId) {
         let (balancer, sink) = self.at(now);
         if let Some(open) = sink.open.get_mut(&request_id)
             && open.answer.take().is_some()
@@ -317,7 +318,7 @@
     }
 
     /// Abandons all that is open.
-    pub fn give_up_all(&mut self, now: Tenths) {
+    pub fn give_up_all(&mut self, now: Timestamp) {
         let mut open: Vec<RequestId> = self.sink.open.keys().copied().collect();
         open.sort_unstable_by_key(|request_id| request_id.0);
         for request_id in open {
@@ -336,9 +337,9 @@
     /// it still has one.
     pub fn renewed(
         &mut self,
-        now: Tenths,
+        now: Timestamp,
         settings: &BTreeMap<String, String>,
-        of: impl Fn(&dyn ClientRequest) -> Option<(usize, Tenths)>,
+        of: impl Fn(&dyn ClientRequest) -> Option<(usize, Span)>,
     ) {
         let (balancer, sink) = self.at(now);
         sink.told(|| Event::SettingsChanged(settings.clone()));
@@ -355,7 +356,7 @@
         self.settings = settings.clone();
     }
 
-    pub fn probed(&mut self, now: Tenths, server: ServerIndex, answered: bool) {
+    pub fn probed(&mut self, now: Timestamp, server: ServerIndex, answered: bool) {
         let (balancer, sink) = self.at(now);
         sink.told(|| Event::HealthCheckFinished { server, answered });
         balancer.health_check_finished(server, answered, sink);
@@ -364,7 +365,7 @@
     /// Takes what a list says. Returns the servers that are off, and what it has changed.
     pub fn listed(
         &mut self,
-        now: Tenths,
+        now: Timestamp,
         lines: &[ListedEndpoint],
         (whole_list, doubted): (bool, bool),
     ) -> (Vec<ServerIndex>, Changed) {
@@ -385,7 +386,7 @@
     }
 
     /// Operators take a server out at that moment, or put it back; its place, if it has one.
-    pub fn barred(&mut self, now: Tenths, id: &str, (out, at): (bool, Tenths)) -> Option<ServerIndex> {
+    pub fn barred(&mut self, now: Timestamp, id: &str, (out, at): (bool, Timestamp)) -> Option<ServerIndex> {
         let (balancer, sink) = self.at(now);
         sink.told(|| Event::ServerDisabled { id: id.into(), out, at });
         balancer.set_disabled(id, out, at);
@@ -393,7 +394,7 @@
     }
 
     /// Whether an attempt may be sent now; `awaited`: whether its client is still there.
-    pub fn may_send(&self, now: Tenths, pending: &PendingAttempt, awaited: bool) -> Result<(), Refusal> {
+    pub fn may_send(&self, now: Timestamp, pending: &PendingAttempt, awaited: bool) -> Result<(), Refusal> {
         let attempt = UnsentAttempt {
             request: pending.request_id,
             number: pending.attempt,
@@ -440,19 +441,19 @@
     }
 
     /// A call to discovery failed; the balancer will want another.
-    pub fn discovery_call_failed(&mut self, now: Tenths, took: Tenths) {
+    pub fn discovery_call_failed(&mut self, now: Timestamp, took: Span) {
         let (balancer, sink) = self.at(now);
         sink.told(|| Event::DiscoveryCallFailed { took });
         balancer.discovery_call_failed(took, sink);
     }
 
     /// When the balancer is to be woken next.
-    pub fn next_wake(&self) -> Option<Tenths> {
+    pub fn next_wake(&self) -> Option<Timestamp> {
         self.sink.wakes.peek().map(|Reverse((due, ..))| *due)
     }
 
     /// Wakes the balancer with what is due first, if it is.
-    pub fn wake(&mut self, now: Tenths) {
+    pub fn wake(&mut self, now: Timestamp) {
         if self.next_wake().is_some_and(|due| due <= now)
             && let Some(Reverse((_, _, token))) = self.sink.wakes.pop()
         {
--- a/crates/engine/src/response.rs
+++ b/crates/engine/src/response.rs
@@ -1,8 +1,9 @@
 //! What a request is to the engine: something that can be written to a server, and whose answer is bytes with a verdict.
 
-use chalkwalk_balancer::{AttemptOutcome, Tenths};
+use chalkwalk_balancer::AttemptOutcome;
 use chalkwalk_limits::RequestAttributes;
 use chalkwalk_sockets::Held;
+use chalkwalk_time::{Span, Timestamp};
 use smol::Async;
 use smol::channel::Receiver;
 use std::cell::Cell;
@@ -16,7 +17,7 @@
 pub enum ResponseStatus {
     Served,
     /// May be tried again, after so long where that is told.
-    Rejected(Option<Tenths>),
+    Rejected(Option<Span>),
     Failed,
 }
 
@@ -77,10 +78,10 @@
     /// What a class is found by; `None` once other settings hold than it was taken under.
     fn place(&self) -> Option<RequestAttributes<'_>>;
     /// When its time began.
-    fn taken(&self) -> Tenths;
+    fn taken(&self) -> Timestamp;
     fn key(&self) -> &str;
     fn write(&self) -> bool;
-    fn expires(&self) -> Tenths;
+    fn expires(&self) -> Timestamp;
     /// Which servers alone may serve it, the first first, where that is settled by the servers themselves; asked again after
     /// each attempt. `None`: any, in ring order.
     fn order(&self) -> Option<Vec<SocketAddr>> {
@@ -93,7 +94,7 @@
     /// One of its attempts has ended; told before it is asked for the order again.
     fn ended(&self, _ending: AttemptOutcome) {}
     /// Writes it whole to a server, and how long it will be waited for.
-    fn write_to<'a>(&'a self, stream: &'a Async<TcpStream>, left: Tenths) -> Wait<'a, io::Result<()>>;
+    fn write_to<'a>(&'a self, stream: &'a Async<TcpStream>, left: Span) -> Wait<'a, io::Result<()>>;
     /// Reads what the server says to it; `None` if the connection broke or nothing of it can be read.
     fn hear<'a>(&'a self, stream: &'a Async<TcpStream>) -> Wait<'a, Option<ServerResponse>>;
 }
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -3,12 +3,10 @@
 //!
 //! It may use serde and a checksum. No file, clock or socket ever enters it: times are passed in, files come as texts.
 
+use chalkwalk_time::{Span, Timestamp};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Whole tenths of a millisecond, Unix time.
-pub type Tenths = u64;
-
 /// The first word of each file, with the version of its form. Another version is not read.
 const MARK: &str = "chalkwalk-handover-1";
 
@@ -17,17 +15,17 @@
 
 /// Entries that say what holds anyway are kept for so long, so that every process has read them: it does so ten times a
 /// second.
-const SETTLED: Tenths = 600_000;
+const SETTLED: Span = Span::from_secs(60);
 
 /// The last word on a matter, and when it was said.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Word {
-    pub at: Tenths,
+    pub at: Timestamp,
     pub out: bool,
 }
 
 /// What was learned is taken up for so long after it was written down: as long as a restart or an upgrade takes.
-const FRESH: Tenths = 600_000;
+const FRESH: Span = Span::from_secs(60);
 
 /// No more servers than these are told of, with ids of at most so many bytes: a fifth of the longest file.
 const MOST_LEARNED: usize = 2000;
@@ -36,7 +34,7 @@
 /// What a process has learned of the servers, when, and on what terms: of other ones it says nothing.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Learned {
-    pub at: Tenths,
+    pub at: Timestamp,
     pub terms: u64,
     /// By id: when it started, its largest weight, part and room.
     #[serde(rename = "caches")]
@@ -56,7 +54,7 @@
 
     /// Whether it may be taken up by a process with these terms. What was written down later than now is of a clock that
     /// was set back, and as old as any.
-    pub fn holds(&self, terms: u64, now: Tenths) -> bool {
+    pub fn holds(&self, terms: u64, now: Timestamp) -> bool {
         self.terms == terms
             && !self.servers.is_empty()
             && (self.at..self.at.saturating_add(FRESH)).contains(&now)
@@ -68,9 +66,9 @@
 pub struct Page {
     pub pid: u32,
     /// When it started: of two that are ready, the later is the successor.
-    pub began: Tenths,
+    pub began: Timestamp,
     /// Since when it is ready, if it is.
-    pub ready: Option<Tenths>,
+    pub ready: Option<Timestamp>,
     /// By the ids of servers: whether each is out.
     #[serde(rename = "caches")]
     pub servers: BTreeMap<String, Word>,
@@ -101,13 +99,13 @@
     }
 
     /// An operator says that a server is out, or back. The later word holds, also where a clock was set back in between.
-    pub fn say(&mut self, server: &str, out: bool, now: Tenths) {
-        let at = self.servers.get(server).map_or(now, |word| now.max(word.at + 1));
+    pub fn say(&mut self, server: &str, out: bool, now: Timestamp) {
+        let at = self.servers.get(server).map_or(now, |word| now.max(word.at + Span::from_ticks(1)));
         self.servers.insert(server.to_string(), Word { at, out });
     }
 
-    pub fn say_service(&mut self, out: bool, now: Tenths) {
-        self.service = Word { at: now.max(self.service.at + 1), out };
+    pub fn say_service(&mut self, out: bool, now: Timestamp) {
+        self.service = Word { at: now.max(self.service.at + Span::from_ticks(1)), out };
     }
 
     pub fn is_out(&self, server: &str) -> bool {
@@ -125,7 +123,7 @@
     }
 
     /// Forgets what was settled long ago.
-    pub fn tidy(&mut self, now: Tenths) {
+    pub fn tidy(&mut self, now: Timestamp) {
         self.servers.retain(|_, word| word.out || now < word.at + SETTLED);
     }
 
--- a/crates/handover/tests/pages.rs
+++ b/crates/handover/tests/pages.rs
@@ -1,27 +1,28 @@
 //! What two processes of a proxy come to know of each other, whoever reads whom first.
 
 use chalkwalk_handover::{LONGEST, Learned, Page, Word};
+use chalkwalk_time::Timestamp;
 use expect_test::expect;
 use proptest::prelude::*;
 
 fn page(began: u64) -> Page {
-    Page { pid: 7, began, ..Page::default() }
+    Page { pid: 7, began: Timestamp::from_ticks(began), ..Page::default() }
 }
 
 #[test]
 fn the_later_word_holds_and_a_back_call_undoes_two_out_calls() {
     let (mut old, mut new) = (page(1), page(2));
-    old.say("amber", true, 100);
-    old.say("amber", true, 110);
+    old.say("amber", true, Timestamp::from_ticks(100));
+    old.say("amber", true, Timestamp::from_ticks(110));
     let mut seen = vec![format!("{:?}", new.merge(&old))];
-    new.say("amber", false, 105); // by a clock that was set back
-    new.say("birch", true, 120);
-    new.say_service(true, 130);
+    new.say("amber", false, Timestamp::from_ticks(105)); // by a clock that was set back
+    new.say("birch", true, Timestamp::from_ticks(120));
+    new.say_service(true, Timestamp::from_ticks(130));
     seen.push(format!("{:?}", old.merge(&new)));
     seen.push(format!("{:?} {:?}", old.merge(&new), old.is_out("amber")));
-    new.ready = Some(140);
+    new.ready = Some(Timestamp::from_ticks(140));
     seen.push(format!("{} {}", old.succeeded_by(&new), new.succeeded_by(&old)));
-    old.tidy(700_000);
+    old.tidy(Timestamp::from_ticks(700_000));
     seen.push(format!("{:?}", old.servers.keys().collect::<Vec<_>>()));
     expect![[r#"
         (["amber"], false)
@@ -35,7 +36,7 @@
 #[test]
 fn a_file_that_is_cut_spoilt_or_foreign_is_none() {
     let mut of = page(3);
-    of.say("amber", true, 4);
+    of.say("amber", true, Timestamp::from_ticks(4));
     let text = of.written();
     assert_eq!(Page::read(&text), Ok(of));
     for cut in 0..text.len() {
@@ -49,7 +50,10 @@
 }
 
 fn any_page() -> impl Strategy<Value = Page> {
-    let word = || (0..20u64, any::<bool>()).prop_map(|(at, out)| Word { at: 2 * at + u64::from(out), out });
+    let word = || {
+        (0..20u64, any::<bool>())
+            .prop_map(|(at, out)| Word { at: Timestamp::from_ticks(2 * at + u64::from(out)), out })
+    };
     (prop::collection::btree_map("[abc]", word(), 0..4), word()).prop_map(|(servers, service)| Page {
         servers,
         service,
@@ -79,15 +83,15 @@
 #[test]
 fn what_was_learned_is_bounded_and_holds_for_a_minute_on_its_terms() {
     let servers = (0..5000).map(|i| (format!("s-{i:060}"), [u64::MAX; 4])).collect();
-    let learned = Learned { at: 10_000, terms: 7, servers }.bounded();
+    let learned = Learned { at: Timestamp::from_ticks(10_000), terms: 7, servers }.bounded();
     let page = Page { learned: learned.clone(), ..Page::default() };
     assert!(page.written().len() < LONGEST / 2);
     assert_eq!(Page::read(&page.written()).unwrap().learned, learned);
     let holds = [(7, 10_000), (7, 609_999), (7, 610_000), (7, 9_999), (8, 10_000)];
-    let holds = holds.map(|(terms, now)| learned.holds(terms, now));
+    let holds = holds.map(|(terms, now)| learned.holds(terms, Timestamp::from_ticks(now)));
     assert_eq!((learned.servers.len(), holds), (2000, [true, true, false, false, false]));
-    let absurd = Learned { at: u64::MAX, ..learned.clone() };
-    assert!(!absurd.holds(7, 10_000));
+    let absurd = Learned { at: Timestamp::from_ticks(u64::MAX), ..learned.clone() };
+    assert!(!absurd.holds(7, Timestamp::from_ticks(10_000)));
     let long = Learned { servers: [("x".repeat(65), [0; 4])].into(), ..learned };
-    assert!(!long.bounded().holds(7, 10_000));
+    assert!(!long.bounded().holds(7, Timestamp::from_ticks(10_000)));
 }
--- a/crates/http-frontend/src/admit.rs
+++ b/crates/http-frontend/src/admit.rs
@@ -2,11 +2,11 @@
 
 use crate::door::{Door, OpenId};
 use crate::relay::Reply;
-use chalkwalk_balancer::Tenths;
 use chalkwalk_balancer::admission::may_start;
 use chalkwalk_engine::classes::ClassLimits;
 use chalkwalk_http1::Message;
 use chalkwalk_limits::RequestAttributes;
+use chalkwalk_time::{Span, Timestamp};
 use smol::Async;
 use std::net::TcpStream;
 use std::ops::Range;
@@ -34,8 +34,8 @@
     pub class: usize,
     pub generation: u64, // of the settings that its class is of
     pub write: bool,
-    pub taken: Tenths,
-    pub expires: Tenths,
+    pub taken: Timestamp,
+    pub expires: Timestamp,
     /// Its client's connection, while that is served.
     pub client: Weak<Async<TcpStream>>,
     _open: OpenId,
@@ -46,7 +46,7 @@
 pub fn admit(
     door: &Rc<Door>,
     message: Message,
-    came: Tenths,
+    came: Timestamp,
     client: &Rc<Async<TcpStream>>,
 ) -> Result<HttpRequest, Reply> {
     let wrong = |status| Err(Reply::bare(status));
@@ -107,10 +107,10 @@
     }
 }
 
-/// Tenths from seconds in plain decimals, nine places before the point at most: thirty years.
-fn time_left(said: &str) -> Option<Tenths> {
+/// Timestamp from seconds in plain decimals, nine places before the point at most: thirty years.
+fn time_left(said: &str) -> Option<Span> {
     let (whole, part) = said.split_once('.').unwrap_or((said, "0"));
     let plain = |digits: &str| !digits.is_empty() && digits.bytes().all(|b| b.is_ascii_digit());
     let seconds = (plain(whole) && plain(part) && whole.len() <= 9).then(|| said.parse::<f64>().ok())??;
-    Some((seconds * 1e4) as Tenths).filter(|tenths| *tenths > 0)
+    Some(Span::from_ticks((seconds * 1e4) as u64)).filter(|span| !span.is_zero())
 }
--- a/crates/http-frontend/src/clients.rs
+++ b/crates/http-frontend/src/clients.rs
@@ -5,11 +5,11 @@
 use crate::relay::{self, Reply};
 use crate::route::route;
 use crate::take_in::take_in;
-use chalkwalk_balancer::Tenths;
 use chalkwalk_engine::budget::Permit;
 use chalkwalk_engine::engine::ClientConnection;
 use chalkwalk_engine::lifecycle::Phase;
 use chalkwalk_sockets::quiet;
+use chalkwalk_time::{Span, Timestamp};
 use slog::warn;
 use smol::future::FutureExt;
 use smol::{Async, Timer};
@@ -22,7 +22,7 @@
 const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
 
 /// What was there whole is read in a few turns of the executor.
-const READ_AT_ONCE: Tenths = 100;
+const READ_AT_ONCE: Span = Span::from_millis(10);
 
 /// Takes connections until the proxy empties; whoever has one by then is let in.
 pub async fn accept(door: Rc<Door>, listener: Async<TcpListener>) {
@@ -70,7 +70,7 @@
     }
 }
 
-fn welcome(door: &Rc<Door>, stream: Async<TcpStream>, permit: Permit, taken: bool, clear: Tenths) {
+fn welcome(door: &Rc<Door>, stream: Async<TcpStream>, permit: Permit, taken: bool, clear: Timestamp) {
     _ = stream.get_ref().set_nodelay(true);
     let open = ClientConnection::new(&door.engine);
     door.engine.ex.spawn(serve(door.clone(), stream, permit, open, taken, clear)).detach();
@@ -83,7 +83,7 @@
     mut permit: Permit,
     open: ClientConnection,
     mut taken: bool,
-    clear: Tenths,
+    clear: Timestamp,
 ) {
     let (engine, stream) = (&door.engine, Rc::new(stream));
     let mut rest = Vec::new();
--- a/crates/http-frontend/src/relay.rs
+++ b/crates/http-frontend/src/relay.rs
@@ -1,10 +1,10 @@
 //! Stage "relay": the final answer, written to the client.
 
 use crate::servers::seconds;
-use chalkwalk_balancer::Tenths;
 use chalkwalk_engine::response::{BodyStream, Response, ResponseStatus};
 use chalkwalk_http1::reason;
 use chalkwalk_sockets::{Held, more, within, write_all};
+use chalkwalk_time::Span;
 use smol::Async;
 use std::net::{Shutdown, TcpStream};
 use std::time::Duration;
@@ -12,7 +12,7 @@
 /// An answer as a client will read it.
 pub struct Reply {
     pub status: u16,
-    back_in: Option<Tenths>,
+    back_in: Option<Span>,
     kind: String,
     body: Vec<u8>,
     _held: Option<Held>,
--- a/crates/http-frontend/src/servers.rs
+++ b/crates/http-frontend/src/servers.rs
@@ -1,20 +1,21 @@
 //! The side of the servers: a request written on as it came, what an answer says of the attempt, and probes.
 
 use crate::admit::HttpRequest;
-use chalkwalk_balancer::{AttemptOutcome, Tenths};
+use chalkwalk_balancer::AttemptOutcome;
 use chalkwalk_engine::response::{
     ClientRequest, HealthCheck, Response, ResponseBody, ResponseStatus, ServerResponse, Wait,
 };
 use chalkwalk_http1::{self as http1, Answering};
 use chalkwalk_sockets::{Held, Room, quiet, wait_until, write_all};
+use chalkwalk_time::{Span, TICKS_PER_SECOND, Timestamp};
 use smol::Async;
 use std::io;
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
 /// Seconds with decimals, as the protocol writes times.
-pub(crate) fn seconds(tenths: Tenths) -> String {
-    format!("{}.{:04}", tenths / 10_000, tenths % 10_000)
+pub(crate) fn seconds(span: Span) -> String {
+    format!("{}.{:04}", span.ticks() / TICKS_PER_SECOND, span.ticks() % TICKS_PER_SECOND)
 }
 
 impl ClientRequest for HttpRequest {
@@ -26,7 +27,7 @@
         (self.generation == self.door.engine.classes.generation()).then(|| HttpRequest::place(self))
     }
 
-    fn taken(&self) -> Tenths {
+    fn taken(&self) -> Timestamp {
         self.taken
     }
 
@@ -38,7 +39,7 @@
         self.write
     }
 
-    fn expires(&self) -> Tenths {
+    fn expires(&self) -> Timestamp {
         self.expires
     }
 
@@ -47,7 +48,7 @@
         self.client.upgrade().is_some_and(|client| quiet(&client))
     }
 
-    fn write_to<'a>(&'a self, stream: &'a Async<TcpStream>, left: Tenths) -> Wait<'a, io::Result<()>> {
+    fn write_to<'a>(&'a self, stream: &'a Async<TcpStream>, left: Span) -> Wait<'a, io::Result<()>> {
         Box::pin(async move {
             let (m, time_left) = (&self.message, seconds(left));
             let mut parts: Vec<&[u8]> = vec![m.part(&m.method), b" ", m.part(&m.target), b" HTTP/1.1\r\n"];
--- a/crates/limits/src/budget.rs
+++ b/crates/limits/src/budget.rs
@@ -1,6 +1,6 @@
 //! A budget of retries as a share of first ones, over a sliding time.
 
-use crate::Tenths;
+use chalkwalk_time::{Span, Timestamp};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
@@ -30,21 +30,21 @@
         Purse::Own(RefCell::new(Budget::new(share)))
     }
 
-    pub fn first(&self, now: Tenths) {
+    pub fn first(&self, now: Timestamp) {
         match self {
             Purse::Platform(spare) => spare.set((spare.get() + BRINGS).min(MOST)),
             Purse::Own(budget) => budget.borrow_mut().first(now),
         }
     }
 
-    pub fn allows(&self, now: Tenths) -> bool {
+    pub fn allows(&self, now: Timestamp) -> bool {
         match self {
             Purse::Platform(spare) => spare.get() >= COSTS,
             Purse::Own(budget) => budget.borrow_mut().allows(now),
         }
     }
 
-    pub fn spend(&self, now: Tenths) {
+    pub fn spend(&self, now: Timestamp) {
         match self {
             Purse::Platform(spare) => spare.set(spare.get().saturating_sub(COSTS)),
             Purse::Own(budget) => budget.borrow_mut().spend(now),
@@ -99,7 +99,7 @@
 
 /// Half of the sliding time: ten seconds in all are some hundred requests at a quiet proxy, and a trouble that ends is
 /// forgotten within them.
-const HALF: Tenths = 50_000;
+const HALF: Span = Span::from_secs(5);
 /// Retries that may always be sent within the sliding time, or a proxy with little traffic could try nothing again.
 const FLOOR: u64 = 3;
 
@@ -109,8 +109,8 @@
         Budget { share, ..Budget::default() }
     }
 
-    fn pass(&mut self, now: Tenths) {
-        let half = now / HALF;
+    fn pass(&mut self, now: Timestamp) {
+        let half = now.whole_periods(HALF);
         match half.saturating_sub(self.half) {
             0 => return,
             1 => {
@@ -123,23 +123,23 @@
     }
 
     /// The present half, and of the one before the part that is still within.
-    fn within(&self, counts: [u64; 2], now: Tenths) -> u64 {
-        counts[0] * HALF + counts[1] * (HALF - now % HALF)
+    fn within(&self, counts: [u64; 2], now: Timestamp) -> Span {
+        counts[0] * HALF + counts[1] * (HALF - now.into_period(HALF))
     }
 
-    pub fn first(&mut self, now: Tenths) {
+    pub fn first(&mut self, now: Timestamp) {
         self.pass(now);
         self.firsts[0] += 1;
     }
 
     /// Whether one more further attempt is within the budget.
-    pub fn allows(&mut self, now: Tenths) -> bool {
+    pub fn allows(&mut self, now: Timestamp) -> bool {
         self.pass(now);
         let spent = self.within(self.further, now) + HALF;
         spent <= FLOOR * HALF || spent * 1000 <= self.within(self.firsts, now) * self.share
     }
 
-    pub fn spend(&mut self, now: Tenths) {
+    pub fn spend(&mut self, now: Timestamp) {
         self.pass(now);
         self.further[0] += 1;
     }
@@ -158,10 +158,10 @@
         let mut further = vec![0; (seconds / 10) as usize];
         for i in 0..a_second * seconds {
             let now = i * 10_000 / a_second;
-            budget.first(now);
+            budget.first(Timestamp::from_ticks(now));
             for _ in 0..3 {
-                if failing(now / 10_000) && budget.allows(now) {
-                    budget.spend(now);
+                if failing(now / 10_000) && budget.allows(Timestamp::from_ticks(now)) {
+                    budget.spend(Timestamp::from_ticks(now));
                     further[(now / 100_000) as usize] += 1;
                 }
             }
@@ -199,14 +199,14 @@
             for (pause, first) in steps {
                 now += pause;
                 if first {
-                    budget.first(now);
+                    budget.first(Timestamp::from_ticks(now));
                     firsts.push(now);
                 }
-                if budget.allows(now) {
-                    budget.spend(now);
+                if budget.allows(Timestamp::from_ticks(now)) {
+                    budget.spend(Timestamp::from_ticks(now));
                     further.push(now);
                 }
-                let since = |at: &[u64], span| at.iter().filter(|t| **t + span > now).count() as u64;
+                let since = |at: &[u64], span: Span| at.iter().filter(|t| **t + span.ticks() > now).count() as u64;
                 let (spent, had) = (since(&further, HALF), since(&firsts, 2 * HALF));
                 prop_assert!(spent <= 2 * FLOOR + had * share / 1000 + 1, "{spent} of {had}");
             }
--- a/crates/limits/src/check.rs
+++ b/crates/limits/src/check.rs
@@ -1,8 +1,8 @@
 //! A draft held against the platform's settings. Every fault is found at once, each with its line and the rule that it breaks.
 
-use crate::Tenths;
 use crate::draft::{Account, Draft, LimitOverrides, Namespace, Repeats, Said};
 use crate::table::{Class, From, Limits, Table};
+use chalkwalk_time::Span;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Fault {
@@ -11,7 +11,7 @@
 }
 
 /// The shortest time that may be set: below it no answer comes over any network.
-const SHORTEST: Tenths = 10;
+const SHORTEST: Span = Span::from_millis(1);
 
 /// What holds by a draft, or all that is wrong with it.
 pub fn check(draft: &Draft, account: &Account) -> Result<Table, Vec<Fault>> {
@@ -39,8 +39,8 @@
     }
 }
 
-fn ms(tenths: Tenths) -> f64 {
-    tenths as f64 / 10.0
+fn ms(span: Span) -> f64 {
+    span.as_millis_f64()
 }
 
 impl Faults {
--- a/crates/limits/src/draft.rs
+++ b/crates/limits/src/draft.rs
@@ -1,6 +1,6 @@
 //! What an operator says, as it stands in the file: nothing of it is checked yet.
 
-use crate::Tenths;
+use chalkwalk_time::Span;
 
 /// A value and the line that said it.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -18,11 +18,11 @@
 /// What may be set; nothing said, and the next wider one holds.
 #[derive(Clone, Debug, Default)]
 pub struct LimitOverrides {
-    pub time_limit: Option<Said<Tenths>>,
-    pub target: Option<Said<Tenths>>,
+    pub time_limit: Option<Said<Span>>,
+    pub target: Option<Said<Span>>,
     pub max_attempts: Option<Said<u64>>,
     /// How long a single attempt is waited for.
-    pub attempt_timeout: Option<Said<Tenths>>,
+    pub attempt_timeout: Option<Said<Span>>,
     pub hedging: Option<Said<bool>>,
     /// A hedged request goes out once an attempt takes longer than so many thousandths of all answers did.
     pub hedge_after: Option<Said<u64>>,
@@ -79,11 +79,11 @@
 #[derive(Clone, Debug)]
 pub struct Namespace {
     pub name: String,
-    pub time_limit: Tenths,
-    pub target: Tenths,
+    pub time_limit: Span,
+    pub target: Span,
     pub repeats: Repeats,
     /// In which servers drop repeats of a tagged request.
-    pub window: Tenths,
+    pub window: Span,
 }
 
 /// The platform's settings: the account that a file has to keep to.
@@ -91,7 +91,7 @@
 pub struct Account {
     pub max_attempts: u64,
     pub hedging: bool,
-    pub connect_time: Tenths,
+    pub connect_time: Span,
     pub longest_body: u64,
     pub namespaces: Vec<Namespace>,
     /// Empty where the platform names none: then any may be named.
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -13,6 +13,3 @@
 pub use check::{Fault, check};
 pub use draft::{Account, Clients, Draft, LimitOverrides, Match, Namespace, Repeats, Route, Said};
 pub use table::{Class, From, Limits, RequestAttributes, Table};
-
-/// Whole tenths of a millisecond.
-pub type Tenths = u64;
--- a/crates/limits/src/table.rs
+++ b/crates/limits/src/table.rs
@@ -1,7 +1,7 @@
 //! What holds for each request, and which line said so.
 
-use crate::Tenths;
 use crate::draft::{Account, Draft, LimitOverrides, Match, Said};
+use chalkwalk_time::Span;
 
 /// Who said what holds.
 #[derive(Clone, Debug, PartialEq)]
@@ -26,11 +26,11 @@
 /// What holds for the requests of one class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    pub time_limit: (Tenths, From),
-    pub target: (Tenths, From),
+    pub time_limit: (Span, From),
+    pub target: (Span, From),
     pub max_attempts: (u64, From),
     /// `None`: up to the time limit.
-    pub attempt_timeout: (Option<Tenths>, From),
+    pub attempt_timeout: (Option<Span>, From),
     pub hedging: (bool, From),
     /// `None`: only where a server is silent or an attempt lost.
     pub hedge_after: (Option<u64>, From),
--- a/crates/limits/tests/accepted.rs
+++ b/crates/limits/tests/accepted.rs
@@ -1,6 +1,7 @@
 //! Whatever is accepted keeps the platform's settings; whatever breaks one is refused.
 
 use chalkwalk_limits::*;
+use chalkwalk_time::Span;
 use proptest::option::of;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -8,15 +9,15 @@
 fn account() -> Account {
     let namespace = |name: &str, repeats| Namespace {
         name: name.into(),
-        time_limit: 20_000,
-        target: 8_000,
+        time_limit: Span::from_ticks(20_000),
+        target: Span::from_ticks(8_000),
         repeats,
-        window: 15_000,
+        window: Span::from_ticks(15_000),
     };
     Account {
         max_attempts: 6,
         hedging: true,
-        connect_time: 500,
+        connect_time: Span::from_ticks(500),
         longest_body: 1000,
         namespaces: vec![
             namespace("page", Repeats::Replayable),
@@ -30,6 +31,8 @@
 
 fn settings() -> impl Strategy<Value = LimitOverrides> {
     let line = 1usize..50;
+    let span =
+        |ticks: Option<Said<u64>>| ticks.map(|said| Said::new(Span::from_ticks(said.value), said.line));
     let said = |range: std::ops::Range<u64>| of((range, 1usize..50).prop_map(|(v, l)| Said::new(v, l)));
     (
         (said(0..25_000), said(0..25_000), said(0..8), said(0..25_000)),
@@ -37,17 +40,17 @@
         (said(0..9), said(0..1200)),
     )
         .prop_map(
-            |(
+            move |(
                 (time_limit, target, max_attempts, attempt_timeout),
                 (hedging, hedge_after, retry_budget),
                 rest,
             )| {
                 let (open, longest_body) = rest;
                 LimitOverrides {
-                    time_limit,
-                    target,
+                    time_limit: span(time_limit),
+                    target: span(target),
                     max_attempts,
-                    attempt_timeout,
+                    attempt_timeout: span(attempt_timeout),
                     hedging,
                     hedge_after,
                     retry_budget,
@@ -141,5 +144,7 @@
 #[test]
 fn nothing_said_changes_nothing() {
     let table = check(&Draft::default(), &account()).expect("an empty file");
-    assert!(table.classes().iter().all(|c| c.limits.time_limit == (20_000, From::Platform)));
+    assert!(
+        table.classes().iter().all(|c| c.limits.time_limit == (Span::from_ticks(20_000), From::Platform))
+    );
 }
--- a/crates/membership/src/count.rs
+++ b/crates/membership/src/count.rs
@@ -1,12 +1,11 @@
 //! How many proxies share the servers, as counted where they can see each other, in place of the number that was written down.
 
-use chalkwalk_balancer::Tenths;
+use chalkwalk_time::{Span, Timestamp};
 
-const SECOND: Tenths = 10_000;
 /// A fall is believed once so many spans, the present one included, have no higher count, which is a minute at the least: a
 /// restart takes seconds, a wave of them half a minute.
 const SPANS: usize = 7;
-const SPAN: Tenths = 10 * SECOND;
+const SPAN: Span = Span::from_secs(10);
 /// Whatever is counted, never less than half of what was written: a proxy that sees few others may be the one that is cut off,
 /// and what it takes of a cold server is at most doubled. And never more than four times that, which would leave cold servers idle.
 const LEAST_PART: u64 = 2;
@@ -26,8 +25,8 @@
         Count { written: written.max(1), highest: [written.max(1); SPANS], span: 0 }
     }
 
-    fn pass(&mut self, now: Tenths) {
-        let span = now / SPAN;
+    fn pass(&mut self, now: Timestamp) {
+        let span = now.whole_periods(SPAN);
         let passed = span.saturating_sub(self.span).min(SPANS as u64) as usize;
         if self.span == 0 && passed == SPANS {
             // The first word: what was written holds for a minute more.
@@ -40,14 +39,14 @@
     }
 
     /// So many are live, this one included.
-    pub fn counted(&mut self, now: Tenths, live: u64) {
+    pub fn counted(&mut self, now: Timestamp, live: u64) {
         self.pass(now);
         self.highest[0] = self.highest[0].max(live);
     }
 
     /// By how many the balancer divides. A higher count holds at once, a lower one after a minute; what nobody has counted
     /// for a minute is as it was written.
-    pub fn holds(&mut self, now: Tenths) -> u64 {
+    pub fn holds(&mut self, now: Timestamp) -> u64 {
         self.pass(now);
         let highest = self.highest.iter().copied().max().unwrap_or(0);
         let counted = if highest == 0 { self.written } else { highest };
@@ -62,9 +61,9 @@
     #[test]
     fn a_rise_holds_at_once_a_fall_after_a_minute_and_a_lost_count_is_the_written_one() {
         let mut count = Count::new(20);
-        let start = 17_000_000_000_000;
+        let start = Timestamp::from_ticks(17_000_000_000_000);
         let mut at = |s: u64, live: Option<u64>| {
-            let now = start + s * SECOND;
+            let now = start + Span::from_secs(s);
             if let Some(live) = live {
                 count.counted(now, live);
             }
--- a/crates/membership/src/form.rs
+++ b/crates/membership/src/form.rs
@@ -4,7 +4,8 @@
 //! so that a newer writer does not stop older proxies, and refused in files, where they are a person's slip.
 
 use crate::{ListedEndpoint, MOST_LINES};
-use chalkwalk_balancer::{EndpointStatus, Tenths};
+use chalkwalk_balancer::EndpointStatus;
+use chalkwalk_time::{TICKS_PER_MILLISECOND, Timestamp};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
@@ -66,7 +67,7 @@
             cell: line.cell,
             weight: line.size as f64 / 100.0,
             state: if line.status == EndpointStatus::Ready { SERVING } else { DRAINING }.into(),
-            started_ms: line.born / 10,
+            started_ms: line.born.ticks() / TICKS_PER_MILLISECOND,
             back: false,
         }
     }
@@ -91,7 +92,8 @@
         if !self.kind.is_empty() && !known.kinds.is_empty() && !known.kinds.contains(&self.kind) {
             return wrong("the house has no kind", &self.kind);
         }
-        let Some(born) = self.started_ms.checked_mul(10).filter(|b| *b < Tenths::MAX / 4) else {
+        let Some(born) = self.started_ms.checked_mul(TICKS_PER_MILLISECOND).filter(|b| *b < u64::MAX / 4)
+        else {
             return wrong("started_ms is Unix time in milliseconds, not", &self.started_ms.to_string());
         };
         if !(0.01..=10_000.0).contains(&self.weight) {
@@ -99,7 +101,10 @@
         }
         let (size, back) = ((self.weight * 100.0).round() as u64, self.back);
         let Written { id, zone, kind, cell, .. } = self;
-        Ok((ListedEndpoint { id, addr, zone, kind, cell, size, status, born }, back))
+        Ok((
+            ListedEndpoint { id, addr, zone, kind, cell, size, status, born: Timestamp::from_ticks(born) },
+            back,
+        ))
     }
 }
 
@@ -367,7 +372,7 @@
         fn what_is_written_under_a_key_reads_back(port in any::<u16>(), cell in any::<u64>(), size in 1u64..1_000_000, born in 0u64..1 << 50, off in any::<bool>()) {
             let status = if off { EndpointStatus::Draining } else { EndpointStatus::Ready };
             let addr = std::net::SocketAddr::from(([127, 0, 0, 1], port));
-            let line = ListedEndpoint { id: "a/b".into(), addr, zone: "n".into(), kind: "cache".into(), cell, size, status, born: born * 10 };
+            let line = ListedEndpoint { id: "a/b".into(), addr, zone: "n".into(), kind: "cache".into(), cell, size, status, born: Timestamp::from_ticks(born * 10) };
             prop_assert_eq!(read_server("a/b", &server_value(&line), &known()), Ok((line, false)));
         }
     }
--- a/crates/membership/src/kept.rs
+++ b/crates/membership/src/kept.rs
@@ -2,28 +2,28 @@
 
 use crate::ListedEndpoint;
 use crate::form::{Known, read_server, server_value};
-use chalkwalk_balancer::Tenths;
+use chalkwalk_time::{Span, Timestamp};
 use serde::{Deserialize, Serialize};
 
 const MARK: &str = "chalkwalk list 1 ";
-const HOUR: Tenths = 36_000_000;
+const HOUR: Span = Span::from_secs(3_600);
 /// Most of a fleet is still where it was an hour ago. After a day a deploy has been over all of it: to send there is worse
 /// than to say that nothing is known.
-const YOUNG: Tenths = HOUR;
-const TOO_OLD: Tenths = 24 * HOUR;
+const YOUNG: Span = HOUR;
+const TOO_OLD: Span = HOUR.times(24);
 
 /// What is written down.
 #[derive(Debug, PartialEq)]
 pub struct Kept {
     /// Unix time.
-    pub at: Tenths,
+    pub at: Timestamp,
     pub revision: u64,
     pub lines: Vec<ListedEndpoint>,
 }
 
 #[derive(Deserialize, Serialize)]
 struct Body {
-    at: Tenths,
+    at: Timestamp,
     revision: u64,
     lines: Vec<(String, String)>,
 }
@@ -39,8 +39,8 @@
 
 impl Kept {
     /// A list from the future is as old as can be: one of the two clocks is wrong.
-    pub fn age(&self, now: Tenths) -> Age {
-        match now.checked_sub(self.at) {
+    pub fn age(&self, now: Timestamp) -> Age {
+        match now.checked_since(self.at) {
             Some(age) if age <= YOUNG => Age::Young,
             Some(age) if age <= TOO_OLD => Age::Old,
             _ => Age::TooOld,
@@ -86,10 +86,10 @@
             cell: 3,
             size: 150,
             status,
-            born: 170,
+            born: Timestamp::from_ticks(170),
         };
         let lines = vec![line("a", EndpointStatus::Ready), line("b \"c\"", EndpointStatus::Draining)];
-        let kept = Kept { at: 100 * HOUR, revision: 9, lines };
+        let kept = Kept { at: Timestamp::ZERO + 100 * HOUR, revision: 9, lines };
         let (text, known) = (kept.text(), Known::default());
         assert_eq!(Kept::read(&text, &known), Ok(Kept::read(&text, &known).unwrap()));
         assert_eq!(Kept::read(&text, &known).as_ref(), Ok(&kept));
@@ -99,7 +99,7 @@
             other[at] ^= 1;
             assert!(Kept::read(&String::from_utf8(other).unwrap(), &known).is_err(), "{at}");
         }
-        let ages = [99, 100, 101, 102, 124, 125].map(|h| kept.age(h * HOUR));
+        let ages = [99, 100, 101, 102, 124, 125].map(|h| kept.age(Timestamp::ZERO + h * HOUR));
         assert_eq!(ages, [Age::TooOld, Age::Young, Age::Young, Age::Old, Age::Old, Age::TooOld]);
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -9,7 +9,8 @@
 pub mod kept;
 pub mod reconcile;
 
-use chalkwalk_balancer::{EndpointStatus, Tenths};
+use chalkwalk_balancer::EndpointStatus;
+use chalkwalk_time::Timestamp;
 use std::net::SocketAddr;
 
 /// One line of a list, from whatever source.
@@ -24,7 +25,7 @@
     pub size: u64,
     pub status: EndpointStatus,
     /// When its process started, Unix time; 0: long ago.
-    pub born: Tenths,
+    pub born: Timestamp,
 }
 
 /// The longest list that is taken: ten thousand servers are the largest fleet in mind, and as many may be on their way out.
--- a/crates/membership/src/reconcile.rs
+++ b/crates/membership/src/reconcile.rs
@@ -2,30 +2,30 @@
 //! told and what the log is to say, and `due` when to call `tick`.
 
 use crate::{ListedEndpoint, MOST_LINES};
-use chalkwalk_balancer::{EndpointStatus, Tenths};
+use chalkwalk_balancer::EndpointStatus;
+use chalkwalk_time::{Span, Timestamp};
 use std::collections::BTreeMap;
 
-const SECOND: Tenths = 10_000;
 /// So many older answers in a row are the truth: the source has started again, or was restored.
 const OLD_ANSWERS: u32 = 3;
 /// From then on what it says is taken, but nothing that is off comes back by it, and nothing goes because it is missing.
 /// After so long it is believed in that as well, longer than a deploy takes.
-const DOUBTED: Tenths = 60 * SECOND;
+const DOUBTED: Span = Span::from_secs(60);
 /// More than half of the servers gone unannounced within so long is more likely a fault of the list, or of the leases behind
 /// it, than of the servers. It is believed after as long as an operator needs to look, or a source to mend itself.
-const SHORT_WITHIN: Tenths = 10 * SECOND;
-const SHORT_FOR: Tenths = 30 * SECOND;
+const SHORT_WITHIN: Span = Span::from_secs(10);
+const SHORT_FOR: Span = Span::from_secs(30);
 /// Of fewer servers than these no half says anything.
 const FEW: usize = 3;
 /// Returns within so long that are taken at once; further ones wait, and longer each time: a server that flaps would move its
 /// keys each time, and comes back cold.
 const FLAPS: u32 = 3;
-const FLAPS_WITHIN: Tenths = 60 * SECOND;
-const FLAP_HELD: Tenths = 5 * SECOND;
+const FLAPS_WITHIN: Span = Span::from_secs(60);
+const FLAP_HELD: Span = Span::from_secs(5);
 /// Five seconds doubled so often are 80.
 const FLAP_DOUBLINGS: u32 = 4;
 /// What is gone is remembered so long, that no old list brings it back: ten times what an old one is doubted.
-const REMEMBERED: Tenths = 600 * SECOND;
+const REMEMBERED: Span = Span::from_secs(600);
 
 /// Whether what a source says last is newest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -73,16 +73,16 @@
     back: bool,
     told: Option<ListedEndpoint>,
     /// The start that was announced to be draining.
-    drained: Option<Tenths>,
+    drained: Option<Timestamp>,
     /// The start with which it was off, whether announced or missing.
-    off: Option<Tenths>,
+    off: Option<Timestamp>,
     /// Not listed any more though in service: since when, and until when it is kept.
-    lost: Option<(Tenths, Tenths)>,
-    gone_since: Tenths,
+    lost: Option<(Timestamp, Timestamp)>,
+    gone_since: Timestamp,
     returns: u32,
-    returns_since: Tenths,
-    held_until: Tenths, // 0: it is not held
-    refused: bool,      // it was said that it stays off
+    returns_since: Timestamp,
+    held_until: Timestamp, // 0: it is not held
+    refused: bool,         // it was said that it stays off
 }
 
 impl Row {
@@ -95,10 +95,10 @@
             drained: None,
             off: None,
             lost: None,
-            gone_since: 0,
+            gone_since: Timestamp::ZERO,
             returns: 0,
-            returns_since: 0,
-            held_until: 0,
+            returns_since: Timestamp::ZERO,
+            held_until: Timestamp::ZERO,
             refused: false,
         }
     }
@@ -112,18 +112,18 @@
     }
 
     /// Listed as in service: at once, unless it comes back too often.
-    fn returned(&mut self, now: Tenths, notes: &mut Vec<Note>) -> EndpointStatus {
+    fn returned(&mut self, now: Timestamp, notes: &mut Vec<Note>) -> EndpointStatus {
         if self.status().is_none() || self.serving() {
             return EndpointStatus::Ready;
         }
-        if self.held_until == 0 {
+        if self.held_until == Timestamp::ZERO {
             if now >= self.returns_since + FLAPS_WITHIN {
                 (self.returns, self.returns_since) = (0, now);
             }
             self.returns += 1;
             if self.returns > FLAPS {
                 let longer = (self.returns - FLAPS - 1).min(FLAP_DOUBLINGS);
-                self.held_until = now + (FLAP_HELD << longer);
+                self.held_until = now + FLAP_HELD * (1 << longer);
                 // It counts as flapping until it was steady for a while after that.
                 self.returns_since = self.held_until;
                 notes.push(("comes back again and again, held for a while", self.line.id.clone()));
@@ -132,19 +132,19 @@
         if now < self.held_until {
             return EndpointStatus::Draining;
         }
-        (self.held_until, self.drained, self.off) = (0, None, None);
+        (self.held_until, self.drained, self.off) = (Timestamp::ZERO, None, None);
         EndpointStatus::Ready
     }
 
     /// How the core is to see it.
-    fn worked_out(&mut self, now: Tenths, stays_off: bool, notes: &mut Vec<Note>) -> EndpointStatus {
+    fn worked_out(&mut self, now: Timestamp, stays_off: bool, notes: &mut Vec<Note>) -> EndpointStatus {
         let on = self.listed && self.line.status == EndpointStatus::Ready && !stays_off;
         if stays_off && !self.refused {
             notes.push(("listed as in service, and stays drained", self.line.id.clone()));
         }
         self.refused = stays_off;
         if !on {
-            self.held_until = 0;
+            self.held_until = Timestamp::ZERO;
         }
         match self.lost {
             _ if on => self.returned(now, notes),
@@ -164,8 +164,8 @@
     revision: u64,
     highest: u64,
     older: u32,
-    doubted: Option<Tenths>, // since when its revisions are below the highest, or of another history
-    another: bool,           // the history is another than before: no revision ends the doubt
+    doubted: Option<Timestamp>, // since when its revisions are below the highest, or of another history
+    another: bool,              // the history is another than before: no revision ends the doubt
 }
 
 impl Reconciler {
@@ -184,7 +184,7 @@
 
     /// The source's history is another from now on, as where a cluster was restored from a backup: its revisions say nothing
     /// beside the earlier ones, and its list is doubted for a while.
-    pub fn another_history(&mut self, now: Tenths) {
+    pub fn another_history(&mut self, now: Timestamp) {
         if self.begun {
             (self.revision, self.highest, self.older) = (0, 0, 0);
             (self.doubted, self.another) = (Some(now), true);
@@ -199,7 +199,7 @@
     /// The list as of a revision. An error is a plain sentence, and nothing of it was taken.
     pub fn whole(
         &mut self,
-        now: Tenths,
+        now: Timestamp,
         revision: u64,
         lines: Vec<(ListedEndpoint, bool)>,
     ) -> Result<Told, String> {
@@ -234,7 +234,7 @@
     }
 
     /// What changed, each with its revision, in order; what is not newer than what is known is passed over.
-    pub fn changes(&mut self, now: Tenths, changes: Vec<(u64, Change)>) -> Told {
+    pub fn changes(&mut self, now: Timestamp, changes: Vec<(u64, Change)>) -> Told {
         let mut told = Told::default();
         self.settle(now);
         // Changes of one revision came about together.
@@ -267,17 +267,17 @@
     }
 
     /// When `tick` has something to do.
-    pub fn due(&self) -> Option<Tenths> {
+    pub fn due(&self) -> Option<Timestamp> {
         let of_row = |row: &Row| {
             let lost = row.lost.map(|(_, until)| until).filter(|_| row.serving());
-            let held = (row.held_until > 0).then_some(row.held_until);
+            let held = (row.held_until > Timestamp::ZERO).then_some(row.held_until);
             lost.into_iter().chain(held).min()
         };
         let doubted = self.doubted.map(|since| since + DOUBTED);
         self.rows.values().filter_map(of_row).chain(doubted).min()
     }
 
-    pub fn tick(&mut self, now: Tenths) -> Told {
+    pub fn tick(&mut self, now: Timestamp) -> Told {
         let mut told = Told::default();
         self.settle(now);
         self.work_out(now, &mut told);
@@ -291,7 +291,7 @@
     }
 
     /// What time alone brings: an old state is believed in the end, and what is long gone is forgotten.
-    fn settle(&mut self, now: Tenths) {
+    fn settle(&mut self, now: Timestamp) {
         if self.doubted.is_some_and(|since| now >= since + DOUBTED) {
             (self.doubted, self.another) = (None, false);
             self.highest = self.revision;
@@ -307,7 +307,7 @@
             let row = self.rows.get_mut(&line.id).filter(|row| row.serving() && row.line.born <= line.born);
             if let Some(row) = row {
                 row.line.status = EndpointStatus::Draining;
-                row.drained = Some(row.drained.unwrap_or(0).max(line.born));
+                row.drained = Some(row.drained.unwrap_or(Timestamp::ZERO).max(line.born));
             }
         }
     }
@@ -317,27 +317,27 @@
         row.listed = true;
         row.back = back;
         if line.status != EndpointStatus::Ready {
-            row.drained = Some(row.drained.unwrap_or(0).max(line.born));
+            row.drained = Some(row.drained.unwrap_or(Timestamp::ZERO).max(line.born));
         }
         row.line = line;
     }
 
     /// Whether what is listed as in service stays off: it was off, and nothing says that it is another process by now.
     fn stays_off(&self, row: &Row) -> bool {
-        let same = |start: Option<Tenths>| start.is_some_and(|born| row.line.born <= born);
+        let same = |start: Option<Timestamp>| start.is_some_and(|born| row.line.born <= born);
         let drained = self.trust == Trust::PutTogether && !row.back && same(row.drained);
         let on = row.listed && row.line.status == EndpointStatus::Ready;
         on && (drained || (self.doubted.is_some() && same(row.off)))
     }
 
-    fn work_out(&mut self, now: Tenths, told: &mut Told) {
+    fn work_out(&mut self, now: Timestamp, told: &mut Told) {
         self.lose(now, told);
         let mut rows = std::mem::take(&mut self.rows);
         for row in rows.values_mut() {
             let stays_off = self.stays_off(row);
             let status = row.worked_out(now, stays_off, &mut told.notes);
             if status != EndpointStatus::Ready {
-                row.off = Some(row.off.unwrap_or(0).max(row.line.born));
+                row.off = Some(row.off.unwrap_or(Timestamp::ZERO).max(row.line.born));
             }
             if status == EndpointStatus::Gone && row.status() != Some(EndpointStatus::Gone) {
                 row.gone_since = now;
@@ -353,7 +353,7 @@
     }
 
     /// What is not listed any more though it was in service goes at once, unless too much of the fleet goes so.
-    fn lose(&mut self, now: Tenths, told: &mut Told) {
+    fn lose(&mut self, now: Timestamp, told: &mut Told) {
         let doubted = self.doubted;
         for row in self.rows.values_mut() {
             if row.listed || row.line.status != EndpointStatus::Ready {
--- a/crates/membership/tests/reconcile.rs
+++ b/crates/membership/tests/reconcile.rs
@@ -1,16 +1,22 @@
 //! What a source says in whatever order and with whatever breaks, and what the core is told of it.
 
-use chalkwalk_balancer::{EndpointStatus, Tenths};
+use chalkwalk_balancer::EndpointStatus;
 use chalkwalk_membership::ListedEndpoint;
 use chalkwalk_membership::reconcile::{Change, Reconciler, Told, Trust};
+use chalkwalk_time::{Span, Timestamp};
 use expect_test::expect;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
 
-const S: Tenths = 10_000;
+/// A second, in ticks: the tests count in them.
+const S: u64 = 10_000;
 
-fn line(id: &str, status: EndpointStatus, born: Tenths) -> ListedEndpoint {
+fn at(ticks: u64) -> Timestamp {
+    Timestamp::from_ticks(ticks)
+}
+
+fn line(id: &str, status: EndpointStatus, born: u64) -> ListedEndpoint {
     let addr = "127.0.0.1:3000".parse().unwrap();
     ListedEndpoint {
         id: id.into(),
@@ -20,15 +26,15 @@
         cell: 0,
         size: 100,
         status,
-        born,
+        born: at(born),
     }
 }
 
-fn on(id: &str, born: Tenths) -> (ListedEndpoint, bool) {
+fn on(id: &str, born: u64) -> (ListedEndpoint, bool) {
     (line(id, EndpointStatus::Ready, born), false)
 }
 
-fn off(id: &str, born: Tenths) -> (ListedEndpoint, bool) {
+fn off(id: &str, born: u64) -> (ListedEndpoint, bool) {
     (line(id, EndpointStatus::Draining, born), false)
 }
 
@@ -44,7 +50,7 @@
         Desk(Reconciler::new(trust), String::new())
     }
 
-    fn note(&mut self, now: Tenths, told: Told) {
+    fn note(&mut self, now: u64, told: Told) {
         let line = |l: &ListedEndpoint| format!(" {}:{:?}@{}", l.id, l.status, l.born);
         let lines: String = told.lines.iter().map(line).collect();
         let notes: String = told.notes.iter().map(|(event, id)| format!(" ({event} {id})")).collect();
@@ -54,23 +60,23 @@
         self.1 += "\n";
     }
 
-    fn whole(&mut self, now: Tenths, revision: u64, lines: Vec<(ListedEndpoint, bool)>) {
-        match self.0.whole(now, revision, lines) {
+    fn whole(&mut self, now: u64, revision: u64, lines: Vec<(ListedEndpoint, bool)>) {
+        match self.0.whole(at(now), revision, lines) {
             Ok(told) => self.note(now, told),
             Err(fault) => self.1 += &format!("{} s {fault}\n", now / S),
         }
     }
 
-    fn changes(&mut self, now: Tenths, changes: Vec<(u64, Change)>) {
-        let told = self.0.changes(now, changes);
+    fn changes(&mut self, now: u64, changes: Vec<(u64, Change)>) {
+        let told = self.0.changes(at(now), changes);
         self.note(now, told);
     }
 
-    fn pass(&mut self) -> Tenths {
+    fn pass(&mut self) -> u64 {
         let due = self.0.due().expect("something is due");
         let told = self.0.tick(due);
-        self.note(due, told);
-        due
+        self.note(due.ticks(), told);
+        due.ticks()
     }
 }
 
@@ -128,10 +134,10 @@
     d.whole(0, 10, vec![on("a", 1), off("b", 1), on("c", 1), on("d", 3)]);
     // Refused as old, and yet a drain is a drain; but not that of d's process before.
     d.whole(S, 8, vec![on("a", 1), on("b", 1), off("c", 1), off("d", 2)]);
-    let told = d.0.tick(S);
+    let told = d.0.tick(Timestamp::from_ticks(S));
     d.note(S, told);
     // Restored from a backup, and by now past the revision that was known.
-    d.0.another_history(2 * S);
+    d.0.another_history(Timestamp::from_ticks(2 * S));
     d.whole(2 * S, 30, vec![on("a", 1), on("b", 1), off("c", 1)]);
     d.changes(3 * S, vec![(31, put(off("a", 1))), (32, put(on("b", 2)))]);
     assert_eq!(d.pass(), 62 * S);
@@ -245,7 +251,7 @@
     Old(u64),
     /// A resume that tells so many events again.
     Again(usize),
-    Pass(Tenths),
+    Pass(u64),
 }
 
 fn event() -> impl Strategy<Value = (usize, u8)> {
@@ -279,7 +285,7 @@
         let mut changes = Vec::new();
         for (i, (server, kind)) in events.iter().enumerate() {
             let (id, mut state) = (format!("c{server}"), states[i].clone());
-            let born = state.get(&id).map_or(i as u64 + 1, |l| l.born);
+            let born = state.get(&id).map_or(i as u64 + 1, |l| l.born.ticks());
             let change = match kind {
                 0 => put(off(&id, born)),
                 1 => put(on(&id, born)),
@@ -294,7 +300,7 @@
             changes.push((i as u64 + 1, change));
         }
         let whole = |revision: usize| states[revision].values().map(|l| (l.clone(), false)).collect::<Vec<_>>();
-        let (mut r, mut now, mut at, mut heard) = (Reconciler::new(Trust::Ordered), S, 0, 0);
+        let (mut r, mut now, mut at, mut heard) = (Reconciler::new(Trust::Ordered), at(S), 0, 0);
         let mut seen = State::new();
         let mut hear = |told: &Told| {
             if told.whole {
@@ -322,7 +328,7 @@
                 }
                 Step::Again(n) => r.changes(now, changes[at.saturating_sub(n)..at].to_vec()),
                 Step::Pass(by) => {
-                    now += by;
+                    now += Span::from_ticks(by);
                     r.tick(now)
                 }
             };
--- a/crates/proxy/src/captures.rs
+++ b/crates/proxy/src/captures.rs
@@ -3,6 +3,7 @@
 use chalkwalk_capture::{
     CaptureItem, Decision, Difference, Event, FILE_MARK, RecordedCall, cut, encode_item, read, replay,
 };
+use chalkwalk_time::{TICKS_PER_SECOND, Timestamp};
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 
@@ -41,7 +42,7 @@
     Ok(segments)
 }
 
-fn calls(items: &[CaptureItem]) -> impl Iterator<Item = (u64, &RecordedCall)> {
+fn calls(items: &[CaptureItem]) -> impl Iterator<Item = (Timestamp, &RecordedCall)> {
     let blocks = items.iter().filter_map(|item| match item {
         CaptureItem::Calls(block) => Some(block),
         CaptureItem::Gap(_) => None,
@@ -55,15 +56,15 @@
 }
 
 /// A time of the clock, in seconds.
-fn seconds(at: u64) -> String {
-    format!("{}.{:04}", at / 10_000, at % 10_000)
+fn seconds(at: Timestamp) -> String {
+    format!("{}.{:04}", at.ticks() / TICKS_PER_SECOND, at.ticks() % TICKS_PER_SECOND)
 }
 
 /// What is in each segment.
 pub fn info(named: &[PathBuf]) -> Result<String, String> {
     let mut out = String::new();
     for (path, items, bytes) in all(named, &mut out)? {
-        let (mut taken, mut count, mut first, mut last) = (0u64, 0u64, None, 0);
+        let (mut taken, mut count, mut first, mut last) = (0u64, 0u64, None, Timestamp::ZERO);
         for (at, call) in calls(&items) {
             count += 1;
             taken += u64::from(matches!(call.told, Event::RequestAccepted { .. }));
@@ -76,8 +77,8 @@
             "{}: {bytes} bytes, {count} calls, {taken} lookups ({:.1} bytes each), {gaps} gaps, from {} to {}",
             path.display(),
             bytes as f64 / taken.max(1) as f64,
-            seconds(first.unwrap_or(0)),
-            seconds(last)
+            seconds(first.unwrap_or(Timestamp::ZERO)),
+            seconds(Timestamp::from_ticks(last.ticks()))
         );
     }
     Ok(out)
@@ -110,7 +111,7 @@
             _ = writeln!(
                 out,
                 "first at call {call}, {}: told {told:?}\n  decided {was:?}\n  and now {is:?}",
-                seconds(at)
+                seconds(Timestamp::from_ticks(at.ticks()))
             );
         }
     }
--- a/crates/proxy/src/operators.rs
+++ b/crates/proxy/src/operators.rs
@@ -7,6 +7,7 @@
 use chalkwalk_engine::flow;
 use chalkwalk_handover::Learned;
 use chalkwalk_sockets::within;
+use chalkwalk_time::{Span, Timestamp};
 use slog::{info, warn};
 use smol::channel::bounded;
 use smol::lock::Mutex;
@@ -20,9 +21,9 @@
 /// be in force everywhere.
 const READ_AGAIN: Duration = Duration::from_millis(100);
 
-/// How often what was learned of the servers is written down, in tenths of a ms: a successor starts at any moment, and parts
+/// How often what was learned of the servers is written down, a successor starts at any moment, and parts
 /// move by a half in a second at the worst. Every 5 s costs the disk little.
-const LEARNED_AGAIN: u64 = 50_000;
+const LEARNED_AGAIN: Span = Span::from_secs(5);
 
 /// How long an answer waits for its word to be kept, where the disk is slow: it is due within a second.
 const KEPT_BY: Duration = Duration::from_millis(700);
@@ -110,7 +111,7 @@
         }
         let of = |(id, [born, size, part, room]): (String, [u64; 4])| policy::Learned {
             id,
-            born,
+            born: Timestamp::from_ticks(born),
             size,
             part,
             room,
@@ -122,7 +123,7 @@
     async fn write_learned(&self) {
         let (at, requests) = (self.engine.clock.now(), &self.engine.requests);
         let (terms, learned) = (requests.borrow().terms(), requests.borrow().learned());
-        let servers = learned.into_iter().map(|l| (l.id, [l.born, l.size, l.part, l.room])).collect();
+        let servers = learned.into_iter().map(|l| (l.id, [l.born.ticks(), l.size, l.part, l.room])).collect();
         let learned = Learned { at, terms, servers }.bounded();
         if !learned.servers.is_empty() {
             self.pages.borrow_mut().own.learned = learned;
--- a/crates/proxy/src/pages.rs
+++ b/crates/proxy/src/pages.rs
@@ -1,6 +1,7 @@
 //! The files by which the processes of one proxy tell each other what `handover` has: one of its own a process, in `$TMPDIR`.
 
-use chalkwalk_handover::{LONGEST, Learned, Page, Tenths};
+use chalkwalk_handover::{LONGEST, Learned, Page};
+use chalkwalk_time::Timestamp;
 use slog::{Logger, warn};
 use std::collections::HashSet;
 use std::fs;
@@ -34,7 +35,7 @@
 
 impl Pages {
     /// Without a folder nothing is kept, and there is nobody to tell.
-    pub fn new(folder: Option<PathBuf>, proxy: &str, now: Tenths) -> Pages {
+    pub fn new(folder: Option<PathBuf>, proxy: &str, now: Timestamp) -> Pages {
         let plain = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
         let own = Page { pid: std::process::id(), began: now, ..Page::default() };
         Pages { folder, name: proxy.chars().map(plain).collect(), own, spoilt: HashSet::new() }
@@ -45,7 +46,7 @@
     }
 
     /// The own page as a file, still to be written. Without a folder there is nothing to write.
-    pub fn pen(&mut self, now: Tenths) -> io::Result<Option<Pen>> {
+    pub fn pen(&mut self, now: Timestamp) -> io::Result<Option<Pen>> {
         self.own.tidy(now);
         let Some(folder) = &self.folder else { return Ok(None) };
         let text = self.own.written();
--- a/crates/resp-frontend/src/clients.rs
+++ b/crates/resp-frontend/src/clients.rs
@@ -17,6 +17,7 @@
 use chalkwalk_resp::{Bounds, Fault, Frame, Kind as Type, Reader, Writer};
 use chalkwalk_slot_map::Way;
 use chalkwalk_sockets::{more, within, write_all};
+use chalkwalk_time::TICKS_PER_MILLISECOND;
 use slog::warn;
 use smol::channel::{Receiver, Sender, bounded, unbounded};
 use smol::future::FutureExt;
@@ -233,7 +234,9 @@
         },
         Some(Response { status: ResponseStatus::Rejected(back_in), .. }) => {
             // Drivers try again by themselves for this code.
-            let when = back_in.map_or(String::new(), |t| format!(", come back in {} ms", t.div_ceil(10)));
+            let when = back_in.map_or(String::new(), |t| {
+                format!(", come back in {} ms", t.ticks().div_ceil(TICKS_PER_MILLISECOND))
+            });
             out.error(&format!("TRYAGAIN deferred{when}"));
         }
         Some(Response { status: ResponseStatus::Failed, .. }) => out.error("ERR abandoned: it may have run"),
--- a/crates/resp-frontend/src/cluster.rs
+++ b/crates/resp-frontend/src/cluster.rs
@@ -7,6 +7,7 @@
 use chalkwalk_resp::{Bounds, Kind, Reader, Writer};
 use chalkwalk_slot_map::View;
 use chalkwalk_sockets::{more, within, write_all};
+use chalkwalk_time::Timestamp;
 use slog::{info, warn};
 use smol::{Async, Timer};
 use std::net::{SocketAddr, TcpStream};
@@ -38,7 +39,7 @@
         cell: 0,
         size: 100,
         status,
-        born: 0,
+        born: Timestamp::ZERO,
     }
 }
 
--- a/crates/resp-frontend/src/parts.rs
+++ b/crates/resp-frontend/src/parts.rs
@@ -1,9 +1,9 @@
 //! A command over several slots, in parts of one slot each, and its one answer out of theirs. No I/O.
 
 use crate::command::Words;
-use chalkwalk_balancer::Tenths;
 use chalkwalk_engine::response::{Response, ResponseStatus};
 use chalkwalk_resp::{Bounds, Kind, Reader, Writer, number};
+use chalkwalk_time::Span;
 
 /// How the answers of parts come together.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -41,7 +41,7 @@
 ) -> Option<ResponseStatus> {
     let status = |a: &Option<Response>| a.as_ref().map_or(ResponseStatus::Failed, |a| a.status);
     let ran = parts.iter().any(|(a, _)| status(a) == ResponseStatus::Served);
-    let mut back_in: Option<Tenths> = None;
+    let mut back_in: Option<Span> = None;
     let mut deferred = false;
     for (answer, _) in &parts {
         match status(answer) {
@@ -114,7 +114,7 @@
     #[test]
     fn parts_make_one_answer_and_a_write_that_ran_in_part_is_never_deferred() {
         let ok = |body| answer(ResponseStatus::Served, body);
-        let later = || answer(ResponseStatus::Rejected(Some(700)), "");
+        let later = || answer(ResponseStatus::Rejected(Some(Span::from_ticks(700))), "");
         let values = vec![(ok("*2\r\n$1\r\nc\r\n$-1\r\n"), vec![2, 0]), (ok("*1\r\n$1\r\nb\r\n"), vec![1])];
         assert_eq!(told(values, Gather::Values, false), "*3 $-1 $1 b $1 c ");
         assert_eq!(told(vec![(ok(":2\r\n"), vec![0, 1]), (ok(":1\r\n"), vec![2])], Gather::Sum, true), ":3 ");
