--- a/crates/resp-frontend/src/request.rs
+++ b/crates/resp-frontend/src/request.rs
@@ -2,7 +2,7 @@
 
 use crate::command::Words;
 use crate::door::Door;
-use chalkwalk_balancer::{AttemptOutcome, Tenths};
+use chalkwalk_balancer::AttemptOutcome;
 use chalkwalk_engine::response::{
     ClientRequest, HealthCheck, Response, ResponseStatus, ServerResponse, Wait,
 };
@@ -10,6 +10,7 @@
 use chalkwalk_resp::{Bounds, Frame, Kind, Reader, Writer};
 use chalkwalk_slot_map::{Meaning, SLOTS, Way, meaning};
 use chalkwalk_sockets::{more, write_all};
+use chalkwalk_time::{Span, Timestamp};
 use smol::Async;
 use std::cell::RefCell;
 use std::io;
@@ -29,8 +30,8 @@
     pub class: usize,
     pub write: bool,
     pub user: String,
-    pub taken: Tenths,
-    pub expires: Tenths,
+    pub taken: Timestamp,
+    pub expires: Timestamp,
     pub way: RefCell<Way>,
     /// Servers whose attempt began with a command of the connection's own, whose answer comes first.
     pub begun: RefCell<Vec<SocketAddr>>,
@@ -45,7 +46,7 @@
         Some(RequestAttributes { namespace: self.ns, path: &self.key, tenant: &self.user, door: crate::DOOR })
     }
 
-    fn taken(&self) -> Tenths {
+    fn taken(&self) -> Timestamp {
         self.taken
     }
 
@@ -57,7 +58,7 @@
         self.write
     }
 
-    fn expires(&self) -> Tenths {
+    fn expires(&self) -> Timestamp {
         self.expires
     }
 
@@ -76,7 +77,7 @@
         }
     }
 
-    fn write_to<'a>(&'a self, stream: &'a Async<TcpStream>, _left: Tenths) -> Wait<'a, io::Result<()>> {
+    fn write_to<'a>(&'a self, stream: &'a Async<TcpStream>, _left: Span) -> Wait<'a, io::Result<()>> {
         Box::pin(async move {
             let to = stream.get_ref().peer_addr()?;
             let first: &[u8] = {
--- a/crates/simulator-adapter/src/desk.rs
+++ b/crates/simulator-adapter/src/desk.rs
@@ -1,14 +1,15 @@
 //! One instance: its balancer, and the small indices that stand for the wire's names at its door.
 
 use chalkwalk_balancer::{
-    AttemptOutcome, Balancer, Effects, Endpoint, EndpointStatus, RequestId, ServerIndex, Tenths,
+    AttemptOutcome, Balancer, Effects, Endpoint, EndpointStatus, RequestId, ServerIndex,
 };
 use chalkwalk_settings::PlatformSettings;
 use chalkwalk_settings::fields::{Object, Read, flag, list, object, size, text, text_or, whole, whole_or};
+use chalkwalk_time::{Span, Timestamp};
 use serde_json::{Value, json};
 use std::collections::HashMap;
 
-pub const NS_PER_TENTH: u64 = 100_000;
+pub const NANOSECONDS_PER_TICK: u64 = 100_000;
 
 /// Names met so far, in order of appearance.
 #[derive(Default)]
@@ -45,17 +46,23 @@
 }
 
 impl Effects for Pen<'_> {
-    fn start_attempt(&mut self, request_id: RequestId, server: ServerIndex, until: Tenths, _by: Tenths) {
+    fn start_attempt(
+        &mut self,
+        request_id: RequestId,
+        server: ServerIndex,
+        until: Timestamp,
+        _by: Timestamp,
+    ) {
         let (req, node) = (self.wire_ids[&request_id], &self.servers.names[server]);
         self.actions
-            .push(json!({"kind": "ROUTE", "req": req, "node": node, "notPastNs": until * NS_PER_TENTH}));
+            .push(json!({"kind": "ROUTE", "req": req, "node": node, "notPastNs": until.ticks() * NANOSECONDS_PER_TICK}));
     }
     fn cancel_attempt(&mut self, request_id: RequestId, attempt: usize) {
         self.actions
             .push(json!({"kind": "ABORT_ATTEMPT", "req": self.wire_ids[&request_id], "trial": attempt}));
     }
-    fn reject(&mut self, request_id: RequestId, back_in: Tenths) {
-        let (req, wait) = (self.wire_ids[&request_id], back_in * NS_PER_TENTH);
+    fn reject(&mut self, request_id: RequestId, back_in: Span) {
+        let (req, wait) = (self.wire_ids[&request_id], back_in * NANOSECONDS_PER_TICK);
         self.actions.push(json!({"kind": "OVERLOAD_REPLY", "req": req, "retryInNs": wait}));
     }
     fn fail(&mut self, request_id: RequestId) {
@@ -64,8 +71,8 @@
     fn check_health(&mut self, server: ServerIndex) {
         self.actions.push(json!({"kind": "POLL", "node": self.servers.names[server]}));
     }
-    fn set_timer(&mut self, token: u64, after: Tenths) {
-        self.actions.push(json!({"kind": "REMIND", "name": token, "offsetNs": after * NS_PER_TENTH}));
+    fn set_timer(&mut self, token: u64, after: Span) {
+        self.actions.push(json!({"kind": "REMIND", "name": token, "offsetNs": after * NANOSECONDS_PER_TICK}));
     }
     fn watch_endpoints(&mut self) {
         self.actions.push(json!({"kind": "SUBSCRIBE", "active": true}));
@@ -143,7 +150,7 @@
 
     pub fn event(
         &mut self,
-        now: Tenths,
+        now: Timestamp,
         kind: &str,
         event: &Object,
         lists: &HashMap<u64, Vec<Object>>,
@@ -172,7 +179,7 @@
         match kind {
             "DONE" => {
                 let (attempt, reason) = (whole(event, "trial")?, outcome(text(event, "reason")?)?);
-                let took = whole(event, "latencyNs")? / NS_PER_TENTH;
+                let took = whole(event, "latencyNs")? / NANOSECONDS_PER_TICK;
                 let how = match (reason, whole_or(event, "info", 0)?) {
                     (AttemptOutcome::Completed, 1) => AttemptOutcome::CompletedFromCache,
                     (AttemptOutcome::Completed, 2) => AttemptOutcome::CompletedByFetch,
@@ -180,7 +187,14 @@
                 };
                 let finished = flag(event, "finished")?;
                 if let Some((_, request_id)) = request_id {
-                    balancer.attempt_ended(request_id, attempt as usize, how, took, finished, pen);
+                    balancer.attempt_ended(
+                        request_id,
+                        attempt as usize,
+                        how,
+                        Span::from_ticks(took),
+                        finished,
+                        pen,
+                    );
                 }
             }
             "ACCEPTED" => {
@@ -235,10 +249,10 @@
             place_of(&self.settings.tenants, tenant, "project", "tenant")?;
         }
         let key = text_or(event, "routeKey", "")?;
-        let expires = whole(event, "expiresNs")? / NS_PER_TENTH;
+        let expires = whole(event, "expiresNs")? / NANOSECONDS_PER_TICK;
         flag(event, "retry")?;
         let write = flag(event, "isWrite")?;
-        let request_id = self.balancer.accept_request(ns, key, write, expires);
+        let request_id = self.balancer.accept_request(ns, key, write, Timestamp::from_ticks(expires));
         self.request_ids.insert(req, request_id);
         self.wire_ids.insert(request_id, req);
         let mut pen = Pen { servers: &self.servers, wire_ids: &self.wire_ids, actions };
@@ -266,7 +280,7 @@
                     cell: whole_or(e, "cluster", 0)?,
                     size: size(e, "powerHint")?,
                     status: status(text(e, "state")?)?,
-                    born: whole_or(e, "bornNs", 0)? / NS_PER_TENTH,
+                    born: Timestamp::from_ticks(whole_or(e, "bornNs", 0)? / NANOSECONDS_PER_TICK),
                 });
             }
         }
@@ -274,7 +288,7 @@
         match scope {
             "Partial" => self.balancer.update_endpoints(&endpoints, pen),
             "Complete" | "Persisted" => self.balancer.replace_endpoints(&endpoints, pen),
-            "Error" => self.balancer.discovery_call_failed(0, pen),
+            "Error" => self.balancer.discovery_call_failed(Span::ZERO, pen),
             other => return Err(format!("field scope: expected a kind of list, got \"{other}\"")),
         }
         Ok(())
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -4,7 +4,8 @@
 mod desk;
 
 use chalkwalk_settings::fields::{Object, Read, list, object, text, whole};
-use desk::{Desk, NS_PER_TENTH};
+use chalkwalk_time::Timestamp;
+use desk::{Desk, NANOSECONDS_PER_TICK};
 use serde_json::{Value, json};
 use std::collections::HashMap;
 use std::io::{BufRead, Write};
@@ -21,7 +22,7 @@
     fn batch(&mut self, line: &str) -> Read<Value> {
         let batch: Value = serde_json::from_str(line).map_err(|e| format!("not JSON: {e}"))?;
         let batch = object(&batch, "batch")?;
-        let now = whole(batch, "tsNs")? / NS_PER_TENTH;
+        let now = whole(batch, "tsNs")? / NANOSECONDS_PER_TICK;
         let mut groups = Vec::new();
         for group in list(batch, "groups")? {
             let group = object(group, "field groups")?;
@@ -64,7 +65,7 @@
         let undeclared = || format!("field proxy: expected an instance that is up, got {proxy}");
         match self.desks.get_mut(&proxy).ok_or_else(undeclared)? {
             seat if kind == "CRASH_NOW" => *seat = None,
-            Some(desk) => desk.event(now, kind, event, &self.lists, actions)?,
+            Some(desk) => desk.event(Timestamp::from_ticks(now), kind, event, &self.lists, actions)?,
             None => {}
         }
         Ok(())
--- a/crates/slot-map/src/lib.rs
+++ b/crates/slot-map/src/lib.rs
@@ -12,6 +12,3 @@
 pub use meaning::{Meaning, meaning};
 pub use refresh::Refresh;
 pub use way::Way;
-
-/// Whole tenths of a millisecond.
-pub type Tenths = u64;
