--- a/crates/proxy/tests/stored_data.rs
+++ b/crates/proxy/tests/stored_data.rs
@@ -103,7 +103,10 @@
 /// One call of every kind, with one decision of every kind, and both kinds of items, as bytes. The form has no names in it: a
 /// variant or a field in another place reads old captures as something else. Names may be others here; `calls.hex` may not.
 mod calls {
-    use chalkwalk_capture::{Block, Call, Done, Item, Line, MARK, Tape, Told, framed, read};
+    use chalkwalk_capture::{
+        CallBlock, CaptureItem, Decision, Event, FILE_MARK, RecordedCall, RecordedEndpoint, Recorder,
+        encode_item, read,
+    };
     use std::cell::RefCell;
     use std::collections::BTreeMap;
     use std::rc::Rc;
@@ -112,62 +115,86 @@
         BTreeMap::from([("a".to_string(), value.to_string()), ("b".to_string(), "2".to_string())])
     }
 
-    fn line(standing: u8) -> Line {
+    fn line(standing: u8) -> RecordedEndpoint {
         let (id, zone, kind, cell) = ("amber".to_string(), 301, 302, 303);
-        Line { cache: 304, id, zone, kind, cell, size: 305, standing, born: 306 }
+        RecordedEndpoint { server: 304, id, zone, kind, cell, size: 305, status: standing, born: 306 }
     }
 
-    fn calls() -> Vec<Told> {
+    fn calls() -> Vec<Event> {
         vec![
-            Told::Start { seed: 1 << 40, house: settings("start") },
-            Told::Take {
-                ns: 1,
+            Event::Start { seed: 1 << 40, settings: settings("start") },
+            Event::RequestAccepted {
+                class: 1,
                 point: 2,
                 key: "key".into(),
                 write: true,
                 expires: 3,
                 order: Some(vec![4, 5]),
             },
-            Told::Take { ns: 6, point: 7, key: String::new(), write: false, expires: 8, order: None },
-            Told::Ended { lkp: 9, shot: 10, ending: 11, took: 12, finished: true, order: Some(vec![13]) },
-            Told::Ended { lkp: 14, shot: 15, ending: 0, took: 16, finished: false, order: None },
-            Told::Woken(17),
-            Told::Probed { cache: 18, answered: true },
-            Told::Listed { whole: true, lines: vec![line(0), line(1), line(2)] },
-            Told::Lost,
-            Told::Left(19),
-            Told::Limits(settings("limits")),
-            Told::Renewed { lkp: 20, ns: 21, expires: 22 },
-            Told::SharedBy(23),
-            Told::Snapshot { house: settings("snapshot"), words: vec![24, 25], texts: vec!["t".into()] },
-            Told::Barred { id: "birch".into(), out: true, at: 26 },
-            Told::Begun { lkp: 27, shot: 28 },
-            Told::CallFailed { took: 29 },
+            Event::RequestAccepted {
+                class: 6,
+                point: 7,
+                key: String::new(),
+                write: false,
+                expires: 8,
+                order: None,
+            },
+            Event::AttemptEnded {
+                request_id: 9,
+                attempt: 10,
+                outcome: 11,
+                took: 12,
+                finished: true,
+                order: Some(vec![13]),
+            },
+            Event::AttemptEnded {
+                request_id: 14,
+                attempt: 15,
+                outcome: 0,
+                took: 16,
+                finished: false,
+                order: None,
+            },
+            Event::TimerFired(17),
+            Event::HealthCheckFinished { server: 18, answered: true },
+            Event::EndpointsListed { whole: true, lines: vec![line(0), line(1), line(2)] },
+            Event::DiscoveryLost,
+            Event::ClientLeft(19),
+            Event::SettingsChanged(settings("limits")),
+            Event::LimitsRenewed { request_id: 20, class: 21, expires: 22 },
+            Event::ProxyCount(23),
+            Event::Snapshot { settings: settings("snapshot"), words: vec![24, 25], texts: vec!["t".into()] },
+            Event::ServerDisabled { id: "birch".into(), out: true, at: 26 },
+            Event::ResponseStarted { request_id: 27, attempt: 28 },
+            Event::DiscoveryCallFailed { took: 29 },
         ]
     }
 
-    fn decisions() -> Vec<Done> {
+    fn decisions() -> Vec<Decision> {
         vec![
-            Done::Shoot { lkp: 101, cache: 102, until: 103, by: 104 },
-            Done::Withdraw { lkp: 105, shot: 106 },
-            Done::Defer { lkp: 107, back_in: 108 },
-            Done::Abandon(109),
-            Done::Probe(110),
-            Done::Wake { token: 111, after: 112 },
-            Done::Watch,
-            Done::Log { event: "event".into(), cache: "cedar".into() },
-            Done::GiveBack(113),
+            Decision::StartAttempt { request_id: 101, server: 102, until: 103, by: 104 },
+            Decision::CancelAttempt { request_id: 105, attempt: 106 },
+            Decision::Reject { request_id: 107, back_in: 108 },
+            Decision::Fail(109),
+            Decision::CheckHealth(110),
+            Decision::SetTimer { token: 111, after: 112 },
+            Decision::WatchEndpoints,
+            Decision::Log { event: "event".into(), server: "cedar".into() },
+            Decision::ReleaseConnection(113),
         ]
     }
 
-    fn items() -> Vec<Item> {
-        let call = |(nth, told): (usize, Told)| {
+    fn items() -> Vec<CaptureItem> {
+        let call = |(nth, told): (usize, Event)| {
             let done = if nth == 0 { decisions() } else { Vec::new() };
-            Call { after: 200 + nth as u64, told, done }
+            RecordedCall { after: 200 + nth as u64, told, done }
         };
         vec![
-            Item::Calls(Block { from: 199, calls: calls().into_iter().enumerate().map(call).collect() }),
-            Item::Gap(198),
+            CaptureItem::Calls(CallBlock {
+                from: 199,
+                calls: calls().into_iter().enumerate().map(call).collect(),
+            }),
+            CaptureItem::Gap(198),
         ]
     }
 
@@ -180,7 +207,7 @@
     /// Every kind of call, decision and item is written as the committed bytes, and these are read as it.
     #[test]
     fn calls_and_decisions_of_every_kind_are_written_as_the_same_bytes() {
-        let bytes: Vec<u8> = MARK.iter().copied().chain(items().iter().flat_map(framed)).collect();
+        let bytes: Vec<u8> = FILE_MARK.iter().copied().chain(items().iter().flat_map(encode_item)).collect();
         assert_eq!(hex(&bytes), super::text_of("calls.hex"));
         let found = read(&bytes).unwrap();
         assert_eq!((found.items, found.fault), (items(), None));
@@ -189,60 +216,67 @@
     /// How an attempt ended and the state of a server have the same numbers in a capture.
     #[test]
     fn endings_and_states_have_the_same_numbers() {
-        use chalkwalk_policy::{Ending::*, Entry, Standing};
+        use chalkwalk_balancer::{AttemptOutcome::*, Endpoint, EndpointStatus};
         let endings = [
-            Resolved,
-            Held,
-            Fetched,
-            Miss,
-            Wrong,
-            Error,
-            Full,
+            Completed,
+            CompletedFromCache,
+            CompletedByFetch,
+            CacheMiss,
+            InvalidRequest,
+            ServerError,
+            Overloaded,
             TimedOut,
             Unreachable,
-            Broken,
-            Withdrawn,
-            Unsent,
+            ConnectionLost,
+            Cancelled,
+            NotSent,
         ];
-        let bytes = Rc::new(RefCell::new(MARK.to_vec()));
+        let bytes = Rc::new(RefCell::new(FILE_MARK.to_vec()));
         let into = bytes.clone();
         let sink = move |block: Vec<u8>| {
             into.borrow_mut().extend(block);
             true
         };
-        let mut tape = Tape::new(Box::new(sink), true);
+        let mut tape = Recorder::new(Box::new(sink), true);
         endings.into_iter().for_each(|ending| tape.ended(0, 0, 0, ending, 0, true, None));
-        for standing in [Standing::Ready, Standing::Draining, Standing::Gone] {
+        for standing in [EndpointStatus::Ready, EndpointStatus::Draining, EndpointStatus::Gone] {
             let (id, zone, kind, cell) = ("amber", 301, 302, 303);
-            let entry = Entry { cache: 304, id, zone, kind, cell, size: 305, standing, born: 306 };
+            let entry =
+                Endpoint { server: 304, id, zone, kind, cell, size: 305, status: standing, born: 306 };
             tape.listed(0, true, &[entry]);
         }
         tape.flush();
-        let after = |told: Told| Call { after: 0, told, done: Vec::new() };
-        let ended =
-            |ending: u8| Told::Ended { lkp: 0, shot: 0, ending, took: 0, finished: true, order: None };
-        let listed = |standing: u8| Told::Listed { whole: true, lines: vec![line(standing)] };
+        let after = |told: Event| RecordedCall { after: 0, told, done: Vec::new() };
+        let ended = |ending: u8| Event::AttemptEnded {
+            request_id: 0,
+            attempt: 0,
+            outcome: ending,
+            took: 0,
+            finished: true,
+            order: None,
+        };
+        let listed = |standing: u8| Event::EndpointsListed { whole: true, lines: vec![line(standing)] };
         let calls = (0..12).map(ended).chain((0..3).map(listed)).map(after).collect();
-        assert_eq!(read(&bytes.borrow()).unwrap().items, [Item::Calls(Block { from: 0, calls })]);
+        assert_eq!(read(&bytes.borrow()).unwrap().items, [CaptureItem::Calls(CallBlock { from: 0, calls })]);
     }
 
     /// What a process captures of the configuration and of the endpoint list that it was given: every key that the program
     /// reads shows in one or the other.
     pub fn given(capture: &[u8]) -> (BTreeMap<String, String>, String) {
         let calls = read(capture).unwrap().items.into_iter().flat_map(|item| match item {
-            Item::Calls(block) => block.calls,
-            Item::Gap(_) => Vec::new(),
+            CaptureItem::Calls(block) => block.calls,
+            CaptureItem::Gap(_) => Vec::new(),
         });
         let (mut settings, mut listed) = (BTreeMap::new(), Vec::new());
         for call in calls {
             match call.told {
-                Told::Start { seed, mut house } => {
-                    house.insert("the seed".into(), seed.to_string());
-                    settings = house;
+                Event::Start { seed, settings: mut given } => {
+                    given.insert("the seed".into(), seed.to_string());
+                    settings = given;
                 }
-                Told::Listed { .. } => {
-                    let calls = vec![Call { after: 0, told: call.told, done: Vec::new() }];
-                    listed.push(hex(&framed(&Item::Calls(Block { from: 0, calls }))));
+                Event::EndpointsListed { .. } => {
+                    let calls = vec![RecordedCall { after: 0, told: call.told, done: Vec::new() }];
+                    listed.push(hex(&encode_item(&CaptureItem::Calls(CallBlock { from: 0, calls }))));
                 }
                 _ => {}
             }
