--- a/crates/proxy/tests/stored_data.rs
+++ b/crates/proxy/tests/stored_data.rs
@@ -107,6 +107,7 @@
         CallBlock, CaptureItem, Decision, Event, FILE_MARK, RecordedCall, RecordedEndpoint, Recorder,
         encode_item, read,
     };
+    use chalkwalk_time::{Span, Timestamp};
     use std::cell::RefCell;
     use std::collections::BTreeMap;
     use std::rc::Rc;
@@ -117,7 +118,16 @@
 
     fn line(standing: u8) -> RecordedEndpoint {
         let (id, zone, kind, cell) = ("amber".to_string(), 301, 302, 303);
-        RecordedEndpoint { server: 304, id, zone, kind, cell, size: 305, status: standing, born: 306 }
+        RecordedEndpoint {
+            server: 304,
+            id,
+            zone,
+            kind,
+            cell,
+            size: 305,
+            status: standing,
+            born: Timestamp::from_ticks(306),
+        }
     }
 
     fn calls() -> Vec<Event> {
@@ -128,7 +138,7 @@
                 point: 2,
                 key: "key".into(),
                 write: true,
-                expires: 3,
+                expires: Timestamp::from_ticks(3),
                 order: Some(vec![4, 5]),
             },
             Event::RequestAccepted {
@@ -136,14 +146,14 @@
                 point: 7,
                 key: String::new(),
                 write: false,
-                expires: 8,
+                expires: Timestamp::from_ticks(8),
                 order: None,
             },
             Event::AttemptEnded {
                 request_id: 9,
                 attempt: 10,
                 outcome: 11,
-                took: 12,
+                took: Span::from_ticks(12),
                 finished: true,
                 order: Some(vec![13]),
             },
@@ -151,7 +161,7 @@
                 request_id: 14,
                 attempt: 15,
                 outcome: 0,
-                took: 16,
+                took: Span::from_ticks(16),
                 finished: false,
                 order: None,
             },
@@ -161,23 +171,28 @@
             Event::DiscoveryLost,
             Event::ClientLeft(19),
             Event::SettingsChanged(settings("limits")),
-            Event::LimitsRenewed { request_id: 20, class: 21, expires: 22 },
+            Event::LimitsRenewed { request_id: 20, class: 21, expires: Timestamp::from_ticks(22) },
             Event::ProxyCount(23),
             Event::Snapshot { settings: settings("snapshot"), words: vec![24, 25], texts: vec!["t".into()] },
-            Event::ServerDisabled { id: "birch".into(), out: true, at: 26 },
+            Event::ServerDisabled { id: "birch".into(), out: true, at: Timestamp::from_ticks(26) },
             Event::ResponseStarted { request_id: 27, attempt: 28 },
-            Event::DiscoveryCallFailed { took: 29 },
+            Event::DiscoveryCallFailed { took: Span::from_ticks(29) },
         ]
     }
 
     fn decisions() -> Vec<Decision> {
         vec![
-            Decision::StartAttempt { request_id: 101, server: 102, until: 103, by: 104 },
+            Decision::StartAttempt {
+                request_id: 101,
+                server: 102,
+                until: Timestamp::from_ticks(103),
+                by: Timestamp::from_ticks(104),
+            },
             Decision::CancelAttempt { request_id: 105, attempt: 106 },
-            Decision::Reject { request_id: 107, back_in: 108 },
+            Decision::Reject { request_id: 107, back_in: Span::from_ticks(108) },
             Decision::Fail(109),
             Decision::CheckHealth(110),
-            Decision::SetTimer { token: 111, after: 112 },
+            Decision::SetTimer { token: 111, after: Span::from_ticks(112) },
             Decision::WatchEndpoints,
             Decision::Log { event: "event".into(), server: "cedar".into() },
             Decision::ReleaseConnection(113),
@@ -187,11 +202,11 @@
     fn items() -> Vec<CaptureItem> {
         let call = |(nth, told): (usize, Event)| {
             let done = if nth == 0 { decisions() } else { Vec::new() };
-            RecordedCall { after: 200 + nth as u64, told, done }
+            RecordedCall { after: Span::from_ticks(200 + nth as u64), told, done }
         };
         vec![
             CaptureItem::Calls(CallBlock {
-                from: 199,
+                from: Timestamp::from_ticks(199),
                 calls: calls().into_iter().enumerate().map(call).collect(),
             }),
             CaptureItem::Gap(198),
@@ -238,26 +253,39 @@
             true
         };
         let mut tape = Recorder::new(Box::new(sink), true);
-        endings.into_iter().for_each(|ending| tape.ended(0, 0, 0, ending, 0, true, None));
+        endings
+            .into_iter()
+            .for_each(|ending| tape.ended(Timestamp::ZERO, 0, 0, ending, Span::ZERO, true, None));
         for standing in [EndpointStatus::Ready, EndpointStatus::Draining, EndpointStatus::Gone] {
             let (id, zone, kind, cell) = ("amber", 301, 302, 303);
-            let entry =
-                Endpoint { server: 304, id, zone, kind, cell, size: 305, status: standing, born: 306 };
-            tape.listed(0, true, &[entry]);
+            let entry = Endpoint {
+                server: 304,
+                id,
+                zone,
+                kind,
+                cell,
+                size: 305,
+                status: standing,
+                born: Timestamp::from_ticks(306),
+            };
+            tape.listed(Timestamp::ZERO, true, &[entry]);
         }
         tape.flush();
-        let after = |told: Event| RecordedCall { after: 0, told, done: Vec::new() };
+        let after = |told: Event| RecordedCall { after: Span::ZERO, told, done: Vec::new() };
         let ended = |ending: u8| Event::AttemptEnded {
             request_id: 0,
             attempt: 0,
             outcome: ending,
-            took: 0,
+            took: Span::ZERO,
             finished: true,
             order: None,
         };
         let listed = |standing: u8| Event::EndpointsListed { whole: true, lines: vec![line(standing)] };
         let calls = (0..12).map(ended).chain((0..3).map(listed)).map(after).collect();
-        assert_eq!(read(&bytes.borrow()).unwrap().items, [CaptureItem::Calls(CallBlock { from: 0, calls })]);
+        assert_eq!(
+            read(&bytes.borrow()).unwrap().items,
+            [CaptureItem::Calls(CallBlock { from: Timestamp::ZERO, calls })]
+        );
     }
 
     /// What a process captures of the configuration and of the endpoint list that it was given: every key that the program
@@ -275,8 +303,11 @@
                     settings = given;
                 }
                 Event::EndpointsListed { .. } => {
-                    let calls = vec![RecordedCall { after: 0, told: call.told, done: Vec::new() }];
-                    listed.push(hex(&encode_item(&CaptureItem::Calls(CallBlock { from: 0, calls }))));
+                    let calls = vec![RecordedCall { after: Span::ZERO, told: call.told, done: Vec::new() }];
+                    listed.push(hex(&encode_item(&CaptureItem::Calls(CallBlock {
+                        from: Timestamp::ZERO,
+                        calls,
+                    }))));
                 }
                 _ => {}
             }
