--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -5,7 +5,7 @@
 //! of a request's.
 
 use chalkwalk_http1 as http1;
-use chalkwalk_sockets::{Room, more, wait_until, within, write_all};
+use chalkwalk_sockets::{MemoryBudget, more, wait_until, within, write_all};
 use percent_encoding::percent_decode_str;
 use smol::channel::{Sender, bounded};
 use smol::future::FutureExt;
@@ -118,7 +118,7 @@
     let mut rest = Vec::new();
     let end = Instant::now() + SLOWEST;
     // A call has no body to speak of.
-    let (longest, room) = (1024, Room::new(0));
+    let (longest, room) = (1024, MemoryBudget::new(0));
     let taking = http1::Taking { head_by: end, longest, room: &room };
     let message = wait_until(end, http1::question(stream, &mut rest, taking)).await.unwrap_or(Err(408))?;
     Ok((message.word(&message.method).to_string(), message.word(&message.target).to_string()))
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -11,7 +11,7 @@
 use crate::response::HealthCheck;
 use crate::violations::{Refused, Violations};
 use chalkwalk_capture::Recorder;
-use chalkwalk_sockets::{Room, wait_until};
+use chalkwalk_sockets::{MemoryBudget, wait_until};
 use chalkwalk_time::{Span, Timestamp};
 use slog::Logger;
 use smol::LocalExecutor;
@@ -25,7 +25,7 @@
     pub clock: Clock,
     pub budget: DescriptorBudget,
     /// For long answers.
-    pub room: Room,
+    pub room: MemoryBudget,
     pub lifecycle: Lifecycle,
     pub requests: RefCell<RequestTable>,
     pub pool: ConnectionPool,
@@ -74,7 +74,7 @@
             budget: DescriptorBudget::new(rules.descriptors),
             // A third of the memory: the rest of the proxy needs a few megabytes, and as much again is the system's for
             // what is on its way.
-            room: Room::new(rules.memory / 3),
+            room: MemoryBudget::new(rules.memory / 3),
             lifecycle: Lifecycle::default(),
             requests: RefCell::new(requests),
             pool: ConnectionPool::new(rules.idle_time),
--- a/crates/engine/src/response.rs
+++ b/crates/engine/src/response.rs
@@ -2,7 +2,7 @@
 
 use chalkwalk_balancer::AttemptOutcome;
 use chalkwalk_limits::RequestAttributes;
-use chalkwalk_sockets::Held;
+use chalkwalk_sockets::MemoryReservation;
 use chalkwalk_time::{Span, Timestamp};
 use smol::Async;
 use smol::channel::Receiver;
@@ -28,7 +28,7 @@
     pub kind: String,
     pub body: Vec<u8>,
     /// Its part of the room for long answers.
-    pub held: Option<Held>,
+    pub held: Option<MemoryReservation>,
     /// What comes after the body that is here, where it is longer than is read whole.
     pub flow: Option<BodyStream>,
 }
--- a/crates/http-frontend/src/relay.rs
+++ b/crates/http-frontend/src/relay.rs
@@ -3,7 +3,7 @@
 use crate::servers::seconds;
 use chalkwalk_engine::response::{BodyStream, Response, ResponseStatus};
 use chalkwalk_http1::reason;
-use chalkwalk_sockets::{Held, more, within, write_all};
+use chalkwalk_sockets::{MemoryReservation, more, within, write_all};
 use chalkwalk_time::Span;
 use smol::Async;
 use std::net::{Shutdown, TcpStream};
@@ -15,7 +15,7 @@
     back_in: Option<Span>,
     kind: String,
     body: Vec<u8>,
-    _held: Option<Held>,
+    _held: Option<MemoryReservation>,
     flow: Option<Box<BodyStream>>,
 }
 
--- a/crates/http-frontend/src/servers.rs
+++ b/crates/http-frontend/src/servers.rs
@@ -6,7 +6,7 @@
     ClientRequest, HealthCheck, Response, ResponseBody, ResponseStatus, ServerResponse, Wait,
 };
 use chalkwalk_http1::{self as http1, Answering};
-use chalkwalk_sockets::{Held, Room, quiet, wait_until, write_all};
+use chalkwalk_sockets::{MemoryBudget, MemoryReservation, quiet, wait_until, write_all};
 use chalkwalk_time::{Span, TICKS_PER_SECOND, Timestamp};
 use smol::Async;
 use std::io;
@@ -82,7 +82,11 @@
 
 /// What a server's answer says of the attempt. One of up to 64 KiB is read whole, so that one that breaks off can be asked for
 /// elsewhere; a longer one is passed on from its first bytes on.
-async fn read(mut answering: Answering, stream: &Async<TcpStream>, room: &Room) -> Option<ServerResponse> {
+async fn read(
+    mut answering: Answering,
+    stream: &Async<TcpStream>,
+    room: &MemoryBudget,
+) -> Option<ServerResponse> {
     let message = &answering.message;
     let turned_away = message.field("X-Unprocessed").is_some_and(|v| v == "1");
     let outcome = match message.status {
@@ -139,7 +143,7 @@
     if whole {
         return Some(ServerResponse { outcome, answer, keep, rest: None });
     }
-    let held = room.take(PART.0 * PART.1, usize::MAX);
+    let held = room.try_reserve(PART.0 * PART.1, usize::MAX);
     if held.is_some() {
         answering.most = PART.0;
     }
@@ -152,7 +156,7 @@
 struct Flowing {
     answering: Answering,
     left: usize, // bytes that may still come
-    _held: Option<Held>,
+    _held: Option<MemoryReservation>,
 }
 
 impl ResponseBody for Flowing {
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -5,7 +5,7 @@
 
 pub use body::{Answering, Body};
 
-use chalkwalk_sockets::{Held, Room, more, more_of, wait_until, within, write_all};
+use chalkwalk_sockets::{MemoryBudget, MemoryReservation, more, more_of, wait_until, within, write_all};
 use smol::{Async, Timer};
 use std::io;
 use std::net::{SocketAddr, TcpStream};
@@ -42,7 +42,7 @@
     /// Of HTTP/1.0, which knows no chunks.
     pub old: bool,
     /// Its part of the room for long bodies.
-    pub held: Vec<Held>,
+    pub held: Vec<MemoryReservation>,
     fields: Vec<(Range<usize>, Range<usize>)>,
 }
 
@@ -191,7 +191,7 @@
     /// The longest body, in bytes.
     pub longest: usize,
     /// For bodies of over 64 KiB: one is not read further while there is none.
-    pub room: &'a Room,
+    pub room: &'a MemoryBudget,
 }
 
 /// A body waits for room no longer: its client is better told to come again.
@@ -199,10 +199,10 @@
 /// How often room is asked for: short beside what a long body takes to come.
 const ASK_ROOM: Duration = Duration::from_millis(5);
 
-async fn room_for(room: &Room, bytes: usize) -> Result<Held, Fault> {
+async fn room_for(room: &MemoryBudget, bytes: usize) -> Result<MemoryReservation, Fault> {
     let wait = async {
         loop {
-            match room.take(bytes, usize::MAX) {
+            match room.try_reserve(bytes, usize::MAX) {
                 Some(held) => return held,
                 None => _ = Timer::after(ASK_ROOM).await,
             }
@@ -345,8 +345,8 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let mut client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
         let stream = Async::new(listener.accept().unwrap().0).unwrap();
-        let (room, mut rest) = (Room::new(1 << 20), Vec::new());
-        let taken = room.take(1 << 20, usize::MAX);
+        let (room, mut rest) = (MemoryBudget::new(1 << 20), Vec::new());
+        let taken = room.try_reserve(1 << 20, usize::MAX);
         let writing = std::thread::spawn(move || {
             let chunk = format!("10000\r\n{}\r\n", "v".repeat(1 << 16));
             let head = "PUT /k HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
--- a/crates/sockets/src/lib.rs
+++ b/crates/sockets/src/lib.rs
@@ -68,17 +68,17 @@
 
 /// How many bytes all long messages may hold together, from their head until they are passed on.
 #[derive(Clone)]
-pub struct Room(Rc<Cell<usize>>, usize);
+pub struct MemoryBudget(Rc<Cell<usize>>, usize);
 
 /// A part of the room, given back when it goes.
-pub struct Held {
-    room: Room,
+pub struct MemoryReservation {
+    room: MemoryBudget,
     bytes: usize,
 }
 
-impl Room {
-    pub fn new(bytes: usize) -> Room {
-        Room(Rc::new(Cell::new(bytes)), bytes)
+impl MemoryBudget {
+    pub fn new(bytes: usize) -> MemoryBudget {
+        MemoryBudget(Rc::new(Cell::new(bytes)), bytes)
     }
 
     /// All of it, in bytes.
@@ -87,14 +87,14 @@
     }
 
     /// Takes so many bytes, unless that is more than `longest` or than is left.
-    pub fn take(&self, bytes: usize, longest: usize) -> Option<Held> {
+    pub fn try_reserve(&self, bytes: usize, longest: usize) -> Option<MemoryReservation> {
         let left = self.0.get().checked_sub(bytes).filter(|_| bytes <= longest)?;
         self.0.set(left);
-        Some(Held { room: self.clone(), bytes })
+        Some(MemoryReservation { room: self.clone(), bytes })
     }
 }
 
-impl Drop for Held {
+impl Drop for MemoryReservation {
     fn drop(&mut self) {
         self.room.0.set(self.room.0.get() + self.bytes);
     }
