--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -5,7 +5,7 @@
 //! of a request's.
 
 use chalkwalk_http1 as http1;
-use chalkwalk_sockets::{MemoryBudget, more, wait_until, within, write_all};
+use chalkwalk_sockets::{MemoryBudget, read_more, wait_until, within, write_all};
 use percent_encoding::percent_decode_str;
 use smol::channel::{Sender, bounded};
 use smol::future::FutureExt;
@@ -163,7 +163,7 @@
     }
     _ = stream.get_ref().shutdown(Shutdown::Write);
     let mut dropped = Vec::new();
-    while let Ok(1..) = more(stream, &mut dropped).await {
+    while let Ok(1..) = read_more(stream, &mut dropped).await {
         dropped.clear();
     }
 }
--- a/crates/discovery/src/call.rs
+++ b/crates/discovery/src/call.rs
@@ -4,7 +4,7 @@
 use crate::terms;
 use chalkwalk_balancer::discovery::GIVE_UP_CONNECTING;
 use chalkwalk_http1::{self as http1, Answering};
-use chalkwalk_sockets::{quiet, within};
+use chalkwalk_sockets::{is_idle, within};
 use chalkwalk_time::Span;
 use smol::Async;
 use std::cell::Cell;
@@ -77,7 +77,7 @@
 
 /// One call; where a kept link turns out to be closed meanwhile, on a new one.
 async fn call(source: &Source, link: &Link, target: &str) -> Said {
-    if let Some(kept) = link.take().filter(quiet)
+    if let Some(kept) = link.take().filter(is_idle)
         && let Ok(said) = ask(source, kept, link, target).await
     {
         return said;
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -3,7 +3,7 @@
 
 use crate::budget::Permit;
 use chalkwalk_balancer::ServerIndex;
-use chalkwalk_sockets::quiet;
+use chalkwalk_sockets::is_idle;
 use smol::{Async, Timer};
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -88,7 +88,7 @@
     }
 
     fn usable(&self, conn: &ServerConnection) -> bool {
-        conn.since.elapsed() < self.longest && quiet(&conn.stream)
+        conn.since.elapsed() < self.longest && is_idle(&conn.stream)
     }
 
     pub fn put(&self, server: ServerIndex, conn: ServerConnection) {
--- a/crates/http-frontend/src/clients.rs
+++ b/crates/http-frontend/src/clients.rs
@@ -8,7 +8,7 @@
 use chalkwalk_engine::budget::Permit;
 use chalkwalk_engine::engine::ClientConnection;
 use chalkwalk_engine::lifecycle::Phase;
-use chalkwalk_sockets::quiet;
+use chalkwalk_sockets::is_idle;
 use chalkwalk_time::{Span, Timestamp};
 use slog::warn;
 use smol::future::FutureExt;
@@ -90,7 +90,7 @@
     let mut opened = Some(Instant::now());
     // What is there already may have waited for as long as the connection did: that much less time is left to it. It is
     // whole then, and what is still on its way has not waited.
-    let (mut waited, welcomed) = (!quiet(&stream), engine.clock.now());
+    let (mut waited, welcomed) = (!is_idle(&stream), engine.clock.now());
     loop {
         let message = match take_in(&open, &stream, &mut rest, opened.take()).await {
             Ok(Some(message)) => message,
--- a/crates/http-frontend/src/relay.rs
+++ b/crates/http-frontend/src/relay.rs
@@ -3,7 +3,7 @@
 use crate::servers::seconds;
 use chalkwalk_engine::response::{BodyStream, Response, ResponseStatus};
 use chalkwalk_http1::reason;
-use chalkwalk_sockets::{MemoryReservation, more, within, write_all};
+use chalkwalk_sockets::{MemoryReservation, read_more, within, write_all};
 use chalkwalk_time::Span;
 use smol::Async;
 use std::net::{Shutdown, TcpStream};
@@ -131,7 +131,7 @@
 async fn linger(stream: &Async<TcpStream>) {
     let drained = async {
         let (mut dropped, mut buf) = (0, Vec::new());
-        while let Ok(n @ 1..) = more(stream, &mut buf).await {
+        while let Ok(n @ 1..) = read_more(stream, &mut buf).await {
             dropped += n;
             buf.clear();
             if dropped > LINGER.1 {
--- a/crates/http-frontend/src/route.rs
+++ b/crates/http-frontend/src/route.rs
@@ -5,7 +5,7 @@
 use chalkwalk_balancer::admission::Violation;
 use chalkwalk_engine::engine::Engine;
 use chalkwalk_engine::flow;
-use chalkwalk_sockets::more;
+use chalkwalk_sockets::read_more;
 use slog::warn;
 use smol::future::FutureExt;
 use smol::{Async, Timer};
@@ -34,7 +34,7 @@
         Some(Reply::bare(500))
     };
     let gone = async {
-        let came = matches!(more(stream, rest).await, Ok(1..));
+        let came = matches!(read_more(stream, rest).await, Ok(1..));
         flow::client_left(engine, request_id);
         came.then(|| Reply::bare(400))
     };
--- a/crates/http-frontend/src/servers.rs
+++ b/crates/http-frontend/src/servers.rs
@@ -6,7 +6,7 @@
     ClientRequest, HealthCheck, Response, ResponseBody, ResponseStatus, ServerResponse, Wait,
 };
 use chalkwalk_http1::{self as http1, Answering};
-use chalkwalk_sockets::{MemoryBudget, MemoryReservation, quiet, wait_until, write_all};
+use chalkwalk_sockets::{MemoryBudget, MemoryReservation, is_idle, wait_until, write_all};
 use chalkwalk_time::{Span, TICKS_PER_SECOND, Timestamp};
 use smol::Async;
 use std::io;
@@ -45,7 +45,7 @@
 
     /// Nothing comes from a client that waits: its end and what it sends ahead of the answer both end the request.
     fn awaited(&self) -> bool {
-        self.client.upgrade().is_some_and(|client| quiet(&client))
+        self.client.upgrade().is_some_and(|client| is_idle(&client))
     }
 
     fn write_to<'a>(&'a self, stream: &'a Async<TcpStream>, left: Span) -> Wait<'a, io::Result<()>> {
--- a/crates/http-frontend/src/take_in.rs
+++ b/crates/http-frontend/src/take_in.rs
@@ -2,7 +2,7 @@
 
 use chalkwalk_engine::engine::ClientConnection;
 use chalkwalk_http1::{self as http1, Fault, Message, Taking};
-use chalkwalk_sockets::{more, quiet, wait_until, within};
+use chalkwalk_sockets::{is_idle, read_more, wait_until, within};
 use smol::Async;
 use smol::channel::bounded;
 use smol::future::FutureExt;
@@ -43,14 +43,14 @@
     opened: Option<Instant>,
 ) -> bool {
     if opened.is_some()
-        && let Some(got) = within(FRESH, more(stream, rest)).await
+        && let Some(got) = within(FRESH, read_more(stream, rest)).await
     {
         return matches!(got, Ok(1..));
     }
     let (close, closed) = bounded(1);
     let turn = open.engine.budget.idles(close, opened.is_none());
     let end = opened.map_or_else(|| Instant::now() + IDLE, |at| at + SLOWEST);
-    let begun = async { matches!(more(stream, rest).await, Ok(1..)) };
+    let begun = async { matches!(read_more(stream, rest).await, Ok(1..)) };
     let made_way = async {
         _ = closed.recv().await;
         false
@@ -62,5 +62,5 @@
     let begun = wait_until(end, begun.or(made_way).or(leaving)).await.unwrap_or(false);
     open.engine.budget.busy(turn);
     // What has come by the moment of closing is still taken.
-    begun || (!quiet(stream) && matches!(more(stream, rest).await, Ok(1..)))
+    begun || (!is_idle(stream) && matches!(read_more(stream, rest).await, Ok(1..)))
 }
--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -1,7 +1,7 @@
 //! A body part by part, as it comes: for answers that are longer than is read whole.
 
 use crate::{Fault, Form, Head, Message, head_of};
-use chalkwalk_sockets::more_of;
+use chalkwalk_sockets::read_up_to;
 use smol::Async;
 use std::net::TcpStream;
 
@@ -147,7 +147,7 @@
             if self.body.ended() {
                 return Ok(None);
             }
-            match more_of(stream, &mut self.rest, self.most).await {
+            match read_up_to(stream, &mut self.rest, self.most).await {
                 Ok(0) if self.body.at == At::Open => self.body.close(),
                 Ok(1..) => {}
                 _ => return Err(502),
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -5,7 +5,9 @@
 
 pub use body::{Answering, Body};
 
-use chalkwalk_sockets::{MemoryBudget, MemoryReservation, more, more_of, wait_until, within, write_all};
+use chalkwalk_sockets::{
+    MemoryBudget, MemoryReservation, read_more, read_up_to, wait_until, within, write_all,
+};
 use smol::{Async, Timer};
 use std::io;
 use std::net::{SocketAddr, TcpStream};
@@ -175,7 +177,7 @@
                 return Ok(head);
             }
             rest.drain(..head.len);
-        } else if !matches!(more(stream, rest).await, Ok(1..)) {
+        } else if !matches!(read_more(stream, rest).await, Ok(1..)) {
             return Err(if question { 400 } else { 502 });
         }
     }
@@ -256,7 +258,7 @@
             continue;
         }
         let Some(taking) = &question else {
-            match more(stream, rest).await {
+            match read_more(stream, rest).await {
                 Ok(0) if form == Form::ToTheEnd => body.close(),
                 Ok(1..) => {}
                 _ => return Err(broken),
@@ -272,7 +274,7 @@
         }
         let (grace, pace) = SLOWEST_BODY;
         let due = begun + grace + Duration::from_millis(1000 * taken as u64 / pace);
-        match wait_until(due, more_of(stream, rest, MOST_READ)).await {
+        match wait_until(due, read_up_to(stream, rest, MOST_READ)).await {
             Some(Ok(1..)) => {}
             Some(_) => return Err(broken),
             None => return Err(408),
--- a/crates/resp-frontend/src/clients.rs
+++ b/crates/resp-frontend/src/clients.rs
@@ -16,7 +16,7 @@
 use chalkwalk_limits::RequestAttributes;
 use chalkwalk_resp::{Bounds, Fault, Frame, Kind as Type, Reader, Writer};
 use chalkwalk_slot_map::Way;
-use chalkwalk_sockets::{more, within, write_all};
+use chalkwalk_sockets::{read_more, within, write_all};
 use chalkwalk_time::TICKS_PER_MILLISECOND;
 use slog::warn;
 use smol::channel::{Receiver, Sender, bounded, unbounded};
@@ -314,7 +314,7 @@
                     buf = Vec::new();
                     _ = self.stream.readable().await;
                 }
-                more(self.stream, &mut buf).await.unwrap_or(0) > 0
+                read_more(self.stream, &mut buf).await.unwrap_or(0) > 0
             };
             let gone = async {
                 let told = async { closed_for_others(engine, used).await };
--- a/crates/resp-frontend/src/cluster.rs
+++ b/crates/resp-frontend/src/cluster.rs
@@ -6,7 +6,7 @@
 use chalkwalk_engine::members::ListedEndpoint;
 use chalkwalk_resp::{Bounds, Kind, Reader, Writer};
 use chalkwalk_slot_map::View;
-use chalkwalk_sockets::{more, within, write_all};
+use chalkwalk_sockets::{read_more, within, write_all};
 use chalkwalk_time::Timestamp;
 use slog::{info, warn};
 use smol::{Async, Timer};
@@ -108,7 +108,7 @@
         if let Some((frames, _)) = reader.pull(&buf).map_err(|f| f.0.to_string())? {
             break frames;
         }
-        if more(&stream, &mut buf).await.map_err(|e| e.to_string())? == 0 {
+        if read_more(&stream, &mut buf).await.map_err(|e| e.to_string())? == 0 {
             return Err("it closed".into());
         }
     };
--- a/crates/resp-frontend/src/request.rs
+++ b/crates/resp-frontend/src/request.rs
@@ -9,7 +9,7 @@
 use chalkwalk_limits::RequestAttributes;
 use chalkwalk_resp::{Bounds, Frame, Kind, Reader, Writer};
 use chalkwalk_slot_map::{Meaning, SLOTS, Way, meaning};
-use chalkwalk_sockets::{more, write_all};
+use chalkwalk_sockets::{read_more, write_all};
 use chalkwalk_time::{Span, Timestamp};
 use smol::Async;
 use std::cell::RefCell;
@@ -119,7 +119,7 @@
         if let Some(whole) = reader.pull(&buf[from..]).ok()? {
             return Some(whole);
         }
-        if more(stream, buf).await.ok()? == 0 {
+        if read_more(stream, buf).await.ok()? == 0 {
             return None;
         }
     }
--- a/crates/sockets/src/lib.rs
+++ b/crates/sockets/src/lib.rs
@@ -26,14 +26,14 @@
 const MOST_READ: usize = 16 << 10;
 
 /// Reads some more into the buffer; `Ok(0)` is the end. Dropped while it waits, it leaves the buffer as it was.
-pub async fn more(stream: &Async<TcpStream>, buf: &mut Vec<u8>) -> io::Result<usize> {
+pub async fn read_more(stream: &Async<TcpStream>, buf: &mut Vec<u8>) -> io::Result<usize> {
     // A page at a time, as heads fit; what is longer already is read in longer parts.
     let most = if buf.len() < 4096 { 4096 } else { MOST_READ };
-    more_of(stream, buf, most).await
+    read_up_to(stream, buf, most).await
 }
 
 /// The same, so many bytes at most.
-pub async fn more_of(stream: &Async<TcpStream>, buf: &mut Vec<u8>, most: usize) -> io::Result<usize> {
+pub async fn read_up_to(stream: &Async<TcpStream>, buf: &mut Vec<u8>, most: usize) -> io::Result<usize> {
     loop {
         let old = buf.len();
         buf.resize(old + most, 0);
@@ -61,7 +61,7 @@
 }
 
 /// Whether nothing has come on a connection that nothing should come on.
-pub fn quiet(stream: &Async<TcpStream>) -> bool {
+pub fn is_idle(stream: &Async<TcpStream>) -> bool {
     let mut one = [0];
     matches!(stream.get_ref().peek(&mut one), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
 }
