--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -121,7 +121,7 @@
     let (longest, room) = (1024, MemoryBudget::new(0));
     let taking = http1::Taking { head_by: end, longest, room: &room };
     let message = wait_until(end, http1::question(stream, &mut rest, taking)).await.unwrap_or(Err(408))?;
-    Ok((message.word(&message.method).to_string(), message.word(&message.target).to_string()))
+    Ok((message.text(&message.method).to_string(), message.text(&message.target).to_string()))
 }
 
 async fn answer(controls: Rc<dyn Controls>, (method, target): &(String, String)) -> (u16, &'static str) {
--- a/crates/http-frontend/src/admit.rs
+++ b/crates/http-frontend/src/admit.rs
@@ -21,7 +21,7 @@
 
 /// Whose request it is, where that is told.
 fn tenant(message: &Message) -> &str {
-    let facts = message.field("X-Facts").unwrap_or("");
+    let facts = message.header("X-Facts").unwrap_or("");
     facts.split(',').find_map(|fact| fact.trim().strip_prefix("tenant=")).unwrap_or("")
 }
 
@@ -51,26 +51,26 @@
 ) -> Result<HttpRequest, Reply> {
     let wrong = |status| Err(Reply::bare(status));
     let engine = &door.engine;
-    let target = message.word(&message.target);
+    let target = message.text(&message.target);
     let path = target.split('?').next().unwrap_or("");
-    let method = message.word(&message.method);
+    let method = message.text(&message.method);
     if path == "/up" && method == "GET" {
         return wrong(if engine.lifecycle.usable() { 200 } else { 503 });
     }
     if !matches!(method, "GET" | "PUT") {
         return wrong(405);
     }
-    let Some(namespace) = message.field("X-Service-Class") else { return wrong(404) };
-    if message.field("X-Correlation-Id").is_none_or(str::is_empty) {
+    let Some(namespace) = message.header("X-Service-Class") else { return wrong(404) };
+    if message.header("X-Correlation-Id").is_none_or(str::is_empty) {
         return wrong(400);
     }
     let Some(ns) = door.namespaces.borrow().iter().position(|n| n == namespace) else {
         return wrong(400);
     };
-    if message.doubled(&KEY_FIELDS) {
+    if message.has_duplicate(&KEY_FIELDS) {
         return wrong(400);
     }
-    let Some(left) = message.field("X-Time-Left").and_then(time_left) else { return wrong(400) };
+    let Some(left) = message.header("X-Time-Left").and_then(time_left) else { return wrong(400) };
     let place = RequestAttributes { namespace: ns, path, tenant: tenant(&message), door: DOOR };
     let ClassLimits { class, time_limit, longest_body } = engine.classes.find(place);
     if message.body.len() as u64 > longest_body {
@@ -81,7 +81,7 @@
     let start = message.target.start + path.rfind('/').map_or(0, |slash| slash + 1);
     let key = start..message.target.start + path.len();
     let write = method == "PUT";
-    let id = message.bytes("X-Correlation-Id").unwrap_or_default().to_vec();
+    let id = message.header_bytes("X-Correlation-Id").unwrap_or_default().to_vec();
     let Some(open) = door.open_ids.open(id) else { return wrong(409) };
     let generation = engine.classes.generation();
     Ok(HttpRequest {
@@ -101,7 +101,7 @@
 
 impl HttpRequest {
     pub fn place(&self) -> RequestAttributes<'_> {
-        let target = self.message.word(&self.message.target);
+        let target = self.message.text(&self.message.target);
         let path = target.split('?').next().unwrap_or("");
         RequestAttributes { namespace: self.ns, path, tenant: tenant(&self.message), door: DOOR }
     }
--- a/crates/http-frontend/src/clients.rs
+++ b/crates/http-frontend/src/clients.rs
@@ -104,7 +104,7 @@
             _ = std::mem::replace(&mut permit, place);
             taken = true;
         }
-        let (close, old) = (message.close || !taken, message.old);
+        let (close, old) = (message.close || !taken, message.is_http10);
         let answer = match admit(&door, message, came, &stream) {
             // More at once than one request: none of it is taken.
             _ if !rest.is_empty() => Reply::bare(400),
--- a/crates/http-frontend/src/servers.rs
+++ b/crates/http-frontend/src/servers.rs
@@ -32,7 +32,7 @@
     }
 
     fn key(&self) -> &str {
-        self.message.word(&self.key)
+        self.message.text(&self.key)
     }
 
     fn write(&self) -> bool {
@@ -51,9 +51,9 @@
     fn write_to<'a>(&'a self, stream: &'a Async<TcpStream>, left: Span) -> Wait<'a, io::Result<()>> {
         Box::pin(async move {
             let (m, time_left) = (&self.message, seconds(left));
-            let mut parts: Vec<&[u8]> = vec![m.part(&m.method), b" ", m.part(&m.target), b" HTTP/1.1\r\n"];
+            let mut parts: Vec<&[u8]> = vec![m.slice(&m.method), b" ", m.slice(&m.target), b" HTTP/1.1\r\n"];
             for name in ["Host", "X-Correlation-Id", "Idempotency-Key", "Content-Type"] {
-                if let Some(value) = m.bytes(name) {
+                if let Some(value) = m.header_bytes(name) {
                     parts.extend([name.as_bytes(), b": ", value, b"\r\n"]);
                 }
             }
@@ -62,7 +62,7 @@
             if self.write || !m.body.is_empty() {
                 parts.extend([&b"Content-Length: "[..], length.as_bytes(), b"\r\n"]);
             }
-            parts.extend([&b"\r\n"[..], m.part(&m.body)]);
+            parts.extend([&b"\r\n"[..], m.slice(&m.body)]);
             write_all(stream, &parts).await
         })
     }
@@ -88,9 +88,9 @@
     room: &MemoryBudget,
 ) -> Option<ServerResponse> {
     let message = &answering.message;
-    let turned_away = message.field("X-Unprocessed").is_some_and(|v| v == "1");
+    let turned_away = message.header("X-Unprocessed").is_some_and(|v| v == "1");
     let outcome = match message.status {
-        200 => match message.field("X-Lookup") {
+        200 => match message.header("X-Lookup") {
             Some("hit") => AttemptOutcome::CompletedFromCache,
             Some("miss") => AttemptOutcome::CompletedByFetch,
             _ => AttemptOutcome::Completed,
@@ -137,7 +137,7 @@
     if !resolved {
         return Some(ServerResponse { outcome, answer: None, keep, rest: None });
     }
-    let kind = answering.message.field("Content-Type").unwrap_or("").to_string();
+    let kind = answering.message.header("Content-Type").unwrap_or("").to_string();
     let begun = body.len();
     let answer = Some(Response { kind, body, ..Response::bare(ResponseStatus::Served) });
     if whole {
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -42,38 +42,38 @@
     pub body: Range<usize>,
     pub close: bool,
     /// Of HTTP/1.0, which knows no chunks.
-    pub old: bool,
+    pub is_http10: bool,
     /// Its part of the room for long bodies.
-    pub held: Vec<MemoryReservation>,
+    pub reservations: Vec<MemoryReservation>,
     fields: Vec<(Range<usize>, Range<usize>)>,
 }
 
 impl Message {
-    pub fn part(&self, at: &Range<usize>) -> &[u8] {
+    pub fn slice(&self, at: &Range<usize>) -> &[u8] {
         &self.buf[at.clone()]
     }
 
-    pub fn word(&self, at: &Range<usize>) -> &str {
-        std::str::from_utf8(self.part(at)).unwrap_or("")
+    pub fn text(&self, at: &Range<usize>) -> &str {
+        std::str::from_utf8(self.slice(at)).unwrap_or("")
     }
 
     fn all(&self, name: &str) -> impl Iterator<Item = &[u8]> {
-        let named = move |(n, _): &&(Range<usize>, Range<usize>)| self.word(n).eq_ignore_ascii_case(name);
-        self.fields.iter().filter(named).map(|(_, value)| self.part(value))
+        let named = move |(n, _): &&(Range<usize>, Range<usize>)| self.text(n).eq_ignore_ascii_case(name);
+        self.fields.iter().filter(named).map(|(_, value)| self.slice(value))
     }
 
-    pub fn bytes(&self, name: &str) -> Option<&[u8]> {
+    pub fn header_bytes(&self, name: &str) -> Option<&[u8]> {
         self.all(name).next()
     }
 
     /// Whether one of these fields is there more than once: who reads the first is told something else than who
     /// reads the last.
-    pub fn doubled(&self, names: &[&str]) -> bool {
+    pub fn has_duplicate(&self, names: &[&str]) -> bool {
         names.iter().any(|name| self.all(name).nth(1).is_some())
     }
 
-    pub fn field(&self, name: &str) -> Option<&str> {
-        self.bytes(name).and_then(|value| std::str::from_utf8(value).ok()).map(str::trim)
+    pub fn header(&self, name: &str) -> Option<&str> {
+        self.header_bytes(name).and_then(|value| std::str::from_utf8(value).ok()).map(str::trim)
     }
 }
 
@@ -131,7 +131,7 @@
         (part(n), part(v))
     };
     let (mut lengths, mut chunked, mut waits) = (Vec::new(), false, false);
-    (message.close, message.old) = (minor == 0, minor == 0);
+    (message.close, message.is_http10) = (minor == 0, minor == 0);
     for (name, value) in message.fields.iter().map(said) {
         match name.as_str() {
             "content-length" if value.bytes().all(|b| b.is_ascii_digit()) => {
@@ -235,7 +235,7 @@
     message.buf = std::mem::replace(rest, behind);
     if let (Some(taking), Form::Length(n)) = (&question, form) {
         if n > LONGEST_BODY {
-            message.held.push(room_for(taking.room, n).await?);
+            message.reservations.push(room_for(taking.room, n).await?);
         }
         message.buf.reserve_exact(n);
     }
@@ -268,7 +268,7 @@
         if form == Form::Chunked && taken > room {
             // Twice what is there, as a buffer grows by doubling.
             let asked = Instant::now();
-            message.held.push(room_for(taking.room, 2 * room).await?);
+            message.reservations.push(room_for(taking.room, 2 * room).await?);
             room *= 2;
             begun += asked.elapsed(); // the client wasn't slow meanwhile
         }
