--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -119,8 +119,9 @@
     let end = Instant::now() + SLOWEST;
     // A call has no body to speak of.
     let (longest, room) = (1024, MemoryBudget::new(0));
-    let taking = http1::Taking { head_by: end, longest, room: &room };
-    let message = wait_until(end, http1::question(stream, &mut rest, taking)).await.unwrap_or(Err(408))?;
+    let taking = http1::RequestLimits { head_deadline: end, max_body: longest, memory: &room };
+    let message =
+        wait_until(end, http1::read_request(stream, &mut rest, taking)).await.unwrap_or(Err(408))?;
     Ok((message.text(&message.method).to_string(), message.text(&message.target).to_string()))
 }
 
--- a/crates/discovery/src/call.rs
+++ b/crates/discovery/src/call.rs
@@ -92,7 +92,7 @@
 
 /// What the list says, or an `Err` outside if it said nothing.
 async fn ask(source: &Source, open: Async<TcpStream>, link: &Link, target: &str) -> Result<Said, String> {
-    http1::ask(&open, source.address(), target).await.map_err(|e| format!("not written: {e}"))?;
+    http1::send_get(&open, source.address(), target).await.map_err(|e| format!("not written: {e}"))?;
     let mut answer = Answering::begin(&open).await.map_err(|_| "no answer".to_string())?;
     match answer.message.status {
         200 => {}
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -99,7 +99,7 @@
             max_attempts: number("most shots", 1.0) as u64,
             hedging: number("second copies", 0.0) > 0.0,
             connect_time: ticks("connect time", 1e4),
-            longest_body: http1::LONGEST_OF_ALL as u64,
+            longest_body: http1::MAX_BODY as u64,
             namespaces: namespaces.iter().enumerate().map(of_namespace).collect(),
             tenants,
             doors: Vec::new(),
--- a/crates/http-frontend/src/servers.rs
+++ b/crates/http-frontend/src/servers.rs
@@ -102,10 +102,10 @@
         _ => AttemptOutcome::ServerError,
     };
     let resolved = message.status == 200;
-    let long = |n: usize| n > http1::LONGEST_BODY;
+    let long = |n: usize| n > http1::MAX_BUFFERED_BODY;
     let told = answering.length.map(|n| long(n as usize));
     // Longer than any is nonsense, and so is a long word on a failure.
-    if answering.length > Some(http1::LONGEST_OF_ALL as u64) || (told == Some(true) && !resolved) {
+    if answering.length > Some(http1::MAX_BODY as u64) || (told == Some(true) && !resolved) {
         return None;
     }
     let shows = Instant::now() + LENGTH_SHOWS;
@@ -147,7 +147,7 @@
     if held.is_some() {
         answering.most = PART.0;
     }
-    let left = http1::LONGEST_OF_ALL.saturating_sub(begun);
+    let left = http1::MAX_BODY.saturating_sub(begun);
     let rest: Box<dyn ResponseBody> = Box::new(Flowing { answering, left, _held: held });
     Some(ServerResponse { outcome, answer, keep, rest: Some(rest) })
 }
@@ -183,7 +183,7 @@
     fn probe<'a>(&'a self, stream: &'a Async<TcpStream>) -> Wait<'a, Option<bool>> {
         Box::pin(async move {
             let host = stream.get_ref().peer_addr().ok()?;
-            let message = http1::get(stream, host, "/alive", http1::LONGEST_BODY).await.ok()?;
+            let message = http1::get(stream, host, "/alive", http1::MAX_BUFFERED_BODY).await.ok()?;
             (message.status == 200).then_some(!message.close)
         })
     }
--- a/crates/http-frontend/src/take_in.rs
+++ b/crates/http-frontend/src/take_in.rs
@@ -1,7 +1,7 @@
 //! Stage "take in": a message read whole off a client's connection, or the connection's end.
 
 use chalkwalk_engine::engine::ClientConnection;
-use chalkwalk_http1::{self as http1, Fault, Message, Taking};
+use chalkwalk_http1::{self as http1, Fault, Message, RequestLimits};
 use chalkwalk_sockets::{is_idle, read_more, wait_until, within};
 use smol::Async;
 use smol::channel::bounded;
@@ -31,8 +31,9 @@
     }
     let engine = &open.engine;
     let longest = engine.classes.longest_body() as usize;
-    let taking = Taking { head_by: Instant::now() + SLOWEST, longest, room: &engine.room };
-    http1::question(stream, rest, taking).await.map(Some)
+    let taking =
+        RequestLimits { head_deadline: Instant::now() + SLOWEST, max_body: longest, memory: &engine.room };
+    http1::read_request(stream, rest, taking).await.map(Some)
 }
 
 /// Waits for the first byte of a message; false if the connection is to be closed.
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -15,11 +15,11 @@
 use std::time::{Duration, Instant};
 
 /// The longest head: twice what common servers take by default is no use to anyone on this protocol.
-pub const LONGEST_HEAD: usize = 16 << 10;
+pub const MAX_HEAD: usize = 16 << 10;
 /// The longest body that is ordinary, as the platform's protocol has it: read whole without further ado.
-pub const LONGEST_BODY: usize = 64 << 10;
+pub const MAX_BUFFERED_BODY: usize = 64 << 10;
 /// The longest of all.
-pub const LONGEST_OF_ALL: usize = 32 << 20;
+pub const MAX_BODY: usize = 32 << 20;
 /// What is read at once of a body, in bytes.
 const MOST_READ: usize = 16 << 10;
 /// What is wrong with a message: the status that says so.
@@ -104,7 +104,7 @@
         let mut parsed = httparse::Request::new(&mut lines);
         match parsed.parse(buf) {
             Ok(httparse::Status::Complete(n)) => len = n,
-            Ok(httparse::Status::Partial) if buf.len() < LONGEST_HEAD => return Ok(None),
+            Ok(httparse::Status::Partial) if buf.len() < MAX_HEAD => return Ok(None),
             Ok(httparse::Status::Partial) | Err(httparse::Error::TooManyHeaders) => return Err(431),
             Err(_) => return Err(400),
         }
@@ -116,14 +116,14 @@
         let mut parsed = httparse::Response::new(&mut lines);
         match parsed.parse(buf) {
             Ok(httparse::Status::Complete(n)) => len = n,
-            Ok(httparse::Status::Partial) if buf.len() < LONGEST_HEAD => return Ok(None),
+            Ok(httparse::Status::Partial) if buf.len() < MAX_HEAD => return Ok(None),
             _ => return Err(502),
         }
         message.status = parsed.code.unwrap_or(0);
         message.fields = fields_of(buf, parsed.headers);
         minor = parsed.version.unwrap_or(0);
     }
-    if len > LONGEST_HEAD {
+    if len > MAX_HEAD {
         return Err(431);
     }
     let said = |(n, v): &(Range<usize>, Range<usize>)| {
@@ -187,13 +187,13 @@
 const SLOWEST_BODY: (Duration, u64) = (Duration::from_secs(2), 32_000);
 
 /// How a question is taken.
-pub struct Taking<'a> {
+pub struct RequestLimits<'a> {
     /// When its head has to be there.
-    pub head_by: Instant,
+    pub head_deadline: Instant,
     /// The longest body, in bytes.
-    pub longest: usize,
+    pub max_body: usize,
     /// For bodies of over 64 KiB: one is not read further while there is none.
-    pub room: &'a MemoryBudget,
+    pub memory: &'a MemoryBudget,
 }
 
 /// A body waits for room no longer: its client is better told to come again.
@@ -221,28 +221,28 @@
 async fn message(
     stream: &Async<TcpStream>,
     rest: &mut Vec<u8>,
-    question: Option<Taking<'_>>,
+    question: Option<RequestLimits<'_>>,
     longest: usize,
 ) -> Result<Message, Fault> {
     let broken = if question.is_some() { 400 } else { 502 };
     let head = head_of(stream, rest, question.is_some(), longest);
     let head = match &question {
-        Some(taking) => wait_until(taking.head_by, head).await.unwrap_or(Err(408))?,
+        Some(taking) => wait_until(taking.head_deadline, head).await.unwrap_or(Err(408))?,
         None => head.await?,
     };
     let Head { mut message, len, form, waits, .. } = head;
     let behind = rest.split_off(len);
     message.buf = std::mem::replace(rest, behind);
     if let (Some(taking), Form::Length(n)) = (&question, form) {
-        if n > LONGEST_BODY {
-            message.reservations.push(room_for(taking.room, n).await?);
+        if n > MAX_BUFFERED_BODY {
+            message.reservations.push(room_for(taking.memory, n).await?);
         }
         message.buf.reserve_exact(n);
     }
     if waits && question.is_some() && rest.is_empty() {
         write_all(stream, &[b"HTTP/1.1 100 Continue\r\n\r\n"]).await.map_err(|_| broken)?;
     }
-    let (mut begun, mut body, mut room) = (Instant::now(), Body::new(form), LONGEST_BODY);
+    let (mut begun, mut body, mut room) = (Instant::now(), Body::new(form), MAX_BUFFERED_BODY);
     loop {
         let part = body.take(rest)?;
         message.buf.extend_from_slice(&part);
@@ -268,7 +268,7 @@
         if form == Form::Chunked && taken > room {
             // Twice what is there, as a buffer grows by doubling.
             let asked = Instant::now();
-            message.reservations.push(room_for(taking.room, 2 * room).await?);
+            message.reservations.push(room_for(taking.memory, 2 * room).await?);
             room *= 2;
             begun += asked.elapsed(); // the client wasn't slow meanwhile
         }
@@ -283,12 +283,12 @@
 }
 
 /// A question, taken whole.
-pub async fn question(
+pub async fn read_request(
     stream: &Async<TcpStream>,
     rest: &mut Vec<u8>,
-    taking: Taking<'_>,
+    taking: RequestLimits<'_>,
 ) -> Result<Message, Fault> {
-    let longest = taking.longest;
+    let longest = taking.max_body;
     message(stream, rest, Some(taking), longest).await
 }
 
@@ -317,7 +317,7 @@
 }
 
 /// Asks for something; the answer is still to be taken.
-pub async fn ask(stream: &Async<TcpStream>, addr: SocketAddr, target: &str) -> io::Result<()> {
+pub async fn send_get(stream: &Async<TcpStream>, addr: SocketAddr, target: &str) -> io::Result<()> {
     let host = addr.to_string();
     let parts: [&[u8]; 5] =
         [b"GET ", target.as_bytes(), b" HTTP/1.1\r\nHost: ", host.as_bytes(), b"\r\n\r\n"];
@@ -331,7 +331,7 @@
     target: &str,
     longest: usize,
 ) -> Result<Message, String> {
-    ask(stream, addr, target).await.map_err(|e| format!("not written: {e}"))?;
+    send_get(stream, addr, target).await.map_err(|e| format!("not written: {e}"))?;
     answer(stream, longest).await.map_err(|_| "a broken answer".to_string())
 }
 
@@ -357,12 +357,13 @@
             client.write_all(format!("{chunk}0\r\n\r\n").as_bytes()).unwrap();
             client
         });
-        let taking = Taking { head_by: Instant::now() + ROOM, longest: LONGEST_OF_ALL, room: &room };
+        let taking =
+            RequestLimits { head_deadline: Instant::now() + ROOM, max_body: MAX_BODY, memory: &room };
         let freed = async {
             Timer::after(SLOWEST_BODY.0 * 5 / 2).await;
             drop(taken);
         };
-        let both = smol::future::zip(question(&stream, &mut rest, taking), freed);
+        let both = smol::future::zip(read_request(&stream, &mut rest, taking), freed);
         let length = smol::block_on(both).0.map(|message| message.body.len());
         assert_eq!(length, Ok(2 * 65_536 + 1));
         drop(writing.join());
