--- a/crates/discovery/src/call.rs
+++ b/crates/discovery/src/call.rs
@@ -3,7 +3,7 @@
 use crate::list::Source;
 use crate::terms;
 use chalkwalk_balancer::discovery::GIVE_UP_CONNECTING;
-use chalkwalk_http1::{self as http1, Answering};
+use chalkwalk_http1::{self as http1, ResponseReader};
 use chalkwalk_sockets::{is_idle, within};
 use chalkwalk_time::Span;
 use smol::Async;
@@ -93,7 +93,7 @@
 /// What the list says, or an `Err` outside if it said nothing.
 async fn ask(source: &Source, open: Async<TcpStream>, link: &Link, target: &str) -> Result<Said, String> {
     http1::send_get(&open, source.address(), target).await.map_err(|e| format!("not written: {e}"))?;
-    let mut answer = Answering::begin(&open).await.map_err(|_| "no answer".to_string())?;
+    let mut answer = ResponseReader::start(&open).await.map_err(|_| "no answer".to_string())?;
     match answer.message.status {
         200 => {}
         503 => return Ok(Err(Fault::Busy)),
@@ -101,14 +101,14 @@
     }
     let mut body = Vec::new();
     loop {
-        match answer.part(&open).await {
+        match answer.next_part(&open).await {
             Ok(Some(part)) if body.len() + part.len() <= LONGEST => body.extend(part),
             Ok(Some(_)) => return Ok(Err(Fault::Failed(format!("a list of over {LONGEST} bytes")))),
             Ok(None) => break,
             Err(_) => return Ok(Err(Fault::CutShort)),
         }
     }
-    if answer.keeps() {
+    if answer.is_reusable() {
         link.set(Some(open));
     }
     Ok(Ok(body))
--- a/crates/http-frontend/src/servers.rs
+++ b/crates/http-frontend/src/servers.rs
@@ -5,7 +5,7 @@
 use chalkwalk_engine::response::{
     ClientRequest, HealthCheck, Response, ResponseBody, ResponseStatus, ServerResponse, Wait,
 };
-use chalkwalk_http1::{self as http1, Answering};
+use chalkwalk_http1::{self as http1, ResponseReader};
 use chalkwalk_sockets::{MemoryBudget, MemoryReservation, is_idle, wait_until, write_all};
 use chalkwalk_time::{Span, TICKS_PER_SECOND, Timestamp};
 use smol::Async;
@@ -69,7 +69,7 @@
 
     fn hear<'a>(&'a self, stream: &'a Async<TcpStream>) -> Wait<'a, Option<ServerResponse>> {
         Box::pin(async move {
-            let answering = Answering::begin(stream).await.ok()?;
+            let answering = ResponseReader::start(stream).await.ok()?;
             read(answering, stream, &self.door.engine.room).await
         })
     }
@@ -83,7 +83,7 @@
 /// What a server's answer says of the attempt. One of up to 64 KiB is read whole, so that one that breaks off can be asked for
 /// elsewhere; a longer one is passed on from its first bytes on.
 async fn read(
-    mut answering: Answering,
+    mut answering: ResponseReader,
     stream: &Async<TcpStream>,
     room: &MemoryBudget,
 ) -> Option<ServerResponse> {
@@ -103,9 +103,9 @@
     };
     let resolved = message.status == 200;
     let long = |n: usize| n > http1::MAX_BUFFERED_BODY;
-    let told = answering.length.map(|n| long(n as usize));
+    let told = answering.content_length.map(|n| long(n as usize));
     // Longer than any is nonsense, and so is a long word on a failure.
-    if answering.length > Some(http1::MAX_BODY as u64) || (told == Some(true) && !resolved) {
+    if answering.content_length > Some(http1::MAX_BODY as u64) || (told == Some(true) && !resolved) {
         return None;
     }
     let shows = Instant::now() + LENGTH_SHOWS;
@@ -113,7 +113,7 @@
     let mut whole = false;
     // Nothing of it is the client's before its first byte is here.
     while !whole && (told != Some(true) || body.is_empty()) {
-        let part = answering.part(stream);
+        let part = answering.next_part(stream);
         let part = match told {
             Some(_) => part.await,
             None if resolved && !body.is_empty() => match wait_until(shows, part).await {
@@ -133,7 +133,7 @@
             break;
         }
     }
-    let keep = answering.keeps();
+    let keep = answering.is_reusable();
     if !resolved {
         return Some(ServerResponse { outcome, answer: None, keep, rest: None });
     }
@@ -145,7 +145,7 @@
     }
     let held = room.try_reserve(PART.0 * PART.1, usize::MAX);
     if held.is_some() {
-        answering.most = PART.0;
+        answering.max_read = PART.0;
     }
     let left = http1::MAX_BODY.saturating_sub(begun);
     let rest: Box<dyn ResponseBody> = Box::new(Flowing { answering, left, _held: held });
@@ -154,7 +154,7 @@
 
 /// The rest of a long answer, with its part of the room for them; without one it is read in smaller parts.
 struct Flowing {
-    answering: Answering,
+    answering: ResponseReader,
     left: usize, // bytes that may still come
     _held: Option<MemoryReservation>,
 }
@@ -162,17 +162,17 @@
 impl ResponseBody for Flowing {
     fn part<'a>(&'a mut self, stream: &'a Async<TcpStream>) -> Wait<'a, Result<Option<Vec<u8>>, ()>> {
         Box::pin(async move {
-            let part = self.answering.part(stream).await.map_err(|_| ())?;
+            let part = self.answering.next_part(stream).await.map_err(|_| ())?;
             // One whose length is not told may never end: longer than any, it is broken off.
             self.left = self.left.checked_sub(part.as_ref().map_or(0, Vec::len)).ok_or(())?;
             Ok(part)
         })
     }
     fn length(&self) -> Option<u64> {
-        self.answering.length
+        self.answering.content_length
     }
     fn keeps(&self) -> bool {
-        self.answering.keeps()
+        self.answering.is_reusable()
     }
 }
 
--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -113,32 +113,32 @@
 }
 
 /// An answer whose head is there and whose body is still to come.
-pub struct Answering {
+pub struct ResponseReader {
     pub message: Message,
     /// Of the body in bytes, where it is told.
-    pub length: Option<u64>,
+    pub content_length: Option<u64>,
     body: Body,
     rest: Vec<u8>,
     /// The most that is read at once, in bytes.
-    pub most: usize,
+    pub max_read: usize,
 }
 
-impl Answering {
+impl ResponseReader {
     /// The head of the answer to what was just written.
-    pub async fn begin(stream: &Async<TcpStream>) -> Result<Answering, Fault> {
+    pub async fn start(stream: &Async<TcpStream>) -> Result<ResponseReader, Fault> {
         let mut rest = Vec::new();
         let Head { mut message, len, form, .. } = head_of(stream, &mut rest, false, usize::MAX).await?;
         let behind = rest.split_off(len);
         message.buf = std::mem::replace(&mut rest, behind);
-        let length = match form {
+        let content_length = match form {
             Form::Length(n) => Some(n as u64),
             _ => None,
         };
-        Ok(Answering { message, length, body: Body::new(form), rest, most: 4096 })
+        Ok(ResponseReader { message, content_length, body: Body::new(form), rest, max_read: 4096 })
     }
 
     /// The next part of the body, `None` at its end. Dropped while it waits, it has lost nothing.
-    pub async fn part(&mut self, stream: &Async<TcpStream>) -> Result<Option<Vec<u8>>, Fault> {
+    pub async fn next_part(&mut self, stream: &Async<TcpStream>) -> Result<Option<Vec<u8>>, Fault> {
         loop {
             let part = self.body.take(&mut self.rest)?;
             if !part.is_empty() {
@@ -147,7 +147,7 @@
             if self.body.ended() {
                 return Ok(None);
             }
-            match read_up_to(stream, &mut self.rest, self.most).await {
+            match read_up_to(stream, &mut self.rest, self.max_read).await {
                 Ok(0) if self.body.at == At::Open => self.body.close(),
                 Ok(1..) => {}
                 _ => return Err(502),
@@ -156,7 +156,7 @@
     }
 
     /// Whether the connection may carry more: the answer has ended, and nothing came beyond it.
-    pub fn keeps(&self) -> bool {
+    pub fn is_reusable(&self) -> bool {
         self.body.ended() && !self.message.close && self.rest.is_empty()
     }
 }
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -3,7 +3,7 @@
 
 mod body;
 
-pub use body::{Answering, Body};
+pub use body::{Body, ResponseReader};
 
 use chalkwalk_sockets::{
     MemoryBudget, MemoryReservation, read_more, read_up_to, wait_until, within, write_all,
