--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -120,8 +120,10 @@
     // A call has no body to speak of.
     let (longest, room) = (1024, MemoryBudget::new(0));
     let taking = http1::RequestLimits { head_deadline: end, max_body: longest, memory: &room };
-    let message =
-        wait_until(end, http1::read_request(stream, &mut rest, taking)).await.unwrap_or(Err(408))?;
+    let message = wait_until(end, http1::read_request(stream, &mut rest, taking))
+        .await
+        .unwrap_or(Err(http1::HttpError::Timeout))
+        .map_err(http1::HttpError::status)?;
     Ok((message.text(&message.method).to_string(), message.text(&message.target).to_string()))
 }
 
--- a/crates/http-frontend/src/clients.rs
+++ b/crates/http-frontend/src/clients.rs
@@ -95,7 +95,7 @@
         let message = match take_in(&open, &stream, &mut rest, opened.take()).await {
             Ok(Some(message)) => message,
             Ok(None) => return,
-            Err(status) => return relay::turn_down(&stream, Reply::bare(status)).await,
+            Err(error) => return relay::turn_down(&stream, Reply::bare(error.status())).await,
         };
         let waited = std::mem::take(&mut waited) && engine.clock.now() < welcomed + READ_AT_ONCE;
         let came = if waited { clear } else { engine.clock.came_after() };
--- a/crates/http-frontend/src/take_in.rs
+++ b/crates/http-frontend/src/take_in.rs
@@ -1,7 +1,7 @@
 //! Stage "take in": a message read whole off a client's connection, or the connection's end.
 
 use chalkwalk_engine::engine::ClientConnection;
-use chalkwalk_http1::{self as http1, Fault, Message, RequestLimits};
+use chalkwalk_http1::{self as http1, HttpError, Message, RequestLimits};
 use chalkwalk_sockets::{is_idle, read_more, wait_until, within};
 use smol::Async;
 use smol::channel::bounded;
@@ -25,7 +25,7 @@
     stream: &Async<TcpStream>,
     rest: &mut Vec<u8>,
     opened: Option<Instant>,
-) -> Result<Option<Message>, Fault> {
+) -> Result<Option<Message>, HttpError> {
     if !begins(open, stream, rest, opened).await {
         return Ok(None);
     }
--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -1,6 +1,6 @@
 //! A body part by part, as it comes: for answers that are longer than is read whole.
 
-use crate::{Fault, Form, Head, Message, head_of};
+use crate::{Form, Head, HttpError, Message, head_of};
 use chalkwalk_sockets::read_up_to;
 use smol::Async;
 use std::net::TcpStream;
@@ -59,7 +59,7 @@
     }
 
     /// What of the body is in the buffer, taken out of it; empty if more has to come first, or at the end.
-    pub fn take(&mut self, buf: &mut Vec<u8>) -> Result<Vec<u8>, Fault> {
+    pub fn take(&mut self, buf: &mut Vec<u8>) -> Result<Vec<u8>, HttpError> {
         loop {
             match self.at {
                 At::End => return Ok(Vec::new()),
@@ -84,7 +84,7 @@
                         buf.drain(..2);
                         self.at = At::Size;
                     }
-                    Some(_) => return Err(400),
+                    Some(_) => return Err(HttpError::Malformed),
                 },
                 At::Size => match httparse::parse_chunk_size(buf) {
                     Ok(httparse::Status::Complete((used, size))) => {
@@ -92,7 +92,7 @@
                         self.at = if size == 0 { At::Trailers } else { At::Data(size) };
                     }
                     Ok(httparse::Status::Partial) if buf.len() < LONGEST_LINE => return Ok(Vec::new()),
-                    _ => return Err(400),
+                    _ => return Err(HttpError::Malformed),
                 },
                 At::Trailers => match buf.windows(2).position(|w| w == b"\r\n") {
                     Some(n) => {
@@ -101,11 +101,11 @@
                         if n == 0 {
                             self.at = At::End;
                         } else if self.trailers > LONGEST_TRAILERS {
-                            return Err(431);
+                            return Err(HttpError::HeadTooLong);
                         }
                     }
                     None if buf.len() < LONGEST_LINE => return Ok(Vec::new()),
-                    None => return Err(400),
+                    None => return Err(HttpError::Malformed),
                 },
             }
         }
@@ -125,7 +125,7 @@
 
 impl ResponseReader {
     /// The head of the answer to what was just written.
-    pub async fn start(stream: &Async<TcpStream>) -> Result<ResponseReader, Fault> {
+    pub async fn start(stream: &Async<TcpStream>) -> Result<ResponseReader, HttpError> {
         let mut rest = Vec::new();
         let Head { mut message, len, form, .. } = head_of(stream, &mut rest, false, usize::MAX).await?;
         let behind = rest.split_off(len);
@@ -138,7 +138,7 @@
     }
 
     /// The next part of the body, `None` at its end. Dropped while it waits, it has lost nothing.
-    pub async fn next_part(&mut self, stream: &Async<TcpStream>) -> Result<Option<Vec<u8>>, Fault> {
+    pub async fn next_part(&mut self, stream: &Async<TcpStream>) -> Result<Option<Vec<u8>>, HttpError> {
         loop {
             let part = self.body.take(&mut self.rest)?;
             if !part.is_empty() {
@@ -150,7 +150,7 @@
             match read_up_to(stream, &mut self.rest, self.max_read).await {
                 Ok(0) if self.body.at == At::Open => self.body.close(),
                 Ok(1..) => {}
-                _ => return Err(502),
+                _ => return Err(HttpError::BrokenResponse),
             }
         }
     }
@@ -167,7 +167,7 @@
     use proptest::prelude::*;
 
     /// The body of a text that comes in those pieces, and whether it ended.
-    fn pieces(form: Form, text: &[u8], cuts: &[usize]) -> Result<(Vec<u8>, bool), Fault> {
+    fn pieces(form: Form, text: &[u8], cuts: &[usize]) -> Result<(Vec<u8>, bool), HttpError> {
         let (mut body, mut buf, mut out, mut from) = (Body::new(form), Vec::new(), Vec::new(), 0);
         for to in cuts.iter().copied().chain([text.len()]) {
             buf.extend(&text[from..to]);
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -2,8 +2,10 @@
 //! the sockets of `net`; what a message means never enters it.
 
 mod body;
+mod error;
 
 pub use body::{Body, ResponseReader};
+pub use error::HttpError;
 
 use chalkwalk_sockets::{
     MemoryBudget, MemoryReservation, read_more, read_up_to, wait_until, within, write_all,
@@ -22,8 +24,6 @@
 pub const MAX_BODY: usize = 32 << 20;
 /// What is read at once of a body, in bytes.
 const MOST_READ: usize = 16 << 10;
-/// What is wrong with a message: the status that says so.
-pub type Fault = u16;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Form {
@@ -96,7 +96,7 @@
 }
 
 /// A head at the start of the buffer, or `None` while it is not whole.
-pub(crate) fn head(buf: &[u8], question: bool, longest: usize) -> Result<Option<Head>, Fault> {
+pub(crate) fn head(buf: &[u8], question: bool, longest: usize) -> Result<Option<Head>, HttpError> {
     let mut lines = [httparse::EMPTY_HEADER; 64];
     let mut message = Message::default();
     let (len, minor);
@@ -105,8 +105,10 @@
         match parsed.parse(buf) {
             Ok(httparse::Status::Complete(n)) => len = n,
             Ok(httparse::Status::Partial) if buf.len() < MAX_HEAD => return Ok(None),
-            Ok(httparse::Status::Partial) | Err(httparse::Error::TooManyHeaders) => return Err(431),
-            Err(_) => return Err(400),
+            Ok(httparse::Status::Partial) | Err(httparse::Error::TooManyHeaders) => {
+                return Err(HttpError::HeadTooLong);
+            }
+            Err(_) => return Err(HttpError::Malformed),
         }
         message.method = place_of(buf, parsed.method.unwrap_or("").as_bytes());
         message.target = place_of(buf, parsed.path.unwrap_or("").as_bytes());
@@ -117,14 +119,14 @@
         match parsed.parse(buf) {
             Ok(httparse::Status::Complete(n)) => len = n,
             Ok(httparse::Status::Partial) if buf.len() < MAX_HEAD => return Ok(None),
-            _ => return Err(502),
+            _ => return Err(HttpError::BrokenResponse),
         }
         message.status = parsed.code.unwrap_or(0);
         message.fields = fields_of(buf, parsed.headers);
         minor = parsed.version.unwrap_or(0);
     }
     if len > MAX_HEAD {
-        return Err(431);
+        return Err(HttpError::HeadTooLong);
     }
     let said = |(n, v): &(Range<usize>, Range<usize>)| {
         let part = |r: &Range<usize>| String::from_utf8_lossy(&buf[r.clone()]).to_ascii_lowercase();
@@ -135,11 +137,11 @@
     for (name, value) in message.fields.iter().map(said) {
         match name.as_str() {
             "content-length" if value.bytes().all(|b| b.is_ascii_digit()) => {
-                lengths.push(value.parse::<usize>().map_err(|_| 413u16)?);
+                lengths.push(value.parse::<usize>().map_err(|_| HttpError::BodyTooLong)?);
             }
-            "content-length" => return Err(400),
+            "content-length" => return Err(HttpError::Malformed),
             "transfer-encoding" if value.trim() == "chunked" && !chunked => chunked = true,
-            "transfer-encoding" => return Err(400),
+            "transfer-encoding" => return Err(HttpError::Malformed),
             "connection" => message.close |= value.split(',').any(|w| w.trim() == "close"),
             "expect" => waits = value.trim() == "100-continue",
             _ => {}
@@ -147,18 +149,18 @@
     }
     // Two ways to say where a message ends are how one is smuggled into another.
     if lengths.len() + usize::from(chunked) > 1 {
-        return Err(400);
+        return Err(HttpError::Malformed);
     }
     let interim = (100..200).contains(&message.status);
     let empty = interim || matches!(message.status, 204 | 304);
     let form = match lengths.first() {
         _ if empty => Form::Length(0),
         _ if chunked => Form::Chunked,
-        Some(n) if *n > longest => return Err(413),
+        Some(n) if *n > longest => return Err(HttpError::BodyTooLong),
         Some(n) => Form::Length(*n),
         None if question => Form::Length(0),
         // Cut short it would look whole: taken only from a side that says it closes.
-        None if !message.close => return Err(502),
+        None if !message.close => return Err(HttpError::BrokenResponse),
         None => Form::ToTheEnd,
     };
     Ok(Some(Head { message, len, form, interim, waits }))
@@ -170,7 +172,7 @@
     rest: &mut Vec<u8>,
     question: bool,
     longest: usize,
-) -> Result<Head, Fault> {
+) -> Result<Head, HttpError> {
     loop {
         if let Some(head) = head(rest, question, longest)? {
             if !head.interim {
@@ -178,7 +180,7 @@
             }
             rest.drain(..head.len);
         } else if !matches!(read_more(stream, rest).await, Ok(1..)) {
-            return Err(if question { 400 } else { 502 });
+            return Err(if question { HttpError::Malformed } else { HttpError::BrokenResponse });
         }
     }
 }
@@ -201,7 +203,7 @@
 /// How often room is asked for: short beside what a long body takes to come.
 const ASK_ROOM: Duration = Duration::from_millis(5);
 
-async fn room_for(room: &MemoryBudget, bytes: usize) -> Result<MemoryReservation, Fault> {
+async fn room_for(room: &MemoryBudget, bytes: usize) -> Result<MemoryReservation, HttpError> {
     let wait = async {
         loop {
             match room.try_reserve(bytes, usize::MAX) {
@@ -211,9 +213,9 @@
         }
     };
     if bytes > room.size() {
-        return Err(413);
+        return Err(HttpError::BodyTooLong);
     }
-    within(ROOM, wait).await.ok_or(503)
+    within(ROOM, wait).await.ok_or(HttpError::NoMemory)
 }
 
 /// Takes one message whole off the stream; `rest` holds what was read ahead, before and after. A question's body comes no
@@ -223,11 +225,11 @@
     rest: &mut Vec<u8>,
     question: Option<RequestLimits<'_>>,
     longest: usize,
-) -> Result<Message, Fault> {
-    let broken = if question.is_some() { 400 } else { 502 };
+) -> Result<Message, HttpError> {
+    let broken = if question.is_some() { HttpError::Malformed } else { HttpError::BrokenResponse };
     let head = head_of(stream, rest, question.is_some(), longest);
     let head = match &question {
-        Some(taking) => wait_until(taking.head_deadline, head).await.unwrap_or(Err(408))?,
+        Some(taking) => wait_until(taking.head_deadline, head).await.unwrap_or(Err(HttpError::Timeout))?,
         None => head.await?,
     };
     let Head { mut message, len, form, waits, .. } = head;
@@ -248,7 +250,7 @@
         message.buf.extend_from_slice(&part);
         let taken = message.buf.len() - len;
         if (taken as u64).saturating_add(body.announced()) > longest as u64 {
-            return Err(413);
+            return Err(HttpError::BodyTooLong);
         }
         if body.ended() {
             message.body = len..len + taken;
@@ -277,7 +279,7 @@
         match wait_until(due, read_up_to(stream, rest, MOST_READ)).await {
             Some(Ok(1..)) => {}
             Some(_) => return Err(broken),
-            None => return Err(408),
+            None => return Err(HttpError::Timeout),
         }
     }
 }
@@ -287,13 +289,13 @@
     stream: &Async<TcpStream>,
     rest: &mut Vec<u8>,
     taking: RequestLimits<'_>,
-) -> Result<Message, Fault> {
+) -> Result<Message, HttpError> {
     let longest = taking.max_body;
     message(stream, rest, Some(taking), longest).await
 }
 
 /// The answer to what was just written; the connection is not for more if anything came beyond it.
-async fn answer(stream: &Async<TcpStream>, longest: usize) -> Result<Message, Fault> {
+async fn answer(stream: &Async<TcpStream>, longest: usize) -> Result<Message, HttpError> {
     let mut rest = Vec::new();
     let mut answer = message(stream, &mut rest, None, longest).await?;
     answer.close |= !rest.is_empty();
