--- a/crates/resp-frontend/src/clients.rs
+++ b/crates/resp-frontend/src/clients.rs
@@ -14,7 +14,7 @@
 use chalkwalk_engine::lifecycle::Phase;
 use chalkwalk_engine::response::{Response, ResponseStatus};
 use chalkwalk_limits::RequestAttributes;
-use chalkwalk_resp::{Bounds, Fault, Frame, Kind as Type, Reader, Writer};
+use chalkwalk_resp::{Fault, Frame, Kind as Type, ReadLimits, Reader, Writer};
 use chalkwalk_slot_map::Way;
 use chalkwalk_sockets::{read_more, within, write_all};
 use chalkwalk_time::TICKS_PER_MILLISECOND;
@@ -274,7 +274,7 @@
     async fn run(&mut self, open: &ClientConnection, taken: bool, into: Sender<Placed>) {
         let in_order = Arc::new(Semaphore::new(MOST_IN_ORDER));
         let engine = &self.door.engine;
-        let mut reader = Reader::new(Bounds::default());
+        let mut reader = Reader::new(ReadLimits::default());
         let (mut buf, mut start, mut used) = (Vec::new(), 0, false);
         loop {
             match command(&mut reader, &buf[start..]) {
@@ -507,7 +507,7 @@
     match buf.first() {
         None => Ok(None),
         Some(b'*') => {
-            let Some((frames, len)) = reader.pull(buf)? else { return Ok(None) };
+            let Some((frames, len)) = reader.next_frame(buf)? else { return Ok(None) };
             let bulk = |f: &Frame| (f.kind == Type::Bulk).then(|| f.at.clone());
             let at: Option<Vec<_>> = frames[1..].iter().map(bulk).collect();
             let at = at.ok_or(Fault("expected bulk strings"))?;
@@ -520,7 +520,7 @@
 
 /// A line of words, as a person types it.
 fn inline(buf: &[u8]) -> Result<Option<(Option<Words>, usize)>, Fault> {
-    let most = Bounds::default().line;
+    let most = ReadLimits::default().max_line;
     let Some(end) = buf.iter().take(most).position(|b| *b == b'\n') else {
         return if buf.len() >= most { Err(Fault("too big inline request")) } else { Ok(None) };
     };
--- a/crates/resp-frontend/src/cluster.rs
+++ b/crates/resp-frontend/src/cluster.rs
@@ -4,7 +4,7 @@
 use chalkwalk_balancer::EndpointStatus;
 use chalkwalk_engine::flow;
 use chalkwalk_engine::members::ListedEndpoint;
-use chalkwalk_resp::{Bounds, Kind, Reader, Writer};
+use chalkwalk_resp::{Kind, ReadLimits, Reader, Writer};
 use chalkwalk_slot_map::View;
 use chalkwalk_sockets::{read_more, within, write_all};
 use chalkwalk_time::Timestamp;
@@ -102,10 +102,10 @@
     let mut out = Writer::default();
     out.command(&[b"CLUSTER", b"NODES"]);
     write_all(&stream, &[out.bytes()]).await.map_err(|e| e.to_string())?;
-    let mut reader = Reader::new(Bounds { bulk: LONGEST, ..Bounds::default() });
+    let mut reader = Reader::new(ReadLimits { max_bulk: LONGEST, ..ReadLimits::default() });
     let mut buf = Vec::new();
     let frames = loop {
-        if let Some((frames, _)) = reader.pull(&buf).map_err(|f| f.0.to_string())? {
+        if let Some((frames, _)) = reader.next_frame(&buf).map_err(|f| f.0.to_string())? {
             break frames;
         }
         if read_more(&stream, &mut buf).await.map_err(|e| e.to_string())? == 0 {
--- a/crates/resp-frontend/src/parts.rs
+++ b/crates/resp-frontend/src/parts.rs
@@ -2,7 +2,7 @@
 
 use crate::command::Words;
 use chalkwalk_engine::response::{Response, ResponseStatus};
-use chalkwalk_resp::{Bounds, Kind, Reader, Writer, number};
+use chalkwalk_resp::{Kind, ReadLimits, Reader, Writer, number};
 use chalkwalk_time::Span;
 
 /// How the answers of parts come together.
@@ -24,7 +24,7 @@
     out.bulk(words.get(0));
     own.iter().for_each(|w| out.bulk(w));
     let bytes = out.take();
-    let at = match Reader::new(Bounds::default()).pull(&bytes) {
+    let at = match Reader::new(ReadLimits::default()).next_frame(&bytes) {
         Ok(Some((frames, _))) => frames[1..].iter().map(|f| f.at.clone()).collect(),
         _ => Vec::new(),
     };
@@ -61,7 +61,7 @@
     let mut sum = 0;
     for (answer, places) in parts {
         let body = answer.map_or(Vec::new(), |a| a.body);
-        let Ok(Some((frames, _))) = Reader::new(Bounds::default()).pull(&body) else {
+        let Ok(Some((frames, _))) = Reader::new(ReadLimits::default()).next_frame(&body) else {
             return Some(ResponseStatus::Failed);
         };
         if matches!(frames[0].kind, Kind::Error | Kind::BulkError) {
--- a/crates/resp-frontend/src/request.rs
+++ b/crates/resp-frontend/src/request.rs
@@ -7,7 +7,7 @@
     ClientRequest, HealthCheck, Response, ResponseStatus, ServerResponse, Wait,
 };
 use chalkwalk_limits::RequestAttributes;
-use chalkwalk_resp::{Bounds, Frame, Kind, Reader, Writer};
+use chalkwalk_resp::{Frame, Kind, ReadLimits, Reader, Writer};
 use chalkwalk_slot_map::{Meaning, SLOTS, Way, meaning};
 use chalkwalk_sockets::{read_more, write_all};
 use chalkwalk_time::{Span, Timestamp};
@@ -114,9 +114,9 @@
 
 /// One whole answer from a place in the buffer on.
 async fn answer(stream: &Async<TcpStream>, buf: &mut Vec<u8>, from: usize) -> Option<(Vec<Frame>, usize)> {
-    let mut reader = Reader::new(Bounds::default());
+    let mut reader = Reader::new(ReadLimits::default());
     loop {
-        if let Some(whole) = reader.pull(&buf[from..]).ok()? {
+        if let Some(whole) = reader.next_frame(&buf[from..]).ok()? {
             return Some(whole);
         }
         if read_more(stream, buf).await.ok()? == 0 {
--- a/crates/resp/src/read.rs
+++ b/crates/resp/src/read.rs
@@ -4,24 +4,24 @@
 
 /// What is read at the most.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct ReadLimits {
     /// Of one bulk string, in bytes.
-    pub bulk: usize,
+    pub max_bulk: usize,
     /// Of all frames in one, the aggregates included.
-    pub parts: usize,
+    pub max_frames: usize,
     /// Of aggregates within each other.
-    pub depth: usize,
+    pub max_depth: usize,
     /// Of a line that is no bulk string, inline commands included, in bytes.
-    pub line: usize,
+    pub max_line: usize,
     /// Of a whole frame, in bytes.
-    pub whole: usize,
+    pub max_total: usize,
 }
 
-impl Default for Bounds {
+impl Default for ReadLimits {
     /// Bulk strings as long as a request's answer may be, a thousand keys with their values, and lines as long as the dialect's own
     /// errors get.
-    fn default() -> Bounds {
-        Bounds { bulk: 1 << 20, parts: 4096, depth: 8, line: 8192, whole: 4 << 20 }
+    fn default() -> ReadLimits {
+        ReadLimits { max_bulk: 1 << 20, max_frames: 4096, max_depth: 8, max_line: 8192, max_total: 4 << 20 }
     }
 }
 
@@ -60,7 +60,7 @@
 /// Reads whole frames off the start of a buffer. What was read of one that is not whole yet is not read again.
 #[derive(Debug)]
 pub struct Reader {
-    bounds: Bounds,
+    bounds: ReadLimits,
     frames: Vec<Frame>,
     /// How many are still to come, by depth.
     open: Vec<usize>,
@@ -68,19 +68,19 @@
 }
 
 impl Reader {
-    pub fn new(bounds: Bounds) -> Reader {
+    pub fn new(bounds: ReadLimits) -> Reader {
         Reader { bounds, frames: Vec::new(), open: Vec::new(), read: 0 }
     }
 
     /// The whole frame at the start of the buffer, with its length in bytes; `None` until it is there. The buffer has to begin
     /// where it did the last time. After a fault nothing more can be read.
-    pub fn pull(&mut self, buf: &[u8]) -> Result<Option<(Vec<Frame>, usize)>, Fault> {
+    pub fn next_frame(&mut self, buf: &[u8]) -> Result<Option<(Vec<Frame>, usize)>, Fault> {
         loop {
-            if buf.len().max(self.read) > self.bounds.whole && self.read >= self.bounds.whole {
+            if buf.len().max(self.read) > self.bounds.max_total && self.read >= self.bounds.max_total {
                 return Err(Fault("too long"));
             }
             let Some((frame, end)) = self.one(buf)? else {
-                if buf.len() - self.read > self.bounds.bulk + self.bounds.line {
+                if buf.len() - self.read > self.bounds.max_bulk + self.bounds.max_line {
                     return Err(Fault("too long"));
                 }
                 return Ok(None);
@@ -88,11 +88,11 @@
             self.read = end;
             let within = frame.within;
             self.frames.push(frame);
-            if self.frames.len() > self.bounds.parts {
+            if self.frames.len() > self.bounds.max_frames {
                 return Err(Fault("too many parts"));
             }
             if within > 0 {
-                if self.open.len() >= self.bounds.depth {
+                if self.open.len() >= self.bounds.max_depth {
                     return Err(Fault("too deep"));
                 }
                 self.open.push(within);
@@ -115,10 +115,10 @@
     /// The next line, without its end, and where the next thing begins.
     fn line(&self, buf: &[u8], from: usize) -> Result<Option<(Range<usize>, usize)>, Fault> {
         let rest = &buf[from..];
-        let most = rest.len().min(self.bounds.line + 2);
+        let most = rest.len().min(self.bounds.max_line + 2);
         match rest[..most].windows(2).position(|w| w == b"\r\n") {
             Some(len) => Ok(Some((from..from + len, from + len + 2))),
-            None if rest.len() > self.bounds.line + 2 => Err(Fault("too long a line")),
+            None if rest.len() > self.bounds.max_line + 2 => Err(Fault("too long a line")),
             None => Ok(None),
         }
     }
@@ -164,7 +164,7 @@
             return Ok(Some((Frame { kind: Kind::Null, at: next..next, within: 0 }, next)));
         }
         let len = usize::try_from(len).map_err(|_| Fault("no length"))?;
-        if len > self.bounds.bulk {
+        if len > self.bounds.max_bulk {
             return Err(Fault("too long a bulk string"));
         }
         let end = next + len;
@@ -189,7 +189,7 @@
         }
         let within =
             usize::try_from(count).ok().and_then(|n| n.checked_mul(each)).ok_or(Fault("no count"))?;
-        if within > self.bounds.parts {
+        if within > self.bounds.max_frames {
             return Err(Fault("too many parts"));
         }
         Ok(Some((Frame { kind, at: line, within }, next)))
@@ -215,7 +215,15 @@
     use proptest::test_runner::RngSeed;
 
     fn told(text: &[u8]) -> String {
-        match Reader::new(Bounds { bulk: 20, parts: 6, depth: 2, line: 30, whole: 200 }).pull(text) {
+        match Reader::new(ReadLimits {
+            max_bulk: 20,
+            max_frames: 6,
+            max_depth: 2,
+            max_line: 30,
+            max_total: 200,
+        })
+        .next_frame(text)
+        {
             Ok(Some((frames, len))) => {
                 let one = |f: &Frame| format!("{:?}({})", f.kind, text[f.at.clone()].escape_ascii());
                 format!("{} in {len}\n", frames.iter().map(one).collect::<Vec<_>>().join(" "))
@@ -309,13 +317,13 @@
                 value.iter().for_each(|v| all.bulk(v));
             }
             let bytes = all.take();
-            let (mut reader, mut buf, mut rest) = (Reader::new(Bounds::default()), Vec::new(), &bytes[..]);
+            let (mut reader, mut buf, mut rest) = (Reader::new(ReadLimits::default()), Vec::new(), &bytes[..]);
             let mut seen: Vec<Vec<Vec<u8>>> = Vec::new();
             for cut in cuts.into_iter().chain([usize::MAX]) {
                 let (now, later) = rest.split_at(cut.min(rest.len()));
                 rest = later;
                 buf.extend_from_slice(now);
-                while let Some((frames, len)) = reader.pull(&buf).unwrap() {
+                while let Some((frames, len)) = reader.next_frame(&buf).unwrap() {
                     seen.push(frames[1..].iter().map(|f| buf[f.at.clone()].to_vec()).collect());
                     buf.drain(..len);
                 }
@@ -326,9 +334,9 @@
         /// Any bytes are read, waited for or refused: no panic, and no more frames are held than are allowed.
         #[test]
         fn noise_is_answered(noise in proptest::collection::vec(prop_oneof![Just(b'*'), Just(b'$'), Just(b'\r'), Just(b'\n'), Just(b'1'), Just(b'-'), any::<u8>()], 0..200)) {
-            let mut reader = Reader::new(Bounds { bulk: 50, parts: 10, depth: 3, line: 20, whole: 100 });
+            let mut reader = Reader::new(ReadLimits { max_bulk: 50, max_frames: 10, max_depth: 3, max_line: 20, max_total: 100 });
             let mut from = 0;
-            while let Ok(Some((frames, len))) = reader.pull(&noise[from..]) {
+            while let Ok(Some((frames, len))) = reader.next_frame(&noise[from..]) {
                 prop_assert!(len > 0 && frames.len() <= 10);
                 from += len;
             }
