--- a/crates/resp-frontend/src/clients.rs
+++ b/crates/resp-frontend/src/clients.rs
@@ -14,7 +14,7 @@
 use chalkwalk_engine::lifecycle::Phase;
 use chalkwalk_engine::response::{Response, ResponseStatus};
 use chalkwalk_limits::RequestAttributes;
-use chalkwalk_resp::{Fault, Frame, Kind as Type, ReadLimits, Reader, Writer};
+use chalkwalk_resp::{Fault, Frame, FrameKind, ReadLimits, Reader, Writer};
 use chalkwalk_slot_map::Way;
 use chalkwalk_sockets::{read_more, within, write_all};
 use chalkwalk_time::TICKS_PER_MILLISECOND;
@@ -508,7 +508,7 @@
         None => Ok(None),
         Some(b'*') => {
             let Some((frames, len)) = reader.next_frame(buf)? else { return Ok(None) };
-            let bulk = |f: &Frame| (f.kind == Type::Bulk).then(|| f.at.clone());
+            let bulk = |f: &Frame| (f.kind == FrameKind::Bulk).then(|| f.range.clone());
             let at: Option<Vec<_>> = frames[1..].iter().map(bulk).collect();
             let at = at.ok_or(Fault("expected bulk strings"))?;
             let words = (!at.is_empty()).then(|| Words { bytes: buf[..len].to_vec(), at });
--- a/crates/resp-frontend/src/cluster.rs
+++ b/crates/resp-frontend/src/cluster.rs
@@ -4,7 +4,7 @@
 use chalkwalk_balancer::EndpointStatus;
 use chalkwalk_engine::flow;
 use chalkwalk_engine::members::ListedEndpoint;
-use chalkwalk_resp::{Kind, ReadLimits, Reader, Writer};
+use chalkwalk_resp::{FrameKind, ReadLimits, Reader, Writer};
 use chalkwalk_slot_map::View;
 use chalkwalk_sockets::{read_more, within, write_all};
 use chalkwalk_time::Timestamp;
@@ -112,9 +112,9 @@
             return Err("it closed".into());
         }
     };
-    let text = String::from_utf8_lossy(&buf[frames[0].at.clone()]);
+    let text = String::from_utf8_lossy(&buf[frames[0].range.clone()]);
     match frames[0].kind {
-        Kind::Bulk | Kind::Verbatim => View::read(&text, addr),
+        FrameKind::Bulk | FrameKind::Verbatim => View::read(&text, addr),
         _ => Err(format!("it answered {text}")),
     }
 }
--- a/crates/resp-frontend/src/parts.rs
+++ b/crates/resp-frontend/src/parts.rs
@@ -2,7 +2,7 @@
 
 use crate::command::Words;
 use chalkwalk_engine::response::{Response, ResponseStatus};
-use chalkwalk_resp::{Kind, ReadLimits, Reader, Writer, number};
+use chalkwalk_resp::{FrameKind, ReadLimits, Reader, Writer, number};
 use chalkwalk_time::Span;
 
 /// How the answers of parts come together.
@@ -25,7 +25,7 @@
     own.iter().for_each(|w| out.bulk(w));
     let bytes = out.take();
     let at = match Reader::new(ReadLimits::default()).next_frame(&bytes) {
-        Ok(Some((frames, _))) => frames[1..].iter().map(|f| f.at.clone()).collect(),
+        Ok(Some((frames, _))) => frames[1..].iter().map(|f| f.range.clone()).collect(),
         _ => Vec::new(),
     };
     Words { bytes, at }
@@ -64,7 +64,7 @@
         let Ok(Some((frames, _))) = Reader::new(ReadLimits::default()).next_frame(&body) else {
             return Some(ResponseStatus::Failed);
         };
-        if matches!(frames[0].kind, Kind::Error | Kind::BulkError) {
+        if matches!(frames[0].kind, FrameKind::Error | FrameKind::BulkError) {
             // The first error is the answer.
             out.raw(&body);
             return None;
@@ -72,11 +72,11 @@
         match how {
             Gather::Values => {
                 for (frame, place) in frames[1..].iter().zip(places) {
-                    let held = frame.kind != Kind::Null;
-                    values[place] = held.then(|| body[frame.at.clone()].to_vec());
+                    let held = frame.kind != FrameKind::Null;
+                    values[place] = held.then(|| body[frame.range.clone()].to_vec());
                 }
             }
-            Gather::Sum => sum += number(&body[frames[0].at.clone()]).unwrap_or(0),
+            Gather::Sum => sum += number(&body[frames[0].range.clone()]).unwrap_or(0),
             Gather::All => {}
         }
     }
--- a/crates/resp-frontend/src/request.rs
+++ b/crates/resp-frontend/src/request.rs
@@ -7,7 +7,7 @@
     ClientRequest, HealthCheck, Response, ResponseStatus, ServerResponse, Wait,
 };
 use chalkwalk_limits::RequestAttributes;
-use chalkwalk_resp::{Frame, Kind, ReadLimits, Reader, Writer};
+use chalkwalk_resp::{Frame, FrameKind, ReadLimits, Reader, Writer};
 use chalkwalk_slot_map::{Meaning, SLOTS, Way, meaning};
 use chalkwalk_sockets::{read_more, write_all};
 use chalkwalk_time::{Span, Timestamp};
@@ -142,7 +142,7 @@
         keep: bool,
     ) -> ServerResponse {
         let none = |outcome| ServerResponse { outcome, answer: None, keep, rest: None };
-        if let [Frame { kind: Kind::Error, at: text, .. }] = &frames[..] {
+        if let [Frame { kind: FrameKind::Error, range: text, .. }] = &frames[..] {
             let error = String::from_utf8_lossy(&buf[at + text.start..at + text.end]).to_string();
             let means = meaning(&error, from, SLOTS);
             if self.way.borrow_mut().said(&means, &mut self.door.map.borrow_mut()) {
@@ -186,7 +186,7 @@
             write_all(stream, &[out.bytes()]).await.ok()?;
             let mut buf = Vec::new();
             let (frames, len) = answer(stream, &mut buf, 0).await?;
-            (frames[0].kind == Kind::Simple).then_some(buf.len() == len)
+            (frames[0].kind == FrameKind::Simple).then_some(buf.len() == len)
         })
     }
 }
--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -7,6 +7,6 @@
 mod slot;
 mod write;
 
-pub use read::{Fault, Frame, Kind, ReadLimits, Reader, number};
+pub use read::{Fault, Frame, FrameKind, ReadLimits, Reader, number};
 pub use slot::{SLOTS, hash_tag, slot_of};
 pub use write::Writer;
--- a/crates/resp/src/read.rs
+++ b/crates/resp/src/read.rs
@@ -26,7 +26,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum FrameKind {
     Simple,
     Error,
     Number,
@@ -36,9 +36,9 @@
     Map,
     Set,
     Push,
-    Bool,
+    Boolean,
     Double,
-    Big,
+    BigNumber,
     BulkError,
     Verbatim,
 }
@@ -46,11 +46,11 @@
 /// One frame of a whole one, in the order in which they stand. What is within an aggregate follows it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Frame {
-    pub kind: Kind,
+    pub kind: FrameKind,
     /// Its text or body, in the buffer.
-    pub at: Range<usize>,
+    pub range: Range<usize>,
     /// How many frames an aggregate has directly within it; a map's keys and values both count.
-    pub within: usize,
+    pub children: usize,
 }
 
 /// What is wrong, in words that go into the dialect's own error.
@@ -86,16 +86,16 @@
                 return Ok(None);
             };
             self.read = end;
-            let within = frame.within;
+            let children = frame.children;
             self.frames.push(frame);
             if self.frames.len() > self.bounds.max_frames {
                 return Err(Fault("too many parts"));
             }
-            if within > 0 {
+            if children > 0 {
                 if self.open.len() >= self.bounds.max_depth {
                     return Err(Fault("too deep"));
                 }
-                self.open.push(within);
+                self.open.push(children);
                 continue;
             }
             while let Some(left) = self.open.last_mut() {
@@ -127,27 +127,27 @@
         let Some(first) = buf.get(self.read) else { return Ok(None) };
         let Some((line, next)) = self.line(buf, self.read + 1)? else { return Ok(None) };
         let text = &buf[line.clone()];
-        let flat = |kind| Ok(Some((Frame { kind, at: line.clone(), within: 0 }, next)));
+        let flat = |kind| Ok(Some((Frame { kind, range: line.clone(), children: 0 }, next)));
         match first {
-            b'+' => flat(Kind::Simple),
-            b'-' => flat(Kind::Error),
-            b':' => number(text).ok_or(Fault("no number")).and_then(|_| flat(Kind::Number)),
-            b'_' if text.is_empty() => flat(Kind::Null),
-            b'#' if matches!(text, b"t" | b"f") => flat(Kind::Bool),
-            b',' => flat(Kind::Double),
-            b'(' => flat(Kind::Big),
+            b'+' => flat(FrameKind::Simple),
+            b'-' => flat(FrameKind::Error),
+            b':' => number(text).ok_or(Fault("no number")).and_then(|_| flat(FrameKind::Number)),
+            b'_' if text.is_empty() => flat(FrameKind::Null),
+            b'#' if matches!(text, b"t" | b"f") => flat(FrameKind::Boolean),
+            b',' => flat(FrameKind::Double),
+            b'(' => flat(FrameKind::BigNumber),
             b'$' | b'!' | b'=' => {
                 let kind = match first {
-                    b'$' => Kind::Bulk,
-                    b'!' => Kind::BulkError,
-                    _ => Kind::Verbatim,
+                    b'$' => FrameKind::Bulk,
+                    b'!' => FrameKind::BulkError,
+                    _ => FrameKind::Verbatim,
                 };
                 self.bulk(buf, kind, text, next)
             }
-            b'*' => self.aggregate(Kind::Array, text, line, next, 1),
-            b'%' => self.aggregate(Kind::Map, text, line, next, 2),
-            b'~' => self.aggregate(Kind::Set, text, line, next, 1),
-            b'>' => self.aggregate(Kind::Push, text, line, next, 1),
+            b'*' => self.aggregate(FrameKind::Array, text, line, next, 1),
+            b'%' => self.aggregate(FrameKind::Map, text, line, next, 2),
+            b'~' => self.aggregate(FrameKind::Set, text, line, next, 1),
+            b'>' => self.aggregate(FrameKind::Push, text, line, next, 1),
             _ => Err(Fault("no such type")),
         }
     }
@@ -155,13 +155,13 @@
     fn bulk(
         &self,
         buf: &[u8],
-        kind: Kind,
+        kind: FrameKind,
         text: &[u8],
         next: usize,
     ) -> Result<Option<(Frame, usize)>, Fault> {
         let len = number(text).ok_or(Fault("no length"))?;
-        if len == -1 && kind == Kind::Bulk {
-            return Ok(Some((Frame { kind: Kind::Null, at: next..next, within: 0 }, next)));
+        if len == -1 && kind == FrameKind::Bulk {
+            return Ok(Some((Frame { kind: FrameKind::Null, range: next..next, children: 0 }, next)));
         }
         let len = usize::try_from(len).map_err(|_| Fault("no length"))?;
         if len > self.bounds.max_bulk {
@@ -169,7 +169,7 @@
         }
         let end = next + len;
         match buf.get(end..end + 2) {
-            Some(b"\r\n") => Ok(Some((Frame { kind, at: next..end, within: 0 }, end + 2))),
+            Some(b"\r\n") => Ok(Some((Frame { kind, range: next..end, children: 0 }, end + 2))),
             Some(_) => Err(Fault("a bulk string of another length")),
             None => Ok(None),
         }
@@ -177,22 +177,22 @@
 
     fn aggregate(
         &self,
-        kind: Kind,
+        kind: FrameKind,
         text: &[u8],
         line: Range<usize>,
         next: usize,
         each: usize,
     ) -> Result<Option<(Frame, usize)>, Fault> {
         let count = number(text).ok_or(Fault("no count"))?;
-        if count == -1 && kind == Kind::Array {
-            return Ok(Some((Frame { kind: Kind::Null, at: next..next, within: 0 }, next)));
+        if count == -1 && kind == FrameKind::Array {
+            return Ok(Some((Frame { kind: FrameKind::Null, range: next..next, children: 0 }, next)));
         }
-        let within =
+        let children =
             usize::try_from(count).ok().and_then(|n| n.checked_mul(each)).ok_or(Fault("no count"))?;
-        if within > self.bounds.max_frames {
+        if children > self.bounds.max_frames {
             return Err(Fault("too many parts"));
         }
-        Ok(Some((Frame { kind, at: line, within }, next)))
+        Ok(Some((Frame { kind, range: line, children }, next)))
     }
 }
 
@@ -225,7 +225,7 @@
         .next_frame(text)
         {
             Ok(Some((frames, len))) => {
-                let one = |f: &Frame| format!("{:?}({})", f.kind, text[f.at.clone()].escape_ascii());
+                let one = |f: &Frame| format!("{:?}({})", f.kind, text[f.range.clone()].escape_ascii());
                 format!("{} in {len}\n", frames.iter().map(one).collect::<Vec<_>>().join(" "))
             }
             Ok(None) => "more\n".into(),
@@ -276,9 +276,9 @@
             Null() in 5
             Null() in 5
             Null() in 3
-            Bool(t) in 4
+            Boolean(t) in 4
             Double(1.5) in 6
-            Big(123) in 6
+            BigNumber(123) in 6
             BulkError(ERR) in 9
             Verbatim(txt:a) in 11
             Array(2) Bulk(a) Array(1) Number(1) in 19
@@ -324,7 +324,7 @@
                 rest = later;
                 buf.extend_from_slice(now);
                 while let Some((frames, len)) = reader.next_frame(&buf).unwrap() {
-                    seen.push(frames[1..].iter().map(|f| buf[f.at.clone()].to_vec()).collect());
+                    seen.push(frames[1..].iter().map(|f| buf[f.range.clone()].to_vec()).collect());
                     buf.drain(..len);
                 }
             }
