--- a/crates/resp-frontend/src/clients.rs
+++ b/crates/resp-frontend/src/clients.rs
@@ -14,7 +14,7 @@
 use chalkwalk_engine::lifecycle::Phase;
 use chalkwalk_engine::response::{Response, ResponseStatus};
 use chalkwalk_limits::RequestAttributes;
-use chalkwalk_resp::{Fault, Frame, FrameKind, ReadLimits, Reader, Writer};
+use chalkwalk_resp::{Frame, FrameKind, ProtocolError, ReadLimits, Reader, Writer};
 use chalkwalk_slot_map::Way;
 use chalkwalk_sockets::{read_more, within, write_all};
 use chalkwalk_time::TICKS_PER_MILLISECOND;
@@ -291,9 +291,9 @@
                     continue;
                 }
                 Ok(None) => {}
-                Err(Fault(fault)) => {
+                Err(error) => {
                     let mut out = Writer::default();
-                    out.error(&format!("ERR Protocol error: {fault}"));
+                    out.error(&format!("ERR Protocol error: {error}"));
                     _ = into.send((Pending::Last(out.take()), in_order.acquire_arc().await)).await;
                     return;
                 }
@@ -503,14 +503,14 @@
 
 /// A whole command off the start of the buffer, with its length: an array of bulk strings, or a line of words. No words where it
 /// is empty.
-fn command(reader: &mut Reader, buf: &[u8]) -> Result<Option<(Option<Words>, usize)>, Fault> {
+fn command(reader: &mut Reader, buf: &[u8]) -> Result<Option<(Option<Words>, usize)>, ProtocolError> {
     match buf.first() {
         None => Ok(None),
         Some(b'*') => {
             let Some((frames, len)) = reader.next_frame(buf)? else { return Ok(None) };
             let bulk = |f: &Frame| (f.kind == FrameKind::Bulk).then(|| f.range.clone());
             let at: Option<Vec<_>> = frames[1..].iter().map(bulk).collect();
-            let at = at.ok_or(Fault("expected bulk strings"))?;
+            let at = at.ok_or(ProtocolError::ExpectedBulkStrings)?;
             let words = (!at.is_empty()).then(|| Words { bytes: buf[..len].to_vec(), at });
             Ok(Some((words, len)))
         }
@@ -519,10 +519,10 @@
 }
 
 /// A line of words, as a person types it.
-fn inline(buf: &[u8]) -> Result<Option<(Option<Words>, usize)>, Fault> {
+fn inline(buf: &[u8]) -> Result<Option<(Option<Words>, usize)>, ProtocolError> {
     let most = ReadLimits::default().max_line;
     let Some(end) = buf.iter().take(most).position(|b| *b == b'\n') else {
-        return if buf.len() >= most { Err(Fault("too big inline request")) } else { Ok(None) };
+        return if buf.len() >= most { Err(ProtocolError::InlineTooLong) } else { Ok(None) };
     };
     let line = buf[..end].strip_suffix(b"\r").unwrap_or(&buf[..end]);
     let mut at = Vec::new();
--- a/crates/resp-frontend/src/cluster.rs
+++ b/crates/resp-frontend/src/cluster.rs
@@ -105,7 +105,7 @@
     let mut reader = Reader::new(ReadLimits { max_bulk: LONGEST, ..ReadLimits::default() });
     let mut buf = Vec::new();
     let frames = loop {
-        if let Some((frames, _)) = reader.next_frame(&buf).map_err(|f| f.0.to_string())? {
+        if let Some((frames, _)) = reader.next_frame(&buf).map_err(|e| e.to_string())? {
             break frames;
         }
         if read_more(&stream, &mut buf).await.map_err(|e| e.to_string())? == 0 {
--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -3,10 +3,12 @@
 //!
 //! It may use the standard library alone. No socket, clock or request ever enters it, nor what a command means.
 
+mod error;
 mod read;
 mod slot;
 mod write;
 
-pub use read::{Fault, Frame, FrameKind, ReadLimits, Reader, number};
+pub use error::ProtocolError;
+pub use read::{Frame, FrameKind, ReadLimits, Reader, number};
 pub use slot::{SLOTS, hash_tag, slot_of};
 pub use write::Writer;
--- a/crates/resp/src/read.rs
+++ b/crates/resp/src/read.rs
@@ -1,5 +1,6 @@
 //! Frames out of bytes. Bulk bodies stay where they came: a frame is a list of places in the buffer.
 
+use crate::ProtocolError;
 use std::ops::Range;
 
 /// What is read at the most.
@@ -53,10 +54,6 @@
     pub children: usize,
 }
 
-/// What is wrong, in words that go into the dialect's own error.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault(pub &'static str);
-
 /// Reads whole frames off the start of a buffer. What was read of one that is not whole yet is not read again.
 #[derive(Debug)]
 pub struct Reader {
@@ -74,14 +71,14 @@
 
     /// The whole frame at the start of the buffer, with its length in bytes; `None` until it is there. The buffer has to begin
     /// where it did the last time. After a fault nothing more can be read.
-    pub fn next_frame(&mut self, buf: &[u8]) -> Result<Option<(Vec<Frame>, usize)>, Fault> {
+    pub fn next_frame(&mut self, buf: &[u8]) -> Result<Option<(Vec<Frame>, usize)>, ProtocolError> {
         loop {
             if buf.len().max(self.read) > self.bounds.max_total && self.read >= self.bounds.max_total {
-                return Err(Fault("too long"));
+                return Err(ProtocolError::TooLong);
             }
             let Some((frame, end)) = self.one(buf)? else {
                 if buf.len() - self.read > self.bounds.max_bulk + self.bounds.max_line {
-                    return Err(Fault("too long"));
+                    return Err(ProtocolError::TooLong);
                 }
                 return Ok(None);
             };
@@ -89,11 +86,11 @@
             let children = frame.children;
             self.frames.push(frame);
             if self.frames.len() > self.bounds.max_frames {
-                return Err(Fault("too many parts"));
+                return Err(ProtocolError::TooManyFrames);
             }
             if children > 0 {
                 if self.open.len() >= self.bounds.max_depth {
-                    return Err(Fault("too deep"));
+                    return Err(ProtocolError::TooDeep);
                 }
                 self.open.push(children);
                 continue;
@@ -113,17 +110,17 @@
     }
 
     /// The next line, without its end, and where the next thing begins.
-    fn line(&self, buf: &[u8], from: usize) -> Result<Option<(Range<usize>, usize)>, Fault> {
+    fn line(&self, buf: &[u8], from: usize) -> Result<Option<(Range<usize>, usize)>, ProtocolError> {
         let rest = &buf[from..];
         let most = rest.len().min(self.bounds.max_line + 2);
         match rest[..most].windows(2).position(|w| w == b"\r\n") {
             Some(len) => Ok(Some((from..from + len, from + len + 2))),
-            None if rest.len() > self.bounds.max_line + 2 => Err(Fault("too long a line")),
+            None if rest.len() > self.bounds.max_line + 2 => Err(ProtocolError::LineTooLong),
             None => Ok(None),
         }
     }
 
-    fn one(&self, buf: &[u8]) -> Result<Option<(Frame, usize)>, Fault> {
+    fn one(&self, buf: &[u8]) -> Result<Option<(Frame, usize)>, ProtocolError> {
         let Some(first) = buf.get(self.read) else { return Ok(None) };
         let Some((line, next)) = self.line(buf, self.read + 1)? else { return Ok(None) };
         let text = &buf[line.clone()];
@@ -131,7 +128,7 @@
         match first {
             b'+' => flat(FrameKind::Simple),
             b'-' => flat(FrameKind::Error),
-            b':' => number(text).ok_or(Fault("no number")).and_then(|_| flat(FrameKind::Number)),
+            b':' => number(text).ok_or(ProtocolError::InvalidNumber).and_then(|_| flat(FrameKind::Number)),
             b'_' if text.is_empty() => flat(FrameKind::Null),
             b'#' if matches!(text, b"t" | b"f") => flat(FrameKind::Boolean),
             b',' => flat(FrameKind::Double),
@@ -148,7 +145,7 @@
             b'%' => self.aggregate(FrameKind::Map, text, line, next, 2),
             b'~' => self.aggregate(FrameKind::Set, text, line, next, 1),
             b'>' => self.aggregate(FrameKind::Push, text, line, next, 1),
-            _ => Err(Fault("no such type")),
+            _ => Err(ProtocolError::UnknownType),
         }
     }
 
@@ -158,19 +155,19 @@
         kind: FrameKind,
         text: &[u8],
         next: usize,
-    ) -> Result<Option<(Frame, usize)>, Fault> {
-        let len = number(text).ok_or(Fault("no length"))?;
+    ) -> Result<Option<(Frame, usize)>, ProtocolError> {
+        let len = number(text).ok_or(ProtocolError::InvalidLength)?;
         if len == -1 && kind == FrameKind::Bulk {
             return Ok(Some((Frame { kind: FrameKind::Null, range: next..next, children: 0 }, next)));
         }
-        let len = usize::try_from(len).map_err(|_| Fault("no length"))?;
+        let len = usize::try_from(len).map_err(|_| ProtocolError::InvalidLength)?;
         if len > self.bounds.max_bulk {
-            return Err(Fault("too long a bulk string"));
+            return Err(ProtocolError::BulkTooLong);
         }
         let end = next + len;
         match buf.get(end..end + 2) {
             Some(b"\r\n") => Ok(Some((Frame { kind, range: next..end, children: 0 }, end + 2))),
-            Some(_) => Err(Fault("a bulk string of another length")),
+            Some(_) => Err(ProtocolError::LengthMismatch),
             None => Ok(None),
         }
     }
@@ -182,15 +179,17 @@
         line: Range<usize>,
         next: usize,
         each: usize,
-    ) -> Result<Option<(Frame, usize)>, Fault> {
-        let count = number(text).ok_or(Fault("no count"))?;
+    ) -> Result<Option<(Frame, usize)>, ProtocolError> {
+        let count = number(text).ok_or(ProtocolError::InvalidCount)?;
         if count == -1 && kind == FrameKind::Array {
             return Ok(Some((Frame { kind: FrameKind::Null, range: next..next, children: 0 }, next)));
         }
-        let children =
-            usize::try_from(count).ok().and_then(|n| n.checked_mul(each)).ok_or(Fault("no count"))?;
+        let children = usize::try_from(count)
+            .ok()
+            .and_then(|n| n.checked_mul(each))
+            .ok_or(ProtocolError::InvalidCount)?;
         if children > self.bounds.max_frames {
-            return Err(Fault("too many parts"));
+            return Err(ProtocolError::TooManyFrames);
         }
         Ok(Some((Frame { kind, range: line, children }, next)))
     }
@@ -229,7 +228,7 @@
                 format!("{} in {len}\n", frames.iter().map(one).collect::<Vec<_>>().join(" "))
             }
             Ok(None) => "more\n".into(),
-            Err(Fault(fault)) => format!("{fault}\n"),
+            Err(error) => format!("{error}\n"),
         }
     }
 
