--- a/crates/resp-frontend/src/client.rs
+++ b/crates/resp-frontend/src/client.rs
@@ -113,7 +113,7 @@
                 ("AUTH", 3..) => {
                     let mut told = Writer::default();
                     if !self.auth(words.get(i + 1), words.get(i + 2), settings, &mut told) {
-                        return out.raw(told.bytes());
+                        return out.raw(told.as_bytes());
                     }
                     i += 3;
                 }
@@ -341,7 +341,7 @@
             client.own(&words, &settings, &mut out);
             told += &format!(
                 "{line}: {}\n",
-                String::from_utf8_lossy(out.bytes()).replace("\r\n", " ").trim_end()
+                String::from_utf8_lossy(out.as_bytes()).replace("\r\n", " ").trim_end()
             );
         }
         assert!(client.known && client.over && client.resp3);
--- a/crates/resp-frontend/src/cluster.rs
+++ b/crates/resp-frontend/src/cluster.rs
@@ -101,7 +101,7 @@
     let stream = Async::<TcpStream>::connect(addr).await.map_err(|e| format!("no connection: {e}"))?;
     let mut out = Writer::default();
     out.command(&[b"CLUSTER", b"NODES"]);
-    write_all(&stream, &[out.bytes()]).await.map_err(|e| e.to_string())?;
+    write_all(&stream, &[out.as_bytes()]).await.map_err(|e| e.to_string())?;
     let mut reader = Reader::new(ReadLimits { max_bulk: LONGEST, ..ReadLimits::default() });
     let mut buf = Vec::new();
     let frames = loop {
--- a/crates/resp-frontend/src/parts.rs
+++ b/crates/resp-frontend/src/parts.rs
@@ -107,7 +107,7 @@
         let mut out = Writer::default();
         match gathered(parts, how, write, &mut out) {
             Some(status) => format!("{status:?}"),
-            None => String::from_utf8_lossy(out.bytes()).replace("\r\n", " "),
+            None => String::from_utf8_lossy(out.as_bytes()).replace("\r\n", " "),
         }
     }
 
--- a/crates/resp-frontend/src/request.rs
+++ b/crates/resp-frontend/src/request.rs
@@ -183,7 +183,7 @@
         Box::pin(async move {
             let mut out = Writer::default();
             out.command(&[b"PING"]);
-            write_all(stream, &[out.bytes()]).await.ok()?;
+            write_all(stream, &[out.as_bytes()]).await.ok()?;
             let mut buf = Vec::new();
             let (frames, len) = answer(stream, &mut buf, 0).await?;
             (frames[0].kind == FrameKind::Simple).then_some(buf.len() == len)
--- a/crates/resp/src/write.rs
+++ b/crates/resp/src/write.rs
@@ -22,7 +22,7 @@
         self.out.len()
     }
 
-    pub fn bytes(&self) -> &[u8] {
+    pub fn as_bytes(&self) -> &[u8] {
         &self.out
     }
 
