--- a/crates/discovery-etcd/src/call.rs
+++ b/crates/discovery-etcd/src/call.rs
@@ -1,7 +1,9 @@
 //! One connection to an endpoint, and calls on it.
 
 use bytes::Bytes;
-use chalkwalk_etcd_wire::{CONTENT_TYPE, Frames, Message, REASON, STATUS, code, framed};
+use chalkwalk_etcd_wire::{
+    CONTENT_TYPE, FrameDecoder, GRPC_MESSAGE, GRPC_STATUS, Message, code, encode_frame,
+};
 use chalkwalk_sockets::within;
 use h2::client::{SendRequest, handshake};
 use h2::{RecvStream, SendStream};
@@ -52,7 +54,7 @@
         let ready = within(ANSWER, self.send.clone().ready()).await.ok_or("no room for a call in time")?;
         let (answer, out) =
             ready.and_then(|mut send| send.send_request(head, false)).map_err(|e| e.to_string())?;
-        Ok(Stream { out, answer: Answer::Head(answer), frames: Frames::new(LONGEST) })
+        Ok(Stream { out, answer: Answer::Head(answer), frames: FrameDecoder::new(LONGEST) })
     }
 
     /// A call of one question and one answer.
@@ -74,18 +76,18 @@
 pub struct Stream {
     out: SendStream<Bytes>,
     answer: Answer,
-    frames: Frames,
+    frames: FrameDecoder,
 }
 
 impl Stream {
     pub fn say(&mut self, message: &impl Message, last: bool) -> Result<(), String> {
-        self.out.send_data(framed(message), last).map_err(|e| e.to_string())
+        self.out.send_data(encode_frame(message), last).map_err(|e| e.to_string())
     }
 
     /// The next message; `None` at the end of a call that went well. Dropped while it waits, nothing is lost.
     pub async fn next<A: Message + Default>(&mut self) -> Result<Option<A>, String> {
         loop {
-            if let Some(message) = self.frames.pull()? {
+            if let Some(message) = self.frames.next_message()? {
                 return Ok(Some(message));
             }
             let body = match &mut self.answer {
@@ -95,7 +97,7 @@
                         return Err(format!("answered {}", head.status));
                     }
                     // Where a call fails at once, its head is all there is.
-                    if head.headers.contains_key(STATUS) {
+                    if head.headers.contains_key(GRPC_STATUS) {
                         status(&head.headers)?;
                     }
                     self.answer = Answer::Body(body);
@@ -110,7 +112,7 @@
                 }
                 Some(Err(e)) => return Err(e.to_string()),
                 None => {
-                    if self.frames.torn() {
+                    if self.frames.is_mid_frame() {
                         return Err("it ended within a message".into());
                     }
                     if let Some(trailers) = body.trailers().await.map_err(|e| e.to_string())? {
@@ -125,8 +127,8 @@
 
 fn status(fields: &HeaderMap) -> Result<(), String> {
     let word = |name: &str| fields.get(name).and_then(|v| v.to_str().ok()).unwrap_or("").to_string();
-    match word(STATUS) {
+    match word(GRPC_STATUS) {
         ok if ok == code::OK => Ok(()),
-        other => Err(format!("refused, code {other}: {}", word(REASON))),
+        other => Err(format!("refused, code {other}: {}", word(GRPC_MESSAGE))),
     }
 }
--- a/crates/etcd-wire/src/frames.rs
+++ b/crates/etcd-wire/src/frames.rs
@@ -6,7 +6,7 @@
 const HEAD: usize = 5;
 
 /// A message with its head.
-pub fn framed(message: &impl Message) -> Bytes {
+pub fn encode_frame(message: &impl Message) -> Bytes {
     let len = message.encoded_len();
     let mut out = BytesMut::with_capacity(HEAD + len);
     out.put_u8(0);
@@ -17,14 +17,14 @@
 }
 
 /// Takes bytes as they come and gives messages, none longer than stated.
-pub struct Frames {
+pub struct FrameDecoder {
     buf: BytesMut,
     longest: usize,
 }
 
-impl Frames {
-    pub fn new(longest: usize) -> Frames {
-        Frames { buf: BytesMut::new(), longest }
+impl FrameDecoder {
+    pub fn new(longest: usize) -> FrameDecoder {
+        FrameDecoder { buf: BytesMut::new(), longest }
     }
 
     pub fn push(&mut self, bytes: &[u8]) {
@@ -32,7 +32,7 @@
     }
 
     /// The next whole message, `None` until it is here. After an error nothing more can be read.
-    pub fn pull<M: Message + Default>(&mut self) -> Result<Option<M>, String> {
+    pub fn next_message<M: Message + Default>(&mut self) -> Result<Option<M>, String> {
         if self.buf.len() < HEAD {
             return Ok(None);
         }
@@ -52,7 +52,7 @@
     }
 
     /// Whether the bytes ended within a message.
-    pub fn torn(&self) -> bool {
+    pub fn is_mid_frame(&self) -> bool {
         !self.buf.is_empty()
     }
 }
@@ -73,31 +73,31 @@
             cuts in proptest::collection::vec(1usize..20, 0..20),
         ) {
             let message = |r: &i64| WatchResponse { compact_revision: *r, ..WatchResponse::default() };
-            let all: Vec<u8> = revisions.iter().flat_map(|r| framed(&message(r)).to_vec()).collect();
-            let (mut frames, mut seen, mut rest) = (Frames::new(100), Vec::new(), &all[..]);
+            let all: Vec<u8> = revisions.iter().flat_map(|r| encode_frame(&message(r)).to_vec()).collect();
+            let (mut frames, mut seen, mut rest) = (FrameDecoder::new(100), Vec::new(), &all[..]);
             for cut in cuts.into_iter().chain([usize::MAX]) {
                 let (now, later) = rest.split_at(cut.min(rest.len()));
                 rest = later;
                 frames.push(now);
-                while let Some(m) = frames.pull::<WatchResponse>().unwrap() {
+                while let Some(m) = frames.next_message::<WatchResponse>().unwrap() {
                     seen.push(m.compact_revision);
                 }
             }
             prop_assert_eq!(seen, revisions);
-            prop_assert!(!frames.torn());
+            prop_assert!(!frames.is_mid_frame());
         }
 
         /// Any bytes are read or refused; no more is held than came, and no panic.
         #[test]
         fn noise_is_answered(noise in proptest::collection::vec(any::<u8>(), 0..400), small in any::<bool>()) {
-            let mut frames = Frames::new(if small { 50 } else { 1 << 20 });
+            let mut frames = FrameDecoder::new(if small { 50 } else { 1 << 20 });
             let mut bytes = noise.clone();
             if small && bytes.len() > 5 {
                 bytes[..4].fill(0);
                 bytes[4] = (noise.len() - 5).min(50) as u8;
             }
             frames.push(&bytes);
-            while let Ok(Some(_)) = frames.pull::<RangeResponse>() {}
+            while let Ok(Some(_)) = frames.next_message::<RangeResponse>() {}
         }
     }
 }
--- a/crates/etcd-wire/src/lib.rs
+++ b/crates/etcd-wire/src/lib.rs
@@ -6,7 +6,7 @@
 
 mod frames;
 
-pub use frames::{Frames, framed};
+pub use frames::{FrameDecoder, encode_frame};
 pub use prost::Message;
 
 #[allow(missing_docs, clippy::all)]
@@ -28,8 +28,8 @@
 }
 
 pub const CONTENT_TYPE: &str = "application/grpc";
-pub const STATUS: &str = "grpc-status";
-pub const REASON: &str = "grpc-message";
+pub const GRPC_STATUS: &str = "grpc-status";
+pub const GRPC_MESSAGE: &str = "grpc-message";
 
 /// Codes that are told apart here.
 pub mod code {
--- a/crates/testbed/src/stand/etcd.rs
+++ b/crates/testbed/src/stand/etcd.rs
@@ -9,7 +9,9 @@
 use crate::model::listing::Line;
 use crate::model::store::{Fault, Item, Store, Want, Write};
 use bytes::Bytes;
-use chalkwalk_etcd_wire::{CONTENT_TYPE, Frames, Message, REASON, STATUS, api, code, framed, path};
+use chalkwalk_etcd_wire::{
+    CONTENT_TYPE, FrameDecoder, GRPC_MESSAGE, GRPC_STATUS, Message, api, code, encode_frame, path,
+};
 use h2::server::{SendResponse, handshake};
 use h2::{RecvStream, SendStream};
 use http::{HeaderMap, HeaderValue, Request, Response};
@@ -310,7 +312,7 @@
 impl Reply {
     /// Writes a message, and waits until the peer has room for it.
     async fn say(&mut self, message: &impl Message) -> Option<()> {
-        let mut bytes = framed(message);
+        let mut bytes = encode_frame(message);
         while !bytes.is_empty() {
             self.0.reserve_capacity(bytes.len());
             let room = std::future::poll_fn(|cx| self.0.poll_capacity(cx)).await?.ok()?;
@@ -323,21 +325,21 @@
     fn end(mut self, (code, reason): (&str, &str)) {
         let mut trailers = HeaderMap::new();
         let value = |v: &str| HeaderValue::from_str(v).unwrap_or(HeaderValue::from_static(""));
-        trailers.insert(STATUS, value(code));
+        trailers.insert(GRPC_STATUS, value(code));
         if !reason.is_empty() {
-            trailers.insert(REASON, value(reason));
+            trailers.insert(GRPC_MESSAGE, value(reason));
         }
         _ = self.0.send_trailers(trailers);
     }
 }
 
 /// Messages of a call as they come.
-struct Questions(RecvStream, Frames);
+struct Questions(RecvStream, FrameDecoder);
 
 impl Questions {
     async fn next<M: Message + Default>(&mut self) -> Option<M> {
         loop {
-            if let Some(message) = self.1.pull().ok()? {
+            if let Some(message) = self.1.next_message().ok()? {
                 return Some(message);
             }
             let bytes = self.0.data().await?.ok()?;
@@ -349,7 +351,7 @@
 
 async fn call(asked: Asked, request: Request<RecvStream>, mut respond: SendResponse<Bytes>) {
     let path = request.uri().path().to_string();
-    let mut questions = Questions(request.into_body(), Frames::new(LONGEST));
+    let mut questions = Questions(request.into_body(), FrameDecoder::new(LONGEST));
     asked.unstalled().await;
     let head = Response::builder().header("content-type", CONTENT_TYPE).body(());
     let Some(Ok(stream)) = head.ok().map(|head| respond.send_response(head, false)) else { return };
