--- a/crates/discovery-etcd/src/call.rs
+++ b/crates/discovery-etcd/src/call.rs
@@ -87,7 +87,7 @@
     /// The next message; `None` at the end of a call that went well. Dropped while it waits, nothing is lost.
     pub async fn next<A: Message + Default>(&mut self) -> Result<Option<A>, String> {
         loop {
-            if let Some(message) = self.frames.next_message()? {
+            if let Some(message) = self.frames.next_message().map_err(|e| e.to_string())? {
                 return Ok(Some(message));
             }
             let body = match &mut self.answer {
--- a/crates/etcd-wire/src/frames.rs
+++ b/crates/etcd-wire/src/frames.rs
@@ -16,6 +16,25 @@
     out.freeze()
 }
 
+/// Why no message can be read. Nothing more can be read after it.
+#[derive(Debug, PartialEq, thiserror::Error)]
+pub enum FrameError {
+    /// Compression was not negotiated, so no message may be compressed.
+    #[error("a compressed message, and compression was not negotiated")]
+    Compressed,
+    /// The message exceeds the decoder's limit.
+    #[error("a message of {len} bytes is above {max}")]
+    TooLong {
+        /// The message's length, in bytes.
+        len: usize,
+        /// The limit, in bytes.
+        max: usize,
+    },
+    /// The bytes are no message of the wanted type.
+    #[error("no such message: {0}")]
+    Decode(#[from] prost::DecodeError),
+}
+
 /// Takes bytes as they come and gives messages, none longer than stated.
 pub struct FrameDecoder {
     buf: BytesMut,
@@ -32,23 +51,23 @@
     }
 
     /// The next whole message, `None` until it is here. After an error nothing more can be read.
-    pub fn next_message<M: Message + Default>(&mut self) -> Result<Option<M>, String> {
+    pub fn next_message<M: Message + Default>(&mut self) -> Result<Option<M>, FrameError> {
         if self.buf.len() < HEAD {
             return Ok(None);
         }
         if self.buf[0] != 0 {
-            return Err("a packed message, and none was asked for".into());
+            return Err(FrameError::Compressed);
         }
         let len = u32::from_be_bytes([self.buf[1], self.buf[2], self.buf[3], self.buf[4]]) as usize;
         if len > self.longest {
-            return Err(format!("a message of {len} bytes is above {}", self.longest));
+            return Err(FrameError::TooLong { len, max: self.longest });
         }
         if self.buf.len() < HEAD + len {
             return Ok(None);
         }
         self.buf.advance(HEAD);
         let message = self.buf.split_to(len).freeze();
-        M::decode(message).map(Some).map_err(|e| format!("no such message: {e}"))
+        Ok(Some(M::decode(message)?))
     }
 
     /// Whether the bytes ended within a message.
--- a/crates/etcd-wire/src/lib.rs
+++ b/crates/etcd-wire/src/lib.rs
@@ -6,7 +6,7 @@
 
 mod frames;
 
-pub use frames::{FrameDecoder, encode_frame};
+pub use frames::{FrameDecoder, FrameError, encode_frame};
 pub use prost::Message;
 
 #[allow(missing_docs, clippy::all)]
