--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,7 +1,7 @@
 //! The operators' door: HTTP/1.1, one call to a connection, on a listener of its own.
 //!
 //! It may use `http1` and `net`. No request, server connection or decision ever enters it, and no other door: what a call does
-//! is behind `Controls`. What it holds is its own: so many callers, whose connections no request can take and which take none
+//! is behind `ProxyControl`. What it holds is its own: so many callers, whose connections no request can take and which take none
 //! of a request's.
 
 use chalkwalk_http1 as http1;
@@ -20,9 +20,9 @@
 
 /// How many callers are heard at once; one more, and whoever has been silent longest makes way. Staff and their tools make
 /// a few calls a second, each over within milliseconds.
-pub const CALLERS: usize = 8;
+pub const MAX_CALLERS: usize = 8;
 /// What this door may hold: its listener and its callers; one more waits in the listener's queue.
-pub const DESCRIPTORS: usize = CALLERS + 1;
+pub const MAX_DESCRIPTORS: usize = MAX_CALLERS + 1;
 /// From the accept to the whole call.
 const SLOWEST: Duration = Duration::from_secs(1);
 /// For the answer, and what the caller still sends: many round trips, and no caller's place is held for long by one that stays.
@@ -32,44 +32,48 @@
 
 /// What came of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Done {
-    Yes,
+pub enum ControlOutcome {
+    Done,
     /// Not now.
-    No,
+    NotReady,
     /// Nobody has that id.
-    Unknown,
+    UnknownServer,
     /// It could not be kept, so it does not hold either.
-    NotKept,
+    NotPersisted,
 }
 
-pub type Doing = Pin<Box<dyn Future<Output = Done>>>;
+pub type ControlFuture = Pin<Box<dyn Future<Output = ControlOutcome>>>;
 
 /// What operators may do to a proxy. Each comes to its end once it is in force.
-pub trait Controls {
+pub trait ProxyControl {
     /// Whether this process is ready to serve.
-    fn ready(self: Rc<Self>) -> Doing;
+    fn check_ready(self: Rc<Self>) -> ControlFuture;
     /// Leaves a server out, or puts it back.
-    fn server(self: Rc<Self>, id: String, out: bool) -> Doing;
+    fn set_server_disabled(self: Rc<Self>, id: String, disabled: bool) -> ControlFuture;
     /// Empties the proxy, or ends that.
-    fn service(self: Rc<Self>, out: bool) -> Doing;
+    fn set_out_of_service(self: Rc<Self>, out: bool) -> ControlFuture;
 }
 
 /// Callers whose call is not whole yet, the one that came first in front.
 type Silent = Rc<RefCell<VecDeque<(u64, Sender<()>)>>>;
 
 /// A task of its own for each caller.
-pub type Task = Pin<Box<dyn Future<Output = ()>>>;
+pub type ConnectionTask = Pin<Box<dyn Future<Output = ()>>>;
 
 /// Takes calls, for ever.
-pub async fn accept(listener: Async<TcpListener>, controls: Rc<dyn Controls>, spawn: impl Fn(Task)) {
+pub async fn serve(
+    listener: Async<TcpListener>,
+    controls: Rc<dyn ProxyControl>,
+    spawn: impl Fn(ConnectionTask),
+) {
     let silent = Silent::default();
-    let (done, over) = bounded::<()>(CALLERS);
+    let (done, over) = bounded::<()>(MAX_CALLERS);
     let (mut open, mut next) = (0, 0);
     loop {
         while over.try_recv().is_ok() {
             open -= 1;
         }
-        if open >= CALLERS {
+        if open >= MAX_CALLERS {
             // Guards callers against others that stay and say nothing.
             if let Some((_, close)) = silent.borrow_mut().pop_front() {
                 _ = close.try_send(());
@@ -127,18 +131,18 @@
     Ok((message.text(&message.method).to_string(), message.text(&message.target).to_string()))
 }
 
-async fn answer(controls: Rc<dyn Controls>, (method, target): &(String, String)) -> (u16, &'static str) {
+async fn answer(controls: Rc<dyn ProxyControl>, (method, target): &(String, String)) -> (u16, &'static str) {
     let path = target.split('?').next().unwrap_or("");
     let parts: Vec<&str> = path.strip_prefix("/control/").unwrap_or("").split('/').collect();
-    let (wanted, call): (&str, Box<dyn FnOnce() -> Doing>) = match parts[..] {
-        ["ready"] => ("GET", Box::new(move || controls.ready())),
-        ["out-of-service"] => ("POST", Box::new(move || controls.service(true))),
-        ["in-service"] => ("POST", Box::new(move || controls.service(false))),
+    let (wanted, call): (&str, Box<dyn FnOnce() -> ControlFuture>) = match parts[..] {
+        ["ready"] => ("GET", Box::new(move || controls.check_ready())),
+        ["out-of-service"] => ("POST", Box::new(move || controls.set_out_of_service(true))),
+        ["in-service"] => ("POST", Box::new(move || controls.set_out_of_service(false))),
         ["cache-nodes", part, word @ ("offline" | "online")] => {
             let id =
                 percent_decode_str(part).decode_utf8().ok().filter(|id| !id.is_empty()).map(String::from);
             let Some(id) = id else { return (400, "an id that makes no sense\n") };
-            ("POST", Box::new(move || controls.server(id, word == "offline")))
+            ("POST", Box::new(move || controls.set_server_disabled(id, word == "offline")))
         }
         _ => return (404, "no such call\n"),
     };
@@ -146,10 +150,10 @@
         return (405, "another method\n");
     }
     match call().await {
-        Done::Yes => (200, "yes\n"),
-        Done::No => (503, "no\n"),
-        Done::Unknown => (404, "nobody has that id\n"),
-        Done::NotKept => (500, "not done: it could not be kept\n"),
+        ControlOutcome::Done => (200, "yes\n"),
+        ControlOutcome::NotReady => (503, "no\n"),
+        ControlOutcome::UnknownServer => (404, "nobody has that id\n"),
+        ControlOutcome::NotPersisted => (500, "not done: it could not be kept\n"),
     }
 }
 
--- a/crates/proxy/src/operators.rs
+++ b/crates/proxy/src/operators.rs
@@ -1,7 +1,7 @@
 //! What operators say to this proxy, kept for the process that comes after it, and heard from the one before it.
 
 use crate::pages::{News, Pages, Seen};
-use chalkwalk_admin::{self as console, Controls, Doing, Done};
+use chalkwalk_admin::{self as console, ControlFuture, ControlOutcome, ProxyControl};
 use chalkwalk_balancer as policy;
 use chalkwalk_engine::engine::Engine;
 use chalkwalk_engine::flow;
@@ -60,8 +60,8 @@
         }
         engine.ex.spawn(operators.clone().follow()).detach();
         let ex = engine.clone();
-        let spawn = move |task: console::Task| ex.ex.spawn(task).detach();
-        engine.ex.spawn(console::accept(listener, operators.clone(), spawn)).detach();
+        let spawn = move |task: console::ConnectionTask| ex.ex.spawn(task).detach();
+        engine.ex.spawn(console::serve(listener, operators.clone(), spawn)).detach();
         operators
     }
 
@@ -193,12 +193,12 @@
         kept
     }
 
-    async fn do_server(self: Rc<Self>, id: String, out: bool) -> Done {
+    async fn do_server(self: Rc<Self>, id: String, out: bool) -> ControlOutcome {
         if !self.engine.requests.borrow().has(&id) {
-            return Done::Unknown;
+            return ControlOutcome::UnknownServer;
         }
         if self.pages.borrow().own.is_out(&id) == out {
-            return Done::Yes;
+            return ControlOutcome::Done;
         }
         // In force at once, whatever the disk does: it is due within a second.
         let before = self.pages.borrow().own.servers.get(&id).copied();
@@ -215,16 +215,16 @@
                 };
                 flow::bar(&self.engine, &id, !out, before.unwrap_or_default().at);
             }
-            return Done::NotKept;
+            return ControlOutcome::NotPersisted;
         }
         info!(self.engine.log, "{}", if out { "cache left out" } else { "cache put back" }; "cache" => id);
-        Done::Yes
+        ControlOutcome::Done
     }
 
-    async fn do_service(self: Rc<Self>, out: bool) -> Done {
+    async fn do_service(self: Rc<Self>, out: bool) -> ControlOutcome {
         let before = self.pages.borrow().own.service;
         if before.out == out {
-            return Done::Yes;
+            return ControlOutcome::Done;
         }
         self.pages.borrow_mut().own.say_service(out, self.engine.clock.now());
         let said = self.pages.borrow().own.service;
@@ -234,33 +234,33 @@
                 self.pages.borrow_mut().own.service = before;
                 self.engine.lifecycle.put_out(before.out.then_some(before.at));
             }
-            return Done::NotKept;
+            return ControlOutcome::NotPersisted;
         }
         info!(self.engine.log, "{}", if out { "out of service" } else { "in service" });
-        Done::Yes
+        ControlOutcome::Done
     }
 
-    async fn do_ready(self: Rc<Self>) -> Done {
+    async fn do_ready(self: Rc<Self>) -> ControlOutcome {
         // The old process is told to end as soon as this says yes, and has to know then who takes over.
         let told = async {
             self.tell_ready().await;
             _ = self.writing.lock().await;
         };
         let told = within(KEPT_BY, told).await.is_some();
-        if told && self.engine.lifecycle.serves() { Done::Yes } else { Done::No }
+        if told && self.engine.lifecycle.serves() { ControlOutcome::Done } else { ControlOutcome::NotReady }
     }
 }
 
-impl Controls for Operators {
-    fn ready(self: Rc<Self>) -> Doing {
+impl ProxyControl for Operators {
+    fn check_ready(self: Rc<Self>) -> ControlFuture {
         Box::pin(self.do_ready())
     }
 
-    fn server(self: Rc<Self>, id: String, out: bool) -> Doing {
-        Box::pin(self.do_server(id, out))
+    fn set_server_disabled(self: Rc<Self>, id: String, disabled: bool) -> ControlFuture {
+        Box::pin(self.do_server(id, disabled))
     }
 
-    fn service(self: Rc<Self>, out: bool) -> Doing {
+    fn set_out_of_service(self: Rc<Self>, out: bool) -> ControlFuture {
         Box::pin(self.do_service(out))
     }
 }
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -37,7 +37,7 @@
     let Read { rules, membership, resp, capture } = read;
     let StartupConfig { listen, console, list, known, namespaces, engine: mut rules, shape } = rules;
     // Places that no request can take.
-    let own = if console.is_some() { console::DESCRIPTORS } else { 0 } + usize::from(handed);
+    let own = if console.is_some() { console::MAX_DESCRIPTORS } else { 0 } + usize::from(handed);
     rules.descriptors = rules.descriptors.saturating_sub(own);
     let listener = Async::new(listener).map_err(|e| format!("cannot listen: {e}"))?;
     let resp_listener = resp.as_ref().map(|r| {
