--- a/crates/http-frontend/src/servers.rs
+++ b/crates/http-frontend/src/servers.rs
@@ -143,7 +143,7 @@
     if whole {
         return Some(ServerResponse { outcome, answer, keep, rest: None });
     }
-    let held = room.try_reserve(PART.0 * PART.1, usize::MAX);
+    let held = room.try_reserve(PART.0 * PART.1);
     if held.is_some() {
         answering.max_read = PART.0;
     }
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -206,13 +206,13 @@
 async fn room_for(room: &MemoryBudget, bytes: usize) -> Result<MemoryReservation, HttpError> {
     let wait = async {
         loop {
-            match room.try_reserve(bytes, usize::MAX) {
+            match room.try_reserve(bytes) {
                 Some(held) => return held,
                 None => _ = Timer::after(ASK_ROOM).await,
             }
         }
     };
-    if bytes > room.size() {
+    if bytes > room.capacity() {
         return Err(HttpError::BodyTooLong);
     }
     within(ROOM, wait).await.ok_or(HttpError::NoMemory)
@@ -350,7 +350,7 @@
         let mut client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
         let stream = Async::new(listener.accept().unwrap().0).unwrap();
         let (room, mut rest) = (MemoryBudget::new(1 << 20), Vec::new());
-        let taken = room.try_reserve(1 << 20, usize::MAX);
+        let taken = room.try_reserve(1 << 20);
         let writing = std::thread::spawn(move || {
             let chunk = format!("10000\r\n{}\r\n", "v".repeat(1 << 16));
             let head = "PUT /k HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
--- a/crates/sockets/src/lib.rs
+++ b/crates/sockets/src/lib.rs
@@ -82,13 +82,13 @@
     }
 
     /// All of it, in bytes.
-    pub fn size(&self) -> usize {
+    pub fn capacity(&self) -> usize {
         self.1
     }
 
-    /// Takes so many bytes, unless that is more than `longest` or than is left.
-    pub fn try_reserve(&self, bytes: usize, longest: usize) -> Option<MemoryReservation> {
-        let left = self.0.get().checked_sub(bytes).filter(|_| bytes <= longest)?;
+    /// Takes so many bytes, unless that is more than is left.
+    pub fn try_reserve(&self, bytes: usize) -> Option<MemoryReservation> {
+        let left = self.0.get().checked_sub(bytes)?;
         self.0.set(left);
         Some(MemoryReservation { room: self.clone(), bytes })
     }
