--- /dev/null
+++ b/crates/sockets/src/stream.rs
@@ -0,0 +1,53 @@
+//! Reads and writes on a TCP stream.
+
+use smol::Async;
+use std::io::{self, ErrorKind, IoSlice, Read, Write};
+use std::net::TcpStream;
+
+/// What the first read of a message asks for, in bytes: one page, as most heads fit into it.
+const FIRST_READ: usize = 4096;
+/// What later reads of a message ask for, in bytes: a quarter of the longest body on the platform.
+const LATER_READ: usize = 16 << 10;
+
+/// Appends to the buffer what the stream has, some KiB at most, waiting for the first byte. `Ok(0)` is the end of the stream.
+/// A dropped future leaves the buffer as it was.
+pub async fn read_more(stream: &Async<TcpStream>, buf: &mut Vec<u8>) -> io::Result<usize> {
+    let limit = if buf.len() < FIRST_READ { FIRST_READ } else { LATER_READ };
+    read_up_to(stream, buf, limit).await
+}
+
+/// Like [`read_more`], with a limit of the caller's, in bytes.
+pub async fn read_up_to(stream: &Async<TcpStream>, buf: &mut Vec<u8>, limit: usize) -> io::Result<usize> {
+    loop {
+        let filled = buf.len();
+        buf.resize(filled + limit, 0);
+        let result = stream.get_ref().read(&mut buf[filled..]);
+        buf.truncate(filled + result.as_ref().copied().unwrap_or(0));
+        match result {
+            Err(error) if error.kind() == ErrorKind::WouldBlock => stream.readable().await?,
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
+            result => return result,
+        }
+    }
+}
+
+/// Writes all parts in their order, gathered into as few writes as the socket allows.
+pub async fn write_all(stream: &Async<TcpStream>, parts: &[&[u8]]) -> io::Result<()> {
+    let mut slices: Vec<IoSlice> =
+        parts.iter().filter(|part| !part.is_empty()).map(|part| IoSlice::new(part)).collect();
+    let mut remaining = &mut slices[..];
+    while !remaining.is_empty() {
+        match stream.write_with(|mut socket| socket.write_vectored(remaining)).await? {
+            0 => return Err(ErrorKind::WriteZero.into()),
+            written => IoSlice::advance_slices(&mut remaining, written),
+        }
+    }
+    Ok(())
+}
+
+/// Whether the connection is open and has nothing to read. False means that the peer has closed it, or has sent something
+/// ahead of its turn; the bytes stay unread.
+pub fn is_idle(stream: &Async<TcpStream>) -> bool {
+    let mut byte = [0];
+    matches!(stream.get_ref().peek(&mut byte), Err(error) if error.kind() == ErrorKind::WouldBlock)
+}
