--- a/crates/resp/src/error.rs
+++ b/crates/resp/src/error.rs
@@ -21,13 +21,13 @@
     /// Aggregates are nested deeper than allowed.
     #[error("too deep")]
     TooDeep,
-    /// A number that is none.
+    /// A number that does not parse.
     #[error("no number")]
     InvalidNumber,
-    /// A length that is none.
+    /// A length that is negative or does not parse.
     #[error("no length")]
     InvalidLength,
-    /// A count of elements that is none.
+    /// A count of elements that is negative or does not parse.
     #[error("no count")]
     InvalidCount,
     /// A bulk string does not end where its length says.
--- a/crates/resp/src/slot.rs
+++ b/crates/resp/src/slot.rs
@@ -1,9 +1,10 @@
-//! Which hash slot a key is in: CRC16 (XMODEM) of the key, or of its hash tag, modulo 16384.
+//! The hash slot of a key: CRC16 (XMODEM) of the key, or of its hash tag, modulo 16384.
 
+/// How many hash slots a cluster has.
 pub const SLOTS: u16 = 16384;
 
-/// CRC16 by its polynomial 0x1021, a byte at a time.
-const TABLE: [u16; 256] = {
+/// CRC16 by its polynomial 0x1021, for each value of a byte.
+const CRC16_TABLE: [u16; 256] = {
     let mut table = [0u16; 256];
     let mut i = 0;
     while i < 256 {
@@ -20,35 +21,23 @@
 };
 
 fn crc16(bytes: &[u8]) -> u16 {
-    bytes.iter().fold(0, |crc, b| (crc << 8) ^ TABLE[usize::from((crc >> 8) as u8 ^ b)])
+    bytes.iter().fold(0, |crc, byte| (crc << 8) ^ CRC16_TABLE[usize::from((crc >> 8) as u8 ^ byte)])
 }
 
-/// What of a key is hashed: between its first `{` and the next `}`, where something stands there; else all of it.
+/// The part of a key that is hashed: what stands between its first `{` and the next `}`, or the whole key where nothing does.
 pub fn hash_tag(key: &[u8]) -> &[u8] {
-    let Some(open) = key.iter().position(|b| *b == b'{') else { return key };
-    match key[open + 1..].iter().position(|b| *b == b'}') {
+    let Some(open) = key.iter().position(|byte| *byte == b'{') else { return key };
+    let tag = &key[open + 1..];
+    match tag.iter().position(|byte| *byte == b'}') {
         None | Some(0) => key,
-        Some(len) => &key[open + 1..open + 1 + len],
+        Some(len) => &tag[..len],
     }
 }
 
+/// The hash slot of a key, below [`SLOTS`].
 pub fn slot_of(key: &[u8]) -> u16 {
     crc16(hash_tag(key)) % SLOTS
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn slots_are_as_the_specification_has_them() {
-        // The specification's own check value, and its examples of hash tags.
-        assert_eq!(crc16(b"123456789"), 0x31c3);
-        assert_eq!(slot_of(b"{user1000}.following"), slot_of(b"{user1000}.followers"));
-        assert_eq!(hash_tag(b"foo{}{bar}"), b"foo{}{bar}");
-        assert_eq!(hash_tag(b"foo{{bar}}zap"), b"{bar");
-        assert_eq!(hash_tag(b"foo{bar}{zap}"), b"bar");
-        assert_eq!(hash_tag(b"foo{bar"), b"foo{bar");
-        assert_eq!(slot_of(b"foo"), 12182);
-    }
-}
+mod tests;
--- a/crates/resp/src/write.rs
+++ b/crates/resp/src/write.rs
@@ -1,88 +1,100 @@
-//! Frames into bytes, straight into one buffer.
+//! Messages into bytes, straight into one buffer.
 
 use std::io::Write;
 
-/// Bytes on their way out. `resp3` says how nulls and maps are written.
+/// Appends frames to a buffer, in the version of the protocol that the peer speaks.
 #[derive(Debug, Default)]
 pub struct Writer {
     out: Vec<u8>,
+    /// Whether RESP3 is written; it has types of its own for nulls and maps.
     pub resp3: bool,
 }
 
 impl Writer {
+    /// An empty buffer.
     pub fn new(resp3: bool) -> Writer {
         Writer { out: Vec::new(), resp3 }
     }
 
+    /// Whether nothing is written yet.
     pub fn is_empty(&self) -> bool {
         self.out.is_empty()
     }
 
+    /// How many bytes are written.
     pub fn len(&self) -> usize {
         self.out.len()
     }
 
+    /// What is written.
     pub fn as_bytes(&self) -> &[u8] {
         &self.out
     }
 
+    /// Takes what is written out of the buffer.
     pub fn take(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.out)
     }
 
-    fn head(&mut self, kind: u8, count: usize) {
-        self.out.push(kind);
+    /// The line that begins a frame: its type, and its length or count.
+    fn frame_start(&mut self, marker: u8, count: usize) {
+        self.out.push(marker);
+        // A Vec takes any write.
         _ = write!(self.out, "{count}\r\n");
     }
 
+    /// Begins an array; so many frames have to follow.
     pub fn array(&mut self, count: usize) {
-        self.head(b'*', count);
+        self.frame_start(b'*', count);
     }
 
-    /// Keys and values follow in turn; where maps are not known, as an array of both.
+    /// Begins a map; keys and values have to follow in turn. RESP2 has no maps and gets an array of both.
     pub fn map(&mut self, pairs: usize) {
-        if self.resp3 { self.head(b'%', pairs) } else { self.head(b'*', 2 * pairs) }
+        if self.resp3 { self.frame_start(b'%', pairs) } else { self.frame_start(b'*', 2 * pairs) }
     }
 
+    /// A bulk string.
     pub fn bulk(&mut self, body: &[u8]) {
-        self.head(b'$', body.len());
+        self.frame_start(b'$', body.len());
         self.out.extend_from_slice(body);
         self.out.extend_from_slice(b"\r\n");
     }
 
+    /// No value; RESP2 writes it as a bulk string of length -1.
     pub fn null(&mut self) {
         self.out.extend_from_slice(if self.resp3 { b"_\r\n" } else { b"$-1\r\n" });
     }
 
+    /// An integer.
     pub fn number(&mut self, n: i64) {
         _ = write!(self.out, ":{n}\r\n");
     }
 
-    /// A line: what would end it is left out.
+    /// A line of text. Line breaks in it are left out, as they would end it.
     pub fn simple(&mut self, text: &str) {
         self.out.push(b'+');
         self.line(text);
     }
 
-    /// The first word is the error's code, as the dialect has it.
+    /// An error; its first word is its code, by the dialect's convention. Line breaks are left out.
     pub fn error(&mut self, text: &str) {
         self.out.push(b'-');
         self.line(text);
     }
 
     fn line(&mut self, text: &str) {
-        self.out.extend(text.bytes().filter(|b| !matches!(b, b'\r' | b'\n')));
+        self.out.extend(text.bytes().filter(|byte| !matches!(byte, b'\r' | b'\n')));
         self.out.extend_from_slice(b"\r\n");
     }
 
-    /// What is written already, as it stands.
+    /// Bytes that are encoded already.
     pub fn raw(&mut self, bytes: &[u8]) {
         self.out.extend_from_slice(bytes);
     }
 
-    /// A command as servers take it.
-    pub fn command(&mut self, words: &[&[u8]]) {
-        self.array(words.len());
-        words.iter().for_each(|w| self.bulk(w));
+    /// A command in the form that servers accept: an array of bulk strings.
+    pub fn command(&mut self, arguments: &[&[u8]]) {
+        self.array(arguments.len());
+        arguments.iter().for_each(|argument| self.bulk(argument));
     }
 }
--- /dev/null
+++ b/crates/resp/tests/read.rs
@@ -0,0 +1,132 @@
+//! Reading: every type, every limit, and any split of the bytes.
+
+use chalkwalk_resp::{Frame, ReadLimits, Reader, Writer};
+use expect_test::expect;
+use proptest::prelude::*;
+use proptest::test_runner::RngSeed;
+
+/// Limits that a short text can exceed.
+const TIGHT: ReadLimits =
+    ReadLimits { max_bulk: 20, max_frames: 6, max_depth: 2, max_line: 30, max_total: 200 };
+
+/// One line on what came of reading a text.
+fn outcome(text: &[u8]) -> String {
+    match Reader::new(TIGHT).next_frame(text) {
+        Ok(Some((frames, len))) => {
+            let show =
+                |frame: &Frame| format!("{:?}({})", frame.kind, text[frame.range.clone()].escape_ascii());
+            format!("{} in {len}\n", frames.iter().map(show).collect::<Vec<_>>().join(" "))
+        }
+        Ok(None) => "more\n".into(),
+        Err(error) => format!("{error}\n"),
+    }
+}
+
+#[test]
+fn every_type_is_read_and_what_exceeds_a_limit_refused() {
+    let texts = [
+        "+OK\r\n",
+        "-ERR no\r\n",
+        ":-12\r\n",
+        "$3\r\na\r\n\r\n",
+        "$-1\r\n",
+        "*-1\r\n",
+        "_\r\n",
+        "#t\r\n",
+        ",1.5\r\n",
+        "(123\r\n",
+        "!3\r\nERR\r\n",
+        "=5\r\ntxt:a\r\n",
+        "*2\r\n$1\r\na\r\n*1\r\n:1\r\n",
+        "%1\r\n+a\r\n:1\r\n",
+        "~1\r\n:1\r\n",
+        ">1\r\n+x\r\n",
+        "*0\r\n+next",
+        "*2\r\n:1\r\n",
+        // And nonsense.
+        "$21\r\n",
+        "*7\r\n",
+        "*1\r\n*1\r\n*1\r\n:1\r\n",
+        "$2\r\nabc\r\n",
+        "$x\r\n",
+        ":1.5\r\n",
+        "?\r\n",
+        "*-2\r\n",
+        "%9223372036854775807\r\n",
+        "+aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa",
+        "#x\r\n",
+    ];
+    let outcomes: String = texts.iter().map(|text| outcome(text.as_bytes())).collect();
+    expect![[r#"
+        Simple(OK) in 5
+        Error(ERR no) in 9
+        Number(-12) in 6
+        Bulk(a\r\n) in 9
+        Null() in 5
+        Null() in 5
+        Null() in 3
+        Boolean(t) in 4
+        Double(1.5) in 6
+        BigNumber(123) in 6
+        BulkError(ERR) in 9
+        Verbatim(txt:a) in 11
+        Array(2) Bulk(a) Array(1) Number(1) in 19
+        Map(1) Simple(a) Number(1) in 12
+        Set(1) Number(1) in 8
+        Push(1) Simple(x) in 8
+        Array(0) in 4
+        more
+        too long a bulk string
+        too many parts
+        too deep
+        a bulk string of another length
+        no length
+        no number
+        no such type
+        no count
+        too many parts
+        too long a line
+        no such type
+    "#]]
+    .assert_eq(&outcomes);
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig {
+        cases: 400,
+        rng_seed: RngSeed::Fixed(1),
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    })]
+
+    /// Any split of the bytes gives the same frames.
+    #[test]
+    fn any_split_gives_the_same_values(
+        values in proptest::collection::vec(
+            proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..12), 0..5),
+            1..6,
+        ),
+        cuts in proptest::collection::vec(1usize..9, 0..60),
+    ) {
+        let mut all = Writer::default();
+        for value in &values {
+            all.array(value.len());
+            value.iter().for_each(|v| all.bulk(v));
+        }
+        let bytes = all.take();
+        let mut reader = Reader::new(ReadLimits::default());
+        let mut buf = Vec::new();
+        let mut rest = &bytes[..];
+        let mut seen: Vec<Vec<Vec<u8>>> = Vec::new();
+        for cut in cuts.into_iter().chain([usize::MAX]) {
+            let (now, later) = rest.split_at(cut.min(rest.len()));
+            rest = later;
+            buf.extend_from_slice(now);
+            while let Some((frames, len)) = reader.next_frame(&buf).unwrap() {
+                seen.push(frames[1..].iter().map(|frame| buf[frame.range.clone()].to_vec()).collect());
+                buf.drain(..len);
+            }
+        }
+        prop_assert_eq!(seen, values);
+    }
+}
