--- a/crates/etcd-wire/build.rs
+++ b/crates/etcd-wire/build.rs
@@ -1,9 +1,12 @@
-//! Messages out of `proto/etcd.proto`, by a compiler that is a library: nothing has to be installed for it.
+//! Generates the messages from `proto/etcd.proto`. The compiler is a library: nothing has to be installed for it.
 
-fn main() {
+use std::error::Error;
+
+fn main() -> Result<(), Box<dyn Error>> {
     println!("cargo:rerun-if-changed=proto/etcd.proto");
-    let files = protox::compile(["proto/etcd.proto"], ["proto"]).unwrap_or_else(|e| panic!("{e:?}"));
+    let files = protox::compile(["proto/etcd.proto"], ["proto"])?;
     let mut config = prost_build::Config::new();
     config.bytes(["."]);
-    config.compile_fds(files).unwrap_or_else(|e| panic!("{e}"));
+    config.compile_fds(files)?;
+    Ok(())
 }
--- a/crates/etcd-wire/src/frames.rs
+++ b/crates/etcd-wire/src/frames.rs
@@ -1,17 +1,20 @@
-//! gRPC's frames: a byte that says whether what follows is packed, four of length, and the message.
+//! gRPC's frames: a byte that says whether the message is compressed, four bytes of its length, and the message.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use prost::Message;
 
-const HEAD: usize = 5;
+/// The length of what stands before a message: the flag and the length.
+const PREFIX_LEN: usize = 5;
+/// The flag of a message that is not compressed.
+const NOT_COMPRESSED: u8 = 0;
 
-/// A message with its head.
+/// A message with its prefix, ready to send.
 pub fn encode_frame(message: &impl Message) -> Bytes {
     let len = message.encoded_len();
-    let mut out = BytesMut::with_capacity(HEAD + len);
-    out.put_u8(0);
+    let mut out = BytesMut::with_capacity(PREFIX_LEN + len);
+    out.put_u8(NOT_COMPRESSED);
     out.put_u32(len as u32);
-    // There is room for it: that is the one error.
+    // The one error is too little space, and a BytesMut grows.
     _ = message.encode(&mut out);
     out.freeze()
 }
@@ -30,93 +33,51 @@
         /// The limit, in bytes.
         max: usize,
     },
-    /// The bytes are no message of the wanted type.
+    /// The bytes are no message of the requested type.
     #[error("no such message: {0}")]
     Decode(#[from] prost::DecodeError),
 }
 
-/// Takes bytes as they come and gives messages, none longer than stated.
+/// Splits bytes as they come into messages, none longer than its limit.
 pub struct FrameDecoder {
     buf: BytesMut,
-    longest: usize,
+    max_len: usize,
 }
 
 impl FrameDecoder {
-    pub fn new(longest: usize) -> FrameDecoder {
-        FrameDecoder { buf: BytesMut::new(), longest }
+    /// A decoder of messages of at most so many bytes.
+    pub fn new(max_len: usize) -> FrameDecoder {
+        FrameDecoder { buf: BytesMut::new(), max_len }
     }
 
+    /// Appends bytes that have come.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buf.extend_from_slice(bytes);
     }
 
     /// The next whole message, `None` until it is here. After an error nothing more can be read.
     pub fn next_message<M: Message + Default>(&mut self) -> Result<Option<M>, FrameError> {
-        if self.buf.len() < HEAD {
-            return Ok(None);
-        }
-        if self.buf[0] != 0 {
+        let [flag, len @ ..] = match self.buf.first_chunk::<PREFIX_LEN>() {
+            Some(prefix) => *prefix,
+            None => return Ok(None),
+        };
+        if flag != NOT_COMPRESSED {
             return Err(FrameError::Compressed);
         }
-        let len = u32::from_be_bytes([self.buf[1], self.buf[2], self.buf[3], self.buf[4]]) as usize;
-        if len > self.longest {
-            return Err(FrameError::TooLong { len, max: self.longest });
+        let len = u32::from_be_bytes(len) as usize;
+        if len > self.max_len {
+            return Err(FrameError::TooLong { len, max: self.max_len });
         }
-        if self.buf.len() < HEAD + len {
+        if self.buf.len() < PREFIX_LEN + len {
             return Ok(None);
         }
-        self.buf.advance(HEAD);
+        self.buf.advance(PREFIX_LEN);
         let message = self.buf.split_to(len).freeze();
         Ok(Some(M::decode(message)?))
     }
 
-    /// Whether the bytes ended within a message.
+    /// Whether bytes of a message that is not whole are here: the stream must not end now.
     pub fn is_mid_frame(&self) -> bool {
         !self.buf.is_empty()
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::api::{RangeResponse, WatchResponse};
-    use proptest::prelude::*;
-    use proptest::test_runner::RngSeed;
-
-    proptest! {
-        #![proptest_config(ProptestConfig { cases: 2000, rng_seed: RngSeed::Fixed(1), failure_persistence: None, ..ProptestConfig::default() })]
-
-        #[test]
-        fn any_split_gives_the_same_messages(
-            revisions in proptest::collection::vec(any::<i64>(), 0..6),
-            cuts in proptest::collection::vec(1usize..20, 0..20),
-        ) {
-            let message = |r: &i64| WatchResponse { compact_revision: *r, ..WatchResponse::default() };
-            let all: Vec<u8> = revisions.iter().flat_map(|r| encode_frame(&message(r)).to_vec()).collect();
-            let (mut frames, mut seen, mut rest) = (FrameDecoder::new(100), Vec::new(), &all[..]);
-            for cut in cuts.into_iter().chain([usize::MAX]) {
-                let (now, later) = rest.split_at(cut.min(rest.len()));
-                rest = later;
-                frames.push(now);
-                while let Some(m) = frames.next_message::<WatchResponse>().unwrap() {
-                    seen.push(m.compact_revision);
-                }
-            }
-            prop_assert_eq!(seen, revisions);
-            prop_assert!(!frames.is_mid_frame());
-        }
-
-        /// Any bytes are read or refused; no more is held than came, and no panic.
-        #[test]
-        fn noise_is_answered(noise in proptest::collection::vec(any::<u8>(), 0..400), small in any::<bool>()) {
-            let mut frames = FrameDecoder::new(if small { 50 } else { 1 << 20 });
-            let mut bytes = noise.clone();
-            if small && bytes.len() > 5 {
-                bytes[..4].fill(0);
-                bytes[4] = (noise.len() - 5).min(50) as u8;
-            }
-            frames.push(&bytes);
-            while let Ok(Some(_)) = frames.next_message::<RangeResponse>() {}
-        }
-    }
-}
