--- /dev/null
+++ b/crates/http1/src/request/tests.rs
@@ -0,0 +1,33 @@
+use super::*;
+use crate::MAX_BODY;
+use std::io::Write;
+use std::net::TcpListener;
+
+/// A body that waited for memory for longer than a slow client may take is read all the same.
+#[test]
+fn waiting_for_memory_does_not_count_as_a_slow_client() {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let mut client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    let stream = Async::new(listener.accept().unwrap().0).unwrap();
+    let memory = MemoryBudget::new(1 << 20);
+    let mut unread = Vec::new();
+    let others = memory.try_reserve(1 << 20);
+    let writing = std::thread::spawn(move || {
+        let chunk = format!("10000\r\n{}\r\n", "v".repeat(1 << 16));
+        let head = "PUT /k HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
+        client.write_all(format!("{head}{chunk}1\r\nv\r\n").as_bytes()).unwrap();
+        std::thread::sleep(BODY_GRACE * 5 / 2 + Duration::from_millis(200));
+        client.write_all(format!("{chunk}0\r\n\r\n").as_bytes()).unwrap();
+        client
+    });
+    let limits =
+        RequestLimits { head_deadline: Instant::now() + MEMORY_TIMEOUT, max_body: MAX_BODY, memory: &memory };
+    let freed = async {
+        Timer::after(BODY_GRACE * 5 / 2).await;
+        drop(others);
+    };
+    let both = smol::future::zip(read_request(&stream, &mut unread, limits), freed);
+    let length = smol::block_on(both).0.map(|message| message.body.len());
+    assert_eq!(length, Ok(2 * 65_536 + 1));
+    drop(writing.join());
+}
