--- /dev/null
+++ b/crates/admin/src/call.rs
@@ -0,0 +1,123 @@
+//! One call: read off its connection, carried out, and answered.
+
+use crate::{ControlOutcome, ProxyControl};
+use chalkwalk_http1::{HttpError, RequestLimits, read_request, reason};
+use chalkwalk_sockets::{MemoryBudget, read_more, wait_until, write_all};
+use percent_encoding::percent_decode_str;
+use smol::Async;
+use std::net::{Shutdown, TcpStream};
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+/// From the accept to the whole call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// The longest body, in bytes: a call has none to speak of.
+const MAX_BODY: usize = 1024;
+
+/// A call as it was read.
+pub struct Call {
+    method: String,
+    target: String,
+}
+
+/// What a caller is answered with.
+pub struct Response {
+    status: u16,
+    body: &'static str,
+}
+
+/// What a call asks for.
+enum Operation {
+    CheckReady,
+    SetServerDisabled { id: String, disabled: bool },
+    SetOutOfService { out: bool },
+}
+
+impl From<HttpError> for Response {
+    fn from(error: HttpError) -> Response {
+        Response { status: error.status(), body: "" }
+    }
+}
+
+impl From<ControlOutcome> for Response {
+    fn from(outcome: ControlOutcome) -> Response {
+        let (status, body) = match outcome {
+            ControlOutcome::Done => (200, "yes\n"),
+            ControlOutcome::NotReady => (503, "no\n"),
+            ControlOutcome::UnknownServer => (404, "nobody has that id\n"),
+            ControlOutcome::NotPersisted => (500, "not done: it could not be kept\n"),
+        };
+        Response { status, body }
+    }
+}
+
+/// Reads the one call of a connection.
+pub async fn read_call(stream: &Async<TcpStream>) -> Result<Call, HttpError> {
+    let deadline = Instant::now() + CALL_TIMEOUT;
+    let no_memory = MemoryBudget::new(0);
+    let limits = RequestLimits { head_deadline: deadline, max_body: MAX_BODY, memory: &no_memory };
+    let mut unread = Vec::new();
+    let request = read_request(stream, &mut unread, limits);
+    let request = wait_until(deadline, request).await.unwrap_or(Err(HttpError::Timeout))?;
+    Ok(Call {
+        method: request.text(&request.method).to_string(),
+        target: request.text(&request.target).to_string(),
+    })
+}
+
+/// Carries out a call, or says what is wrong with it.
+pub async fn run_call(control: Rc<dyn ProxyControl>, call: &Call) -> Response {
+    let outcome = match operation(call) {
+        Ok(Operation::CheckReady) => control.check_ready(),
+        Ok(Operation::SetServerDisabled { id, disabled }) => control.set_server_disabled(id, disabled),
+        Ok(Operation::SetOutOfService { out }) => control.set_out_of_service(out),
+        Err(refusal) => return refusal,
+    };
+    outcome.await.into()
+}
+
+/// What a call asks for, by its path and method.
+fn operation(call: &Call) -> Result<Operation, Response> {
+    let path = call.target.split('?').next().unwrap_or("");
+    let segments: Vec<&str> = path.strip_prefix("/control/").unwrap_or("").split('/').collect();
+    let (method, operation) = match segments[..] {
+        ["ready"] => ("GET", Operation::CheckReady),
+        ["out-of-service"] => ("POST", Operation::SetOutOfService { out: true }),
+        ["in-service"] => ("POST", Operation::SetOutOfService { out: false }),
+        ["cache-nodes", id, state @ ("offline" | "online")] => {
+            let id = server_id(id).ok_or(Response { status: 400, body: "an id that makes no sense\n" })?;
+            ("POST", Operation::SetServerDisabled { id, disabled: state == "offline" })
+        }
+        _ => return Err(Response { status: 404, body: "no such call\n" }),
+    };
+    if call.method == method {
+        Ok(operation)
+    } else {
+        Err(Response { status: 405, body: "another method\n" })
+    }
+}
+
+/// A server's id out of a segment of the path: percent-encoded UTF-8, and not empty.
+fn server_id(segment: &str) -> Option<String> {
+    let id = percent_decode_str(segment).decode_utf8().ok()?;
+    (!id.is_empty()).then(|| id.into_owned())
+}
+
+/// Writes the response and ends the connection. What the caller still sends is read and dropped until it closes: closed with
+/// unread bytes, the connection would be reset and the response lost.
+pub async fn respond(stream: &Async<TcpStream>, response: &Response) {
+    let Response { status, body } = response;
+    let text = format!(
+        "HTTP/1.1 {status} {}\r\nContent-Type: text/plain\r\nContent-Length: {}\r\nConnection: close\r\n\r\n{body}",
+        reason(*status),
+        body.len()
+    );
+    if write_all(stream, &[text.as_bytes()]).await.is_err() {
+        return;
+    }
+    _ = stream.get_ref().shutdown(Shutdown::Write);
+    let mut dropped = Vec::new();
+    while let Ok(1..) = read_more(stream, &mut dropped).await {
+        dropped.clear();
+    }
+}
