--- a/crates/proxy/tests/sources.rs
+++ b/crates/proxy/tests/sources.rs
@@ -178,7 +178,9 @@
     );
     let (_, shown) = run(&["show", "--lookup", "0"]);
     assert!(
-        shown.contains("Take {") && shown.contains("Shoot {") && shown.contains("key: \"k0\""),
+        shown.contains("RequestAccepted {")
+            && shown.contains("StartAttempt {")
+            && shown.contains("key: \"k0\""),
         "{shown}"
     );
     std::fs::remove_dir_all(&folder).unwrap();
