--- a/crates/discovery-etcd/src/announce.rs
+++ b/crates/discovery-etcd/src/announce.rs
@@ -4,7 +4,7 @@
 use chalkwalk_engine::engine::Engine;
 use chalkwalk_engine::lifecycle::Phase;
 use chalkwalk_etcd_wire::{api, path};
-use chalkwalk_membership::form::{Instance, instance_value};
+use chalkwalk_membership::format::{ProxyRecord, encode_proxy};
 use slog::info;
 use smol::Timer;
 use std::cell::Cell;
@@ -15,7 +15,7 @@
 pub struct Announcement {
     pub engine: Rc<Engine>,
     pub key: String,
-    pub instance: Instance,
+    pub instance: ProxyRecord,
     pub lease_s: u64,
     lease: Cell<i64>, // 0: none
 }
@@ -24,7 +24,7 @@
 const TIMES: u32 = 3;
 
 impl Announcement {
-    pub fn new(engine: &Rc<Engine>, prefix: &str, instance: Instance, lease_s: u64) -> Announcement {
+    pub fn new(engine: &Rc<Engine>, prefix: &str, instance: ProxyRecord, lease_s: u64) -> Announcement {
         let key = format!("{prefix}proxies/{}", engine.rules.name);
         Announcement { engine: engine.clone(), key, instance, lease_s, lease: Cell::new(0) }
     }
@@ -79,7 +79,7 @@
         }
         let put = api::PutRequest {
             key: self.key.clone().into(),
-            value: instance_value(&self.instance).into(),
+            value: encode_proxy(&self.instance).into(),
             lease: granted.id,
         };
         let _: api::PutResponse = link.ask(path::PUT, &put).await?;
--- a/crates/discovery-etcd/src/follow.rs
+++ b/crates/discovery-etcd/src/follow.rs
@@ -6,7 +6,7 @@
 use chalkwalk_discovery_feed::Feed;
 use chalkwalk_engine::engine::Engine;
 use chalkwalk_etcd_wire::{api, path};
-use chalkwalk_membership::form::{LEAVING, read_instance, read_server};
+use chalkwalk_membership::format::{LEAVING, parse_proxy, read_server};
 use chalkwalk_membership::reconcile::Change;
 use chalkwalk_sockets::within;
 use slog::info;
@@ -24,7 +24,7 @@
 /// Proxies that are counted at most: more than any fleet has.
 const MOST_PROXIES: usize = 20_000;
 
-pub struct Etcd {
+pub struct EtcdSource {
     feed: Rc<Feed>,
     endpoints: Vec<SocketAddr>,
     machine: RefCell<Machine>,
@@ -33,16 +33,16 @@
     refused: Cell<bool>, // the last session ended with an old list
 }
 
-impl Etcd {
+impl EtcdSource {
     pub fn new(
         engine: &Rc<Engine>,
         feed: Rc<Feed>,
         endpoints: Vec<SocketAddr>,
         prefix: &str,
         announcement: Option<Announcement>,
-    ) -> Rc<Etcd> {
+    ) -> Rc<EtcdSource> {
         let machine = RefCell::new(Machine::new(prefix, endpoints.len(), engine.rules.seed));
-        Rc::new(Etcd {
+        Rc::new(EtcdSource {
             feed,
             endpoints,
             machine,
@@ -53,7 +53,7 @@
     }
 
     /// Never ends.
-    pub async fn follow(self: Rc<Etcd>) {
+    pub async fn follow(self: Rc<EtcdSource>) {
         let mut next = self.machine.borrow().start();
         loop {
             let Do::Connect { endpoint, after } = next else { return };
@@ -183,7 +183,7 @@
                     self.feed.another_history();
                 }
                 self.live.borrow_mut().clear();
-                let known = self.feed.lines();
+                let known = self.feed.endpoints();
                 let mut lines = Vec::new();
                 for (key, value) in keys {
                     match key {
@@ -231,7 +231,7 @@
     /// A proxy's key was written, or is gone.
     fn live(&self, name: String, value: Option<&[u8]>) {
         let mut live = self.live.borrow_mut();
-        match value.map(read_instance) {
+        match value.map(parse_proxy) {
             Some(Ok(instance)) if instance.phase != LEAVING && live.len() < MOST_PROXIES => {
                 _ = live.insert(name)
             }
--- a/crates/discovery-etcd/src/lib.rs
+++ b/crates/discovery-etcd/src/lib.rs
@@ -11,4 +11,4 @@
 pub mod machine;
 
 pub use announce::Announcement;
-pub use follow::Etcd;
+pub use follow::EtcdSource;
--- a/crates/discovery-feed/src/feed.rs
+++ b/crates/discovery-feed/src/feed.rs
@@ -4,9 +4,9 @@
 use chalkwalk_engine::flow;
 use chalkwalk_membership::ListedEndpoint;
 use chalkwalk_membership::count::Count;
-use chalkwalk_membership::form::Known;
-use chalkwalk_membership::kept::{Age, Kept};
-use chalkwalk_membership::reconcile::{Change, Reconciler, Told, Trust};
+use chalkwalk_membership::format::AllowedNames;
+use chalkwalk_membership::persisted::{Age, PersistedList};
+use chalkwalk_membership::reconcile::{Change, Reconciler, SourceKind, Told};
 use chalkwalk_time::{Span, Timestamp};
 use slog::{info, warn};
 use smol::Timer;
@@ -16,16 +16,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Where the list is kept on disk, if the operator says so.
-pub type Keep = Option<PathBuf>;
-
 pub struct Feed {
     pub engine: Rc<Engine>,
-    pub known: Known,
+    pub known: AllowedNames,
     reconciler: RefCell<Reconciler>,
     count: RefCell<Count>,
     divided_by: Cell<u64>,
-    keep: Keep,
+    keep: Option<PathBuf>,
     unkept: Cell<bool>, // it changed since it was last written down
     passed_over: Cell<u64>,
     lost: Cell<bool>,
@@ -37,10 +34,10 @@
 const WRITES: Duration = Duration::from_secs(1);
 
 impl Feed {
-    pub fn new(engine: &Rc<Engine>, trust: Trust, keep: Keep) -> Rc<Feed> {
+    pub fn new(engine: &Rc<Engine>, trust: SourceKind, keep: Option<PathBuf>) -> Rc<Feed> {
         let (sooner, sooner_told) = bounded(1);
         let written = engine.classes.proxies();
-        let known = Known { zones: engine.rules.zones.clone(), kinds: engine.rules.kinds.clone() };
+        let known = AllowedNames { zones: engine.rules.zones.clone(), kinds: engine.rules.kinds.clone() };
         Rc::new(Feed {
             engine: engine.clone(),
             known,
@@ -57,10 +54,10 @@
     }
 
     /// Tells the engine the list as it was last kept, before any source is asked.
-    pub fn start(&self) {
+    pub fn load_persisted(&self) {
         let Some(path) = &self.keep else { return };
         let fault = match std::fs::read_to_string(path).map_err(|e| e.to_string()) {
-            Ok(text) => match Kept::read(&text, &self.known) {
+            Ok(text) => match PersistedList::parse(&text, &self.known) {
                 Ok(kept) => return self.start_from(kept),
                 Err(fault) => fault,
             },
@@ -71,7 +68,7 @@
         warn!(self.engine.log, "kept list passed over"; "fault" => fault);
     }
 
-    fn start_from(&self, kept: Kept) {
+    fn start_from(&self, kept: PersistedList) {
         let now = self.engine.clock.now();
         let minutes = now.saturating_since(kept.at) / Span::from_secs(60);
         let count = kept.lines.len();
@@ -93,7 +90,7 @@
     }
 
     /// The list as the engine was told it.
-    pub fn lines(&self) -> Vec<ListedEndpoint> {
+    pub fn endpoints(&self) -> Vec<ListedEndpoint> {
         self.reconciler.borrow().lines()
     }
 
@@ -190,7 +187,7 @@
     }
 
     /// What time alone brings; never ends.
-    pub async fn tend(self: Rc<Feed>) {
+    pub async fn run_timers(self: Rc<Feed>) {
         loop {
             let wait = self.due().map(|due| due.saturating_since(self.engine.clock.now()));
             // Counts fall by themselves, looked at once in a while.
@@ -208,7 +205,7 @@
     }
 
     /// Writes the list down whenever it has changed; never ends.
-    pub async fn keep(self: Rc<Feed>) {
+    pub async fn persist_changes(self: Rc<Feed>) {
         let Some(path) = self.keep.clone() else { return };
         let mut failed = false;
         loop {
@@ -216,8 +213,12 @@
             if !self.unkept.replace(false) {
                 continue;
             }
-            let kept = Kept { at: self.engine.clock.now(), revision: self.revision(), lines: self.lines() };
-            let (to, text) = (path.clone(), kept.text());
+            let kept = PersistedList {
+                at: self.engine.clock.now(),
+                revision: self.revision(),
+                lines: self.endpoints(),
+            };
+            let (to, text) = (path.clone(), kept.to_text());
             match smol::unblock(move || write_down(&to, &text)).await {
                 Ok(()) => failed = false,
                 Err(e) => {
--- a/crates/discovery-feed/src/file.rs
+++ b/crates/discovery-feed/src/file.rs
@@ -1,7 +1,7 @@
 //! A watched file as a source: taken whole or not at all, by its content.
 
 use crate::feed::Feed;
-use chalkwalk_membership::form::read_file;
+use chalkwalk_membership::format::read_file;
 use slog::info;
 use smol::Timer;
 use std::cell::Cell;
@@ -18,26 +18,26 @@
 /// 20,000 servers take some 200 bytes each.
 const LONGEST: u64 = 8 << 20;
 
-pub struct File {
+pub struct FileSource {
     feed: Rc<Feed>,
     path: PathBuf,
     seen: Cell<Option<u64>>, // the content that was last looked at
     serial: Cell<Option<u64>>,
 }
 
-impl File {
-    pub fn new(feed: Rc<Feed>, path: &Path) -> Rc<File> {
-        Rc::new(File { feed, path: path.to_path_buf(), seen: Cell::new(None), serial: Cell::new(None) })
+impl FileSource {
+    pub fn new(feed: Rc<Feed>, path: &Path) -> Rc<FileSource> {
+        Rc::new(FileSource { feed, path: path.to_path_buf(), seen: Cell::new(None), serial: Cell::new(None) })
     }
 
     /// Looks at it anew, and takes a lower serial number than before for once: its writer may have started again.
-    pub fn look_again(&self) {
+    pub fn reload(&self) {
         self.seen.set(None);
         self.serial.set(None);
     }
 
     /// Looks at the file again and again; never ends.
-    pub async fn follow(self: Rc<File>) {
+    pub async fn follow(self: Rc<FileSource>) {
         loop {
             let path = self.path.clone();
             match smol::unblock(move || text(&path)).await {
--- a/crates/discovery-feed/src/lib.rs
+++ b/crates/discovery-feed/src/lib.rs
@@ -7,5 +7,5 @@
 mod feed;
 mod file;
 
-pub use feed::{Feed, Keep};
-pub use file::File;
+pub use feed::Feed;
+pub use file::FileSource;
--- a/crates/membership/src/form.rs
+++ b/crates/membership/src/format.rs
@@ -51,7 +51,7 @@
 
 /// What the platform has names for.
 #[derive(Clone, Debug, Default)]
-pub struct Known {
+pub struct AllowedNames {
     /// Any, where none is named.
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
@@ -73,7 +73,7 @@
     }
 
     /// The line, and whether it is back on purpose; or what is wrong.
-    fn read(self, known: &Known) -> Result<(ListedEndpoint, bool), String> {
+    fn read(self, known: &AllowedNames) -> Result<(ListedEndpoint, bool), String> {
         if self.id.is_empty() || self.id.len() > LONGEST_ID || self.id.contains(char::is_control) {
             return Err(format!("an id has 1 to {LONGEST_ID} bytes, and no control characters"));
         }
@@ -124,7 +124,7 @@
 }
 
 /// What the value under a server's key says; the id is the key's.
-pub fn read_server(id: &str, value: &[u8], known: &Known) -> Result<(ListedEndpoint, bool), String> {
+pub fn read_server(id: &str, value: &[u8], known: &AllowedNames) -> Result<(ListedEndpoint, bool), String> {
     if value.len() > LONGEST_VALUE {
         return Err(format!("{id}: a value of {} bytes is above {LONGEST_VALUE}", value.len()));
     }
@@ -137,7 +137,7 @@
 
 /// What a proxy says of itself under its own key.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Instance {
+pub struct ProxyRecord {
     pub zone: String,
     /// `serving`, or `leaving` once it was told to end.
     pub phase: String,
@@ -146,15 +146,15 @@
 
 pub const LEAVING: &str = "leaving";
 
-pub fn instance_value(instance: &Instance) -> Vec<u8> {
+pub fn encode_proxy(instance: &ProxyRecord) -> Vec<u8> {
     serde_json::to_vec(&Value { v: VERSION, of: instance }).unwrap_or_default()
 }
 
-pub fn read_instance(value: &[u8]) -> Result<Instance, String> {
+pub fn parse_proxy(value: &[u8]) -> Result<ProxyRecord, String> {
     if value.len() > LONGEST_VALUE {
         return Err(format!("a value of {} bytes is above {LONGEST_VALUE}", value.len()));
     }
-    let read: Value<Instance> = serde_json::from_slice(value).map_err(|e| e.to_string())?;
+    let read: Value<ProxyRecord> = serde_json::from_slice(value).map_err(|e| e.to_string())?;
     Ok(read.of)
 }
 
@@ -230,7 +230,7 @@
 }
 
 /// Reads a file whole, or says all that is wrong with it, a line each.
-pub fn read_file(text: &str, known: &Known) -> Result<Read, String> {
+pub fn read_file(text: &str, known: &AllowedNames) -> Result<Read, String> {
     let json = text.trim_start().starts_with('{');
     let file: File = if json {
         serde_json::from_str(text).map_err(|e| e.to_string())?
@@ -298,8 +298,8 @@
     const GOOD: &str = "version = 1\nserial = 7\n[[cache]]\nid = \"a\"\naddr = \"127.0.0.1:1\"\nzone = \"n\"\nstate = \"serving\"\n\
         [[cache]]\nid = \"b\"\naddr = \"127.0.0.1:2\"\nzone = \"s\"\nstate = \"draining\"\nstarted_ms = 5\nback = true\n[end]\n";
 
-    fn known() -> Known {
-        Known { zones: vec!["n".into(), "s".into()], kinds: vec!["cache".into()] }
+    fn known() -> AllowedNames {
+        AllowedNames { zones: vec!["n".into(), "s".into()], kinds: vec!["cache".into()] }
     }
 
     #[test]
@@ -360,7 +360,7 @@
         #[test]
         fn any_bytes_are_answered(noise in proptest::collection::vec(any::<u8>(), 0..200), at in 0usize..200, with in any::<u8>()) {
             _ = read_server("a", &noise, &known());
-            _ = read_instance(&noise);
+            _ = parse_proxy(&noise);
             let mut bytes = GOOD.as_bytes().to_vec();
             bytes[at % GOOD.len()] = with;
             for text in [String::from_utf8_lossy(&noise), String::from_utf8_lossy(&bytes)] {
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -5,8 +5,8 @@
 //! stays the balancer's.
 
 pub mod count;
-pub mod form;
-pub mod kept;
+pub mod format;
+pub mod persisted;
 pub mod reconcile;
 
 use chalkwalk_balancer::EndpointStatus;
--- a/crates/membership/src/kept.rs
+++ b/crates/membership/src/persisted.rs
@@ -1,7 +1,7 @@
 //! The list as it was last known, for a start without any source: written down whole with a checksum, and judged by its age.
 
 use crate::ListedEndpoint;
-use crate::form::{Known, read_server, server_value};
+use crate::format::{AllowedNames, read_server, server_value};
 use chalkwalk_time::{Span, Timestamp};
 use serde::{Deserialize, Serialize};
 
@@ -14,7 +14,7 @@
 
 /// What is written down.
 #[derive(Debug, PartialEq)]
-pub struct Kept {
+pub struct PersistedList {
     /// Unix time.
     pub at: Timestamp,
     pub revision: u64,
@@ -37,7 +37,7 @@
     TooOld,
 }
 
-impl Kept {
+impl PersistedList {
     /// A list from the future is as old as can be: one of the two clocks is wrong.
     pub fn age(&self, now: Timestamp) -> Age {
         match now.checked_since(self.at) {
@@ -47,7 +47,7 @@
         }
     }
 
-    pub fn text(&self) -> String {
+    pub fn to_text(&self) -> String {
         let line =
             |l: &ListedEndpoint| (l.id.clone(), String::from_utf8(server_value(l)).unwrap_or_default());
         let body =
@@ -57,7 +57,7 @@
     }
 
     /// What a text says, or why it can't be used.
-    pub fn read(text: &str, known: &Known) -> Result<Kept, String> {
+    pub fn parse(text: &str, known: &AllowedNames) -> Result<PersistedList, String> {
         let (head, body) = text.split_once('\n').ok_or("no list, or cut short")?;
         let sum = head.strip_prefix(MARK).ok_or("no list of a form that is known")?;
         let body = body.strip_suffix('\n').ok_or("cut short")?;
@@ -67,7 +67,7 @@
         let body: Body = serde_json::from_str(body).map_err(|e| e.to_string())?;
         let line = |(id, value): &(String, String)| Ok(read_server(id, value.as_bytes(), known)?.0);
         let lines = body.lines.iter().map(line).collect::<Result<_, String>>()?;
-        Ok(Kept { at: body.at, revision: body.revision, lines })
+        Ok(PersistedList { at: body.at, revision: body.revision, lines })
     }
 }
 
@@ -89,15 +89,15 @@
             born: Timestamp::from_ticks(170),
         };
         let lines = vec![line("a", EndpointStatus::Ready), line("b \"c\"", EndpointStatus::Draining)];
-        let kept = Kept { at: Timestamp::ZERO + 100 * HOUR, revision: 9, lines };
-        let (text, known) = (kept.text(), Known::default());
-        assert_eq!(Kept::read(&text, &known), Ok(Kept::read(&text, &known).unwrap()));
-        assert_eq!(Kept::read(&text, &known).as_ref(), Ok(&kept));
+        let kept = PersistedList { at: Timestamp::ZERO + 100 * HOUR, revision: 9, lines };
+        let (text, known) = (kept.to_text(), AllowedNames::default());
+        assert_eq!(PersistedList::parse(&text, &known), Ok(PersistedList::parse(&text, &known).unwrap()));
+        assert_eq!(PersistedList::parse(&text, &known).as_ref(), Ok(&kept));
         for at in 0..text.len() {
-            assert!(Kept::read(&text[..at], &known).is_err());
+            assert!(PersistedList::parse(&text[..at], &known).is_err());
             let mut other = text.clone().into_bytes();
             other[at] ^= 1;
-            assert!(Kept::read(&String::from_utf8(other).unwrap(), &known).is_err(), "{at}");
+            assert!(PersistedList::parse(&String::from_utf8(other).unwrap(), &known).is_err(), "{at}");
         }
         let ages = [99, 100, 101, 102, 124, 125].map(|h| kept.age(Timestamp::ZERO + h * HOUR));
         assert_eq!(ages, [Age::TooOld, Age::Young, Age::Young, Age::Old, Age::Old, Age::TooOld]);
--- a/crates/membership/src/reconcile.rs
+++ b/crates/membership/src/reconcile.rs
@@ -29,12 +29,12 @@
 
 /// Whether what a source says last is newest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trust {
+pub enum SourceKind {
     /// Revisions order it, so a drain may be taken back by what comes later.
-    Ordered,
+    Revisioned,
     /// Somebody puts it together (a file): what still lists a drained server may not have heard of the drain. It is back
     /// with a new start, or where it says that it is back on purpose.
-    PutTogether,
+    Assembled,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -158,7 +158,7 @@
 
 #[derive(Debug)]
 pub struct Reconciler {
-    trust: Trust,
+    trust: SourceKind,
     rows: BTreeMap<String, Row>,
     begun: bool,
     revision: u64,
@@ -169,7 +169,7 @@
 }
 
 impl Reconciler {
-    pub fn new(trust: Trust) -> Reconciler {
+    pub fn new(trust: SourceKind) -> Reconciler {
         Reconciler {
             trust,
             rows: BTreeMap::new(),
@@ -325,7 +325,7 @@
     /// Whether what is listed as in service stays off: it was off, and nothing says that it is another process by now.
     fn stays_off(&self, row: &Row) -> bool {
         let same = |start: Option<Timestamp>| start.is_some_and(|born| row.line.born <= born);
-        let drained = self.trust == Trust::PutTogether && !row.back && same(row.drained);
+        let drained = self.trust == SourceKind::Assembled && !row.back && same(row.drained);
         let on = row.listed && row.line.status == EndpointStatus::Ready;
         on && (drained || (self.doubted.is_some() && same(row.off)))
     }
--- a/crates/membership/tests/reconcile.rs
+++ b/crates/membership/tests/reconcile.rs
@@ -2,7 +2,7 @@
 
 use chalkwalk_balancer::EndpointStatus;
 use chalkwalk_membership::ListedEndpoint;
-use chalkwalk_membership::reconcile::{Change, Reconciler, Told, Trust};
+use chalkwalk_membership::reconcile::{Change, Reconciler, SourceKind, Told};
 use chalkwalk_time::{Span, Timestamp};
 use expect_test::expect;
 use proptest::prelude::*;
@@ -46,7 +46,7 @@
 struct Desk(Reconciler, String);
 
 impl Desk {
-    fn new(trust: Trust) -> Desk {
+    fn new(trust: SourceKind) -> Desk {
         Desk(Reconciler::new(trust), String::new())
     }
 
@@ -82,7 +82,7 @@
 
 #[test]
 fn a_drain_in_one_batch_with_returns_is_taken_in_order() {
-    let mut d = Desk::new(Trust::Ordered);
+    let mut d = Desk::new(SourceKind::Revisioned);
     d.whole(0, 5, vec![on("a", 1), off("b", 1), on("c", 1), on("d", 1)]);
     // a drains while b returns; c drains and is back as another process; d is gone and back.
     let gone = Change::Gone("d".into());
@@ -109,7 +109,7 @@
 
 #[test]
 fn an_old_list_brings_nothing_back_and_takes_nothing_away() {
-    let mut d = Desk::new(Trust::Ordered);
+    let mut d = Desk::new(SourceKind::Revisioned);
     d.whole(0, 10, vec![on("a", 1), off("b", 1), on("c", 1), on("d", 1)]);
     // A state of before b's drain and d's start; b as another process is another matter.
     let old = || vec![on("a", 1), on("b", 1), on("c", 1)];
@@ -130,7 +130,7 @@
 
 #[test]
 fn another_history_is_doubted_whatever_its_revisions_and_drains_of_a_refused_list_hold() {
-    let mut d = Desk::new(Trust::Ordered);
+    let mut d = Desk::new(SourceKind::Revisioned);
     d.whole(0, 10, vec![on("a", 1), off("b", 1), on("c", 1), on("d", 3)]);
     // Refused as old, and yet a drain is a drain; but not that of d's process before.
     d.whole(S, 8, vec![on("a", 1), on("b", 1), off("c", 1), off("d", 2)]);
@@ -154,7 +154,7 @@
 
 #[test]
 fn a_file_that_still_lists_a_drained_server_does_not_bring_it_back() {
-    let mut d = Desk::new(Trust::PutTogether);
+    let mut d = Desk::new(SourceKind::Assembled);
     d.whole(0, 1, vec![on("a", 1), on("b", 0)]);
     d.whole(S, 2, vec![off("a", 1), off("b", 0)]);
     d.whole(2 * S, 3, vec![on("a", 1), on("b", 0)]);
@@ -176,7 +176,7 @@
 #[test]
 fn a_list_suddenly_short_is_doubted_for_a_while_and_drains_in_it_hold() {
     let all = || ["a", "b", "c", "d"].map(|id| on(id, 1)).to_vec();
-    let mut d = Desk::new(Trust::Ordered);
+    let mut d = Desk::new(SourceKind::Revisioned);
     d.whole(0, 1, all());
     d.whole(S, 2, vec![off("d", 1)]);
     d.changes(2 * S, vec![(3, put(on("a", 1)))]);
@@ -210,7 +210,7 @@
 
 #[test]
 fn a_server_that_flaps_comes_back_later_each_time_and_goes_at_once() {
-    let mut d = Desk::new(Trust::Ordered);
+    let mut d = Desk::new(SourceKind::Revisioned);
     d.whole(0, 1, vec![on("a", 1), on("b", 1)]);
     for i in 1..=5 {
         d.changes(2 * i * S, vec![(10 * i, put(off("a", i)))]);
@@ -300,7 +300,7 @@
             changes.push((i as u64 + 1, change));
         }
         let whole = |revision: usize| states[revision].values().map(|l| (l.clone(), false)).collect::<Vec<_>>();
-        let (mut r, mut now, mut at, mut heard) = (Reconciler::new(Trust::Ordered), at(S), 0, 0);
+        let (mut r, mut now, mut at, mut heard) = (Reconciler::new(SourceKind::Revisioned), at(S), 0, 0);
         let mut seen = State::new();
         let mut hear = |told: &Told| {
             if told.whole {
--- a/crates/proxy/src/sources.rs
+++ b/crates/proxy/src/sources.rs
@@ -2,12 +2,12 @@
 
 use chalkwalk_config::{From, Membership};
 use chalkwalk_discovery::{self as platform, Source};
-use chalkwalk_discovery_etcd::{Announcement, Etcd};
-use chalkwalk_discovery_feed::{Feed, File};
+use chalkwalk_discovery_etcd::{Announcement, EtcdSource};
+use chalkwalk_discovery_feed::{Feed, FileSource};
 use chalkwalk_engine::engine::Engine;
 use chalkwalk_engine::lifecycle::Phase;
-use chalkwalk_membership::form::{Instance, SERVING};
-use chalkwalk_membership::reconcile::Trust;
+use chalkwalk_membership::format::{ProxyRecord, SERVING};
+use chalkwalk_membership::reconcile::SourceKind;
 use smol::Timer;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -24,7 +24,7 @@
 
 pub enum List {
     Platform(Rc<Source>),
-    File(Rc<File>, Rc<Feed>),
+    File(Rc<FileSource>, Rc<Feed>),
     Etcd(Rc<Feed>),
 }
 
@@ -43,26 +43,26 @@
             return List::Platform(source);
         };
         let trust = match from.from {
-            From::File(_) => Trust::PutTogether,
-            From::Etcd(_) => Trust::Ordered,
+            From::File(_) => SourceKind::Assembled,
+            From::Etcd(_) => SourceKind::Revisioned,
         };
         let feed = Feed::new(engine, trust, from.keep.clone());
-        feed.start();
-        engine.ex.spawn(feed.clone().tend()).detach();
-        engine.ex.spawn(feed.clone().keep()).detach();
+        feed.load_persisted();
+        engine.ex.spawn(feed.clone().run_timers()).detach();
+        engine.ex.spawn(feed.clone().persist_changes()).detach();
         match &from.from {
             From::File(path) => {
-                let file = File::new(feed.clone(), path);
+                let file = FileSource::new(feed.clone(), path);
                 engine.ex.spawn(file.clone().follow()).detach();
                 List::File(file, feed)
             }
             From::Etcd(etcd) => {
                 let own = etcd.count.then(|| {
                     let zone = engine.rules.zones.get(engine.classes.zone()).cloned().unwrap_or_default();
-                    let instance = Instance { zone, phase: SERVING.into(), listen: listen.to_string() };
+                    let instance = ProxyRecord { zone, phase: SERVING.into(), listen: listen.to_string() };
                     Announcement::new(engine, &etcd.prefix, instance, etcd.lease_s)
                 });
-                let etcd = Etcd::new(engine, feed.clone(), etcd.endpoints.clone(), &etcd.prefix, own);
+                let etcd = EtcdSource::new(engine, feed.clone(), etcd.endpoints.clone(), &etcd.prefix, own);
                 engine.ex.spawn(etcd.follow()).detach();
                 List::Etcd(feed)
             }
@@ -79,7 +79,7 @@
                 (None, false) => OWN_AGENT,
             };
         let there = || match &feed {
-            Some(feed) => !feed.lines().is_empty(),
+            Some(feed) => !feed.endpoints().is_empty(),
             None => !(handed || pushed) || engine.has_heard_list(),
         };
         while !there() && Instant::now() < end {
@@ -99,7 +99,7 @@
     pub fn read_again(&self, at: Option<SocketAddr>) {
         match self {
             List::Platform(source) => at.into_iter().for_each(|at| source.move_to(at)),
-            List::File(file, _) => file.look_again(),
+            List::File(file, _) => file.reload(),
             List::Etcd(_) => {}
         }
     }
--- a/crates/proxy/tests/stored_data.rs
+++ b/crates/proxy/tests/stored_data.rs
@@ -491,11 +491,14 @@
 /// The endpoint list kept on disk is read and written again byte for byte, as is what a proxy writes of itself into etcd.
 #[test]
 fn kept_lists_are_written_again_byte_for_byte() {
-    use chalkwalk_membership::{form, kept};
+    use chalkwalk_membership::{format, persisted};
     let text = text_of("kept");
-    assert_eq!(kept::Kept::read(&text, &form::Known::default()).unwrap().text(), text);
+    assert_eq!(
+        persisted::PersistedList::parse(&text, &format::AllowedNames::default()).unwrap().to_text(),
+        text
+    );
     let instance = br#"{"v":1,"zone":"north","phase":"serving","listen":"127.0.0.1:8080"}"#;
-    assert_eq!(form::instance_value(&form::read_instance(instance).unwrap()), instance);
+    assert_eq!(format::encode_proxy(&format::parse_proxy(instance).unwrap()), instance);
 }
 
 /// From an endpoint list in a file that has every key, a process keeps the same list on disk as the program before, but for the
