--- a/crates/discovery-feed/src/feed.rs
+++ b/crates/discovery-feed/src/feed.rs
@@ -1,7 +1,7 @@
 //! From what a source reads to what the engine is told.
 
+use chalkwalk_engine::api;
 use chalkwalk_engine::engine::Engine;
-use chalkwalk_engine::flow;
 use chalkwalk_membership::ListedEndpoint;
 use chalkwalk_membership::count::Count;
 use chalkwalk_membership::format::AllowedNames;
@@ -162,7 +162,7 @@
         let now_by = self.count.borrow_mut().holds(self.engine.clock.now());
         if self.divided_by.replace(now_by) != now_by {
             info!(self.engine.log, "caches shared by"; "proxies" => now_by);
-            flow::shared_by(&self.engine, now_by);
+            api::set_proxy_count(&self.engine, now_by);
         }
     }
 
@@ -176,7 +176,7 @@
         }
         if told.whole || !told.lines.is_empty() {
             self.unkept.set(true);
-            flow::listed(&self.engine, &told.lines, told.whole, false);
+            api::apply_endpoint_list(&self.engine, &told.lines, told.whole, false);
         }
         // What is due may be sooner than what is waited for.
         _ = self.sooner.try_send(());
--- a/crates/discovery/src/list.rs
+++ b/crates/discovery/src/list.rs
@@ -6,8 +6,8 @@
 use chalkwalk_balancer::EndpointStatus;
 use chalkwalk_balancer::admission::Violation;
 use chalkwalk_balancer::discovery::{OLDER_HEARD, called_in_time};
+use chalkwalk_engine::api;
 use chalkwalk_engine::engine::Engine;
-use chalkwalk_engine::flow;
 use chalkwalk_engine::members::ListedEndpoint;
 use chalkwalk_settings::fields::{Object, Read, flag, list, object, size, text, text_or, whole, whole_or};
 use chalkwalk_sockets::wait_until;
@@ -117,7 +117,7 @@
         take_off(engine, lines.iter().flatten());
     }
     let lines = lines.into_iter().collect::<Read<Vec<_>>>()?;
-    flow::listed(engine, &lines, whole_list, doubted);
+    api::apply_endpoint_list(engine, &lines, whole_list, doubted);
     if engine.requests.borrow().none_ready() {
         warn!(engine.log, "no cache in service by the list"; "lines" => lines.len());
     }
@@ -132,7 +132,7 @@
     };
     let off: Vec<ListedEndpoint> = lines.filter(news).cloned().collect();
     if !off.is_empty() {
-        flow::listed(engine, &off, false, false);
+        api::apply_endpoint_list(engine, &off, false, false);
     }
 }
 
@@ -156,7 +156,7 @@
         }
         let lost = watch(&engine, &source, &mut held, &mut chance).await;
         engine.list_had();
-        flow::discovery_call_failed(&engine, lost.took);
+        api::discovery_call_failed(&engine, lost.took);
         let unheard = held.heard_at.map(|at| at.elapsed().as_millis() as u64);
         warn!(engine.log, "discovery call failed";
             "call" => held.calls, "fault" => lost.fault, "took_ms" => lost.took.as_millis(),
--- a/crates/engine/src/flow.rs
+++ b/crates/engine/src/api.rs
@@ -3,7 +3,7 @@
 use crate::config::EngineConfig;
 use crate::engine::Engine;
 use crate::members::{Changed, ListedEndpoint};
-use crate::pool::{SPARE, ServerConnection};
+use crate::pool::ServerConnection;
 use crate::requests::{AttemptHandle, Command, PendingAttempt, RequestTable};
 use crate::response::{BodyStream, ClientRequest, Response, ResponseBody, ServerResponse};
 use chalkwalk_balancer::admission::{Refusal, Written};
@@ -12,18 +12,18 @@
 use chalkwalk_sockets::{wait_until, within};
 use chalkwalk_time::{Span, Timestamp};
 use slog::{debug, info};
+use smol::Async;
 use smol::channel::{Receiver, Sender, bounded};
 use smol::future::FutureExt;
-use smol::{Async, Timer};
 use std::cell::Cell;
 use std::net::TcpStream;
 use std::rc::Rc;
 use std::time::Duration;
 
 /// One call to the request table at the present time; what the balancer wants then is taken up.
-fn tell<T>(engine: &Rc<Engine>, call: impl FnOnce(&mut RequestTable, Timestamp) -> T) -> T {
+pub(crate) fn call<T>(engine: &Rc<Engine>, call: impl FnOnce(&mut RequestTable, Timestamp) -> T) -> T {
     let mut requests = engine.requests.borrow_mut();
-    let said = call(&mut requests, engine.clock.now());
+    let result = call(&mut requests, engine.clock.now());
     let take_commands = requests.take_commands();
     drop(requests);
     for note in take_commands {
@@ -32,28 +32,28 @@
             Command::HealthCheck(server) => engine.ex.spawn(probe(engine.clone(), server)).detach(),
         }
     }
-    said
+    result
 }
 
 /// Takes a request; its one final answer comes by the channel.
-pub fn take(engine: &Rc<Engine>, ask: Rc<dyn ClientRequest>) -> (RequestId, Receiver<Response>) {
-    tell(engine, |requests, now| requests.take(now, ask))
+pub fn accept_request(engine: &Rc<Engine>, ask: Rc<dyn ClientRequest>) -> (RequestId, Receiver<Response>) {
+    call(engine, |requests, now| requests.take(now, ask))
 }
 
 /// Whoever asked has gone, or given it up: nothing more is sent for it.
 pub fn client_left(engine: &Rc<Engine>, request_id: RequestId) {
-    tell(engine, |requests, now| requests.client_left(now, request_id));
+    call(engine, |requests, now| requests.client_left(now, request_id));
 }
 
 /// Whatever is open is given up now.
 pub fn give_up_all(engine: &Rc<Engine>) {
-    tell(engine, |requests, now| requests.give_up_all(now));
+    call(engine, |requests, now| requests.give_up_all(now));
 }
 
 /// A source tells what the list says: the whole of it, or what changed. A doubted one brings no server back that was told
 /// to be off.
-pub fn listed(engine: &Rc<Engine>, lines: &[ListedEndpoint], whole_list: bool, doubted: bool) {
-    let (off, changed) = tell(engine, |requests, now| requests.listed(now, lines, (whole_list, doubted)));
+pub fn apply_endpoint_list(engine: &Rc<Engine>, lines: &[ListedEndpoint], whole_list: bool, doubted: bool) {
+    let (off, changed) = call(engine, |requests, now| requests.listed(now, lines, (whole_list, doubted)));
     off.into_iter().for_each(|server| engine.pool.forget(server));
     if changed != Changed::default() {
         info!(engine.log, "servers changed"; "off" => named(&changed.off), "back" => named(&changed.back));
@@ -70,80 +70,41 @@
 }
 
 /// Operators take a server out at that moment, or put it back. What is idle to it is closed: it restarts meanwhile.
-pub fn bar(engine: &Rc<Engine>, id: &str, out: bool, at: Timestamp) {
-    let server = tell(engine, |requests, now| requests.barred(now, id, (out, at)));
+pub fn set_server_disabled(engine: &Rc<Engine>, id: &str, out: bool, at: Timestamp) {
+    let server = call(engine, |requests, now| requests.barred(now, id, (out, at)));
     server.into_iter().for_each(|server| engine.pool.forget(server));
 }
 
 /// A call to discovery failed after so long; the balancer will want another.
 pub fn discovery_call_failed(engine: &Rc<Engine>, took: Span) {
-    tell(engine, |requests, now| requests.discovery_call_failed(now, took));
+    call(engine, |requests, now| requests.discovery_call_failed(now, took));
 }
 
 /// So many proxies share the servers, this one included, as a source counts them.
-pub fn shared_by(engine: &Rc<Engine>, proxies: u64) {
+pub fn set_proxy_count(engine: &Rc<Engine>, proxies: u64) {
     engine.requests.borrow_mut().shared_by(proxies);
 }
 
 /// Other limits hold from now on, also for what is open: see `RequestId::renewed`.
-pub fn renew(engine: &Rc<Engine>, limits: Option<Table>) {
+pub fn set_limits(engine: &Rc<Engine>, limits: Option<Table>) {
     engine.classes.renew(limits);
     let settings = engine.classes.settings();
     let of = |ask: &dyn ClientRequest| {
         let taking = engine.classes.find(ask.place()?);
         Some((taking.class, taking.time_limit))
     };
-    tell(engine, |requests, now| requests.renewed(now, &settings, of));
+    call(engine, |requests, now| requests.renewed(now, &settings, of));
 }
 
 /// Other settings of the platform hold from now on, and an operator's limits on them. What is open keeps the rules that it was
 /// taken with.
-pub fn settle(engine: &Rc<Engine>, mut rules: EngineConfig) {
+pub fn apply_settings(engine: &Rc<Engine>, mut rules: EngineConfig) {
     let limits = rules.limits.take();
     engine.rules.connect_time.set(rules.connect_time.get());
     engine.rules.drain_grace.set(rules.drain_grace.get());
     engine.classes.settle(rules.settings, rules.account, limits);
     let settings = engine.classes.settings();
-    tell(engine, |requests, now| requests.renewed(now, &settings, |_| None));
-}
-
-/// Calls the balancer back at the times it has named; never ends.
-pub async fn wakes(engine: Rc<Engine>) {
-    loop {
-        let due = engine.requests.borrow().next_wake();
-        match due {
-            Some(due) if due <= engine.clock.now() => tell(&engine, |requests, now| requests.wake(now)),
-            Some(due) => _ = wait_until(engine.clock.instant(due), engine.sooner.recv()).await,
-            None => _ = engine.sooner.recv().await,
-        }
-    }
-}
-
-/// Gives back what is spare, twice in the time it may be, and closes what is idle too long with each eighth round, about
-/// once a second, as that looks at each connection; counts in the log once a minute what has become more; never ends.
-pub async fn sweep(engine: Rc<Engine>) {
-    let (mut told, mut rounds) = (0, 0u32);
-    loop {
-        for _ in 0..8 {
-            Timer::after(SPARE / 2).await;
-            engine.pool.trim();
-        }
-        engine.pool.sweep();
-        rounds += 1;
-        let left = engine.requests.borrow().left_waiting();
-        if rounds.is_multiple_of(60) && std::mem::replace(&mut told, left) != left {
-            count_left(&engine, "clients left");
-        }
-    }
-}
-
-/// Says how many requests were left so far while they waited, how many attempts were withheld as their request was over, and how often
-/// what must not happen has happened.
-pub(crate) fn count_left(engine: &Engine, event: &'static str) {
-    let left = engine.requests.borrow().left_waiting();
-    let violations = engine.violations.total();
-    info!(engine.log, "{}", event;
-        "left_waiting" => left, "withheld" => engine.refused.over(), "violations" => violations);
+    call(engine, |requests, now| requests.renewed(now, &settings, |_| None));
 }
 
 // ---- one attempt, from the connection to its ending ----
@@ -179,7 +140,7 @@
             let (tell_parts, parts) = bounded(1);
             let whole = Rc::new(Cell::new(false));
             answer.flow = Some(BodyStream { length: rest.length(), parts, whole: whole.clone() });
-            tell(&engine, |requests, now| requests.begun(now, (*request_id, *attempt), answer));
+            call(&engine, |requests, now| requests.begun(now, (*request_id, *attempt), answer));
             let stopped = async {
                 _ = handle.stopped.recv().await;
                 AttemptOutcome::Cancelled
@@ -194,7 +155,7 @@
     if outcome == AttemptOutcome::Unreachable {
         engine.pool.forget(*server);
     }
-    tell(&engine, |requests, now| requests.ended(now, (*request_id, *attempt), outcome, took, answer));
+    call(&engine, |requests, now| requests.ended(now, (*request_id, *attempt), outcome, took, answer));
 }
 
 /// Passes on what comes of an answer, until it ends, breaks off, or is taken no more.
@@ -332,5 +293,5 @@
         // What was idle to a machine that vanished is reset only when it is back, and by the first request on it.
         engine.pool.forget(server);
     }
-    tell(&engine, |requests, now| requests.probed(now, server, answered));
+    call(&engine, |requests, now| requests.probed(now, server, answered));
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -5,18 +5,19 @@
 //! and no format of a list: a request comes in as something that can write itself to a server and read what comes back (`response::ClientRequest`), and
 //! leaves as bytes with a verdict; a list comes in as plain lines (`members::ListedEndpoint`). It decides nothing.
 //!
-//! Modules point down only: `flow` and `drain` use `engine`, which holds what those below it keep.
+//! Modules point down only: `api`, `background` and `shutdown` use `engine`, which holds what those below it keep.
 
+pub mod api;
+pub mod background;
 pub mod budget;
 pub mod classes;
 pub mod clock;
 pub mod config;
-pub mod drain;
 pub mod engine;
-pub mod flow;
 pub mod lifecycle;
 pub mod members;
 pub mod pool;
 pub mod requests;
 pub mod response;
+pub mod shutdown;
 pub mod violations;
--- a/crates/engine/src/drain.rs
+++ b/crates/engine/src/shutdown.rs
@@ -2,8 +2,8 @@
 //! took, and is gone before it would be killed.
 
 use crate::engine::Engine;
-use crate::flow;
 use crate::lifecycle::Phase;
+use crate::{api, background};
 use chalkwalk_sockets::wait_until;
 use chalkwalk_time::{Span, Timestamp};
 use slog::info;
@@ -31,7 +31,7 @@
 
 /// From the word to end, which came at that moment, to the last phase. `accepting` is the doors' task, which ends once `Emptying` is reached and whoever
 /// has a connection by then is let in.
-pub async fn leave(engine: &Rc<Engine>, accepting: Task<()>, told: Timestamp) {
+pub async fn run(engine: &Rc<Engine>, accepting: Task<()>, told: Timestamp) {
     let (accepting_until, last) = terms(engine.classes.longest_limit());
     let last = told + last;
     engine.leave(told, last);
@@ -47,13 +47,13 @@
         Timer::after(Duration::from_millis(10)).await;
     }
     // Whatever is left is given up now: later it would be lost.
-    flow::give_up_all(engine);
+    api::give_up_all(engine);
     let end = engine.clock.instant(last) + WRITING;
     while engine.clients() > 0 && Instant::now() < end {
         Timer::after(Duration::from_millis(5)).await;
     }
     engine.lifecycle.enter(Phase::Ended);
-    flow::count_left(engine, "ended");
+    background::log_counters(engine, "ended");
 }
 
 #[cfg(test)]
--- a/crates/http-frontend/src/route.rs
+++ b/crates/http-frontend/src/route.rs
@@ -3,8 +3,8 @@
 use crate::admit::HttpRequest;
 use crate::relay::Reply;
 use chalkwalk_balancer::admission::Violation;
+use chalkwalk_engine::api;
 use chalkwalk_engine::engine::Engine;
-use chalkwalk_engine::flow;
 use chalkwalk_sockets::read_more;
 use slog::warn;
 use smol::future::FutureExt;
@@ -24,18 +24,18 @@
     request: HttpRequest,
 ) -> Option<Reply> {
     let expires = request.expires;
-    let (request_id, answered) = flow::take(engine, Rc::new(request));
+    let (request_id, answered) = api::accept_request(engine, Rc::new(request));
     let late = async {
         // The balancer answers by then; a request it forgot would hold the connection for ever.
         Timer::at(engine.clock.instant(expires) + OVERDUE).await;
         warn!(engine.log, "a lookup without an answer");
         engine.violations.check(&engine.log, Some(Violation::NoFinalAnswer));
-        flow::client_left(engine, request_id);
+        api::client_left(engine, request_id);
         Some(Reply::bare(500))
     };
     let gone = async {
         let came = matches!(read_more(stream, rest).await, Ok(1..));
-        flow::client_left(engine, request_id);
+        api::client_left(engine, request_id);
         came.then(|| Reply::bare(400))
     };
     let answer = async {
--- a/crates/proxy/src/operators.rs
+++ b/crates/proxy/src/operators.rs
@@ -3,8 +3,8 @@
 use crate::pages::{News, Pages, Seen};
 use chalkwalk_admin::{self as console, ControlFuture, ControlOutcome, ProxyControl};
 use chalkwalk_balancer as policy;
+use chalkwalk_engine::api;
 use chalkwalk_engine::engine::Engine;
-use chalkwalk_engine::flow;
 use chalkwalk_handover::Learned;
 use chalkwalk_sockets::within;
 use chalkwalk_time::{Span, Timestamp};
@@ -139,7 +139,7 @@
         self.share(news.company);
         for id in &news.servers {
             let word = self.pages.borrow().own.word(id);
-            flow::bar(engine, id, word.out, word.at);
+            api::set_server_disabled(engine, id, word.out, word.at);
         }
         if news.service {
             let service = self.pages.borrow().own.service;
@@ -204,7 +204,7 @@
         let before = self.pages.borrow().own.servers.get(&id).copied();
         self.pages.borrow_mut().own.say(&id, out, self.engine.clock.now());
         let said = self.pages.borrow().own.word(&id);
-        flow::bar(&self.engine, &id, out, said.at);
+        api::set_server_disabled(&self.engine, &id, out, said.at);
         if self.keep().await == Some(false) {
             // Unless somebody has said something else meanwhile. A server that was never out is not taken for cold.
             if self.pages.borrow().own.word(&id) == said {
@@ -213,7 +213,7 @@
                     Some(word) => own.servers.insert(id.clone(), word),
                     None => own.servers.remove(&id),
                 };
-                flow::bar(&self.engine, &id, !out, before.unwrap_or_default().at);
+                api::set_server_disabled(&self.engine, &id, !out, before.unwrap_or_default().at);
             }
             return ControlOutcome::NotPersisted;
         }
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -11,7 +11,7 @@
 use chalkwalk_discovery_feed::Feed;
 use chalkwalk_engine::engine::Engine;
 use chalkwalk_engine::response::HealthCheck;
-use chalkwalk_engine::{drain, flow};
+use chalkwalk_engine::{api, background, shutdown};
 use chalkwalk_http_frontend as http;
 use chalkwalk_resp_frontend as resp_door;
 use slog::{Logger, info, warn};
@@ -63,8 +63,8 @@
     smol::block_on(engine.ex.run(async {
         let beating = engine.clone();
         engine.ex.spawn(async move { beating.clock.keep_beat().await }).detach();
-        engine.ex.spawn(flow::wakes(engine.clone())).detach();
-        engine.ex.spawn(flow::sweep(engine.clone())).detach();
+        engine.ex.spawn(background::run_timers(engine.clone())).detach();
+        engine.ex.spawn(background::run_pool_sweeps(engine.clone())).detach();
         let known = platform::known(&engine, &known);
         let of_servers = resp.is_some() && membership.is_none() && list.is_none();
         let list = if of_servers {
@@ -108,7 +108,7 @@
         if let Some(operators) = &operators {
             operators.read_soon().await;
         }
-        drain::leave(&engine, accepting, told).await;
+        shutdown::run(&engine, accepting, told).await;
         engine.stop_capture();
     }));
     if let Some((writer, _)) = writer {
@@ -193,9 +193,9 @@
                 if resp.is_none() {
                     door.rename(rules.namespaces);
                 }
-                flow::settle(engine, rules.engine);
+                api::apply_settings(engine, rules.engine);
             } else if given.operator.is_some() {
-                flow::renew(engine, rules.engine.limits);
+                api::set_limits(engine, rules.engine.limits);
             }
         }
         // A line for each fault, as they are read one by one.
--- a/crates/resp-frontend/src/clients.rs
+++ b/crates/resp-frontend/src/clients.rs
@@ -7,10 +7,10 @@
 use crate::request::RespRequest;
 use chalkwalk_balancer::RequestId;
 use chalkwalk_balancer::admission::may_start;
+use chalkwalk_engine::api;
 use chalkwalk_engine::budget::Permit;
 use chalkwalk_engine::classes::ClassLimits;
 use chalkwalk_engine::engine::{ClientConnection, Engine};
-use chalkwalk_engine::flow;
 use chalkwalk_engine::lifecycle::Phase;
 use chalkwalk_engine::response::{Response, ResponseStatus};
 use chalkwalk_limits::RequestAttributes;
@@ -110,7 +110,7 @@
 impl Drop for Open {
     fn drop(&mut self) {
         if !self.answered.get() {
-            flow::client_left(&self.door.engine, self.request_id);
+            api::client_left(&self.door.engine, self.request_id);
         }
     }
 }
@@ -463,7 +463,7 @@
             way: RefCell::new(Way::new(slot, stale)),
             begun: RefCell::default(),
         });
-        let (request_id, answer) = flow::take(engine, ask);
+        let (request_id, answer) = api::accept_request(engine, ask);
         // It is done for the connection once it is answered, whenever the answer is read.
         let (done, told): (Sender<()>, Receiver<()>) = bounded(1);
         let (here, answered_here) = bounded(1);
--- a/crates/resp-frontend/src/cluster.rs
+++ b/crates/resp-frontend/src/cluster.rs
@@ -2,7 +2,7 @@
 
 use crate::door::Door;
 use chalkwalk_balancer::EndpointStatus;
-use chalkwalk_engine::flow;
+use chalkwalk_engine::api;
 use chalkwalk_engine::members::ListedEndpoint;
 use chalkwalk_resp::{FrameKind, ReadLimits, Reader, Writer};
 use chalkwalk_slot_map::View;
@@ -23,7 +23,7 @@
 pub fn seeds(door: &Rc<Door>) {
     if door.lists {
         let lines: Vec<ListedEndpoint> = door.settings.seeds.iter().map(|addr| line(door, *addr)).collect();
-        flow::listed(&door.engine, &lines, true, false);
+        api::apply_endpoint_list(&door.engine, &lines, true, false);
     }
 }
 
@@ -93,7 +93,7 @@
     if door.lists {
         let lines: Vec<ListedEndpoint> =
             view.nodes.iter().filter(|n| !n.fails).map(|n| line(door, n.addr)).collect();
-        flow::listed(&door.engine, &lines, true, false);
+        api::apply_endpoint_list(&door.engine, &lines, true, false);
     }
 }
 
