--- a/crates/discovery/src/list.rs
+++ b/crates/discovery/src/list.rs
@@ -8,7 +8,7 @@
 use chalkwalk_balancer::discovery::{OLDER_HEARD, called_in_time};
 use chalkwalk_engine::api;
 use chalkwalk_engine::engine::Engine;
-use chalkwalk_engine::members::ListedEndpoint;
+use chalkwalk_engine::servers::ListedEndpoint;
 use chalkwalk_settings::fields::{Object, Read, flag, list, object, size, text, text_or, whole, whole_or};
 use chalkwalk_sockets::wait_until;
 use chalkwalk_time::{Span, Timestamp};
@@ -118,7 +118,7 @@
     }
     let lines = lines.into_iter().collect::<Read<Vec<_>>>()?;
     api::apply_endpoint_list(engine, &lines, whole_list, doubted);
-    if engine.requests.borrow().none_ready() {
+    if engine.requests.borrow().no_server_ready() {
         warn!(engine.log, "no cache in service by the list"; "lines" => lines.len());
     }
     Ok(())
@@ -128,7 +128,7 @@
 /// next list that is believed has the last word. Not of a server that has started since.
 fn take_off<'a>(engine: &Rc<Engine>, lines: impl Iterator<Item = &'a ListedEndpoint>) {
     let news = |line: &&ListedEndpoint| {
-        line.status != EndpointStatus::Ready && engine.requests.borrow().members.serves(line)
+        line.status != EndpointStatus::Ready && engine.requests.borrow().servers.is_ready(line)
     };
     let off: Vec<ListedEndpoint> = lines.filter(news).cloned().collect();
     if !off.is_empty() {
--- a/crates/engine/src/api.rs
+++ b/crates/engine/src/api.rs
@@ -2,10 +2,10 @@
 
 use crate::config::EngineConfig;
 use crate::engine::Engine;
-use crate::members::{Changed, ListedEndpoint};
 use crate::pool::ServerConnection;
 use crate::requests::{AttemptHandle, Command, PendingAttempt, RequestTable};
 use crate::response::{BodyStream, ClientRequest, Response, ResponseBody, ServerResponse};
+use crate::servers::{ListChanges, ListedEndpoint};
 use chalkwalk_balancer::admission::{Refusal, Written};
 use chalkwalk_balancer::{AttemptOutcome, RequestId, ServerIndex};
 use chalkwalk_limits::Table;
@@ -55,7 +55,7 @@
 pub fn apply_endpoint_list(engine: &Rc<Engine>, lines: &[ListedEndpoint], whole_list: bool, doubted: bool) {
     let (off, changed) = call(engine, |requests, now| requests.listed(now, lines, (whole_list, doubted)));
     off.into_iter().for_each(|server| engine.pool.forget(server));
-    if changed != Changed::default() {
+    if changed != ListChanges::default() {
         info!(engine.log, "servers changed"; "off" => named(&changed.off), "back" => named(&changed.back));
     }
 }
@@ -240,7 +240,7 @@
         at: engine.clock.now(),
         allowed_at: now,
         until: *until.min(by),
-        off_since: engine.requests.borrow().members.off_since(*server),
+        off_since: engine.requests.borrow().servers.off_since(*server),
         grace: engine.rules.drain_grace.get(),
         awaited: ask.awaited(),
     };
@@ -254,7 +254,7 @@
     server: ServerIndex,
     fresh: bool,
 ) -> Result<ServerConnection, AttemptOutcome> {
-    let Some(addr) = engine.requests.borrow().members.addr(server) else {
+    let Some(addr) = engine.requests.borrow().servers.addr(server) else {
         return Err(AttemptOutcome::Unreachable);
     };
     if !fresh && let Some(conn) = engine.pool.rested(server, addr).await {
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -5,10 +5,10 @@
 use crate::clock::Clock;
 use crate::config::EngineConfig;
 use crate::lifecycle::{Lifecycle, Phase};
-use crate::members::Members;
 use crate::pool::ConnectionPool;
 use crate::requests::RequestTable;
 use crate::response::HealthCheck;
+use crate::servers::ServerRegistry;
 use crate::violations::{Refused, Violations};
 use chalkwalk_capture::Recorder;
 use chalkwalk_sockets::{MemoryBudget, wait_until};
@@ -53,7 +53,7 @@
     ) -> Rc<Engine> {
         let (sooner, sooner_told) = bounded(1);
         let (wanted, wanted_told) = bounded(1);
-        let members = Members::new(&rules.zones, &rules.kinds);
+        let servers = ServerRegistry::new(&rules.zones, &rules.kinds);
         let classes = Classes::new(
             std::mem::take(&mut rules.settings),
             std::mem::take(&mut rules.account),
@@ -64,7 +64,7 @@
         let requests = RequestTable::new(
             rules.seed,
             &classes.settings(),
-            members,
+            servers,
             (sooner, wanted),
             log.clone(),
             recorder,
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! It may use `policy`, `limits`, `membership`, `net`, smol and slog. No protocol ever enters it, neither of clients nor of servers,
 //! and no format of a list: a request comes in as something that can write itself to a server and read what comes back (`response::ClientRequest`), and
-//! leaves as bytes with a verdict; a list comes in as plain lines (`members::ListedEndpoint`). It decides nothing.
+//! leaves as bytes with a verdict; a list comes in as plain lines (`servers::ListedEndpoint`). It decides nothing.
 //!
 //! Modules point down only: `api`, `background` and `shutdown` use `engine`, which holds what those below it keep.
 
@@ -15,9 +15,9 @@
 pub mod config;
 pub mod engine;
 pub mod lifecycle;
-pub mod members;
 pub mod pool;
 pub mod requests;
 pub mod response;
+pub mod servers;
 pub mod shutdown;
 pub mod violations;
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -1,9 +1,9 @@
 //! The request table: the balancer, the requests that are open, and what it wants done. All that happens is told to it here, one call
 //! at a time; what the balancer wants is only noted, and taken up by `flow` once the call is over.
 
-use crate::members::{Changed, ListedEndpoint, Members};
 use crate::pool::ServerConnection;
 use crate::response::{ClientRequest, Response, ResponseStatus};
+use crate::servers::{ListChanges, ListedEndpoint, ServerRegistry};
 use chalkwalk_balancer::admission::{Refusal, UnsentAttempt};
 use chalkwalk_balancer::{AttemptOutcome, Balancer, Effects, Learned, RequestId, ServerIndex};
 use chalkwalk_capture::{Decision, Event, Recorder};
@@ -178,7 +178,7 @@
     balancer: Balancer,
     settings: BTreeMap<String, String>, // as the balancer last read it
     sink: EffectSink,
-    pub members: Members,
+    pub servers: ServerRegistry,
 }
 
 impl RequestTable {
@@ -186,7 +186,7 @@
     pub fn new(
         seed: u64,
         settings: &BTreeMap<String, String>,
-        members: Members,
+        servers: ServerRegistry,
         (sooner, wanted): (Sender<()>, Sender<()>),
         log: Logger,
         (recorder, now): (Option<Recorder>, Timestamp),
@@ -209,7 +209,7 @@
         if settings.get("watched").is_none_or(|watched| watched != "1") {
             _ = sink.wanted.try_send(());
         }
-        RequestTable { balancer, settings: settings.clone(), sink, members }
+        RequestTable { balancer, settings: settings.clone(), sink, servers }
     }
 
     fn at(&mut self, now: Timestamp) -> (&mut Balancer, &mut EffectSink) {
@@ -240,7 +240,7 @@
     /// Takes a request and routes it; its final answer comes by the channel.
     pub fn take(&mut self, now: Timestamp, ask: Rc<dyn ClientRequest>) -> (RequestId, Receiver<Response>) {
         let (answer, answered) = bounded(1);
-        let order = ask.order().map(|addrs| self.members.at(&addrs));
+        let order = ask.order().map(|addrs| self.servers.at(&addrs));
         let (balancer, sink) = self.at(now);
         if let Some(recorder) = &mut sink.recorder {
             recorder.take(now, ask.class(), ask.key(), ask.write(), ask.expires(), order.as_deref());
@@ -277,7 +277,7 @@
             open.ask.ended(outcome);
             open.ask.order()
         });
-        let order = order.map(|addrs| self.members.at(&addrs));
+        let order = order.map(|addrs| self.servers.at(&addrs));
         let (balancer, sink) = self.at(now);
         if let Some(open) = sink.open.get_mut(&request_id) {
             open.out -= 1;
@@ -368,11 +368,11 @@
         now: Timestamp,
         lines: &[ListedEndpoint],
         (whole_list, doubted): (bool, bool),
-    ) -> (Vec<ServerIndex>, Changed) {
-        let was_off: Vec<ServerIndex> = self.members.off().collect();
+    ) -> (Vec<ServerIndex>, ListChanges) {
+        let was_off: Vec<ServerIndex> = self.servers.off().collect();
         self.sink.now = now;
         self.balancer.advance_clock(now);
-        let endpoints = self.members.take(now, lines, whole_list, doubted);
+        let endpoints = self.servers.take(now, lines, whole_list, doubted);
         if let Some(recorder) = &mut self.sink.recorder {
             recorder.listed(now, whole_list, &endpoints);
         }
@@ -380,9 +380,9 @@
             true => self.balancer.replace_endpoints(&endpoints, &mut self.sink),
             false => self.balancer.update_endpoints(&endpoints, &mut self.sink),
         }
-        let changed = self.members.changed(&was_off);
-        self.members.forget(&self.balancer);
-        (self.members.off().collect(), changed)
+        let changed = self.servers.changed(&was_off);
+        self.servers.forget(&self.balancer);
+        (self.servers.off().collect(), changed)
     }
 
     /// Operators take a server out at that moment, or put it back; its place, if it has one.
@@ -390,7 +390,7 @@
         let (balancer, sink) = self.at(now);
         sink.told(|| Event::ServerDisabled { id: id.into(), out, at });
         balancer.set_disabled(id, out, at);
-        self.members.place(id)
+        self.servers.index_of(id)
     }
 
     /// Whether an attempt may be sent now; `awaited`: whether its client is still there.
@@ -417,7 +417,7 @@
     }
 
     /// Takes up what a process before this one has learned. Not where all is captured, as a replay would not know of it.
-    pub fn carry(&mut self, learned: Vec<Learned>) -> bool {
+    pub fn restore_learned(&mut self, learned: Vec<Learned>) -> bool {
         let taken = self.sink.recorder.is_none();
         if taken {
             self.balancer.restore_learned(learned);
@@ -426,17 +426,17 @@
     }
 
     /// The terms on which this balancer learns.
-    pub fn terms(&self) -> u64 {
+    pub fn learning_terms(&self) -> u64 {
         self.balancer.learning_terms()
     }
 
     /// Whether there is no server to be asked by what was told.
-    pub fn none_ready(&self) -> bool {
+    pub fn no_server_ready(&self) -> bool {
         self.balancer.no_server_ready()
     }
 
     /// Whether operators may mean a server by this.
-    pub fn has(&self, id: &str) -> bool {
+    pub fn knows_server(&self, id: &str) -> bool {
         self.balancer.knows_server(id)
     }
 
--- a/crates/engine/src/members.rs
+++ b/crates/engine/src/servers.rs
@@ -8,7 +8,7 @@
 
 /// What a list has changed, by the servers' ids in order.
 #[derive(Debug, Default, PartialEq)]
-pub struct Changed {
+pub struct ListChanges {
     /// Draining or gone since.
     pub off: Vec<String>,
     /// In service since, or again.
@@ -23,7 +23,7 @@
 }
 
 #[derive(Default)]
-pub struct Members {
+pub struct ServerRegistry {
     rows: Vec<Row>,
     index: HashMap<String, ServerIndex>,
     free: Vec<ServerIndex>, // below the number of rows, and no server's
@@ -31,9 +31,9 @@
     kinds: Vec<String>,
 }
 
-impl Members {
-    pub fn new(zones: &[String], kinds: &[String]) -> Members {
-        Members { zones: zones.to_vec(), kinds: kinds.to_vec(), ..Members::default() }
+impl ServerRegistry {
+    pub fn new(zones: &[String], kinds: &[String]) -> ServerRegistry {
+        ServerRegistry { zones: zones.to_vec(), kinds: kinds.to_vec(), ..ServerRegistry::default() }
     }
 
     pub fn addr(&self, server: ServerIndex) -> Option<SocketAddr> {
@@ -53,8 +53,8 @@
     }
 
     /// What is off by now and was not, and the other way round, after what was off before.
-    pub fn changed(&self, was_off: &[ServerIndex]) -> Changed {
-        let mut changed = Changed::default();
+    pub fn changed(&self, was_off: &[ServerIndex]) -> ListChanges {
+        let mut changed = ListChanges::default();
         for (id, server) in &self.index {
             match (was_off.binary_search(server).is_ok(), self.off_since(*server).is_some()) {
                 (false, true) => changed.off.push(id.clone()),
@@ -68,13 +68,13 @@
     }
 
     /// The place of a server, if it has one.
-    pub fn place(&self, id: &str) -> Option<ServerIndex> {
+    pub fn index_of(&self, id: &str) -> Option<ServerIndex> {
         self.index.get(id).copied()
     }
 
     /// Whether the server of this line is in service as far as was told, and has not started since the line was true.
-    pub fn serves(&self, line: &ListedEndpoint) -> bool {
-        let row = self.place(&line.id).map(|server| &self.rows[server]);
+    pub fn is_ready(&self, line: &ListedEndpoint) -> bool {
+        let row = self.index_of(&line.id).map(|server| &self.rows[server]);
         row.is_some_and(|row| row.off_since.is_none() && row.born <= line.born)
     }
 
@@ -126,7 +126,7 @@
 
     /// Forgets what is gone and done with, and uses its index again: ids are ever new.
     pub fn forget(&mut self, balancer: &Balancer) {
-        let Members { index, free, .. } = self;
+        let ServerRegistry { index, free, .. } = self;
         index.retain(|_, server| {
             let done = balancer.index_is_free(*server);
             free.extend(done.then_some(*server));
@@ -156,16 +156,16 @@
 
     #[test]
     fn the_place_of_a_server_that_is_done_with_is_the_next_ones() {
-        let mut members = Members::default();
+        let mut servers = ServerRegistry::default();
         let mut places = Vec::new();
         for id in ["amber", "birch", "birch", "cedar", "delta"] {
-            places.push(members.row(id, "127.0.0.1:3000".parse().unwrap()));
+            places.push(servers.row(id, "127.0.0.1:3000".parse().unwrap()));
             if id == "cedar" {
-                members.index.remove("birch");
-                members.free.push(1);
+                servers.index.remove("birch");
+                servers.free.push(1);
             }
         }
         expect_test::expect!["[0, 1, 1, 2, 1] of 3"]
-            .assert_eq(&format!("{places:?} of {}", members.rows.len()));
+            .assert_eq(&format!("{places:?} of {}", servers.rows.len()));
     }
 }
--- a/crates/proxy/src/operators.rs
+++ b/crates/proxy/src/operators.rs
@@ -106,7 +106,7 @@
     /// Takes up what a process before this one has learned, if that still means the same.
     fn carry(&self, learned: Learned) -> bool {
         let mut requests = self.engine.requests.borrow_mut();
-        if !learned.holds(requests.terms(), self.engine.clock.now()) {
+        if !learned.holds(requests.learning_terms(), self.engine.clock.now()) {
             return false;
         }
         let of = |(id, [born, size, part, room]): (String, [u64; 4])| policy::Learned {
@@ -116,13 +116,13 @@
             part,
             room,
         };
-        requests.carry(learned.bounded().servers.into_iter().map(of).collect())
+        requests.restore_learned(learned.bounded().servers.into_iter().map(of).collect())
     }
 
     /// Writes down what was learned of the servers, where that is anything.
     async fn write_learned(&self) {
         let (at, requests) = (self.engine.clock.now(), &self.engine.requests);
-        let (terms, learned) = (requests.borrow().terms(), requests.borrow().learned());
+        let (terms, learned) = (requests.borrow().learning_terms(), requests.borrow().learned());
         let servers = learned.into_iter().map(|l| (l.id, [l.born.ticks(), l.size, l.part, l.room])).collect();
         let learned = Learned { at, terms, servers }.bounded();
         if !learned.servers.is_empty() {
@@ -194,7 +194,7 @@
     }
 
     async fn do_server(self: Rc<Self>, id: String, out: bool) -> ControlOutcome {
-        if !self.engine.requests.borrow().has(&id) {
+        if !self.engine.requests.borrow().knows_server(&id) {
             return ControlOutcome::UnknownServer;
         }
         if self.pages.borrow().own.is_out(&id) == out {
--- a/crates/resp-frontend/src/cluster.rs
+++ b/crates/resp-frontend/src/cluster.rs
@@ -3,7 +3,7 @@
 use crate::door::Door;
 use chalkwalk_balancer::EndpointStatus;
 use chalkwalk_engine::api;
-use chalkwalk_engine::members::ListedEndpoint;
+use chalkwalk_engine::servers::ListedEndpoint;
 use chalkwalk_resp::{FrameKind, ReadLimits, Reader, Writer};
 use chalkwalk_slot_map::View;
 use chalkwalk_sockets::{read_more, within, write_all};
