--- a/crates/discovery-etcd/src/announce.rs
+++ b/crates/discovery-etcd/src/announce.rs
@@ -25,7 +25,7 @@
 
 impl Announcement {
     pub fn new(engine: &Rc<Engine>, prefix: &str, instance: ProxyRecord, lease_s: u64) -> Announcement {
-        let key = format!("{prefix}proxies/{}", engine.rules.name);
+        let key = format!("{prefix}proxies/{}", engine.config.name);
         Announcement { engine: engine.clone(), key, instance, lease_s, lease: Cell::new(0) }
     }
 
@@ -33,7 +33,7 @@
     /// the connection.
     pub async fn hold(&self, link: &Link) -> Result<(), String> {
         let leaving = async {
-            self.engine.lifecycle.reached(Phase::Leaving).await;
+            self.engine.lifecycle.reached(Phase::Draining).await;
             Ok(())
         };
         smol::future::or(leaving, self.keep(link)).await?;
--- a/crates/discovery-etcd/src/follow.rs
+++ b/crates/discovery-etcd/src/follow.rs
@@ -41,7 +41,7 @@
         prefix: &str,
         announcement: Option<Announcement>,
     ) -> Rc<EtcdSource> {
-        let machine = RefCell::new(Machine::new(prefix, endpoints.len(), engine.rules.seed));
+        let machine = RefCell::new(Machine::new(prefix, endpoints.len(), engine.config.seed));
         Rc::new(EtcdSource {
             feed,
             endpoints,
@@ -60,7 +60,7 @@
             Timer::after(Duration::from(after)).await;
             let addr = self.endpoints[endpoint];
             let begun = self.feed.engine.clock.now();
-            let fault = match Link::open(&self.feed.engine.ex, addr).await {
+            let fault = match Link::open(&self.feed.engine.executor, addr).await {
                 Ok(link) => self.session(link).await,
                 Err(fault) => fault,
             };
--- a/crates/discovery-feed/src/feed.rs
+++ b/crates/discovery-feed/src/feed.rs
@@ -36,8 +36,8 @@
 impl Feed {
     pub fn new(engine: &Rc<Engine>, trust: SourceKind, keep: Option<PathBuf>) -> Rc<Feed> {
         let (sooner, sooner_told) = bounded(1);
-        let written = engine.classes.proxies();
-        let known = AllowedNames { zones: engine.rules.zones.clone(), kinds: engine.rules.kinds.clone() };
+        let written = engine.classes.proxy_count();
+        let known = AllowedNames { zones: engine.config.zones.clone(), kinds: engine.config.kinds.clone() };
         Rc::new(Feed {
             engine: engine.clone(),
             known,
--- a/crates/discovery/src/list.rs
+++ b/crates/discovery/src/list.rs
@@ -141,11 +141,11 @@
 pub async fn follow(engine: Rc<Engine>, source: Rc<Source>, known: Option<u64>, at_once: bool) {
     let version = known.unwrap_or(0);
     let mut held = Held { version, since: known.is_some(), highest: version, at_once, ..Held::default() };
-    let mut chance = fastrand::Rng::with_seed(engine.rules.seed);
+    let mut chance = fastrand::Rng::with_seed(engine.config.seed);
     let mut first = true;
     loop {
         let wanted = async {
-            engine.list_wanted().await;
+            engine.watch_requested().await;
             true
         };
         let moved = async { source.moved.recv().await.is_err() };
@@ -155,7 +155,7 @@
             held.moved();
         }
         let lost = watch(&engine, &source, &mut held, &mut chance).await;
-        engine.list_had();
+        engine.clear_watch_request();
         api::discovery_call_failed(&engine, lost.took);
         let unheard = held.heard_at.map(|at| at.elapsed().as_millis() as u64);
         warn!(engine.log, "discovery call failed";
@@ -342,7 +342,7 @@
     let since = (version < held.highest).then(|| held.doubted.unwrap_or(now));
     let doubted = since.filter(|since| now < *since + DOUBTED);
     take(engine, said, flag(said, "full")?, doubted.is_some())?;
-    engine.list_heard();
+    engine.list_received();
     let highest = if since.is_some() && doubted.is_none() { version } else { held.highest.max(version) };
     let odd = held.odd && !held.since;
     (held.version, held.highest, held.doubted) = (version, highest, doubted);
--- a/crates/engine/src/api.rs
+++ b/crates/engine/src/api.rs
@@ -28,8 +28,8 @@
     drop(requests);
     for note in take_commands {
         match note {
-            Command::StartAttempt(pending) => engine.ex.spawn(send(engine.clone(), pending)).detach(),
-            Command::HealthCheck(server) => engine.ex.spawn(probe(engine.clone(), server)).detach(),
+            Command::StartAttempt(pending) => engine.executor.spawn(send(engine.clone(), pending)).detach(),
+            Command::HealthCheck(server) => engine.executor.spawn(probe(engine.clone(), server)).detach(),
         }
     }
     result
@@ -87,8 +87,8 @@
 
 /// Other limits hold from now on, also for what is open: see `RequestId::renewed`.
 pub fn set_limits(engine: &Rc<Engine>, limits: Option<Table>) {
-    engine.classes.renew(limits);
-    let settings = engine.classes.settings();
+    engine.classes.set_limits(limits);
+    let settings = engine.classes.balancer_settings();
     let of = |ask: &dyn ClientRequest| {
         let taking = engine.classes.find(ask.place()?);
         Some((taking.class, taking.time_limit))
@@ -100,10 +100,10 @@
 /// taken with.
 pub fn apply_settings(engine: &Rc<Engine>, mut rules: EngineConfig) {
     let limits = rules.limits.take();
-    engine.rules.connect_time.set(rules.connect_time.get());
-    engine.rules.drain_grace.set(rules.drain_grace.get());
-    engine.classes.settle(rules.settings, rules.account, limits);
-    let settings = engine.classes.settings();
+    engine.config.connect_time.set(rules.connect_time.get());
+    engine.config.drain_grace.set(rules.drain_grace.get());
+    engine.classes.apply_settings(rules.settings, rules.account, limits);
+    let settings = engine.classes.balancer_settings();
     call(engine, |requests, now| requests.renewed(now, &settings, |_| None));
 }
 
@@ -220,7 +220,7 @@
     let PendingAttempt { request_id, server, until, by, ask, handle, .. } = pending;
     let conn = Rc::new(connection(engine, *server, false).await?);
     // After a standstill what came in it is read first: a drain, an operator's word, a client's end.
-    engine.clock.hear().await;
+    engine.clock.catch_up().await;
     // On a process that is busy the connection and the end of the time are seen in one turn, and the client's going lies unread
     // while a connection, a place, a key's turn or a rest is over. An attempt so stopped surely has not run, and goes elsewhere.
     let now = engine.clock.now();
@@ -241,7 +241,7 @@
         allowed_at: now,
         until: *until.min(by),
         off_since: engine.requests.borrow().servers.off_since(*server),
-        grace: engine.rules.drain_grace.get(),
+        grace: engine.config.drain_grace.get(),
         awaited: ask.awaited(),
     };
     engine.violations.check(&engine.log, written.violation());
@@ -260,8 +260,8 @@
     if !fresh && let Some(conn) = engine.pool.rested(server, addr).await {
         return Ok(conn);
     }
-    let permit = engine.budget.take(|| engine.pool.close_longest_idle()).await;
-    let connected = within(engine.rules.connect_time.get(), Async::<TcpStream>::connect(addr)).await;
+    let permit = engine.budget.acquire_for_server(|| engine.pool.close_longest_idle()).await;
+    let connected = within(engine.config.connect_time.get(), Async::<TcpStream>::connect(addr)).await;
     let stream = connected.ok_or(AttemptOutcome::Unreachable)?.map_err(|e| {
         // Out of descriptors (EMFILE, ENFILE), buffers or ports, as Linux numbers it: that is no word on the server.
         match e.raw_os_error() {
@@ -281,14 +281,14 @@
         if !engine.requests.borrow().may_ask(server) {
             return None;
         }
-        let keep = engine.probe.probe(&conn.stream).await?;
+        let keep = engine.health_check.probe(&conn.stream).await?;
         if keep {
             engine.pool.put(server, conn);
         }
         Some(())
     };
     // As long as a connection may take, and as long again for the answer.
-    let answered = within(engine.rules.connect_time.get() * 2, ask).await.flatten().is_some();
+    let answered = within(engine.config.connect_time.get() * 2, ask).await.flatten().is_some();
     if !answered {
         // What was idle to a machine that vanished is reset only when it is back, and by the first request on it.
         engine.pool.forget(server);
--- a/crates/engine/src/budget.rs
+++ b/crates/engine/src/budget.rs
@@ -20,7 +20,7 @@
 
 pub type Permit = SemaphoreGuardArc;
 /// Whether a connection was used, and when it became idle among all.
-pub type Turn = (bool, u64);
+pub type IdleTicket = (bool, u64);
 
 /// How long a request that came while all were busy waits for a place: most answers take less, and whoever had one is idle
 /// a moment later.
@@ -32,7 +32,7 @@
     both: Arc<Semaphore>,        // for either, as they come
     turned_away: Arc<Semaphore>, // clients that came when all of the others were busy
     // Client connections with nothing to do: those that never had, and then the longest idle first.
-    idle: RefCell<BTreeMap<Turn, (Instant, Sender<()>)>>,
+    idle: RefCell<BTreeMap<IdleTicket, (Instant, Sender<()>)>>,
     next: Cell<u64>,
     most_idle: usize,
     half: [usize; 3], // of out, of those and clients, and of all three
@@ -61,7 +61,7 @@
 
     /// Takes half of all places as they become free: they are another process's of this proxy, as the two may hold no more
     /// than one. `make_room` closes an idle connection to a server.
-    pub async fn half(&self, make_room: impl Fn()) -> Vec<Permit> {
+    pub async fn lend_half(&self, make_room: impl Fn()) -> Vec<Permit> {
         let mut places = Vec::new();
         for (of, half) in [&self.out, &self.clients, &self.both].into_iter().zip(self.half) {
             while places.len() < half {
@@ -80,7 +80,7 @@
     }
 
     /// Waits for a place for a connection to a server; `make_room` closes one that is idle.
-    pub async fn take(&self, make_room: impl Fn()) -> Permit {
+    pub async fn acquire_for_server(&self, make_room: impl Fn()) -> Permit {
         loop {
             if let Some(place) = self.out.try_acquire_arc().or_else(|| self.both.try_acquire_arc()) {
                 return place;
@@ -97,7 +97,7 @@
     }
 
     /// Waits for a place for a client, and says whether its requests are taken: not where no other is idle.
-    pub async fn take_for_client(&self) -> (Permit, bool) {
+    pub async fn acquire_for_client(&self) -> (Permit, bool) {
         loop {
             if let Some(place) = self.try_client() {
                 return (place, true);
@@ -115,7 +115,7 @@
     }
 
     /// A client's place, if there is one, or one becomes free or idle soon.
-    pub async fn make_place(&self) -> Option<Permit> {
+    pub async fn acquire_for_client_soon(&self) -> Option<Permit> {
         let end = Instant::now() + PLACE_SOON;
         loop {
             if let Some(place) = self.try_client() {
@@ -141,7 +141,7 @@
     }
 
     /// Puts a client's connection down as idle; closing it is asked for through `close`.
-    pub fn idles(&self, close: Sender<()>, used: bool) -> Turn {
+    pub fn mark_idle(&self, close: Sender<()>, used: bool) -> IdleTicket {
         let id = (used, self.next.get());
         self.next.set(id.1 + 1);
         self.idle.borrow_mut().insert(id, (Instant::now(), close));
@@ -153,7 +153,7 @@
         id
     }
 
-    pub fn busy(&self, id: Turn) {
+    pub fn mark_busy(&self, id: IdleTicket) {
         self.idle.borrow_mut().remove(&id);
     }
 
@@ -181,7 +181,7 @@
     fn places_are_for_either_side_as_they_come_and_half_of_them_another_processs() {
         let budget = DescriptorBudget::new(192);
         let alone = places(&budget);
-        let lent = smol::block_on(budget.half(|| ()));
+        let lent = smol::block_on(budget.lend_half(|| ()));
         let together = places(&budget);
         drop(lent);
         expect_test::expect!["(59, 107) (30, 54) (59, 107)"]
@@ -193,10 +193,11 @@
     fn an_attempt_that_waits_closes_no_client_that_is_not_in_its_way() {
         let budget = DescriptorBudget::new(192);
         let (close, closed) = smol::channel::bounded(1);
-        budget.idles(close, false);
-        let mut held: Vec<Permit> =
-            (0..118).filter_map(|_| smol::block_on(within(MAKE_ROOM, budget.take(|| ())))).collect();
-        let waits = || smol::block_on(within(MAKE_ROOM * 3, budget.take(|| ()))).is_none();
+        budget.mark_idle(close, false);
+        let mut held: Vec<Permit> = (0..118)
+            .filter_map(|_| smol::block_on(within(MAKE_ROOM, budget.acquire_for_server(|| ()))))
+            .collect();
+        let waits = || smol::block_on(within(MAKE_ROOM * 3, budget.acquire_for_server(|| ()))).is_none();
         let before = (waits(), closed.is_empty());
         held.extend(std::iter::from_fn(|| budget.clients.try_acquire_arc()));
         expect_test::expect!["(true, true) (true, false)"]
--- a/crates/engine/src/classes.rs
+++ b/crates/engine/src/classes.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-pub struct Classes {
+pub struct RequestClasses {
     now: RefCell<ActiveSettings>,
     generation: Cell<u64>,
 }
@@ -28,9 +28,13 @@
     pub longest_body: u64,
 }
 
-impl Classes {
-    pub fn new(settings: BTreeMap<String, String>, account: Account, limits: Option<Table>) -> Classes {
-        Classes {
+impl RequestClasses {
+    pub fn new(
+        settings: BTreeMap<String, String>,
+        account: Account,
+        limits: Option<Table>,
+    ) -> RequestClasses {
+        RequestClasses {
             now: RefCell::new(ActiveSettings::new(settings, account, limits, Span::ZERO)),
             generation: Cell::new(0),
         }
@@ -41,10 +45,15 @@
         now.limits.clone().unwrap_or_else(|| now.from_settings.clone())
     }
 
-    /// Other settings hold from now on. Classes are counted anew: what was taken before knows by its generation that its
+    /// Other settings hold from now on. RequestClasses are counted anew: what was taken before knows by its generation that its
     /// place among them may be another's.
-    pub fn settle(&self, settings: BTreeMap<String, String>, account: Account, limits: Option<Table>) {
-        let longest = self.longest_limit();
+    pub fn apply_settings(
+        &self,
+        settings: BTreeMap<String, String>,
+        account: Account,
+        limits: Option<Table>,
+    ) {
+        let longest = self.longest_time_limit();
         *self.now.borrow_mut() = ActiveSettings::new(settings, account, limits, longest);
         self.generation.set(self.generation.get() + 1);
     }
@@ -59,16 +68,16 @@
     }
 
     /// Of the time limits of all requests that may be open.
-    pub fn longest_limit(&self) -> Span {
+    pub fn longest_time_limit(&self) -> Span {
         self.now.borrow().longest
     }
 
-    pub fn names(&self) -> Vec<String> {
+    pub fn namespace_names(&self) -> Vec<String> {
         self.now.borrow().account.namespaces.iter().map(|n| n.name.clone()).collect()
     }
 
     /// What the platform says, by its names, without what an operator has set.
-    pub fn said(&self) -> BTreeMap<String, String> {
+    pub fn platform_settings(&self) -> BTreeMap<String, String> {
         self.now.borrow().settings.clone()
     }
 
@@ -80,7 +89,7 @@
     }
 
     /// By how many proxies the servers are shared, as it was written down.
-    pub fn proxies(&self) -> u64 {
+    pub fn proxy_count(&self) -> u64 {
         let now = self.now.borrow();
         let written = now.settings.get("proxies").and_then(|n| n.parse::<f64>().ok());
         written.map_or(1, |n| n as u64).max(1)
@@ -93,13 +102,13 @@
     }
 
     /// Other limits of the operator hold from now on, for the same classes of the platform.
-    pub fn renew(&self, limits: Option<Table>) {
+    pub fn set_limits(&self, limits: Option<Table>) {
         self.now.borrow_mut().limits = limits.map(Rc::new);
     }
 
     /// The platform's settings with a namespace for each class, as the balancer reads them; as they are where no operator has
     /// set anything.
-    pub fn settings(&self) -> BTreeMap<String, String> {
+    pub fn balancer_settings(&self) -> BTreeMap<String, String> {
         let now = self.now.borrow();
         let mut said = now.settings.clone();
         let Some(table) = now.limits.as_ref() else { return said };
--- a/crates/engine/src/clock.rs
+++ b/crates/engine/src/clock.rs
@@ -37,11 +37,11 @@
     }
 
     /// Notes again and again that all is heard; never ends.
-    pub async fn keep_beat(&self) {
+    pub async fn run_heartbeat(&self) {
         loop {
             self.beat.set(self.now());
             Timer::after(BEAT).await;
-            if self.came_after() == self.beat.get() {
+            if self.earliest_arrival() == self.beat.get() {
                 // Just after a standstill: timers may be told before what came meanwhile is read.
                 Timer::after(HEAR).await;
             }
@@ -49,14 +49,14 @@
     }
 
     /// Just after a standstill, waits for the moment in which what came meanwhile is read; else not at all.
-    pub async fn hear(&self) {
+    pub async fn catch_up(&self) {
         if self.now() > self.beat.get() + STANDSTILL {
             Timer::after(HEAR).await;
         }
     }
 
     /// What is heard now came after this: now, or before a standstill (a stopped process, a starved core).
-    pub fn came_after(&self) -> Timestamp {
+    pub fn earliest_arrival(&self) -> Timestamp {
         let (now, beat) = (self.now(), self.beat.get());
         if now > beat + STANDSTILL { beat } else { now }
     }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,7 +1,7 @@
 //! One proxy: what its parts share.
 
 use crate::budget::DescriptorBudget;
-use crate::classes::Classes;
+use crate::classes::RequestClasses;
 use crate::clock::Clock;
 use crate::config::EngineConfig;
 use crate::lifecycle::{Lifecycle, Phase};
@@ -20,17 +20,17 @@
 use std::rc::Rc;
 
 pub struct Engine {
-    pub rules: EngineConfig,
-    pub classes: Classes,
+    pub config: EngineConfig,
+    pub classes: RequestClasses,
     pub clock: Clock,
     pub budget: DescriptorBudget,
     /// For long answers.
-    pub room: MemoryBudget,
+    pub response_memory: MemoryBudget,
     pub lifecycle: Lifecycle,
     pub requests: RefCell<RequestTable>,
     pub pool: ConnectionPool,
-    pub probe: Box<dyn HealthCheck>,
-    pub ex: LocalExecutor<'static>,
+    pub health_check: Box<dyn HealthCheck>,
+    pub executor: LocalExecutor<'static>,
     pub log: Logger,
     /// Attempts that were not written, by why not.
     pub(crate) refused: Refused,
@@ -46,24 +46,24 @@
 
 impl Engine {
     pub fn new(
-        mut rules: EngineConfig,
-        probe: Box<dyn HealthCheck>,
+        mut config: EngineConfig,
+        health_check: Box<dyn HealthCheck>,
         log: Logger,
         recorder: Option<Recorder>,
     ) -> Rc<Engine> {
         let (sooner, sooner_told) = bounded(1);
         let (wanted, wanted_told) = bounded(1);
-        let servers = ServerRegistry::new(&rules.zones, &rules.kinds);
-        let classes = Classes::new(
-            std::mem::take(&mut rules.settings),
-            std::mem::take(&mut rules.account),
-            rules.limits.take(),
+        let servers = ServerRegistry::new(&config.zones, &config.kinds);
+        let classes = RequestClasses::new(
+            std::mem::take(&mut config.settings),
+            std::mem::take(&mut config.account),
+            config.limits.take(),
         );
         let clock = Clock::default();
         let recorder = (recorder, clock.now());
         let requests = RequestTable::new(
-            rules.seed,
-            &classes.settings(),
+            config.seed,
+            &classes.balancer_settings(),
             servers,
             (sooner, wanted),
             log.clone(),
@@ -71,15 +71,15 @@
         );
         Rc::new(Engine {
             clock,
-            budget: DescriptorBudget::new(rules.descriptors),
+            budget: DescriptorBudget::new(config.descriptors),
             // A third of the memory: the rest of the proxy needs a few megabytes, and as much again is the system's for
             // what is on its way.
-            room: MemoryBudget::new(rules.memory / 3),
+            response_memory: MemoryBudget::new(config.memory / 3),
             lifecycle: Lifecycle::default(),
             requests: RefCell::new(requests),
-            pool: ConnectionPool::new(rules.idle_time),
-            probe,
-            ex: LocalExecutor::new(),
+            pool: ConnectionPool::new(config.idle_time),
+            health_check,
+            executor: LocalExecutor::new(),
             log,
             refused: Refused::default(),
             violations: Violations::default(),
@@ -90,26 +90,26 @@
             leaving: Cell::new(None),
             heard_list: Cell::new(false),
             classes,
-            rules,
+            config,
         })
     }
 
     /// Comes to its end when the balancer wants the list watched.
-    pub async fn list_wanted(&self) {
+    pub async fn watch_requested(&self) {
         _ = self.wanted.recv().await;
     }
 
     /// What the balancer wanted by now, it has.
-    pub fn list_had(&self) {
+    pub fn clear_watch_request(&self) {
         _ = self.wanted.try_recv();
     }
 
     /// A source of the list has answered since the start.
-    pub fn list_heard(&self) {
+    pub fn list_received(&self) {
         self.heard_list.set(true);
     }
 
-    pub fn has_heard_list(&self) -> bool {
+    pub fn has_received_list(&self) -> bool {
         self.heard_list.get()
     }
 
@@ -131,7 +131,7 @@
     /// The proxy has been told to end: since when, and when every answer must be out.
     pub fn leave(&self, told: Timestamp, last: Timestamp) {
         self.leaving.set(Some((told, last)));
-        self.lifecycle.enter(Phase::Leaving);
+        self.lifecycle.enter(Phase::Draining);
     }
 }
 
@@ -163,9 +163,9 @@
         let lifecycle = &self.engine.lifecycle;
         let leaving = self.engine.leaving.get().map(|(told, last)| {
             let late = told + (last - told) * (4000 + self.place) / 6000;
-            (if lifecycle.succeeded() { told + Span::from_ticks(10 * self.place) } else { late }, late)
+            (if lifecycle.is_superseded() { told + Span::from_ticks(10 * self.place) } else { late }, late)
         });
-        let emptied = lifecycle.out_since().map(|since| {
+        let emptied = lifecycle.out_of_service_since().map(|since| {
             (
                 since + Span::from_ticks(2000) + Span::from_ticks(8 * self.place),
                 since + Span::from_ticks(10_000) + Span::from_ticks(8 * self.place),
@@ -177,14 +177,14 @@
         }
     }
 
-    pub fn turn_is_over(&self) -> bool {
+    pub fn must_close(&self) -> bool {
         self.turn().is_some_and(|(answered, _)| answered <= self.engine.clock.now())
     }
 
     /// Comes to its end when it is closed though idle.
-    pub async fn turn_comes(&self) {
+    pub async fn close_due(&self) {
         loop {
-            let turns = self.engine.lifecycle.turns();
+            let turns = self.engine.lifecycle.changed();
             match self.turn() {
                 None => turns.await,
                 Some((_, idle)) if idle <= self.engine.clock.now() => return,
--- a/crates/engine/src/lifecycle.rs
+++ b/crates/engine/src/lifecycle.rs
@@ -10,16 +10,16 @@
     Starting,
     Serving,
     /// Told to end: new connections are still taken, as the front learns of it late.
-    Leaving,
+    Draining,
     /// Takes no connection any more and answers what it has.
-    Emptying,
+    Finishing,
     Ended,
 }
 
 pub struct Lifecycle {
     phase: Cell<Phase>,
-    out_since: Cell<Option<Timestamp>>, // operators have emptied the proxy
-    succeeded: Cell<bool>,              // another process of this proxy has taken over
+    out_of_service_since: Cell<Option<Timestamp>>, // operators have emptied the proxy
+    superseded: Cell<bool>,                        // another process of this proxy has taken over
     turned: Event,
 }
 
@@ -27,8 +27,8 @@
     fn default() -> Lifecycle {
         Lifecycle {
             phase: Cell::new(Phase::Starting),
-            out_since: Cell::new(None),
-            succeeded: Cell::new(false),
+            out_of_service_since: Cell::new(None),
+            superseded: Cell::new(false),
             turned: Event::new(),
         }
     }
@@ -45,7 +45,7 @@
     /// Comes to its end when the phase is reached.
     pub async fn reached(&self, phase: Phase) {
         loop {
-            let turns = self.turns();
+            let turns = self.changed();
             if self.phase.get() >= phase {
                 return;
             }
@@ -54,41 +54,41 @@
     }
 
     /// What `/up` says. Where another process has taken over, the proxy is up though this process ends.
-    pub fn usable(&self) -> bool {
-        let serving = self.phase.get() == Phase::Serving || self.succeeded.get();
-        serving && self.out_since.get().is_none()
+    pub fn is_ready(&self) -> bool {
+        let serving = self.phase.get() == Phase::Serving || self.superseded.get();
+        serving && self.out_of_service_since.get().is_none()
     }
 
     /// Whether this process serves: it was started, and not told to end.
-    pub fn serves(&self) -> bool {
+    pub fn is_serving(&self) -> bool {
         self.phase.get() == Phase::Serving
     }
 
     /// Operators empty the proxy from then on, or no longer.
-    pub fn put_out(&self, since: Option<Timestamp>) {
-        if self.out_since.get().is_some() != since.is_some() {
-            self.out_since.set(since);
+    pub fn set_out_of_service(&self, since: Option<Timestamp>) {
+        if self.out_of_service_since.get().is_some() != since.is_some() {
+            self.out_of_service_since.set(since);
             self.turned.notify(usize::MAX);
         }
     }
 
-    pub fn out_since(&self) -> Option<Timestamp> {
-        self.out_since.get()
+    pub fn out_of_service_since(&self) -> Option<Timestamp> {
+        self.out_of_service_since.get()
     }
 
     /// Another process of this proxy has taken over, or is gone again.
-    pub fn succeed(&self, succeeded: bool) {
-        if self.succeeded.replace(succeeded) != succeeded {
+    pub fn set_superseded(&self, superseded: bool) {
+        if self.superseded.replace(superseded) != superseded {
             self.turned.notify(usize::MAX);
         }
     }
 
-    pub fn succeeded(&self) -> bool {
-        self.succeeded.get()
+    pub fn is_superseded(&self) -> bool {
+        self.superseded.get()
     }
 
     /// Comes to its end when any of this changes after this call.
-    pub fn turns(&self) -> impl Future<Output = ()> + use<> {
+    pub fn changed(&self) -> impl Future<Output = ()> + use<> {
         self.turned.listen()
     }
 }
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -144,7 +144,7 @@
         let addr = listener.local_addr().unwrap();
         let (pool, budget) = (ConnectionPool::new(Duration::from_secs(30)), DescriptorBudget::new(64));
         let open = || {
-            let permit = smol::block_on(budget.take(|| ()));
+            let permit = smol::block_on(budget.acquire_for_server(|| ()));
             ServerConnection::new(Async::new(TcpStream::connect(addr).unwrap()).unwrap(), addr, permit)
         };
         let both: Vec<ServerConnection> = (0..6).map(|_| open()).collect();
--- a/crates/engine/src/shutdown.rs
+++ b/crates/engine/src/shutdown.rs
@@ -32,15 +32,15 @@
 /// From the word to end, which came at that moment, to the last phase. `accepting` is the doors' task, which ends once `Emptying` is reached and whoever
 /// has a connection by then is let in.
 pub async fn run(engine: &Rc<Engine>, accepting: Task<()>, told: Timestamp) {
-    let (accepting_until, last) = terms(engine.classes.longest_limit());
+    let (accepting_until, last) = terms(engine.classes.longest_time_limit());
     let last = told + last;
     engine.leave(told, last);
-    info!(engine.log, "leaving"; "open" => engine.requests.borrow().open(), "succeeded" => engine.lifecycle.succeeded());
+    info!(engine.log, "leaving"; "open" => engine.requests.borrow().open(), "succeeded" => engine.lifecycle.is_superseded());
     // A successor takes who comes from now on.
-    if !engine.lifecycle.succeeded() {
+    if !engine.lifecycle.is_superseded() {
         Timer::at(engine.clock.instant(told + accepting_until)).await;
     }
-    engine.lifecycle.enter(Phase::Emptying);
+    engine.lifecycle.enter(Phase::Finishing);
     // Where all places are taken, those that wait for one do so no longer than to the last answer.
     wait_until(engine.clock.instant(last), accepting).await;
     while engine.clients() > 0 && engine.clock.now() < last {
--- a/crates/http-frontend/src/admit.rs
+++ b/crates/http-frontend/src/admit.rs
@@ -55,7 +55,7 @@
     let path = target.split('?').next().unwrap_or("");
     let method = message.text(&message.method);
     if path == "/up" && method == "GET" {
-        return wrong(if engine.lifecycle.usable() { 200 } else { 503 });
+        return wrong(if engine.lifecycle.is_ready() { 200 } else { 503 });
     }
     if !matches!(method, "GET" | "PUT") {
         return wrong(405);
--- a/crates/http-frontend/src/clients.rs
+++ b/crates/http-frontend/src/clients.rs
@@ -29,12 +29,12 @@
     let engine = &door.engine;
     let mut held = None;
     let over = async {
-        engine.lifecycle.reached(Phase::Emptying).await;
+        engine.lifecycle.reached(Phase::Finishing).await;
     };
     let taking = async {
         let mut failing = false;
         // No connection that is accepted next came before that.
-        let mut clear = engine.clock.came_after();
+        let mut clear = engine.clock.earliest_arrival();
         loop {
             match listener.get_ref().accept() {
                 Ok((stream, _)) => {
@@ -42,14 +42,14 @@
                     let Ok(stream) = Async::new(stream) else { continue };
                     held = Some(stream);
                     // Room is made only for one that is here: whoever is closed for nothing comes again.
-                    let (permit, taken) = engine.budget.take_for_client().await;
+                    let (permit, taken) = engine.budget.acquire_for_client().await;
                     if let Some(stream) = held.take() {
                         welcome(&door, stream, permit, taken, clear);
                     }
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                     _ = listener.readable().await;
-                    clear = engine.clock.came_after();
+                    clear = engine.clock.earliest_arrival();
                 }
                 Err(e) => {
                     if !std::mem::replace(&mut failing, true) {
@@ -65,15 +65,15 @@
     // Whoever has a connection by now may have written a request to it: taken in, before the door closes.
     let waiting = || listener.get_ref().accept().ok().and_then(|(stream, _)| Async::new(stream).ok());
     while let Some(stream) = held.take().or_else(waiting) {
-        let (permit, taken) = engine.budget.take_for_client().await;
-        welcome(&door, stream, permit, taken, engine.clock.came_after());
+        let (permit, taken) = engine.budget.acquire_for_client().await;
+        welcome(&door, stream, permit, taken, engine.clock.earliest_arrival());
     }
 }
 
 fn welcome(door: &Rc<Door>, stream: Async<TcpStream>, permit: Permit, taken: bool, clear: Timestamp) {
     _ = stream.get_ref().set_nodelay(true);
     let open = ClientConnection::new(&door.engine);
-    door.engine.ex.spawn(serve(door.clone(), stream, permit, open, taken, clear)).detach();
+    door.engine.executor.spawn(serve(door.clone(), stream, permit, open, taken, clear)).detach();
 }
 
 /// One connection, to its end: the stages in their order. Requests that are not taken are turned away at once.
@@ -98,8 +98,8 @@
             Err(error) => return relay::turn_down(&stream, Reply::bare(error.status())).await,
         };
         let waited = std::mem::take(&mut waited) && engine.clock.now() < welcomed + READ_AT_ONCE;
-        let came = if waited { clear } else { engine.clock.came_after() };
-        if !taken && let Some(place) = engine.budget.make_place().await {
+        let came = if waited { clear } else { engine.clock.earliest_arrival() };
+        if !taken && let Some(place) = engine.budget.acquire_for_client_soon().await {
             // It came while all others were busy; by now one is not.
             _ = std::mem::replace(&mut permit, place);
             taken = true;
@@ -118,7 +118,7 @@
         if (400..500).contains(&answer.status) {
             return relay::turn_down(&stream, answer).await;
         }
-        let close = close || open.turn_is_over();
+        let close = close || open.must_close();
         if !relay::relay(&stream, answer, close, old).await {
             return;
         }
--- a/crates/http-frontend/src/servers.rs
+++ b/crates/http-frontend/src/servers.rs
@@ -70,7 +70,7 @@
     fn hear<'a>(&'a self, stream: &'a Async<TcpStream>) -> Wait<'a, Option<ServerResponse>> {
         Box::pin(async move {
             let answering = ResponseReader::start(stream).await.ok()?;
-            read(answering, stream, &self.door.engine.room).await
+            read(answering, stream, &self.door.engine.response_memory).await
         })
     }
 }
--- a/crates/http-frontend/src/take_in.rs
+++ b/crates/http-frontend/src/take_in.rs
@@ -31,8 +31,11 @@
     }
     let engine = &open.engine;
     let longest = engine.classes.longest_body() as usize;
-    let taking =
-        RequestLimits { head_deadline: Instant::now() + SLOWEST, max_body: longest, memory: &engine.room };
+    let taking = RequestLimits {
+        head_deadline: Instant::now() + SLOWEST,
+        max_body: longest,
+        memory: &engine.response_memory,
+    };
     http1::read_request(stream, rest, taking).await.map(Some)
 }
 
@@ -49,7 +52,7 @@
         return matches!(got, Ok(1..));
     }
     let (close, closed) = bounded(1);
-    let turn = open.engine.budget.idles(close, opened.is_none());
+    let turn = open.engine.budget.mark_idle(close, opened.is_none());
     let end = opened.map_or_else(|| Instant::now() + IDLE, |at| at + SLOWEST);
     let begun = async { matches!(read_more(stream, rest).await, Ok(1..)) };
     let made_way = async {
@@ -57,11 +60,11 @@
         false
     };
     let leaving = async {
-        open.turn_comes().await;
+        open.close_due().await;
         false
     };
     let begun = wait_until(end, begun.or(made_way).or(leaving)).await.unwrap_or(false);
-    open.engine.budget.busy(turn);
+    open.engine.budget.mark_busy(turn);
     // What has come by the moment of closing is still taken.
     begun || (!is_idle(stream) && matches!(read_more(stream, rest).await, Ok(1..)))
 }
--- a/crates/proxy/src/operators.rs
+++ b/crates/proxy/src/operators.rs
@@ -43,7 +43,7 @@
     /// Takes over what another process of this proxy has been told, and hears operators and the others from now on.
     pub fn start(engine: &Rc<Engine>, listener: Async<TcpListener>) -> Rc<Operators> {
         let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty()).map(Into::into);
-        let pages = Pages::new(folder, &engine.rules.name, engine.clock.now());
+        let pages = Pages::new(folder, &engine.config.name, engine.clock.now());
         let operators = Rc::new(Operators {
             engine: engine.clone(),
             writing: Mutex::new(()),
@@ -58,10 +58,10 @@
         if servers > 0 {
             info!(engine.log, "{}", if taken { "learned figures taken up" } else { "learned figures passed over" }; "caches" => servers);
         }
-        engine.ex.spawn(operators.clone().follow()).detach();
+        engine.executor.spawn(operators.clone().follow()).detach();
         let ex = engine.clone();
-        let spawn = move |task: console::ConnectionTask| ex.ex.spawn(task).detach();
-        engine.ex.spawn(console::serve(listener, operators.clone(), spawn)).detach();
+        let spawn = move |task: console::ConnectionTask| ex.executor.spawn(task).detach();
+        engine.executor.spawn(console::serve(listener, operators.clone(), spawn)).detach();
         operators
     }
 
@@ -80,7 +80,7 @@
 
     /// Has the others know whether this process serves.
     async fn tell_ready(&self) {
-        let (ready, serves) = (self.pages.borrow().own.ready.is_some(), self.engine.lifecycle.serves());
+        let (ready, serves) = (self.pages.borrow().own.ready.is_some(), self.engine.lifecycle.is_serving());
         if serves != ready {
             self.pages.borrow_mut().own.ready = serves.then(|| self.engine.clock.now());
             self.write().await;
@@ -135,7 +135,7 @@
     fn take(&self, seen: Vec<Seen>) -> News {
         let engine = &self.engine;
         let news = self.pages.borrow_mut().take(seen, &engine.log);
-        engine.lifecycle.succeed(news.succeeded);
+        engine.lifecycle.set_superseded(news.succeeded);
         self.share(news.company);
         for id in &news.servers {
             let word = self.pages.borrow().own.word(id);
@@ -143,7 +143,7 @@
         }
         if news.service {
             let service = self.pages.borrow().own.service;
-            engine.lifecycle.put_out(service.out.then_some(service.at));
+            engine.lifecycle.set_out_of_service(service.out.then_some(service.at));
         }
         news
     }
@@ -153,8 +153,8 @@
         let mut lent = self.lent.borrow_mut();
         if company && lent.is_none() {
             let engine = self.engine.clone();
-            *lent = Some(self.engine.ex.spawn(async move {
-                let _places = engine.budget.half(|| engine.pool.close_longest_idle()).await;
+            *lent = Some(self.engine.executor.spawn(async move {
+                let _places = engine.budget.lend_half(|| engine.pool.close_longest_idle()).await;
                 std::future::pending().await
             }));
         } else if !company {
@@ -185,7 +185,7 @@
         let keeping = async move {
             _ = tell.try_send(this.write().await);
         };
-        self.engine.ex.spawn(keeping).detach();
+        self.engine.executor.spawn(keeping).detach();
         let kept = within(KEPT_BY, told.recv()).await.and_then(Result::ok);
         if kept.is_none() {
             warn!(self.engine.log, "handover late");
@@ -228,11 +228,11 @@
         }
         self.pages.borrow_mut().own.say_service(out, self.engine.clock.now());
         let said = self.pages.borrow().own.service;
-        self.engine.lifecycle.put_out(out.then_some(said.at));
+        self.engine.lifecycle.set_out_of_service(out.then_some(said.at));
         if self.keep().await == Some(false) {
             if self.pages.borrow().own.service == said {
                 self.pages.borrow_mut().own.service = before;
-                self.engine.lifecycle.put_out(before.out.then_some(before.at));
+                self.engine.lifecycle.set_out_of_service(before.out.then_some(before.at));
             }
             return ControlOutcome::NotPersisted;
         }
@@ -247,7 +247,11 @@
             _ = self.writing.lock().await;
         };
         let told = within(KEPT_BY, told).await.is_some();
-        if told && self.engine.lifecycle.serves() { ControlOutcome::Done } else { ControlOutcome::NotReady }
+        if told && self.engine.lifecycle.is_serving() {
+            ControlOutcome::Done
+        } else {
+            ControlOutcome::NotReady
+        }
     }
 }
 
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -60,11 +60,11 @@
     let writer = writer.transpose().map_err(|e| format!("cannot capture: {e}"))?;
     let recorder = writer.as_ref().map(|(writer, keys)| Recorder::new(writer.sink(), *keys));
     let engine = Engine::new(rules, probe, log, recorder);
-    smol::block_on(engine.ex.run(async {
+    smol::block_on(engine.executor.run(async {
         let beating = engine.clone();
-        engine.ex.spawn(async move { beating.clock.keep_beat().await }).detach();
-        engine.ex.spawn(background::run_timers(engine.clone())).detach();
-        engine.ex.spawn(background::run_pool_sweeps(engine.clone())).detach();
+        engine.executor.spawn(async move { beating.clock.run_heartbeat().await }).detach();
+        engine.executor.spawn(background::run_timers(engine.clone())).detach();
+        engine.executor.spawn(background::run_pool_sweeps(engine.clone())).detach();
         let known = platform::known(&engine, &known);
         let of_servers = resp.is_some() && membership.is_none() && list.is_none();
         let list = if of_servers {
@@ -73,20 +73,23 @@
             Some(List::follow(&engine, (list, known), membership.as_ref(), (listen, handed)))
         };
         if let (Some(resp), Some(resp_listener)) = (&resp, resp_listener) {
-            let door =
-                resp_door::Door::new(&engine, settings(resp, engine.classes.names().len()), of_servers);
+            let door = resp_door::Door::new(
+                &engine,
+                settings(resp, engine.classes.namespace_names().len()),
+                of_servers,
+            );
             resp_door::seeds(&door);
-            engine.ex.spawn(resp_door::follow(door.clone())).detach();
-            engine.ex.spawn(resp_door::accept(door, resp_listener)).detach();
+            engine.executor.spawn(resp_door::follow(door.clone())).detach();
+            engine.executor.spawn(resp_door::accept(door, resp_listener)).detach();
         }
         // Servers that speak RESP can't be asked over HTTP: there its door has no namespace, and only says how the proxy is.
         let namespaces = if resp.is_some() { Vec::new() } else { namespaces };
         let door = http::Door::new(engine.clone(), namespaces);
         let feed = list.as_ref().and_then(List::feed);
         let pushed = matches!(list, Some(List::Platform(_)))
-            && engine.classes.said().get("watched").is_some_and(|watched| watched == "0");
+            && engine.classes.platform_settings().get("watched").is_some_and(|watched| watched == "0");
         let operators = console_listener.map(|listener| Operators::start(&engine, listener));
-        let accepting = engine.ex.spawn(open_doors(
+        let accepting = engine.executor.spawn(open_doors(
             engine.clone(),
             door.clone(),
             listener,
@@ -134,7 +137,7 @@
         serves.await;
         http::accept(door, listener).await;
     } else {
-        let accepting = engine.ex.spawn(http::accept(door, listener));
+        let accepting = engine.executor.spawn(http::accept(door, listener));
         serves.await;
         accepting.await;
     }
@@ -160,16 +163,16 @@
     if membership != was.membership || resp != was.resp || capture != was.capture {
         return Some("its membership, RESP door or capture is another, which needs a restart".into());
     }
-    let said = engine.classes.said();
+    let said = engine.classes.platform_settings();
     let other = SETTLED.iter().find(|name| said.get(**name) != rules.engine.settings.get(**name));
     if let Some(name) = other {
         return Some(format!("its {name} are others, which needs a restart"));
     }
-    if rules.engine.zones != engine.rules.zones || rules.engine.kinds != engine.rules.kinds {
+    if rules.engine.zones != engine.config.zones || rules.engine.kinds != engine.config.kinds {
         return Some("its zones or kinds are others, which needs a restart".into());
     }
     // The RESP door knows namespaces by their places.
-    let renamed = rules.namespaces != engine.classes.names();
+    let renamed = rules.namespaces != engine.classes.namespace_names();
     (resp.is_some() && renamed).then(|| "its namespaces are others, which needs a restart with RESP".into())
 }
 
@@ -184,7 +187,7 @@
     match read {
         Ok(Read { rules, resp, .. }) => {
             let at = rules.list.map_or_else(|| "-".to_string(), |at| at.to_string());
-            let new = rules.engine.settings != engine.classes.said();
+            let new = rules.engine.settings != engine.classes.platform_settings();
             info!(engine.log, "configuration read again"; "list" => at, "settings" => if new { "new" } else { "as before" });
             if let Some(list) = list {
                 list.read_again(rules.list);
--- a/crates/proxy/src/sources.rs
+++ b/crates/proxy/src/sources.rs
@@ -39,7 +39,7 @@
         let Some(from) = from else {
             // The configuration was read with one of the two.
             let source = Source::new(at.unwrap_or(listen));
-            engine.ex.spawn(platform::follow(engine.clone(), source.clone(), known, at_once)).detach();
+            engine.executor.spawn(platform::follow(engine.clone(), source.clone(), known, at_once)).detach();
             return List::Platform(source);
         };
         let trust = match from.from {
@@ -48,22 +48,22 @@
         };
         let feed = Feed::new(engine, trust, from.keep.clone());
         feed.load_persisted();
-        engine.ex.spawn(feed.clone().run_timers()).detach();
-        engine.ex.spawn(feed.clone().persist_changes()).detach();
+        engine.executor.spawn(feed.clone().run_timers()).detach();
+        engine.executor.spawn(feed.clone().persist_changes()).detach();
         match &from.from {
             From::File(path) => {
                 let file = FileSource::new(feed.clone(), path);
-                engine.ex.spawn(file.clone().follow()).detach();
+                engine.executor.spawn(file.clone().follow()).detach();
                 List::File(file, feed)
             }
             From::Etcd(etcd) => {
                 let own = etcd.count.then(|| {
-                    let zone = engine.rules.zones.get(engine.classes.zone()).cloned().unwrap_or_default();
+                    let zone = engine.config.zones.get(engine.classes.zone()).cloned().unwrap_or_default();
                     let instance = ProxyRecord { zone, phase: SERVING.into(), listen: listen.to_string() };
                     Announcement::new(engine, &etcd.prefix, instance, etcd.lease_s)
                 });
                 let etcd = EtcdSource::new(engine, feed.clone(), etcd.endpoints.clone(), &etcd.prefix, own);
-                engine.ex.spawn(etcd.follow()).detach();
+                engine.executor.spawn(etcd.follow()).detach();
                 List::Etcd(feed)
             }
         }
@@ -80,7 +80,7 @@
             };
         let there = || match &feed {
             Some(feed) => !feed.endpoints().is_empty(),
-            None => !(handed || pushed) || engine.has_heard_list(),
+            None => !(handed || pushed) || engine.has_received_list(),
         };
         while !there() && Instant::now() < end {
             Timer::after(LOOK).await;
--- a/crates/resp-frontend/src/clients.rs
+++ b/crates/resp-frontend/src/clients.rs
@@ -49,17 +49,17 @@
 /// Takes connections until the proxy empties.
 pub async fn accept(door: Rc<Door>, listener: Async<TcpListener>) {
     let engine = &door.engine;
-    let over = async { engine.lifecycle.reached(Phase::Emptying).await };
+    let over = async { engine.lifecycle.reached(Phase::Finishing).await };
     let taking = async {
         let mut failing = false;
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
                     failing = false;
-                    let (permit, taken) = engine.budget.take_for_client().await;
+                    let (permit, taken) = engine.budget.acquire_for_client().await;
                     _ = stream.get_ref().set_nodelay(true);
                     let serving = serve(door.clone(), stream, permit, taken, ClientConnection::new(engine));
-                    engine.ex.spawn(serving).detach();
+                    engine.executor.spawn(serving).detach();
                 }
                 Err(e) => {
                     if !std::mem::replace(&mut failing, true) {
@@ -125,11 +125,11 @@
 /// Told to close, as others need its place.
 async fn closed_for_others(engine: &Engine, used: bool) {
     let (close, told) = bounded(1);
-    let turn = engine.budget.idles(close, used);
-    struct Idle<'a>(&'a Engine, chalkwalk_engine::budget::Turn);
+    let turn = engine.budget.mark_idle(close, used);
+    struct Idle<'a>(&'a Engine, chalkwalk_engine::budget::IdleTicket);
     impl Drop for Idle<'_> {
         fn drop(&mut self) {
-            self.0.budget.busy(self.1);
+            self.0.budget.mark_busy(self.1);
         }
     }
     let _idle = Idle(engine, turn);
@@ -300,7 +300,7 @@
             }
             buf.drain(..start);
             start = 0;
-            if open.turn_is_over() && buf.is_empty() {
+            if open.must_close() && buf.is_empty() {
                 // Between two commands, with what was taken still answered.
                 _ = into.send((Pending::Last(Vec::new()), in_order.acquire_arc().await)).await;
                 return;
@@ -318,7 +318,7 @@
             };
             let gone = async {
                 let told = async { closed_for_others(engine, used).await };
-                let turn = async { open.turn_comes().await };
+                let turn = async { open.close_due().await };
                 match idle {
                     true => told.or(turn).await,
                     false => std::future::pending().await,
@@ -438,7 +438,7 @@
         if words.bytes.len() as u64 > longest_body.max(64) {
             return Err("ERR the command is longer than its class allows");
         }
-        let taken = engine.clock.came_after();
+        let taken = engine.clock.earliest_arrival();
         // One whose time is over is deferred by the balancer, at once.
         let expires =
             may_start(engine.clock.now(), taken + time_limit, engine.last_answer()).unwrap_or(taken);
@@ -470,7 +470,7 @@
         let answered = Rc::new(Cell::new(false));
         let by = answered.clone();
         engine
-            .ex
+            .executor
             .spawn(async move {
                 if let Ok(answer) = answer.recv().await {
                     by.set(true);
--- a/crates/resp-frontend/src/cluster.rs
+++ b/crates/resp-frontend/src/cluster.rs
@@ -29,7 +29,7 @@
 
 fn line(door: &Door, addr: SocketAddr) -> ListedEndpoint {
     // Where the servers stand is not theirs to say: all count as near.
-    let zone = door.engine.rules.zones.get(door.engine.classes.zone()).cloned().unwrap_or_default();
+    let zone = door.engine.config.zones.get(door.engine.classes.zone()).cloned().unwrap_or_default();
     let status = EndpointStatus::Ready;
     ListedEndpoint {
         id: addr.to_string(),
--- a/crates/resp-frontend/src/request.rs
+++ b/crates/resp-frontend/src/request.rs
@@ -158,7 +158,7 @@
             }
         }
         let len = buf.len() - at;
-        let held = self.door.engine.room.try_reserve(len);
+        let held = self.door.engine.response_memory.try_reserve(len);
         if len > ORDINARY && held.is_none() {
             // Read by now, but not to be kept while all others are.
             return ServerResponse {
