--- a/crates/engine/src/api.rs
+++ b/crates/engine/src/api.rs
@@ -90,7 +90,7 @@
     engine.classes.set_limits(limits);
     let settings = engine.classes.balancer_settings();
     let of = |ask: &dyn ClientRequest| {
-        let taking = engine.classes.find(ask.place()?);
+        let taking = engine.classes.find(ask.attributes()?);
         Some((taking.class, taking.time_limit))
     };
     call(engine, |requests, now| requests.renewed(now, &settings, of));
@@ -139,7 +139,8 @@
         Came::Begun(outcome, mut answer, conn, rest) => {
             let (tell_parts, parts) = bounded(1);
             let whole = Rc::new(Cell::new(false));
-            answer.flow = Some(BodyStream { length: rest.length(), parts, whole: whole.clone() });
+            answer.stream =
+                Some(BodyStream { content_length: rest.content_length(), parts, complete: whole.clone() });
             call(&engine, |requests, now| requests.begun(now, (*request_id, *attempt), answer));
             let stopped = async {
                 _ = handle.stopped.recv().await;
@@ -167,7 +168,7 @@
     (handle, outcome, whole): (&AttemptHandle, AttemptOutcome, Rc<Cell<bool>>),
 ) -> AttemptOutcome {
     loop {
-        match within(SILENCE, rest.part(&conn.stream)).await {
+        match within(SILENCE, rest.next_part(&conn.stream)).await {
             Some(Ok(Some(part))) => match within(SILENCE, parts.send(part)).await {
                 Some(Ok(())) => {}
                 _ => return AttemptOutcome::Cancelled,
@@ -175,7 +176,7 @@
             Some(Ok(None)) => {
                 whole.set(true);
                 handle.hold(None);
-                if rest.keeps()
+                if rest.is_reusable()
                     && let Ok(conn) = Rc::try_unwrap(conn)
                 {
                     engine.pool.put(server, conn);
@@ -198,7 +199,9 @@
         Some(Err(outcome)) => return Came::Ended(outcome, None),
         None => return Came::Ended(AttemptOutcome::NotSent, None),
     };
-    let Some(ServerResponse { outcome, answer, keep, rest }) = ask.hear(&conn.stream).await else {
+    let Some(ServerResponse { outcome, response: answer, reusable: keep, remaining_body: rest }) =
+        ask.read_response(&conn.stream).await
+    else {
         return Came::Ended(AttemptOutcome::ConnectionLost, None);
     };
     let answer = match (rest, answer) {
@@ -224,7 +227,7 @@
     // On a process that is busy the connection and the end of the time are seen in one turn, and the client's going lies unread
     // while a connection, a place, a key's turn or a rest is over. An attempt so stopped surely has not run, and goes elsewhere.
     let now = engine.clock.now();
-    let may_send = engine.requests.borrow().may_send(now, pending, ask.awaited());
+    let may_send = engine.requests.borrow().may_send(now, pending, ask.client_is_waiting());
     if let Err(refusal) = may_send {
         engine.refused.count(refusal);
         debug!(engine.log, "attempt withheld"; "cache" => server, "why" => ?refusal);
@@ -242,7 +245,7 @@
         until: *until.min(by),
         off_since: engine.requests.borrow().servers.off_since(*server),
         grace: engine.config.drain_grace.get(),
-        awaited: ask.awaited(),
+        awaited: ask.client_is_waiting(),
     };
     engine.violations.check(&engine.log, written.violation());
     Ok(conn)
@@ -281,7 +284,7 @@
         if !engine.requests.borrow().may_ask(server) {
             return None;
         }
-        let keep = engine.health_check.probe(&conn.stream).await?;
+        let keep = engine.health_check.check(&conn.stream).await?;
         if keep {
             engine.pool.put(server, conn);
         }
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -124,11 +124,11 @@
     fn reject(&mut self, request_id: RequestId, back_in: Span) {
         self.done(|| Decision::Reject { request_id: request_id.0, back_in });
         let back_in = Some(back_in).filter(|t| *t > Span::ZERO);
-        self.finish(request_id, Response::bare(ResponseStatus::Rejected(back_in)));
+        self.finish(request_id, Response::empty(ResponseStatus::Rejected(back_in)));
     }
     fn fail(&mut self, request_id: RequestId) {
         self.done(|| Decision::Fail(request_id.0));
-        self.finish(request_id, Response::bare(ResponseStatus::Failed));
+        self.finish(request_id, Response::empty(ResponseStatus::Failed));
     }
     fn check_health(&mut self, server: ServerIndex) {
         self.done(|| Decision::CheckHealth(server));
@@ -240,12 +240,12 @@
     /// Takes a request and routes it; its final answer comes by the channel.
     pub fn take(&mut self, now: Timestamp, ask: Rc<dyn ClientRequest>) -> (RequestId, Receiver<Response>) {
         let (answer, answered) = bounded(1);
-        let order = ask.order().map(|addrs| self.servers.at(&addrs));
+        let order = ask.allowed_servers().map(|addrs| self.servers.at(&addrs));
         let (balancer, sink) = self.at(now);
         if let Some(recorder) = &mut sink.recorder {
-            recorder.take(now, ask.class(), ask.key(), ask.write(), ask.expires(), order.as_deref());
+            recorder.take(now, ask.class(), ask.key(), ask.is_write(), ask.expires(), order.as_deref());
         }
-        let request_id = balancer.accept_request(ask.class(), ask.key(), ask.write(), ask.expires());
+        let request_id = balancer.accept_request(ask.class(), ask.key(), ask.is_write(), ask.expires());
         if let Some(order) = order {
             balancer.restrict_to(request_id, order);
         }
@@ -274,8 +274,8 @@
         answer: Option<Response>,
     ) {
         let order = self.sink.open.get(&request_id).and_then(|open| {
-            open.ask.ended(outcome);
-            open.ask.order()
+            open.ask.attempt_ended(outcome);
+            open.ask.allowed_servers()
         });
         let order = order.map(|addrs| self.servers.at(&addrs));
         let (balancer, sink) = self.at(now);
@@ -322,7 +322,7 @@
         let mut open: Vec<RequestId> = self.sink.open.keys().copied().collect();
         open.sort_unstable_by_key(|request_id| request_id.0);
         for request_id in open {
-            self.sink.finish(request_id, Response::bare(ResponseStatus::Failed));
+            self.sink.finish(request_id, Response::empty(ResponseStatus::Failed));
             self.client_left(now, request_id);
         }
     }
@@ -349,7 +349,7 @@
         open.sort_unstable_by_key(|(request_id, _)| request_id.0);
         for (request_id, ask) in open {
             let Some((class, limit)) = of(&*ask) else { continue };
-            let expires = ask.taken() + limit;
+            let expires = ask.received_at() + limit;
             sink.told(|| Event::LimitsRenewed { request_id: request_id.0, class, expires });
             balancer.renew_limits(request_id, class, expires, sink);
         }
--- a/crates/engine/src/response.rs
+++ b/crates/engine/src/response.rs
@@ -25,26 +25,26 @@
 pub struct Response {
     pub status: ResponseStatus,
     /// What the body is, in the server's own words; empty if it did not say.
-    pub kind: String,
+    pub content_type: String,
     pub body: Vec<u8>,
     /// Its part of the room for long answers.
-    pub held: Option<MemoryReservation>,
+    pub memory: Option<MemoryReservation>,
     /// What comes after the body that is here, where it is longer than is read whole.
-    pub flow: Option<BodyStream>,
+    pub stream: Option<BodyStream>,
 }
 
 /// The rest of an answer, part by part as a server gives it. One part waits at most: who takes it slowly slows the server.
 pub struct BodyStream {
     /// Of the whole body in bytes, where it is told.
-    pub length: Option<u64>,
+    pub content_length: Option<u64>,
     pub parts: Receiver<Vec<u8>>,
     /// Once there are no more parts: whether the answer is whole, or has broken off.
-    pub whole: Rc<Cell<bool>>,
+    pub complete: Rc<Cell<bool>>,
 }
 
 impl Response {
-    pub fn bare(status: ResponseStatus) -> Response {
-        Response { status, kind: String::new(), body: Vec::new(), held: None, flow: None }
+    pub fn empty(status: ResponseStatus) -> Response {
+        Response { status, content_type: String::new(), body: Vec::new(), memory: None, stream: None }
     }
 }
 
@@ -52,55 +52,58 @@
 pub struct ServerResponse {
     pub outcome: AttemptOutcome,
     /// Where it resolves the request.
-    pub answer: Option<Response>,
+    pub response: Option<Response>,
     /// Whether the connection may carry another attempt.
-    pub keep: bool,
+    pub reusable: bool,
     /// What of the answer is still to come on the connection, where the request is resolved before that.
-    pub rest: Option<Box<dyn ResponseBody>>,
+    pub remaining_body: Option<Box<dyn ResponseBody>>,
 }
 
 /// What of an answer is still to come.
 pub trait ResponseBody {
     /// The next part, `None` at the end; an error if it breaks off.
-    fn part<'a>(&'a mut self, stream: &'a Async<TcpStream>) -> Wait<'a, Result<Option<Vec<u8>>, ()>>;
+    fn next_part<'a>(
+        &'a mut self,
+        stream: &'a Async<TcpStream>,
+    ) -> BoxFuture<'a, Result<Option<Vec<u8>>, ()>>;
     /// Of the whole body in bytes, where it is told.
-    fn length(&self) -> Option<u64>;
+    fn content_length(&self) -> Option<u64>;
     /// Whether the connection may carry another attempt after it.
-    fn keeps(&self) -> bool;
+    fn is_reusable(&self) -> bool;
 }
 
-pub type Wait<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
+pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
 
 /// A request as its door took it.
 pub trait ClientRequest {
     /// The class whose limits held when it was taken.
     fn class(&self) -> usize;
     /// What a class is found by; `None` once other settings hold than it was taken under.
-    fn place(&self) -> Option<RequestAttributes<'_>>;
+    fn attributes(&self) -> Option<RequestAttributes<'_>>;
     /// When its time began.
-    fn taken(&self) -> Timestamp;
+    fn received_at(&self) -> Timestamp;
     fn key(&self) -> &str;
-    fn write(&self) -> bool;
+    fn is_write(&self) -> bool;
     fn expires(&self) -> Timestamp;
     /// Which servers alone may serve it, the first first, where that is settled by the servers themselves; asked again after
     /// each attempt. `None`: any, in ring order.
-    fn order(&self) -> Option<Vec<SocketAddr>> {
+    fn allowed_servers(&self) -> Option<Vec<SocketAddr>> {
         None
     }
     /// Whether whoever asked is still there and waits, as far as can be read at this moment, heard of or not.
-    fn awaited(&self) -> bool {
+    fn client_is_waiting(&self) -> bool {
         true
     }
     /// One of its attempts has ended; told before it is asked for the order again.
-    fn ended(&self, _ending: AttemptOutcome) {}
+    fn attempt_ended(&self, _ending: AttemptOutcome) {}
     /// Writes it whole to a server, and how long it will be waited for.
-    fn write_to<'a>(&'a self, stream: &'a Async<TcpStream>, left: Span) -> Wait<'a, io::Result<()>>;
+    fn write_to<'a>(&'a self, stream: &'a Async<TcpStream>, left: Span) -> BoxFuture<'a, io::Result<()>>;
     /// Reads what the server says to it; `None` if the connection broke or nothing of it can be read.
-    fn hear<'a>(&'a self, stream: &'a Async<TcpStream>) -> Wait<'a, Option<ServerResponse>>;
+    fn read_response<'a>(&'a self, stream: &'a Async<TcpStream>) -> BoxFuture<'a, Option<ServerResponse>>;
 }
 
 /// How a server is asked whether it answers at all, in its own protocol.
 pub trait HealthCheck {
     /// Whether it does, and whether the connection may carry an attempt after it.
-    fn probe<'a>(&'a self, stream: &'a Async<TcpStream>) -> Wait<'a, Option<bool>>;
+    fn check<'a>(&'a self, stream: &'a Async<TcpStream>) -> BoxFuture<'a, Option<bool>>;
 }
--- a/crates/http-frontend/src/relay.rs
+++ b/crates/http-frontend/src/relay.rs
@@ -35,10 +35,10 @@
         Reply {
             status,
             back_in,
-            kind: answer.kind,
+            kind: answer.content_type,
             body: answer.body,
-            _held: answer.held,
-            flow: answer.flow.map(Box::new),
+            _held: answer.memory,
+            flow: answer.stream.map(Box::new),
         }
     }
 }
@@ -68,7 +68,7 @@
 /// may carry another.
 pub async fn relay(stream: &Async<TcpStream>, mut answer: Reply, close: bool, old: bool) -> bool {
     if let Some(flow) = answer.flow.take() {
-        let open_ended = flow.length.is_none() && old;
+        let open_ended = flow.content_length.is_none() && old;
         let whole = relay_flow(stream, &answer, *flow, close || open_ended, open_ended).await;
         if whole.is_none() && open_ended {
             // Ended in order it would look whole.
@@ -99,8 +99,8 @@
     close: bool,
     open_ended: bool,
 ) -> Option<()> {
-    let chunked = flow.length.is_none() && !open_ended;
-    let mut head = head(answer, flow.length, close);
+    let chunked = flow.content_length.is_none() && !open_ended;
+    let mut head = head(answer, flow.content_length, close);
     head += if chunked { "Transfer-Encoding: chunked\r\n\r\n" } else { "\r\n" };
     let write = async |before: &str, part: &[u8]| {
         let size = if chunked && !part.is_empty() { format!("{:x}\r\n", part.len()) } else { String::new() };
@@ -112,7 +112,7 @@
     while let Ok(part) = flow.parts.recv().await {
         write("", &part).await?;
     }
-    if !flow.whole.get() {
+    if !flow.complete.get() {
         return None;
     }
     if chunked { write("0\r\n\r\n", b"").await } else { Some(()) }
--- a/crates/http-frontend/src/servers.rs
+++ b/crates/http-frontend/src/servers.rs
@@ -3,7 +3,7 @@
 use crate::admit::HttpRequest;
 use chalkwalk_balancer::AttemptOutcome;
 use chalkwalk_engine::response::{
-    ClientRequest, HealthCheck, Response, ResponseBody, ResponseStatus, ServerResponse, Wait,
+    BoxFuture, ClientRequest, HealthCheck, Response, ResponseBody, ResponseStatus, ServerResponse,
 };
 use chalkwalk_http1::{self as http1, ResponseReader};
 use chalkwalk_sockets::{MemoryBudget, MemoryReservation, is_idle, wait_until, write_all};
@@ -23,11 +23,11 @@
         self.class
     }
 
-    fn place(&self) -> Option<chalkwalk_limits::RequestAttributes<'_>> {
+    fn attributes(&self) -> Option<chalkwalk_limits::RequestAttributes<'_>> {
         (self.generation == self.door.engine.classes.generation()).then(|| HttpRequest::place(self))
     }
 
-    fn taken(&self) -> Timestamp {
+    fn received_at(&self) -> Timestamp {
         self.taken
     }
 
@@ -35,7 +35,7 @@
         self.message.text(&self.key)
     }
 
-    fn write(&self) -> bool {
+    fn is_write(&self) -> bool {
         self.write
     }
 
@@ -44,11 +44,11 @@
     }
 
     /// Nothing comes from a client that waits: its end and what it sends ahead of the answer both end the request.
-    fn awaited(&self) -> bool {
+    fn client_is_waiting(&self) -> bool {
         self.client.upgrade().is_some_and(|client| is_idle(&client))
     }
 
-    fn write_to<'a>(&'a self, stream: &'a Async<TcpStream>, left: Span) -> Wait<'a, io::Result<()>> {
+    fn write_to<'a>(&'a self, stream: &'a Async<TcpStream>, left: Span) -> BoxFuture<'a, io::Result<()>> {
         Box::pin(async move {
             let (m, time_left) = (&self.message, seconds(left));
             let mut parts: Vec<&[u8]> = vec![m.slice(&m.method), b" ", m.slice(&m.target), b" HTTP/1.1\r\n"];
@@ -67,7 +67,7 @@
         })
     }
 
-    fn hear<'a>(&'a self, stream: &'a Async<TcpStream>) -> Wait<'a, Option<ServerResponse>> {
+    fn read_response<'a>(&'a self, stream: &'a Async<TcpStream>) -> BoxFuture<'a, Option<ServerResponse>> {
         Box::pin(async move {
             let answering = ResponseReader::start(stream).await.ok()?;
             read(answering, stream, &self.door.engine.response_memory).await
@@ -135,13 +135,13 @@
     }
     let keep = answering.is_reusable();
     if !resolved {
-        return Some(ServerResponse { outcome, answer: None, keep, rest: None });
+        return Some(ServerResponse { outcome, response: None, reusable: keep, remaining_body: None });
     }
     let kind = answering.message.header("Content-Type").unwrap_or("").to_string();
     let begun = body.len();
-    let answer = Some(Response { kind, body, ..Response::bare(ResponseStatus::Served) });
+    let answer = Some(Response { content_type: kind, body, ..Response::empty(ResponseStatus::Served) });
     if whole {
-        return Some(ServerResponse { outcome, answer, keep, rest: None });
+        return Some(ServerResponse { outcome, response: answer, reusable: keep, remaining_body: None });
     }
     let held = room.try_reserve(PART.0 * PART.1);
     if held.is_some() {
@@ -149,7 +149,7 @@
     }
     let left = http1::MAX_BODY.saturating_sub(begun);
     let rest: Box<dyn ResponseBody> = Box::new(Flowing { answering, left, _held: held });
-    Some(ServerResponse { outcome, answer, keep, rest: Some(rest) })
+    Some(ServerResponse { outcome, response: answer, reusable: keep, remaining_body: Some(rest) })
 }
 
 /// The rest of a long answer, with its part of the room for them; without one it is read in smaller parts.
@@ -160,7 +160,10 @@
 }
 
 impl ResponseBody for Flowing {
-    fn part<'a>(&'a mut self, stream: &'a Async<TcpStream>) -> Wait<'a, Result<Option<Vec<u8>>, ()>> {
+    fn next_part<'a>(
+        &'a mut self,
+        stream: &'a Async<TcpStream>,
+    ) -> BoxFuture<'a, Result<Option<Vec<u8>>, ()>> {
         Box::pin(async move {
             let part = self.answering.next_part(stream).await.map_err(|_| ())?;
             // One whose length is not told may never end: longer than any, it is broken off.
@@ -168,10 +171,10 @@
             Ok(part)
         })
     }
-    fn length(&self) -> Option<u64> {
+    fn content_length(&self) -> Option<u64> {
         self.answering.content_length
     }
-    fn keeps(&self) -> bool {
+    fn is_reusable(&self) -> bool {
         self.answering.is_reusable()
     }
 }
@@ -180,7 +183,7 @@
 pub struct Alive;
 
 impl HealthCheck for Alive {
-    fn probe<'a>(&'a self, stream: &'a Async<TcpStream>) -> Wait<'a, Option<bool>> {
+    fn check<'a>(&'a self, stream: &'a Async<TcpStream>) -> BoxFuture<'a, Option<bool>> {
         Box::pin(async move {
             let host = stream.get_ref().peer_addr().ok()?;
             let message = http1::get(stream, host, "/alive", http1::MAX_BUFFERED_BODY).await.ok()?;
--- a/crates/resp-frontend/src/clients.rs
+++ b/crates/resp-frontend/src/clients.rs
@@ -217,7 +217,7 @@
             let mut out = Writer::new(resp3);
             match gathered(answers, how, write, &mut out) {
                 None => (out.take(), false),
-                Some(status) => (worded(Some(Response::bare(status)), resp3), false),
+                Some(status) => (worded(Some(Response::empty(status)), resp3), false),
             }
         }
     }
--- a/crates/resp-frontend/src/parts.rs
+++ b/crates/resp-frontend/src/parts.rs
@@ -100,7 +100,7 @@
     use crate::command::tests::words;
 
     fn answer(status: ResponseStatus, body: &str) -> Option<Response> {
-        Some(Response { body: body.into(), ..Response::bare(status) })
+        Some(Response { body: body.into(), ..Response::empty(status) })
     }
 
     fn told(parts: Vec<(Option<Response>, Vec<usize>)>, how: Gather, write: bool) -> String {
--- a/crates/resp-frontend/src/request.rs
+++ b/crates/resp-frontend/src/request.rs
@@ -4,7 +4,7 @@
 use crate::door::Door;
 use chalkwalk_balancer::AttemptOutcome;
 use chalkwalk_engine::response::{
-    ClientRequest, HealthCheck, Response, ResponseStatus, ServerResponse, Wait,
+    BoxFuture, ClientRequest, HealthCheck, Response, ResponseStatus, ServerResponse,
 };
 use chalkwalk_limits::RequestAttributes;
 use chalkwalk_resp::{Frame, FrameKind, ReadLimits, Reader, Writer};
@@ -42,11 +42,11 @@
         self.class
     }
 
-    fn place(&self) -> Option<RequestAttributes<'_>> {
+    fn attributes(&self) -> Option<RequestAttributes<'_>> {
         Some(RequestAttributes { namespace: self.ns, path: &self.key, tenant: &self.user, door: crate::DOOR })
     }
 
-    fn taken(&self) -> Timestamp {
+    fn received_at(&self) -> Timestamp {
         self.taken
     }
 
@@ -54,7 +54,7 @@
         &self.key
     }
 
-    fn write(&self) -> bool {
+    fn is_write(&self) -> bool {
         self.write
     }
 
@@ -62,11 +62,11 @@
         self.expires
     }
 
-    fn order(&self) -> Option<Vec<SocketAddr>> {
+    fn allowed_servers(&self) -> Option<Vec<SocketAddr>> {
         Some(self.way.borrow().who(&self.door.map.borrow()))
     }
 
-    fn ended(&self, outcome: AttemptOutcome) {
+    fn attempt_ended(&self, outcome: AttemptOutcome) {
         if matches!(
             outcome,
             AttemptOutcome::Unreachable | AttemptOutcome::ConnectionLost | AttemptOutcome::TimedOut
@@ -77,7 +77,7 @@
         }
     }
 
-    fn write_to<'a>(&'a self, stream: &'a Async<TcpStream>, _left: Span) -> Wait<'a, io::Result<()>> {
+    fn write_to<'a>(&'a self, stream: &'a Async<TcpStream>, _left: Span) -> BoxFuture<'a, io::Result<()>> {
         Box::pin(async move {
             let to = stream.get_ref().peer_addr()?;
             let first: &[u8] = {
@@ -94,7 +94,7 @@
         })
     }
 
-    fn hear<'a>(&'a self, stream: &'a Async<TcpStream>) -> Wait<'a, Option<ServerResponse>> {
+    fn read_response<'a>(&'a self, stream: &'a Async<TcpStream>) -> BoxFuture<'a, Option<ServerResponse>> {
         Box::pin(async move {
             let from = stream.get_ref().peer_addr().ok()?;
             let (mut buf, mut from_at) = (Vec::new(), 0);
@@ -106,8 +106,8 @@
             }
             let (frames, len) = got?;
             // More than was asked for: what it belongs to is not known.
-            let keep = buf.len() == from_at + len;
-            Some(self.read(from, frames, buf, from_at, keep))
+            let reusable = buf.len() == from_at + len;
+            Some(self.read(from, frames, buf, from_at, reusable))
         })
     }
 }
@@ -139,9 +139,9 @@
         frames: Vec<Frame>,
         mut buf: Vec<u8>,
         at: usize,
-        keep: bool,
+        reusable: bool,
     ) -> ServerResponse {
-        let none = |outcome| ServerResponse { outcome, answer: None, keep, rest: None };
+        let none = |outcome| ServerResponse { outcome, response: None, reusable, remaining_body: None };
         if let [Frame { kind: FrameKind::Error, range: text, .. }] = &frames[..] {
             let error = String::from_utf8_lossy(&buf[at + text.start..at + text.end]).to_string();
             let means = meaning(&error, from, SLOTS);
@@ -158,20 +158,30 @@
             }
         }
         let len = buf.len() - at;
-        let held = self.door.engine.response_memory.try_reserve(len);
-        if len > ORDINARY && held.is_none() {
+        let memory = self.door.engine.response_memory.try_reserve(len);
+        if len > ORDINARY && memory.is_none() {
             // Read by now, but not to be kept while all others are.
             return ServerResponse {
                 outcome: AttemptOutcome::ServerError,
-                answer: None,
-                keep: false,
-                rest: None,
+                response: None,
+                reusable: false,
+                remaining_body: None,
             };
         }
         buf.drain(..at);
-        let answer =
-            Response { status: ResponseStatus::Served, kind: String::new(), body: buf, held, flow: None };
-        ServerResponse { outcome: AttemptOutcome::Completed, answer: Some(answer), keep, rest: None }
+        let answer = Response {
+            status: ResponseStatus::Served,
+            content_type: String::new(),
+            body: buf,
+            memory,
+            stream: None,
+        };
+        ServerResponse {
+            outcome: AttemptOutcome::Completed,
+            response: Some(answer),
+            reusable,
+            remaining_body: None,
+        }
     }
 }
 
@@ -179,7 +189,7 @@
 pub struct Ping;
 
 impl HealthCheck for Ping {
-    fn probe<'a>(&'a self, stream: &'a Async<TcpStream>) -> Wait<'a, Option<bool>> {
+    fn check<'a>(&'a self, stream: &'a Async<TcpStream>) -> BoxFuture<'a, Option<bool>> {
         Box::pin(async move {
             let mut out = Writer::default();
             out.command(&[b"PING"]);
