--- a/crates/http-frontend/src/admit.rs
+++ b/crates/http-frontend/src/admit.rs
@@ -1,6 +1,6 @@
 //! Stage "admit": what a message asks for. A request is taken only with a known namespace and time left.
 
-use crate::door::{Door, OpenId};
+use crate::door::{Frontend, OpenId};
 use crate::relay::Reply;
 use chalkwalk_balancer::admission::may_start;
 use chalkwalk_engine::classes::ClassLimits;
@@ -17,7 +17,7 @@
     ["Host", "X-Correlation-Id", "X-Service-Class", "X-Time-Left", "Idempotency-Key"];
 
 /// The name by which an operator's routes know this door.
-pub const DOOR: &str = "http";
+pub const FRONTEND_NAME: &str = "http";
 
 /// Whose request it is, where that is told.
 fn tenant(message: &Message) -> &str {
@@ -27,7 +27,7 @@
 
 /// A request as taken, with the message it came in.
 pub struct HttpRequest {
-    pub door: Rc<Door>,
+    pub door: Rc<Frontend>,
     pub message: Message,
     pub key: Range<usize>,
     pub ns: usize,
@@ -44,7 +44,7 @@
 /// The request, whose time counts from when it came, or the answer to what is none: a 4xx to what is wrong, after
 /// which the connection is closed.
 pub fn admit(
-    door: &Rc<Door>,
+    door: &Rc<Frontend>,
     message: Message,
     came: Timestamp,
     client: &Rc<Async<TcpStream>>,
@@ -71,7 +71,7 @@
         return wrong(400);
     }
     let Some(left) = message.header("X-Time-Left").and_then(time_left) else { return wrong(400) };
-    let place = RequestAttributes { namespace: ns, path, tenant: tenant(&message), door: DOOR };
+    let place = RequestAttributes { namespace: ns, path, tenant: tenant(&message), door: FRONTEND_NAME };
     let ClassLimits { class, time_limit, longest_body } = engine.classes.find(place);
     if message.body.len() as u64 > longest_body {
         return wrong(413);
@@ -103,7 +103,7 @@
     pub fn place(&self) -> RequestAttributes<'_> {
         let target = self.message.text(&self.message.target);
         let path = target.split('?').next().unwrap_or("");
-        RequestAttributes { namespace: self.ns, path, tenant: tenant(&self.message), door: DOOR }
+        RequestAttributes { namespace: self.ns, path, tenant: tenant(&self.message), door: FRONTEND_NAME }
     }
 }
 
--- a/crates/http-frontend/src/clients.rs
+++ b/crates/http-frontend/src/clients.rs
@@ -1,7 +1,7 @@
 //! Clients' connections, one request at a time on each.
 
 use crate::admit::admit;
-use crate::door::Door;
+use crate::door::Frontend;
 use crate::relay::{self, Reply};
 use crate::route::route;
 use crate::take_in::take_in;
@@ -25,7 +25,7 @@
 const READ_AT_ONCE: Span = Span::from_millis(10);
 
 /// Takes connections until the proxy empties; whoever has one by then is let in.
-pub async fn accept(door: Rc<Door>, listener: Async<TcpListener>) {
+pub async fn accept(door: Rc<Frontend>, listener: Async<TcpListener>) {
     let engine = &door.engine;
     let mut held = None;
     let over = async {
@@ -70,7 +70,7 @@
     }
 }
 
-fn welcome(door: &Rc<Door>, stream: Async<TcpStream>, permit: Permit, taken: bool, clear: Timestamp) {
+fn welcome(door: &Rc<Frontend>, stream: Async<TcpStream>, permit: Permit, taken: bool, clear: Timestamp) {
     _ = stream.get_ref().set_nodelay(true);
     let open = ClientConnection::new(&door.engine);
     door.engine.executor.spawn(serve(door.clone(), stream, permit, open, taken, clear)).detach();
@@ -78,7 +78,7 @@
 
 /// One connection, to its end: the stages in their order. Requests that are not taken are turned away at once.
 async fn serve(
-    door: Rc<Door>,
+    door: Rc<Frontend>,
     stream: Async<TcpStream>,
     mut permit: Permit,
     open: ClientConnection,
--- a/crates/http-frontend/src/door.rs
+++ b/crates/http-frontend/src/door.rs
@@ -5,20 +5,20 @@
 use std::collections::HashSet;
 use std::rc::Rc;
 
-pub struct Door {
+pub struct Frontend {
     pub(crate) engine: Rc<Engine>,
     /// The names of the namespaces, by which clients name them.
     pub(crate) namespaces: RefCell<Vec<String>>,
     pub(crate) open_ids: OpenIds,
 }
 
-impl Door {
-    pub fn new(engine: Rc<Engine>, namespaces: Vec<String>) -> Rc<Door> {
-        Rc::new(Door { engine, namespaces: RefCell::new(namespaces), open_ids: OpenIds::default() })
+impl Frontend {
+    pub fn new(engine: Rc<Engine>, namespaces: Vec<String>) -> Rc<Frontend> {
+        Rc::new(Frontend { engine, namespaces: RefCell::new(namespaces), open_ids: OpenIds::default() })
     }
 
     /// Requests are of these namespaces from now on.
-    pub fn rename(&self, namespaces: Vec<String>) {
+    pub fn set_namespaces(&self, namespaces: Vec<String>) {
         *self.namespaces.borrow_mut() = namespaces;
     }
 }
--- a/crates/http-frontend/src/lib.rs
+++ b/crates/http-frontend/src/lib.rs
@@ -11,7 +11,7 @@
 mod servers;
 mod take_in;
 
-pub use admit::DOOR;
+pub use admit::FRONTEND_NAME;
 pub use clients::accept;
-pub use door::Door;
-pub use servers::Alive;
+pub use door::Frontend;
+pub use servers::AliveCheck;
--- a/crates/http-frontend/src/servers.rs
+++ b/crates/http-frontend/src/servers.rs
@@ -180,9 +180,9 @@
 }
 
 /// The platform's probe: `GET /alive`.
-pub struct Alive;
+pub struct AliveCheck;
 
-impl HealthCheck for Alive {
+impl HealthCheck for AliveCheck {
     fn check<'a>(&'a self, stream: &'a Async<TcpStream>) -> BoxFuture<'a, Option<bool>> {
         Box::pin(async move {
             let host = stream.get_ref().peer_addr().ok()?;
--- a/crates/proxy/src/given.rs
+++ b/crates/proxy/src/given.rs
@@ -21,8 +21,10 @@
     /// Both, or what is wrong with either.
     pub fn read(&self) -> Result<Read, String> {
         let mut rules = StartupConfig::load(&self.config)?;
-        rules.engine.account.doors =
-            vec![chalkwalk_http_frontend::DOOR.to_string(), chalkwalk_resp_frontend::DOOR.to_string()];
+        rules.engine.account.doors = vec![
+            chalkwalk_http_frontend::FRONTEND_NAME.to_string(),
+            chalkwalk_resp_frontend::DOOR.to_string(),
+        ];
         let (mut membership, mut resp, mut capture) = (None, None, None);
         if let Some(path) = &self.operator {
             let text = std::fs::read_to_string(path).map_err(|e| format!("cannot read {path}: {e}"))?;
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -124,7 +124,7 @@
         place.ok_or(format!("no namespace \"{namespace}\"; there are {}", rules.namespaces.join(", ")))?;
     let table =
         rules.engine.limits.unwrap_or_else(|| chalkwalk_limits::Table::from_settings(&rules.engine.account));
-    let door = if door.is_empty() { chalkwalk_http_frontend::DOOR } else { &door };
+    let door = if door.is_empty() { chalkwalk_http_frontend::FRONTEND_NAME } else { &door };
     print!(
         "{}",
         operator::explain(
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -52,7 +52,7 @@
     let console_listener = console_listener.transpose()?;
     // Servers speak one protocol, by which they are probed.
     let probe: Box<dyn HealthCheck> =
-        if resp.is_some() { Box::new(resp_door::Ping) } else { Box::new(http::Alive) };
+        if resp.is_some() { Box::new(resp_door::Ping) } else { Box::new(http::AliveCheck) };
     let writer = capture.as_ref().map(|c| {
         let keep = Retention { folder: c.folder.clone(), segment: c.segment, most: c.most };
         Writer::open(keep, &rules.name).map(|writer| (writer, c.keys))
@@ -84,7 +84,7 @@
         }
         // Servers that speak RESP can't be asked over HTTP: there its door has no namespace, and only says how the proxy is.
         let namespaces = if resp.is_some() { Vec::new() } else { namespaces };
-        let door = http::Door::new(engine.clone(), namespaces);
+        let door = http::Frontend::new(engine.clone(), namespaces);
         let feed = list.as_ref().and_then(List::feed);
         let pushed = matches!(list, Some(List::Platform(_)))
             && engine.classes.platform_settings().get("watched").is_some_and(|watched| watched == "0");
@@ -124,7 +124,7 @@
 /// waited for it for as long as it may.
 async fn open_doors(
     engine: Rc<Engine>,
-    door: Rc<http::Door>,
+    door: Rc<http::Frontend>,
     listener: Async<TcpListener>,
     feed: Option<Rc<Feed>>,
     (handed, pushed, listen): (bool, bool, SocketAddr),
@@ -179,7 +179,7 @@
 /// Reads both files again, and takes both or neither: settings of the platform, limits of the operator, where the list is. All
 /// else stays as it was at the start. What the configuration knows of servers is as old as the file, and what the list has
 /// told since is newer.
-fn reread(engine: &Rc<Engine>, door: &http::Door, given: &Given, list: Option<&List>, was: Was) {
+fn reread(engine: &Rc<Engine>, door: &http::Frontend, given: &Given, list: Option<&List>, was: Was) {
     let read = given.read().and_then(|read| match needs_restart(engine, &read, &was) {
         Some(fault) => Err(fault),
         None => Ok(read),
@@ -194,7 +194,7 @@
             }
             if new {
                 if resp.is_none() {
-                    door.rename(rules.namespaces);
+                    door.set_namespaces(rules.namespaces);
                 }
                 api::apply_settings(engine, rules.engine);
             } else if given.operator.is_some() {
