--- a/crates/engine/src/api.rs
+++ b/crates/engine/src/api.rs
@@ -100,7 +100,7 @@
 /// taken with.
 pub fn apply_settings(engine: &Rc<Engine>, mut rules: EngineConfig) {
     let limits = rules.limits.take();
-    engine.config.connect_time.set(rules.connect_time.get());
+    engine.config.connect_timeout.set(rules.connect_timeout.get());
     engine.config.drain_grace.set(rules.drain_grace.get());
     engine.classes.apply_settings(rules.settings, rules.account, limits);
     let settings = engine.classes.balancer_settings();
@@ -264,7 +264,7 @@
         return Ok(conn);
     }
     let permit = engine.budget.acquire_for_server(|| engine.pool.close_longest_idle()).await;
-    let connected = within(engine.config.connect_time.get(), Async::<TcpStream>::connect(addr)).await;
+    let connected = within(engine.config.connect_timeout.get(), Async::<TcpStream>::connect(addr)).await;
     let stream = connected.ok_or(AttemptOutcome::Unreachable)?.map_err(|e| {
         // Out of descriptors (EMFILE, ENFILE), buffers or ports, as Linux numbers it: that is no word on the server.
         match e.raw_os_error() {
@@ -291,7 +291,7 @@
         Some(())
     };
     // As long as a connection may take, and as long again for the answer.
-    let answered = within(engine.config.connect_time.get() * 2, ask).await.flatten().is_some();
+    let answered = within(engine.config.connect_timeout.get() * 2, ask).await.flatten().is_some();
     if !answered {
         // What was idle to a machine that vanished is reset only when it is back, and by the first request on it.
         engine.pool.forget(server);
--- a/crates/engine/src/config.rs
+++ b/crates/engine/src/config.rs
@@ -17,9 +17,9 @@
     pub account: Account,
     /// What an operator has set, if one has.
     pub limits: Option<Table>,
-    pub connect_time: Cell<Duration>,
+    pub connect_timeout: Cell<Duration>,
     /// After which a server closes a connection that is idle.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
     /// From a drain's notice on, in which a server still takes attempts.
     pub drain_grace: Cell<Span>,
     /// That the process may hold.
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -77,7 +77,7 @@
             response_memory: MemoryBudget::new(config.memory / 3),
             lifecycle: Lifecycle::default(),
             requests: RefCell::new(requests),
-            pool: ConnectionPool::new(config.idle_time),
+            pool: ConnectionPool::new(config.idle_timeout),
             health_check,
             executor: LocalExecutor::new(),
             log,
@@ -124,7 +124,7 @@
     }
 
     /// When every answer must be out, once the proxy has been told to end.
-    pub fn last_answer(&self) -> Option<Timestamp> {
+    pub fn response_deadline(&self) -> Option<Timestamp> {
         self.leaving.get().map(|(_, last)| last)
     }
 
--- a/crates/http-frontend/src/admit.rs
+++ b/crates/http-frontend/src/admit.rs
@@ -76,7 +76,7 @@
     if message.body.len() as u64 > longest_body {
         return wrong(413);
     }
-    let expires = may_start(engine.clock.now(), came + left.min(time_limit), engine.last_answer());
+    let expires = may_start(engine.clock.now(), came + left.min(time_limit), engine.response_deadline());
     let Some(expires) = expires else { return wrong(408) };
     let start = message.target.start + path.rfind('/').map_or(0, |slash| slash + 1);
     let key = start..message.target.start + path.len();
--- a/crates/resp-frontend/src/clients.rs
+++ b/crates/resp-frontend/src/clients.rs
@@ -441,7 +441,7 @@
         let taken = engine.clock.earliest_arrival();
         // One whose time is over is deferred by the balancer, at once.
         let expires =
-            may_start(engine.clock.now(), taken + time_limit, engine.last_answer()).unwrap_or(taken);
+            may_start(engine.clock.now(), taken + time_limit, engine.response_deadline()).unwrap_or(taken);
         let stale = !write && door.settings.stale.get(ns) == Some(&true);
         let command = (words.bytes.first() != Some(&b'*')).then(|| {
             let mut out = Writer::default();
