--- a/crates/proxy/src/given.rs
+++ b/crates/proxy/src/given.rs
@@ -23,7 +23,7 @@
         let mut rules = StartupConfig::load(&self.config)?;
         rules.engine.account.doors = vec![
             chalkwalk_http_frontend::FRONTEND_NAME.to_string(),
-            chalkwalk_resp_frontend::DOOR.to_string(),
+            chalkwalk_resp_frontend::FRONTEND_NAME.to_string(),
         ];
         let (mut membership, mut resp, mut capture) = (None, None, None);
         if let Some(path) = &self.operator {
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -13,7 +13,7 @@
 use chalkwalk_engine::response::HealthCheck;
 use chalkwalk_engine::{api, background, shutdown};
 use chalkwalk_http_frontend as http;
-use chalkwalk_resp_frontend as resp_door;
+use chalkwalk_resp_frontend as resp_frontend;
 use slog::{Logger, info, warn};
 use smol::stream::StreamExt;
 use smol::{Async, Timer};
@@ -52,7 +52,7 @@
     let console_listener = console_listener.transpose()?;
     // Servers speak one protocol, by which they are probed.
     let probe: Box<dyn HealthCheck> =
-        if resp.is_some() { Box::new(resp_door::Ping) } else { Box::new(http::AliveCheck) };
+        if resp.is_some() { Box::new(resp_frontend::Ping) } else { Box::new(http::AliveCheck) };
     let writer = capture.as_ref().map(|c| {
         let keep = Retention { folder: c.folder.clone(), segment: c.segment, most: c.most };
         Writer::open(keep, &rules.name).map(|writer| (writer, c.keys))
@@ -73,14 +73,14 @@
             Some(List::follow(&engine, (list, known), membership.as_ref(), (listen, handed)))
         };
         if let (Some(resp), Some(resp_listener)) = (&resp, resp_listener) {
-            let door = resp_door::Door::new(
+            let door = resp_frontend::Frontend::new(
                 &engine,
                 settings(resp, engine.classes.namespace_names().len()),
                 of_servers,
             );
-            resp_door::seeds(&door);
-            engine.executor.spawn(resp_door::follow(door.clone())).detach();
-            engine.executor.spawn(resp_door::accept(door, resp_listener)).detach();
+            resp_frontend::list_seeds(&door);
+            engine.executor.spawn(resp_frontend::follow_slot_map(door.clone())).detach();
+            engine.executor.spawn(resp_frontend::accept_clients(door, resp_listener)).detach();
         }
         // Servers that speak RESP can't be asked over HTTP: there its door has no namespace, and only says how the proxy is.
         let namespaces = if resp.is_some() { Vec::new() } else { namespaces };
@@ -211,19 +211,18 @@
 }
 
 /// The RESP door's settings, as the door has them.
-fn settings(resp: &Resp, namespaces: usize) -> resp_door::Settings {
-    let prefix = |(prefix, namespace, writes): &(String, usize, usize)| resp_door::Prefix {
+fn settings(resp: &Resp, namespaces: usize) -> resp_frontend::Settings {
+    let prefix = |(prefix, namespace, writes): &(String, usize, usize)| resp_frontend::PrefixRule {
         prefix: prefix.clone(),
         namespace: *namespace,
         writes: *writes,
     };
-    let instance = |(name, addr, slots): &(String, std::net::SocketAddr, (u16, u16))| resp_door::Instance {
-        name: name.clone(),
-        addr: *addr,
-        slots: *slots,
+    let instance = |(name, addr, slots): &(String, std::net::SocketAddr, (u16, u16))| {
+        resp_frontend::Instance { name: name.clone(), addr: *addr, slots: *slots }
     };
-    let user = |(name, secret): &(String, [u8; 32])| resp_door::User { name: name.clone(), secret: *secret };
-    resp_door::Settings {
+    let user =
+        |(name, secret): &(String, [u8; 32])| resp_frontend::User { name: name.clone(), secret: *secret };
+    resp_frontend::Settings {
         listen: resp.listen,
         seeds: resp.seeds.clone(),
         namespace: resp.namespace,
--- a/crates/resp-frontend/src/client.rs
+++ b/crates/resp-frontend/src/client.rs
@@ -293,7 +293,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::settings::{Instance, User, secret_of};
+    use crate::settings::{Instance, User, hash_secret};
     use expect_test::expect;
 
     fn settings() -> Settings {
@@ -308,7 +308,7 @@
             stale: vec![],
             split: false,
             instances: vec![instance("p1", 6379, (0, 8191)), instance("p2", 6380, (8192, 16383))],
-            users: vec![User { name: "lib".into(), secret: secret_of(b"s3") }],
+            users: vec![User { name: "lib".into(), secret: hash_secret(b"s3") }],
         }
     }
 
--- a/crates/resp-frontend/src/clients.rs
+++ b/crates/resp-frontend/src/clients.rs
@@ -2,7 +2,7 @@
 
 use crate::client::Client;
 use crate::command::{Way as Kind, Words, way};
-use crate::door::Door;
+use crate::frontend::Frontend;
 use crate::parts::{Gather, gathered, part};
 use crate::request::RespRequest;
 use chalkwalk_balancer::RequestId;
@@ -47,7 +47,7 @@
 const IDLE: Duration = Duration::from_secs(300);
 
 /// Takes connections until the proxy empties.
-pub async fn accept(door: Rc<Door>, listener: Async<TcpListener>) {
+pub async fn accept_clients(door: Rc<Frontend>, listener: Async<TcpListener>) {
     let engine = &door.engine;
     let over = async { engine.lifecycle.reached(Phase::Finishing).await };
     let taking = async {
@@ -89,7 +89,7 @@
 
 /// A request that is open for a client. Where the client goes, so does what is still to be sent for it.
 struct Open {
-    door: Rc<Door>,
+    door: Rc<Frontend>,
     request_id: RequestId,
     answer: Receiver<Response>,
     answered: Rc<Cell<bool>>,
@@ -137,7 +137,7 @@
 }
 
 async fn serve(
-    door: Rc<Door>,
+    door: Rc<Frontend>,
     stream: Async<TcpStream>,
     _permit: Permit,
     taken: bool,
@@ -246,7 +246,7 @@
 }
 
 struct Reading<'a> {
-    door: &'a Rc<Door>,
+    door: &'a Rc<Frontend>,
     stream: &'a Async<TcpStream>,
     client: Client,
     earlier: VecDeque<Earlier>,
@@ -255,7 +255,7 @@
 }
 
 impl<'a> Reading<'a> {
-    fn new(door: &'a Rc<Door>, stream: &'a Async<TcpStream>, waiting: Rc<Cell<usize>>) -> Reading<'a> {
+    fn new(door: &'a Rc<Frontend>, stream: &'a Async<TcpStream>, waiting: Rc<Cell<usize>>) -> Reading<'a> {
         let id = door.clients.get() + 1;
         door.clients.set(id);
         let peer = stream.get_ref().peer_addr().map_or(String::new(), |a| a.to_string());
@@ -432,8 +432,12 @@
     ) -> Result<(Open, Receiver<()>), &'static str> {
         let (door, engine) = (self.door, &self.door.engine);
         let ns = door.settings.namespace_of(keys[0].as_bytes(), write);
-        let place =
-            RequestAttributes { namespace: ns, path: &keys[0], tenant: &self.client.user, door: crate::DOOR };
+        let place = RequestAttributes {
+            namespace: ns,
+            path: &keys[0],
+            tenant: &self.client.user,
+            door: crate::FRONTEND_NAME,
+        };
         let ClassLimits { class, time_limit, longest_body } = engine.classes.find(place);
         if words.bytes.len() as u64 > longest_body.max(64) {
             return Err("ERR the command is longer than its class allows");
--- a/crates/resp-frontend/src/cluster.rs
+++ b/crates/resp-frontend/src/cluster.rs
@@ -1,6 +1,6 @@
 //! The slot map, learned from the servers: one call at a time, of one after the other.
 
-use crate::door::Door;
+use crate::frontend::Frontend;
 use chalkwalk_balancer::EndpointStatus;
 use chalkwalk_engine::api;
 use chalkwalk_engine::servers::ListedEndpoint;
@@ -20,14 +20,14 @@
 const LONGEST: usize = 1 << 20;
 
 /// The servers that are asked first are in the list from the start, where the servers' own word is it.
-pub fn seeds(door: &Rc<Door>) {
+pub fn list_seeds(door: &Rc<Frontend>) {
     if door.lists {
         let lines: Vec<ListedEndpoint> = door.settings.seeds.iter().map(|addr| line(door, *addr)).collect();
         api::apply_endpoint_list(&door.engine, &lines, true, false);
     }
 }
 
-fn line(door: &Door, addr: SocketAddr) -> ListedEndpoint {
+fn line(door: &Frontend, addr: SocketAddr) -> ListedEndpoint {
     // Where the servers stand is not theirs to say: all count as near.
     let zone = door.engine.config.zones.get(door.engine.classes.zone()).cloned().unwrap_or_default();
     let status = EndpointStatus::Ready;
@@ -44,7 +44,7 @@
 }
 
 /// Keeps the map; never ends.
-pub async fn follow(door: Rc<Door>) {
+pub async fn follow_slot_map(door: Rc<Frontend>) {
     let mut told = false;
     loop {
         let now = door.engine.clock.now();
@@ -80,7 +80,7 @@
 }
 
 /// Whom to ask: the owners, and those that were named at first.
-fn nodes(door: &Door) -> Vec<SocketAddr> {
+fn nodes(door: &Frontend) -> Vec<SocketAddr> {
     let mut nodes: Vec<SocketAddr> = door.map.borrow().parts().iter().map(|p| p.owner).collect();
     nodes.extend(&door.settings.seeds);
     nodes.sort();
@@ -89,7 +89,7 @@
 }
 
 /// Tells the engine which servers there are, where nobody else does.
-fn list(door: &Rc<Door>, view: &View) {
+fn list(door: &Rc<Frontend>, view: &View) {
     if door.lists {
         let lines: Vec<ListedEndpoint> =
             view.nodes.iter().filter(|n| !n.fails).map(|n| line(door, n.addr)).collect();
--- a/crates/resp-frontend/src/door.rs
+++ b/crates/resp-frontend/src/frontend.rs
@@ -7,7 +7,7 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-pub struct Door {
+pub struct Frontend {
     pub(crate) engine: Rc<Engine>,
     pub(crate) settings: Settings,
     pub(crate) map: RefCell<Map>,
@@ -18,10 +18,10 @@
     pub(crate) lists: bool,
 }
 
-impl Door {
+impl Frontend {
     /// `lists`: no other source has the list, so the servers' own word is it.
-    pub fn new(engine: &Rc<Engine>, settings: Settings, lists: bool) -> Rc<Door> {
-        Rc::new(Door {
+    pub fn new(engine: &Rc<Engine>, settings: Settings, lists: bool) -> Rc<Frontend> {
+        Rc::new(Frontend {
             engine: engine.clone(),
             settings,
             map: RefCell::default(),
--- a/crates/resp-frontend/src/lib.rs
+++ b/crates/resp-frontend/src/lib.rs
@@ -9,16 +9,16 @@
 mod clients;
 mod cluster;
 mod command;
-mod door;
+mod frontend;
 mod parts;
 mod request;
 mod settings;
 
-pub use clients::accept;
-pub use cluster::{follow, seeds};
-pub use door::Door;
+pub use clients::accept_clients;
+pub use cluster::{follow_slot_map, list_seeds};
+pub use frontend::Frontend;
 pub use request::Ping;
-pub use settings::{Instance, Prefix, Settings, User, secret_of};
+pub use settings::{Instance, PrefixRule, Settings, User, hash_secret};
 
 /// The name by which an operator's routes know this door.
-pub const DOOR: &str = "resp";
+pub const FRONTEND_NAME: &str = "resp";
--- a/crates/resp-frontend/src/request.rs
+++ b/crates/resp-frontend/src/request.rs
@@ -1,7 +1,7 @@
 //! A request as this door took it: how it is written to a server, and what the server's answer says.
 
 use crate::command::Words;
-use crate::door::Door;
+use crate::frontend::Frontend;
 use chalkwalk_balancer::AttemptOutcome;
 use chalkwalk_engine::response::{
     BoxFuture, ClientRequest, HealthCheck, Response, ResponseStatus, ServerResponse,
@@ -21,7 +21,7 @@
 const ORDINARY: usize = 64 << 10;
 
 pub struct RespRequest {
-    pub door: Rc<Door>,
+    pub door: Rc<Frontend>,
     pub words: Words,
     /// The command as servers take it, if it came otherwise.
     pub command: Option<Vec<u8>>,
@@ -43,7 +43,12 @@
     }
 
     fn attributes(&self) -> Option<RequestAttributes<'_>> {
-        Some(RequestAttributes { namespace: self.ns, path: &self.key, tenant: &self.user, door: crate::DOOR })
+        Some(RequestAttributes {
+            namespace: self.ns,
+            path: &self.key,
+            tenant: &self.user,
+            door: crate::FRONTEND_NAME,
+        })
     }
 
     fn received_at(&self) -> Timestamp {
--- a/crates/resp-frontend/src/settings.rs
+++ b/crates/resp-frontend/src/settings.rs
@@ -6,7 +6,7 @@
 
 /// Keys that begin so are of a namespace.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Prefix {
+pub struct PrefixRule {
     pub prefix: String,
     pub namespace: usize,
     /// Of commands that write.
@@ -38,7 +38,7 @@
     pub namespace: usize,
     pub writes: usize,
     /// The first that matches holds.
-    pub prefixes: Vec<Prefix>,
+    pub prefixes: Vec<PrefixRule>,
     /// Whose reads replicas may answer, by namespace.
     pub stale: Vec<bool>,
     /// Whether commands over several slots are taken in parts.
@@ -50,7 +50,7 @@
 }
 
 /// What a secret is kept as.
-pub fn secret_of(secret: &[u8]) -> [u8; 32] {
+pub fn hash_secret(secret: &[u8]) -> [u8; 32] {
     Sha256::digest(secret).into()
 }
 
@@ -64,9 +64,9 @@
 
     /// Whether somebody is who they say. It takes as long whoever is asked for, and whatever of the secret is right.
     pub fn knows(&self, name: &[u8], secret: &[u8]) -> bool {
-        let told = secret_of(secret);
+        let told = hash_secret(secret);
         self.users.iter().fold(false, |known, user| {
-            let same = user.secret.ct_eq(&told) & secret_of(user.name.as_bytes()).ct_eq(&secret_of(name));
+            let same = user.secret.ct_eq(&told) & hash_secret(user.name.as_bytes()).ct_eq(&hash_secret(name));
             known | bool::from(same)
         })
     }
