--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -214,22 +214,24 @@
 fn settings(resp: &Resp, namespaces: usize) -> resp_frontend::Settings {
     let prefix = |(prefix, namespace, writes): &(String, usize, usize)| resp_frontend::PrefixRule {
         prefix: prefix.clone(),
-        namespace: *namespace,
-        writes: *writes,
+        read_class: *namespace,
+        write_class: *writes,
     };
     let instance = |(name, addr, slots): &(String, std::net::SocketAddr, (u16, u16))| {
-        resp_frontend::Instance { name: name.clone(), addr: *addr, slots: *slots }
+        resp_frontend::Instance { name: name.clone(), addr: *addr, slots: (*slots).into() }
+    };
+    let user = |(name, secret): &(String, [u8; 32])| resp_frontend::User {
+        name: name.clone(),
+        secret_sha256: *secret,
     };
-    let user =
-        |(name, secret): &(String, [u8; 32])| resp_frontend::User { name: name.clone(), secret: *secret };
     resp_frontend::Settings {
         listen: resp.listen,
         seeds: resp.seeds.clone(),
-        namespace: resp.namespace,
-        writes: resp.writes,
+        read_class: resp.namespace,
+        write_class: resp.writes,
         prefixes: resp.prefixes.iter().map(prefix).collect(),
-        stale: (0..namespaces).map(|ns| resp.stale_reads.contains(&ns)).collect(),
-        split: resp.split,
+        stale_reads: (0..namespaces).map(|ns| resp.stale_reads.contains(&ns)).collect(),
+        split_multi_slot: resp.split,
         instances: resp.instances.iter().map(instance).collect(),
         users: resp.users.iter().map(user).collect(),
     }
--- a/crates/resp-frontend/src/client.rs
+++ b/crates/resp-frontend/src/client.rs
@@ -3,6 +3,7 @@
 use crate::command::{TABLE, Words};
 use crate::settings::Settings;
 use chalkwalk_resp::{SLOTS, Writer, slot_of};
+use chalkwalk_slot_map::SlotRange;
 use std::net::SocketAddr;
 
 /// What drivers take for the server's own; the dialect has no other name for "at least version 7".
@@ -36,9 +37,9 @@
 }
 
 /// The instances as clients are told of them: this one alone where none are named.
-fn instances(settings: &Settings) -> Vec<(String, SocketAddr, (u16, u16))> {
+fn instances(settings: &Settings) -> Vec<(String, SocketAddr, SlotRange)> {
     if settings.instances.is_empty() {
-        return vec![(hex("self"), settings.listen, (0, SLOTS - 1))];
+        return vec![(hex("self"), settings.listen, SlotRange::ALL)];
     }
     settings.instances.iter().map(|i| (hex(&i.name), i.addr, i.slots)).collect()
 }
@@ -89,7 +90,7 @@
             out.error("ERR AUTH <password> called without any password configured for the default user. Are you sure your configuration is correct?");
             return false;
         }
-        if settings.knows(name, secret) {
+        if settings.authenticates(name, secret) {
             (self.known, self.user) = (true, String::from_utf8_lossy(name).to_string());
             out.simple("OK");
         } else {
@@ -240,7 +241,7 @@
         }
         ("SLOTS", 2) => {
             out.array(all.len());
-            for (id, addr, (first, last)) in &all {
+            for (id, addr, SlotRange { first, last }) in &all {
                 out.array(3);
                 out.number(i64::from(*first));
                 out.number(i64::from(*last));
@@ -252,7 +253,7 @@
         }
         ("SHARDS", 2) => {
             out.array(all.len());
-            for (id, addr, (first, last)) in &all {
+            for (id, addr, SlotRange { first, last }) in &all {
                 out.map(2);
                 out.bulk(b"slots");
                 out.array(2);
@@ -280,7 +281,7 @@
         }
         ("NODES", 2) => {
             let mut text = String::new();
-            for (id, addr, (first, last)) in &all {
+            for (id, addr, SlotRange { first, last }) in &all {
                 let me = if *addr == settings.listen { "myself," } else { "" };
                 text += &format!("{id} {addr}@0 {me}master - 0 0 1 connected {first}-{last}\n");
             }
@@ -298,17 +299,21 @@
 
     fn settings() -> Settings {
         let addr = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
-        let instance = |name: &str, port, slots| Instance { name: name.into(), addr: addr(port), slots };
+        let instance = |name: &str, port, slots| Instance {
+            name: name.into(),
+            addr: addr(port),
+            slots: SlotRange::from(slots),
+        };
         Settings {
             listen: addr(6379),
             seeds: vec![],
-            namespace: 0,
-            writes: 0,
+            read_class: 0,
+            write_class: 0,
             prefixes: vec![],
-            stale: vec![],
-            split: false,
+            stale_reads: vec![],
+            split_multi_slot: false,
             instances: vec![instance("p1", 6379, (0, 8191)), instance("p2", 6380, (8192, 16383))],
-            users: vec![User { name: "lib".into(), secret: hash_secret(b"s3") }],
+            users: vec![User { name: "lib".into(), secret_sha256: hash_secret(b"s3") }],
         }
     }
 
--- a/crates/resp-frontend/src/clients.rs
+++ b/crates/resp-frontend/src/clients.rs
@@ -351,7 +351,7 @@
             let other = settings.instance_of(slot).filter(|i| i.addr != settings.listen);
             other.map(|other| format!("MOVED {slot} {}", other.addr))
         };
-        let (write, keys, slot) = match way(&words, settings.split) {
+        let (write, keys, slot) = match way(&words, settings.split_multi_slot) {
             Kind::Own => {
                 self.client.own(&words, &self.door.settings, &mut out);
                 return if self.client.over { Pending::Last(out.take()) } else { Pending::Ready(out.take()) };
@@ -431,7 +431,7 @@
         permit: Permit,
     ) -> Result<(Open, Receiver<()>), &'static str> {
         let (door, engine) = (self.door, &self.door.engine);
-        let ns = door.settings.namespace_of(keys[0].as_bytes(), write);
+        let ns = door.settings.class_of(keys[0].as_bytes(), write);
         let place = RequestAttributes {
             namespace: ns,
             path: &keys[0],
@@ -446,7 +446,7 @@
         // One whose time is over is deferred by the balancer, at once.
         let expires =
             may_start(engine.clock.now(), taken + time_limit, engine.response_deadline()).unwrap_or(taken);
-        let stale = !write && door.settings.stale.get(ns) == Some(&true);
+        let stale = !write && door.settings.stale_reads.get(ns) == Some(&true);
         let command = (words.bytes.first() != Some(&b'*')).then(|| {
             let mut out = Writer::default();
             let all: Vec<&[u8]> = (0..words.len()).map(|i| words.get(i)).collect();
--- a/crates/slot-map/src/lib.rs
+++ b/crates/slot-map/src/lib.rs
@@ -6,9 +6,11 @@
 mod map;
 mod meaning;
 mod refresh;
+mod slot_range;
 mod way;
 
-pub use map::{Map, Node, Part, SLOTS, View};
+pub use map::{Map, Node, Part, SLOT_COUNT, View};
 pub use meaning::{Meaning, meaning};
 pub use refresh::Refresh;
+pub use slot_range::SlotRange;
 pub use way::Way;
--- a/crates/slot-map/src/map.rs
+++ b/crates/slot-map/src/map.rs
@@ -1,9 +1,10 @@
 //! The slot map: which node owns each slot, kept as ranges, and its replicas.
 
+use crate::SlotRange;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-pub const SLOTS: u16 = 16384;
+pub const SLOT_COUNT: u16 = 16384;
 
 /// A node as the cluster itself tells it.
 #[derive(Clone, Debug, PartialEq)]
@@ -15,7 +16,7 @@
     pub replica_of: Option<String>,
     /// A higher one is the newer word on the slots that it claims.
     pub epoch: u64,
-    pub slots: Vec<(u16, u16)>,
+    pub slots: Vec<SlotRange>,
 }
 
 /// What one node says of the cluster.
@@ -63,11 +64,7 @@
     let mut slots = Vec::new();
     // Slots that are on their way stand in brackets: those are still where they were.
     for word in rest.iter().filter(|w| !w.starts_with('[') && !w.is_empty()) {
-        let (first, last) = word.split_once('-').unwrap_or((word, word));
-        match (first.parse::<u16>(), last.parse::<u16>()) {
-            (Ok(first), Ok(last)) if first <= last && last < SLOTS => slots.push((first, last)),
-            _ => return Err(wrong("slots that make sense")),
-        }
+        slots.push(SlotRange::parse(word).ok_or_else(|| wrong("slots that make sense"))?);
     }
     let replica_of = has("slave").then(|| master.to_string());
     let epoch = epoch.parse().map_err(|_| wrong("an epoch"))?;
@@ -128,7 +125,7 @@
     /// A server has said that a slot is elsewhere now: it knows, as it was the owner, or it was asked by an old map. Whether
     /// that is news.
     pub fn moved(&mut self, slot: u16, to: SocketAddr) -> bool {
-        if slot >= SLOTS || self.owner(slot) == Some(to) {
+        if slot >= SLOT_COUNT || self.owner(slot) == Some(to) {
             return false;
         }
         if self.moved.len() < MOST_MOVED || self.moved.contains_key(&slot) {
@@ -147,9 +144,9 @@
         }
         let mut claims: Vec<(u16, u16, &Node)> = Vec::new();
         for node in view.nodes.iter().filter(|n| n.replica_of.is_none() && !n.fails) {
-            claims.extend(node.slots.iter().map(|(first, last)| (*first, *last, node)));
+            claims.extend(node.slots.iter().map(|range| (range.first, range.last, node)));
         }
-        let mut owners: Vec<Option<&Node>> = vec![None; usize::from(SLOTS)];
+        let mut owners: Vec<Option<&Node>> = vec![None; usize::from(SLOT_COUNT)];
         for (first, last, node) in claims {
             for owner in &mut owners[usize::from(first)..=usize::from(last)] {
                 // Two that claim a slot: the higher epoch has it, as among the nodes themselves; of two alike the lower id.
@@ -161,7 +158,7 @@
         }
         let there = |addr: SocketAddr| view.nodes.iter().any(|n| n.addr == addr && !n.fails);
         let mut parts: Vec<Part> = Vec::new();
-        for slot in 0..SLOTS {
+        for slot in 0..SLOT_COUNT {
             let old =
                 || self.part(slot).filter(|p| there(p.owner)).map(|p| (p.owner, p.epoch, p.replicas.clone()));
             let claimed = owners[usize::from(slot)].map(|n| {
--- /dev/null
+++ b/crates/slot-map/src/slot_range.rs
@@ -0,0 +1,35 @@
+//! Ranges of hash slots, as the cluster specification writes them: first and last slot, both included.
+
+use crate::SLOT_COUNT;
+
+/// Hash slots from `first` to `last`, both included.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct SlotRange {
+    /// The lowest slot of the range.
+    pub first: u16,
+    /// The highest slot of the range.
+    pub last: u16,
+}
+
+impl SlotRange {
+    /// Every slot of a cluster.
+    pub const ALL: SlotRange = SlotRange { first: 0, last: SLOT_COUNT - 1 };
+
+    /// Whether a slot is in the range.
+    pub fn contains(&self, slot: u16) -> bool {
+        (self.first..=self.last).contains(&slot)
+    }
+
+    /// Reads `first-last`, or a single slot. None if it is neither, is reversed or passes the last slot of a cluster.
+    pub(crate) fn parse(text: &str) -> Option<SlotRange> {
+        let (first, last) = text.split_once('-').unwrap_or((text, text));
+        let range = SlotRange { first: first.parse().ok()?, last: last.parse().ok()? };
+        (range.first <= range.last && range.last < SLOT_COUNT).then_some(range)
+    }
+}
+
+impl From<(u16, u16)> for SlotRange {
+    fn from((first, last): (u16, u16)) -> SlotRange {
+        SlotRange { first, last }
+    }
+}
--- a/crates/slot-map/tests/migration.rs
+++ b/crates/slot-map/tests/migration.rs
@@ -1,7 +1,7 @@
 //! A slot that goes over and back again, and two requests in it, in every order in which their steps may come: no effect twice, no
 //! effect at a server that does not hold the key, and an end for both.
 
-use chalkwalk_slot_map::{Map, Meaning, SLOTS, View, Way, meaning};
+use chalkwalk_slot_map::{Map, Meaning, SLOT_COUNT, View, Way, meaning};
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
@@ -91,7 +91,7 @@
         match self.cluster.asked(request, server, way.asking(to)) {
             None => self.done[request] = true,
             Some(error) => {
-                let means = meaning(&error, to, SLOTS);
+                let means = meaning(&error, to, SLOT_COUNT);
                 assert!(!matches!(means, Meaning::Answer | Meaning::NotNow));
                 way.said(&means, &mut self.map);
             }
