--- a/crates/resp-frontend/src/clients.rs
+++ b/crates/resp-frontend/src/clients.rs
@@ -15,7 +15,7 @@
 use chalkwalk_engine::response::{Response, ResponseStatus};
 use chalkwalk_limits::RequestAttributes;
 use chalkwalk_resp::{Frame, FrameKind, ProtocolError, ReadLimits, Reader, Writer};
-use chalkwalk_slot_map::Way;
+use chalkwalk_slot_map::RequestRoute;
 use chalkwalk_sockets::{read_more, within, write_all};
 use chalkwalk_time::TICKS_PER_MILLISECOND;
 use slog::warn;
@@ -464,7 +464,7 @@
             user: self.client.user.clone(),
             taken,
             expires,
-            way: RefCell::new(Way::new(slot, stale)),
+            way: RefCell::new(RequestRoute::new(slot, stale)),
             begun: RefCell::default(),
         });
         let (request_id, answer) = api::accept_request(engine, ask);
--- a/crates/resp-frontend/src/cluster.rs
+++ b/crates/resp-frontend/src/cluster.rs
@@ -5,7 +5,7 @@
 use chalkwalk_engine::api;
 use chalkwalk_engine::servers::ListedEndpoint;
 use chalkwalk_resp::{FrameKind, ReadLimits, Reader, Writer};
-use chalkwalk_slot_map::View;
+use chalkwalk_slot_map::ClusterView;
 use chalkwalk_sockets::{read_more, within, write_all};
 use chalkwalk_time::Timestamp;
 use slog::{info, warn};
@@ -48,7 +48,7 @@
     let mut told = false;
     loop {
         let now = door.engine.clock.now();
-        let due = door.refresh.borrow().due().unwrap_or(now);
+        let due = door.refresh.borrow().next_due().unwrap_or(now);
         if due > now {
             let wait = Timer::at(door.engine.clock.instant(due));
             let wanted = async { _ = door.wanted.1.recv().await };
@@ -56,22 +56,22 @@
             continue;
         }
         let nodes = nodes(&door);
-        let turn = door.refresh.borrow_mut().begin(now, nodes.len());
+        let turn = door.refresh.borrow_mut().start(now, nodes.len());
         let Some(addr) = nodes.get(turn).copied() else {
-            door.refresh.borrow_mut().ended(now, false);
+            door.refresh.borrow_mut().finish(now, false);
             continue;
         };
         let got = within(CALL, view(addr)).await.unwrap_or_else(|| Err("no answer in time".into()));
         let taken = got.and_then(|view| {
-            door.map.borrow_mut().take(&view)?;
+            door.map.borrow_mut().apply_view(&view)?;
             list(&door, &view);
             Ok(())
         });
-        door.refresh.borrow_mut().ended(door.engine.clock.now(), taken.is_ok());
+        door.refresh.borrow_mut().finish(door.engine.clock.now(), taken.is_ok());
         match taken {
             Ok(()) if !told => {
                 told = true;
-                info!(door.engine.log, "slot map known"; "parts" => door.map.borrow().parts().len());
+                info!(door.engine.log, "slot map known"; "parts" => door.map.borrow().assignments().len());
             }
             Ok(()) => {}
             Err(fault) => warn!(door.engine.log, "slot map call failed"; "node" => %addr, "fault" => fault),
@@ -81,7 +81,7 @@
 
 /// Whom to ask: the owners, and those that were named at first.
 fn nodes(door: &Frontend) -> Vec<SocketAddr> {
-    let mut nodes: Vec<SocketAddr> = door.map.borrow().parts().iter().map(|p| p.owner).collect();
+    let mut nodes: Vec<SocketAddr> = door.map.borrow().assignments().iter().map(|p| p.owner).collect();
     nodes.extend(&door.settings.seeds);
     nodes.sort();
     nodes.dedup();
@@ -89,15 +89,15 @@
 }
 
 /// Tells the engine which servers there are, where nobody else does.
-fn list(door: &Rc<Frontend>, view: &View) {
+fn list(door: &Rc<Frontend>, view: &ClusterView) {
     if door.lists {
         let lines: Vec<ListedEndpoint> =
-            view.nodes.iter().filter(|n| !n.fails).map(|n| line(door, n.addr)).collect();
+            view.nodes.iter().filter(|n| !n.failed).map(|n| line(door, n.addr)).collect();
         api::apply_endpoint_list(&door.engine, &lines, true, false);
     }
 }
 
-async fn view(addr: SocketAddr) -> Result<View, String> {
+async fn view(addr: SocketAddr) -> Result<ClusterView, String> {
     let stream = Async::<TcpStream>::connect(addr).await.map_err(|e| format!("no connection: {e}"))?;
     let mut out = Writer::default();
     out.command(&[b"CLUSTER", b"NODES"]);
@@ -114,7 +114,7 @@
     };
     let text = String::from_utf8_lossy(&buf[frames[0].range.clone()]);
     match frames[0].kind {
-        FrameKind::Bulk | FrameKind::Verbatim => View::read(&text, addr),
+        FrameKind::Bulk | FrameKind::Verbatim => ClusterView::read(&text, addr),
         _ => Err(format!("it answered {text}")),
     }
 }
--- a/crates/resp-frontend/src/frontend.rs
+++ b/crates/resp-frontend/src/frontend.rs
@@ -2,7 +2,7 @@
 
 use crate::settings::Settings;
 use chalkwalk_engine::engine::Engine;
-use chalkwalk_slot_map::{Map, Refresh};
+use chalkwalk_slot_map::{RefreshSchedule, SlotMap};
 use smol::channel::{Receiver, Sender, bounded};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -10,8 +10,8 @@
 pub struct Frontend {
     pub(crate) engine: Rc<Engine>,
     pub(crate) settings: Settings,
-    pub(crate) map: RefCell<Map>,
-    pub(crate) refresh: RefCell<Refresh>,
+    pub(crate) map: RefCell<SlotMap>,
+    pub(crate) refresh: RefCell<RefreshSchedule>,
     pub(crate) wanted: (Sender<()>, Receiver<()>), // the map is likely wrong
     pub(crate) clients: Cell<u64>,                 // numbers of connections so far
     /// Whether the servers' own list is the one that is followed.
@@ -34,7 +34,7 @@
 
     /// Something says that the map is wrong.
     pub(crate) fn want_map(&self) {
-        self.refresh.borrow_mut().want();
+        self.refresh.borrow_mut().request();
         _ = self.wanted.0.try_send(());
     }
 }
--- a/crates/resp-frontend/src/request.rs
+++ b/crates/resp-frontend/src/request.rs
@@ -8,7 +8,7 @@
 };
 use chalkwalk_limits::RequestAttributes;
 use chalkwalk_resp::{Frame, FrameKind, ReadLimits, Reader, Writer};
-use chalkwalk_slot_map::{Meaning, SLOT_COUNT, Way, meaning};
+use chalkwalk_slot_map::{ErrorMeaning, RequestRoute, SLOT_COUNT, classify_error};
 use chalkwalk_sockets::{read_more, write_all};
 use chalkwalk_time::{Span, Timestamp};
 use smol::Async;
@@ -32,7 +32,7 @@
     pub user: String,
     pub taken: Timestamp,
     pub expires: Timestamp,
-    pub way: RefCell<Way>,
+    pub way: RefCell<RequestRoute>,
     /// Servers whose attempt began with a command of the connection's own, whose answer comes first.
     pub begun: RefCell<Vec<SocketAddr>>,
 }
@@ -68,7 +68,7 @@
     }
 
     fn allowed_servers(&self) -> Option<Vec<SocketAddr>> {
-        Some(self.way.borrow().who(&self.door.map.borrow()))
+        Some(self.way.borrow().candidates(&self.door.map.borrow()))
     }
 
     fn attempt_ended(&self, outcome: AttemptOutcome) {
@@ -77,7 +77,7 @@
             AttemptOutcome::Unreachable | AttemptOutcome::ConnectionLost | AttemptOutcome::TimedOut
         ) {
             // What was to be asked once is the owner's again, and another may own the slot by now.
-            self.way.borrow_mut().silent();
+            self.way.borrow_mut().on_no_answer();
             self.door.want_map();
         }
     }
@@ -87,7 +87,7 @@
             let to = stream.get_ref().peer_addr()?;
             let first: &[u8] = {
                 let (way, map) = (self.way.borrow(), self.door.map.borrow());
-                match (way.asking(to), way.of_replica(to, &map)) {
+                match (way.needs_asking(to), way.needs_readonly(to, &map)) {
                     (true, _) => b"*1\r\n$6\r\nASKING\r\n",
                     (_, true) => b"*1\r\n$8\r\nREADONLY\r\n",
                     _ => b"",
@@ -149,17 +149,19 @@
         let none = |outcome| ServerResponse { outcome, response: None, reusable, remaining_body: None };
         if let [Frame { kind: FrameKind::Error, range: text, .. }] = &frames[..] {
             let error = String::from_utf8_lossy(&buf[at + text.start..at + text.end]).to_string();
-            let means = meaning(&error, from, SLOT_COUNT);
-            if self.way.borrow_mut().said(&means, &mut self.door.map.borrow_mut()) {
+            let means = classify_error(&error, from, SLOT_COUNT);
+            if self.way.borrow_mut().on_error(&means, &mut self.door.map.borrow_mut()) {
                 self.door.want_map();
             }
             match means {
                 // Surely not run, and no word on the server's health: it goes on elsewhere.
-                Meaning::Moved { .. } | Meaning::Ask { .. } => {
+                ErrorMeaning::Moved { .. } | ErrorMeaning::Ask { .. } => {
                     return none(AttemptOutcome::CacheMiss);
                 }
-                Meaning::NotNow | Meaning::NotHere => return none(AttemptOutcome::Overloaded),
-                Meaning::Answer => {}
+                ErrorMeaning::RetryLater | ErrorMeaning::MapOutdated => {
+                    return none(AttemptOutcome::Overloaded);
+                }
+                ErrorMeaning::Final => {}
             }
         }
         let len = buf.len() - at;
--- a/crates/slot-map/src/meaning.rs
+++ b/crates/slot-map/src/error_meaning.rs
@@ -3,18 +3,18 @@
 use std::net::SocketAddr;
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Meaning {
+pub enum ErrorMeaning {
     /// The server does not hold the slot any more; surely not run.
     Moved { slot: u16, to: SocketAddr },
-    /// The slot is on its way, and this key is there already: once, and after asking; surely not run.
+    /// The slot is on its route, and this key is there already: once, and after asking; surely not run.
     Ask { slot: u16, to: SocketAddr },
     /// Surely not run, and another time it may be: keys of one command on both sides, a server that loads, a cluster that has
     /// lost slots, a replica that was taken for the owner.
-    NotNow,
+    RetryLater,
     /// The same, and the map is likely wrong.
-    NotHere,
+    MapOutdated,
     /// The answer: the command itself is wrong, wherever it is sent.
-    Answer,
+    Final,
 }
 
 /// The address that a redirection names; one without a host means the server that says it.
@@ -27,7 +27,7 @@
 
 /// By the code that an error begins with. `from` is the server that says it. A redirection that can't be read is an answer
 /// that says nothing of where to go, and the map is likely wrong.
-pub fn meaning(error: &str, from: SocketAddr, slots: u16) -> Meaning {
+pub fn classify_error(error: &str, from: SocketAddr, slots: u16) -> ErrorMeaning {
     let mut words = error.split(' ');
     let code = words.next().unwrap_or("");
     let to = |words: &mut std::str::Split<char>| {
@@ -35,11 +35,15 @@
         Some((slot, target(words.next()?, from)?))
     };
     match code {
-        "MOVED" => to(&mut words).map_or(Meaning::NotHere, |(slot, to)| Meaning::Moved { slot, to }),
-        "ASK" => to(&mut words).map_or(Meaning::NotHere, |(slot, to)| Meaning::Ask { slot, to }),
-        "TRYAGAIN" | "LOADING" | "BUSY" => Meaning::NotNow,
-        "CLUSTERDOWN" | "MASTERDOWN" | "READONLY" => Meaning::NotHere,
-        _ => Meaning::Answer,
+        "MOVED" => {
+            to(&mut words).map_or(ErrorMeaning::MapOutdated, |(slot, to)| ErrorMeaning::Moved { slot, to })
+        }
+        "ASK" => {
+            to(&mut words).map_or(ErrorMeaning::MapOutdated, |(slot, to)| ErrorMeaning::Ask { slot, to })
+        }
+        "TRYAGAIN" | "LOADING" | "BUSY" => ErrorMeaning::RetryLater,
+        "CLUSTERDOWN" | "MASTERDOWN" | "READONLY" => ErrorMeaning::MapOutdated,
+        _ => ErrorMeaning::Final,
     }
 }
 
@@ -50,10 +54,10 @@
     #[test]
     fn errors_mean_what_the_specification_says() {
         let from = "127.0.0.1:7000".parse().unwrap();
-        let means = |error| meaning(error, from, 16384);
+        let means = |error| classify_error(error, from, 16384);
         let to = "127.0.0.1:7001".parse().unwrap();
-        assert_eq!(means("MOVED 3999 127.0.0.1:7001"), Meaning::Moved { slot: 3999, to });
-        assert_eq!(means("ASK 3999 :7001"), Meaning::Ask { slot: 3999, to });
+        assert_eq!(means("MOVED 3999 127.0.0.1:7001"), ErrorMeaning::Moved { slot: 3999, to });
+        assert_eq!(means("ASK 3999 :7001"), ErrorMeaning::Ask { slot: 3999, to });
         // A slot that is none, a host that is a name, a line cut short: the map has to tell.
         for odd in [
             "MOVED 16384 127.0.0.1:1",
@@ -62,12 +66,15 @@
             "ASK",
             "CLUSTERDOWN Hash slot not served",
         ] {
-            assert_eq!(means(odd), Meaning::NotHere, "{odd}");
+            assert_eq!(means(odd), ErrorMeaning::MapOutdated, "{odd}");
         }
-        assert_eq!((means("TRYAGAIN x"), means("LOADING x")), (Meaning::NotNow, Meaning::NotNow));
+        assert_eq!(
+            (means("TRYAGAIN x"), means("LOADING x")),
+            (ErrorMeaning::RetryLater, ErrorMeaning::RetryLater)
+        );
         assert_eq!(
             (means("WRONGTYPE x"), means("ERR x"), means("")),
-            (Meaning::Answer, Meaning::Answer, Meaning::Answer)
+            (ErrorMeaning::Final, ErrorMeaning::Final, ErrorMeaning::Final)
         );
     }
 }
--- a/crates/slot-map/tests/migration.rs
+++ b/crates/slot-map/tests/migration.rs
@@ -1,7 +1,7 @@
 //! A slot that goes over and back again, and two requests in it, in every order in which their steps may come: no effect twice, no
 //! effect at a server that does not hold the key, and an end for both.
 
-use chalkwalk_slot_map::{Map, Meaning, SLOT_COUNT, View, Way, meaning};
+use chalkwalk_slot_map::{ClusterView, ErrorMeaning, RequestRoute, SLOT_COUNT, SlotMap, classify_error};
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
@@ -70,8 +70,8 @@
 #[derive(Clone, Debug)]
 struct State {
     cluster: Cluster,
-    map: Map,
-    ways: [Way; 2],
+    map: SlotMap,
+    routes: [RequestRoute; 2],
     done: [bool; 2],
     attempts: [u32; 2],
     refreshed: bool,
@@ -79,21 +79,21 @@
 
 impl State {
     fn key(&self) -> String {
-        format!("{:?}{:?}{:?}{:?}{:?}", self.cluster, self.map, self.ways, self.done, self.refreshed)
+        format!("{:?}{:?}{:?}{:?}{:?}", self.cluster, self.map, self.routes, self.done, self.refreshed)
     }
 
     /// One attempt of a request and its answer.
     fn start_attempt(&mut self, request: usize) {
-        let way = &mut self.ways[request];
-        let to = way.who(&self.map).first().copied().expect("somebody may serve it");
+        let route = &mut self.routes[request];
+        let to = route.candidates(&self.map).first().copied().expect("somebody may serve it");
         let server = usize::from(to.port() - 7000);
         self.attempts[request] += 1;
-        match self.cluster.asked(request, server, way.asking(to)) {
+        match self.cluster.asked(request, server, route.needs_asking(to)) {
             None => self.done[request] = true,
             Some(error) => {
-                let means = meaning(&error, to, SLOT_COUNT);
-                assert!(!matches!(means, Meaning::Answer | Meaning::NotNow));
-                way.said(&means, &mut self.map);
+                let means = classify_error(&error, to, SLOT_COUNT);
+                assert!(!matches!(means, ErrorMeaning::Final | ErrorMeaning::RetryLater));
+                route.on_error(&means, &mut self.map);
             }
         }
     }
@@ -106,16 +106,16 @@
             format!("n{s} {}@1 master - 0 0 {} connected{slots}\n", addr(s), self.cluster.epoch[s])
         };
         let text = line(A) + &line(B);
-        _ = self.map.take(&View::read(&text, addr(server)).expect("a view"));
+        _ = self.map.apply_view(&ClusterView::read(&text, addr(server)).expect("a view"));
         self.refreshed = true;
     }
 }
 
 #[test]
 fn every_order_of_a_migration_and_two_requests_keeps_the_rules() {
-    let mut map = Map::default();
+    let mut map = SlotMap::default();
     let first = "n0 127.0.0.1:7000@1 master - 0 0 1 connected 0-16383\nn1 127.0.0.1:7001@1 master - 0 0 1 connected\n";
-    map.take(&View::read(first, addr(A)).unwrap()).unwrap();
+    map.apply_view(&ClusterView::read(first, addr(A)).unwrap()).unwrap();
     let cluster = Cluster {
         step: 0,
         key_at: [A, A],
@@ -128,7 +128,7 @@
     let start = State {
         cluster,
         map,
-        ways: [Way::new(5, false), Way::new(5, false)],
+        routes: [RequestRoute::new(5, false), RequestRoute::new(5, false)],
         done: [false; 2],
         attempts: [0; 2],
         refreshed: false,
