--- a/crates/resp-frontend/src/cluster.rs
+++ b/crates/resp-frontend/src/cluster.rs
@@ -63,7 +63,7 @@
         };
         let got = within(CALL, view(addr)).await.unwrap_or_else(|| Err("no answer in time".into()));
         let taken = got.and_then(|view| {
-            door.map.borrow_mut().apply_view(&view)?;
+            door.map.borrow_mut().apply_view(&view).map_err(|e| e.to_string())?;
             list(&door, &view);
             Ok(())
         });
@@ -114,7 +114,7 @@
     };
     let text = String::from_utf8_lossy(&buf[frames[0].range.clone()]);
     match frames[0].kind {
-        FrameKind::Bulk | FrameKind::Verbatim => ClusterView::read(&text, addr),
+        FrameKind::Bulk | FrameKind::Verbatim => ClusterView::parse(&text, addr).map_err(|e| e.to_string()),
         _ => Err(format!("it answered {text}")),
     }
 }
--- a/crates/resp-frontend/src/request.rs
+++ b/crates/resp-frontend/src/request.rs
@@ -8,7 +8,7 @@
 };
 use chalkwalk_limits::RequestAttributes;
 use chalkwalk_resp::{Frame, FrameKind, ReadLimits, Reader, Writer};
-use chalkwalk_slot_map::{ErrorMeaning, RequestRoute, SLOT_COUNT, classify_error};
+use chalkwalk_slot_map::{ErrorMeaning, RequestRoute, classify_error};
 use chalkwalk_sockets::{read_more, write_all};
 use chalkwalk_time::{Span, Timestamp};
 use smol::Async;
@@ -149,7 +149,7 @@
         let none = |outcome| ServerResponse { outcome, response: None, reusable, remaining_body: None };
         if let [Frame { kind: FrameKind::Error, range: text, .. }] = &frames[..] {
             let error = String::from_utf8_lossy(&buf[at + text.start..at + text.end]).to_string();
-            let means = classify_error(&error, from, SLOT_COUNT);
+            let means = classify_error(&error, from);
             if self.way.borrow_mut().on_error(&means, &mut self.door.map.borrow_mut()) {
                 self.door.want_map();
             }
--- a/crates/slot-map/src/slot_range.rs
+++ b/crates/slot-map/src/slot_range.rs
@@ -1,6 +1,7 @@
-//! Ranges of hash slots, as the cluster specification writes them: first and last slot, both included.
+//! Hash slots and ranges of them, as the cluster specification writes them: first and last slot, both included.
 
-use crate::SLOT_COUNT;
+/// How many hash slots a cluster has.
+pub const SLOT_COUNT: u16 = 16384;
 
 /// Hash slots from `first` to `last`, both included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/slot-map/tests/migration.rs
+++ b/crates/slot-map/tests/migration.rs
@@ -1,7 +1,7 @@
-//! A slot that goes over and back again, and two requests in it, in every order in which their steps may come: no effect twice, no
-//! effect at a server that does not hold the key, and an end for both.
+//! A slot migrates and migrates back while two requests for it are under way, in every order of the steps: no command runs twice,
+//! none runs at a server that does not hold the key, and both requests end.
 
-use chalkwalk_slot_map::{ClusterView, ErrorMeaning, RequestRoute, SLOT_COUNT, SlotMap, classify_error};
+use chalkwalk_slot_map::{ClusterView, ErrorMeaning, RequestRoute, SlotMap, classify_error};
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
@@ -12,7 +12,7 @@
     SocketAddr::from(([127, 0, 0, 1], 7000 + server as u16))
 }
 
-/// The cluster: who owns the slot by its own word, and where each request's key is.
+/// The cluster: which servers believe that they own the slot, and where each request's key is.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct Cluster {
     step: usize,
@@ -24,7 +24,7 @@
     runs: [Vec<usize>; 2],
 }
 
-/// The new owner prepares, the old one does, each key goes over, the new one owns the slot, the old one hears so; and back.
+/// The new owner prepares, then the old one; each key is copied; the new owner takes the slot, the old one learns it; and back.
 const STEPS: usize = 12;
 
 impl Cluster {
@@ -44,8 +44,8 @@
         self.step += 1;
     }
 
-    /// What a server answers to a request, as the specification has it: its error, or nothing where it runs.
-    fn asked(&mut self, request: usize, server: usize, asking: bool) -> Option<String> {
+    /// How a server answers a request, by the specification: an error, or none where the command runs.
+    fn answer(&mut self, request: usize, server: usize, asking: bool) -> Option<String> {
         let here = self.key_at[request] == server;
         let other = addr(1 - server);
         if self.owner[server] {
@@ -55,11 +55,11 @@
             }
             return match self.migrating == Some(server) {
                 true => Some(format!("ASK 5 {other}")),
-                false => panic!("{server} owns the slot and has no key"),
+                false => panic!("server {server} owns the slot and has no key"),
             };
         }
         if self.importing == Some(server) && asking {
-            assert!(here, "asked for a key that has not come over");
+            assert!(here, "ASKING for a key that has not been copied");
             self.runs[request].push(server);
             return None;
         }
@@ -85,20 +85,20 @@
     /// One attempt of a request and its answer.
     fn start_attempt(&mut self, request: usize) {
         let route = &mut self.routes[request];
-        let to = route.candidates(&self.map).first().copied().expect("somebody may serve it");
+        let to = route.candidates(&self.map).first().copied().expect("a server that may serve it");
         let server = usize::from(to.port() - 7000);
         self.attempts[request] += 1;
-        match self.cluster.asked(request, server, route.needs_asking(to)) {
+        match self.cluster.answer(request, server, route.needs_asking(to)) {
             None => self.done[request] = true,
             Some(error) => {
-                let means = classify_error(&error, to, SLOT_COUNT);
+                let means = classify_error(&error, to);
                 assert!(!matches!(means, ErrorMeaning::Final | ErrorMeaning::RetryLater));
                 route.on_error(&means, &mut self.map);
             }
         }
     }
 
-    /// The map as one of the servers tells it now.
+    /// Applies the view that one of the servers reports now.
     fn refresh(&mut self, server: usize) {
         let owner = |s: usize| self.cluster.owner[s] && (s == server || !self.cluster.owner[server]);
         let line = |s: usize| {
@@ -106,16 +106,16 @@
             format!("n{s} {}@1 master - 0 0 {} connected{slots}\n", addr(s), self.cluster.epoch[s])
         };
         let text = line(A) + &line(B);
-        _ = self.map.apply_view(&ClusterView::read(&text, addr(server)).expect("a view"));
+        _ = self.map.apply_view(&ClusterView::parse(&text, addr(server)).expect("a view"));
         self.refreshed = true;
     }
 }
 
 #[test]
-fn every_order_of_a_migration_and_two_requests_keeps_the_rules() {
+fn every_order_of_a_migration_and_two_requests_runs_each_command_once() {
     let mut map = SlotMap::default();
     let first = "n0 127.0.0.1:7000@1 master - 0 0 1 connected 0-16383\nn1 127.0.0.1:7001@1 master - 0 0 1 connected\n";
-    map.apply_view(&ClusterView::read(first, addr(A)).unwrap()).unwrap();
+    map.apply_view(&ClusterView::parse(first, addr(A)).unwrap()).unwrap();
     let cluster = Cluster {
         step: 0,
         key_at: [A, A],
@@ -139,22 +139,22 @@
             continue;
         }
         for request in 0..2 {
-            assert!(state.cluster.runs[request].len() <= 1, "an effect twice: {state:?}");
-            assert!(state.attempts[request] <= 5, "a circle: {state:?}");
+            assert!(state.cluster.runs[request].len() <= 1, "a command ran twice: {state:?}");
+            assert!(state.attempts[request] <= 5, "a redirection loop: {state:?}");
         }
         most = most.max(state.attempts[0]).max(state.attempts[1]);
-        let mut moved = false;
+        let mut progressed = false;
         if state.cluster.step < STEPS {
             let mut next = state.clone();
             next.cluster.migrate();
             open.push(next);
-            moved = true;
+            progressed = true;
         }
-        for request in (0..2).filter(|l| !state.done[*l]) {
+        for request in (0..2).filter(|request| !state.done[*request]) {
             let mut next = state.clone();
             next.start_attempt(request);
             open.push(next);
-            moved = true;
+            progressed = true;
         }
         if !state.refreshed {
             for server in [A, B] {
@@ -163,8 +163,8 @@
                 open.push(next);
             }
         }
-        ends += usize::from(!moved);
+        ends += usize::from(!progressed);
     }
     assert!(ends > 10 && seen.len() > 200, "{ends} ends of {} states", seen.len());
-    assert!(most >= 3, "no lookup was redirected twice, {most} shots at the most");
+    assert!(most >= 3, "no request was redirected twice, {most} attempts at most");
 }
