--- a/crates/balancer/src/asked.rs
+++ b/crates/balancer/src/asked.rs
@@ -15,7 +15,7 @@
         let settings = Settings { proxies: self.settings.proxies, ..Settings::read(values) };
         let before = std::mem::replace(&mut self.settings, settings);
         let pairs = self.settings.classes.iter().zip(&before.classes);
-        pairs.for_each(|(class, before)| class.purse.count_from(&before.purse));
+        pairs.for_each(|(class, before)| class.purse.continue_from(&before.purse));
     }
 
     /// Classes of requests; `take` and `renewed` name one by its number.
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -349,7 +349,7 @@
         self.taken += 1;
         self.taken_lately += 1;
         let rules = &self.settings.classes[class];
-        rules.purse.first(self.now);
+        rules.purse.record_first_attempt(self.now);
         let useful = if rules.late_counts { expires } else { expires.min(self.now + rules.target) };
         let luck = self.chance.below(100);
         let rules = ClassHandle::of(rules);
@@ -505,11 +505,11 @@
     /// Tries once more where the rules and the budget allow, else gives up.
     fn move_on(&mut self, request_id: RequestId, free: bool, effects: &mut dyn Effects) {
         let l = &self.requests[&request_id.0];
-        if self.now >= l.useful_until || !(free || l.rules.purse.allows(self.now)) {
+        if self.now >= l.useful_until || !(free || l.rules.purse.allows_retry(self.now)) {
             return self.give_up(request_id, effects);
         }
         if !free {
-            l.rules.purse.spend(self.now);
+            l.rules.purse.record_retry(self.now);
         }
         self.place(request_id, effects);
     }
@@ -649,7 +649,7 @@
         // Guards the urgent against the slow tail, where the class asks for it: one copy, within its budget.
         let copied = l.rules.hedge_after.and_then(|part| self.times.under(part));
         let slow = i == 0 && copied.is_some_and(|under| self.now > sent + under);
-        let slow = slow && l.rules.hedging && l.rules.purse.allows(self.now);
+        let slow = slow && l.rules.hedging && l.rules.purse.allows_retry(self.now);
         if !lost && !slow && (self.servers[server].owes_since > sent || !self.silent(server)) {
             return effects.set_timer(token, hush + Span::TICK);
         }
@@ -662,7 +662,7 @@
         if l.rules.hedging {
             self.move_on(request_id, false, effects);
         } else if self.settings.cancellation
-            && l.rules.purse.allows(self.now)
+            && l.rules.purse.allows_retry(self.now)
             && self.may_repeat(&self.requests[&token], None, self.now, None)
         {
             effects.cancel_attempt(request_id, i);
--- a/crates/balancer/src/plain.rs
+++ b/crates/balancer/src/plain.rs
@@ -1,7 +1,7 @@
 //! What goes in and out of the balancer. Nothing here decides.
 
 use crate::discovery::Retry;
-use chalkwalk_limits::Purse;
+use chalkwalk_limits::RetryBudget;
 use chalkwalk_time::{Span, Timestamp};
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -97,7 +97,7 @@
         let word = |name: &str| values.get(name).map_or("", String::as_str);
         let num = |name: &str, or: f64| word(name).parse::<f64>().unwrap_or(or);
         let ticks = |number: f64| Span::from_ticks(number as u64);
-        let shared = Purse::default();
+        let shared = RetryBudget::default();
         let class = |i: usize| {
             let own = |name: &str| format!("namespace {i} {name}");
             RequestClass {
@@ -112,7 +112,7 @@
                 attempt_timeout: ticks(num(&own("shot wait"), 1e12)),
                 hedge_after: Some(num(&own("copies after"), 0.0) as u64).filter(|part| *part > 0),
                 purse: match values.get(&own("further shots")) {
-                    Some(_) => Purse::own(num(&own("further shots"), 0.0) as u64),
+                    Some(_) => RetryBudget::own(num(&own("further shots"), 0.0) as u64),
                     None => shared.clone(),
                 },
                 most_open: num(&own("most open"), 1e12) as u64,
@@ -153,7 +153,7 @@
     pub hedging: bool,
     pub attempt_timeout: Span,    // a single attempt is given up after that
     pub hedge_after: Option<u64>, // a hedged request goes out after what so many thousandths of answers take
-    pub purse: Purse,             // for retries
+    pub purse: RetryBudget,       // for retries
     pub most_open: u64,
     open: Cell<u64>,
 }
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -250,7 +250,7 @@
         self.lines.put(&mut to);
         self.barred.clone().into_iter().collect::<Vec<(String, Timestamp)>>().put(&mut to);
         self.kept.put(&mut to);
-        self.settings.classes.iter().for_each(|rules| rules.purse.counts().put(&mut to));
+        self.settings.classes.iter().for_each(|rules| rules.purse.counters().put(&mut to));
         self.requests.len().put(&mut to);
         let ordered: BTreeMap<&u64, &Request> = self.requests.iter().collect();
         for (request_id, l) in ordered {
@@ -279,7 +279,7 @@
         r.barred = Vec::<(String, Timestamp)>::get(from)?.into_iter().collect();
         r.kept = Part::get(from)?;
         for rules in &r.settings.classes {
-            rules.purse.count(Part::get(from)?);
+            rules.purse.restore(Part::get(from)?);
         }
         for _ in 0..u64::get(from).filter(|n| *n <= MOST)? {
             let request_id = Part::get(from)?;
--- a/crates/limits/src/budget.rs
+++ b/crates/limits/src/budget.rs
@@ -6,9 +6,9 @@
 
 /// The budget of retries that requests of a class share: their own, or that of all which have none.
 #[derive(Clone, Debug)]
-pub enum Purse {
+pub enum RetryBudget {
     Platform(Rc<Cell<u64>>),
-    Own(RefCell<Budget>),
+    Own(RefCell<SlidingBudget>),
 }
 
 /// A fifth of all requests may be sent once more, and a few dozen in a row: enough for a server that fails until it is left,
@@ -19,54 +19,54 @@
 const AT_FIRST: u64 = 50;
 const MOST: u64 = 400;
 
-impl Default for Purse {
-    fn default() -> Purse {
-        Purse::Platform(Rc::new(Cell::new(AT_FIRST)))
+impl Default for RetryBudget {
+    fn default() -> RetryBudget {
+        RetryBudget::Platform(Rc::new(Cell::new(AT_FIRST)))
     }
 }
 
-impl Purse {
-    pub fn own(share: u64) -> Purse {
-        Purse::Own(RefCell::new(Budget::new(share)))
+impl RetryBudget {
+    pub fn own(share: u64) -> RetryBudget {
+        RetryBudget::Own(RefCell::new(SlidingBudget::new(share)))
     }
 
-    pub fn first(&self, now: Timestamp) {
+    pub fn record_first_attempt(&self, now: Timestamp) {
         match self {
-            Purse::Platform(spare) => spare.set((spare.get() + BRINGS).min(MOST)),
-            Purse::Own(budget) => budget.borrow_mut().first(now),
+            RetryBudget::Platform(spare) => spare.set((spare.get() + BRINGS).min(MOST)),
+            RetryBudget::Own(budget) => budget.borrow_mut().record_first_attempt(now),
         }
     }
 
-    pub fn allows(&self, now: Timestamp) -> bool {
+    pub fn allows_retry(&self, now: Timestamp) -> bool {
         match self {
-            Purse::Platform(spare) => spare.get() >= COSTS,
-            Purse::Own(budget) => budget.borrow_mut().allows(now),
+            RetryBudget::Platform(spare) => spare.get() >= COSTS,
+            RetryBudget::Own(budget) => budget.borrow_mut().allows_retry(now),
         }
     }
 
-    pub fn spend(&self, now: Timestamp) {
+    pub fn record_retry(&self, now: Timestamp) {
         match self {
-            Purse::Platform(spare) => spare.set(spare.get().saturating_sub(COSTS)),
-            Purse::Own(budget) => budget.borrow_mut().spend(now),
+            RetryBudget::Platform(spare) => spare.set(spare.get().saturating_sub(COSTS)),
+            RetryBudget::Own(budget) => budget.borrow_mut().record_retry(now),
         }
     }
 
     /// What was counted: the platform's one number, or a budget's five.
-    pub fn counts(&self) -> [u64; 5] {
+    pub fn counters(&self) -> [u64; 5] {
         match self {
-            Purse::Platform(spare) => [spare.get(), 0, 0, 0, 0],
-            Purse::Own(budget) => {
-                let Budget { half, firsts, further, .. } = *budget.borrow();
+            RetryBudget::Platform(spare) => [spare.get(), 0, 0, 0, 0],
+            RetryBudget::Own(budget) => {
+                let SlidingBudget { half, firsts, further, .. } = *budget.borrow();
                 [half, firsts[0], firsts[1], further[0], further[1]]
             }
         }
     }
 
     /// Goes on from what was counted.
-    pub fn count(&self, counts: [u64; 5]) {
+    pub fn restore(&self, counts: [u64; 5]) {
         match self {
-            Purse::Platform(spare) => spare.set(counts[0]),
-            Purse::Own(budget) => {
+            RetryBudget::Platform(spare) => spare.set(counts[0]),
+            RetryBudget::Own(budget) => {
                 let mut budget = budget.borrow_mut();
                 let [half, a, b, c, d] = counts;
                 (budget.half, budget.firsts, budget.further) = (half, [a, b], [c, d]);
@@ -75,12 +75,12 @@
     }
 
     /// Goes on counting what another has counted, if both are of one kind.
-    pub fn count_from(&self, before: &Purse) {
+    pub fn continue_from(&self, before: &RetryBudget) {
         match (self, before) {
-            (Purse::Platform(spare), Purse::Platform(before)) => spare.set(before.get()),
-            (Purse::Own(own), Purse::Own(before)) => {
+            (RetryBudget::Platform(spare), RetryBudget::Platform(before)) => spare.set(before.get()),
+            (RetryBudget::Own(own), RetryBudget::Own(before)) => {
                 let share = own.borrow().share;
-                own.replace(Budget { share, ..before.borrow().clone() });
+                own.replace(SlidingBudget { share, ..before.borrow().clone() });
             }
             _ => {}
         }
@@ -90,7 +90,7 @@
 /// Two halves of the sliding time are counted, and the older one counts for the part of it that is still within: no list
 /// of events, and the same memory whatever the load.
 #[derive(Clone, Debug, Default)]
-pub struct Budget {
+pub struct SlidingBudget {
     share: u64, // thousandths
     half: u64,  // number of the present one, from zero on
     firsts: [u64; 2],
@@ -103,10 +103,10 @@
 /// Retries that may always be sent within the sliding time, or a proxy with little traffic could try nothing again.
 const FLOOR: u64 = 3;
 
-impl Budget {
+impl SlidingBudget {
     /// `share`: thousandths of the first attempts.
-    pub fn new(share: u64) -> Budget {
-        Budget { share, ..Budget::default() }
+    pub fn new(share: u64) -> SlidingBudget {
+        SlidingBudget { share, ..SlidingBudget::default() }
     }
 
     fn pass(&mut self, now: Timestamp) {
@@ -127,19 +127,19 @@
         counts[0] * HALF + counts[1] * (HALF - now.into_period(HALF))
     }
 
-    pub fn first(&mut self, now: Timestamp) {
+    pub fn record_first_attempt(&mut self, now: Timestamp) {
         self.pass(now);
         self.firsts[0] += 1;
     }
 
     /// Whether one more further attempt is within the budget.
-    pub fn allows(&mut self, now: Timestamp) -> bool {
+    pub fn allows_retry(&mut self, now: Timestamp) -> bool {
         self.pass(now);
         let spent = self.within(self.further, now) + HALF;
         spent <= FLOOR * HALF || spent * 1000 <= self.within(self.firsts, now) * self.share
     }
 
-    pub fn spend(&mut self, now: Timestamp) {
+    pub fn record_retry(&mut self, now: Timestamp) {
         self.pass(now);
         self.further[0] += 1;
     }
@@ -154,14 +154,14 @@
     /// Plays so many requests a second, each with as many retries as allowed while `failing`, and says how many
     /// retries there were in each span of ten seconds.
     fn played(share: u64, a_second: u64, seconds: u64, failing: impl Fn(u64) -> bool) -> Vec<u64> {
-        let mut budget = Budget::new(share);
+        let mut budget = SlidingBudget::new(share);
         let mut further = vec![0; (seconds / 10) as usize];
         for i in 0..a_second * seconds {
             let now = i * 10_000 / a_second;
-            budget.first(Timestamp::from_ticks(now));
+            budget.record_first_attempt(Timestamp::from_ticks(now));
             for _ in 0..3 {
-                if failing(now / 10_000) && budget.allows(Timestamp::from_ticks(now)) {
-                    budget.spend(Timestamp::from_ticks(now));
+                if failing(now / 10_000) && budget.allows_retry(Timestamp::from_ticks(now)) {
+                    budget.record_retry(Timestamp::from_ticks(now));
                     further[(now / 100_000) as usize] += 1;
                 }
             }
@@ -194,16 +194,16 @@
             share in 0u64..1000,
             steps in proptest::collection::vec((0u64..20_000, any::<bool>()), 1..400),
         ) {
-            let (mut budget, mut now) = (Budget::new(share), 0);
+            let (mut budget, mut now) = (SlidingBudget::new(share), 0);
             let (mut firsts, mut further): (Vec<u64>, Vec<u64>) = Default::default();
             for (pause, first) in steps {
                 now += pause;
                 if first {
-                    budget.first(Timestamp::from_ticks(now));
+                    budget.record_first_attempt(Timestamp::from_ticks(now));
                     firsts.push(now);
                 }
-                if budget.allows(Timestamp::from_ticks(now)) {
-                    budget.spend(Timestamp::from_ticks(now));
+                if budget.allows_retry(Timestamp::from_ticks(now)) {
+                    budget.record_retry(Timestamp::from_ticks(now));
                     further.push(now);
                 }
                 let since = |at: &[u64], span: Span| at.iter().filter(|t| **t + span.ticks() > now).count() as u64;
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -9,7 +9,7 @@
 mod draft;
 mod table;
 
-pub use budget::{Budget, Purse};
+pub use budget::{RetryBudget, SlidingBudget};
 pub use check::{Fault, check};
 pub use draft::{Account, Clients, Draft, LimitOverrides, Match, Namespace, Repeats, Route, Said};
 pub use table::{Class, From, Limits, RequestAttributes, Table};
