--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -4,8 +4,8 @@
 //! It may use serde, toml and `limits`; nothing of the running proxy enters it.
 
 use chalkwalk_limits::{
-    Account, Clients, Draft, Fault, LimitOverrides, Limits, Match, RequestAttributes, Route, Said, Table,
-    check,
+    Account, Clients, ConfigError, Draft, LimitOverrides, Limits, Located, Match, RequestAttributes, Route,
+    Table, check,
 };
 use chalkwalk_time::Span;
 use serde::Deserialize;
@@ -167,12 +167,12 @@
 /// A segment holds some minutes of a busy proxy; all of them an evening.
 const USUAL_MB: (u64, u64) = (32, 1024);
 
-fn capture(c: &Spanned<CaptureFields>, lines: &Lines) -> Result<Capture, Vec<Fault>> {
+fn capture(c: &Spanned<CaptureFields>, lines: &Lines) -> Result<Capture, Vec<ConfigError>> {
     let CaptureFields { folder, keys, segment_mb, most_mb } = c.get_ref();
     let (segment, most) = (segment_mb.unwrap_or(USUAL_MB.0), most_mb.unwrap_or(USUAL_MB.1));
     if segment == 0 || most < 2 * segment || most > 1 << 24 {
         let text = "capture keeps two segments at the least, of 1 MB or more each".to_string();
-        return Err(vec![Fault { line: lines.at(c.span().start), text }]);
+        return Err(vec![ConfigError { line: lines.at(c.span().start), message: text }]);
     }
     Ok(Capture { folder: folder.clone(), keys: *keys, segment: segment << 20, most: most << 20 })
 }
@@ -216,10 +216,11 @@
     (first <= last && last < SLOTS).then_some((first, last))
 }
 
-fn resp(r: &Spanned<RespFields>, account: &Account, lines: &Lines) -> Result<Resp, Vec<Fault>> {
+fn resp(r: &Spanned<RespFields>, account: &Account, lines: &Lines) -> Result<Resp, Vec<ConfigError>> {
     let fields = r.get_ref();
     let faults = std::cell::RefCell::new(Vec::new());
-    let say = |at: usize, text: String| faults.borrow_mut().push(Fault { line: lines.at(at), text });
+    let say =
+        |at: usize, text: String| faults.borrow_mut().push(ConfigError { line: lines.at(at), message: text });
     let addr = |word: &Spanned<String>| {
         let read = word.get_ref().parse::<SocketAddr>();
         read.unwrap_or_else(|_| {
@@ -322,9 +323,9 @@
 const LEASES: std::ops::RangeInclusive<u64> = 3..=60;
 const USUAL_LEASE: u64 = 10;
 
-fn membership(m: &Spanned<MembershipFields>, lines: &Lines) -> Result<Membership, Vec<Fault>> {
+fn membership(m: &Spanned<MembershipFields>, lines: &Lines) -> Result<Membership, Vec<ConfigError>> {
     let (fields, mut faults) = (m.get_ref(), Vec::new());
-    let mut say = |at: usize, text: String| faults.push(Fault { line: lines.at(at), text });
+    let mut say = |at: usize, text: String| faults.push(ConfigError { line: lines.at(at), message: text });
     let here = m.span().start;
     let mut endpoints = Vec::new();
     for e in &fields.endpoints {
@@ -383,8 +384,8 @@
         self.0.as_bytes()[..byte.min(self.0.len())].iter().filter(|b| **b == b'\n').count() + 1
     }
 
-    fn said<T, U>(&self, value: &Option<Spanned<T>>, to: impl Fn(&T) -> U) -> Option<Said<U>> {
-        value.as_ref().map(|s| Said::new(to(s.get_ref()), self.at(s.span().start)))
+    fn said<T, U>(&self, value: &Option<Spanned<T>>, to: impl Fn(&T) -> U) -> Option<Located<U>> {
+        value.as_ref().map(|s| Located::new(to(s.get_ref()), self.at(s.span().start)))
     }
 
     fn settings(&self, f: &Fields) -> LimitOverrides {
@@ -407,11 +408,11 @@
 }
 
 /// Reads a file's text and holds it against the platform's settings. Faults come all at once, by line.
-pub fn read(text: &str, account: &Account) -> Result<Operator, Vec<Fault>> {
+pub fn read(text: &str, account: &Account) -> Result<Operator, Vec<ConfigError>> {
     let lines = Lines(text);
     let file: File = toml::from_str(text).map_err(|e| {
         let line = e.span().map_or(1, |span| lines.at(span.start));
-        vec![Fault { line, text: e.message().replace('\n', " ") }]
+        vec![ConfigError { line, message: e.message().replace('\n', " ") }]
     })?;
     // Much of a file that is still being written reads well.
     let written =
@@ -419,16 +420,16 @@
     let (last, said) = written.last().unwrap_or((0, ""));
     if said.split('#').next().unwrap_or("").trim() != "[end]" {
         let text = "the file does not end with [end]: it may have been cut short".to_string();
-        return Err(vec![Fault { line: last + 1, text }]);
+        return Err(vec![ConfigError { line: last + 1, message: text }]);
     }
     if *file.version.get_ref() != VERSION {
         let line = lines.at(file.version.span().start);
         let text =
             format!("version {} is not known; this program reads version {VERSION}", file.version.get_ref());
-        return Err(vec![Fault { line, text }]);
+        return Err(vec![ConfigError { line, message: text }]);
     }
     let class = |c: &ClassFields| {
-        let name = Said::new(c.namespace.get_ref().clone(), lines.at(c.namespace.span().start));
+        let name = Located::new(c.namespace.get_ref().clone(), lines.at(c.namespace.span().start));
         (name, lines.settings(&c.limits))
     };
     let route = |spanned: &Spanned<RouteFields>| {
@@ -443,8 +444,8 @@
         Route { name: r.name.clone(), line, when, settings: lines.settings(&r.limits) }
     };
     let clients = |c: &ClientFields| Clients {
-        tries: Said::new(*c.tries.get_ref(), lines.at(c.tries.span().start)),
-        amplification: Said::new(
+        tries: Located::new(*c.tries.get_ref(), lines.at(c.tries.span().start)),
+        amplification: Located::new(
             (c.amplification.get_ref() * 1000.0).round() as u64,
             lines.at(c.amplification.span().start),
         ),
@@ -475,8 +476,8 @@
 }
 
 /// Faults as lines of text, each with the file's name.
-pub fn worded(path: &str, faults: &[Fault]) -> String {
-    let lines: Vec<String> = faults.iter().map(|f| format!("{path}:{}: {}", f.line, f.text)).collect();
+pub fn worded(path: &str, faults: &[ConfigError]) -> String {
+    let lines: Vec<String> = faults.iter().map(|f| format!("{path}:{}: {}", f.line, f.message)).collect();
     lines.join("\n")
 }
 
--- a/crates/limits/src/check.rs
+++ b/crates/limits/src/check.rs
@@ -1,20 +1,20 @@
 //! A draft held against the platform's settings. Every fault is found at once, each with its line and the rule that it breaks.
 
-use crate::draft::{Account, Draft, LimitOverrides, Namespace, Repeats, Said};
-use crate::table::{Class, From, Limits, Table};
+use crate::draft::{Account, Draft, LimitOverrides, Located, Namespace, Repeats};
+use crate::table::{Class, LimitSource, Limits, Table};
 use chalkwalk_time::Span;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Fault {
+pub struct ConfigError {
     pub line: usize,
-    pub text: String,
+    pub message: String,
 }
 
 /// The shortest time that may be set: below it no answer comes over any network.
 const SHORTEST: Span = Span::from_millis(1);
 
 /// What holds by a draft, or all that is wrong with it.
-pub fn check(draft: &Draft, account: &Account) -> Result<Table, Vec<Fault>> {
+pub fn check(draft: &Draft, account: &Account) -> Result<Table, Vec<ConfigError>> {
     let mut faults = Faults(Vec::new());
     faults.of_names(draft, account);
     faults.of_values(draft);
@@ -30,12 +30,12 @@
     if faults.is_empty() { Ok(table) } else { Err(faults) }
 }
 
-struct Faults(Vec<Fault>);
+struct Faults(Vec<ConfigError>);
 
-fn line_of(from: &From) -> usize {
+fn line_of(from: &LimitSource) -> usize {
     match from {
-        From::Platform => 0,
-        From::Defaults(line) | From::Class(_, line) | From::Route(_, line) => *line,
+        LimitSource::Platform => 0,
+        LimitSource::Defaults(line) | LimitSource::Class(_, line) | LimitSource::Route(_, line) => *line,
     }
 }
 
@@ -45,7 +45,7 @@
 
 impl Faults {
     fn say(&mut self, line: usize, text: String) {
-        self.0.push(Fault { line, text });
+        self.0.push(ConfigError { line, message: text });
     }
 
     fn of_names(&mut self, draft: &Draft, account: &Account) {
@@ -101,21 +101,21 @@
         for (name, said) in
             [("time_limit_ms", s.time_limit), ("target_ms", s.target), ("shot_wait_ms", s.attempt_timeout)]
         {
-            if let Some(Said { line, .. }) = said.filter(|said| said.value < SHORTEST) {
+            if let Some(Located { line, .. }) = said.filter(|said| said.value < SHORTEST) {
                 self.say(line, format!("{name} is below {} ms, in which no answer comes", ms(SHORTEST)));
             }
         }
         for (name, said) in
             [("most_shots", s.max_attempts), ("open", s.open), ("longest_body", s.longest_body)]
         {
-            if let Some(Said { line, .. }) = said.filter(|said| said.value == 0) {
+            if let Some(Located { line, .. }) = said.filter(|said| said.value == 0) {
                 self.say(line, format!("{name} is 0, and nothing would be served"));
             }
         }
-        if let Some(Said { line, .. }) = s.hedge_after.filter(|said| !(500..1000).contains(&said.value)) {
+        if let Some(Located { line, .. }) = s.hedge_after.filter(|said| !(500..1000).contains(&said.value)) {
             self.say(line, "copies_after is a share of the answers, from 0.5 to 0.999".into());
         }
-        if let Some(Said { line, .. }) = s.retry_budget.filter(|said| said.value > 5000) {
+        if let Some(Located { line, .. }) = s.retry_budget.filter(|said| said.value > 5000) {
             self.say(line, "further_shots is a share of the first ones, from 0 to 5".into());
         }
     }
@@ -146,7 +146,7 @@
             ..
         } = &class.limits;
         let name = &ns.name;
-        let mut broken = |from: &[&From], text: String| {
+        let mut broken = |from: &[&LimitSource], text: String| {
             // The narrowest that had a part in it is the one to mend.
             let line = from.iter().map(|f| line_of(f)).max().unwrap_or(0);
             if line > 0 {
--- a/crates/limits/src/draft.rs
+++ b/crates/limits/src/draft.rs
@@ -4,34 +4,34 @@
 
 /// A value and the line that said it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Said<T> {
+pub struct Located<T> {
     pub value: T,
     pub line: usize,
 }
 
-impl<T> Said<T> {
-    pub fn new(value: T, line: usize) -> Said<T> {
-        Said { value, line }
+impl<T> Located<T> {
+    pub fn new(value: T, line: usize) -> Located<T> {
+        Located { value, line }
     }
 }
 
 /// What may be set; nothing said, and the next wider one holds.
 #[derive(Clone, Debug, Default)]
 pub struct LimitOverrides {
-    pub time_limit: Option<Said<Span>>,
-    pub target: Option<Said<Span>>,
-    pub max_attempts: Option<Said<u64>>,
+    pub time_limit: Option<Located<Span>>,
+    pub target: Option<Located<Span>>,
+    pub max_attempts: Option<Located<u64>>,
     /// How long a single attempt is waited for.
-    pub attempt_timeout: Option<Said<Span>>,
-    pub hedging: Option<Said<bool>>,
+    pub attempt_timeout: Option<Located<Span>>,
+    pub hedging: Option<Located<bool>>,
     /// A hedged request goes out once an attempt takes longer than so many thousandths of all answers did.
-    pub hedge_after: Option<Said<u64>>,
+    pub hedge_after: Option<Located<u64>>,
     /// Retries, in thousandths of the first ones, over a sliding time.
-    pub retry_budget: Option<Said<u64>>,
+    pub retry_budget: Option<Located<u64>>,
     /// Requests of this class open at once.
-    pub open: Option<Said<u64>>,
+    pub open: Option<Located<u64>>,
     /// Of a request, in bytes.
-    pub longest_body: Option<Said<u64>>,
+    pub longest_body: Option<Located<u64>>,
 }
 
 /// Which requests a route takes: those that meet all that is said.
@@ -55,16 +55,16 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Clients {
     /// First try included.
-    pub tries: Said<u64>,
+    pub tries: Located<u64>,
     /// How many attempts one request of a client may come to, over all its tries, in thousandths.
-    pub amplification: Said<u64>,
+    pub amplification: Located<u64>,
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct Draft {
     pub defaults: LimitOverrides,
-    pub classes: Vec<(Said<String>, LimitOverrides)>, // by namespace
-    pub routes: Vec<Route>,                           // the first that matches holds
+    pub classes: Vec<(Located<String>, LimitOverrides)>, // by namespace
+    pub routes: Vec<Route>,                              // the first that matches holds
     pub clients: Option<Clients>,
 }
 
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -10,6 +10,6 @@
 mod table;
 
 pub use budget::{RetryBudget, SlidingBudget};
-pub use check::{Fault, check};
-pub use draft::{Account, Clients, Draft, LimitOverrides, Match, Namespace, Repeats, Route, Said};
-pub use table::{Class, From, Limits, RequestAttributes, Table};
+pub use check::{ConfigError, check};
+pub use draft::{Account, Clients, Draft, LimitOverrides, Located, Match, Namespace, Repeats, Route};
+pub use table::{Class, LimitSource, Limits, RequestAttributes, Table};
--- a/crates/limits/src/table.rs
+++ b/crates/limits/src/table.rs
@@ -1,24 +1,24 @@
 //! What holds for each request, and which line said so.
 
-use crate::draft::{Account, Draft, LimitOverrides, Match, Said};
+use crate::draft::{Account, Draft, LimitOverrides, Located, Match};
 use chalkwalk_time::Span;
 
 /// Who said what holds.
 #[derive(Clone, Debug, PartialEq)]
-pub enum From {
+pub enum LimitSource {
     Platform,
     Defaults(usize),
     Class(String, usize),
     Route(String, usize),
 }
 
-impl std::fmt::Display for From {
+impl std::fmt::Display for LimitSource {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            From::Platform => write!(f, "the house"),
-            From::Defaults(line) => write!(f, "line {line}, defaults"),
-            From::Class(name, line) => write!(f, "line {line}, class {name}"),
-            From::Route(name, line) => write!(f, "line {line}, route {name}"),
+            LimitSource::Platform => write!(f, "the house"),
+            LimitSource::Defaults(line) => write!(f, "line {line}, defaults"),
+            LimitSource::Class(name, line) => write!(f, "line {line}, class {name}"),
+            LimitSource::Route(name, line) => write!(f, "line {line}, route {name}"),
         }
     }
 }
@@ -26,19 +26,19 @@
 /// What holds for the requests of one class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    pub time_limit: (Span, From),
-    pub target: (Span, From),
-    pub max_attempts: (u64, From),
+    pub time_limit: (Span, LimitSource),
+    pub target: (Span, LimitSource),
+    pub max_attempts: (u64, LimitSource),
     /// `None`: up to the time limit.
-    pub attempt_timeout: (Option<Span>, From),
-    pub hedging: (bool, From),
+    pub attempt_timeout: (Option<Span>, LimitSource),
+    pub hedging: (bool, LimitSource),
     /// `None`: only where a server is silent or an attempt lost.
-    pub hedge_after: (Option<u64>, From),
+    pub hedge_after: (Option<u64>, LimitSource),
     /// `None`: the balancer's own budget for all.
-    pub retry_budget: (Option<u64>, From),
+    pub retry_budget: (Option<u64>, LimitSource),
     /// `None`: as many as come.
-    pub open: (Option<u64>, From),
-    pub longest_body: (u64, From),
+    pub open: (Option<u64>, LimitSource),
+    pub longest_body: (u64, LimitSource),
 }
 
 /// A class: the requests of one namespace that one route takes, or that none does.
@@ -70,25 +70,29 @@
 }
 
 /// What the widest to the narrowest say, and who.
-struct Layers<'a>(Vec<(&'a LimitOverrides, &'a dyn Fn(usize) -> From)>);
+struct Layers<'a>(Vec<(&'a LimitOverrides, &'a dyn Fn(usize) -> LimitSource)>);
 
 impl Layers<'_> {
-    fn pick<T: Copy>(&self, platform: T, field: impl Fn(&LimitOverrides) -> Option<Said<T>>) -> (T, From) {
+    fn pick<T: Copy>(
+        &self,
+        platform: T,
+        field: impl Fn(&LimitOverrides) -> Option<Located<T>>,
+    ) -> (T, LimitSource) {
         let said =
             self.0.iter().rev().find_map(|(s, from)| field(s).map(|said| (said.value, from(said.line))));
-        said.unwrap_or((platform, From::Platform))
+        said.unwrap_or((platform, LimitSource::Platform))
     }
 }
 
-fn some<T>(said: Option<Said<T>>) -> Option<Said<Option<T>>> {
-    said.map(|s| Said::new(Some(s.value), s.line))
+fn some<T>(said: Option<Located<T>>) -> Option<Located<Option<T>>> {
+    said.map(|s| Located::new(Some(s.value), s.line))
 }
 
 fn limits(account: &Account, namespace: usize, layers: &Layers) -> Limits {
     let ns = &account.namespaces[namespace];
     let (time_limit, limit_from) = layers.pick(ns.time_limit, |s| s.time_limit);
     let (mut target, mut target_from) = layers.pick(ns.target, |s| s.target);
-    if target > time_limit && target_from == From::Platform {
+    if target > time_limit && target_from == LimitSource::Platform {
         // A shorter limit takes the platform's target with it.
         (target, target_from) = (time_limit, limit_from.clone());
     }
@@ -116,7 +120,7 @@
             names: account.namespaces.iter().map(|n| n.name.clone()).collect(),
             ..Table::default()
         };
-        let defaults = |line| From::Defaults(line);
+        let defaults = |line| LimitSource::Defaults(line);
         for route in std::iter::once(None).chain((0..draft.routes.len()).map(Some)) {
             let mut own = vec![None; account.namespaces.len()];
             for (i, ns) in account.namespaces.iter().enumerate() {
@@ -125,11 +129,12 @@
                     continue;
                 }
                 let class = draft.classes.iter().find(|(name, _)| name.value == ns.name);
-                let of_class = |line| From::Class(ns.name.clone(), line);
-                let of_route = |line| From::Route(taken.map_or_else(String::new, |r| r.name.clone()), line);
+                let of_class = |line| LimitSource::Class(ns.name.clone(), line);
+                let of_route =
+                    |line| LimitSource::Route(taken.map_or_else(String::new, |r| r.name.clone()), line);
                 let mut layers = Layers(vec![(&draft.defaults, &defaults)]);
-                layers.0.extend(class.map(|(_, s)| (s, &of_class as &dyn Fn(usize) -> From)));
-                layers.0.extend(taken.map(|r| (&r.settings, &of_route as &dyn Fn(usize) -> From)));
+                layers.0.extend(class.map(|(_, s)| (s, &of_class as &dyn Fn(usize) -> LimitSource)));
+                layers.0.extend(taken.map(|r| (&r.settings, &of_route as &dyn Fn(usize) -> LimitSource)));
                 let limits = limits(account, i, &layers);
                 own[i] = Some(table.classes.len());
                 table.classes.push(Class { namespace: i, route, limits });
--- a/crates/limits/tests/accepted.rs
+++ b/crates/limits/tests/accepted.rs
@@ -32,11 +32,11 @@
 fn settings() -> impl Strategy<Value = LimitOverrides> {
     let line = 1usize..50;
     let span =
-        |ticks: Option<Said<u64>>| ticks.map(|said| Said::new(Span::from_ticks(said.value), said.line));
-    let said = |range: std::ops::Range<u64>| of((range, 1usize..50).prop_map(|(v, l)| Said::new(v, l)));
+        |ticks: Option<Located<u64>>| ticks.map(|said| Located::new(Span::from_ticks(said.value), said.line));
+    let said = |range: std::ops::Range<u64>| of((range, 1usize..50).prop_map(|(v, l)| Located::new(v, l)));
     (
         (said(0..25_000), said(0..25_000), said(0..8), said(0..25_000)),
-        (of((any::<bool>(), line).prop_map(|(v, l)| Said::new(v, l))), said(400..1100), said(0..6000)),
+        (of((any::<bool>(), line).prop_map(|(v, l)| Located::new(v, l))), said(400..1100), said(0..6000)),
         (said(0..9), said(0..1200)),
     )
         .prop_map(
@@ -66,7 +66,7 @@
 }
 
 fn draft() -> impl Strategy<Value = Draft> {
-    let class = |name: &'static str| settings().prop_map(move |s| (Said::new(name.to_string(), 60), s));
+    let class = |name: &'static str| settings().prop_map(move |s| (Located::new(name.to_string(), 60), s));
     let route = (of("/[ab]{0,2}"), name(), settings());
     let clients = of((1u64..5, 500u64..9000));
     (settings(), of(class("page")), of(class("record")), proptest::collection::vec(route, 0..3), clients)
@@ -84,15 +84,15 @@
                 })
                 .collect(),
             clients: clients.map(|(tries, most)| Clients {
-                tries: Said::new(tries, 90),
-                amplification: Said::new(most, 91),
+                tries: Located::new(tries, 90),
+                amplification: Located::new(most, 91),
             }),
         })
 }
 
 /// What somebody set, as against what the platform has anyway.
-fn set<T: Copy>(said: &(T, From)) -> Option<T> {
-    (said.1 != From::Platform).then_some(said.0)
+fn set<T: Copy>(said: &(T, LimitSource)) -> Option<T> {
+    (said.1 != LimitSource::Platform).then_some(said.0)
 }
 
 proptest! {
@@ -145,6 +145,9 @@
 fn nothing_said_changes_nothing() {
     let table = check(&Draft::default(), &account()).expect("an empty file");
     assert!(
-        table.classes().iter().all(|c| c.limits.time_limit == (Span::from_ticks(20_000), From::Platform))
+        table
+            .classes()
+            .iter()
+            .all(|c| c.limits.time_limit == (Span::from_ticks(20_000), LimitSource::Platform))
     );
 }
