--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -4,8 +4,8 @@
 //! It may use serde, toml and `limits`; nothing of the running proxy enters it.
 
 use chalkwalk_limits::{
-    Account, Clients, ConfigError, Draft, LimitOverrides, Limits, Located, Match, RequestAttributes, Route,
-    Table, check,
+    Clients, ConfigError, Draft, LimitOverrides, Limits, Located, Match, PlatformLimits, RequestAttributes,
+    Route, Table, check,
 };
 use chalkwalk_time::Span;
 use serde::Deserialize;
@@ -216,7 +216,11 @@
     (first <= last && last < SLOTS).then_some((first, last))
 }
 
-fn resp(r: &Spanned<RespFields>, account: &Account, lines: &Lines) -> Result<Resp, Vec<ConfigError>> {
+fn resp(
+    r: &Spanned<RespFields>,
+    platform_limits: &PlatformLimits,
+    lines: &Lines,
+) -> Result<Resp, Vec<ConfigError>> {
     let fields = r.get_ref();
     let faults = std::cell::RefCell::new(Vec::new());
     let say =
@@ -229,7 +233,7 @@
         })
     };
     let namespace = |word: &Spanned<String>| {
-        let place = account.namespaces.iter().position(|n| n.name == *word.get_ref());
+        let place = platform_limits.namespaces.iter().position(|n| n.name == *word.get_ref());
         place.unwrap_or_else(|| {
             say(word.span().start, format!("\"{}\" is no namespace of the house", word.get_ref()));
             0
@@ -408,7 +412,7 @@
 }
 
 /// Reads a file's text and holds it against the platform's settings. Faults come all at once, by line.
-pub fn read(text: &str, account: &Account) -> Result<Operator, Vec<ConfigError>> {
+pub fn read(text: &str, platform_limits: &PlatformLimits) -> Result<Operator, Vec<ConfigError>> {
     let lines = Lines(text);
     let file: File = toml::from_str(text).map_err(|e| {
         let line = e.span().map_or(1, |span| lines.at(span.start));
@@ -457,9 +461,9 @@
         clients: file.clients.as_ref().map(clients),
     };
     let membership = file.membership.as_ref().map(|m| membership(m, &lines)).transpose();
-    let resp = file.resp.as_ref().map(|r| resp(r, account, &lines)).transpose();
+    let resp = file.resp.as_ref().map(|r| resp(r, platform_limits, &lines)).transpose();
     let capture = file.capture.as_ref().map(|c| capture(c, &lines)).transpose();
-    match (check(&draft, account), membership, resp, capture) {
+    match (check(&draft, platform_limits), membership, resp, capture) {
         (Ok(limits), Ok(membership), Ok(resp), Ok(capture)) => {
             Ok(Operator { limits, membership, resp, capture })
         }
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -1,27 +1,27 @@
 //! Files as operators write them: bad ones are refused at load with every fault, its line, and the rule in plain words.
 
 use chalkwalk_config::{explain, read, worded};
-use chalkwalk_limits::{Account, Namespace, Repeats, RequestAttributes};
+use chalkwalk_limits::{Idempotency, Namespace, PlatformLimits, RequestAttributes};
 use chalkwalk_time::Span;
 use expect_test::expect;
 
-fn account() -> Account {
-    let namespace = |name: &str, repeats, limit| Namespace {
+fn platform_limits() -> PlatformLimits {
+    let namespace = |name: &str, idempotency, limit| Namespace {
         name: name.into(),
         time_limit: limit,
         target: limit / 2,
-        repeats,
-        window: Span::from_ticks(15_000),
+        idempotency,
+        dedup_window: Span::from_ticks(15_000),
     };
-    Account {
+    PlatformLimits {
         max_attempts: 6,
         hedging: true,
         connect_time: Span::from_ticks(1000),
         longest_body: 65_536,
         namespaces: vec![
-            namespace("page", Repeats::Replayable, Span::from_ticks(10_000)),
-            namespace("record", Repeats::Tagged, Span::from_ticks(20_000)),
-            namespace("once", Repeats::SingleUse, Span::from_ticks(20_000)),
+            namespace("page", Idempotency::Replayable, Span::from_ticks(10_000)),
+            namespace("record", Idempotency::Tagged, Span::from_ticks(20_000)),
+            namespace("once", Idempotency::SingleUse, Span::from_ticks(20_000)),
         ],
         tenants: vec!["north".into()],
         doors: vec!["http".into()],
@@ -32,7 +32,7 @@
 fn refused(files: &[&str]) -> String {
     let said = files.iter().map(|file| {
         let text = format!("version = 1\n{file}\n[end]\n");
-        match read(&text, &account()) {
+        match read(&text, &platform_limits()) {
             Ok(_) => format!("TAKEN: {file}\n"),
             Err(faults) => worded("f", &faults) + "\n",
         }
@@ -108,7 +108,7 @@
     ];
     let files: Vec<&str> = files.iter().map(String::as_str).collect();
     assert!(files.len() >= 30);
-    let said = refused(&files) + &worded("f", &read("version = 2\n[end]", &account()).unwrap_err());
+    let said = refused(&files) + &worded("f", &read("version = 2\n[end]", &platform_limits()).unwrap_err());
     assert!(!said.contains("TAKEN"), "{said}");
     expect![[r#"
         f:5: record: second copies of a tagged lookup would run it twice
@@ -189,7 +189,7 @@
 fn the_narrowest_that_says_something_holds_and_is_named() {
     let text = "version = 1\n[defaults]\nopen = 100\n[[class]]\nnamespace = 'page'\n[class.limits]\nmost_shots = 4\n\
                 open = 50\n[[route]]\nname = 'kiosk'\npath = '/kiosk/'\n[route.limits]\nopen = 5\n[end]\n";
-    let table = read(text, &account()).expect("a good file").limits;
+    let table = read(text, &platform_limits()).expect("a good file").limits;
     let said = ["/kiosk/a", "/a"]
         .map(|path| explain(&table, RequestAttributes { namespace: 0, path, tenant: "", door: "http" }));
     expect![[r#"
@@ -220,10 +220,12 @@
 #[test]
 fn the_example_is_taken_where_the_house_is_that_of_the_labs_fleets() {
     let text = include_str!("../../../deploy/operator.toml");
-    let mut account = account();
-    account.namespaces.insert(1, Namespace { name: "chunk".into(), ..account.namespaces[0].clone() });
-    account.namespaces.truncate(3);
-    if let Err(faults) = read(text, &account) {
+    let mut platform_limits = platform_limits();
+    platform_limits
+        .namespaces
+        .insert(1, Namespace { name: "chunk".into(), ..platform_limits.namespaces[0].clone() });
+    platform_limits.namespaces.truncate(3);
+    if let Err(faults) = read(text, &platform_limits) {
         panic!("{}", worded("deploy/operator.toml", &faults));
     }
 }
@@ -231,13 +233,15 @@
 #[test]
 fn a_file_that_is_cut_short_anywhere_is_refused() {
     let text = include_str!("../../../deploy/operator.toml");
-    let mut account = account();
-    account.namespaces.insert(1, Namespace { name: "chunk".into(), ..account.namespaces[0].clone() });
+    let mut platform_limits = platform_limits();
+    platform_limits
+        .namespaces
+        .insert(1, Namespace { name: "chunk".into(), ..platform_limits.namespaces[0].clone() });
     let end = text.rfind("[end]").expect("an end") + "[end]".len();
     let taken: Vec<usize> = (0..end)
         .filter(|cut| text.is_char_boundary(*cut))
-        .filter(|cut| read(&text[..*cut], &account).is_ok())
+        .filter(|cut| read(&text[..*cut], &platform_limits).is_ok())
         .collect();
     assert_eq!(taken, [0usize; 0]);
-    assert!(read(&text[..end], &account).is_ok());
+    assert!(read(&text[..end], &platform_limits).is_ok());
 }
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -12,7 +12,7 @@
 
 use chalkwalk_engine::config::EngineConfig;
 use chalkwalk_http1 as http1;
-use chalkwalk_limits::{Account, Namespace, Repeats};
+use chalkwalk_limits::{Idempotency, Namespace, PlatformLimits};
 use chalkwalk_settings::PlatformSettings;
 use chalkwalk_settings::fields::{Object, Read, object, text, text_or, whole};
 use chalkwalk_time::Span;
@@ -88,14 +88,14 @@
             name: name.clone(),
             time_limit: Span::from_ticks(limit(i)),
             target: ticks(&format!("namespace {i} target time"), 1e4),
-            repeats: match word(i, "repeats") {
-                "replayable" => Repeats::Replayable,
-                "tagged" => Repeats::Tagged,
-                _ => Repeats::SingleUse,
+            idempotency: match word(i, "repeats") {
+                "replayable" => Idempotency::Replayable,
+                "tagged" => Idempotency::Tagged,
+                _ => Idempotency::SingleUse,
             },
-            window: ticks(&format!("namespace {i} window"), 0.0),
+            dedup_window: ticks(&format!("namespace {i} window"), 0.0),
         };
-        let account = Account {
+        let platform_limits = PlatformLimits {
             max_attempts: number("most shots", 1.0) as u64,
             hedging: number("second copies", 0.0) > 0.0,
             connect_time: ticks("connect time", 1e4),
@@ -115,7 +115,7 @@
             },
             // The least that a proxy is given.
             memory: limits.get("memory_mb").and_then(Value::as_u64).unwrap_or(32) as usize * 1_000_000,
-            account,
+            platform_limits,
             limits: None,
             connect_timeout: duration("connect time", 1e4).into(),
             idle_timeout: duration("idle time", 1e5),
--- a/crates/engine/src/api.rs
+++ b/crates/engine/src/api.rs
@@ -102,7 +102,7 @@
     let limits = rules.limits.take();
     engine.config.connect_timeout.set(rules.connect_timeout.get());
     engine.config.drain_grace.set(rules.drain_grace.get());
-    engine.classes.apply_settings(rules.settings, rules.account, limits);
+    engine.classes.apply_settings(rules.settings, rules.platform_limits, limits);
     let settings = engine.classes.balancer_settings();
     call(engine, |requests, now| requests.renewed(now, &settings, |_| None));
 }
--- a/crates/engine/src/classes.rs
+++ b/crates/engine/src/classes.rs
@@ -1,6 +1,6 @@
 //! Which limits hold for which requests, and the same in the words that the balancer reads.
 
-use chalkwalk_limits::{Account, RequestAttributes, Table};
+use chalkwalk_limits::{PlatformLimits, RequestAttributes, Table};
 use chalkwalk_time::Span;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 
 struct ActiveSettings {
     settings: BTreeMap<String, String>,
-    account: Account,
+    platform_limits: PlatformLimits,
     from_settings: Rc<Table>,
     limits: Option<Rc<Table>>, // what an operator has set
     longest: Span,             // of the time limits now and before
@@ -31,11 +31,11 @@
 impl RequestClasses {
     pub fn new(
         settings: BTreeMap<String, String>,
-        account: Account,
+        platform_limits: PlatformLimits,
         limits: Option<Table>,
     ) -> RequestClasses {
         RequestClasses {
-            now: RefCell::new(ActiveSettings::new(settings, account, limits, Span::ZERO)),
+            now: RefCell::new(ActiveSettings::new(settings, platform_limits, limits, Span::ZERO)),
             generation: Cell::new(0),
         }
     }
@@ -50,11 +50,11 @@
     pub fn apply_settings(
         &self,
         settings: BTreeMap<String, String>,
-        account: Account,
+        platform_limits: PlatformLimits,
         limits: Option<Table>,
     ) {
         let longest = self.longest_time_limit();
-        *self.now.borrow_mut() = ActiveSettings::new(settings, account, limits, longest);
+        *self.now.borrow_mut() = ActiveSettings::new(settings, platform_limits, limits, longest);
         self.generation.set(self.generation.get() + 1);
     }
 
@@ -64,7 +64,7 @@
 
     /// Of a body in bytes, whatever its class.
     pub fn longest_body(&self) -> u64 {
-        self.now.borrow().account.longest_body
+        self.now.borrow().platform_limits.longest_body
     }
 
     /// Of the time limits of all requests that may be open.
@@ -73,7 +73,7 @@
     }
 
     pub fn namespace_names(&self) -> Vec<String> {
-        self.now.borrow().account.namespaces.iter().map(|n| n.name.clone()).collect()
+        self.now.borrow().platform_limits.namespaces.iter().map(|n| n.name.clone()).collect()
     }
 
     /// What the platform says, by its names, without what an operator has set.
@@ -138,15 +138,15 @@
 impl ActiveSettings {
     fn new(
         settings: BTreeMap<String, String>,
-        account: Account,
+        platform_limits: PlatformLimits,
         limits: Option<Table>,
         longest: Span,
     ) -> ActiveSettings {
-        let own = account.namespaces.iter().map(|n| n.time_limit).max().unwrap_or(Span::ZERO);
-        let from_settings = Rc::new(Table::from_settings(&account));
+        let own = platform_limits.namespaces.iter().map(|n| n.time_limit).max().unwrap_or(Span::ZERO);
+        let from_settings = Rc::new(Table::from_settings(&platform_limits));
         ActiveSettings {
             settings,
-            account,
+            platform_limits,
             from_settings,
             limits: limits.map(Rc::new),
             longest: longest.max(own),
--- a/crates/engine/src/config.rs
+++ b/crates/engine/src/config.rs
@@ -1,6 +1,6 @@
 //! What the engine is told at its start.
 
-use chalkwalk_limits::{Account, Table};
+use chalkwalk_limits::{PlatformLimits, Table};
 use chalkwalk_time::Span;
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
     /// What limits an operator may set.
-    pub account: Account,
+    pub platform_limits: PlatformLimits,
     /// What an operator has set, if one has.
     pub limits: Option<Table>,
     pub connect_timeout: Cell<Duration>,
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -56,7 +56,7 @@
         let servers = ServerRegistry::new(&config.zones, &config.kinds);
         let classes = RequestClasses::new(
             std::mem::take(&mut config.settings),
-            std::mem::take(&mut config.account),
+            std::mem::take(&mut config.platform_limits),
             config.limits.take(),
         );
         let clock = Clock::default();
--- a/crates/limits/src/check.rs
+++ b/crates/limits/src/check.rs
@@ -1,6 +1,6 @@
 //! A draft held against the platform's settings. Every fault is found at once, each with its line and the rule that it breaks.
 
-use crate::draft::{Account, Draft, LimitOverrides, Located, Namespace, Repeats};
+use crate::draft::{Draft, Idempotency, LimitOverrides, Located, Namespace, PlatformLimits};
 use crate::table::{Class, LimitSource, Limits, Table};
 use chalkwalk_time::Span;
 
@@ -14,16 +14,16 @@
 const SHORTEST: Span = Span::from_millis(1);
 
 /// What holds by a draft, or all that is wrong with it.
-pub fn check(draft: &Draft, account: &Account) -> Result<Table, Vec<ConfigError>> {
+pub fn check(draft: &Draft, platform_limits: &PlatformLimits) -> Result<Table, Vec<ConfigError>> {
     let mut faults = Faults(Vec::new());
-    faults.of_names(draft, account);
+    faults.of_names(draft, platform_limits);
     faults.of_values(draft);
     faults.of_routes(draft);
-    let table = Table::of(draft, account);
+    let table = Table::of(draft, platform_limits);
     for class in table.classes() {
-        faults.of_class(class, &account.namespaces[class.namespace], account);
+        faults.of_class(class, &platform_limits.namespaces[class.namespace], platform_limits);
     }
-    faults.of_clients(draft, &table, account);
+    faults.of_clients(draft, &table, platform_limits);
     let Faults(mut faults) = faults;
     faults.sort();
     faults.dedup();
@@ -48,8 +48,8 @@
         self.0.push(ConfigError { line, message: text });
     }
 
-    fn of_names(&mut self, draft: &Draft, account: &Account) {
-        let known = |name: &str| account.namespaces.iter().any(|n| n.name == name);
+    fn of_names(&mut self, draft: &Draft, platform_limits: &PlatformLimits) {
+        let known = |name: &str| platform_limits.namespaces.iter().any(|n| n.name == name);
         for (i, (name, _)) in draft.classes.iter().enumerate() {
             if !known(&name.value) {
                 self.say(name.line, format!("class \"{}\" is no namespace of the house", name.value));
@@ -68,11 +68,11 @@
                     format!("route {}: \"{name}\" is no namespace of the house", route.name),
                 );
             }
-            if let Some(name) = unknown(&route.when.tenant, &account.tenants) {
+            if let Some(name) = unknown(&route.when.tenant, &platform_limits.tenants) {
                 self.say(route.line, format!("route {}: \"{name}\" is no tenant of the house", route.name));
             }
-            if let Some(name) = unknown(&route.when.door, &account.doors) {
-                let doors = account.doors.join(", ");
+            if let Some(name) = unknown(&route.when.door, &platform_limits.doors) {
+                let doors = platform_limits.doors.join(", ");
                 self.say(
                     route.line,
                     format!("route {}: there is no door \"{name}\", only {doors}", route.name),
@@ -133,8 +133,8 @@
         }
     }
 
-    /// One class against the account. Each rule names the line that made it break; where the platform alone would, none does.
-    fn of_class(&mut self, class: &Class, ns: &Namespace, account: &Account) {
+    /// One class against the platform_limits. Each rule names the line that made it break; where the platform alone would, none does.
+    fn of_class(&mut self, class: &Class, ns: &Namespace, platform_limits: &PlatformLimits) {
         let Limits {
             time_limit,
             target,
@@ -169,29 +169,29 @@
             );
             broken(&[&target.1, &time_limit.1], text);
         }
-        if max_attempts.0 > account.max_attempts {
+        if max_attempts.0 > platform_limits.max_attempts {
             let text = format!(
                 "{} shots are more than the {} that the house allows",
-                max_attempts.0, account.max_attempts
+                max_attempts.0, platform_limits.max_attempts
             );
             broken(&[&max_attempts.1], text);
         }
-        if class.limits.longest_body.0 > account.longest_body {
+        if class.limits.longest_body.0 > platform_limits.longest_body {
             let text = format!(
                 "a body of {} bytes is above the house's {}",
-                class.limits.longest_body.0, account.longest_body
+                class.limits.longest_body.0, platform_limits.longest_body
             );
             broken(&[&class.limits.longest_body.1], text);
         }
         let copies = hedging.0;
-        if copies && ns.repeats != Repeats::Replayable {
-            let kind = if ns.repeats == Repeats::Tagged { "tagged" } else { "single-use" };
+        if copies && ns.idempotency != Idempotency::Replayable {
+            let kind = if ns.idempotency == Idempotency::Tagged { "tagged" } else { "single-use" };
             broken(&[&hedging.1], format!("second copies of a {kind} lookup would run it twice"));
         }
-        if copies && !account.hedging {
+        if copies && !platform_limits.hedging {
             broken(&[&hedging.1], "the house allows no second copies".into());
         }
-        if hedge_after.0.is_some() && !copies && ns.repeats == Repeats::Replayable {
+        if hedge_after.0.is_some() && !copies && ns.idempotency == Idempotency::Replayable {
             let text = "copies_after is set, and second copies are not allowed".into();
             broken(&[&hedge_after.1, &hedging.1], text);
         }
@@ -208,10 +208,10 @@
         }
         let Some(wait) = attempt_timeout.0 else {
             // Unless an attempt is given up before, the last may start at the end of the time limit.
-            if ns.repeats == Repeats::Tagged && max_attempts.0 > 1 && ns.window < time_limit.0 {
+            if ns.idempotency == Idempotency::Tagged && max_attempts.0 > 1 && ns.dedup_window < time_limit.0 {
                 let text = format!(
                     "caches drop repeats for {} ms only, and the last shot may start later: set shot_wait_ms, a shorter time limit or most_shots = 1",
-                    ms(ns.window)
+                    ms(ns.dedup_window)
                 );
                 broken(&[&max_attempts.1, &time_limit.1], text);
             }
@@ -224,8 +224,8 @@
                 ms(time_limit.0)
             );
             broken(&[&attempt_timeout.1, &time_limit.1], text);
-        } else if max_attempts.0 * (wait + account.connect_time) > time_limit.0 {
-            let each = ms(wait + account.connect_time);
+        } else if max_attempts.0 * (wait + platform_limits.connect_time) > time_limit.0 {
+            let each = ms(wait + platform_limits.connect_time);
             let text = format!(
                 "{} shots of {each} ms each, connecting included, do not end within the time limit of {} ms",
                 max_attempts.0,
@@ -233,19 +233,19 @@
             );
             broken(&[&attempt_timeout.1, &max_attempts.1, &time_limit.1], text);
         }
-        let last = (max_attempts.0.max(1) - 1) * (wait + account.connect_time);
-        if ns.repeats == Repeats::Tagged && last > ns.window {
+        let last = (max_attempts.0.max(1) - 1) * (wait + platform_limits.connect_time);
+        if ns.idempotency == Idempotency::Tagged && last > ns.dedup_window {
             let text = format!(
                 "the last shot may start {} ms after the first, and caches drop repeats for {} ms only",
                 ms(last),
-                ms(ns.window)
+                ms(ns.dedup_window)
             );
             broken(&[&attempt_timeout.1, &max_attempts.1], text);
         }
     }
 
     /// What clients do by themselves multiplies what is done for each of their tries.
-    fn of_clients(&mut self, draft: &Draft, table: &Table, account: &Account) {
+    fn of_clients(&mut self, draft: &Draft, table: &Table, platform_limits: &PlatformLimits) {
         let Some(clients) = draft.clients else { return };
         if clients.tries.value == 0 {
             self.say(clients.tries.line, "tries counts the first one: it is 1 at the least".into());
@@ -258,7 +258,7 @@
             if comes_to > clients.amplification.value {
                 let text = format!(
                     "{}: {} tries of a client with {} shots each come to {}, and {} is the most that was stated: set further_shots",
-                    account.namespaces[class.namespace].name,
+                    platform_limits.namespaces[class.namespace].name,
                     clients.tries.value,
                     attempts as f64 / 1000.0,
                     comes_to as f64 / 1000.0,
--- a/crates/limits/src/draft.rs
+++ b/crates/limits/src/draft.rs
@@ -69,7 +69,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeats {
+pub enum Idempotency {
     Replayable,
     Tagged,
     SingleUse,
@@ -81,14 +81,14 @@
     pub name: String,
     pub time_limit: Span,
     pub target: Span,
-    pub repeats: Repeats,
+    pub idempotency: Idempotency,
     /// In which servers drop repeats of a tagged request.
-    pub window: Span,
+    pub dedup_window: Span,
 }
 
-/// The platform's settings: the account that a file has to keep to.
+/// The platform's settings: the platform_limits that a file has to keep to.
 #[derive(Clone, Debug, Default)]
-pub struct Account {
+pub struct PlatformLimits {
     pub max_attempts: u64,
     pub hedging: bool,
     pub connect_time: Span,
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -11,5 +11,7 @@
 
 pub use budget::{RetryBudget, SlidingBudget};
 pub use check::{ConfigError, check};
-pub use draft::{Account, Clients, Draft, LimitOverrides, Located, Match, Namespace, Repeats, Route};
+pub use draft::{
+    Clients, Draft, Idempotency, LimitOverrides, Located, Match, Namespace, PlatformLimits, Route,
+};
 pub use table::{Class, LimitSource, Limits, RequestAttributes, Table};
--- a/crates/limits/src/table.rs
+++ b/crates/limits/src/table.rs
@@ -1,6 +1,6 @@
 //! What holds for each request, and which line said so.
 
-use crate::draft::{Account, Draft, LimitOverrides, Located, Match};
+use crate::draft::{Draft, LimitOverrides, Located, Match, PlatformLimits};
 use chalkwalk_time::Span;
 
 /// Who said what holds.
@@ -88,8 +88,8 @@
     said.map(|s| Located::new(Some(s.value), s.line))
 }
 
-fn limits(account: &Account, namespace: usize, layers: &Layers) -> Limits {
-    let ns = &account.namespaces[namespace];
+fn limits(platform_limits: &PlatformLimits, namespace: usize, layers: &Layers) -> Limits {
+    let ns = &platform_limits.namespaces[namespace];
     let (time_limit, limit_from) = layers.pick(ns.time_limit, |s| s.time_limit);
     let (mut target, mut target_from) = layers.pick(ns.target, |s| s.target);
     if target > time_limit && target_from == LimitSource::Platform {
@@ -97,33 +97,33 @@
         (target, target_from) = (time_limit, limit_from.clone());
     }
     // Hedged requests are for what may run twice, whatever wider ones say.
-    let copies = account.hedging && ns.repeats == crate::Repeats::Replayable;
+    let copies = platform_limits.hedging && ns.idempotency == crate::Idempotency::Replayable;
     let (said, copies_from) = layers.pick(copies, |s| s.hedging);
     Limits {
         time_limit: (time_limit, limit_from),
         target: (target, target_from),
-        max_attempts: layers.pick(account.max_attempts, |s| s.max_attempts),
+        max_attempts: layers.pick(platform_limits.max_attempts, |s| s.max_attempts),
         attempt_timeout: layers.pick(None, |s| some(s.attempt_timeout)),
         hedging: (said, copies_from),
         hedge_after: layers.pick(None, |s| some(s.hedge_after)),
         retry_budget: layers.pick(None, |s| some(s.retry_budget)),
         open: layers.pick(None, |s| some(s.open)),
-        longest_body: layers.pick(account.longest_body, |s| s.longest_body),
+        longest_body: layers.pick(platform_limits.longest_body, |s| s.longest_body),
     }
 }
 
 impl Table {
     /// What holds by a draft, checked or not.
-    pub(crate) fn of(draft: &Draft, account: &Account) -> Table {
+    pub(crate) fn of(draft: &Draft, platform_limits: &PlatformLimits) -> Table {
         let mut table = Table {
             routes: draft.routes.iter().map(|r| (r.when.clone(), r.name.clone())).collect(),
-            names: account.namespaces.iter().map(|n| n.name.clone()).collect(),
+            names: platform_limits.namespaces.iter().map(|n| n.name.clone()).collect(),
             ..Table::default()
         };
         let defaults = |line| LimitSource::Defaults(line);
         for route in std::iter::once(None).chain((0..draft.routes.len()).map(Some)) {
-            let mut own = vec![None; account.namespaces.len()];
-            for (i, ns) in account.namespaces.iter().enumerate() {
+            let mut own = vec![None; platform_limits.namespaces.len()];
+            for (i, ns) in platform_limits.namespaces.iter().enumerate() {
                 let taken = route.map(|r| &draft.routes[r]);
                 if taken.is_some_and(|r| r.when.namespace.as_ref().is_some_and(|n| *n != ns.name)) {
                     continue;
@@ -135,7 +135,7 @@
                 let mut layers = Layers(vec![(&draft.defaults, &defaults)]);
                 layers.0.extend(class.map(|(_, s)| (s, &of_class as &dyn Fn(usize) -> LimitSource)));
                 layers.0.extend(taken.map(|r| (&r.settings, &of_route as &dyn Fn(usize) -> LimitSource)));
-                let limits = limits(account, i, &layers);
+                let limits = limits(platform_limits, i, &layers);
                 own[i] = Some(table.classes.len());
                 table.classes.push(Class { namespace: i, route, limits });
             }
@@ -147,8 +147,8 @@
     }
 
     /// What holds where no operator says anything.
-    pub fn from_settings(account: &Account) -> Table {
-        Table::of(&Draft::default(), account)
+    pub fn from_settings(platform_limits: &PlatformLimits) -> Table {
+        Table::of(&Draft::default(), platform_limits)
     }
 
     pub fn classes(&self) -> &[Class] {
--- a/crates/limits/tests/accepted.rs
+++ b/crates/limits/tests/accepted.rs
@@ -6,23 +6,23 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-fn account() -> Account {
-    let namespace = |name: &str, repeats| Namespace {
+fn platform_limits() -> PlatformLimits {
+    let namespace = |name: &str, idempotency| Namespace {
         name: name.into(),
         time_limit: Span::from_ticks(20_000),
         target: Span::from_ticks(8_000),
-        repeats,
-        window: Span::from_ticks(15_000),
+        idempotency,
+        dedup_window: Span::from_ticks(15_000),
     };
-    Account {
+    PlatformLimits {
         max_attempts: 6,
         hedging: true,
         connect_time: Span::from_ticks(500),
         longest_body: 1000,
         namespaces: vec![
-            namespace("page", Repeats::Replayable),
-            namespace("record", Repeats::Tagged),
-            namespace("once", Repeats::SingleUse),
+            namespace("page", Idempotency::Replayable),
+            namespace("record", Idempotency::Tagged),
+            namespace("once", Idempotency::SingleUse),
         ],
         tenants: Vec::new(),
         doors: Vec::new(),
@@ -100,21 +100,21 @@
 
     #[test]
     fn what_is_accepted_keeps_the_rules(draft in draft()) {
-        let account = account();
-        let Ok(table) = check(&draft, &account) else { return Ok(()) };
+        let platform_limits = platform_limits();
+        let Ok(table) = check(&draft, &platform_limits) else { return Ok(()) };
         for class in table.classes() {
-            let (l, ns) = (&class.limits, &account.namespaces[class.namespace]);
+            let (l, ns) = (&class.limits, &platform_limits.namespaces[class.namespace]);
             prop_assert!(l.time_limit.0 <= ns.time_limit && l.target.0 <= l.time_limit.0);
-            prop_assert!(l.max_attempts.0 >= 1 && l.max_attempts.0 <= account.max_attempts);
-            prop_assert!(l.longest_body.0 <= account.longest_body);
-            prop_assert!(!l.hedging.0 || ns.repeats == Repeats::Replayable);
+            prop_assert!(l.max_attempts.0 >= 1 && l.max_attempts.0 <= platform_limits.max_attempts);
+            prop_assert!(l.longest_body.0 <= platform_limits.longest_body);
+            prop_assert!(!l.hedging.0 || ns.idempotency == Idempotency::Replayable);
             prop_assert!(l.open.0 != Some(0));
             if let Some(wait) = l.attempt_timeout.0 {
-                let each = wait + account.connect_time;
+                let each = wait + platform_limits.connect_time;
                 prop_assert!(l.max_attempts.0 * each <= l.time_limit.0);
-                prop_assert!(ns.repeats != Repeats::Tagged || (l.max_attempts.0 - 1) * each <= ns.window);
-            } else if ns.repeats == Repeats::Tagged && set(&l.max_attempts).is_some() {
-                prop_assert!(l.max_attempts.0 == 1 || l.time_limit.0 <= ns.window);
+                prop_assert!(ns.idempotency != Idempotency::Tagged || (l.max_attempts.0 - 1) * each <= ns.dedup_window);
+            } else if ns.idempotency == Idempotency::Tagged && set(&l.max_attempts).is_some() {
+                prop_assert!(l.max_attempts.0 == 1 || l.time_limit.0 <= ns.dedup_window);
             }
             if let Some(share) = l.retry_budget.0 {
                 prop_assert!(share <= (l.max_attempts.0 - 1) * 1000);
@@ -125,7 +125,7 @@
             }
         }
         // Each request has a class, of its own namespace.
-        for namespace in 0..account.namespaces.len() {
+        for namespace in 0..platform_limits.namespaces.len() {
             for path in ["/", "/a", "/ab", "/bb/c", ""] {
                 let class = table.find(RequestAttributes { namespace, path, tenant: "", door: "" });
                 prop_assert_eq!(table.classes()[class].namespace, namespace);
@@ -135,7 +135,7 @@
 
     #[test]
     fn faults_name_a_line_that_somebody_wrote(draft in draft()) {
-        if let Err(faults) = check(&draft, &account()) {
+        if let Err(faults) = check(&draft, &platform_limits()) {
             prop_assert!(!faults.is_empty() && faults.iter().all(|f| f.line > 0));
         }
     }
@@ -143,7 +143,7 @@
 
 #[test]
 fn nothing_said_changes_nothing() {
-    let table = check(&Draft::default(), &account()).expect("an empty file");
+    let table = check(&Draft::default(), &platform_limits()).expect("an empty file");
     assert!(
         table
             .classes()
--- a/crates/proxy/src/given.rs
+++ b/crates/proxy/src/given.rs
@@ -21,14 +21,14 @@
     /// Both, or what is wrong with either.
     pub fn read(&self) -> Result<Read, String> {
         let mut rules = StartupConfig::load(&self.config)?;
-        rules.engine.account.doors = vec![
+        rules.engine.platform_limits.doors = vec![
             chalkwalk_http_frontend::FRONTEND_NAME.to_string(),
             chalkwalk_resp_frontend::FRONTEND_NAME.to_string(),
         ];
         let (mut membership, mut resp, mut capture) = (None, None, None);
         if let Some(path) = &self.operator {
             let text = std::fs::read_to_string(path).map_err(|e| format!("cannot read {path}: {e}"))?;
-            let said = operator::read(&text, &rules.engine.account);
+            let said = operator::read(&text, &rules.engine.platform_limits);
             let said = said.map_err(|faults| operator::worded(path, &faults))?;
             rules.engine.limits = Some(said.limits);
             (membership, resp, capture) = (said.membership, said.resp, said.capture);
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -122,8 +122,10 @@
     let place = rules.namespaces.iter().position(|n| *n == namespace);
     let place =
         place.ok_or(format!("no namespace \"{namespace}\"; there are {}", rules.namespaces.join(", ")))?;
-    let table =
-        rules.engine.limits.unwrap_or_else(|| chalkwalk_limits::Table::from_settings(&rules.engine.account));
+    let table = rules
+        .engine
+        .limits
+        .unwrap_or_else(|| chalkwalk_limits::Table::from_settings(&rules.engine.platform_limits));
     let door = if door.is_empty() { chalkwalk_http_frontend::FRONTEND_NAME } else { &door };
     print!(
         "{}",
