--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -4,8 +4,8 @@
 //! It may use serde, toml and `limits`; nothing of the running proxy enters it.
 
 use chalkwalk_limits::{
-    Clients, ConfigError, Draft, LimitOverrides, Limits, Located, Match, PlatformLimits, RequestAttributes,
-    Route, Table, check,
+    ClientRetries, ConfigError, LimitOverrides, LimitTable, Limits, Located, PlatformLimits,
+    RequestAttributes, Route, RouteMatch, UncheckedLimits, check,
 };
 use chalkwalk_time::Span;
 use serde::Deserialize;
@@ -315,7 +315,7 @@
 /// What an operator's file says, checked.
 #[derive(Clone, Debug, Default)]
 pub struct Operator {
-    pub limits: Table,
+    pub limits: LimitTable,
     pub membership: Option<Membership>,
     pub resp: Option<Resp>,
     pub capture: Option<Capture>,
@@ -438,7 +438,7 @@
     };
     let route = |spanned: &Spanned<RouteFields>| {
         let r = spanned.get_ref();
-        let when = Match {
+        let when = RouteMatch {
             path: r.path.clone(),
             namespace: r.namespace.clone(),
             tenant: r.tenant.clone(),
@@ -447,14 +447,14 @@
         let line = lines.at(spanned.span().start);
         Route { name: r.name.clone(), line, when, settings: lines.settings(&r.limits) }
     };
-    let clients = |c: &ClientFields| Clients {
+    let clients = |c: &ClientFields| ClientRetries {
         tries: Located::new(*c.tries.get_ref(), lines.at(c.tries.span().start)),
         amplification: Located::new(
             (c.amplification.get_ref() * 1000.0).round() as u64,
             lines.at(c.amplification.span().start),
         ),
     };
-    let draft = Draft {
+    let draft = UncheckedLimits {
         defaults: lines.settings(&file.defaults),
         classes: file.classes.iter().map(class).collect(),
         routes: file.routes.iter().map(route).collect(),
@@ -486,7 +486,7 @@
 }
 
 /// What holds for a request, and which line said so.
-pub fn explain(table: &Table, request: RequestAttributes) -> String {
+pub fn explain(table: &LimitTable, request: RequestAttributes) -> String {
     let class = table.find(request);
     let l: &Limits = &table.classes()[class].limits;
     let ms = |span: Span| format!("{} ms", span.as_millis_f64());
--- a/crates/engine/src/api.rs
+++ b/crates/engine/src/api.rs
@@ -8,7 +8,7 @@
 use crate::servers::{ListChanges, ListedEndpoint};
 use chalkwalk_balancer::admission::{Refusal, Written};
 use chalkwalk_balancer::{AttemptOutcome, RequestId, ServerIndex};
-use chalkwalk_limits::Table;
+use chalkwalk_limits::LimitTable;
 use chalkwalk_sockets::{wait_until, within};
 use chalkwalk_time::{Span, Timestamp};
 use slog::{debug, info};
@@ -86,7 +86,7 @@
 }
 
 /// Other limits hold from now on, also for what is open: see `RequestId::renewed`.
-pub fn set_limits(engine: &Rc<Engine>, limits: Option<Table>) {
+pub fn set_limits(engine: &Rc<Engine>, limits: Option<LimitTable>) {
     engine.classes.set_limits(limits);
     let settings = engine.classes.balancer_settings();
     let of = |ask: &dyn ClientRequest| {
--- a/crates/engine/src/classes.rs
+++ b/crates/engine/src/classes.rs
@@ -1,6 +1,6 @@
 //! Which limits hold for which requests, and the same in the words that the balancer reads.
 
-use chalkwalk_limits::{PlatformLimits, RequestAttributes, Table};
+use chalkwalk_limits::{LimitTable, PlatformLimits, RequestAttributes};
 use chalkwalk_time::Span;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -14,9 +14,9 @@
 struct ActiveSettings {
     settings: BTreeMap<String, String>,
     platform_limits: PlatformLimits,
-    from_settings: Rc<Table>,
-    limits: Option<Rc<Table>>, // what an operator has set
-    longest: Span,             // of the time limits now and before
+    from_settings: Rc<LimitTable>,
+    limits: Option<Rc<LimitTable>>, // what an operator has set
+    longest: Span,                  // of the time limits now and before
 }
 
 /// What of a class the door needs when it takes a request.
@@ -32,7 +32,7 @@
     pub fn new(
         settings: BTreeMap<String, String>,
         platform_limits: PlatformLimits,
-        limits: Option<Table>,
+        limits: Option<LimitTable>,
     ) -> RequestClasses {
         RequestClasses {
             now: RefCell::new(ActiveSettings::new(settings, platform_limits, limits, Span::ZERO)),
@@ -40,7 +40,7 @@
         }
     }
 
-    fn table(&self) -> Rc<Table> {
+    fn table(&self) -> Rc<LimitTable> {
         let now = self.now.borrow();
         now.limits.clone().unwrap_or_else(|| now.from_settings.clone())
     }
@@ -51,7 +51,7 @@
         &self,
         settings: BTreeMap<String, String>,
         platform_limits: PlatformLimits,
-        limits: Option<Table>,
+        limits: Option<LimitTable>,
     ) {
         let longest = self.longest_time_limit();
         *self.now.borrow_mut() = ActiveSettings::new(settings, platform_limits, limits, longest);
@@ -102,7 +102,7 @@
     }
 
     /// Other limits of the operator hold from now on, for the same classes of the platform.
-    pub fn set_limits(&self, limits: Option<Table>) {
+    pub fn set_limits(&self, limits: Option<LimitTable>) {
         self.now.borrow_mut().limits = limits.map(Rc::new);
     }
 
@@ -139,11 +139,11 @@
     fn new(
         settings: BTreeMap<String, String>,
         platform_limits: PlatformLimits,
-        limits: Option<Table>,
+        limits: Option<LimitTable>,
         longest: Span,
     ) -> ActiveSettings {
         let own = platform_limits.namespaces.iter().map(|n| n.time_limit).max().unwrap_or(Span::ZERO);
-        let from_settings = Rc::new(Table::from_settings(&platform_limits));
+        let from_settings = Rc::new(LimitTable::from_settings(&platform_limits));
         ActiveSettings {
             settings,
             platform_limits,
--- a/crates/engine/src/config.rs
+++ b/crates/engine/src/config.rs
@@ -1,6 +1,6 @@
 //! What the engine is told at its start.
 
-use chalkwalk_limits::{PlatformLimits, Table};
+use chalkwalk_limits::{LimitTable, PlatformLimits};
 use chalkwalk_time::Span;
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -16,7 +16,7 @@
     /// What limits an operator may set.
     pub platform_limits: PlatformLimits,
     /// What an operator has set, if one has.
-    pub limits: Option<Table>,
+    pub limits: Option<LimitTable>,
     pub connect_timeout: Cell<Duration>,
     /// After which a server closes a connection that is idle.
     pub idle_timeout: Duration,
--- a/crates/limits/src/check.rs
+++ b/crates/limits/src/check.rs
@@ -1,7 +1,7 @@
 //! A draft held against the platform's settings. Every fault is found at once, each with its line and the rule that it breaks.
 
-use crate::draft::{Draft, Idempotency, LimitOverrides, Located, Namespace, PlatformLimits};
-use crate::table::{Class, LimitSource, Limits, Table};
+use crate::draft::{Idempotency, LimitOverrides, Located, Namespace, PlatformLimits, UncheckedLimits};
+use crate::table::{LimitSource, LimitTable, Limits, RequestClass};
 use chalkwalk_time::Span;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -14,12 +14,15 @@
 const SHORTEST: Span = Span::from_millis(1);
 
 /// What holds by a draft, or all that is wrong with it.
-pub fn check(draft: &Draft, platform_limits: &PlatformLimits) -> Result<Table, Vec<ConfigError>> {
+pub fn check(
+    draft: &UncheckedLimits,
+    platform_limits: &PlatformLimits,
+) -> Result<LimitTable, Vec<ConfigError>> {
     let mut faults = Faults(Vec::new());
     faults.of_names(draft, platform_limits);
     faults.of_values(draft);
     faults.of_routes(draft);
-    let table = Table::of(draft, platform_limits);
+    let table = LimitTable::of(draft, platform_limits);
     for class in table.classes() {
         faults.of_class(class, &platform_limits.namespaces[class.namespace], platform_limits);
     }
@@ -48,7 +51,7 @@
         self.0.push(ConfigError { line, message: text });
     }
 
-    fn of_names(&mut self, draft: &Draft, platform_limits: &PlatformLimits) {
+    fn of_names(&mut self, draft: &UncheckedLimits, platform_limits: &PlatformLimits) {
         let known = |name: &str| platform_limits.namespaces.iter().any(|n| n.name == name);
         for (i, (name, _)) in draft.classes.iter().enumerate() {
             if !known(&name.value) {
@@ -88,7 +91,7 @@
     }
 
     /// Values that make no sense by themselves.
-    fn of_values(&mut self, draft: &Draft) {
+    fn of_values(&mut self, draft: &UncheckedLimits) {
         let classes = draft.classes.iter().map(|(_, s)| s);
         let all =
             std::iter::once(&draft.defaults).chain(classes).chain(draft.routes.iter().map(|r| &r.settings));
@@ -121,7 +124,7 @@
     }
 
     /// Routes that an earlier one leaves nothing for.
-    fn of_routes(&mut self, draft: &Draft) {
+    fn of_routes(&mut self, draft: &UncheckedLimits) {
         for (i, route) in draft.routes.iter().enumerate() {
             if let Some(first) = draft.routes[..i].iter().find(|first| first.when.covers(&route.when)) {
                 let text = format!(
@@ -134,7 +137,7 @@
     }
 
     /// One class against the platform_limits. Each rule names the line that made it break; where the platform alone would, none does.
-    fn of_class(&mut self, class: &Class, ns: &Namespace, platform_limits: &PlatformLimits) {
+    fn of_class(&mut self, class: &RequestClass, ns: &Namespace, platform_limits: &PlatformLimits) {
         let Limits {
             time_limit,
             target,
@@ -245,7 +248,7 @@
     }
 
     /// What clients do by themselves multiplies what is done for each of their tries.
-    fn of_clients(&mut self, draft: &Draft, table: &Table, platform_limits: &PlatformLimits) {
+    fn of_clients(&mut self, draft: &UncheckedLimits, table: &LimitTable, platform_limits: &PlatformLimits) {
         let Some(clients) = draft.clients else { return };
         if clients.tries.value == 0 {
             self.say(clients.tries.line, "tries counts the first one: it is 1 at the least".into());
--- a/crates/limits/src/draft.rs
+++ b/crates/limits/src/draft.rs
@@ -36,7 +36,7 @@
 
 /// Which requests a route takes: those that meet all that is said.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Match {
+pub struct RouteMatch {
     pub path: Option<String>, // a prefix
     pub namespace: Option<String>,
     pub tenant: Option<String>,
@@ -47,13 +47,13 @@
 pub struct Route {
     pub name: String,
     pub line: usize,
-    pub when: Match,
+    pub when: RouteMatch,
     pub settings: LimitOverrides,
 }
 
 /// What clients do by themselves.
 #[derive(Clone, Copy, Debug)]
-pub struct Clients {
+pub struct ClientRetries {
     /// First try included.
     pub tries: Located<u64>,
     /// How many attempts one request of a client may come to, over all its tries, in thousandths.
@@ -61,11 +61,11 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Draft {
+pub struct UncheckedLimits {
     pub defaults: LimitOverrides,
     pub classes: Vec<(Located<String>, LimitOverrides)>, // by namespace
     pub routes: Vec<Route>,                              // the first that matches holds
-    pub clients: Option<Clients>,
+    pub clients: Option<ClientRetries>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -12,6 +12,7 @@
 pub use budget::{RetryBudget, SlidingBudget};
 pub use check::{ConfigError, check};
 pub use draft::{
-    Clients, Draft, Idempotency, LimitOverrides, Located, Match, Namespace, PlatformLimits, Route,
+    ClientRetries, Idempotency, LimitOverrides, Located, Namespace, PlatformLimits, Route, RouteMatch,
+    UncheckedLimits,
 };
-pub use table::{Class, LimitSource, Limits, RequestAttributes, Table};
+pub use table::{LimitSource, LimitTable, Limits, RequestAttributes, RequestClass};
--- a/crates/limits/src/table.rs
+++ b/crates/limits/src/table.rs
@@ -1,6 +1,6 @@
 //! What holds for each request, and which line said so.
 
-use crate::draft::{Draft, LimitOverrides, Located, Match, PlatformLimits};
+use crate::draft::{LimitOverrides, Located, PlatformLimits, RouteMatch, UncheckedLimits};
 use chalkwalk_time::Span;
 
 /// Who said what holds.
@@ -43,7 +43,7 @@
 
 /// A class: the requests of one namespace that one route takes, or that none does.
 #[derive(Clone, Debug)]
-pub struct Class {
+pub struct RequestClass {
     pub namespace: usize,
     /// By its place in the file.
     pub route: Option<usize>,
@@ -62,9 +62,9 @@
 /// All classes; those of the namespaces alone first, in their order, so that a class without routes has its namespace's
 /// number.
 #[derive(Clone, Debug, Default)]
-pub struct Table {
-    classes: Vec<Class>,
-    routes: Vec<(Match, String)>,
+pub struct LimitTable {
+    classes: Vec<RequestClass>,
+    routes: Vec<(RouteMatch, String)>,
     names: Vec<String>,
     of_route: Vec<Vec<Option<usize>>>, // the class, by route and namespace
 }
@@ -112,13 +112,13 @@
     }
 }
 
-impl Table {
+impl LimitTable {
     /// What holds by a draft, checked or not.
-    pub(crate) fn of(draft: &Draft, platform_limits: &PlatformLimits) -> Table {
-        let mut table = Table {
+    pub(crate) fn of(draft: &UncheckedLimits, platform_limits: &PlatformLimits) -> LimitTable {
+        let mut table = LimitTable {
             routes: draft.routes.iter().map(|r| (r.when.clone(), r.name.clone())).collect(),
             names: platform_limits.namespaces.iter().map(|n| n.name.clone()).collect(),
-            ..Table::default()
+            ..LimitTable::default()
         };
         let defaults = |line| LimitSource::Defaults(line);
         for route in std::iter::once(None).chain((0..draft.routes.len()).map(Some)) {
@@ -137,7 +137,7 @@
                 layers.0.extend(taken.map(|r| (&r.settings, &of_route as &dyn Fn(usize) -> LimitSource)));
                 let limits = limits(platform_limits, i, &layers);
                 own[i] = Some(table.classes.len());
-                table.classes.push(Class { namespace: i, route, limits });
+                table.classes.push(RequestClass { namespace: i, route, limits });
             }
             if route.is_some() {
                 table.of_route.push(own);
@@ -147,17 +147,17 @@
     }
 
     /// What holds where no operator says anything.
-    pub fn from_settings(platform_limits: &PlatformLimits) -> Table {
-        Table::of(&Draft::default(), platform_limits)
+    pub fn from_settings(platform_limits: &PlatformLimits) -> LimitTable {
+        LimitTable::of(&UncheckedLimits::default(), platform_limits)
     }
 
-    pub fn classes(&self) -> &[Class] {
+    pub fn classes(&self) -> &[RequestClass] {
         &self.classes
     }
 
     /// The class of a request, by its number: that of the first route that takes it, or its namespace's.
     pub fn find(&self, request: RequestAttributes) -> usize {
-        let takes = |(when, _): &(Match, String)| when.takes(request, &self.names);
+        let takes = |(when, _): &(RouteMatch, String)| when.takes(request, &self.names);
         let routes = self.routes.iter().zip(&self.of_route).filter(|(route, _)| takes(route));
         let mut classes = routes.filter_map(|(_, own)| own.get(request.namespace).copied().flatten());
         classes.next().unwrap_or(request.namespace)
@@ -169,7 +169,7 @@
     }
 }
 
-impl Match {
+impl RouteMatch {
     fn takes(&self, request: RequestAttributes, names: &[String]) -> bool {
         let same = |want: &Option<String>, is: &str| want.as_ref().is_none_or(|w| w == is);
         self.path.as_ref().is_none_or(|p| request.path.starts_with(p.as_str()))
@@ -179,7 +179,7 @@
     }
 
     /// Whether it takes every request that another does.
-    pub(crate) fn covers(&self, other: &Match) -> bool {
+    pub(crate) fn covers(&self, other: &RouteMatch) -> bool {
         let wider = |own: &Option<String>, other: &Option<String>| own.is_none() || own == other;
         let path = match (&self.path, &other.path) {
             (None, _) => true,
--- a/crates/limits/tests/accepted.rs
+++ b/crates/limits/tests/accepted.rs
@@ -65,12 +65,12 @@
     of(prop_oneof![Just("page"), Just("record"), Just("once")].prop_map(String::from))
 }
 
-fn draft() -> impl Strategy<Value = Draft> {
+fn draft() -> impl Strategy<Value = UncheckedLimits> {
     let class = |name: &'static str| settings().prop_map(move |s| (Located::new(name.to_string(), 60), s));
     let route = (of("/[ab]{0,2}"), name(), settings());
     let clients = of((1u64..5, 500u64..9000));
     (settings(), of(class("page")), of(class("record")), proptest::collection::vec(route, 0..3), clients)
-        .prop_map(|(defaults, page, record, routes, clients)| Draft {
+        .prop_map(|(defaults, page, record, routes, clients)| UncheckedLimits {
             defaults,
             classes: page.into_iter().chain(record).collect(),
             routes: routes
@@ -79,11 +79,11 @@
                 .map(|(i, (path, namespace, settings))| Route {
                     name: format!("r{i}"),
                     line: 70 + i,
-                    when: Match { path, namespace, ..Match::default() },
+                    when: RouteMatch { path, namespace, ..RouteMatch::default() },
                     settings,
                 })
                 .collect(),
-            clients: clients.map(|(tries, most)| Clients {
+            clients: clients.map(|(tries, most)| ClientRetries {
                 tries: Located::new(tries, 90),
                 amplification: Located::new(most, 91),
             }),
@@ -143,7 +143,7 @@
 
 #[test]
 fn nothing_said_changes_nothing() {
-    let table = check(&Draft::default(), &platform_limits()).expect("an empty file");
+    let table = check(&UncheckedLimits::default(), &platform_limits()).expect("an empty file");
     assert!(
         table
             .classes()
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -125,7 +125,7 @@
     let table = rules
         .engine
         .limits
-        .unwrap_or_else(|| chalkwalk_limits::Table::from_settings(&rules.engine.platform_limits));
+        .unwrap_or_else(|| chalkwalk_limits::LimitTable::from_settings(&rules.engine.platform_limits));
     let door = if door.is_empty() { chalkwalk_http_frontend::FRONTEND_NAME } else { &door };
     print!(
         "{}",
