--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -57,7 +57,8 @@
     #[serde(rename = "further_shots")]
     retry_budget: Option<Spanned<f64>>,
     open: Option<Spanned<u64>>,
-    longest_body: Option<Spanned<u64>>,
+    #[serde(rename = "longest_body")]
+    max_body_bytes: Option<Spanned<u64>>,
 }
 
 #[derive(Deserialize)]
@@ -399,14 +400,14 @@
         let same = |n: &u64| *n;
         LimitOverrides {
             time_limit: self.said(&f.time_limit_ms, span),
-            target: self.said(&f.target_ms, span),
+            latency_objective: self.said(&f.target_ms, span),
             max_attempts: self.said(&f.max_attempts, same),
             attempt_timeout: self.said(&f.attempt_timeout_ms, span),
             hedging: self.said(&f.hedging, |b| *b),
             hedge_after: self.said(&f.hedge_after, thousandths),
             retry_budget: self.said(&f.retry_budget, thousandths),
-            open: self.said(&f.open, same),
-            longest_body: self.said(&f.longest_body, same),
+            max_in_flight: self.said(&f.open, same),
+            max_body_bytes: self.said(&f.max_body_bytes, same),
         }
     }
 }
@@ -494,14 +495,14 @@
     let or = |said: Option<String>, else_: &str| said.unwrap_or_else(|| else_.to_string());
     let rows = [
         ("time limit", ms(Span::from_ticks(l.time_limit.0.ticks())), &l.time_limit.1),
-        ("target time", ms(Span::from_ticks(l.target.0.ticks())), &l.target.1),
+        ("target time", ms(Span::from_ticks(l.latency_objective.0.ticks())), &l.latency_objective.1),
         ("most shots", l.max_attempts.0.to_string(), &l.max_attempts.1),
         ("wait for a shot", or(l.attempt_timeout.0.map(ms), "up to the time limit"), &l.attempt_timeout.1),
         ("second copies", if l.hedging.0 { "allowed" } else { "never" }.into(), &l.hedging.1),
         ("copies after", or(l.hedge_after.0.map(part), "silence or loss alone"), &l.hedge_after.1),
         ("further shots", or(l.retry_budget.0.map(part), "the module's own budget"), &l.retry_budget.1),
-        ("open at once", or(l.open.0.map(|n| n.to_string()), "as many as come"), &l.open.1),
-        ("longest body", format!("{} bytes", l.longest_body.0), &l.longest_body.1),
+        ("open at once", or(l.max_in_flight.0.map(|n| n.to_string()), "as many as come"), &l.max_in_flight.1),
+        ("longest body", format!("{} bytes", l.max_body_bytes.0), &l.max_body_bytes.1),
     ];
     let mut out = String::new();
     let of = table.route_of(class).map_or("no route takes it".to_string(), |name| format!("route {name}"));
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -9,7 +9,7 @@
     let namespace = |name: &str, idempotency, limit| Namespace {
         name: name.into(),
         time_limit: limit,
-        target: limit / 2,
+        latency_objective: limit / 2,
         idempotency,
         dedup_window: Span::from_ticks(15_000),
     };
@@ -17,7 +17,7 @@
         max_attempts: 6,
         hedging: true,
         connect_time: Span::from_ticks(1000),
-        longest_body: 65_536,
+        max_body_bytes: 65_536,
         namespaces: vec![
             namespace("page", Idempotency::Replayable, Span::from_ticks(10_000)),
             namespace("record", Idempotency::Tagged, Span::from_ticks(20_000)),
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -87,7 +87,7 @@
         let of_namespace = |(i, name): (usize, &String)| Namespace {
             name: name.clone(),
             time_limit: Span::from_ticks(limit(i)),
-            target: ticks(&format!("namespace {i} target time"), 1e4),
+            latency_objective: ticks(&format!("namespace {i} target time"), 1e4),
             idempotency: match word(i, "repeats") {
                 "replayable" => Idempotency::Replayable,
                 "tagged" => Idempotency::Tagged,
@@ -99,7 +99,7 @@
             max_attempts: number("most shots", 1.0) as u64,
             hedging: number("second copies", 0.0) > 0.0,
             connect_time: ticks("connect time", 1e4),
-            longest_body: http1::MAX_BODY as u64,
+            max_body_bytes: http1::MAX_BODY as u64,
             namespaces: namespaces.iter().enumerate().map(of_namespace).collect(),
             tenants,
             doors: Vec::new(),
--- a/crates/engine/src/classes.rs
+++ b/crates/engine/src/classes.rs
@@ -64,7 +64,7 @@
 
     /// Of a body in bytes, whatever its class.
     pub fn longest_body(&self) -> u64 {
-        self.now.borrow().platform_limits.longest_body
+        self.now.borrow().platform_limits.max_body_bytes
     }
 
     /// Of the time limits of all requests that may be open.
@@ -85,7 +85,7 @@
         let table = self.table();
         let class = table.find(request);
         let limits = &table.classes()[class].limits;
-        ClassLimits { class, time_limit: limits.time_limit.0, longest_body: limits.longest_body.0 }
+        ClassLimits { class, time_limit: limits.time_limit.0, longest_body: limits.max_body_bytes.0 }
     }
 
     /// By how many proxies the servers are shared, as it was written down.
@@ -123,13 +123,13 @@
                     said.insert(format!("namespace {i} {name}"), value.to_string());
                 }
             };
-            set("target time", Some(l.target.0.ticks()));
+            set("target time", Some(l.latency_objective.0.ticks()));
             set("most shots", Some(l.max_attempts.0));
             set("second copies", Some(u64::from(l.hedging.0)));
             set("shot wait", l.attempt_timeout.0.map(Span::ticks));
             set("copies after", l.hedge_after.0);
             set("further shots", l.retry_budget.0);
-            set("most open", l.open.0);
+            set("most open", l.max_in_flight.0);
         }
         said
     }
--- a/crates/limits/src/check.rs
+++ b/crates/limits/src/check.rs
@@ -101,15 +101,17 @@
     }
 
     fn of_settings(&mut self, s: &LimitOverrides) {
-        for (name, said) in
-            [("time_limit_ms", s.time_limit), ("target_ms", s.target), ("shot_wait_ms", s.attempt_timeout)]
-        {
+        for (name, said) in [
+            ("time_limit_ms", s.time_limit),
+            ("target_ms", s.latency_objective),
+            ("shot_wait_ms", s.attempt_timeout),
+        ] {
             if let Some(Located { line, .. }) = said.filter(|said| said.value < SHORTEST) {
                 self.say(line, format!("{name} is below {} ms, in which no answer comes", ms(SHORTEST)));
             }
         }
         for (name, said) in
-            [("most_shots", s.max_attempts), ("open", s.open), ("longest_body", s.longest_body)]
+            [("most_shots", s.max_attempts), ("open", s.max_in_flight), ("longest_body", s.max_body_bytes)]
         {
             if let Some(Located { line, .. }) = said.filter(|said| said.value == 0) {
                 self.say(line, format!("{name} is 0, and nothing would be served"));
@@ -140,7 +142,7 @@
     fn of_class(&mut self, class: &RequestClass, ns: &Namespace, platform_limits: &PlatformLimits) {
         let Limits {
             time_limit,
-            target,
+            latency_objective,
             max_attempts,
             attempt_timeout,
             hedging,
@@ -164,13 +166,13 @@
             );
             broken(&[&time_limit.1], text);
         }
-        if target.0 > time_limit.0 {
+        if latency_objective.0 > time_limit.0 {
             let text = format!(
                 "the target time of {} ms is above the time limit of {} ms",
-                ms(target.0),
+                ms(latency_objective.0),
                 ms(time_limit.0)
             );
-            broken(&[&target.1, &time_limit.1], text);
+            broken(&[&latency_objective.1, &time_limit.1], text);
         }
         if max_attempts.0 > platform_limits.max_attempts {
             let text = format!(
@@ -179,12 +181,12 @@
             );
             broken(&[&max_attempts.1], text);
         }
-        if class.limits.longest_body.0 > platform_limits.longest_body {
+        if class.limits.max_body_bytes.0 > platform_limits.max_body_bytes {
             let text = format!(
                 "a body of {} bytes is above the house's {}",
-                class.limits.longest_body.0, platform_limits.longest_body
+                class.limits.max_body_bytes.0, platform_limits.max_body_bytes
             );
-            broken(&[&class.limits.longest_body.1], text);
+            broken(&[&class.limits.max_body_bytes.1], text);
         }
         let copies = hedging.0;
         if copies && ns.idempotency != Idempotency::Replayable {
--- a/crates/limits/src/draft.rs
+++ b/crates/limits/src/draft.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct LimitOverrides {
     pub time_limit: Option<Located<Span>>,
-    pub target: Option<Located<Span>>,
+    pub latency_objective: Option<Located<Span>>,
     pub max_attempts: Option<Located<u64>>,
     /// How long a single attempt is waited for.
     pub attempt_timeout: Option<Located<Span>>,
@@ -29,9 +29,9 @@
     /// Retries, in thousandths of the first ones, over a sliding time.
     pub retry_budget: Option<Located<u64>>,
     /// Requests of this class open at once.
-    pub open: Option<Located<u64>>,
+    pub max_in_flight: Option<Located<u64>>,
     /// Of a request, in bytes.
-    pub longest_body: Option<Located<u64>>,
+    pub max_body_bytes: Option<Located<u64>>,
 }
 
 /// Which requests a route takes: those that meet all that is said.
@@ -80,7 +80,7 @@
 pub struct Namespace {
     pub name: String,
     pub time_limit: Span,
-    pub target: Span,
+    pub latency_objective: Span,
     pub idempotency: Idempotency,
     /// In which servers drop repeats of a tagged request.
     pub dedup_window: Span,
@@ -92,7 +92,7 @@
     pub max_attempts: u64,
     pub hedging: bool,
     pub connect_time: Span,
-    pub longest_body: u64,
+    pub max_body_bytes: u64,
     pub namespaces: Vec<Namespace>,
     /// Empty where the platform names none: then any may be named.
     pub tenants: Vec<String>,
--- a/crates/limits/src/table.rs
+++ b/crates/limits/src/table.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
     pub time_limit: (Span, LimitSource),
-    pub target: (Span, LimitSource),
+    pub latency_objective: (Span, LimitSource),
     pub max_attempts: (u64, LimitSource),
     /// `None`: up to the time limit.
     pub attempt_timeout: (Option<Span>, LimitSource),
@@ -37,8 +37,8 @@
     /// `None`: the balancer's own budget for all.
     pub retry_budget: (Option<u64>, LimitSource),
     /// `None`: as many as come.
-    pub open: (Option<u64>, LimitSource),
-    pub longest_body: (u64, LimitSource),
+    pub max_in_flight: (Option<u64>, LimitSource),
+    pub max_body_bytes: (u64, LimitSource),
 }
 
 /// A class: the requests of one namespace that one route takes, or that none does.
@@ -91,24 +91,24 @@
 fn limits(platform_limits: &PlatformLimits, namespace: usize, layers: &Layers) -> Limits {
     let ns = &platform_limits.namespaces[namespace];
     let (time_limit, limit_from) = layers.pick(ns.time_limit, |s| s.time_limit);
-    let (mut target, mut target_from) = layers.pick(ns.target, |s| s.target);
-    if target > time_limit && target_from == LimitSource::Platform {
+    let (mut latency_objective, mut target_from) = layers.pick(ns.latency_objective, |s| s.latency_objective);
+    if latency_objective > time_limit && target_from == LimitSource::Platform {
         // A shorter limit takes the platform's target with it.
-        (target, target_from) = (time_limit, limit_from.clone());
+        (latency_objective, target_from) = (time_limit, limit_from.clone());
     }
     // Hedged requests are for what may run twice, whatever wider ones say.
     let copies = platform_limits.hedging && ns.idempotency == crate::Idempotency::Replayable;
     let (said, copies_from) = layers.pick(copies, |s| s.hedging);
     Limits {
         time_limit: (time_limit, limit_from),
-        target: (target, target_from),
+        latency_objective: (latency_objective, target_from),
         max_attempts: layers.pick(platform_limits.max_attempts, |s| s.max_attempts),
         attempt_timeout: layers.pick(None, |s| some(s.attempt_timeout)),
         hedging: (said, copies_from),
         hedge_after: layers.pick(None, |s| some(s.hedge_after)),
         retry_budget: layers.pick(None, |s| some(s.retry_budget)),
-        open: layers.pick(None, |s| some(s.open)),
-        longest_body: layers.pick(platform_limits.longest_body, |s| s.longest_body),
+        max_in_flight: layers.pick(None, |s| some(s.max_in_flight)),
+        max_body_bytes: layers.pick(platform_limits.max_body_bytes, |s| s.max_body_bytes),
     }
 }
 
--- a/crates/limits/tests/accepted.rs
+++ b/crates/limits/tests/accepted.rs
@@ -10,7 +10,7 @@
     let namespace = |name: &str, idempotency| Namespace {
         name: name.into(),
         time_limit: Span::from_ticks(20_000),
-        target: Span::from_ticks(8_000),
+        latency_objective: Span::from_ticks(8_000),
         idempotency,
         dedup_window: Span::from_ticks(15_000),
     };
@@ -18,7 +18,7 @@
         max_attempts: 6,
         hedging: true,
         connect_time: Span::from_ticks(500),
-        longest_body: 1000,
+        max_body_bytes: 1000,
         namespaces: vec![
             namespace("page", Idempotency::Replayable),
             namespace("record", Idempotency::Tagged),
@@ -41,21 +41,21 @@
     )
         .prop_map(
             move |(
-                (time_limit, target, max_attempts, attempt_timeout),
+                (time_limit, latency_objective, max_attempts, attempt_timeout),
                 (hedging, hedge_after, retry_budget),
                 rest,
             )| {
-                let (open, longest_body) = rest;
+                let (max_in_flight, max_body_bytes) = rest;
                 LimitOverrides {
                     time_limit: span(time_limit),
-                    target: span(target),
+                    latency_objective: span(latency_objective),
                     max_attempts,
                     attempt_timeout: span(attempt_timeout),
                     hedging,
                     hedge_after,
                     retry_budget,
-                    open,
-                    longest_body,
+                    max_in_flight,
+                    max_body_bytes,
                 }
             },
         )
@@ -104,11 +104,11 @@
         let Ok(table) = check(&draft, &platform_limits) else { return Ok(()) };
         for class in table.classes() {
             let (l, ns) = (&class.limits, &platform_limits.namespaces[class.namespace]);
-            prop_assert!(l.time_limit.0 <= ns.time_limit && l.target.0 <= l.time_limit.0);
+            prop_assert!(l.time_limit.0 <= ns.time_limit && l.latency_objective.0 <= l.time_limit.0);
             prop_assert!(l.max_attempts.0 >= 1 && l.max_attempts.0 <= platform_limits.max_attempts);
-            prop_assert!(l.longest_body.0 <= platform_limits.longest_body);
+            prop_assert!(l.max_body_bytes.0 <= platform_limits.max_body_bytes);
             prop_assert!(!l.hedging.0 || ns.idempotency == Idempotency::Replayable);
-            prop_assert!(l.open.0 != Some(0));
+            prop_assert!(l.max_in_flight.0 != Some(0));
             if let Some(wait) = l.attempt_timeout.0 {
                 let each = wait + platform_limits.connect_time;
                 prop_assert!(l.max_attempts.0 * each <= l.time_limit.0);
