--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -494,15 +494,27 @@
     let part = |thousandths: u64| format!("{}", thousandths as f64 / 1000.0);
     let or = |said: Option<String>, else_: &str| said.unwrap_or_else(|| else_.to_string());
     let rows = [
-        ("time limit", ms(Span::from_ticks(l.time_limit.0.ticks())), &l.time_limit.1),
-        ("target time", ms(Span::from_ticks(l.latency_objective.0.ticks())), &l.latency_objective.1),
-        ("most shots", l.max_attempts.0.to_string(), &l.max_attempts.1),
-        ("wait for a shot", or(l.attempt_timeout.0.map(ms), "up to the time limit"), &l.attempt_timeout.1),
-        ("second copies", if l.hedging.0 { "allowed" } else { "never" }.into(), &l.hedging.1),
-        ("copies after", or(l.hedge_after.0.map(part), "silence or loss alone"), &l.hedge_after.1),
-        ("further shots", or(l.retry_budget.0.map(part), "the module's own budget"), &l.retry_budget.1),
-        ("open at once", or(l.max_in_flight.0.map(|n| n.to_string()), "as many as come"), &l.max_in_flight.1),
-        ("longest body", format!("{} bytes", l.max_body_bytes.0), &l.max_body_bytes.1),
+        ("time limit", ms(Span::from_ticks(l.time_limit.value.ticks())), &l.time_limit.source),
+        ("target time", ms(Span::from_ticks(l.latency_objective.value.ticks())), &l.latency_objective.source),
+        ("most shots", l.max_attempts.value.to_string(), &l.max_attempts.source),
+        (
+            "wait for a shot",
+            or(l.attempt_timeout.value.map(ms), "up to the time limit"),
+            &l.attempt_timeout.source,
+        ),
+        ("second copies", if l.hedging.value { "allowed" } else { "never" }.into(), &l.hedging.source),
+        ("copies after", or(l.hedge_after.value.map(part), "silence or loss alone"), &l.hedge_after.source),
+        (
+            "further shots",
+            or(l.retry_budget.value.map(part), "the module's own budget"),
+            &l.retry_budget.source,
+        ),
+        (
+            "open at once",
+            or(l.max_in_flight.value.map(|n| n.to_string()), "as many as come"),
+            &l.max_in_flight.source,
+        ),
+        ("longest body", format!("{} bytes", l.max_body_bytes.value), &l.max_body_bytes.source),
     ];
     let mut out = String::new();
     let of = table.route_of(class).map_or("no route takes it".to_string(), |name| format!("route {name}"));
--- a/crates/engine/src/classes.rs
+++ b/crates/engine/src/classes.rs
@@ -85,7 +85,7 @@
         let table = self.table();
         let class = table.find(request);
         let limits = &table.classes()[class].limits;
-        ClassLimits { class, time_limit: limits.time_limit.0, longest_body: limits.max_body_bytes.0 }
+        ClassLimits { class, time_limit: limits.time_limit.value, longest_body: limits.max_body_bytes.value }
     }
 
     /// By how many proxies the servers are shared, as it was written down.
@@ -123,13 +123,13 @@
                     said.insert(format!("namespace {i} {name}"), value.to_string());
                 }
             };
-            set("target time", Some(l.latency_objective.0.ticks()));
-            set("most shots", Some(l.max_attempts.0));
-            set("second copies", Some(u64::from(l.hedging.0)));
-            set("shot wait", l.attempt_timeout.0.map(Span::ticks));
-            set("copies after", l.hedge_after.0);
-            set("further shots", l.retry_budget.0);
-            set("most open", l.max_in_flight.0);
+            set("target time", Some(l.latency_objective.value.ticks()));
+            set("most shots", Some(l.max_attempts.value));
+            set("second copies", Some(u64::from(l.hedging.value)));
+            set("shot wait", l.attempt_timeout.value.map(Span::ticks));
+            set("copies after", l.hedge_after.value);
+            set("further shots", l.retry_budget.value);
+            set("most open", l.max_in_flight.value);
         }
         said
     }
--- a/crates/limits/src/check.rs
+++ b/crates/limits/src/check.rs
@@ -158,94 +158,97 @@
                 self.say(line, format!("{name}: {text}"));
             }
         };
-        if time_limit.0 > ns.time_limit {
+        if time_limit.value > ns.time_limit {
             let text = format!(
                 "a time limit of {} ms is above the house's {} ms",
-                ms(time_limit.0),
+                ms(time_limit.value),
                 ms(ns.time_limit)
             );
-            broken(&[&time_limit.1], text);
+            broken(&[&time_limit.source], text);
         }
-        if latency_objective.0 > time_limit.0 {
+        if latency_objective.value > time_limit.value {
             let text = format!(
                 "the target time of {} ms is above the time limit of {} ms",
-                ms(latency_objective.0),
-                ms(time_limit.0)
+                ms(latency_objective.value),
+                ms(time_limit.value)
             );
-            broken(&[&latency_objective.1, &time_limit.1], text);
+            broken(&[&latency_objective.source, &time_limit.source], text);
         }
-        if max_attempts.0 > platform_limits.max_attempts {
+        if max_attempts.value > platform_limits.max_attempts {
             let text = format!(
                 "{} shots are more than the {} that the house allows",
-                max_attempts.0, platform_limits.max_attempts
+                max_attempts.value, platform_limits.max_attempts
             );
-            broken(&[&max_attempts.1], text);
+            broken(&[&max_attempts.source], text);
         }
-        if class.limits.max_body_bytes.0 > platform_limits.max_body_bytes {
+        if class.limits.max_body_bytes.value > platform_limits.max_body_bytes {
             let text = format!(
                 "a body of {} bytes is above the house's {}",
-                class.limits.max_body_bytes.0, platform_limits.max_body_bytes
+                class.limits.max_body_bytes.value, platform_limits.max_body_bytes
             );
-            broken(&[&class.limits.max_body_bytes.1], text);
+            broken(&[&class.limits.max_body_bytes.source], text);
         }
-        let copies = hedging.0;
+        let copies = hedging.value;
         if copies && ns.idempotency != Idempotency::Replayable {
             let kind = if ns.idempotency == Idempotency::Tagged { "tagged" } else { "single-use" };
-            broken(&[&hedging.1], format!("second copies of a {kind} lookup would run it twice"));
+            broken(&[&hedging.source], format!("second copies of a {kind} lookup would run it twice"));
         }
         if copies && !platform_limits.hedging {
-            broken(&[&hedging.1], "the house allows no second copies".into());
+            broken(&[&hedging.source], "the house allows no second copies".into());
         }
-        if hedge_after.0.is_some() && !copies && ns.idempotency == Idempotency::Replayable {
+        if hedge_after.value.is_some() && !copies && ns.idempotency == Idempotency::Replayable {
             let text = "copies_after is set, and second copies are not allowed".into();
-            broken(&[&hedge_after.1, &hedging.1], text);
+            broken(&[&hedge_after.source, &hedging.source], text);
         }
-        if hedge_after.0.is_some() && copies && max_attempts.0 < 2 {
+        if hedge_after.value.is_some() && copies && max_attempts.value < 2 {
             let text = "a second copy is a second shot, and most_shots is 1".into();
-            broken(&[&hedge_after.1, &max_attempts.1], text);
+            broken(&[&hedge_after.source, &max_attempts.source], text);
         }
-        if retry_budget.0.is_some_and(|share| share > (max_attempts.0.max(1) - 1) * 1000) {
+        if retry_budget.value.is_some_and(|share| share > (max_attempts.value.max(1) - 1) * 1000) {
             let text = format!(
                 "further_shots is more than the {} that most_shots leaves",
-                max_attempts.0.max(1) - 1
+                max_attempts.value.max(1) - 1
             );
-            broken(&[&retry_budget.1, &max_attempts.1], text);
+            broken(&[&retry_budget.source, &max_attempts.source], text);
         }
-        let Some(wait) = attempt_timeout.0 else {
+        let Some(wait) = attempt_timeout.value else {
             // Unless an attempt is given up before, the last may start at the end of the time limit.
-            if ns.idempotency == Idempotency::Tagged && max_attempts.0 > 1 && ns.dedup_window < time_limit.0 {
+            if ns.idempotency == Idempotency::Tagged
+                && max_attempts.value > 1
+                && ns.dedup_window < time_limit.value
+            {
                 let text = format!(
                     "caches drop repeats for {} ms only, and the last shot may start later: set shot_wait_ms, a shorter time limit or most_shots = 1",
                     ms(ns.dedup_window)
                 );
-                broken(&[&max_attempts.1, &time_limit.1], text);
+                broken(&[&max_attempts.source, &time_limit.source], text);
             }
             return;
         };
-        if wait > time_limit.0 {
+        if wait > time_limit.value {
             let text = format!(
                 "a wait of {} ms for a shot is above the time limit of {} ms",
                 ms(wait),
-                ms(time_limit.0)
+                ms(time_limit.value)
             );
-            broken(&[&attempt_timeout.1, &time_limit.1], text);
-        } else if max_attempts.0 * (wait + platform_limits.connect_time) > time_limit.0 {
+            broken(&[&attempt_timeout.source, &time_limit.source], text);
+        } else if max_attempts.value * (wait + platform_limits.connect_time) > time_limit.value {
             let each = ms(wait + platform_limits.connect_time);
             let text = format!(
                 "{} shots of {each} ms each, connecting included, do not end within the time limit of {} ms",
-                max_attempts.0,
-                ms(time_limit.0)
+                max_attempts.value,
+                ms(time_limit.value)
             );
-            broken(&[&attempt_timeout.1, &max_attempts.1, &time_limit.1], text);
+            broken(&[&attempt_timeout.source, &max_attempts.source, &time_limit.source], text);
         }
-        let last = (max_attempts.0.max(1) - 1) * (wait + platform_limits.connect_time);
+        let last = (max_attempts.value.max(1) - 1) * (wait + platform_limits.connect_time);
         if ns.idempotency == Idempotency::Tagged && last > ns.dedup_window {
             let text = format!(
                 "the last shot may start {} ms after the first, and caches drop repeats for {} ms only",
                 ms(last),
                 ms(ns.dedup_window)
             );
-            broken(&[&attempt_timeout.1, &max_attempts.1], text);
+            broken(&[&attempt_timeout.source, &max_attempts.source], text);
         }
     }
 
@@ -257,8 +260,8 @@
             return;
         }
         for class in table.classes() {
-            let most = class.limits.max_attempts.0 * 1000;
-            let attempts = class.limits.retry_budget.0.map_or(most, |share| most.min(1000 + share));
+            let most = class.limits.max_attempts.value * 1000;
+            let attempts = class.limits.retry_budget.value.map_or(most, |share| most.min(1000 + share));
             let comes_to = attempts * clients.tries.value;
             if comes_to > clients.amplification.value {
                 let text = format!(
@@ -269,8 +272,8 @@
                     comes_to as f64 / 1000.0,
                     clients.amplification.value as f64 / 1000.0
                 );
-                let line = line_of(&class.limits.retry_budget.1)
-                    .max(line_of(&class.limits.max_attempts.1))
+                let line = line_of(&class.limits.retry_budget.source)
+                    .max(line_of(&class.limits.max_attempts.source))
                     .max(clients.amplification.line);
                 self.say(line, text);
             }
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -15,4 +15,4 @@
     ClientRetries, Idempotency, LimitOverrides, Located, Namespace, PlatformLimits, Route, RouteMatch,
     UncheckedLimits,
 };
-pub use table::{LimitSource, LimitTable, Limits, RequestAttributes, RequestClass};
+pub use table::{Effective, LimitSource, LimitTable, Limits, RequestAttributes, RequestClass};
--- a/crates/limits/src/table.rs
+++ b/crates/limits/src/table.rs
@@ -23,22 +23,29 @@
     }
 }
 
+/// A limit in force, and who set it.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Effective<T> {
+    pub value: T,
+    pub source: LimitSource,
+}
+
 /// What holds for the requests of one class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    pub time_limit: (Span, LimitSource),
-    pub latency_objective: (Span, LimitSource),
-    pub max_attempts: (u64, LimitSource),
+    pub time_limit: Effective<Span>,
+    pub latency_objective: Effective<Span>,
+    pub max_attempts: Effective<u64>,
     /// `None`: up to the time limit.
-    pub attempt_timeout: (Option<Span>, LimitSource),
-    pub hedging: (bool, LimitSource),
+    pub attempt_timeout: Effective<Option<Span>>,
+    pub hedging: Effective<bool>,
     /// `None`: only where a server is silent or an attempt lost.
-    pub hedge_after: (Option<u64>, LimitSource),
+    pub hedge_after: Effective<Option<u64>>,
     /// `None`: the balancer's own budget for all.
-    pub retry_budget: (Option<u64>, LimitSource),
+    pub retry_budget: Effective<Option<u64>>,
     /// `None`: as many as come.
-    pub max_in_flight: (Option<u64>, LimitSource),
-    pub max_body_bytes: (u64, LimitSource),
+    pub max_in_flight: Effective<Option<u64>>,
+    pub max_body_bytes: Effective<u64>,
 }
 
 /// A class: the requests of one namespace that one route takes, or that none does.
@@ -77,10 +84,12 @@
         &self,
         platform: T,
         field: impl Fn(&LimitOverrides) -> Option<Located<T>>,
-    ) -> (T, LimitSource) {
-        let said =
-            self.0.iter().rev().find_map(|(s, from)| field(s).map(|said| (said.value, from(said.line))));
-        said.unwrap_or((platform, LimitSource::Platform))
+    ) -> Effective<T> {
+        let narrowest = self.0.iter().rev().find_map(|(overrides, source)| {
+            let located = field(overrides)?;
+            Some(Effective { value: located.value, source: source(located.line) })
+        });
+        narrowest.unwrap_or(Effective { value: platform, source: LimitSource::Platform })
     }
 }
 
@@ -90,21 +99,20 @@
 
 fn limits(platform_limits: &PlatformLimits, namespace: usize, layers: &Layers) -> Limits {
     let ns = &platform_limits.namespaces[namespace];
-    let (time_limit, limit_from) = layers.pick(ns.time_limit, |s| s.time_limit);
-    let (mut latency_objective, mut target_from) = layers.pick(ns.latency_objective, |s| s.latency_objective);
-    if latency_objective > time_limit && target_from == LimitSource::Platform {
+    let time_limit = layers.pick(ns.time_limit, |s| s.time_limit);
+    let mut latency_objective = layers.pick(ns.latency_objective, |s| s.latency_objective);
+    if latency_objective.value > time_limit.value && latency_objective.source == LimitSource::Platform {
         // A shorter limit takes the platform's target with it.
-        (latency_objective, target_from) = (time_limit, limit_from.clone());
+        latency_objective = time_limit.clone();
     }
     // Hedged requests are for what may run twice, whatever wider ones say.
-    let copies = platform_limits.hedging && ns.idempotency == crate::Idempotency::Replayable;
-    let (said, copies_from) = layers.pick(copies, |s| s.hedging);
+    let hedging = platform_limits.hedging && ns.idempotency == crate::Idempotency::Replayable;
     Limits {
-        time_limit: (time_limit, limit_from),
-        latency_objective: (latency_objective, target_from),
+        time_limit,
+        latency_objective,
         max_attempts: layers.pick(platform_limits.max_attempts, |s| s.max_attempts),
         attempt_timeout: layers.pick(None, |s| some(s.attempt_timeout)),
-        hedging: (said, copies_from),
+        hedging: layers.pick(hedging, |s| s.hedging),
         hedge_after: layers.pick(None, |s| some(s.hedge_after)),
         retry_budget: layers.pick(None, |s| some(s.retry_budget)),
         max_in_flight: layers.pick(None, |s| some(s.max_in_flight)),
--- a/crates/limits/tests/accepted.rs
+++ b/crates/limits/tests/accepted.rs
@@ -91,8 +91,8 @@
 }
 
 /// What somebody set, as against what the platform has anyway.
-fn set<T: Copy>(said: &(T, LimitSource)) -> Option<T> {
-    (said.1 != LimitSource::Platform).then_some(said.0)
+fn set<T: Copy>(limit: &Effective<T>) -> Option<T> {
+    (limit.source != LimitSource::Platform).then_some(limit.value)
 }
 
 proptest! {
@@ -104,23 +104,23 @@
         let Ok(table) = check(&draft, &platform_limits) else { return Ok(()) };
         for class in table.classes() {
             let (l, ns) = (&class.limits, &platform_limits.namespaces[class.namespace]);
-            prop_assert!(l.time_limit.0 <= ns.time_limit && l.latency_objective.0 <= l.time_limit.0);
-            prop_assert!(l.max_attempts.0 >= 1 && l.max_attempts.0 <= platform_limits.max_attempts);
-            prop_assert!(l.max_body_bytes.0 <= platform_limits.max_body_bytes);
-            prop_assert!(!l.hedging.0 || ns.idempotency == Idempotency::Replayable);
-            prop_assert!(l.max_in_flight.0 != Some(0));
-            if let Some(wait) = l.attempt_timeout.0 {
+            prop_assert!(l.time_limit.value <= ns.time_limit && l.latency_objective.value <= l.time_limit.value);
+            prop_assert!(l.max_attempts.value >= 1 && l.max_attempts.value <= platform_limits.max_attempts);
+            prop_assert!(l.max_body_bytes.value <= platform_limits.max_body_bytes);
+            prop_assert!(!l.hedging.value || ns.idempotency == Idempotency::Replayable);
+            prop_assert!(l.max_in_flight.value != Some(0));
+            if let Some(wait) = l.attempt_timeout.value {
                 let each = wait + platform_limits.connect_time;
-                prop_assert!(l.max_attempts.0 * each <= l.time_limit.0);
-                prop_assert!(ns.idempotency != Idempotency::Tagged || (l.max_attempts.0 - 1) * each <= ns.dedup_window);
+                prop_assert!(l.max_attempts.value * each <= l.time_limit.value);
+                prop_assert!(ns.idempotency != Idempotency::Tagged || (l.max_attempts.value - 1) * each <= ns.dedup_window);
             } else if ns.idempotency == Idempotency::Tagged && set(&l.max_attempts).is_some() {
-                prop_assert!(l.max_attempts.0 == 1 || l.time_limit.0 <= ns.dedup_window);
+                prop_assert!(l.max_attempts.value == 1 || l.time_limit.value <= ns.dedup_window);
             }
-            if let Some(share) = l.retry_budget.0 {
-                prop_assert!(share <= (l.max_attempts.0 - 1) * 1000);
+            if let Some(share) = l.retry_budget.value {
+                prop_assert!(share <= (l.max_attempts.value - 1) * 1000);
             }
             if let Some(clients) = draft.clients {
-                let attempts = l.retry_budget.0.map_or(l.max_attempts.0 * 1000, |s| (1000 + s).min(l.max_attempts.0 * 1000));
+                let attempts = l.retry_budget.value.map_or(l.max_attempts.value * 1000, |s| (1000 + s).min(l.max_attempts.value * 1000));
                 prop_assert!(attempts * clients.tries.value <= clients.amplification.value);
             }
         }
@@ -144,10 +144,6 @@
 #[test]
 fn nothing_said_changes_nothing() {
     let table = check(&UncheckedLimits::default(), &platform_limits()).expect("an empty file");
-    assert!(
-        table
-            .classes()
-            .iter()
-            .all(|c| c.limits.time_limit == (Span::from_ticks(20_000), LimitSource::Platform))
-    );
+    assert!(table.classes().iter().all(|c| c.limits.time_limit
+        == Effective { value: Span::from_ticks(20_000), source: LimitSource::Platform }));
 }
