--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -76,7 +76,8 @@
     path: Option<String>,
     namespace: Option<String>,
     tenant: Option<String>,
-    door: Option<String>,
+    #[serde(rename = "door")]
+    frontend: Option<String>,
     #[serde(default)]
     limits: Fields,
 }
@@ -443,7 +444,7 @@
             path: r.path.clone(),
             namespace: r.namespace.clone(),
             tenant: r.tenant.clone(),
-            door: r.door.clone(),
+            frontend: r.frontend.clone(),
         };
         let line = lines.at(spanned.span().start);
         Route { name: r.name.clone(), line, when, settings: lines.settings(&r.limits) }
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -24,7 +24,7 @@
             namespace("once", Idempotency::SingleUse, Span::from_ticks(20_000)),
         ],
         tenants: vec!["north".into()],
-        doors: vec!["http".into()],
+        frontends: vec!["http".into()],
     }
 }
 
@@ -191,7 +191,7 @@
                 open = 50\n[[route]]\nname = 'kiosk'\npath = '/kiosk/'\n[route.limits]\nopen = 5\n[end]\n";
     let table = read(text, &platform_limits()).expect("a good file").limits;
     let said = ["/kiosk/a", "/a"]
-        .map(|path| explain(&table, RequestAttributes { namespace: 0, path, tenant: "", door: "http" }));
+        .map(|path| explain(&table, RequestAttributes { namespace: 0, path, tenant: "", frontend: "http" }));
     expect![[r#"
         route kiosk
         time limit       1000 ms                  the house
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -102,7 +102,7 @@
             max_body_bytes: http1::MAX_BODY as u64,
             namespaces: namespaces.iter().enumerate().map(of_namespace).collect(),
             tenants,
-            doors: Vec::new(),
+            frontends: Vec::new(),
         };
         let engine = EngineConfig {
             name: text_or(said, "name", "")?.to_string(),
--- a/crates/http-frontend/src/admit.rs
+++ b/crates/http-frontend/src/admit.rs
@@ -71,7 +71,7 @@
         return wrong(400);
     }
     let Some(left) = message.header("X-Time-Left").and_then(time_left) else { return wrong(400) };
-    let place = RequestAttributes { namespace: ns, path, tenant: tenant(&message), door: FRONTEND_NAME };
+    let place = RequestAttributes { namespace: ns, path, tenant: tenant(&message), frontend: FRONTEND_NAME };
     let ClassLimits { class, time_limit, longest_body } = engine.classes.find(place);
     if message.body.len() as u64 > longest_body {
         return wrong(413);
@@ -103,7 +103,7 @@
     pub fn place(&self) -> RequestAttributes<'_> {
         let target = self.message.text(&self.message.target);
         let path = target.split('?').next().unwrap_or("");
-        RequestAttributes { namespace: self.ns, path, tenant: tenant(&self.message), door: FRONTEND_NAME }
+        RequestAttributes { namespace: self.ns, path, tenant: tenant(&self.message), frontend: FRONTEND_NAME }
     }
 }
 
--- a/crates/limits/src/check.rs
+++ b/crates/limits/src/check.rs
@@ -74,8 +74,8 @@
             if let Some(name) = unknown(&route.when.tenant, &platform_limits.tenants) {
                 self.say(route.line, format!("route {}: \"{name}\" is no tenant of the house", route.name));
             }
-            if let Some(name) = unknown(&route.when.door, &platform_limits.doors) {
-                let doors = platform_limits.doors.join(", ");
+            if let Some(name) = unknown(&route.when.frontend, &platform_limits.frontends) {
+                let doors = platform_limits.frontends.join(", ");
                 self.say(
                     route.line,
                     format!("route {}: there is no door \"{name}\", only {doors}", route.name),
--- a/crates/limits/src/draft.rs
+++ b/crates/limits/src/draft.rs
@@ -40,7 +40,7 @@
     pub path: Option<String>, // a prefix
     pub namespace: Option<String>,
     pub tenant: Option<String>,
-    pub door: Option<String>,
+    pub frontend: Option<String>,
 }
 
 #[derive(Clone, Debug)]
@@ -96,5 +96,5 @@
     pub namespaces: Vec<Namespace>,
     /// Empty where the platform names none: then any may be named.
     pub tenants: Vec<String>,
-    pub doors: Vec<String>,
+    pub frontends: Vec<String>,
 }
--- a/crates/limits/src/table.rs
+++ b/crates/limits/src/table.rs
@@ -63,7 +63,7 @@
     pub namespace: usize,
     pub path: &'a str,
     pub tenant: &'a str,
-    pub door: &'a str,
+    pub frontend: &'a str,
 }
 
 /// All classes; those of the namespaces alone first, in their order, so that a class without routes has its namespace's
@@ -183,7 +183,7 @@
         self.path.as_ref().is_none_or(|p| request.path.starts_with(p.as_str()))
             && same(&self.namespace, names.get(request.namespace).map_or("", String::as_str))
             && same(&self.tenant, request.tenant)
-            && same(&self.door, request.door)
+            && same(&self.frontend, request.frontend)
     }
 
     /// Whether it takes every request that another does.
@@ -196,6 +196,6 @@
         };
         path && wider(&self.namespace, &other.namespace)
             && wider(&self.tenant, &other.tenant)
-            && wider(&self.door, &other.door)
+            && wider(&self.frontend, &other.frontend)
     }
 }
--- a/crates/limits/tests/accepted.rs
+++ b/crates/limits/tests/accepted.rs
@@ -25,7 +25,7 @@
             namespace("once", Idempotency::SingleUse),
         ],
         tenants: Vec::new(),
-        doors: Vec::new(),
+        frontends: Vec::new(),
     }
 }
 
@@ -127,7 +127,7 @@
         // Each request has a class, of its own namespace.
         for namespace in 0..platform_limits.namespaces.len() {
             for path in ["/", "/a", "/ab", "/bb/c", ""] {
-                let class = table.find(RequestAttributes { namespace, path, tenant: "", door: "" });
+                let class = table.find(RequestAttributes { namespace, path, tenant: "", frontend: "" });
                 prop_assert_eq!(table.classes()[class].namespace, namespace);
             }
         }
--- a/crates/proxy/src/given.rs
+++ b/crates/proxy/src/given.rs
@@ -21,7 +21,7 @@
     /// Both, or what is wrong with either.
     pub fn read(&self) -> Result<Read, String> {
         let mut rules = StartupConfig::load(&self.config)?;
-        rules.engine.platform_limits.doors = vec![
+        rules.engine.platform_limits.frontends = vec![
             chalkwalk_http_frontend::FRONTEND_NAME.to_string(),
             chalkwalk_resp_frontend::FRONTEND_NAME.to_string(),
         ];
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -131,7 +131,7 @@
         "{}",
         operator::explain(
             &table,
-            RequestAttributes { namespace: place, path: &route, tenant: &tenant, door }
+            RequestAttributes { namespace: place, path: &route, tenant: &tenant, frontend: door }
         )
     );
     Ok(())
--- a/crates/resp-frontend/src/clients.rs
+++ b/crates/resp-frontend/src/clients.rs
@@ -47,8 +47,8 @@
 const IDLE: Duration = Duration::from_secs(300);
 
 /// Takes connections until the proxy empties.
-pub async fn accept_clients(door: Rc<Frontend>, listener: Async<TcpListener>) {
-    let engine = &door.engine;
+pub async fn accept_clients(frontend: Rc<Frontend>, listener: Async<TcpListener>) {
+    let engine = &frontend.engine;
     let over = async { engine.lifecycle.reached(Phase::Finishing).await };
     let taking = async {
         let mut failing = false;
@@ -58,7 +58,7 @@
                     failing = false;
                     let (permit, taken) = engine.budget.acquire_for_client().await;
                     _ = stream.get_ref().set_nodelay(true);
-                    let serving = serve(door.clone(), stream, permit, taken, ClientConnection::new(engine));
+                    let serving = serve(frontend.clone(), stream, permit, taken, ClientConnection::new(engine));
                     engine.executor.spawn(serving).detach();
                 }
                 Err(e) => {
@@ -89,7 +89,7 @@
 
 /// A request that is open for a client. Where the client goes, so does what is still to be sent for it.
 struct Open {
-    door: Rc<Frontend>,
+    frontend: Rc<Frontend>,
     request_id: RequestId,
     answer: Receiver<Response>,
     answered: Rc<Cell<bool>>,
@@ -101,7 +101,7 @@
         let answer = self.answer.recv().await.ok();
         if matches!(answer, Some(Response { status: ResponseStatus::Rejected(_), .. })) {
             // Perhaps nobody may serve it by an old map.
-            self.door.want_map();
+            self.frontend.want_map();
         }
         answer
     }
@@ -110,7 +110,7 @@
 impl Drop for Open {
     fn drop(&mut self) {
         if !self.answered.get() {
-            api::client_left(&self.door.engine, self.request_id);
+            api::client_left(&self.frontend.engine, self.request_id);
         }
     }
 }
@@ -137,7 +137,7 @@
 }
 
 async fn serve(
-    door: Rc<Frontend>,
+    frontend: Rc<Frontend>,
     stream: Async<TcpStream>,
     _permit: Permit,
     taken: bool,
@@ -147,7 +147,7 @@
     let (into, out) = unbounded::<Placed>();
     let waiting = Rc::new(Cell::new(0));
     let reading = async {
-        let mut reading = Reading::new(&door, &stream, waiting.clone());
+        let mut reading = Reading::new(&frontend, &stream, waiting.clone());
         reading.run(&open, taken, into).await;
         // What was taken is still answered.
         std::future::pending().await
@@ -246,7 +246,7 @@
 }
 
 struct Reading<'a> {
-    door: &'a Rc<Frontend>,
+    frontend: &'a Rc<Frontend>,
     stream: &'a Async<TcpStream>,
     client: Client,
     earlier: VecDeque<Earlier>,
@@ -255,13 +255,13 @@
 }
 
 impl<'a> Reading<'a> {
-    fn new(door: &'a Rc<Frontend>, stream: &'a Async<TcpStream>, waiting: Rc<Cell<usize>>) -> Reading<'a> {
-        let id = door.clients.get() + 1;
-        door.clients.set(id);
+    fn new(frontend: &'a Rc<Frontend>, stream: &'a Async<TcpStream>, waiting: Rc<Cell<usize>>) -> Reading<'a> {
+        let id = frontend.clients.get() + 1;
+        frontend.clients.set(id);
         let peer = stream.get_ref().peer_addr().map_or(String::new(), |a| a.to_string());
-        let client = Client::new(id, peer, &door.settings);
+        let client = Client::new(id, peer, &frontend.settings);
         Reading {
-            door,
+            frontend,
             stream,
             client,
             earlier: VecDeque::new(),
@@ -273,7 +273,7 @@
     /// Reads and takes commands until the client ends, is wrong, or its turn to go has come.
     async fn run(&mut self, open: &ClientConnection, taken: bool, into: Sender<Placed>) {
         let in_order = Arc::new(Semaphore::new(MOST_IN_ORDER));
-        let engine = &self.door.engine;
+        let engine = &self.frontend.engine;
         let mut reader = Reader::new(ReadLimits::default());
         let (mut buf, mut start, mut used) = (Vec::new(), 0, false);
         loop {
@@ -346,14 +346,14 @@
             out.error("NOAUTH Authentication required.");
             return Pending::Ready(out.take());
         }
-        let settings = &self.door.settings;
+        let settings = &self.frontend.settings;
         let elsewhere = |slot: u16| {
             let other = settings.instance_of(slot).filter(|i| i.addr != settings.listen);
             other.map(|other| format!("MOVED {slot} {}", other.addr))
         };
         let (write, keys, slot) = match way(&words, settings.split_multi_slot) {
             Kind::Own => {
-                self.client.own(&words, &self.door.settings, &mut out);
+                self.client.own(&words, &self.frontend.settings, &mut out);
                 return if self.client.over { Pending::Last(out.take()) } else { Pending::Ready(out.take()) };
             }
             Kind::Refused(fault) => {
@@ -430,13 +430,13 @@
         (write, slot): (bool, u16),
         permit: Permit,
     ) -> Result<(Open, Receiver<()>), &'static str> {
-        let (door, engine) = (self.door, &self.door.engine);
-        let ns = door.settings.class_of(keys[0].as_bytes(), write);
+        let (frontend, engine) = (self.frontend, &self.frontend.engine);
+        let ns = frontend.settings.class_of(keys[0].as_bytes(), write);
         let place = RequestAttributes {
             namespace: ns,
             path: &keys[0],
             tenant: &self.client.user,
-            door: crate::FRONTEND_NAME,
+            frontend: crate::FRONTEND_NAME,
         };
         let ClassLimits { class, time_limit, longest_body } = engine.classes.find(place);
         if words.bytes.len() as u64 > longest_body.max(64) {
@@ -446,7 +446,7 @@
         // One whose time is over is deferred by the balancer, at once.
         let expires =
             may_start(engine.clock.now(), taken + time_limit, engine.response_deadline()).unwrap_or(taken);
-        let stale = !write && door.settings.stale_reads.get(ns) == Some(&true);
+        let stale = !write && frontend.settings.stale_reads.get(ns) == Some(&true);
         let command = (words.bytes.first() != Some(&b'*')).then(|| {
             let mut out = Writer::default();
             let all: Vec<&[u8]> = (0..words.len()).map(|i| words.get(i)).collect();
@@ -454,7 +454,7 @@
             out.take()
         });
         let ask = Rc::new(RespRequest {
-            door: door.clone(),
+            frontend: frontend.clone(),
             words,
             command,
             key: keys[0].clone(),
@@ -484,7 +484,7 @@
             })
             .detach();
         let open = Open {
-            door: door.clone(),
+            frontend: frontend.clone(),
             request_id,
             answer: answered_here,
             answered,
--- a/crates/resp-frontend/src/request.rs
+++ b/crates/resp-frontend/src/request.rs
@@ -1,4 +1,4 @@
-//! A request as this door took it: how it is written to a server, and what the server's answer says.
+//! A request as this frontend took it: how it is written to a server, and what the server's answer says.
 
 use crate::command::Words;
 use crate::frontend::Frontend;
@@ -21,7 +21,7 @@
 const ORDINARY: usize = 64 << 10;
 
 pub struct RespRequest {
-    pub door: Rc<Frontend>,
+    pub frontend: Rc<Frontend>,
     pub words: Words,
     /// The command as servers take it, if it came otherwise.
     pub command: Option<Vec<u8>>,
@@ -47,7 +47,7 @@
             namespace: self.ns,
             path: &self.key,
             tenant: &self.user,
-            door: crate::FRONTEND_NAME,
+            frontend: crate::FRONTEND_NAME,
         })
     }
 
@@ -68,7 +68,7 @@
     }
 
     fn allowed_servers(&self) -> Option<Vec<SocketAddr>> {
-        Some(self.way.borrow().candidates(&self.door.map.borrow()))
+        Some(self.way.borrow().candidates(&self.frontend.map.borrow()))
     }
 
     fn attempt_ended(&self, outcome: AttemptOutcome) {
@@ -78,7 +78,7 @@
         ) {
             // What was to be asked once is the owner's again, and another may own the slot by now.
             self.way.borrow_mut().on_no_answer();
-            self.door.want_map();
+            self.frontend.want_map();
         }
     }
 
@@ -86,7 +86,7 @@
         Box::pin(async move {
             let to = stream.get_ref().peer_addr()?;
             let first: &[u8] = {
-                let (way, map) = (self.way.borrow(), self.door.map.borrow());
+                let (way, map) = (self.way.borrow(), self.frontend.map.borrow());
                 match (way.needs_asking(to), way.needs_readonly(to, &map)) {
                     (true, _) => b"*1\r\n$6\r\nASKING\r\n",
                     (_, true) => b"*1\r\n$8\r\nREADONLY\r\n",
@@ -150,8 +150,8 @@
         if let [Frame { kind: FrameKind::Error, range: text, .. }] = &frames[..] {
             let error = String::from_utf8_lossy(&buf[at + text.start..at + text.end]).to_string();
             let means = classify_error(&error, from);
-            if self.way.borrow_mut().on_error(&means, &mut self.door.map.borrow_mut()) {
-                self.door.want_map();
+            if self.way.borrow_mut().on_error(&means, &mut self.frontend.map.borrow_mut()) {
+                self.frontend.want_map();
             }
             match means {
                 // Surely not run, and no word on the server's health: it goes on elsewhere.
@@ -165,7 +165,7 @@
             }
         }
         let len = buf.len() - at;
-        let memory = self.door.engine.response_memory.try_reserve(len);
+        let memory = self.frontend.engine.response_memory.try_reserve(len);
         if len > ORDINARY && memory.is_none() {
             // Read by now, but not to be kept while all others are.
             return ServerResponse {
