--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -14,7 +14,7 @@
 use chalkwalk_http1 as http1;
 use chalkwalk_limits::{Idempotency, Namespace, PlatformLimits};
 use chalkwalk_settings::PlatformSettings;
-use chalkwalk_settings::fields::{Object, Read, object, text, text_or, whole};
+use chalkwalk_settings::fields::{FieldResult, JsonObject, integer, object, text, text_or};
 use chalkwalk_time::Span;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -35,7 +35,7 @@
     pub shape: Shape,
 }
 
-pub fn address(said: &str, what: &str) -> Read<SocketAddr> {
+pub fn address(said: &str, what: &str) -> FieldResult<SocketAddr> {
     said.parse().map_err(|_| format!("{what}: expected an address and a port, got \"{said}\""))
 }
 
@@ -43,13 +43,13 @@
 const MAX_ATTEMPTS: f64 = 1000.0;
 
 impl StartupConfig {
-    pub fn load(path: &str) -> Read<StartupConfig> {
+    pub fn load(path: &str) -> FieldResult<StartupConfig> {
         let text = std::fs::read_to_string(path).map_err(|e| format!("cannot read {path}: {e}"))?;
         let said: Value = serde_json::from_str(&text).map_err(|e| format!("{path} is no JSON: {e}"))?;
         StartupConfig::read(object(&said, "the configuration")?)
     }
 
-    fn read(said: &Object) -> Read<StartupConfig> {
+    fn read(said: &JsonObject) -> FieldResult<StartupConfig> {
         let settings = said.get("settings").ok_or("field settings: missing, expected an object")?;
         let PlatformSettings { values, namespaces, tenants, kinds, zones } =
             chalkwalk_settings::read(object(settings, "field settings")?)?;
@@ -58,7 +58,7 @@
         let limit = |i: usize| number(&format!("namespace {i} time limit"), 0.0).min(3.6e7) as u64;
         let ticks = |name: &str, or: f64| Span::from_ticks(number(name, or) as u64);
         let duration = |name: &str, or: f64| Duration::from(ticks(name, or));
-        let nothing = Object::new();
+        let nothing = JsonObject::new();
         for (i, name) in namespaces.iter().enumerate() {
             let bad = |what: &str| {
                 Err(format!("setting namespaces[{i}].{what}: expected a time above 0 and up to an hour"))
@@ -111,7 +111,7 @@
             // 1,024 is what a process may hold by default.
             descriptors: match limits.get("sockets") {
                 None => 1024,
-                Some(_) => whole(limits, "sockets")? as usize,
+                Some(_) => integer(limits, "sockets")? as usize,
             },
             // The least that a proxy is given.
             memory: limits.get("memory_mb").and_then(Value::as_u64).unwrap_or(32) as usize * 1_000_000,
--- a/crates/discovery/src/list.rs
+++ b/crates/discovery/src/list.rs
@@ -9,7 +9,9 @@
 use chalkwalk_engine::api;
 use chalkwalk_engine::engine::Engine;
 use chalkwalk_engine::servers::ListedEndpoint;
-use chalkwalk_settings::fields::{Object, Read, flag, list, object, size, text, text_or, whole, whole_or};
+use chalkwalk_settings::fields::{
+    FieldResult, JsonObject, flag, integer, integer_or, list, object, size_hundredths, text, text_or,
+};
 use chalkwalk_sockets::wait_until;
 use chalkwalk_time::{Span, Timestamp};
 use serde_json::Value;
@@ -58,7 +60,7 @@
     }
 }
 
-fn line(line: &Value) -> Read<ListedEndpoint> {
+fn line(line: &Value) -> FieldResult<ListedEndpoint> {
     let e = object(line, "field servers")?;
     let word = |name: &str| text(e, name).map(str::to_string);
     Ok(ListedEndpoint {
@@ -66,10 +68,10 @@
         addr: address(text(e, "addr")?, "field addr")?,
         zone: word("zone")?,
         kind: text_or(e, "kind", "")?.to_string(),
-        cell: whole_or(e, "cell", 0)?,
-        size: size(e, "weight")?,
+        cell: integer_or(e, "cell", 0)?,
+        size: size_hundredths(e, "weight")?,
         status: status(text(e, "state")?),
-        born: Timestamp::ZERO + Span::from_millis(whole_or(e, "started_ms", 0)?),
+        born: Timestamp::ZERO + Span::from_millis(integer_or(e, "started_ms", 0)?),
     })
 }
 
@@ -101,7 +103,7 @@
 /// Tells the engine the list as this proxy last had it, and returns its version, if it names any server.
 pub fn known(engine: &Rc<Engine>, known: &Value) -> Option<u64> {
     let said = known.as_object()?;
-    match take(engine, said, true, false).and_then(|()| whole(said, "version")) {
+    match take(engine, said, true, false).and_then(|()| integer(said, "version")) {
         Ok(version) => Some(version).filter(|_| list(said, "servers").is_ok_and(|lines| !lines.is_empty())),
         Err(fault) => {
             warn!(engine.log, "known list passed over"; "fault" => fault);
@@ -111,12 +113,12 @@
 }
 
 /// Tells the engine what a list says. Of one that is wrong anywhere, only what it says is off.
-fn take(engine: &Rc<Engine>, said: &Object, whole_list: bool, doubted: bool) -> Read<()> {
-    let lines: Vec<Read<ListedEndpoint>> = list(said, "servers")?.iter().map(line).collect();
-    if lines.iter().any(Read::is_err) {
+fn take(engine: &Rc<Engine>, said: &JsonObject, whole_list: bool, doubted: bool) -> FieldResult<()> {
+    let lines: Vec<FieldResult<ListedEndpoint>> = list(said, "servers")?.iter().map(line).collect();
+    if lines.iter().any(FieldResult::is_err) {
         take_off(engine, lines.iter().flatten());
     }
-    let lines = lines.into_iter().collect::<Read<Vec<_>>>()?;
+    let lines = lines.into_iter().collect::<FieldResult<Vec<_>>>()?;
     api::apply_endpoint_list(engine, &lines, whole_list, doubted);
     if engine.requests.borrow().no_server_ready() {
         warn!(engine.log, "no cache in service by the list"; "lines" => lines.len());
@@ -322,17 +324,17 @@
 }
 
 /// Takes of an answer only what it says is off.
-fn hear_what_is_off(engine: &Rc<Engine>, body: &[u8]) -> Read<()> {
+fn hear_what_is_off(engine: &Rc<Engine>, body: &[u8]) -> FieldResult<()> {
     let said: Value = serde_json::from_slice(body).map_err(|e| format!("no JSON: {e}"))?;
     let lines = list(object(&said, "the list")?, "servers")?;
     take_off(engine, lines.iter().flat_map(line).collect::<Vec<_>>().iter());
     Ok(())
 }
 
-fn hear(engine: &Rc<Engine>, held: &mut Held, body: &[u8]) -> Read<()> {
+fn hear(engine: &Rc<Engine>, held: &mut Held, body: &[u8]) -> FieldResult<()> {
     let said: Value = serde_json::from_slice(body).map_err(|e| format!("no JSON: {e}"))?;
     let said = object(&said, "the list")?;
-    let version = whole(said, "version")?;
+    let version = integer(said, "version")?;
     if version < held.version && held.older < OLD_ANSWERS {
         held.older += 1;
         hear_what_is_off(engine, body)?;
--- a/crates/discovery/src/shape.rs
+++ b/crates/discovery/src/shape.rs
@@ -1,7 +1,7 @@
 //! Which fields a configuration has, whatever they say: a later one that lacks any of them is taken for spoilt, as no list of
 //! needed fields can know what its writer meant to say.
 
-use chalkwalk_settings::fields::Object;
+use chalkwalk_settings::fields::JsonObject;
 use serde_json::Value;
 use std::collections::BTreeSet;
 
@@ -13,7 +13,7 @@
 const LEFT_ALONE: &str = "known";
 
 impl Shape {
-    pub fn of(said: &Object) -> Shape {
+    pub fn of(said: &JsonObject) -> Shape {
         let mut paths = BTreeSet::new();
         for (name, value) in said.iter().filter(|(name, _)| *name != LEFT_ALONE) {
             walk(name, value, &mut paths);
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -2,8 +2,8 @@
 
 use serde_json::{Map, Value};
 
-pub type Object = Map<String, Value>;
-pub type Read<T> = Result<T, String>;
+pub type JsonObject = Map<String, Value>;
+pub type FieldResult<T> = Result<T, String>;
 
 fn short(value: &Value) -> String {
     let text = value.to_string();
@@ -13,18 +13,18 @@
     }
 }
 
-pub fn object<'a>(value: &'a Value, what: &str) -> Read<&'a Object> {
+pub fn object<'a>(value: &'a Value, what: &str) -> FieldResult<&'a JsonObject> {
     let wrong = || format!("{what}: expected an object, got {}", short(value));
     value.as_object().ok_or_else(wrong)
 }
 
 /// The field, if it is there and not null, read by `as_kind`.
 fn optional<'a, T>(
-    o: &'a Object,
+    o: &'a JsonObject,
     name: &str,
     kind: &str,
     as_kind: impl Fn(&'a Value) -> Option<T>,
-) -> Read<Option<T>> {
+) -> FieldResult<Option<T>> {
     match o.get(name).filter(|v| !v.is_null()) {
         None => Ok(None),
         Some(v) => {
@@ -34,40 +34,40 @@
     }
 }
 
-fn needed<T>(found: Option<T>, name: &str, kind: &str) -> Read<T> {
+fn needed<T>(found: Option<T>, name: &str, kind: &str) -> FieldResult<T> {
     found.ok_or_else(|| format!("field {name}: missing, expected {kind}"))
 }
 
 const WHOLE: &str = "a whole number";
 
-pub fn whole_or(o: &Object, name: &str, or: u64) -> Read<u64> {
+pub fn integer_or(o: &JsonObject, name: &str, or: u64) -> FieldResult<u64> {
     Ok(optional(o, name, WHOLE, Value::as_u64)?.unwrap_or(or))
 }
 
-pub fn whole(o: &Object, name: &str) -> Read<u64> {
+pub fn integer(o: &JsonObject, name: &str) -> FieldResult<u64> {
     needed(optional(o, name, WHOLE, Value::as_u64)?, name, WHOLE)
 }
 
 /// A stated size in hundredths, one where none is stated. From a hundredth to ten thousand, wider than any fleet's machines
 /// differ; what is beyond is taken as the bound, as no list is to be lost over a strange one.
-pub fn size(o: &Object, name: &str) -> Read<u64> {
+pub fn size_hundredths(o: &JsonObject, name: &str) -> FieldResult<u64> {
     let stated = optional(o, name, "a number", Value::as_f64)?.unwrap_or(1.0);
     Ok((stated.clamp(0.01, 10_000.0) * 100.0).round() as u64)
 }
 
-pub fn flag(o: &Object, name: &str) -> Read<bool> {
+pub fn flag(o: &JsonObject, name: &str) -> FieldResult<bool> {
     Ok(optional(o, name, "true or false", Value::as_bool)?.unwrap_or(false))
 }
 
-pub fn text_or<'a>(o: &'a Object, name: &str, or: &'a str) -> Read<&'a str> {
+pub fn text_or<'a>(o: &'a JsonObject, name: &str, or: &'a str) -> FieldResult<&'a str> {
     Ok(optional(o, name, "a text", Value::as_str)?.unwrap_or(or))
 }
 
-pub fn text<'a>(o: &'a Object, name: &str) -> Read<&'a str> {
+pub fn text<'a>(o: &'a JsonObject, name: &str) -> FieldResult<&'a str> {
     needed(optional(o, name, "a text", Value::as_str)?, name, "a text")
 }
 
-pub fn list<'a>(o: &'a Object, name: &str) -> Read<&'a [Value]> {
+pub fn list<'a>(o: &'a JsonObject, name: &str) -> FieldResult<&'a [Value]> {
     let found = optional(o, name, "an array", Value::as_array)?;
     needed(found, name, "an array").map(Vec::as_slice)
 }
@@ -87,7 +87,7 @@
             json!({"w": "2"}),
             json!({"w": 1e9}),
         ]
-        .map(|o| size(o.as_object().unwrap(), "w").map_or_else(|fault| fault, |n| n.to_string()));
+        .map(|o| size_hundredths(o.as_object().unwrap(), "w").map_or_else(|fault| fault, |n| n.to_string()));
         expect_test::expect![[r#"
             100
             150
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -2,7 +2,7 @@
 
 pub mod fields;
 
-use fields::{Object, Read, object};
+use fields::{FieldResult, JsonObject, object};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
@@ -80,7 +80,7 @@
 /// No time is longer, in nanoseconds: half a year, so that none added to a clock is beyond what it can tell.
 const LONGEST: f64 = 1.5e16;
 
-fn said(value: &Value, path: &str, form: Form) -> Read<String> {
+fn said(value: &Value, path: &str, form: Form) -> FieldResult<String> {
     let wrong = |kind: &str| format!("setting {path}: expected {kind}, got {value}");
     let number = || value.as_f64().ok_or_else(|| wrong("a number"));
     let number = || match number() {
@@ -103,11 +103,11 @@
 }
 
 fn pick(
-    from: &Object,
+    from: &JsonObject,
     table: &[(&str, &str, Form)],
     before: (&str, &str),
     into: &mut BTreeMap<String, String>,
-) -> Read<()> {
+) -> FieldResult<()> {
     for (path, name, form) in table {
         let (group, field) = path.split_once('.').unwrap_or(("", path));
         let holder = match (group, from.get(group)) {
@@ -124,12 +124,12 @@
 
 /// The names in one of the settings' lists, each with its own fields picked into the map.
 fn listed(
-    options: &Object,
+    options: &JsonObject,
     wire: &str,
     (one, many): (&str, &str),
     table: &[(&str, &str, Form)],
     into: &mut BTreeMap<String, String>,
-) -> Read<Vec<String>> {
+) -> FieldResult<Vec<String>> {
     let items = match options.get(wire).filter(|v| !v.is_null()) {
         None => &Vec::new(),
         Some(v) => v.as_array().ok_or_else(|| format!("setting {wire}: expected an array, got {v}"))?,
@@ -157,7 +157,7 @@
     pub zones: Vec<String>,
 }
 
-pub fn read(options: &Object) -> Read<PlatformSettings> {
+pub fn read(options: &JsonObject) -> FieldResult<PlatformSettings> {
     let mut values = BTreeMap::new();
     pick(options, &NAMED, ("", ""), &mut values)?;
     let namespaces = listed(options, "namespaces", ("namespace", "namespaces"), &OF_NAMESPACE, &mut values)?;
@@ -212,10 +212,10 @@
             [0.0, 1.0, 49_999.0, 50_000.0, 99_999.0, 100_000.0, 150_000.0, 199_999.0, 1e300].map(|ns| {
                 let values = read(settings(ns).as_object().unwrap()).unwrap().values;
                 let of = |name: &str| values[name].clone();
-                let whole = ["drain grace", "ask time", "namespace 0 window"].map(of).join(" ");
+                let integer = ["drain grace", "ask time", "namespace 0 window"].map(of).join(" ");
                 let limits =
                     ["connect time", "namespace 0 target time", "namespace 0 time limit"].map(of).join(" ");
-                format!("{ns:e}: {whole}, {limits}, {}", ["cold time", "key quiet"].map(of).join(" "))
+                format!("{ns:e}: {integer}, {limits}, {}", ["cold time", "key quiet"].map(of).join(" "))
             });
         expect_test::expect![[r#"
             0e0: 0 0 0, 0 0 0, 0 0
--- a/crates/simulator-adapter/src/desk.rs
+++ b/crates/simulator-adapter/src/desk.rs
@@ -4,7 +4,9 @@
     AttemptOutcome, Balancer, Effects, Endpoint, EndpointStatus, RequestId, ServerIndex,
 };
 use chalkwalk_settings::PlatformSettings;
-use chalkwalk_settings::fields::{Object, Read, flag, list, object, size, text, text_or, whole, whole_or};
+use chalkwalk_settings::fields::{
+    FieldResult, JsonObject, flag, integer, integer_or, list, object, size_hundredths, text, text_or,
+};
 use chalkwalk_time::{Span, Timestamp};
 use serde_json::{Value, json};
 use std::collections::HashMap;
@@ -83,12 +85,12 @@
     }
 }
 
-fn place_of(names: &[String], name: &str, field: &str, what: &str) -> Read<usize> {
+fn place_of(names: &[String], name: &str, field: &str, what: &str) -> FieldResult<usize> {
     let unknown = || format!("field {field}: expected a {what} named in the settings, got \"{name}\"");
     names.iter().position(|n| n == name).ok_or_else(unknown)
 }
 
-fn outcome(reason: &str) -> Read<AttemptOutcome> {
+fn outcome(reason: &str) -> FieldResult<AttemptOutcome> {
     Ok(match reason {
         "done" => AttemptOutcome::Completed,
         "enoent" => AttemptOutcome::CacheMiss,
@@ -104,21 +106,21 @@
 }
 
 /// What is wrong with a list's entries, if anything, before any instance acts on them.
-pub fn endpoints(inventory: &Object) -> Read<Vec<Object>> {
+pub fn endpoints(inventory: &JsonObject) -> FieldResult<Vec<JsonObject>> {
     let read = list(inventory, "entries")?.iter().map(|v| {
         let e = object(v, "field entries")?;
         for name in ["node", "dc", "model"] {
             text(e, name)?;
         }
         status(text(e, "state")?)?;
-        whole_or(e, "cluster", 0)?;
-        whole_or(e, "bornNs", 0)?;
+        integer_or(e, "cluster", 0)?;
+        integer_or(e, "bornNs", 0)?;
         Ok(e.clone())
     });
     read.collect()
 }
 
-fn status(state: &str) -> Read<EndpointStatus> {
+fn status(state: &str) -> FieldResult<EndpointStatus> {
     match state {
         "in_service" => Ok(EndpointStatus::Ready),
         "terminating" => Ok(EndpointStatus::Draining),
@@ -128,8 +130,8 @@
 }
 
 impl Desk {
-    pub fn open(up: &Object, actions: &mut Vec<Value>) -> Read<Desk> {
-        let seed = whole(up, "randomSeed")?;
+    pub fn open(up: &JsonObject, actions: &mut Vec<Value>) -> FieldResult<Desk> {
+        let seed = integer(up, "randomSeed")?;
         let options = up.get("options").ok_or("field options: missing, expected an object")?;
         let settings = chalkwalk_settings::read(object(options, "field options")?)?;
         let mut zones = Door::default();
@@ -152,10 +154,10 @@
         &mut self,
         now: Timestamp,
         kind: &str,
-        event: &Object,
-        lists: &HashMap<u64, Vec<Object>>,
+        event: &JsonObject,
+        lists: &HashMap<u64, Vec<JsonObject>>,
         actions: &mut Vec<Value>,
-    ) -> Read<()> {
+    ) -> FieldResult<()> {
         self.balancer.advance_clock(now);
         match kind {
             "MEMBERS" => return self.members(event, lists, actions),
@@ -165,7 +167,7 @@
         // What the balancer may still be told about, before the pen borrows the door.
         let request_id = match kind {
             "CANCELLED_BY_CLIENT" | "DONE" | "ACCEPTED" => {
-                let req = whole(event, "req")?;
+                let req = integer(event, "req")?;
                 self.request_ids.get(&req).map(|request_id| (req, *request_id))
             }
             _ => None,
@@ -178,9 +180,9 @@
         let balancer = &mut self.balancer;
         match kind {
             "DONE" => {
-                let (attempt, reason) = (whole(event, "trial")?, outcome(text(event, "reason")?)?);
-                let took = whole(event, "latencyNs")? / NANOSECONDS_PER_TICK;
-                let how = match (reason, whole_or(event, "info", 0)?) {
+                let (attempt, reason) = (integer(event, "trial")?, outcome(text(event, "reason")?)?);
+                let took = integer(event, "latencyNs")? / NANOSECONDS_PER_TICK;
+                let how = match (reason, integer_or(event, "info", 0)?) {
                     (AttemptOutcome::Completed, 1) => AttemptOutcome::CompletedFromCache,
                     (AttemptOutcome::Completed, 2) => AttemptOutcome::CompletedByFetch,
                     (reason, _) => reason,
@@ -198,7 +200,7 @@
                 }
             }
             "ACCEPTED" => {
-                let attempt = whole(event, "trial")?;
+                let attempt = integer(event, "trial")?;
                 if let Some((_, request_id)) = request_id {
                     balancer.response_started(request_id, attempt as usize, pen);
                 }
@@ -208,7 +210,7 @@
                     balancer.client_left(request_id, pen);
                 }
             }
-            "WAKEUP" => balancer.timer_fired(whole(event, "name")?, pen),
+            "WAKEUP" => balancer.timer_fired(integer(event, "name")?, pen),
             "HEALTH_RESULT" => {
                 let answered = outcome(text(event, "reason")?)? == AttemptOutcome::Completed;
                 if let Some(server) = node.and_then(|n| self.servers.index.get(n)) {
@@ -216,7 +218,7 @@
                 }
             }
             "FROM_PEER" => {
-                whole(event, "srcPeer")?;
+                integer(event, "srcPeer")?;
                 text_or(event, "bytes", "")?;
             }
             other => return Err(format!("field kind: expected an event of the wire, got \"{other}\"")),
@@ -241,15 +243,15 @@
         }
     }
 
-    fn knock(&mut self, event: &Object, actions: &mut Vec<Value>) -> Read<()> {
-        let req = whole(event, "req")?;
+    fn knock(&mut self, event: &JsonObject, actions: &mut Vec<Value>) -> FieldResult<()> {
+        let req = integer(event, "req")?;
         let ns = place_of(&self.settings.namespaces, text(event, "service")?, "service", "namespace")?;
         let tenant = text_or(event, "project", "")?;
         if !tenant.is_empty() {
             place_of(&self.settings.tenants, tenant, "project", "tenant")?;
         }
         let key = text_or(event, "routeKey", "")?;
-        let expires = whole(event, "expiresNs")? / NANOSECONDS_PER_TICK;
+        let expires = integer(event, "expiresNs")? / NANOSECONDS_PER_TICK;
         flag(event, "retry")?;
         let write = flag(event, "isWrite")?;
         let request_id = self.balancer.accept_request(ns, key, write, Timestamp::from_ticks(expires));
@@ -262,14 +264,14 @@
 
     fn members(
         &mut self,
-        event: &Object,
-        lists: &HashMap<u64, Vec<Object>>,
+        event: &JsonObject,
+        lists: &HashMap<u64, Vec<JsonObject>>,
         actions: &mut Vec<Value>,
-    ) -> Read<()> {
+    ) -> FieldResult<()> {
         let scope = text(event, "scope")?;
         let mut endpoints = Vec::new();
         if scope != "Error" {
-            let number = whole(event, "buffer")?;
+            let number = integer(event, "buffer")?;
             let undeclared = || format!("field buffer: expected the number of a declared list, got {number}");
             for e in lists.get(&number).ok_or_else(undeclared)? {
                 endpoints.push(Endpoint {
@@ -277,10 +279,10 @@
                     id: text(e, "node")?,
                     zone: self.zones.index_of(text(e, "dc")?),
                     kind: place_of(&self.settings.kinds, text(e, "model")?, "model", "kind")?,
-                    cell: whole_or(e, "cluster", 0)?,
-                    size: size(e, "powerHint")?,
+                    cell: integer_or(e, "cluster", 0)?,
+                    size: size_hundredths(e, "powerHint")?,
                     status: status(text(e, "state")?)?,
-                    born: Timestamp::from_ticks(whole_or(e, "bornNs", 0)? / NANOSECONDS_PER_TICK),
+                    born: Timestamp::from_ticks(integer_or(e, "bornNs", 0)? / NANOSECONDS_PER_TICK),
                 });
             }
         }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -3,7 +3,7 @@
 
 mod desk;
 
-use chalkwalk_settings::fields::{Object, Read, list, object, text, whole};
+use chalkwalk_settings::fields::{FieldResult, JsonObject, integer, list, object, text};
 use chalkwalk_time::Timestamp;
 use desk::{Desk, NANOSECONDS_PER_TICK};
 use serde_json::{Value, json};
@@ -15,19 +15,19 @@
 #[derive(Default)]
 struct Hall {
     desks: HashMap<u64, Option<Desk>>,
-    lists: HashMap<u64, Vec<Object>>,
+    lists: HashMap<u64, Vec<JsonObject>>,
 }
 
 impl Hall {
-    fn batch(&mut self, line: &str) -> Read<Value> {
+    fn batch(&mut self, line: &str) -> FieldResult<Value> {
         let batch: Value = serde_json::from_str(line).map_err(|e| format!("not JSON: {e}"))?;
         let batch = object(&batch, "batch")?;
-        let now = whole(batch, "tsNs")? / NANOSECONDS_PER_TICK;
+        let now = integer(batch, "tsNs")? / NANOSECONDS_PER_TICK;
         let mut groups = Vec::new();
         for group in list(batch, "groups")? {
             let group = object(group, "field groups")?;
             let mut actions = Vec::new();
-            let proxy = group.get("proxy").map_or(Ok(None), |_| whole(group, "proxy").map(Some))?;
+            let proxy = group.get("proxy").map_or(Ok(None), |_| integer(group, "proxy").map(Some))?;
             for event in list(group, "happened")? {
                 let event = object(event, "field happened")?;
                 let kind = text(event, "kind")?;
@@ -46,11 +46,11 @@
         now: u64,
         proxy: Option<u64>,
         kind: &str,
-        event: &Object,
+        event: &JsonObject,
         actions: &mut Vec<Value>,
-    ) -> Read<()> {
+    ) -> FieldResult<()> {
         if kind == "INVENTORY" {
-            self.lists.insert(whole(event, "buffer")?, desk::endpoints(event)?);
+            self.lists.insert(integer(event, "buffer")?, desk::endpoints(event)?);
             return Ok(());
         }
         let proxy = proxy.ok_or("field proxy: missing, expected a whole number")?;
