--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -157,31 +157,36 @@
 
 /// Whether and where all that the balancer is told is written down.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Capture {
+pub struct CaptureConfig {
     pub folder: PathBuf,
     /// Whether the texts of keys are kept; their points are in any case.
     pub keys: bool,
     /// In bytes.
-    pub segment: u64,
-    pub most: u64,
+    pub segment_bytes: u64,
+    pub max_bytes: u64,
 }
 
 /// A segment holds some minutes of a busy proxy; all of them an evening.
 const USUAL_MB: (u64, u64) = (32, 1024);
 
-fn capture(c: &Spanned<CaptureFields>, lines: &Lines) -> Result<Capture, Vec<ConfigError>> {
+fn capture(c: &Spanned<CaptureFields>, lines: &Lines) -> Result<CaptureConfig, Vec<ConfigError>> {
     let CaptureFields { folder, keys, segment_mb, most_mb } = c.get_ref();
     let (segment, most) = (segment_mb.unwrap_or(USUAL_MB.0), most_mb.unwrap_or(USUAL_MB.1));
     if segment == 0 || most < 2 * segment || most > 1 << 24 {
         let text = "capture keeps two segments at the least, of 1 MB or more each".to_string();
         return Err(vec![ConfigError { line: lines.at(c.span().start), message: text }]);
     }
-    Ok(Capture { folder: folder.clone(), keys: *keys, segment: segment << 20, most: most << 20 })
+    Ok(CaptureConfig {
+        folder: folder.clone(),
+        keys: *keys,
+        segment_bytes: segment << 20,
+        max_bytes: most << 20,
+    })
 }
 
 /// The RESP door: its addresses, and how keys are of namespaces.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Resp {
+pub struct RespConfig {
     pub listen: SocketAddr,
     pub seeds: Vec<SocketAddr>,
     /// Namespaces by their numbers.
@@ -222,7 +227,7 @@
     r: &Spanned<RespFields>,
     platform_limits: &PlatformLimits,
     lines: &Lines,
-) -> Result<Resp, Vec<ConfigError>> {
+) -> Result<RespConfig, Vec<ConfigError>> {
     let fields = r.get_ref();
     let faults = std::cell::RefCell::new(Vec::new());
     let say =
@@ -261,7 +266,7 @@
         });
         (u.name.clone(), secret)
     };
-    let told = Resp {
+    let told = RespConfig {
         listen: addr(&fields.listen),
         seeds: fields.seeds.iter().map(addr).collect(),
         namespace: namespace(&fields.namespace),
@@ -291,36 +296,36 @@
 
 /// Where the list of servers comes from, instead of the platform's.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Membership {
-    pub from: From,
+pub struct MembershipConfig {
+    pub source: MembershipSource,
     /// Where the list is kept on disk.
-    pub keep: Option<PathBuf>,
+    pub persist_path: Option<PathBuf>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum From {
+pub enum MembershipSource {
     File(PathBuf),
-    Etcd(Etcd),
+    Etcd(EtcdConfig),
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Etcd {
+pub struct EtcdConfig {
     pub endpoints: Vec<SocketAddr>,
     /// Of every key, `/` at its end.
     pub prefix: String,
     /// How long a proxy counts that says nothing any more, in seconds.
     pub lease_s: u64,
     /// Whether proxies are counted by it.
-    pub count: bool,
+    pub count_proxies: bool,
 }
 
 /// What an operator's file says, checked.
 #[derive(Clone, Debug, Default)]
-pub struct Operator {
+pub struct OperatorConfig {
     pub limits: LimitTable,
-    pub membership: Option<Membership>,
-    pub resp: Option<Resp>,
-    pub capture: Option<Capture>,
+    pub membership: Option<MembershipConfig>,
+    pub resp: Option<RespConfig>,
+    pub capture: Option<CaptureConfig>,
 }
 
 /// Five endpoints are etcd's largest advised cluster; some more while one is moved.
@@ -329,7 +334,7 @@
 const LEASES: std::ops::RangeInclusive<u64> = 3..=60;
 const USUAL_LEASE: u64 = 10;
 
-fn membership(m: &Spanned<MembershipFields>, lines: &Lines) -> Result<Membership, Vec<ConfigError>> {
+fn membership(m: &Spanned<MembershipFields>, lines: &Lines) -> Result<MembershipConfig, Vec<ConfigError>> {
     let (fields, mut faults) = (m.get_ref(), Vec::new());
     let mut say = |at: usize, text: String| faults.push(ConfigError { line: lines.at(at), message: text });
     let here = m.span().start;
@@ -363,7 +368,7 @@
             if fields.file.is_none() {
                 say(here, "the source \"file\" needs a file".into());
             }
-            From::File(fields.file.clone().unwrap_or_default())
+            MembershipSource::File(fields.file.clone().unwrap_or_default())
         }
         "etcd" => {
             if fields.endpoints.is_empty() || fields.endpoints.len() > MOST_ENDPOINTS {
@@ -372,14 +377,18 @@
             if fields.file.is_some() {
                 say(here, "file is for the source \"file\"".into());
             }
-            From::Etcd(Etcd { endpoints, prefix, lease_s, count: fields.count })
+            MembershipSource::Etcd(EtcdConfig { endpoints, prefix, lease_s, count_proxies: fields.count })
         }
         other => {
             say(fields.source.span().start, format!("there is no source \"{other}\", only file and etcd"));
-            From::File(PathBuf::new())
+            MembershipSource::File(PathBuf::new())
         }
     };
-    if faults.is_empty() { Ok(Membership { from, keep: fields.keep.clone() }) } else { Err(faults) }
+    if faults.is_empty() {
+        Ok(MembershipConfig { source: from, persist_path: fields.keep.clone() })
+    } else {
+        Err(faults)
+    }
 }
 
 /// The lines of a text, by the place of a byte.
@@ -414,7 +423,7 @@
 }
 
 /// Reads a file's text and holds it against the platform's settings. Faults come all at once, by line.
-pub fn read(text: &str, platform_limits: &PlatformLimits) -> Result<Operator, Vec<ConfigError>> {
+pub fn read(text: &str, platform_limits: &PlatformLimits) -> Result<OperatorConfig, Vec<ConfigError>> {
     let lines = Lines(text);
     let file: File = toml::from_str(text).map_err(|e| {
         let line = e.span().map_or(1, |span| lines.at(span.start));
@@ -467,7 +476,7 @@
     let capture = file.capture.as_ref().map(|c| capture(c, &lines)).transpose();
     match (check(&draft, platform_limits), membership, resp, capture) {
         (Ok(limits), Ok(membership), Ok(resp), Ok(capture)) => {
-            Ok(Operator { limits, membership, resp, capture })
+            Ok(OperatorConfig { limits, membership, resp, capture })
         }
         (limits, membership, resp, capture) => {
             let mut faults = limits.err().unwrap_or_default();
@@ -482,7 +491,7 @@
 }
 
 /// Faults as lines of text, each with the file's name.
-pub fn worded(path: &str, faults: &[ConfigError]) -> String {
+pub fn format_errors(path: &str, faults: &[ConfigError]) -> String {
     let lines: Vec<String> = faults.iter().map(|f| format!("{path}:{}: {}", f.line, f.message)).collect();
     lines.join("\n")
 }
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -1,6 +1,6 @@
 //! Files as operators write them: bad ones are refused at load with every fault, its line, and the rule in plain words.
 
-use chalkwalk_config::{explain, read, worded};
+use chalkwalk_config::{explain, format_errors, read};
 use chalkwalk_limits::{Idempotency, Namespace, PlatformLimits, RequestAttributes};
 use chalkwalk_time::Span;
 use expect_test::expect;
@@ -34,7 +34,7 @@
         let text = format!("version = 1\n{file}\n[end]\n");
         match read(&text, &platform_limits()) {
             Ok(_) => format!("TAKEN: {file}\n"),
-            Err(faults) => worded("f", &faults) + "\n",
+            Err(faults) => format_errors("f", &faults) + "\n",
         }
     });
     said.collect()
@@ -108,7 +108,8 @@
     ];
     let files: Vec<&str> = files.iter().map(String::as_str).collect();
     assert!(files.len() >= 30);
-    let said = refused(&files) + &worded("f", &read("version = 2\n[end]", &platform_limits()).unwrap_err());
+    let said =
+        refused(&files) + &format_errors("f", &read("version = 2\n[end]", &platform_limits()).unwrap_err());
     assert!(!said.contains("TAKEN"), "{said}");
     expect![[r#"
         f:5: record: second copies of a tagged lookup would run it twice
@@ -226,7 +227,7 @@
         .insert(1, Namespace { name: "chunk".into(), ..platform_limits.namespaces[0].clone() });
     platform_limits.namespaces.truncate(3);
     if let Err(faults) = read(text, &platform_limits) {
-        panic!("{}", worded("deploy/operator.toml", &faults));
+        panic!("{}", format_errors("deploy/operator.toml", &faults));
     }
 }
 
--- a/crates/proxy/src/given.rs
+++ b/crates/proxy/src/given.rs
@@ -1,6 +1,6 @@
 //! The files that a proxy is given: the platform's configuration, and the operator's, read and checked together.
 
-use chalkwalk_config::{self as operator, Capture, Membership, Resp};
+use chalkwalk_config::{self as operator, CaptureConfig, MembershipConfig, RespConfig};
 use chalkwalk_discovery::StartupConfig;
 
 pub struct Given {
@@ -12,9 +12,9 @@
 pub struct Read {
     pub rules: StartupConfig,
     /// Where the list comes from, if not from the platform.
-    pub membership: Option<Membership>,
-    pub resp: Option<Resp>,
-    pub capture: Option<Capture>,
+    pub membership: Option<MembershipConfig>,
+    pub resp: Option<RespConfig>,
+    pub capture: Option<CaptureConfig>,
 }
 
 impl Given {
@@ -29,7 +29,7 @@
         if let Some(path) = &self.operator {
             let text = std::fs::read_to_string(path).map_err(|e| format!("cannot read {path}: {e}"))?;
             let said = operator::read(&text, &rules.engine.platform_limits);
-            let said = said.map_err(|faults| operator::worded(path, &faults))?;
+            let said = said.map_err(|faults| operator::format_errors(path, &faults))?;
             rules.engine.limits = Some(said.limits);
             (membership, resp, capture) = (said.membership, said.resp, said.capture);
         }
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -6,7 +6,7 @@
 use async_signal::{Signal, Signals};
 use chalkwalk_admin as console;
 use chalkwalk_capture::{Recorder, Retention, Writer};
-use chalkwalk_config::{Capture, Membership, Resp};
+use chalkwalk_config::{CaptureConfig, MembershipConfig, RespConfig};
 use chalkwalk_discovery::{self as platform, Shape, StartupConfig};
 use chalkwalk_discovery_feed::Feed;
 use chalkwalk_engine::engine::Engine;
@@ -54,7 +54,7 @@
     let probe: Box<dyn HealthCheck> =
         if resp.is_some() { Box::new(resp_frontend::Ping) } else { Box::new(http::AliveCheck) };
     let writer = capture.as_ref().map(|c| {
-        let keep = Retention { folder: c.folder.clone(), segment: c.segment, most: c.most };
+        let keep = Retention { folder: c.folder.clone(), segment: c.segment_bytes, most: c.max_bytes };
         Writer::open(keep, &rules.name).map(|writer| (writer, c.keys))
     });
     let writer = writer.transpose().map_err(|e| format!("cannot capture: {e}"))?;
@@ -145,9 +145,9 @@
 
 /// What was said at the start, and takes a restart to be changed.
 struct Was<'a> {
-    membership: &'a Option<Membership>,
-    resp: &'a Option<Resp>,
-    capture: &'a Option<Capture>,
+    membership: &'a Option<MembershipConfig>,
+    resp: &'a Option<RespConfig>,
+    capture: &'a Option<CaptureConfig>,
     shape: &'a Shape,
 }
 
@@ -211,7 +211,7 @@
 }
 
 /// The RESP door's settings, as the door has them.
-fn settings(resp: &Resp, namespaces: usize) -> resp_frontend::Settings {
+fn settings(resp: &RespConfig, namespaces: usize) -> resp_frontend::Settings {
     let prefix = |(prefix, namespace, writes): &(String, usize, usize)| resp_frontend::PrefixRule {
         prefix: prefix.clone(),
         read_class: *namespace,
--- a/crates/proxy/src/sources.rs
+++ b/crates/proxy/src/sources.rs
@@ -1,6 +1,6 @@
 //! Where the list comes from: the platform, or what the operator's file names.
 
-use chalkwalk_config::{From, Membership};
+use chalkwalk_config::{MembershipConfig, MembershipSource};
 use chalkwalk_discovery::{self as platform, Source};
 use chalkwalk_discovery_etcd::{Announcement, EtcdSource};
 use chalkwalk_discovery_feed::{Feed, FileSource};
@@ -33,7 +33,7 @@
     pub fn follow(
         engine: &Rc<Engine>,
         (at, known): (Option<SocketAddr>, Option<u64>),
-        from: Option<&Membership>,
+        from: Option<&MembershipConfig>,
         (listen, at_once): (SocketAddr, bool),
     ) -> List {
         let Some(from) = from else {
@@ -42,22 +42,22 @@
             engine.executor.spawn(platform::follow(engine.clone(), source.clone(), known, at_once)).detach();
             return List::Platform(source);
         };
-        let trust = match from.from {
-            From::File(_) => SourceKind::Assembled,
-            From::Etcd(_) => SourceKind::Revisioned,
+        let trust = match from.source {
+            MembershipSource::File(_) => SourceKind::Assembled,
+            MembershipSource::Etcd(_) => SourceKind::Revisioned,
         };
-        let feed = Feed::new(engine, trust, from.keep.clone());
+        let feed = Feed::new(engine, trust, from.persist_path.clone());
         feed.load_persisted();
         engine.executor.spawn(feed.clone().run_timers()).detach();
         engine.executor.spawn(feed.clone().persist_changes()).detach();
-        match &from.from {
-            From::File(path) => {
+        match &from.source {
+            MembershipSource::File(path) => {
                 let file = FileSource::new(feed.clone(), path);
                 engine.executor.spawn(file.clone().follow()).detach();
                 List::File(file, feed)
             }
-            From::Etcd(etcd) => {
-                let own = etcd.count.then(|| {
+            MembershipSource::Etcd(etcd) => {
+                let own = etcd.count_proxies.then(|| {
                     let zone = engine.config.zones.get(engine.classes.zone()).cloned().unwrap_or_default();
                     let instance = ProxyRecord { zone, phase: SERVING.into(), listen: listen.to_string() };
                     Announcement::new(engine, &etcd.prefix, instance, etcd.lease_s)
