--- a/crates/discovery/src/call.rs
+++ b/crates/discovery/src/call.rs
@@ -1,6 +1,6 @@
 //! One call to discovery, from its connection to the whole answer.
 
-use crate::list::Source;
+use crate::list::DiscoveryAddress;
 use crate::terms;
 use chalkwalk_balancer::discovery::GIVE_UP_CONNECTING;
 use chalkwalk_http1::{self as http1, ResponseReader};
@@ -52,7 +52,7 @@
 
 impl<'a> Call<'a> {
     pub fn begin(
-        source: &'a Source,
+        source: &'a DiscoveryAddress,
         link: &'a Link,
         number: u64,
         (target, wait): (String, Duration),
@@ -76,7 +76,7 @@
 }
 
 /// One call; where a kept link turns out to be closed meanwhile, on a new one.
-async fn call(source: &Source, link: &Link, target: &str) -> Said {
+async fn call(source: &DiscoveryAddress, link: &Link, target: &str) -> Said {
     if let Some(kept) = link.take().filter(is_idle)
         && let Ok(said) = ask(source, kept, link, target).await
     {
@@ -91,7 +91,12 @@
 }
 
 /// What the list says, or an `Err` outside if it said nothing.
-async fn ask(source: &Source, open: Async<TcpStream>, link: &Link, target: &str) -> Result<Said, String> {
+async fn ask(
+    source: &DiscoveryAddress,
+    open: Async<TcpStream>,
+    link: &Link,
+    target: &str,
+) -> Result<Said, String> {
     http1::send_get(&open, source.address(), target).await.map_err(|e| format!("not written: {e}"))?;
     let mut answer = ResponseReader::start(&open).await.map_err(|_| "no answer".to_string())?;
     match answer.message.status {
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -7,8 +7,8 @@
 mod shape;
 mod terms;
 
-pub use list::{Source, follow, known};
-pub use shape::Shape;
+pub use list::{DiscoveryAddress, apply_last_known_list, watch_endpoint_list};
+pub use shape::FieldPaths;
 
 use chalkwalk_engine::config::EngineConfig;
 use chalkwalk_http1 as http1;
@@ -24,15 +24,15 @@
 pub struct StartupConfig {
     pub listen: SocketAddr,
     /// Where operators call, if they do.
-    pub console: Option<SocketAddr>,
+    pub admin_address: Option<SocketAddr>,
     /// Where the platform's list is, if there is one.
-    pub list: Option<SocketAddr>,
+    pub list_address: Option<SocketAddr>,
     /// The list as this proxy last had it.
-    pub known: Value,
+    pub last_known_list: Value,
     pub namespaces: Vec<String>,
     pub engine: EngineConfig,
     /// What it has said at all.
-    pub shape: Shape,
+    pub fields: FieldPaths,
 }
 
 pub fn address(said: &str, what: &str) -> FieldResult<SocketAddr> {
@@ -130,15 +130,15 @@
         };
         Ok(StartupConfig {
             listen: address(text(said, "listen")?, "field listen")?,
-            console: match (optional("console")?, std::env::var("ROUTER_CONSOLE")) {
+            admin_address: match (optional("console")?, std::env::var("ROUTER_CONSOLE")) {
                 (None, Ok(at)) if !at.is_empty() => Some(address(&at, "ROUTER_CONSOLE")?),
                 (said, _) => said,
             },
-            list: optional("discovery")?,
-            known: said.get("known").cloned().unwrap_or(Value::Null),
+            list_address: optional("discovery")?,
+            last_known_list: said.get("known").cloned().unwrap_or(Value::Null),
             namespaces,
             engine,
-            shape: Shape::of(said),
+            fields: FieldPaths::of(said),
         })
     }
 }
--- a/crates/discovery/src/list.rs
+++ b/crates/discovery/src/list.rs
@@ -76,16 +76,16 @@
 }
 
 /// Where the list is asked from, which may move while the proxy serves.
-pub struct Source {
+pub struct DiscoveryAddress {
     at: Cell<SocketAddr>,
     moves: Sender<()>,
     moved: Receiver<()>,
 }
 
-impl Source {
-    pub fn new(at: SocketAddr) -> Rc<Source> {
+impl DiscoveryAddress {
+    pub fn new(at: SocketAddr) -> Rc<DiscoveryAddress> {
         let (moves, moved) = bounded(1);
-        Rc::new(Source { at: Cell::new(at), moves, moved })
+        Rc::new(DiscoveryAddress { at: Cell::new(at), moves, moved })
     }
 
     pub fn address(&self) -> SocketAddr {
@@ -101,7 +101,7 @@
 }
 
 /// Tells the engine the list as this proxy last had it, and returns its version, if it names any server.
-pub fn known(engine: &Rc<Engine>, known: &Value) -> Option<u64> {
+pub fn apply_last_known_list(engine: &Rc<Engine>, known: &Value) -> Option<u64> {
     let said = known.as_object()?;
     match take(engine, said, true, false).and_then(|()| integer(said, "version")) {
         Ok(version) => Some(version).filter(|_| list(said, "servers").is_ok_and(|lines| !lines.is_empty())),
@@ -140,7 +140,12 @@
 
 /// Watches whenever the balancer asks for it, until a call fails; the balancer hears of that and asks again. `known`: the
 /// version of the list that was known at the start, from which the first call goes on. `at_once`: that one waits for no news.
-pub async fn follow(engine: Rc<Engine>, source: Rc<Source>, known: Option<u64>, at_once: bool) {
+pub async fn watch_endpoint_list(
+    engine: Rc<Engine>,
+    source: Rc<DiscoveryAddress>,
+    known: Option<u64>,
+    at_once: bool,
+) {
     let version = known.unwrap_or(0);
     let mut held = Held { version, since: known.is_some(), highest: version, at_once, ..Held::default() };
     let mut chance = fastrand::Rng::with_seed(engine.config.seed);
@@ -193,7 +198,12 @@
 /// A call that seems silent is made anew, and heard until the new one is answered: it may have been slow. So is the one to the old
 /// address where discovery has moved: what was about to be written there counts as told. A list that has moved is asked for all
 /// it has, at once.
-async fn watch(engine: &Rc<Engine>, source: &Source, held: &mut Held, chance: &mut fastrand::Rng) -> Lost {
+async fn watch(
+    engine: &Rc<Engine>,
+    source: &DiscoveryAddress,
+    held: &mut Held,
+    chance: &mut fastrand::Rng,
+) -> Lost {
     let link = Link::default();
     let mut older: Option<Call> = None;
     let mut older_elsewhere = false;
@@ -281,7 +291,7 @@
     fn begin<'a>(
         &mut self,
         engine: &Engine,
-        source: &'a Source,
+        source: &'a DiscoveryAddress,
         link: &'a Link,
         chance: &mut fastrand::Rng,
     ) -> Call<'a> {
--- a/crates/discovery/src/shape.rs
+++ b/crates/discovery/src/shape.rs
@@ -7,22 +7,22 @@
 
 /// The paths of its fields; in a list of objects, of those that all of them have.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Shape(BTreeSet<String>);
+pub struct FieldPaths(BTreeSet<String>);
 
 /// What is known of the servers at a start may be nothing.
 const LEFT_ALONE: &str = "known";
 
-impl Shape {
-    pub fn of(said: &JsonObject) -> Shape {
+impl FieldPaths {
+    pub fn of(said: &JsonObject) -> FieldPaths {
         let mut paths = BTreeSet::new();
         for (name, value) in said.iter().filter(|(name, _)| *name != LEFT_ALONE) {
             walk(name, value, &mut paths);
         }
-        Shape(paths)
+        FieldPaths(paths)
     }
 
     /// The first field that this one has and the other lacks.
-    pub fn lacking_in<'a>(&'a self, other: &Shape) -> Option<&'a str> {
+    pub fn first_missing_in<'a>(&'a self, other: &FieldPaths) -> Option<&'a str> {
         self.0.iter().find(|path| !other.0.contains(*path)).map(String::as_str)
     }
 }
--- a/crates/proxy/src/given.rs
+++ b/crates/proxy/src/given.rs
@@ -33,7 +33,7 @@
             rules.engine.limits = Some(said.limits);
             (membership, resp, capture) = (said.membership, said.resp, said.capture);
         }
-        if rules.list.is_none() && membership.is_none() && resp.is_none() {
+        if rules.list_address.is_none() && membership.is_none() && resp.is_none() {
             return Err("field discovery: missing, expected a text".into());
         }
         Ok(Read { rules, membership, resp, capture })
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -7,7 +7,7 @@
 use chalkwalk_admin as console;
 use chalkwalk_capture::{Recorder, Retention, Writer};
 use chalkwalk_config::{CaptureConfig, MembershipConfig, RespConfig};
-use chalkwalk_discovery::{self as platform, Shape, StartupConfig};
+use chalkwalk_discovery::{self as platform, FieldPaths, StartupConfig};
 use chalkwalk_discovery_feed::Feed;
 use chalkwalk_engine::engine::Engine;
 use chalkwalk_engine::response::HealthCheck;
@@ -35,7 +35,15 @@
     (listener, handed): (TcpListener, bool),
 ) -> Result<(), String> {
     let Read { rules, membership, resp, capture } = read;
-    let StartupConfig { listen, console, list, known, namespaces, engine: mut rules, shape } = rules;
+    let StartupConfig {
+        listen,
+        admin_address: console,
+        list_address: list,
+        last_known_list: known,
+        namespaces,
+        engine: mut rules,
+        fields: shape,
+    } = rules;
     // Places that no request can take.
     let own = if console.is_some() { console::MAX_DESCRIPTORS } else { 0 } + usize::from(handed);
     rules.descriptors = rules.descriptors.saturating_sub(own);
@@ -65,7 +73,7 @@
         engine.executor.spawn(async move { beating.clock.run_heartbeat().await }).detach();
         engine.executor.spawn(background::run_timers(engine.clone())).detach();
         engine.executor.spawn(background::run_pool_sweeps(engine.clone())).detach();
-        let known = platform::known(&engine, &known);
+        let known = platform::apply_last_known_list(&engine, &known);
         let of_servers = resp.is_some() && membership.is_none() && list.is_none();
         let list = if of_servers {
             None
@@ -148,7 +156,7 @@
     membership: &'a Option<MembershipConfig>,
     resp: &'a Option<RespConfig>,
     capture: &'a Option<CaptureConfig>,
-    shape: &'a Shape,
+    shape: &'a FieldPaths,
 }
 
 /// What indices at work stand for, by the platform's names.
@@ -157,7 +165,7 @@
 /// Why what was read can't be taken without a restart, if it can't.
 fn needs_restart(engine: &Engine, read: &Read, was: &Was) -> Option<String> {
     let Read { rules, membership, resp, capture } = read;
-    if let Some(field) = was.shape.lacking_in(&rules.shape) {
+    if let Some(field) = was.shape.first_missing_in(&rules.fields) {
         return Some(format!("field {field}: missing, and was there at the start"));
     }
     if membership != was.membership || resp != was.resp || capture != was.capture {
@@ -186,11 +194,11 @@
     });
     match read {
         Ok(Read { rules, resp, .. }) => {
-            let at = rules.list.map_or_else(|| "-".to_string(), |at| at.to_string());
+            let at = rules.list_address.map_or_else(|| "-".to_string(), |at| at.to_string());
             let new = rules.engine.settings != engine.classes.platform_settings();
             info!(engine.log, "configuration read again"; "list" => at, "settings" => if new { "new" } else { "as before" });
             if let Some(list) = list {
-                list.read_again(rules.list);
+                list.read_again(rules.list_address);
             }
             if new {
                 if resp.is_none() {
--- a/crates/proxy/src/sources.rs
+++ b/crates/proxy/src/sources.rs
@@ -1,7 +1,7 @@
 //! Where the list comes from: the platform, or what the operator's file names.
 
 use chalkwalk_config::{MembershipConfig, MembershipSource};
-use chalkwalk_discovery::{self as platform, Source};
+use chalkwalk_discovery::{self as platform, DiscoveryAddress};
 use chalkwalk_discovery_etcd::{Announcement, EtcdSource};
 use chalkwalk_discovery_feed::{Feed, FileSource};
 use chalkwalk_engine::engine::Engine;
@@ -23,7 +23,7 @@
 const LOOK: Duration = Duration::from_millis(10);
 
 pub enum List {
-    Platform(Rc<Source>),
+    Platform(Rc<DiscoveryAddress>),
     File(Rc<FileSource>, Rc<Feed>),
     Etcd(Rc<Feed>),
 }
@@ -38,8 +38,11 @@
     ) -> List {
         let Some(from) = from else {
             // The configuration was read with one of the two.
-            let source = Source::new(at.unwrap_or(listen));
-            engine.executor.spawn(platform::follow(engine.clone(), source.clone(), known, at_once)).detach();
+            let source = DiscoveryAddress::new(at.unwrap_or(listen));
+            engine
+                .executor
+                .spawn(platform::watch_endpoint_list(engine.clone(), source.clone(), known, at_once))
+                .detach();
             return List::Platform(source);
         };
         let trust = match from.source {
