--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -192,15 +192,38 @@
     /// Namespaces by their numbers.
     pub namespace: usize,
     /// Of commands that write.
-    pub writes: usize,
-    /// Prefix, namespace, and that of writes.
-    pub prefixes: Vec<(String, usize, usize)>,
+    pub write_namespace: usize,
+    pub prefixes: Vec<KeyPrefix>,
     pub stale_reads: Vec<usize>,
     pub split: bool,
-    /// Name, address and slots, ends included.
-    pub instances: Vec<(String, SocketAddr, (u16, u16))>,
-    /// Name and SHA-256 of the secret.
-    pub users: Vec<(String, [u8; 32])>,
+    pub instances: Vec<ProxyInstance>,
+    pub users: Vec<RespUser>,
+}
+
+/// The namespaces of keys with one prefix.
+#[derive(Clone, Debug, PartialEq)]
+pub struct KeyPrefix {
+    pub prefix: String,
+    pub namespace: usize,
+    /// Of commands that write.
+    pub write_namespace: usize,
+}
+
+/// A proxy that clients of the dialect are told of.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ProxyInstance {
+    pub name: String,
+    pub address: SocketAddr,
+    /// The hash slots that it answers for, ends included.
+    pub slots: (u16, u16),
+}
+
+/// A user of the RESP frontend.
+#[derive(Clone, Debug, PartialEq)]
+pub struct RespUser {
+    pub name: String,
+    /// SHA-256 of the secret.
+    pub secret: [u8; 32],
 }
 
 /// Hash slots of the dialect, by its public specification.
@@ -247,8 +270,8 @@
         })
     };
     let prefix = |p: &PrefixFields| {
-        let writes = namespace(p.writes.as_ref().unwrap_or(&p.namespace));
-        (p.prefix.clone(), namespace(&p.namespace), writes)
+        let write_namespace = namespace(p.writes.as_ref().unwrap_or(&p.namespace));
+        KeyPrefix { prefix: p.prefix.clone(), namespace: namespace(&p.namespace), write_namespace }
     };
     let instance = |i: &InstanceFields| {
         let own = i.slots.as_ref().map_or(Some((0, SLOTS - 1)), |s| slots(s.get_ref()));
@@ -257,20 +280,20 @@
             say(at, format!("slots are FIRST-LAST, from 0 to {}", SLOTS - 1));
             (0, 0)
         });
-        (i.name.clone(), addr(&i.addr), own)
+        ProxyInstance { name: i.name.clone(), address: addr(&i.addr), slots: own }
     };
     let user = |u: &UserFields| {
         let secret = hex(u.secret.get_ref()).unwrap_or_else(|| {
             say(u.secret.span().start, "a secret is written as sha256: and 64 hexadecimal digits".into());
             [0; 32]
         });
-        (u.name.clone(), secret)
+        RespUser { name: u.name.clone(), secret }
     };
     let told = RespConfig {
         listen: addr(&fields.listen),
         seeds: fields.seeds.iter().map(addr).collect(),
         namespace: namespace(&fields.namespace),
-        writes: namespace(fields.writes.as_ref().unwrap_or(&fields.namespace)),
+        write_namespace: namespace(fields.writes.as_ref().unwrap_or(&fields.namespace)),
         prefixes: fields.prefix.iter().map(prefix).collect(),
         stale_reads: fields.stale_reads.iter().map(namespace).collect(),
         split: fields.split,
@@ -282,11 +305,11 @@
         say(here, format!("resp needs 1 to {MOST_INSTANCES} seeds, and has as many instances at the most"));
     }
     if !told.instances.is_empty() {
-        let answered = |slot: u16| told.instances.iter().any(|(.., (a, b))| (*a..=*b).contains(&slot));
+        let answered = |slot: u16| told.instances.iter().any(|i| (i.slots.0..=i.slots.1).contains(&slot));
         if let Some(slot) = (0..SLOTS).find(|slot| !answered(*slot)) {
             say(here, format!("no instance answers for slot {slot}"));
         }
-        if !told.instances.iter().any(|(_, addr, _)| *addr == told.listen) {
+        if !told.instances.iter().any(|i| i.address == told.listen) {
             say(here, "no instance is at the address that this one listens on".into());
         }
     }
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -220,23 +220,25 @@
 
 /// The RESP door's settings, as the door has them.
 fn settings(resp: &RespConfig, namespaces: usize) -> resp_frontend::Settings {
-    let prefix = |(prefix, namespace, writes): &(String, usize, usize)| resp_frontend::PrefixRule {
-        prefix: prefix.clone(),
-        read_class: *namespace,
-        write_class: *writes,
+    let prefix = |key: &chalkwalk_config::KeyPrefix| resp_frontend::PrefixRule {
+        prefix: key.prefix.clone(),
+        read_class: key.namespace,
+        write_class: key.write_namespace,
     };
-    let instance = |(name, addr, slots): &(String, std::net::SocketAddr, (u16, u16))| {
-        resp_frontend::Instance { name: name.clone(), addr: *addr, slots: (*slots).into() }
+    let instance = |proxy: &chalkwalk_config::ProxyInstance| resp_frontend::Instance {
+        name: proxy.name.clone(),
+        addr: proxy.address,
+        slots: proxy.slots.into(),
     };
-    let user = |(name, secret): &(String, [u8; 32])| resp_frontend::User {
-        name: name.clone(),
-        secret_sha256: *secret,
+    let user = |user: &chalkwalk_config::RespUser| resp_frontend::User {
+        name: user.name.clone(),
+        secret_sha256: user.secret,
     };
     resp_frontend::Settings {
         listen: resp.listen,
         seeds: resp.seeds.clone(),
         read_class: resp.namespace,
-        write_class: resp.writes,
+        write_class: resp.write_namespace,
         prefixes: resp.prefixes.iter().map(prefix).collect(),
         stale_reads: (0..namespaces).map(|ns| resp.stale_reads.contains(&ns)).collect(),
         split_multi_slot: resp.split,
