--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -36,7 +36,7 @@
 }
 
 pub fn address(said: &str, what: &str) -> FieldResult<SocketAddr> {
-    said.parse().map_err(|_| format!("{what}: expected an address and a port, got \"{said}\""))
+    said.parse().map_err(|_| format!("{what}: expected an address and a port, got \"{said}\"").into())
 }
 
 /// No house allows more: what is above is a slip of the pen.
@@ -61,10 +61,11 @@
         let nothing = JsonObject::new();
         for (i, name) in namespaces.iter().enumerate() {
             let bad = |what: &str| {
-                Err(format!("setting namespaces[{i}].{what}: expected a time above 0 and up to an hour"))
+                Err(format!("setting namespaces[{i}].{what}: expected a time above 0 and up to an hour")
+                    .into())
             };
             if namespaces[..i].contains(name) {
-                return Err(format!("setting namespaces[{i}].name: \"{name}\" is there twice"));
+                return Err(format!("setting namespaces[{i}].name: \"{name}\" is there twice").into());
             }
             let wrong = |name: &str| !(1.0..=3.6e7).contains(&number(&format!("namespace {i} {name}"), 1e4));
             if wrong("time limit") {
@@ -78,7 +79,8 @@
         if max_attempts.fract() != 0.0 || !(1.0..=MAX_ATTEMPTS).contains(&max_attempts) {
             return Err(format!(
                 "setting ceilings.mostShots: expected a whole number above 0, got {max_attempts}"
-            ));
+            )
+            .into());
         }
         let limits = said.get("limits").map_or(Ok(&nothing), |l| object(l, "field limits"))?;
         let seed = text_or(said, "seed", "0")?;
--- a/crates/discovery/src/list.rs
+++ b/crates/discovery/src/list.rs
@@ -106,7 +106,7 @@
     match take(engine, said, true, false).and_then(|()| integer(said, "version")) {
         Ok(version) => Some(version).filter(|_| list(said, "servers").is_ok_and(|lines| !lines.is_empty())),
         Err(fault) => {
-            warn!(engine.log, "known list passed over"; "fault" => fault);
+            warn!(engine.log, "known list passed over"; "fault" => %fault);
             None
         }
     }
@@ -232,7 +232,7 @@
             said.or(of_older).or(moved).or(over).await
         };
         let odd = match came {
-            Came::Said(Ok(body)) => hear(engine, held, &body).err(),
+            Came::Said(Ok(body)) => hear(engine, held, &body).err().map(|error| error.to_string()),
             Came::Said(Err(fault @ Fault::CutShort)) => Some(fault.to_string()),
             // Only a service that has too much to do is surely the one that told this version; after any other fault the
             // whole list is asked for.
@@ -328,7 +328,7 @@
         false => hear(engine, held, body),
     };
     if let Err(fault) = &heard {
-        warn!(engine.log, "list answer passed over"; "fault" => fault);
+        warn!(engine.log, "list answer passed over"; "fault" => %fault);
     }
     heard.is_ok() && !elsewhere
 }
@@ -348,7 +348,7 @@
     if version < held.version && held.older < OLD_ANSWERS {
         held.older += 1;
         hear_what_is_off(engine, body)?;
-        return Err(format!("an old list, {version} after {}", held.version));
+        return Err(format!("an old list, {version} after {}", held.version).into());
     }
     let now = engine.clock.now();
     let since = (version < held.highest).then(|| held.doubted.unwrap_or(now));
--- /dev/null
+++ b/crates/settings/tests/fields.rs
@@ -0,0 +1,28 @@
+//! Fields of JSON objects, and what is said of those that can't be read.
+
+use chalkwalk_settings::fields::size_hundredths;
+use serde_json::json;
+
+#[test]
+fn sizes_are_numbers_within_bounds_and_one_where_none_is_stated() {
+    let read = [
+        json!({}),
+        json!({"w": 1.5}),
+        json!({"w": 0}),
+        json!({"w": -1}),
+        json!({"w": "2"}),
+        json!({"w": 1e9}),
+    ]
+    .map(|object| {
+        let size = size_hundredths(object.as_object().unwrap(), "w");
+        size.map_or_else(|error| error.to_string(), |hundredths| hundredths.to_string())
+    });
+    expect_test::expect![[r#"
+        100
+        150
+        1
+        1
+        field w: expected a number, got "2"
+        1000000"#]]
+    .assert_eq(&read.join("\n"));
+}
--- a/crates/simulator-adapter/src/desk.rs
+++ b/crates/simulator-adapter/src/desk.rs
@@ -86,7 +86,7 @@
 }
 
 fn place_of(names: &[String], name: &str, field: &str, what: &str) -> FieldResult<usize> {
-    let unknown = || format!("field {field}: expected a {what} named in the settings, got \"{name}\"");
+    let unknown = || format!("field {field}: expected a {what} named in the settings, got \"{name}\"").into();
     names.iter().position(|n| n == name).ok_or_else(unknown)
 }
 
@@ -101,7 +101,7 @@
         "econnreset" => AttemptOutcome::ConnectionLost,
         "ecanceled" => AttemptOutcome::Cancelled,
         "skipped" => AttemptOutcome::NotSent,
-        other => return Err(format!("field reason: expected an outcome code, got \"{other}\"")),
+        other => return Err(format!("field reason: expected an outcome code, got \"{other}\"").into()),
     })
 }
 
@@ -125,7 +125,7 @@
         "in_service" => Ok(EndpointStatus::Ready),
         "terminating" => Ok(EndpointStatus::Draining),
         "terminated" => Ok(EndpointStatus::Gone),
-        other => Err(format!("field state: expected a state of a cache node, got \"{other}\"")),
+        other => Err(format!("field state: expected a state of a cache node, got \"{other}\"").into()),
     }
 }
 
@@ -221,7 +221,7 @@
                 integer(event, "srcPeer")?;
                 text_or(event, "bytes", "")?;
             }
-            other => return Err(format!("field kind: expected an event of the wire, got \"{other}\"")),
+            other => return Err(format!("field kind: expected an event of the wire, got \"{other}\"").into()),
         }
         if kind == "WAKEUP" {
             // A wake may end any request, not only its own.
@@ -291,7 +291,7 @@
             "Partial" => self.balancer.update_endpoints(&endpoints, pen),
             "Complete" | "Persisted" => self.balancer.replace_endpoints(&endpoints, pen),
             "Error" => self.balancer.discovery_call_failed(Span::ZERO, pen),
-            other => return Err(format!("field scope: expected a kind of list, got \"{other}\"")),
+            other => return Err(format!("field scope: expected a kind of list, got \"{other}\"").into()),
         }
         Ok(())
     }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -87,7 +87,7 @@
         }
         let reply = match hall.batch(&line) {
             Ok(reply) => reply,
-            Err(fault) => break fault,
+            Err(fault) => break fault.to_string(),
         };
         if let Err(e) = writeln!(output, "{reply}").and_then(|()| output.flush()) {
             break format!("cannot write: {e}");
