--- a/crates/handover/tests/pages.rs
+++ b/crates/handover/tests/pages.rs
@@ -1,28 +1,28 @@
 //! What two processes of a proxy come to know of each other, whoever reads whom first.
 
-use chalkwalk_handover::{LONGEST, Learned, Page, Word};
+use chalkwalk_handover::{HandoverRecord, LearnedServers, MAX_FILE_BYTES, OperatorOverride, ServerFigures};
 use chalkwalk_time::Timestamp;
 use expect_test::expect;
 use proptest::prelude::*;
 
-fn page(began: u64) -> Page {
-    Page { pid: 7, began: Timestamp::from_ticks(began), ..Page::default() }
+fn page(started: u64) -> HandoverRecord {
+    HandoverRecord { pid: 7, started: Timestamp::from_ticks(started), ..HandoverRecord::default() }
 }
 
 #[test]
 fn the_later_word_holds_and_a_back_call_undoes_two_out_calls() {
     let (mut old, mut new) = (page(1), page(2));
-    old.say("amber", true, Timestamp::from_ticks(100));
-    old.say("amber", true, Timestamp::from_ticks(110));
+    old.set_server_out("amber", true, Timestamp::from_ticks(100));
+    old.set_server_out("amber", true, Timestamp::from_ticks(110));
     let mut seen = vec![format!("{:?}", new.merge(&old))];
-    new.say("amber", false, Timestamp::from_ticks(105)); // by a clock that was set back
-    new.say("birch", true, Timestamp::from_ticks(120));
-    new.say_service(true, Timestamp::from_ticks(130));
+    new.set_server_out("amber", false, Timestamp::from_ticks(105)); // by a clock that was set back
+    new.set_server_out("birch", true, Timestamp::from_ticks(120));
+    new.set_service_out(true, Timestamp::from_ticks(130));
     seen.push(format!("{:?}", old.merge(&new)));
-    seen.push(format!("{:?} {:?}", old.merge(&new), old.is_out("amber")));
-    new.ready = Some(Timestamp::from_ticks(140));
+    seen.push(format!("{:?} {:?}", old.merge(&new), old.is_server_out("amber")));
+    new.ready_since = Some(Timestamp::from_ticks(140));
     seen.push(format!("{} {}", old.succeeded_by(&new), new.succeeded_by(&old)));
-    old.tidy(Timestamp::from_ticks(700_000));
+    old.drop_settled(Timestamp::from_ticks(700_000));
     seen.push(format!("{:?}", old.servers.keys().collect::<Vec<_>>()));
     expect![[r#"
         (["amber"], false)
@@ -36,29 +36,29 @@
 #[test]
 fn a_file_that_is_cut_spoilt_or_foreign_is_none() {
     let mut of = page(3);
-    of.say("amber", true, Timestamp::from_ticks(4));
-    let text = of.written();
-    assert_eq!(Page::read(&text), Ok(of));
+    of.set_server_out("amber", true, Timestamp::from_ticks(4));
+    let text = of.encode();
+    assert_eq!(HandoverRecord::decode(&text), Ok(of));
     for cut in 0..text.len() {
-        assert!(Page::read(&text[..cut]).is_err(), "cut at {cut}");
+        assert!(HandoverRecord::decode(&text[..cut]).is_err(), "cut at {cut}");
     }
     let other = text.replace("handover-1", "handover-2");
     let spoilt = text.replace("amber", "ember");
-    let faults: Vec<_> = ["", "{}", &other, &spoilt].iter().map(|t| Page::read(t).unwrap_err()).collect();
+    let faults: Vec<_> =
+        ["", "{}", &other, &spoilt].iter().map(|t| HandoverRecord::decode(t).unwrap_err()).collect();
     expect!["no handover of a version that is known; no handover of a version that is known; no handover of a version that is known; a checksum that is another"]
         .assert_eq(&faults.join("; "));
 }
 
-fn any_page() -> impl Strategy<Value = Page> {
+fn any_page() -> impl Strategy<Value = HandoverRecord> {
     let word = || {
-        (0..20u64, any::<bool>())
-            .prop_map(|(at, out)| Word { at: Timestamp::from_ticks(2 * at + u64::from(out)), out })
+        (0..20u64, any::<bool>()).prop_map(|(at, out)| OperatorOverride {
+            at: Timestamp::from_ticks(2 * at + u64::from(out)),
+            out,
+        })
     };
-    (prop::collection::btree_map("[abc]", word(), 0..4), word()).prop_map(|(servers, service)| Page {
-        servers,
-        service,
-        ..Page::default()
-    })
+    (prop::collection::btree_map("[abc]", word(), 0..4), word())
+        .prop_map(|(servers, service)| HandoverRecord { servers, service, ..HandoverRecord::default() })
 }
 
 proptest! {
@@ -72,7 +72,7 @@
         let mut once_more = one.clone();
         prop_assert_eq!(once_more.merge(&other), (vec![], false));
         for id in a.servers.keys().chain(b.servers.keys()) {
-            prop_assert_eq!(one.is_out(id), other.is_out(id));
+            prop_assert_eq!(one.is_server_out(id), other.is_server_out(id));
         }
         prop_assert_eq!(one.service, other.service);
     }
@@ -82,16 +82,17 @@
 /// long for it.
 #[test]
 fn what_was_learned_is_bounded_and_holds_for_a_minute_on_its_terms() {
-    let servers = (0..5000).map(|i| (format!("s-{i:060}"), [u64::MAX; 4])).collect();
-    let learned = Learned { at: Timestamp::from_ticks(10_000), terms: 7, servers }.bounded();
-    let page = Page { learned: learned.clone(), ..Page::default() };
-    assert!(page.written().len() < LONGEST / 2);
-    assert_eq!(Page::read(&page.written()).unwrap().learned, learned);
+    let servers = (0..5000).map(|i| (format!("s-{i:060}"), ServerFigures::from([u64::MAX; 4]))).collect();
+    let learned =
+        LearnedServers { written_at: Timestamp::from_ticks(10_000), settings_digest: 7, servers }.bounded();
+    let page = HandoverRecord { learned: learned.clone(), ..HandoverRecord::default() };
+    assert!(page.encode().len() < MAX_FILE_BYTES / 2);
+    assert_eq!(HandoverRecord::decode(&page.encode()).unwrap().learned, learned);
     let holds = [(7, 10_000), (7, 609_999), (7, 610_000), (7, 9_999), (8, 10_000)];
-    let holds = holds.map(|(terms, now)| learned.holds(terms, Timestamp::from_ticks(now)));
+    let holds = holds.map(|(terms, now)| learned.is_usable(terms, Timestamp::from_ticks(now)));
     assert_eq!((learned.servers.len(), holds), (2000, [true, true, false, false, false]));
-    let absurd = Learned { at: Timestamp::from_ticks(u64::MAX), ..learned.clone() };
-    assert!(!absurd.holds(7, Timestamp::from_ticks(10_000)));
-    let long = Learned { servers: [("x".repeat(65), [0; 4])].into(), ..learned };
-    assert!(!long.bounded().holds(7, Timestamp::from_ticks(10_000)));
+    let absurd = LearnedServers { written_at: Timestamp::from_ticks(u64::MAX), ..learned.clone() };
+    assert!(!absurd.is_usable(7, Timestamp::from_ticks(10_000)));
+    let long = LearnedServers { servers: [("x".repeat(65), ServerFigures::default())].into(), ..learned };
+    assert!(!long.bounded().is_usable(7, Timestamp::from_ticks(10_000)));
 }
--- a/crates/proxy/src/operators.rs
+++ b/crates/proxy/src/operators.rs
@@ -5,7 +5,7 @@
 use chalkwalk_balancer as policy;
 use chalkwalk_engine::api;
 use chalkwalk_engine::engine::Engine;
-use chalkwalk_handover::Learned;
+use chalkwalk_handover::{LearnedServers, ServerFigures};
 use chalkwalk_sockets::within;
 use chalkwalk_time::{Span, Timestamp};
 use slog::{info, warn};
@@ -80,9 +80,9 @@
 
     /// Has the others know whether this process serves.
     async fn tell_ready(&self) {
-        let (ready, serves) = (self.pages.borrow().own.ready.is_some(), self.engine.lifecycle.is_serving());
+        let (ready, serves) = (self.pages.borrow().own.ready_since.is_some(), self.engine.lifecycle.is_serving());
         if serves != ready {
-            self.pages.borrow_mut().own.ready = serves.then(|| self.engine.clock.now());
+            self.pages.borrow_mut().own.ready_since = serves.then(|| self.engine.clock.now());
             self.write().await;
             info!(self.engine.log, "{}", if serves { "ready" } else { "no longer ready" });
         }
@@ -104,17 +104,17 @@
     }
 
     /// Takes up what a process before this one has learned, if that still means the same.
-    fn carry(&self, learned: Learned) -> bool {
+    fn carry(&self, learned: LearnedServers) -> bool {
         let mut requests = self.engine.requests.borrow_mut();
-        if !learned.holds(requests.learning_terms(), self.engine.clock.now()) {
+        if !learned.is_usable(requests.learning_terms(), self.engine.clock.now()) {
             return false;
         }
-        let of = |(id, [born, size, part, room]): (String, [u64; 4])| policy::Learned {
+        let of = |(id, figures): (String, ServerFigures)| policy::Learned {
             id,
-            born: Timestamp::from_ticks(born),
-            size,
-            part,
-            room,
+            born: Timestamp::from_ticks(figures.started),
+            size: figures.weight,
+            part: figures.key_share,
+            room: figures.concurrency_limit,
         };
         requests.restore_learned(learned.bounded().servers.into_iter().map(of).collect())
     }
@@ -123,8 +123,17 @@
     async fn write_learned(&self) {
         let (at, requests) = (self.engine.clock.now(), &self.engine.requests);
         let (terms, learned) = (requests.borrow().learning_terms(), requests.borrow().learned());
-        let servers = learned.into_iter().map(|l| (l.id, [l.born.ticks(), l.size, l.part, l.room])).collect();
-        let learned = Learned { at, terms, servers }.bounded();
+        let figures = |l: policy::Learned| {
+            let figures = ServerFigures {
+                started: l.born.ticks(),
+                weight: l.size,
+                key_share: l.part,
+                concurrency_limit: l.room,
+            };
+            (l.id, figures)
+        };
+        let servers = learned.into_iter().map(figures).collect();
+        let learned = LearnedServers { written_at: at, settings_digest: terms, servers }.bounded();
         if !learned.servers.is_empty() {
             self.pages.borrow_mut().own.learned = learned;
             self.write().await;
@@ -138,7 +147,7 @@
         engine.lifecycle.set_superseded(news.succeeded);
         self.share(news.company);
         for id in &news.servers {
-            let word = self.pages.borrow().own.word(id);
+            let word = self.pages.borrow().own.server_override(id);
             api::set_server_disabled(engine, id, word.out, word.at);
         }
         if news.service {
@@ -197,17 +206,17 @@
         if !self.engine.requests.borrow().knows_server(&id) {
             return ControlOutcome::UnknownServer;
         }
-        if self.pages.borrow().own.is_out(&id) == out {
+        if self.pages.borrow().own.is_server_out(&id) == out {
             return ControlOutcome::Done;
         }
         // In force at once, whatever the disk does: it is due within a second.
         let before = self.pages.borrow().own.servers.get(&id).copied();
-        self.pages.borrow_mut().own.say(&id, out, self.engine.clock.now());
-        let said = self.pages.borrow().own.word(&id);
+        self.pages.borrow_mut().own.set_server_out(&id, out, self.engine.clock.now());
+        let said = self.pages.borrow().own.server_override(&id);
         api::set_server_disabled(&self.engine, &id, out, said.at);
         if self.keep().await == Some(false) {
             // Unless somebody has said something else meanwhile. A server that was never out is not taken for cold.
-            if self.pages.borrow().own.word(&id) == said {
+            if self.pages.borrow().own.server_override(&id) == said {
                 let own = &mut self.pages.borrow_mut().own;
                 _ = match before {
                     Some(word) => own.servers.insert(id.clone(), word),
@@ -226,7 +235,7 @@
         if before.out == out {
             return ControlOutcome::Done;
         }
-        self.pages.borrow_mut().own.say_service(out, self.engine.clock.now());
+        self.pages.borrow_mut().own.set_service_out(out, self.engine.clock.now());
         let said = self.pages.borrow().own.service;
         self.engine.lifecycle.set_out_of_service(out.then_some(said.at));
         if self.keep().await == Some(false) {
--- a/crates/proxy/src/pages.rs
+++ b/crates/proxy/src/pages.rs
@@ -1,6 +1,6 @@
 //! The files by which the processes of one proxy tell each other what `handover` has: one of its own a process, in `$TMPDIR`.
 
-use chalkwalk_handover::{LONGEST, Learned, Page};
+use chalkwalk_handover::{HandoverRecord, LearnedServers, MAX_FILE_BYTES};
 use chalkwalk_time::Timestamp;
 use slog::{Logger, warn};
 use std::collections::HashSet;
@@ -12,7 +12,7 @@
 pub struct Pages {
     folder: Option<PathBuf>,
     name: String, // of the proxy, as files have it
-    pub own: Page,
+    pub own: HandoverRecord,
     spoilt: HashSet<PathBuf>, // told in the log
 }
 
@@ -24,7 +24,7 @@
     pub service: bool,
     pub succeeded: bool,
     /// What another process has learned, by the latest word.
-    pub learned: Learned,
+    pub learned: LearnedServers,
     /// Another process of this proxy is alive.
     pub company: bool,
     /// Files of processes that are gone: what they said is in the own page by now.
@@ -37,7 +37,7 @@
     /// Without a folder nothing is kept, and there is nobody to tell.
     pub fn new(folder: Option<PathBuf>, proxy: &str, now: Timestamp) -> Pages {
         let plain = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
-        let own = Page { pid: std::process::id(), began: now, ..Page::default() };
+        let own = HandoverRecord { pid: std::process::id(), started: now, ..HandoverRecord::default() };
         Pages { folder, name: proxy.chars().map(plain).collect(), own, spoilt: HashSet::new() }
     }
 
@@ -47,10 +47,10 @@
 
     /// The own page as a file, still to be written. Without a folder there is nothing to write.
     pub fn pen(&mut self, now: Timestamp) -> io::Result<Option<Pen>> {
-        self.own.tidy(now);
+        self.own.drop_settled(now);
         let Some(folder) = &self.folder else { return Ok(None) };
-        let text = self.own.written();
-        if text.len() > LONGEST {
+        let text = self.own.encode();
+        if text.len() > MAX_FILE_BYTES {
             return Err(io::Error::other("more caches out than are kept"));
         }
         Ok(Some(Pen { new: self.file(folder, "new"), file: self.file(folder, ENDING), text }))
@@ -72,13 +72,13 @@
                     let (servers, service) = self.own.merge(&other);
                     news.servers.extend(servers);
                     news.service |= service;
-                    if other.learned.at > news.learned.at {
+                    if other.learned.written_at > news.learned.written_at {
                         news.learned = other.learned.clone();
                     }
                     if alive {
                         news.company = true;
                         news.succeeded |= self.own.succeeded_by(&other);
-                    } else if self.own.ready.is_some() {
+                    } else if self.own.ready_since.is_some() {
                         news.dead.push(path);
                     }
                 }
@@ -119,7 +119,7 @@
 /// One other's file.
 pub struct Seen {
     path: PathBuf,
-    page: Result<Page, String>,
+    page: Result<HandoverRecord, String>,
     alive: bool, // its process
 }
 
@@ -144,9 +144,9 @@
     }
 }
 
-fn page(path: &Path) -> Result<Page, String> {
+fn page(path: &Path) -> Result<HandoverRecord, String> {
     let mut text = String::new();
     let file = fs::File::open(path).map_err(|e| e.to_string())?;
-    file.take(LONGEST as u64).read_to_string(&mut text).map_err(|e| e.to_string())?;
-    Page::read(&text).map_err(str::to_string)
+    file.take(MAX_FILE_BYTES as u64).read_to_string(&mut text).map_err(|e| e.to_string())?;
+    HandoverRecord::decode(&text).map_err(str::to_string)
 }
--- a/crates/proxy/tests/stored_data.rs
+++ b/crates/proxy/tests/stored_data.rs
@@ -566,7 +566,7 @@
 fn files_between_processes_are_written_again_byte_for_byte() {
     for name in ["ended.handover", "out-of-service.handover"] {
         let text = text_of(name);
-        assert_eq!(chalkwalk_handover::Page::read(&text).unwrap().written(), text);
+        assert_eq!(chalkwalk_handover::HandoverRecord::decode(&text).unwrap().encode(), text);
     }
 }
 
