--- a/crates/capture/src/file.rs
+++ b/crates/capture/src/file.rs
@@ -12,22 +12,22 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Retention {
     pub folder: PathBuf,
-    pub segment: u64,
-    pub most: u64,
+    pub segment_bytes: u64,
+    pub max_bytes: u64,
 }
 
 /// Blocks that wait for the disk: some seconds' worth of a busy proxy, and two megabytes at the most.
 const QUEUE: usize = 128;
 
 /// The thread that writes, and the way to it.
-pub struct Writer {
+pub struct CaptureWriter {
     into: SyncSender<Vec<u8>>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Writer {
+impl CaptureWriter {
     /// Opens the first segment. `name` is the instance's, and part of every file's name, so that many may share a folder.
-    pub fn open(keep: Retention, name: &str) -> Result<Writer, String> {
+    pub fn open(keep: Retention, name: &str) -> Result<CaptureWriter, String> {
         std::fs::create_dir_all(&keep.folder).map_err(|e| format!("{}: {e}", keep.folder.display()))?;
         let safe: String =
             name.chars().map(|c| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' }).collect();
@@ -44,7 +44,7 @@
         let (into, from) = sync_channel(QUEUE);
         let thread = std::thread::Builder::new().name("capture".into()).spawn(move || segments.run(from));
         let thread = thread.map_err(|e| e.to_string())?;
-        Ok(Writer { into, thread: Some(thread) })
+        Ok(CaptureWriter { into, thread: Some(thread) })
     }
 
     /// Takes blocks without ever waiting; what there is no room for is not taken.
@@ -54,7 +54,7 @@
     }
 }
 
-impl Writer {
+impl CaptureWriter {
     /// Waits until all that was taken is written. Every sink has to be gone by then.
     pub fn close(mut self) {
         let thread = self.thread.take();
@@ -77,7 +77,7 @@
 impl Segments {
     fn run(mut self, from: Receiver<Vec<u8>>) {
         while let Ok(block) = from.recv() {
-            if self.written + block.len() as u64 > self.keep.segment {
+            if self.written + block.len() as u64 > self.keep.segment_bytes {
                 self.open = None;
             }
             if self.open.is_none() && self.next().is_err() {
@@ -109,7 +109,7 @@
         let own = segments(&self.keep.folder, &self.name);
         let mut all: u64 = own.iter().map(|p| p.metadata().map_or(0, |m| m.len())).sum();
         for path in own {
-            if all + self.keep.segment <= self.keep.most {
+            if all + self.keep.segment_bytes <= self.keep.max_bytes {
                 return;
             }
             all -= path.metadata().map_or(0, |m| m.len());
--- a/crates/capture/src/format.rs
+++ b/crates/capture/src/format.rs
@@ -54,7 +54,7 @@
     },
     EndpointsListed {
         whole: bool,
-        lines: Vec<RecordedEndpoint>,
+        endpoints: Vec<RecordedEndpoint>,
     },
     /// A call to discovery failed, in captures of versions that did not tell how long it took.
     DiscoveryLost,
@@ -150,8 +150,8 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RecordedCall {
     pub after: Span,
-    pub told: Event,
-    pub done: Vec<Decision>,
+    pub event: Event,
+    pub decisions: Vec<Decision>,
 }
 
 /// Calls from a moment on.
@@ -183,7 +183,7 @@
 pub struct CaptureContents {
     pub items: Vec<CaptureItem>,
     /// What is wrong with the rest, and where it begins.
-    pub fault: Option<(usize, &'static str)>,
+    pub damage: Option<(usize, &'static str)>,
 }
 
 /// Reads one segment. Only a text that is no capture at all is an error; one that is cut short, or spoilt somewhere, is read up
@@ -193,7 +193,7 @@
     let Some(mut rest) = bytes.strip_prefix(FILE_MARK) else {
         let cut = FILE_MARK.starts_with(bytes);
         return if cut {
-            Ok(CaptureContents { fault: Some((0, "cut short")), ..read })
+            Ok(CaptureContents { damage: Some((0, "cut short")), ..read })
         } else {
             Err("no capture of a form that is known")
         };
@@ -204,8 +204,8 @@
                 read.items.push(item);
                 rest = &rest[len..];
             }
-            Err(fault) => {
-                read.fault = Some((bytes.len() - rest.len(), fault));
+            Err(damage) => {
+                read.damage = Some((bytes.len() - rest.len(), damage));
                 break;
             }
         }
@@ -244,7 +244,7 @@
 ];
 
 /// Endings by the numbers that captures have them by, which never change.
-pub fn number_of(outcome: AttemptOutcome) -> u8 {
+pub fn outcome_number(outcome: AttemptOutcome) -> u8 {
     OUTCOMES.iter().position(|e| *e == outcome).unwrap_or(0) as u8
 }
 
--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -8,10 +8,10 @@
 mod recorder;
 mod replay;
 
-pub use file::{Retention, Writer, segments};
+pub use file::{CaptureWriter, Retention, segments};
 pub use format::{
     CallBlock, CaptureContents, CaptureItem, Decision, Event, FILE_MARK, RecordedCall, RecordedEndpoint,
     encode_item, read,
 };
 pub use recorder::Recorder;
-pub use replay::{Difference, Replay, cut, replay};
+pub use replay::{Difference, Replay, excerpt, replay};
--- a/crates/capture/src/recorder.rs
+++ b/crates/capture/src/recorder.rs
@@ -1,7 +1,7 @@
 //! Calls put together into blocks on the proxy's own thread; what takes the blocks may be slow, and then they are counted as lost.
 
 use crate::format::{
-    CallBlock, CaptureItem, Decision, Event, RecordedCall, RecordedEndpoint, encode_item, number_of,
+    CallBlock, CaptureItem, Decision, Event, RecordedCall, RecordedEndpoint, encode_item, outcome_number,
 };
 use chalkwalk_balancer::{AttemptOutcome, Endpoint, Snapshot};
 use chalkwalk_time::{Span, Timestamp};
@@ -48,20 +48,24 @@
     }
 
     /// A call begins; what it decides follows by `done`.
-    pub fn told(&mut self, now: Timestamp, told: Event) {
+    pub fn record_event(&mut self, now: Timestamp, event: Event) {
         if self.block.calls.len() >= MOST_CALLS || now > self.block.from + OLDEST {
             self.flush();
         }
         if self.block.calls.is_empty() {
             (self.block.from, self.at) = (now, now);
         }
-        self.block.calls.push(RecordedCall { after: now.saturating_since(self.at), told, done: Vec::new() });
+        self.block.calls.push(RecordedCall {
+            after: now.saturating_since(self.at),
+            event,
+            decisions: Vec::new(),
+        });
         self.at = self.at.max(now);
     }
 
-    pub fn done(&mut self, done: Decision) {
+    pub fn record_decision(&mut self, decision: Decision) {
         if let Some(call) = self.block.calls.last_mut() {
-            call.done.push(done);
+            call.decisions.push(decision);
         }
     }
 
@@ -73,10 +77,10 @@
     pub fn snapshot(&mut self, now: Timestamp, settings: &BTreeMap<String, String>, state: Snapshot) {
         self.snapshot_at = now + self.each;
         let Snapshot { words, texts } = state;
-        self.told(now, Event::Snapshot { settings: settings.clone(), words, texts });
+        self.record_event(now, Event::Snapshot { settings: settings.clone(), words, texts });
     }
 
-    pub fn take(
+    pub fn request_accepted(
         &mut self,
         now: Timestamp,
         class: usize,
@@ -87,14 +91,14 @@
     ) {
         let point = chalkwalk_balancer::point_of(key);
         let key = if self.keys { key.to_string() } else { String::new() };
-        self.told(
+        self.record_event(
             now,
             Event::RequestAccepted { class, point, key, write, expires, order: order.map(<[usize]>::to_vec) },
         );
     }
 
     #[allow(clippy::too_many_arguments)]
-    pub fn ended(
+    pub fn attempt_ended(
         &mut self,
         now: Timestamp,
         request_id: u64,
@@ -105,16 +109,23 @@
         order: Option<&[usize]>,
     ) {
         let order = order.map(<[usize]>::to_vec);
-        self.told(
+        self.record_event(
             now,
-            Event::AttemptEnded { request_id, attempt, outcome: number_of(outcome), took, finished, order },
+            Event::AttemptEnded {
+                request_id,
+                attempt,
+                outcome: outcome_number(outcome),
+                took,
+                finished,
+                order,
+            },
         );
     }
 
-    pub fn listed(&mut self, now: Timestamp, whole: bool, endpoints: &[Endpoint]) {
-        self.told(
+    pub fn endpoints_listed(&mut self, now: Timestamp, whole: bool, endpoints: &[Endpoint]) {
+        self.record_event(
             now,
-            Event::EndpointsListed { whole, lines: endpoints.iter().map(RecordedEndpoint::of).collect() },
+            Event::EndpointsListed { whole, endpoints: endpoints.iter().map(RecordedEndpoint::of).collect() },
         );
     }
 
--- a/crates/capture/src/replay.rs
+++ b/crates/capture/src/replay.rs
@@ -43,9 +43,9 @@
     /// Of all calls, from 0.
     pub call: u64,
     pub at: Timestamp,
-    pub told: Event,
-    pub was: Vec<Decision>,
-    pub is: Vec<Decision>,
+    pub event: Event,
+    pub recorded: Vec<Decision>,
+    pub replayed: Vec<Decision>,
 }
 
 #[derive(Debug, Default)]
@@ -55,15 +55,15 @@
     /// Starts of the balancer in it, each replayed from there.
     pub starts: u64,
     /// Snapshots that a replay began with, and those that were held against it.
-    pub begun: u64,
+    pub resumed: u64,
     pub compared: u64,
     /// Calls that could not be replayed: before the first start, or behind a gap.
-    pub passed: u64,
+    pub skipped: u64,
     pub gaps: u64,
-    pub first: Option<Difference>,
+    pub first_difference: Option<Difference>,
     pub differences: u64,
     /// How many of them are of each kind: what was wanted first where the two part, and what is instead.
-    pub kinds: BTreeMap<String, u64>,
+    pub difference_kinds: BTreeMap<String, u64>,
     pub from: Timestamp,
     pub to: Timestamp,
 }
@@ -95,7 +95,7 @@
 
 /// The items from the last snapshot before a call on, up to that call: all that it takes to see it again. Calls are numbered
 /// from 0. Nothing where no snapshot or start stands before it.
-pub fn cut(items: &[CaptureItem], until: u64) -> Option<Vec<CaptureItem>> {
+pub fn excerpt(items: &[CaptureItem], until: u64) -> Option<Vec<CaptureItem>> {
     let (mut nth, mut from, mut kept) = (0, None, Vec::new());
     for item in items {
         let block = match item {
@@ -109,7 +109,7 @@
         let (mut at, mut own) = (block.from, CallBlock { from: block.from, calls: Vec::new() });
         for call in &block.calls {
             at += call.after;
-            if matches!(call.told, Event::Snapshot { .. } | Event::Start { .. }) {
+            if matches!(call.event, Event::Snapshot { .. } | Event::Start { .. }) {
                 kept.clear();
                 own = CallBlock { from: at, calls: Vec::new() };
                 from = Some(nth);
@@ -139,7 +139,7 @@
                 // What the balancer was told meanwhile is not known: only a new start can be replayed.
                 balancer = None;
                 replay.gaps += 1;
-                replay.passed += calls;
+                replay.skipped += calls;
                 call += calls;
                 continue;
             }
@@ -152,33 +152,33 @@
             at += one.after;
             replay.to = at;
             let mut notes = DecisionLog::default();
-            if parted && matches!(one.told, Event::Snapshot { .. }) {
+            if parted && matches!(one.event, Event::Snapshot { .. }) {
                 (balancer, parted) = (None, false);
             }
             let running = balancer.is_some();
             match again(&mut balancer, at, one, &mut notes) {
                 Some(()) => {
                     replay.calls += 1;
-                    replay.decisions += one.done.len() as u64;
-                    replay.starts += u64::from(matches!(one.told, Event::Start { .. }));
-                    if matches!(one.told, Event::Snapshot { .. }) {
-                        *(if running { &mut replay.compared } else { &mut replay.begun }) += 1;
+                    replay.decisions += one.decisions.len() as u64;
+                    replay.starts += u64::from(matches!(one.event, Event::Start { .. }));
+                    if matches!(one.event, Event::Snapshot { .. }) {
+                        *(if running { &mut replay.compared } else { &mut replay.resumed }) += 1;
                     }
-                    parted &= !matches!(one.told, Event::Start { .. });
-                    if notes.0 != one.done {
+                    parted &= !matches!(one.event, Event::Start { .. });
+                    if notes.0 != one.decisions {
                         replay.differences += 1;
-                        *replay.kinds.entry(parting(&one.done, &notes.0)).or_default() += 1;
+                        *replay.difference_kinds.entry(parting(&one.decisions, &notes.0)).or_default() += 1;
                         parted = true;
-                        replay.first.get_or_insert_with(|| Difference {
+                        replay.first_difference.get_or_insert_with(|| Difference {
                             call,
                             at,
-                            told: one.told.clone(),
-                            was: one.done.clone(),
-                            is: notes.0,
+                            event: one.event.clone(),
+                            recorded: one.decisions.clone(),
+                            replayed: notes.0,
                         });
                     }
                 }
-                None => replay.passed += 1,
+                None => replay.skipped += 1,
             }
             call += 1;
         }
@@ -193,18 +193,18 @@
     call: &RecordedCall,
     out: &mut DecisionLog,
 ) -> Option<()> {
-    if let Event::Start { seed, settings } = &call.told {
+    if let Event::Start { seed, settings } = &call.event {
         *balancer = Some(Balancer::new(*seed, settings, out));
         return Some(());
     }
-    if let (Event::Snapshot { settings, words, texts }, None) = (&call.told, &balancer) {
+    if let (Event::Snapshot { settings, words, texts }, None) = (&call.event, &balancer) {
         let state = Snapshot { words: words.clone(), texts: texts.clone() };
         *balancer = Some(Balancer::from_snapshot(settings, &state)?);
         return Some(());
     }
     let balancer = balancer.as_mut()?;
     balancer.advance_clock(at);
-    match &call.told {
+    match &call.event {
         Event::Start { .. } => {}
         // What was written down has to be what the calls so far have led to.
         Event::Snapshot { words, texts, .. } => {
@@ -236,8 +236,8 @@
         Event::HealthCheckFinished { server, answered } => {
             balancer.health_check_finished(*server, *answered, out)
         }
-        Event::EndpointsListed { whole, lines } => {
-            let endpoints = lines.iter().map(RecordedEndpoint::entry).collect::<Option<Vec<_>>>()?;
+        Event::EndpointsListed { whole, endpoints: recorded } => {
+            let endpoints = recorded.iter().map(RecordedEndpoint::entry).collect::<Option<Vec<_>>>()?;
             match whole {
                 true => balancer.replace_endpoints(&endpoints, out),
                 false => balancer.update_endpoints(&endpoints, out),
--- a/crates/capture/tests/replay.rs
+++ b/crates/capture/tests/replay.rs
@@ -4,7 +4,7 @@
     AttemptOutcome, Balancer, Effects, Endpoint, EndpointStatus, RequestId, ServerIndex,
 };
 use chalkwalk_capture::{
-    CaptureContents, CaptureItem, Decision, Event, Recorder, cut, encode_item, read, replay,
+    CaptureContents, CaptureItem, Decision, Event, Recorder, encode_item, excerpt, read, replay,
 };
 use chalkwalk_time::{Span, Timestamp};
 use proptest::prelude::*;
@@ -26,33 +26,33 @@
 
 impl Effects for Outside {
     fn start_attempt(&mut self, request_id: RequestId, server: ServerIndex, until: Timestamp, by: Timestamp) {
-        self.recorder.done(Decision::StartAttempt { request_id: request_id.0, server, until, by });
+        self.recorder.record_decision(Decision::StartAttempt { request_id: request_id.0, server, until, by });
         let nth = self.of.entry(request_id.0).or_default();
         self.attempts.push((request_id, *nth, self.now));
         *nth += 1;
     }
     fn cancel_attempt(&mut self, request_id: RequestId, attempt: usize) {
-        self.recorder.done(Decision::CancelAttempt { request_id: request_id.0, attempt });
+        self.recorder.record_decision(Decision::CancelAttempt { request_id: request_id.0, attempt });
     }
     fn reject(&mut self, request_id: RequestId, back_in: Span) {
-        self.recorder.done(Decision::Reject { request_id: request_id.0, back_in });
+        self.recorder.record_decision(Decision::Reject { request_id: request_id.0, back_in });
     }
     fn fail(&mut self, request_id: RequestId) {
-        self.recorder.done(Decision::Fail(request_id.0));
+        self.recorder.record_decision(Decision::Fail(request_id.0));
     }
     fn check_health(&mut self, server: ServerIndex) {
-        self.recorder.done(Decision::CheckHealth(server));
+        self.recorder.record_decision(Decision::CheckHealth(server));
         self.wakes.push((self.now + Span::from_ticks(100), u64::MAX - server as u64));
     }
     fn set_timer(&mut self, token: u64, after: Span) {
-        self.recorder.done(Decision::SetTimer { token, after });
+        self.recorder.record_decision(Decision::SetTimer { token, after });
         self.wakes.push((self.now + after, token));
     }
     fn watch_endpoints(&mut self) {
-        self.recorder.done(Decision::WatchEndpoints);
+        self.recorder.record_decision(Decision::WatchEndpoints);
     }
     fn log(&mut self, event: &str, server: &str) {
-        self.recorder.done(Decision::Log { event: event.into(), server: server.into() });
+        self.recorder.record_decision(Decision::Log { event: event.into(), server: server.into() });
     }
 }
 
@@ -106,7 +106,7 @@
         of: BTreeMap::new(),
         wakes: vec![],
     };
-    o.recorder.told(Timestamp::from_ticks(start), Event::Start { seed, settings: settings() });
+    o.recorder.record_event(Timestamp::from_ticks(start), Event::Start { seed, settings: settings() });
     let mut balancer = Balancer::new(seed, &settings(), &mut o);
     let ids: Vec<String> = (0..9).map(|i| format!("c{i}")).collect();
     let outcomes = [
@@ -152,13 +152,20 @@
                     }
                 };
                 let endpoints: Vec<Endpoint> = (0..9).map(entry).collect();
-                o.recorder.listed(now, true, &endpoints);
+                o.recorder.endpoints_listed(now, true, &endpoints);
                 balancer.replace_endpoints(&endpoints, &mut o);
             }
             0..7 => {
                 let (class, key, write) = (below(2) as usize, format!("k{}", below(60)), below(10) == 0);
                 let order = (below(9) == 0).then(|| vec![below(8) as usize, below(8) as usize]);
-                o.recorder.take(now, class, &key, write, now + Span::from_ticks(10_000), order.as_deref());
+                o.recorder.request_accepted(
+                    now,
+                    class,
+                    &key,
+                    write,
+                    now + Span::from_ticks(10_000),
+                    order.as_deref(),
+                );
                 let request_id = balancer.accept_request(class, &key, write, now + Span::from_ticks(10_000));
                 if let Some(order) = order {
                     balancer.restrict_to(request_id, order);
@@ -172,12 +179,12 @@
                     if below(4) > 0 { AttemptOutcome::Completed } else { outcomes[below(10) as usize] };
                 let finished =
                     matches!(outcome, AttemptOutcome::Completed | AttemptOutcome::CompletedFromCache);
-                o.recorder.ended(now, request_id.0, attempt, outcome, now - sent, finished, None);
+                o.recorder.attempt_ended(now, request_id.0, attempt, outcome, now - sent, finished, None);
                 balancer.attempt_ended(request_id, attempt, outcome, now - sent, finished, &mut o);
             }
             17 => {
                 let request_id = below(1 + step as u64 / 3);
-                o.recorder.told(now, Event::ClientLeft(request_id));
+                o.recorder.record_event(now, Event::ClientLeft(request_id));
                 balancer.client_left(RequestId(request_id), &mut o);
             }
             _ => {
@@ -185,10 +192,10 @@
                 let (_, token) = o.wakes.swap_remove(i);
                 if token > u64::MAX - 100 {
                     let (server, answered) = ((u64::MAX - token) as usize, below(2) == 0);
-                    o.recorder.told(now, Event::HealthCheckFinished { server, answered });
+                    o.recorder.record_event(now, Event::HealthCheckFinished { server, answered });
                     balancer.health_check_finished(server, answered, &mut o);
                 } else {
-                    o.recorder.told(now, Event::TimerFired(token));
+                    o.recorder.record_event(now, Event::TimerFired(token));
                     balancer.timer_fired(token, &mut o);
                 }
             }
@@ -201,11 +208,11 @@
 #[test]
 fn the_same_is_decided_again_and_twice_and_at_a_thousand_cuts() {
     let bytes = day(7, 2_500, |_| false);
-    let CaptureContents { items, fault } = read(&bytes).unwrap();
+    let CaptureContents { items, damage } = read(&bytes).unwrap();
     let whole = replay(items.iter());
-    assert_eq!((fault, &whole.first, whole.differences, whole.passed), (None, &None, 0, 0));
+    assert_eq!((damage, &whole.first_difference, whole.differences, whole.skipped), (None, &None, 0, 0));
     assert!(whole.calls > 1_500 && whole.decisions > 1_500 && whole.starts == 1, "{whole:?}");
-    assert!(whole.compared > 20 && whole.begun == 0, "{whole:?}");
+    assert!(whole.compared > 20 && whole.resumed == 0, "{whole:?}");
     let again = replay(items.iter());
     assert_eq!((again.calls, again.decisions, again.differences), (whole.calls, whole.decisions, 0));
     // Cut by a crash at any byte: what is there replays, and nothing fails.
@@ -226,7 +233,7 @@
         let mut at = block.from;
         for (c, call) in block.calls.iter().enumerate() {
             at += call.after;
-            if !matches!(call.told, Event::Snapshot { .. }) {
+            if !matches!(call.event, Event::Snapshot { .. }) {
                 continue;
             }
             if left == 0 {
@@ -249,7 +256,7 @@
         let part = from_snapshot(&items, nth);
         let replayed = replay(part.iter());
         assert_eq!(
-            (replayed.begun, replayed.differences, replayed.passed, &replayed.first),
+            (replayed.resumed, replayed.differences, replayed.skipped, &replayed.first_difference),
             (1, 0, 0, &None),
             "{nth}"
         );
@@ -258,7 +265,7 @@
     // A state with a word changed is another's, or none at all, and the next snapshot shows it.
     let mut part = from_snapshot(&items, 3);
     let CaptureItem::Calls(block) = &mut part[0] else { unreachable!() };
-    let Event::Snapshot { words, .. } = &mut block.calls[0].told else { unreachable!() };
+    let Event::Snapshot { words, .. } = &mut block.calls[0].event else { unreachable!() };
     words[4] += 1;
     assert!(replay(part.iter()).differences > 0);
 }
@@ -267,12 +274,12 @@
 fn a_cut_holds_what_it_takes_to_see_a_call_again() {
     let items = read(&day(12, 2_500, |_| false)).unwrap().items;
     for until in [0, 5, 400, 1_200] {
-        let part = cut(&items, until).expect("a start stands before it");
+        let part = excerpt(&items, until).expect("a start stands before it");
         let (whole, replayed) = (replay(items.iter()), replay(part.iter()));
-        assert_eq!((replayed.differences, replayed.passed), (0, 0), "{until}");
+        assert_eq!((replayed.differences, replayed.skipped), (0, 0), "{until}");
         assert!(replayed.calls <= whole.calls && replayed.calls < 400, "{until}: {replayed:?}");
     }
-    assert_eq!(cut(&items, 1 << 40), None);
+    assert_eq!(excerpt(&items, 1 << 40), None);
 }
 
 #[test]
@@ -283,19 +290,19 @@
     let at = block
         .calls
         .iter()
-        .position(|c| c.done.iter().any(|d| matches!(d, Decision::StartAttempt { .. })))
+        .position(|c| c.decisions.iter().any(|d| matches!(d, Decision::StartAttempt { .. })))
         .expect("a shot");
     let call = &mut block.calls[at];
-    for done in &mut call.done {
+    for done in &mut call.decisions {
         if let Decision::StartAttempt { server, .. } = done {
             *server += 1;
         }
     }
-    let (told, was) = (call.told.clone(), call.done.clone());
+    let (told, was) = (call.event.clone(), call.decisions.clone());
     let replayed = replay(items.iter());
-    let first = replayed.first.expect("a difference");
-    assert_eq!((replayed.differences, first.told, first.was), (1, told, was));
-    assert_eq!(replayed.kinds.into_iter().collect::<Vec<_>>(), [("another shot".to_string(), 1)]);
+    let first = replayed.first_difference.expect("a difference");
+    assert_eq!((replayed.differences, first.event, first.recorded), (1, told, was));
+    assert_eq!(replayed.difference_kinds.into_iter().collect::<Vec<_>>(), [("another shot".to_string(), 1)]);
 }
 
 #[test]
@@ -306,8 +313,8 @@
         items.iter().filter_map(|i| if let CaptureItem::Gap(n) = i { Some(*n) } else { None }).collect();
     let replayed = replay(items.iter());
     assert!(gaps.len() == 1 && gaps[0] > 200, "{gaps:?}");
-    assert!(replayed.differences == 0 && replayed.calls > 3_000 && replayed.begun == 1, "{replayed:?}");
-    assert!(replayed.passed < gaps[0] + 150, "{replayed:?}");
+    assert!(replayed.differences == 0 && replayed.calls > 3_000 && replayed.resumed == 1, "{replayed:?}");
+    assert!(replayed.skipped < gaps[0] + 150, "{replayed:?}");
 }
 
 proptest! {
@@ -323,7 +330,7 @@
         let at = FILE_MARK.len() + at % (bytes.len() - FILE_MARK.len());
         bytes[at] ^= with;
         let (found, all) = (read(&bytes).unwrap(), read(&good).unwrap());
-        prop_assert!(found.fault.is_some_and(|(from, _)| from <= at));
+        prop_assert!(found.damage.is_some_and(|(from, _)| from <= at));
         prop_assert!(all.items.starts_with(&found.items));
         prop_assert_eq!(encode_item(&all.items[0]).len() + FILE_MARK.len() <= good.len(), true);
     }
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -84,14 +84,14 @@
 impl EffectSink {
     fn done(&mut self, done: impl FnOnce() -> Decision) {
         if let Some(recorder) = &mut self.recorder {
-            recorder.done(done());
+            recorder.record_decision(done());
         }
     }
 
     /// A call to the balancer begins.
     fn told(&mut self, told: impl FnOnce() -> Event) {
         if let Some(recorder) = &mut self.recorder {
-            recorder.told(self.now, told());
+            recorder.record_event(self.now, told());
         }
     }
 }
@@ -243,7 +243,14 @@
         let order = ask.allowed_servers().map(|addrs| self.servers.at(&addrs));
         let (balancer, sink) = self.at(now);
         if let Some(recorder) = &mut sink.recorder {
-            recorder.take(now, ask.class(), ask.key(), ask.is_write(), ask.expires(), order.as_deref());
+            recorder.request_accepted(
+                now,
+                ask.class(),
+                ask.key(),
+                ask.is_write(),
+                ask.expires(),
+                order.as_deref(),
+            );
         }
         let request_id = balancer.accept_request(ask.class(), ask.key(), ask.is_write(), ask.expires());
         if let Some(order) = order {
@@ -287,7 +294,7 @@
         }
         let finished = sink.open.get(&request_id).is_none_or(|open| open.answer.is_none());
         if let Some(recorder) = &mut sink.recorder {
-            recorder.ended(now, request_id.0, attempt, outcome, took, finished, order.as_deref());
+            recorder.attempt_ended(now, request_id.0, attempt, outcome, took, finished, order.as_deref());
         }
         if let Some(order) = order {
             balancer.restrict_to(request_id, order);
@@ -374,7 +381,7 @@
         self.balancer.advance_clock(now);
         let endpoints = self.servers.take(now, lines, whole_list, doubted);
         if let Some(recorder) = &mut self.sink.recorder {
-            recorder.listed(now, whole_list, &endpoints);
+            recorder.endpoints_listed(now, whole_list, &endpoints);
         }
         match whole_list {
             true => self.balancer.replace_endpoints(&endpoints, &mut self.sink),
--- a/crates/proxy/src/captures.rs
+++ b/crates/proxy/src/captures.rs
@@ -1,7 +1,7 @@
 //! What the command line does with captures.
 
 use chalkwalk_capture::{
-    CaptureItem, Decision, Difference, Event, FILE_MARK, RecordedCall, cut, encode_item, read, replay,
+    CaptureItem, Decision, Difference, Event, FILE_MARK, RecordedCall, encode_item, excerpt, read, replay,
 };
 use chalkwalk_time::{TICKS_PER_SECOND, Timestamp};
 use std::fmt::Write;
@@ -34,8 +34,8 @@
         let shown = path.display().to_string();
         let bytes = std::fs::read(&path).map_err(|e| format!("{shown}: {e}"))?;
         let found = read(&bytes).map_err(|e| format!("{shown}: {e}"))?;
-        if let Some((at, fault)) = found.fault {
-            _ = writeln!(out, "{shown}: {fault}, from byte {at} of {}", bytes.len());
+        if let Some((at, damage)) = found.damage {
+            _ = writeln!(out, "{shown}: {damage}, from byte {at} of {}", bytes.len());
         }
         segments.push((path, found.items, bytes.len()));
     }
@@ -67,7 +67,7 @@
         let (mut taken, mut count, mut first, mut last) = (0u64, 0u64, None, Timestamp::ZERO);
         for (at, call) in calls(&items) {
             count += 1;
-            taken += u64::from(matches!(call.told, Event::RequestAccepted { .. }));
+            taken += u64::from(matches!(call.event, Event::RequestAccepted { .. }));
             first.get_or_insert(at);
             last = at;
         }
@@ -101,16 +101,16 @@
         _ = writeln!(
             out,
             "{own}: {} calls with {} decisions made again, from {} starts and {} snapshots, {} snapshots alike; {} differ, {} calls passed over, {} gaps",
-            r.calls, r.decisions, r.starts, r.begun, r.compared, r.differences, r.passed, r.gaps
+            r.calls, r.decisions, r.starts, r.resumed, r.compared, r.differences, r.skipped, r.gaps
         );
-        for (kind, count) in &r.kinds {
+        for (kind, count) in &r.difference_kinds {
             _ = writeln!(out, "  {count} times {kind}");
         }
         alike &= r.differences == 0;
-        if let Some(Difference { call, at, told, was, is }) = r.first {
+        if let Some(Difference { call, at, event, recorded, replayed }) = r.first_difference {
             _ = writeln!(
                 out,
-                "first at call {call}, {}: told {told:?}\n  decided {was:?}\n  and now {is:?}",
+                "first at call {call}, {}: told {event:?}\n  decided {recorded:?}\n  and now {replayed:?}",
                 seconds(Timestamp::from_ticks(at.ticks()))
             );
         }
@@ -122,7 +122,7 @@
 pub fn cut_to(named: &[PathBuf], call: u64, to: &Path) -> Result<String, String> {
     let mut out = String::new();
     let items: Vec<CaptureItem> = all(named, &mut out)?.into_iter().flat_map(|(_, items, _)| items).collect();
-    let part = cut(&items, call).ok_or(format!("there is no call {call}, or no snapshot before it"))?;
+    let part = excerpt(&items, call).ok_or(format!("there is no call {call}, or no snapshot before it"))?;
     let bytes: Vec<u8> = FILE_MARK.iter().copied().chain(part.iter().flat_map(encode_item)).collect();
     std::fs::write(to, &bytes).map_err(|e| format!("{}: {e}", to.display()))?;
     _ = writeln!(out, "{}: {} bytes", to.display(), bytes.len());
@@ -135,7 +135,7 @@
     let mut taken = 0;
     for (_, items, _) in all(named, &mut out)? {
         for (at, call) in calls(&items) {
-            let this = match &call.told {
+            let this = match &call.event {
                 Event::Start { .. } => {
                     taken = 0;
                     None
@@ -147,9 +147,9 @@
                 other => other.request_id(),
             };
             let concerns = |done: &&Decision| done.request_id() == Some(request);
-            let done: Vec<&Decision> = call.done.iter().filter(concerns).collect();
+            let done: Vec<&Decision> = call.decisions.iter().filter(concerns).collect();
             if this == Some(request) || !done.is_empty() {
-                _ = writeln!(out, "{}  told {:?}", seconds(at), call.told);
+                _ = writeln!(out, "{}  told {:?}", seconds(at), call.event);
                 done.iter().for_each(|d| _ = writeln!(out, "{:>16}  {d:?}", ""));
             }
         }
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -5,7 +5,7 @@
 use crate::sources::List;
 use async_signal::{Signal, Signals};
 use chalkwalk_admin as console;
-use chalkwalk_capture::{Recorder, Retention, Writer};
+use chalkwalk_capture::{CaptureWriter, Recorder, Retention};
 use chalkwalk_config::{CaptureConfig, MembershipConfig, RespConfig};
 use chalkwalk_discovery::{self as platform, FieldPaths, StartupConfig};
 use chalkwalk_discovery_feed::Feed;
@@ -62,8 +62,8 @@
     let probe: Box<dyn HealthCheck> =
         if resp.is_some() { Box::new(resp_frontend::Ping) } else { Box::new(http::AliveCheck) };
     let writer = capture.as_ref().map(|c| {
-        let keep = Retention { folder: c.folder.clone(), segment: c.segment_bytes, most: c.max_bytes };
-        Writer::open(keep, &rules.name).map(|writer| (writer, c.keys))
+        let keep = Retention { folder: c.folder.clone(), segment_bytes: c.segment_bytes, max_bytes: c.max_bytes };
+        CaptureWriter::open(keep, &rules.name).map(|writer| (writer, c.keys))
     });
     let writer = writer.transpose().map_err(|e| format!("cannot capture: {e}"))?;
     let recorder = writer.as_ref().map(|(writer, keys)| Recorder::new(writer.sink(), *keys));
--- a/crates/proxy/tests/stored_data.rs
+++ b/crates/proxy/tests/stored_data.rs
@@ -167,7 +167,7 @@
             },
             Event::TimerFired(17),
             Event::HealthCheckFinished { server: 18, answered: true },
-            Event::EndpointsListed { whole: true, lines: vec![line(0), line(1), line(2)] },
+            Event::EndpointsListed { whole: true, endpoints: vec![line(0), line(1), line(2)] },
             Event::DiscoveryLost,
             Event::ClientLeft(19),
             Event::SettingsChanged(settings("limits")),
@@ -200,9 +200,9 @@
     }
 
     fn items() -> Vec<CaptureItem> {
-        let call = |(nth, told): (usize, Event)| {
-            let done = if nth == 0 { decisions() } else { Vec::new() };
-            RecordedCall { after: Span::from_ticks(200 + nth as u64), told, done }
+        let call = |(nth, event): (usize, Event)| {
+            let decisions = if nth == 0 { decisions() } else { Vec::new() };
+            RecordedCall { after: Span::from_ticks(200 + nth as u64), event, decisions }
         };
         vec![
             CaptureItem::Calls(CallBlock {
@@ -225,7 +225,7 @@
         let bytes: Vec<u8> = FILE_MARK.iter().copied().chain(items().iter().flat_map(encode_item)).collect();
         assert_eq!(hex(&bytes), super::text_of("calls.hex"));
         let found = read(&bytes).unwrap();
-        assert_eq!((found.items, found.fault), (items(), None));
+        assert_eq!((found.items, found.damage), (items(), None));
     }
 
     /// How an attempt ended and the state of a server have the same numbers in a capture.
@@ -255,7 +255,7 @@
         let mut tape = Recorder::new(Box::new(sink), true);
         endings
             .into_iter()
-            .for_each(|ending| tape.ended(Timestamp::ZERO, 0, 0, ending, Span::ZERO, true, None));
+            .for_each(|ending| tape.attempt_ended(Timestamp::ZERO, 0, 0, ending, Span::ZERO, true, None));
         for standing in [EndpointStatus::Ready, EndpointStatus::Draining, EndpointStatus::Gone] {
             let (id, zone, kind, cell) = ("amber", 301, 302, 303);
             let entry = Endpoint {
@@ -268,10 +268,10 @@
                 status: standing,
                 born: Timestamp::from_ticks(306),
             };
-            tape.listed(Timestamp::ZERO, true, &[entry]);
+            tape.endpoints_listed(Timestamp::ZERO, true, &[entry]);
         }
         tape.flush();
-        let after = |told: Event| RecordedCall { after: Span::ZERO, told, done: Vec::new() };
+        let after = |event: Event| RecordedCall { after: Span::ZERO, event, decisions: Vec::new() };
         let ended = |ending: u8| Event::AttemptEnded {
             request_id: 0,
             attempt: 0,
@@ -280,7 +280,7 @@
             finished: true,
             order: None,
         };
-        let listed = |standing: u8| Event::EndpointsListed { whole: true, lines: vec![line(standing)] };
+        let listed = |standing: u8| Event::EndpointsListed { whole: true, endpoints: vec![line(standing)] };
         let calls = (0..12).map(ended).chain((0..3).map(listed)).map(after).collect();
         assert_eq!(
             read(&bytes.borrow()).unwrap().items,
@@ -297,13 +297,14 @@
         });
         let (mut settings, mut listed) = (BTreeMap::new(), Vec::new());
         for call in calls {
-            match call.told {
+            match call.event {
                 Event::Start { seed, settings: mut given } => {
                     given.insert("the seed".into(), seed.to_string());
                     settings = given;
                 }
                 Event::EndpointsListed { .. } => {
-                    let calls = vec![RecordedCall { after: Span::ZERO, told: call.told, done: Vec::new() }];
+                    let calls =
+                        vec![RecordedCall { after: Span::ZERO, event: call.event, decisions: Vec::new() }];
                     listed.push(hex(&encode_item(&CaptureItem::Calls(CallBlock {
                         from: Timestamp::ZERO,
                         calls,
