--- a/crates/proxy/src/pages.rs
+++ b/crates/proxy/src/pages.rs
@@ -69,9 +69,9 @@
         for Seen { path, page, alive } in seen {
             match page {
                 Ok(other) => {
-                    let (servers, service) = self.own.merge(&other);
-                    news.servers.extend(servers);
-                    news.service |= service;
+                    let merged = self.own.merge(&other);
+                    news.servers.extend(merged.servers);
+                    news.service |= merged.service_changed;
                     if other.learned.written_at > news.learned.written_at {
                         news.learned = other.learned.clone();
                     }
@@ -148,5 +148,5 @@
     let mut text = String::new();
     let file = fs::File::open(path).map_err(|e| e.to_string())?;
     file.take(MAX_FILE_BYTES as u64).read_to_string(&mut text).map_err(|e| e.to_string())?;
-    HandoverRecord::decode(&text).map_err(str::to_string)
+    HandoverRecord::decode(&text).map_err(|e| e.to_string())
 }
