--- a/crates/admin/src/call.rs
+++ b/crates/admin/src/call.rs
@@ -103,8 +103,8 @@
     (!id.is_empty()).then(|| id.into_owned())
 }
 
-/// Writes the response and ends the connection. What the caller still sends is read and dropped until it closes: closed with
-/// unread bytes, the connection would be reset and the response lost.
+/// Writes the response and ends the connection. What the caller still sends is read and dropped
+/// until it closes: closed with unread bytes, the connection would be reset and the response lost.
 pub async fn respond(stream: &Async<TcpStream>, response: &Response) {
     let Response { status, body } = response;
     let text = format!(
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -6,8 +6,9 @@
 //! | `POST /control/out-of-service`, `POST /control/in-service` | empties the proxy, and ends that |
 //! | `POST /control/cache-nodes/ID/offline`, `.../online` | disables a server, and ends that |
 //!
-//! It depends on `http1` and `sockets`. No request, server connection or decision enters it, and no frontend: what a call does
-//! is behind [`ProxyControl`]. Its connections are its own: requests cannot take them, and it takes none of theirs.
+//! It depends on `http1` and `sockets`. No request, server connection or decision enters it, and no
+//! frontend: what a call does is behind [`ProxyControl`]. Its connections are its own: requests
+//! cannot take them, and it takes none of theirs.
 
 mod call;
 mod control;
--- a/crates/admin/src/listener.rs
+++ b/crates/admin/src/listener.rs
@@ -14,13 +14,15 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How many callers are connected at once. Once they are, the one that has kept its call back longest is closed, and makes
-/// way for the next. Staff and their tools make a few calls a second, each over within milliseconds.
+/// How many callers are connected at once. Once they are, the one that has kept its call back
+/// longest is closed, and makes way for the next. Staff and their tools make a few calls a second,
+/// each over within milliseconds.
 pub const MAX_CALLERS: usize = 8;
-/// The descriptors that are held at most: the listener and its callers. One more caller waits in the listener's queue.
+/// The descriptors that are held at most: the listener and its callers. One more caller waits in
+/// the listener's queue.
 pub const MAX_DESCRIPTORS: usize = MAX_CALLERS + 1;
-/// For writing the response, and for what the caller still sends: many round trips, and a caller that stays connected does
-/// not hold its connection for long.
+/// For writing the response, and for what the caller still sends: many round trips, and a caller
+/// that stays connected does not hold its connection for long.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(300);
 /// The pause after an accept that failed.
 const ACCEPT_RETRY: Duration = Duration::from_millis(20);
@@ -56,7 +58,8 @@
     }
 }
 
-/// Accepts callers and answers their calls, for ever. Each caller gets a task of its own, which `spawn` has to run.
+/// Accepts callers and answers their calls, for ever. Each caller gets a task of its own, which
+/// `spawn` has to run.
 pub async fn serve(
     listener: Async<TcpListener>,
     control: Rc<dyn ProxyControl>,
@@ -96,8 +99,8 @@
     }
 }
 
-/// Reads a caller's call and answers it, or closes the connection if another caller needs it first. The caller is pending from
-/// this call on, not only once the future is polled.
+/// Reads a caller's call and answers it, or closes the connection if another caller needs it first.
+/// The caller is pending from this call on, not only once the future is polled.
 fn serve_caller(
     stream: Async<TcpStream>,
     id: u64,
--- a/crates/admin/tests/calls.rs
+++ b/crates/admin/tests/calls.rs
@@ -1,4 +1,5 @@
-//! Calls over sockets: what reaches the proxy, what is refused, and who makes way when there are too many callers.
+//! Calls over sockets: what reaches the proxy, what is refused, and who makes way when there are
+//! too many callers.
 
 use chalkwalk_admin::{ControlFuture, ControlOutcome, MAX_CALLERS, ProxyControl, serve};
 use expect_test::expect;
@@ -36,7 +37,8 @@
     }
 }
 
-/// Plays callers against a listener, beside it; what they made of it, and what the proxy was called for.
+/// Plays callers against a listener, beside it; what they made of it, and what the proxy was called
+/// for.
 fn play<T: Send + 'static>(callers: impl FnOnce(SocketAddr) -> T + Send + 'static) -> (T, Vec<String>) {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap();
     let addr = listener.get_ref().local_addr().unwrap();
@@ -123,7 +125,8 @@
         let response = exchange(addr, "GET /control/ready HTTP/1.1\r\n\r\n");
         assert!(response.starts_with("HTTP/1.1 503 "), "{response}");
         assert!(begun.elapsed() < Duration::from_millis(500), "it waited for the callers without a call");
-        // The one that came first is closed without a response; the one that came last is still open.
+        // The one that came first is closed without a response; the one that came last is still
+        // open.
         let mut text = String::new();
         silent[0].read_to_string(&mut text).unwrap();
         let last = &mut silent[MAX_CALLERS - 1];
--- a/crates/etcd-wire/build.rs
+++ b/crates/etcd-wire/build.rs
@@ -1,4 +1,5 @@
-//! Generates the messages from `proto/etcd.proto`. The compiler is a library: nothing has to be installed for it.
+//! Generates the messages from `proto/etcd.proto`. The compiler is a library: nothing has to be
+//! installed for it.
 
 use std::error::Error;
 
--- a/crates/etcd-wire/src/frames.rs
+++ b/crates/etcd-wire/src/frames.rs
@@ -1,4 +1,5 @@
-//! gRPC's frames: a byte that says whether the message is compressed, four bytes of its length, and the message.
+//! gRPC's frames: a byte that says whether the message is compressed, four bytes of its length, and
+//! the message.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use prost::Message;
--- a/crates/etcd-wire/src/lib.rs
+++ b/crates/etcd-wire/src/lib.rs
@@ -1,8 +1,10 @@
-//! The part of etcd's v3 API that chalkwalk speaks: its messages (`proto/etcd.proto`, after the public API definition), the
-//! paths of its calls, and gRPC's frames around messages (the public "gRPC over HTTP2" description).
+//! The part of etcd's v3 API that chalkwalk speaks: its messages (`proto/etcd.proto`, after the
+//! public API definition), the paths of its calls, and gRPC's frames around messages (the public
+//! "gRPC over HTTP2" description).
 //!
-//! It depends on prost and bytes. No connection, runtime or clock enters it, nor what keys and values mean to chalkwalk: the
-//! discovery source and the testbed's stand-in for etcd have only this in common.
+//! It depends on prost and bytes. No connection, runtime or clock enters it, nor what keys and
+//! values mean to chalkwalk: the discovery source and the testbed's stand-in for etcd have only
+//! this in common.
 
 mod frames;
 mod keys;
--- a/crates/etcd-wire/tests/messages.rs
+++ b/crates/etcd-wire/tests/messages.rs
@@ -1,4 +1,5 @@
-//! Messages against bytes put together by hand from the field numbers of the public API, so that a slip in `etcd.proto` shows.
+//! Messages against bytes put together by hand from the field numbers of the public API, so that a
+//! slip in `etcd.proto` shows.
 
 use chalkwalk_etcd_wire::{Message, api, prefix_end};
 use expect_test::expect;
--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -78,7 +78,8 @@
         }
     }
 
-    /// What of the body is in the buffer, taken out of it. Empty if more has to come first, or at the end.
+    /// What of the body is in the buffer, taken out of it. Empty if more has to come first, or at
+    /// the end.
     pub fn decode(&mut self, buf: &mut Vec<u8>) -> Result<Vec<u8>, HttpError> {
         loop {
             let advanced = match self.state {
--- a/crates/http1/src/body/tests.rs
+++ b/crates/http1/src/body/tests.rs
@@ -1,4 +1,7 @@
-use super::*;
+//! Bodies, whatever pieces they come in.
+
+use super::{BodyDecoder, Framing};
+use crate::HttpError;
 use proptest::prelude::*;
 
 /// The body of a text that comes cut at those places, and whether it ended.
--- a/crates/http1/src/error.rs
+++ b/crates/http1/src/error.rs
@@ -1,9 +1,11 @@
 //! What can be wrong with a message, or with reading it.
 
-/// Why a message could not be read. Each error stands for the status that a client is answered with.
+/// Why a message could not be read. Each error stands for the status that a client is answered
+/// with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HttpError {
-    /// The head or the body's framing breaks the protocol, or the connection ended within a request.
+    /// The head or the body's framing breaks the protocol, or the connection ended within a
+    /// request.
     #[error("malformed message")]
     Malformed,
     /// The head missed its deadline, or the body came more slowly than a client may send it.
--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -15,7 +15,9 @@
 /// What a head begins.
 #[derive(Clone, Copy, PartialEq)]
 pub enum MessageKind {
+    /// A request, read from a client.
     Request,
+    /// A response, read from a server.
     Response,
 }
 
@@ -31,14 +33,16 @@
 
 /// A head that was read. Its message holds the head's bytes only.
 pub struct Head {
+    /// The message so far.
     pub message: Message,
+    /// How its body is framed.
     pub framing: Framing,
     /// Whether a request's client waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
 }
 
-/// Reads a head off the stream; a response's interim heads (1xx) are skipped. `unread` holds what was read of the stream
-/// and belongs to no message yet, before and after.
+/// Reads a head off the stream; a response's interim heads (1xx) are skipped. `unread` holds what
+/// was read of the stream and belongs to no message yet, before and after.
 pub async fn read_head(
     stream: &Async<TcpStream>,
     unread: &mut Vec<u8>,
@@ -184,7 +188,8 @@
             Some(length) if *length > max_body => Err(HttpError::BodyTooLong),
             Some(length) => Ok(Framing::Length(*length)),
             None if kind == MessageKind::Request => Ok(Framing::Length(0)),
-            // Cut short, the body would look whole: accepted only from a side that announces that it closes.
+            // Cut short, the body would look whole: accepted only from a side that announces that
+            // it closes.
             None if message.close => Ok(Framing::UntilClose),
             None => Err(HttpError::BrokenResponse),
         }
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,7 +1,8 @@
-//! HTTP/1.1 framing (RFC 9112), shared by all peers: heads parsed in place, lengths and chunks, requests read whole and
-//! responses read whole or in parts.
+//! HTTP/1.1 framing (RFC 9112), shared by all peers: heads parsed in place, lengths and chunks,
+//! requests read whole and responses read whole or in parts.
 //!
-//! It depends on `sockets` for bytes and waits. What a message means to a cache or a client is not known here.
+//! It depends on `sockets` for bytes and waits. What a message means to a cache or a client is not
+//! known here.
 
 mod body;
 mod error;
--- a/crates/http1/src/message.rs
+++ b/crates/http1/src/message.rs
@@ -22,12 +22,15 @@
     pub is_http10: bool,
     /// What its body has reserved of the memory for long bodies.
     pub reservations: Vec<MemoryReservation>,
+    /// The header fields, in their order.
     pub(crate) headers: Vec<Header>,
 }
 
 /// A header field's name and value, as ranges of the buffer.
 pub(crate) struct Header {
+    /// The name, in any case.
     pub name: Range<usize>,
+    /// The value.
     pub value: Range<usize>,
 }
 
@@ -60,8 +63,8 @@
         self.header_bytes(name).and_then(|value| std::str::from_utf8(value).ok()).map(str::trim)
     }
 
-    /// Whether one of these header fields is there more than once: a reader of the first value then sees another message
-    /// than a reader of the last.
+    /// Whether one of these header fields is there more than once: a reader of the first value then
+    /// sees another message than a reader of the last.
     pub fn has_duplicate(&self, names: &[&str]) -> bool {
         names.iter().any(|name| self.values(name).nth(1).is_some())
     }
--- a/crates/http1/src/request.rs
+++ b/crates/http1/src/request.rs
@@ -10,7 +10,8 @@
 
 /// What one read of a body asks for, in bytes.
 const MAX_READ: usize = 16 << 10;
-/// The slowest pace of a body, in bytes a second: a client that writes 64 kB a second is served, with as much again to spare.
+/// The slowest pace of a body, in bytes a second: a client that writes 64 kB a second is served,
+/// with as much again to spare.
 const MIN_BODY_RATE: u64 = 32_000;
 /// How far a body may fall behind that pace.
 const BODY_GRACE: Duration = Duration::from_secs(2);
@@ -19,8 +20,8 @@
 /// How often a body that waits for memory tries again: short beside what a long body takes to come.
 const MEMORY_RETRY: Duration = Duration::from_millis(5);
 
-/// Reads one request whole. `unread` holds what was read of the stream and belongs to no message yet, before and after. A body
-/// that comes too slowly ends it with [`HttpError::Timeout`].
+/// Reads one request whole. `unread` holds what was read of the stream and belongs to no message
+/// yet, before and after. A body that comes too slowly ends it with [`HttpError::Timeout`].
 pub async fn read_request(
     stream: &Async<TcpStream>,
     unread: &mut Vec<u8>,
--- a/crates/http1/src/request/tests.rs
+++ b/crates/http1/src/request/tests.rs
@@ -1,7 +1,12 @@
-use super::*;
-use crate::MAX_BODY;
+//! Time that a request waits for memory.
+
+use super::{BODY_GRACE, MEMORY_TIMEOUT, read_request};
+use crate::{MAX_BODY, RequestLimits};
+use chalkwalk_sockets::MemoryBudget;
+use smol::{Async, Timer};
 use std::io::Write;
-use std::net::TcpListener;
+use std::net::{TcpListener, TcpStream};
+use std::time::{Duration, Instant};
 
 /// A body that waited for memory for longer than a slow client may take is read all the same.
 #[test]
--- a/crates/http1/src/response.rs
+++ b/crates/http1/src/response.rs
@@ -77,12 +77,14 @@
         }
     }
 
-    /// Whether the connection may carry another request: the response has ended, and nothing came beyond it.
+    /// Whether the connection may carry another request: the response has ended, and nothing came
+    /// beyond it.
     pub fn is_reusable(&self) -> bool {
         self.decoder.is_finished() && !self.message.close && self.unread.is_empty()
     }
 
-    /// Reads the body to its end. The message's `close` is set unless the connection may carry another request.
+    /// Reads the body to its end. The message's `close` is set unless the connection may carry
+    /// another request.
     async fn read_whole(mut self, stream: &Async<TcpStream>) -> Result<Message, HttpError> {
         let head_len = self.message.buf.len();
         while let Some(part) = self.next_part(stream).await? {
@@ -113,7 +115,8 @@
     write_all(stream, &parts).await
 }
 
-/// Sends a GET and reads the response whole. `close` of the response says whether the connection is of no further use.
+/// Sends a GET and reads the response whole. `close` of the response says whether the connection is
+/// of no further use.
 pub async fn get(
     stream: &Async<TcpStream>,
     addr: SocketAddr,
--- a/crates/http1/tests/messages.rs
+++ b/crates/http1/tests/messages.rs
@@ -1,4 +1,5 @@
-//! Requests and responses off a socket: what is read of them, and what is refused with which status.
+//! Requests and responses off a socket: what is read of them, and what is refused with which
+//! status.
 
 use chalkwalk_http1::{
     HttpError, MAX_BODY, MAX_BUFFERED_BODY, MAX_HEAD, Message, RequestLimits, ResponseReader, get,
--- a/crates/resp/src/error.rs
+++ b/crates/resp/src/error.rs
@@ -1,6 +1,7 @@
 //! What can be wrong with bytes that are read as RESP.
 
-/// How bytes break the protocol or exceed a limit. The text goes into the error that a client is answered with.
+/// How bytes break the protocol or exceed a limit. The text goes into the error that a client is
+/// answered with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProtocolError {
     /// The whole message exceeds its limit.
--- a/crates/resp/src/frame.rs
+++ b/crates/resp/src/frame.rs
@@ -35,14 +35,16 @@
     Verbatim,
 }
 
-/// One frame of a message. A message is a list of them, depth first: what an aggregate holds follows it.
+/// One frame of a message. A message is a list of them, depth first: what an aggregate holds
+/// follows it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Frame {
     /// Its type.
     pub kind: FrameKind,
     /// Where its text or body stands in the buffer. Of an aggregate, its count.
     pub range: Range<usize>,
-    /// How many frames an aggregate holds directly; a map's keys and values both count. Of any other type, 0.
+    /// How many frames an aggregate holds directly; a map's keys and values both count. Of any
+    /// other type, 0.
     pub children: usize,
 }
 
--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -1,6 +1,6 @@
-//! RESP2 and RESP3 on the wire, after the public protocol specification, and the hash slots of the cluster dialect, after the
-//! public cluster specification. Reading is incremental: bytes go in as they come, and whole messages come out as ranges of
-//! them, without a copy.
+//! RESP2 and RESP3 on the wire, after the public protocol specification, and the hash slots of the
+//! cluster dialect, after the public cluster specification. Reading is incremental: bytes go in as
+//! they come, and whole messages come out as ranges of them, without a copy.
 //!
 //! It does no I/O and knows no clock, no request and no command's meaning.
 
--- a/crates/resp/src/limits.rs
+++ b/crates/resp/src/limits.rs
@@ -16,8 +16,8 @@
 }
 
 impl Default for ReadLimits {
-    /// Bulk strings as long as a request's response may be, a thousand keys with their values, and lines as long as the
-    /// errors of the dialect get.
+    /// Bulk strings as long as a request's response may be, a thousand keys with their values, and
+    /// lines as long as the errors of the dialect get.
     fn default() -> ReadLimits {
         ReadLimits { max_bulk: 1 << 20, max_frames: 4096, max_depth: 8, max_line: 8192, max_total: 4 << 20 }
     }
--- a/crates/resp/src/parse.rs
+++ b/crates/resp/src/parse.rs
@@ -11,7 +11,9 @@
 
 /// A frame, and where in the buffer the next one begins.
 pub struct Parsed {
+    /// The frame.
     pub frame: Frame,
+    /// Where the next frame begins.
     pub end: usize,
 }
 
--- a/crates/resp/src/read.rs
+++ b/crates/resp/src/read.rs
@@ -3,7 +3,8 @@
 use crate::parse::{Parsed, parse_frame};
 use crate::{Frame, ProtocolError, ReadLimits};
 
-/// Reads whole messages off the start of a buffer. Frames of a message that is not whole yet are not parsed again.
+/// Reads whole messages off the start of a buffer. Frames of a message that is not whole yet are
+/// not parsed again.
 #[derive(Debug)]
 pub struct Reader {
     limits: ReadLimits,
@@ -21,8 +22,9 @@
         Reader { limits, frames: Vec::new(), open_aggregates: Vec::new(), parsed: 0 }
     }
 
-    /// The frames of the message at the start of the buffer, and its length in bytes; `None` until it is whole. The buffer
-    /// has to begin with the same bytes as the last time. After an error nothing more can be read.
+    /// The frames of the message at the start of the buffer, and its length in bytes; `None` until
+    /// it is whole. The buffer has to begin with the same bytes as the last time. After an error
+    /// nothing more can be read.
     pub fn next_frame(&mut self, buf: &[u8]) -> Result<Option<(Vec<Frame>, usize)>, ProtocolError> {
         loop {
             if buf.len() > self.limits.max_total && self.parsed >= self.limits.max_total {
@@ -43,7 +45,8 @@
         }
     }
 
-    /// Appends a frame, opens it if it is an aggregate with children, and closes the aggregates that it completes.
+    /// Appends a frame, opens it if it is an aggregate with children, and closes the aggregates
+    /// that it completes.
     fn push(&mut self, frame: Frame) -> Result<(), ProtocolError> {
         let children = frame.children;
         self.frames.push(frame);
--- a/crates/resp/src/read/tests.rs
+++ b/crates/resp/src/read/tests.rs
@@ -1,4 +1,7 @@
-use super::*;
+//! Bytes that are no protocol.
+
+use super::Reader;
+use crate::ReadLimits;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -17,7 +20,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Any bytes are read, waited for or refused: no panic, and no more frames are kept than are allowed.
+    /// Any bytes are read, waited for or refused: no panic, and no more frames are kept than are
+    /// allowed.
     #[test]
     fn any_bytes_are_read_or_refused_within_the_limits(noise in noise()) {
         let limits = ReadLimits { max_bulk: 50, max_frames: 10, max_depth: 3, max_line: 20, max_total: 100 };
--- a/crates/resp/src/slot.rs
+++ b/crates/resp/src/slot.rs
@@ -24,7 +24,8 @@
     bytes.iter().fold(0, |crc, byte| (crc << 8) ^ CRC16_TABLE[usize::from((crc >> 8) as u8 ^ byte)])
 }
 
-/// The part of a key that is hashed: what stands between its first `{` and the next `}`, or the whole key where nothing does.
+/// The part of a key that is hashed: what stands between its first `{` and the next `}`, or the
+/// whole key where nothing does.
 pub fn hash_tag(key: &[u8]) -> &[u8] {
     let Some(open) = key.iter().position(|byte| *byte == b'{') else { return key };
     let tag = &key[open + 1..];
--- a/crates/resp/src/slot/tests.rs
+++ b/crates/resp/src/slot/tests.rs
@@ -1,4 +1,6 @@
-use super::*;
+//! Slots and hash tags.
+
+use super::{crc16, hash_tag, slot_of};
 
 #[test]
 fn slots_are_as_the_specification_has_them() {
--- a/crates/resp/src/write.rs
+++ b/crates/resp/src/write.rs
@@ -48,7 +48,8 @@
         self.frame_start(b'*', count);
     }
 
-    /// Begins a map; keys and values have to follow in turn. RESP2 has no maps and gets an array of both.
+    /// Begins a map; keys and values have to follow in turn. RESP2 has no maps and gets an array of
+    /// both.
     pub fn map(&mut self, pairs: usize) {
         if self.resp3 { self.frame_start(b'%', pairs) } else { self.frame_start(b'*', 2 * pairs) }
     }
--- a/crates/sockets/src/lib.rs
+++ b/crates/sockets/src/lib.rs
@@ -1,5 +1,5 @@
-//! Helpers for bytes on sockets that every protocol needs: reads and gathered writes, waits with a time limit, and the
-//! memory that long messages share.
+//! Helpers for bytes on sockets that every protocol needs: reads and gathered writes, waits with a
+//! time limit, and the memory that long messages share.
 //!
 //! It depends on smol and the standard library only. No protocol, request or server is known here.
 
--- a/crates/sockets/src/memory.rs
+++ b/crates/sockets/src/memory.rs
@@ -3,7 +3,8 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// How many bytes all long messages may hold together, from their head until they are forwarded. Clones share one budget.
+/// How many bytes all long messages may hold together, from their head until they are forwarded.
+/// Clones share one budget.
 #[derive(Clone)]
 pub struct MemoryBudget {
     free: Rc<Cell<usize>>,
--- a/crates/sockets/src/stream.rs
+++ b/crates/sockets/src/stream.rs
@@ -9,8 +9,8 @@
 /// What later reads of a message ask for, in bytes: a quarter of the longest body on the platform.
 const LATER_READ: usize = 16 << 10;
 
-/// Appends to the buffer what the stream has, some KiB at most, waiting for the first byte. `Ok(0)` is the end of the stream.
-/// A dropped future leaves the buffer as it was.
+/// Appends to the buffer what the stream has, some KiB at most, waiting for the first byte. `Ok(0)`
+/// is the end of the stream. A dropped future leaves the buffer as it was.
 pub async fn read_more(stream: &Async<TcpStream>, buf: &mut Vec<u8>) -> io::Result<usize> {
     let limit = if buf.len() < FIRST_READ { FIRST_READ } else { LATER_READ };
     read_up_to(stream, buf, limit).await
@@ -45,8 +45,8 @@
     Ok(())
 }
 
-/// Whether the connection is open and has nothing to read. False means that the peer has closed it, or has sent something
-/// ahead of its turn; the bytes stay unread.
+/// Whether the connection is open and has nothing to read. False means that the peer has closed it,
+/// or has sent something ahead of its turn; the bytes stay unread.
 pub fn is_idle(stream: &Async<TcpStream>) -> bool {
     let mut byte = [0];
     matches!(stream.get_ref().peek(&mut byte), Err(error) if error.kind() == ErrorKind::WouldBlock)
--- a/crates/sockets/src/wait.rs
+++ b/crates/sockets/src/wait.rs
@@ -4,8 +4,8 @@
 use smol::future::FutureExt;
 use std::time::{Duration, Instant};
 
-/// The outcome of `wait`, or `None` if it is still pending at the deadline. An outcome that is ready at the deadline counts:
-/// the wait is polled before the timer.
+/// The outcome of `wait`, or `None` if it is still pending at the deadline. An outcome that is
+/// ready at the deadline counts: the wait is polled before the timer.
 pub async fn wait_until<T>(deadline: Instant, wait: impl Future<Output = T>) -> Option<T> {
     let timed_out = async {
         Timer::at(deadline).await;
