--- a/crates/proxy/src/operators.rs
+++ b/crates/proxy/src/operators.rs
@@ -80,7 +80,8 @@
 
     /// Has the others know whether this process serves.
     async fn tell_ready(&self) {
-        let (ready, serves) = (self.pages.borrow().own.ready_since.is_some(), self.engine.lifecycle.is_serving());
+        let (ready, serves) =
+            (self.pages.borrow().own.ready_since.is_some(), self.engine.lifecycle.is_serving());
         if serves != ready {
             self.pages.borrow_mut().own.ready_since = serves.then(|| self.engine.clock.now());
             self.write().await;
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -62,7 +62,8 @@
     let probe: Box<dyn HealthCheck> =
         if resp.is_some() { Box::new(resp_frontend::Ping) } else { Box::new(http::AliveCheck) };
     let writer = capture.as_ref().map(|c| {
-        let keep = Retention { folder: c.folder.clone(), segment_bytes: c.segment_bytes, max_bytes: c.max_bytes };
+        let keep =
+            Retention { folder: c.folder.clone(), segment_bytes: c.segment_bytes, max_bytes: c.max_bytes };
         CaptureWriter::open(keep, &rules.name).map(|writer| (writer, c.keys))
     });
     let writer = writer.transpose().map_err(|e| format!("cannot capture: {e}"))?;
--- a/crates/resp-frontend/src/clients.rs
+++ b/crates/resp-frontend/src/clients.rs
@@ -58,7 +58,8 @@
                     failing = false;
                     let (permit, taken) = engine.budget.acquire_for_client().await;
                     _ = stream.get_ref().set_nodelay(true);
-                    let serving = serve(frontend.clone(), stream, permit, taken, ClientConnection::new(engine));
+                    let serving =
+                        serve(frontend.clone(), stream, permit, taken, ClientConnection::new(engine));
                     engine.executor.spawn(serving).detach();
                 }
                 Err(e) => {
@@ -255,7 +256,11 @@
 }
 
 impl<'a> Reading<'a> {
-    fn new(frontend: &'a Rc<Frontend>, stream: &'a Async<TcpStream>, waiting: Rc<Cell<usize>>) -> Reading<'a> {
+    fn new(
+        frontend: &'a Rc<Frontend>,
+        stream: &'a Async<TcpStream>,
+        waiting: Rc<Cell<usize>>,
+    ) -> Reading<'a> {
         let id = frontend.clients.get() + 1;
         frontend.clients.set(id);
         let peer = stream.get_ref().peer_addr().map_or(String::new(), |a| a.to_string());
