--- a/crates/testbed/src/baseline.rs
+++ b/crates/testbed/src/baseline.rs
@@ -1,8 +1,8 @@
-//! Proxies of the lab's own, to be measured beside: they speak the platform's wire and decide next to nothing. Each can
+//! Proxies of the testbed's own, to be measured beside: they speak the platform's wire and decide next to nothing. Each can
 //! break one rule on purpose, so that it can be shown that the judge sees it.
 
-use crate::model::course::SERVING;
-use crate::wire::{Conn, Message, answer_head};
+use crate::model::timeline::SERVING;
+use crate::wire::{Connection, Message, response_head};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
@@ -16,22 +16,22 @@
 use std::time::{Duration, Instant};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Kind {
-    /// Passes a lookup to the cache that its key's number names, and tries nothing else: the floor of cost.
+pub enum Strategy {
+    /// Passes a request to the server that its key's number names, and tries nothing else: the floor of cost.
     Relay,
-    /// Any ready cache of its own zone, by chance; another one after a failure.
+    /// Any ready server of its own zone, by chance; another one after a failure.
     Random,
     /// The plain ring, without bound or exceptions; the next one after a failure.
     Ring,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Break {
+pub enum BrokenRule {
     Nothing,
     /// Closes the connection instead of answering, now and then.
     Lose,
     Twice,
-    /// Sends a tagged lookup to another cache after it was answered.
+    /// Sends a tagged request to another server after it was answered.
     Resend,
     /// Takes no notice of drains.
     Drained,
@@ -41,26 +41,26 @@
     Hold,
 }
 
-impl Kind {
-    pub fn named(name: &str) -> Option<Kind> {
+impl Strategy {
+    pub fn named(name: &str) -> Option<Strategy> {
         Some(match name {
-            "relay" => Kind::Relay,
-            "random" => Kind::Random,
-            "ring" => Kind::Ring,
+            "relay" => Strategy::Relay,
+            "random" => Strategy::Random,
+            "ring" => Strategy::Ring,
             _ => return None,
         })
     }
 }
 
-impl Break {
-    pub fn named(name: &str) -> Option<Break> {
+impl BrokenRule {
+    pub fn named(name: &str) -> Option<BrokenRule> {
         Some(match name {
-            "lose" => Break::Lose,
-            "twice" => Break::Twice,
-            "resend" => Break::Resend,
-            "drained" => Break::Drained,
-            "swap" => Break::Swap,
-            "hold" => Break::Hold,
+            "lose" => BrokenRule::Lose,
+            "twice" => BrokenRule::Twice,
+            "resend" => BrokenRule::Resend,
+            "drained" => BrokenRule::Drained,
+            "swap" => BrokenRule::Swap,
+            "hold" => BrokenRule::Hold,
             _ => return None,
         })
     }
@@ -74,33 +74,33 @@
     ready: bool,
 }
 
-struct Namespace {
+struct RequestClass {
     repeats: String,
 }
 
 struct Proxy {
-    kind: Kind,
-    broken: Break,
+    kind: Strategy,
+    broken: BrokenRule,
     zone: String,
-    most_shots: usize,
-    namespaces: HashMap<String, Namespace>,
+    max_attempts: usize,
+    classes: HashMap<String, RequestClass>,
     list: SocketAddr,
     nodes: RefCell<Vec<Node>>,
     ring: RefCell<Vec<(u64, usize)>>,
-    pool: RefCell<HashMap<SocketAddr, Vec<Conn>>>,
+    pool: RefCell<HashMap<SocketAddr, Vec<Connection>>>,
     chance: RefCell<ChaCha8Rng>,
     count: Cell<u64>,
     last: RefCell<Vec<u8>>,
-    usable: Cell<bool>,
-    open: Cell<usize>,
+    accepting: Cell<bool>,
+    in_flight: Cell<usize>,
 }
 
-/// Points of a cache on the plain ring, as many as chalkwalk has.
-const POINTS: u64 = 128;
-/// A broken rule is broken in every so many lookups.
-const NOW_AND_THEN: u64 = 50;
-const HELD: Duration = Duration::from_millis(600);
-/// After SIGTERM connections are still taken for so long, and open lookups have so long to end.
+/// Points of a server on the plain ring, as many as chalkwalk has.
+const RING_POINTS: u64 = 128;
+/// A broken rule is broken in every so many requests.
+const BREAK_EVERY: u64 = 50;
+const HOLD_TIME: Duration = Duration::from_millis(600);
+/// After SIGTERM connections are still taken for so long, and open requests have so long to end.
 const LEAVING: (Duration, Duration) = (Duration::from_millis(500), Duration::from_millis(2500));
 
 fn hash(text: &str, salt: u64) -> u64 {
@@ -111,115 +111,115 @@
     (seen ^ (seen >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9) ^ (seen >> 32)
 }
 
-/// How a shot came out.
-enum Shot {
+/// How an attempt came out.
+enum AttemptResult {
     Value(Message),
     Miss,
     /// Surely not run.
-    Unseen,
+    Unprocessed,
     Failed,
 }
 
 impl Proxy {
     /// Takes what a list says.
-    fn hear(&self, said: &Value) -> Option<u64> {
+    fn apply_list(&self, listed: &Value) -> Option<u64> {
         let mut nodes = self.nodes.borrow_mut();
-        if said.get("full")?.as_bool()? && self.broken != Break::Drained {
+        if listed.get("full")?.as_bool()? && self.broken != BrokenRule::Drained {
             nodes.iter_mut().for_each(|n| n.ready = false);
         }
-        for line in said.get("servers")?.as_array()? {
-            let word = |name: &str| line.get(name).and_then(Value::as_str);
-            let (id, addr) = (word("id")?, word("addr")?.parse().ok()?);
-            let ready = word("state") == Some(SERVING) || self.broken == Break::Drained;
+        for line in listed.get("servers")?.as_array()? {
+            let text = |name: &str| line.get(name).and_then(Value::as_str);
+            let (id, addr) = (text("id")?, text("addr")?.parse().ok()?);
+            let ready = text("state") == Some(SERVING) || self.broken == BrokenRule::Drained;
             match nodes.iter_mut().find(|n| n.id == id) {
                 Some(node) => (node.addr, node.ready) = (addr, ready),
                 None => nodes.push(Node {
                     id: id.to_string(),
                     addr,
-                    zone: word("zone").unwrap_or("").to_string(),
-                    origin: word("kind") == Some("origin"),
+                    zone: text("zone").unwrap_or("").to_string(),
+                    origin: text("kind") == Some("origin"),
                     ready,
                 }),
             }
         }
         let own = |n: &&Node| !n.origin && n.ready && n.zone == self.zone;
         let any = nodes.iter().any(|n| own(&n));
-        let usable = nodes.iter().enumerate().filter(|(_, n)| own(n) || (!any && !n.origin && n.ready));
+        let accepting = nodes.iter().enumerate().filter(|(_, n)| own(n) || (!any && !n.origin && n.ready));
         let mut ring: Vec<(u64, usize)> =
-            usable.flat_map(|(i, n)| (1..=POINTS).map(move |p| (hash(&n.id, p), i))).collect();
+            accepting.flat_map(|(i, n)| (1..=RING_POINTS).map(move |p| (hash(&n.id, p), i))).collect();
         ring.sort_unstable();
         *self.ring.borrow_mut() = ring;
-        said.get("version")?.as_u64()
+        listed.get("version")?.as_u64()
     }
 
-    /// Where a lookup goes next, after so many tries.
+    /// Where a request goes next, after so many tries.
     fn pick(&self, key: &str, tried: &[SocketAddr]) -> Option<SocketAddr> {
         let (nodes, ring) = (self.nodes.borrow(), self.ring.borrow());
         if ring.is_empty() {
             return None;
         }
         let start = match self.kind {
-            Kind::Relay => hash(key, 0) as usize % ring.len(),
-            Kind::Random => self.chance.borrow_mut().random_range(0..ring.len()),
-            Kind::Ring => ring.partition_point(|p| p.0 < hash(key, 0)),
+            Strategy::Relay => hash(key, 0) as usize % ring.len(),
+            Strategy::Random => self.chance.borrow_mut().random_range(0..ring.len()),
+            Strategy::Ring => ring.partition_point(|p| p.0 < hash(key, 0)),
         };
         let addrs = (0..ring.len()).map(|i| nodes[ring[(start + i) % ring.len()].1].addr);
-        let mut fresh = addrs.filter(|a| !tried.contains(a));
-        fresh.next()
+        let mut untried = addrs.filter(|a| !tried.contains(a));
+        untried.next()
     }
 
     fn origin(&self) -> Option<SocketAddr> {
         self.nodes.borrow().iter().find(|n| n.origin && n.ready).map(|n| n.addr)
     }
 
-    /// A cache in service of another zone than the origin's: one rule is broken at a time.
-    fn elsewhere(&self) -> Option<SocketAddr> {
+    /// A server in service of another zone than the origin's: one rule is broken at a time.
+    fn server_of_another_zone(&self) -> Option<SocketAddr> {
         let nodes = self.nodes.borrow();
         let zone = nodes.iter().find(|n| n.origin).map(|n| n.zone.clone()).unwrap_or_default();
         nodes.iter().find(|n| !n.origin && n.ready && n.zone != zone).map(|n| n.addr)
     }
 
-    async fn shoot(&self, addr: SocketAddr, question: &Message, until: Instant) -> Shot {
+    async fn attempt(&self, addr: SocketAddr, request: &Message, until: Instant) -> AttemptResult {
         let mut written = false;
-        let shooting = async {
-            let kept = self.pool.borrow_mut().get_mut(&addr).and_then(Vec::pop).filter(Conn::quiet);
-            let mut conn = match kept {
+        let attempting = async {
+            let pooled = self.pool.borrow_mut().get_mut(&addr).and_then(Vec::pop).filter(Connection::is_idle);
+            let mut conn = match pooled {
                 Some(conn) => conn,
                 None => match Async::<TcpStream>::connect(addr).await {
-                    Ok(stream) => Conn::new(stream),
-                    Err(_) => return Shot::Unseen,
+                    Ok(stream) => Connection::new(stream),
+                    Err(_) => return AttemptResult::Unprocessed,
                 },
             };
-            if conn.write(&[&question.bytes]).await.is_err() {
-                return Shot::Unseen;
+            if conn.write(&[&request.bytes]).await.is_err() {
+                return AttemptResult::Unprocessed;
             }
             written = true;
-            let Ok(answer) = conn.answer().await else { return Shot::Failed };
-            let shot = match answer.status {
-                200 => Shot::Value(answer),
-                404 => Shot::Miss,
-                503 if answer.field("X-Unprocessed").is_some() => Shot::Unseen,
-                _ => Shot::Failed,
+            let Ok(answer) = conn.read_response().await else { return AttemptResult::Failed };
+            let result = match answer.status {
+                200 => AttemptResult::Value(answer),
+                404 => AttemptResult::Miss,
+                503 if answer.field("X-Unprocessed").is_some() => AttemptResult::Unprocessed,
+                _ => AttemptResult::Failed,
             };
             self.pool.borrow_mut().entry(addr).or_default().push(conn);
-            shot
+            result
         };
         let over = async {
             Timer::at(until).await;
-            Shot::Failed
+            AttemptResult::Failed
         };
-        or(shooting, over).await
+        or(attempting, over).await
     }
 
-    /// The final answer to a lookup: its value, or the status that refuses it.
-    async fn answer(&self, question: &Message) -> Result<Message, u16> {
-        let key = question.target().rsplit('/').next().unwrap_or("");
-        let write = question.method() == "PUT";
-        let class = question.field("X-Service-Class").unwrap_or("");
-        let left = question.field("X-Time-Left").and_then(|v| v.parse::<f64>().ok()).unwrap_or(1.0);
+    /// The final answer to a request: its value, or the status that refuses it.
+    async fn answer(&self, request: &Message) -> Result<Message, u16> {
+        let key = request.target().rsplit('/').next().unwrap_or("");
+        let write = request.method() == "PUT";
+        let class = request.field("X-Service-RequestClass").unwrap_or("");
+        let left = request.field("X-Time-Left").and_then(|v| v.parse::<f64>().ok()).unwrap_or(1.0);
         let until = Instant::now() + Duration::from_secs_f64((left - 0.02).max(0.01));
-        let replayable = self.namespaces.get(class).is_some_and(|n| n.repeats == "free");
-        let tries = if self.kind == Kind::Relay { 1 } else { self.most_shots };
+        let replayable = self.classes.get(class).is_some_and(|n| n.repeats == "free");
+        let tries = if self.kind == Strategy::Relay { 1 } else { self.max_attempts };
         let (mut tried, mut to, mut ran) = (Vec::new(), None, false);
         if write {
             to = self.origin();
@@ -227,77 +227,77 @@
         for _ in 0..tries {
             let Some(addr) = to.take().or_else(|| self.pick(key, &tried)) else { break };
             tried.push(addr);
-            let mut shot = self.shoot(addr, question, until).await;
-            if let (Shot::Miss, Some(origin)) =
-                (&shot, self.origin().filter(|_| tried.len() < self.most_shots))
+            let mut result = self.attempt(addr, request, until).await;
+            if let (AttemptResult::Miss, Some(origin)) =
+                (&result, self.origin().filter(|_| tried.len() < self.max_attempts))
             {
                 tried.push(origin);
-                shot = self.shoot(origin, question, until).await;
+                result = self.attempt(origin, request, until).await;
             }
-            match shot {
-                Shot::Value(answer) => return Ok(answer),
-                Shot::Failed => ran = true,
+            match result {
+                AttemptResult::Value(answer) => return Ok(answer),
+                AttemptResult::Failed => ran = true,
                 _ => {}
             }
-            if (ran && !replayable) || Instant::now() >= until || write || tried.len() >= self.most_shots {
+            if (ran && !replayable) || Instant::now() >= until || write || tried.len() >= self.max_attempts {
                 break;
             }
         }
         Err(if ran && !replayable { 500 } else { 503 })
     }
 
-    async fn serve(self: Rc<Self>, mut conn: Conn) {
-        while let Ok(question) = conn.question().await {
-            if question.target() == "/up" {
-                let status = if self.usable.get() { 200 } else { 503 };
-                if conn.write(&[answer_head(status, 0, "").as_bytes()]).await.is_err() {
+    async fn serve(self: Rc<Self>, mut conn: Connection) {
+        while let Ok(request) = conn.read_request().await {
+            if request.target() == "/up" {
+                let status = if self.accepting.get() { 200 } else { 503 };
+                if conn.write(&[response_head(status, 0, "").as_bytes()]).await.is_err() {
                     return;
                 }
                 continue;
             }
             // Of those that it can be broken for: else chance decides whether it is broken at all.
-            let tagged = question.field("Idempotency-Key").is_some();
-            self.count.set(self.count.get() + u64::from(tagged || self.broken != Break::Resend));
-            let now_and_then = self.count.get().is_multiple_of(NOW_AND_THEN);
-            self.open.set(self.open.get() + 1);
-            let answer = self.answer(&question).await;
+            let tagged = request.field("Idempotency-Key").is_some();
+            self.count.set(self.count.get() + u64::from(tagged || self.broken != BrokenRule::Resend));
+            let break_now = self.count.get().is_multiple_of(BREAK_EVERY);
+            self.in_flight.set(self.in_flight.get() + 1);
+            let answer = self.answer(&request).await;
             let written = match answer {
-                Ok(_) if self.broken == Break::Lose && now_and_then => {
-                    self.open.set(self.open.get() - 1);
+                Ok(_) if self.broken == BrokenRule::Lose && break_now => {
+                    self.in_flight.set(self.in_flight.get() - 1);
                     return;
                 }
                 Ok(value) => {
                     let mut body = value.body().to_vec();
-                    if self.broken == Break::Swap {
+                    if self.broken == BrokenRule::Swap {
                         let last = self.last.replace(body.clone());
-                        if now_and_then && !last.is_empty() {
+                        if break_now && !last.is_empty() {
                             body = last;
                         }
                     }
-                    let close = if self.usable.get() { "" } else { "Connection: close\r\n" };
-                    let head = answer_head(200, body.len(), close);
-                    if self.broken == Break::Twice && now_and_then {
+                    let close = if self.accepting.get() { "" } else { "Connection: close\r\n" };
+                    let head = response_head(200, body.len(), close);
+                    if self.broken == BrokenRule::Twice && break_now {
                         _ = conn.write(&[head.as_bytes(), &body]).await;
                     }
                     conn.write(&[head.as_bytes(), &body]).await
                 }
                 Err(status) => {
-                    if self.broken == Break::Hold {
-                        Timer::after(HELD).await;
+                    if self.broken == BrokenRule::Hold {
+                        Timer::after(HOLD_TIME).await;
                     }
                     let extra = if status == 503 { "Retry-After: 0.5\r\n" } else { "" };
-                    conn.write(&[answer_head(status, 0, extra).as_bytes()]).await
+                    conn.write(&[response_head(status, 0, extra).as_bytes()]).await
                 }
             };
-            if self.broken == Break::Resend
-                && now_and_then
+            if self.broken == BrokenRule::Resend
+                && break_now
                 && tagged
-                && let Some(addr) = self.elsewhere()
+                && let Some(addr) = self.server_of_another_zone()
             {
-                _ = self.shoot(addr, &question, Instant::now() + Duration::from_secs(1)).await;
+                _ = self.attempt(addr, &request, Instant::now() + Duration::from_secs(1)).await;
             }
-            self.open.set(self.open.get() - 1);
-            if written.is_err() || question.close || !self.usable.get() {
+            self.in_flight.set(self.in_flight.get() - 1);
+            if written.is_err() || request.close || !self.accepting.get() {
                 return;
             }
         }
@@ -308,7 +308,7 @@
         loop {
             let mut version = None;
             if let Ok(stream) = Async::<TcpStream>::connect(self.list).await {
-                let mut conn = Conn::new(stream);
+                let mut conn = Connection::new(stream);
                 loop {
                     let target = match version {
                         Some(version) => format!("/discovery/hosts?index={version}&wait=10000"),
@@ -318,10 +318,11 @@
                     if conn.write(&[head.as_bytes()]).await.is_err() {
                         break;
                     }
-                    let Ok(answer) = conn.answer().await else { break };
-                    let said: Option<Value> = serde_json::from_slice(answer.body()).ok();
-                    match said.filter(|_| answer.status == 200).and_then(|said| self.hear(&said)) {
-                        Some(heard) => version = Some(heard),
+                    let Ok(answer) = conn.read_response().await else { break };
+                    let listed: Option<Value> = serde_json::from_slice(answer.body()).ok();
+                    match listed.filter(|_| answer.status == 200).and_then(|listed| self.apply_list(&listed))
+                    {
+                        Some(new_version) => version = Some(new_version),
                         None => break,
                     }
                 }
@@ -332,38 +333,38 @@
 }
 
 /// Runs one proxy until it is told to end.
-pub fn run(kind: Kind, broken: Break, config: &str) -> Result<(), String> {
+pub fn run(kind: Strategy, broken: BrokenRule, config: &str) -> Result<(), String> {
     let text = std::fs::read_to_string(config).map_err(|e| format!("cannot read {config}: {e}"))?;
-    let said: Value = serde_json::from_str(&text).map_err(|e| format!("{config} is no JSON: {e}"))?;
+    let listed: Value = serde_json::from_str(&text).map_err(|e| format!("{config} is no JSON: {e}"))?;
     let address = |name: &str| {
-        let word = said.get(name).and_then(Value::as_str);
-        word.and_then(|w| w.parse::<SocketAddr>().ok()).ok_or(format!("field {name}: expected an address"))
+        let text = listed.get(name).and_then(Value::as_str);
+        text.and_then(|w| w.parse::<SocketAddr>().ok()).ok_or(format!("field {name}: expected an address"))
     };
-    let settings = &said["settings"];
-    let namespaces = settings["namespaces"].as_array().cloned().unwrap_or_default();
+    let settings = &listed["settings"];
+    let classes = settings["namespaces"].as_array().cloned().unwrap_or_default();
     let named = |n: &Value| {
-        let word = |name: &str| n[name].as_str().unwrap_or("").to_string();
-        (word("name"), Namespace { repeats: word("idempotency") })
+        let text = |name: &str| n[name].as_str().unwrap_or("").to_string();
+        (text("name"), RequestClass { repeats: text("idempotency") })
     };
     let proxy = Rc::new(Proxy {
         kind,
         broken,
         zone: settings["az"].as_str().unwrap_or("").to_string(),
-        most_shots: settings["ceilings"]["mostShots"].as_u64().unwrap_or(1) as usize,
-        namespaces: namespaces.iter().map(named).collect(),
+        max_attempts: settings["ceilings"]["mostShots"].as_u64().unwrap_or(1) as usize,
+        classes: classes.iter().map(named).collect(),
         list: address("discovery")?,
         nodes: RefCell::default(),
         ring: RefCell::default(),
         pool: RefCell::default(),
         chance: RefCell::new(ChaCha8Rng::seed_from_u64(
-            u64::from_str_radix(said["seed"].as_str().unwrap_or("1"), 16).unwrap_or(1),
+            u64::from_str_radix(listed["seed"].as_str().unwrap_or("1"), 16).unwrap_or(1),
         )),
         count: Cell::new(0),
         last: RefCell::default(),
-        usable: Cell::new(true),
-        open: Cell::new(0),
+        accepting: Cell::new(true),
+        in_flight: Cell::new(0),
     });
-    proxy.hear(&said["known"]);
+    proxy.apply_list(&listed["known"]);
     let listen = address("listen")?;
     let listener = TcpListener::bind(listen).map_err(|e| format!("cannot listen on {listen}: {e}"))?;
     _ = socket2::SockRef::from(&listener).listen(1024);
@@ -376,21 +377,21 @@
         let accepting = async {
             loop {
                 if let Ok((stream, _)) = listener.accept().await {
-                    ex.spawn(proxy.clone().serve(Conn::new(stream))).detach();
+                    ex.spawn(proxy.clone().serve(Connection::new(stream))).detach();
                 }
             }
         };
-        let told = async {
+        let terminated = async {
             use smol::stream::StreamExt;
             _ = signals.next().await;
-            proxy.usable.set(false);
+            proxy.accepting.set(false);
             Timer::after(LEAVING.0).await;
             let end = Instant::now() + LEAVING.1;
-            while proxy.open.get() > 0 && Instant::now() < end {
+            while proxy.in_flight.get() > 0 && Instant::now() < end {
                 Timer::after(Duration::from_millis(5)).await;
             }
         };
-        or(accepting, told).await;
+        or(accepting, terminated).await;
     }));
     Ok(())
 }
--- a/crates/testbed/src/clock.rs
+++ b/crates/testbed/src/clock.rs
@@ -43,7 +43,7 @@
     }
 
     /// Waits until that moment; before the beginning, as long from now, or until then.
-    pub async fn reach(&self, at: Micros) {
+    pub async fn sleep_until(&self, at: Micros) {
         let mut left = at;
         while self.0.get().is_none() && left > 0 {
             let step = left.min(5 * MILLI);
--- a/crates/testbed/src/evidence.rs
+++ b/crates/testbed/src/evidence.rs
@@ -1,25 +1,25 @@
-//! What went over the sockets, as seen from the lab's ends of them. Everything else is worked out from this.
+//! What went over the sockets, as seen from the testbed's ends of them. Everything else is worked out from this.
 
 use crate::clock::{Clock, Micros};
-use crate::model::cache::Say;
+use crate::model::server::Reply;
 use std::collections::{HashMap, HashSet};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// A lookup's number, as it stands in its id. A client's further try is a lookup of its own.
+/// A request's number, as it stands in its id. A client's further try is a request of its own.
 pub type Id = u64;
 
-/// A proxy, or a cache; the origin is the cache after the last.
+/// A proxy, or a server; the origin is the server after the last.
 pub type Index = u16;
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
-    /// A client has written a lookup whole to a proxy.
-    Asked,
-    /// Its answer is here whole. `right`: made for this lookup, by whoever answered it.
+pub enum EventKind {
+    /// A client has written a request whole to a proxy.
+    RequestSent,
+    /// Its answer is here whole. `matches`: made for this request, by whoever answered it.
     Answered {
         status: u16,
-        back_in: Option<Micros>,
-        right: bool,
+        retry_after: Option<Micros>,
+        matches: bool,
     },
     /// Its connection ended, or broke, with no answer. `fresh`: nothing had been answered on it before.
     Unanswered {
@@ -27,52 +27,52 @@
         fresh: bool,
     },
     /// The client has given it up and closed its connection.
-    Left,
+    ClientCancelled,
     /// No proxy took a connection for it.
     NoProxy,
     /// More came on a client's connection than was asked for.
-    Unasked,
-    /// A shot's first byte has reached a cache.
-    Begun {
-        cache: Index,
+    UnexpectedBytes,
+    /// An attempt's first byte has reached a server.
+    AttemptStarted {
+        server: Index,
     },
     /// And its last.
-    Shot {
-        cache: Index,
+    AttemptReceived {
+        server: Index,
         write: bool,
     },
-    /// The cache has written what it says to the shot.
-    Said {
-        cache: Index,
-        say: Say,
+    /// The server has written what it says to the attempt.
+    Replied {
+        server: Index,
+        reply: Reply,
     },
     /// The connection ended before that, by the proxy's will or with its process.
-    Cut {
-        cache: Index,
+    AttemptAborted {
+        server: Index,
     },
-    /// The effect of a lookup came about.
-    Ran {
-        cache: Index,
+    /// The effect of a request came about.
+    EffectApplied {
+        server: Index,
     },
-    /// A shot came with no id, or one that no client sent.
-    MadeUp {
-        cache: Index,
+    /// An attempt came with no id, or one that no client sent.
+    UnknownRequest {
+        server: Index,
     },
-    /// The list has written to a proxy what it says of a cache.
-    Told {
-        cache: Index,
+    /// The list has written to a proxy what it says of a server.
+    Notified {
+        server: Index,
         off: bool,
     },
-    /// A cache was pushed over by what all proxies together sent to it.
-    Fell {
-        cache: Index,
+    /// A server was pushed over by what all proxies together sent to it.
+    ServerCollapsed {
+        server: Index,
     },
     /// Of a proxy's process.
     Signalled {
         signal: &'static str,
     },
-    Ready,
-    Ended {
+    ProcessReady,
+    ProcessEnded {
         killed: bool,
     },
 }
@@ -82,13 +82,13 @@
     pub at: Micros,
     pub id: Id,
     pub proxy: Index,
-    pub what: What,
+    pub kind: EventKind,
 }
 
-/// What a client asked for, known to the lab alone.
+/// What a client asked for, known to the testbed alone.
 #[derive(Clone, Debug)]
-pub struct Ask {
-    pub ns: usize,
+pub struct ClientRequest {
+    pub class: usize,
     pub key: u64,
     /// Its client's first try, whose effect this one repeats.
     pub first: Id,
@@ -99,17 +99,17 @@
 }
 
 #[derive(Default)]
-struct Kept {
+struct Recorded {
     events: Vec<Event>,
-    asks: HashMap<Id, Ask>,
-    shot: HashSet<Id>,
-    gone: HashMap<usize, Micros>, // when each proxy's process was last killed, or ended
-    any: bool,
+    requests: HashMap<Id, ClientRequest>,
+    attempted: HashSet<Id>,
+    ended_at: HashMap<usize, Micros>, // when each proxy's process was last killed, or ended
+    accepts_any: bool,
 }
 
 /// Shared by all stand-ins and clients of a run.
 #[derive(Clone, Default)]
-pub struct Evidence(Arc<Mutex<Kept>>, Clock);
+pub struct Evidence(Arc<Mutex<Recorded>>, Clock);
 
 impl Evidence {
     pub fn new(clock: Clock) -> Evidence {
@@ -117,58 +117,58 @@
     }
 
     /// A poisoned lock is still good to read: what is kept is only ever added to.
-    fn kept(&self) -> MutexGuard<'_, Kept> {
+    fn recorded(&self) -> MutexGuard<'_, Recorded> {
         self.0.lock().unwrap_or_else(|broken| broken.into_inner())
     }
 
-    pub fn note(&self, id: Id, proxy: usize, what: What) {
-        self.note_at(self.1.now(), id, proxy, what);
+    pub fn record(&self, id: Id, proxy: usize, kind: EventKind) {
+        self.record_at(self.1.now(), id, proxy, kind);
     }
 
-    pub fn note_at(&self, at: Micros, id: Id, proxy: usize, what: What) {
-        let mut kept = self.kept();
-        if kept.any {
+    pub fn record_at(&self, at: Micros, id: Id, proxy: usize, kind: EventKind) {
+        let mut recorded = self.recorded();
+        if recorded.accepts_any {
             return;
         }
-        if matches!(what, What::Shot { .. }) {
-            kept.shot.insert(id);
+        if matches!(kind, EventKind::AttemptReceived { .. }) {
+            recorded.attempted.insert(id);
         }
-        if matches!(what, What::Signalled { signal: "KILL" } | What::Ended { .. }) {
-            kept.gone.insert(proxy, at);
+        if matches!(kind, EventKind::Signalled { signal: "KILL" } | EventKind::ProcessEnded { .. }) {
+            recorded.ended_at.insert(proxy, at);
         }
-        kept.events.push(Event { at, id, proxy: proxy as Index, what });
+        recorded.events.push(Event { at, id, proxy: proxy as Index, kind });
     }
 
-    pub fn ask(&self, id: Id, ask: Ask) {
-        self.kept().asks.insert(id, ask);
+    pub fn add_request(&self, id: Id, request: ClientRequest) {
+        self.recorded().requests.insert(id, request);
     }
 
-    pub fn asked(&self, id: Id) -> Option<Ask> {
-        let kept = self.kept();
-        let by_hand = || Ask { ns: 0, key: id, first: id, tenant: 0, due: 0, limit: 0 };
-        kept.asks.get(&id).cloned().or_else(|| kept.any.then(by_hand))
+    pub fn request(&self, id: Id) -> Option<ClientRequest> {
+        let recorded = self.recorded();
+        let by_hand = || ClientRequest { class: 0, key: id, first: id, tenant: 0, due: 0, limit: 0 };
+        recorded.requests.get(&id).cloned().or_else(|| recorded.accepts_any.then(by_hand))
     }
 
-    /// From now on any id is taken for a lookup of the first namespace, and nothing is kept: for trying by hand.
-    pub fn take_any(&self) {
-        self.kept().any = true;
+    /// From now on any id is taken for a request of the first request class, and nothing is kept: for trying by hand.
+    pub fn accept_any(&self) {
+        self.recorded().accepts_any = true;
     }
 
-    /// Whether a shot for it has reached a cache, so that a proxy has taken it.
-    pub fn was_shot(&self, id: Id) -> bool {
-        self.kept().shot.contains(&id)
+    /// Whether an attempt for it has reached a server, so that a proxy has taken it.
+    pub fn was_attempted(&self, id: Id) -> bool {
+        self.recorded().attempted.contains(&id)
     }
 
     /// Whether a proxy's process was killed, or ended, since that moment.
     pub fn gone_since(&self, proxy: usize, at: Micros) -> bool {
-        self.kept().gone.get(&proxy).is_some_and(|gone| *gone >= at)
+        self.recorded().ended_at.get(&proxy).is_some_and(|ended_at| *ended_at >= at)
     }
 
     /// All of it, in order of time, at the end of a run.
-    pub fn take(&self) -> (Vec<Event>, HashMap<Id, Ask>) {
-        let mut kept = self.kept();
-        let mut events = std::mem::take(&mut kept.events);
+    pub fn finish(&self) -> (Vec<Event>, HashMap<Id, ClientRequest>) {
+        let mut recorded = self.recorded();
+        let mut events = std::mem::take(&mut recorded.events);
         events.sort_by_key(|e| e.at);
-        (events, std::mem::take(&mut kept.asks))
+        (events, std::mem::take(&mut recorded.requests))
     }
 }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,4 +1,4 @@
-//! The lab: everything that a chalkwalk proxy talks to, played on loopback, with load, troubles, and a judge.
+//! The testbed: everything that a chalkwalk proxy talks to, played on loopback, with load, faults, and a judge.
 //!
 //! For: trying the program by hand, rehearsing fleets and failures, and tests of the whole. It may use sockets, processes
 //! and files of its own folder. It never uses a crate of the proxy: what it knows of a proxy is the platform's protocol,
--- a/crates/testbed/src/load/front.rs
+++ b/crates/testbed/src/load/front.rs
@@ -5,45 +5,45 @@
 
 pub struct Front {
     clock: Clock,
-    dealt: Mutex<Dealt>,
+    rotation: Mutex<Rotation>,
 }
 
-struct Dealt {
+struct Rotation {
     last: usize,
     /// Since when, and until when, it deals to each proxy.
-    to: Vec<Option<(Micros, Micros)>>,
+    serves: Vec<Option<(Micros, Micros)>>,
 }
 
 impl Front {
     pub fn new(proxies: usize, clock: Clock) -> Front {
-        Front { clock, dealt: Mutex::new(Dealt { last: 0, to: vec![None; proxies] }) }
+        Front { clock, rotation: Mutex::new(Rotation { last: 0, serves: vec![None; proxies] }) }
     }
 
-    fn dealt(&self) -> std::sync::MutexGuard<'_, Dealt> {
-        self.dealt.lock().unwrap_or_else(|broken| broken.into_inner())
+    fn rotation(&self) -> std::sync::MutexGuard<'_, Rotation> {
+        self.rotation.lock().unwrap_or_else(|broken| broken.into_inner())
     }
 
     pub fn up(&self, proxy: usize) {
-        self.dealt().to[proxy] = Some((self.clock.now(), Micros::MAX));
+        self.rotation().serves[proxy] = Some((self.clock.now(), Micros::MAX));
     }
 
     /// It is gone, or going, which is noticed so much later.
-    pub fn down(&self, proxy: usize, late: Micros) {
-        let until = self.clock.now() + late;
-        if let Some((_, end)) = &mut self.dealt().to[proxy] {
+    pub fn down(&self, proxy: usize, delay: Micros) {
+        let until = self.clock.now() + delay;
+        if let Some((_, end)) = &mut self.rotation().serves[proxy] {
             *end = until.min(*end);
         }
     }
 
     /// The next proxy in turn that it believes to be up.
-    pub fn deal(&self) -> Option<usize> {
+    pub fn next_proxy(&self) -> Option<usize> {
         let now = self.clock.now();
-        let mut dealt = self.dealt();
-        let count = dealt.to.len();
+        let mut rotation = self.rotation();
+        let count = rotation.serves.len();
         for _ in 0..count {
-            dealt.last = (dealt.last + 1) % count;
-            if dealt.to[dealt.last].is_some_and(|(from, until)| from <= now && now < until) {
-                return Some(dealt.last);
+            rotation.last = (rotation.last + 1) % count;
+            if rotation.serves[rotation.last].is_some_and(|(from, until)| from <= now && now < until) {
+                return Some(rotation.last);
             }
         }
         None
@@ -59,12 +59,12 @@
         let clock = Clock::default();
         clock.begin();
         let front = Front::new(3, clock.clone());
-        assert_eq!(front.deal(), None);
+        assert_eq!(front.next_proxy(), None);
         [0, 2].into_iter().for_each(|p| front.up(p));
-        assert_eq!([(); 3].map(|()| front.deal()), [Some(2), Some(0), Some(2)]);
+        assert_eq!([(); 3].map(|()| front.next_proxy()), [Some(2), Some(0), Some(2)]);
         front.down(2, 50_000);
-        assert_eq!([(); 2].map(|()| front.deal()), [Some(0), Some(2)]);
+        assert_eq!([(); 2].map(|()| front.next_proxy()), [Some(0), Some(2)]);
         std::thread::sleep(std::time::Duration::from_millis(60));
-        assert_eq!([(); 2].map(|()| front.deal()), [Some(0), Some(0)]);
+        assert_eq!([(); 2].map(|()| front.next_proxy()), [Some(0), Some(0)]);
     }
 }
--- a/crates/testbed/src/load/mod.rs
+++ b/crates/testbed/src/load/mod.rs
@@ -1,4 +1,4 @@
-//! Load: a plan of lookups drawn ahead, and the clients that play it, whatever comes of the lookups before.
+//! Load: a plan of requests drawn ahead, and the clients that play it, whatever comes of the requests before.
 
 pub mod clients;
 pub mod front;
--- a/crates/testbed/src/load/plan.rs
+++ b/crates/testbed/src/load/plan.rs
@@ -1,4 +1,4 @@
-//! The plan: when each first lookup arrives, and what it asks for. Drawn from the seed alone.
+//! The plan: when each first request arrives, and what it asks for. Drawn from the seed alone.
 
 use crate::clock::{Micros, micros};
 use crate::experiment::Experiment;
@@ -9,14 +9,14 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
     pub at: Micros,
-    pub ns: usize,
+    pub class: usize,
     pub key: u64,
     pub tenant: usize,
     pub client: usize,
     /// How long its client stays, where it leaves early.
-    pub stays: Option<Micros>,
+    pub cancels_after: Option<Micros>,
     /// Whether its client heeds advice on when to return.
-    pub heeds: bool,
+    pub honors_retry_after: bool,
 }
 
 /// Which one of several shares a number from 0 to 1 falls into.
@@ -42,21 +42,21 @@
 }
 
 /// Arrivals in order of time, one after the other.
-pub struct Plan<'a> {
+pub struct ArrivalPlan<'a> {
     experiment: &'a Experiment,
     chance: ChaCha8Rng,
-    namespaces: Shares,
+    classes: Shares,
     keys: Shares,
     tenants: Shares,
     at: f64,
 }
 
-impl<'a> Plan<'a> {
-    pub fn new(experiment: &'a Experiment) -> Plan<'a> {
+impl<'a> ArrivalPlan<'a> {
+    pub fn new(experiment: &'a Experiment) -> ArrivalPlan<'a> {
         let load = &experiment.load;
-        Plan {
+        ArrivalPlan {
             chance: ChaCha8Rng::seed_from_u64(experiment.seed ^ 0x10ad),
-            namespaces: Shares::new(experiment.namespaces.iter().map(|n| n.share)),
+            classes: Shares::new(experiment.classes.iter().map(|n| n.share)),
             keys: Shares::new((1..=load.keys).map(|rank| (rank as f64).powf(-load.skew))),
             tenants: Shares::new(load.tenants.iter().map(|t| t.share)),
             at: 0.0,
@@ -66,12 +66,12 @@
 
     fn rate(&self) -> f64 {
         let load = &self.experiment.load;
-        let on = load.surges.iter().filter(|s| (s.at..s.at + s.lasts).contains(&self.at));
+        let on = load.load_steps.iter().filter(|s| (s.at..s.at + s.duration).contains(&self.at));
         load.rate * on.map(|s| s.factor).product::<f64>()
     }
 }
 
-impl Iterator for Plan<'_> {
+impl Iterator for ArrivalPlan<'_> {
     type Item = Arrival;
 
     fn next(&mut self) -> Option<Arrival> {
@@ -81,34 +81,35 @@
             return None;
         }
         let load = &self.experiment.load;
-        let ns = self.namespaces.pick(self.chance.random());
+        let class = self.classes.pick(self.chance.random());
         let mut key = self.keys.pick(self.chance.random()) as u64;
-        for hot in load.hot.iter().filter(|h| (h.at..h.at + h.lasts).contains(&self.at)) {
-            if self.chance.random::<f64>() < hot.share {
+        for hot_keys in load.hot_keys.iter().filter(|h| (h.at..h.at + h.duration).contains(&self.at)) {
+            if self.chance.random::<f64>() < hot_keys.share {
                 // Keys that nobody asked for before: a new book on a reading list.
-                key = load.keys as u64 + self.chance.random_range(0..hot.keys as u64);
+                key = load.keys as u64 + self.chance.random_range(0..hot_keys.keys as u64);
             }
         }
-        let leaves = self.chance.random::<f64>() < load.leave;
-        let limit = self.experiment.namespaces[ns].limit_ms / 1e3;
+        let leaves = self.chance.random::<f64>() < load.cancel_share;
+        let limit = self.experiment.classes[class].limit_ms / 1e3;
         let early = leaves.then(|| limit * self.chance.random::<f64>());
         let waits = |at: f64| (self.at..self.at + limit).contains(&at);
-        let blown = load.gusts.iter().filter(|g| waits(g.at)).find(|g| self.chance.random::<f64>() < g.share);
-        let stays = early.into_iter().chain(blown.map(|gust| gust.at - self.at)).reduce(f64::min);
+        let burst =
+            load.bursts.iter().filter(|g| waits(g.at)).find(|g| self.chance.random::<f64>() < g.share);
+        let cancels_after = early.into_iter().chain(burst.map(|burst| burst.at - self.at)).reduce(f64::min);
         Some(Arrival {
             at: micros(self.at),
-            ns,
+            class,
             key,
             tenant: self.tenants.pick(self.chance.random()),
             client: self.chance.random_range(0..load.clients),
-            stays: stays.map(micros),
-            heeds: self.chance.random::<f64>() < load.heed,
+            cancels_after: cancels_after.map(micros),
+            honors_retry_after: self.chance.random::<f64>() < load.honor_retry_after,
         })
     }
 }
 
-/// The id of the n-th lookup of a run: all differ, and none looks like the one before.
-pub fn id_of(seed: u64, n: u64) -> u64 {
+/// The id of the n-th request of a run: all differ, and none looks like the one before.
+pub fn request_id(seed: u64, n: u64) -> u64 {
     // An odd factor maps the numbers one to one.
     n.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ seed.rotate_left(32)
 }
@@ -123,7 +124,7 @@
              limit_ms=1000\nwork_ms=1\n[[namespace]]\nname='b'\ntarget_ms=300\nlimit_ms=1000\nwork_ms=1"
         );
         let experiment = Experiment::read(&text).unwrap();
-        Plan::new(&experiment).collect()
+        ArrivalPlan::new(&experiment).collect()
     }
 
     #[test]
@@ -135,17 +136,17 @@
         );
         let part = |of: &dyn Fn(&Arrival) -> bool| some.iter().filter(|a| of(a)).count();
         let early = part(&|a| a.at < 10_000_000);
-        let (late, of_a) = (some.len() - early, part(&|a| a.ns == 0));
+        let (late, of_a) = (some.len() - early, part(&|a| a.class == 0));
         assert!((9700..10300).contains(&early) && (19_500..20_500).contains(&late), "{early} {late}");
         assert!((0.74..0.76).contains(&(of_a as f64 / some.len() as f64)));
-        let hot = part(&|a| a.key == 2000);
-        assert!((4700..5300).contains(&hot), "{hot}");
-        assert!((2700..3300).contains(&part(&|a| a.stays.is_some())));
+        let hot_keys = part(&|a| a.key == 2000);
+        assert!((4700..5300).contains(&hot_keys), "{hot_keys}");
+        assert!((2700..3300).contains(&part(&|a| a.cancels_after.is_some())));
     }
 
     #[test]
     fn ids_differ() {
-        let ids: std::collections::HashSet<u64> = (0..10_000).map(|n| id_of(7, n)).collect();
+        let ids: std::collections::HashSet<u64> = (0..10_000).map(|n| request_id(7, n)).collect();
         assert_eq!(ids.len(), 10_000);
     }
 }
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,11 +1,11 @@
-//! chalkwalk-testbed: stand-ins, load, troubles and a judge on loopback.
+//! chalkwalk-testbed: stand-ins, load, faults and a judge on loopback.
 
-use chalkwalk_testbed::baseline::{self, Break, Kind};
+use chalkwalk_testbed::baseline::{self, BrokenRule, Strategy};
 use chalkwalk_testbed::experiment::Experiment;
-use chalkwalk_testbed::fleet::Start;
+use chalkwalk_testbed::fleet::StartSettings;
 use chalkwalk_testbed::measure::Figures;
 use chalkwalk_testbed::report::{page, table};
-use chalkwalk_testbed::run::{self, Played};
+use chalkwalk_testbed::run::{self, RunResult};
 use chalkwalk_testbed::soak::Soak;
 use pico_args::Arguments;
 use std::path::{Path, PathBuf};
@@ -30,44 +30,44 @@
 const TRY: &str = include_str!("../try.toml");
 
 /// The chalkwalk that was built with this program.
-fn usual_proxy() -> Result<String, String> {
+fn default_proxy() -> Result<String, String> {
     let own = std::env::current_exe().map_err(|e| format!("cannot tell where this program is: {e}"))?;
-    let beside = own.with_file_name("chalkwalk");
-    if !beside.exists() {
-        return Err(format!("no {} there: build it, or give --proxy COMMAND", beside.display()));
+    let comparison = own.with_file_name("chalkwalk");
+    if !comparison.exists() {
+        return Err(format!("no {} there: build it, or give --proxy COMMAND", comparison.display()));
     }
-    Ok(format!("'{}' serve", beside.display()))
+    Ok(format!("'{}' serve", comparison.display()))
 }
 
-fn no_more(args: Arguments) -> Result<(), String> {
+fn expect_no_more(args: Arguments) -> Result<(), String> {
     match args.finish().first() {
         Some(odd) => Err(format!("unknown argument {}", odd.to_string_lossy())),
         None => Ok(()),
     }
 }
 
-fn file(path: &Path) -> Result<Experiment, String> {
+fn read_experiment(path: &Path) -> Result<Experiment, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
-    Experiment::read(&text).map_err(|faults| {
-        let lines: Vec<String> = faults.lines().map(|l| format!("{}: {l}", path.display())).collect();
+    Experiment::read(&text).map_err(|errors| {
+        let lines: Vec<String> = errors.lines().map(|l| format!("{}: {l}", path.display())).collect();
         lines.join("\n")
     })
 }
 
 /// What the command line says in place of an experiment's own.
-struct Instead {
+struct Overrides {
     seed: Option<u64>,
     proxies: Option<usize>,
     rate: Option<f64>,
 }
 
-impl Instead {
-    fn read(args: &mut Arguments) -> Result<Instead, String> {
-        let fault = |e: pico_args::Error| e.to_string();
-        Ok(Instead {
-            seed: args.opt_value_from_str("--seed").map_err(fault)?,
-            proxies: args.opt_value_from_str("--proxies").map_err(fault)?,
-            rate: args.opt_value_from_str("--rate").map_err(fault)?,
+impl Overrides {
+    fn read(args: &mut Arguments) -> Result<Overrides, String> {
+        let error = |e: pico_args::Error| e.to_string();
+        Ok(Overrides {
+            seed: args.opt_value_from_str("--seed").map_err(error)?,
+            proxies: args.opt_value_from_str("--proxies").map_err(error)?,
+            rate: args.opt_value_from_str("--rate").map_err(error)?,
         })
     }
 
@@ -75,8 +75,8 @@
     fn experiment(&self, mut args: Arguments) -> Result<(Experiment, PathBuf), String> {
         let path: PathBuf =
             args.free_from_str().map_err(|_| "an experiment's file is missing".to_string())?;
-        no_more(args)?;
-        let mut experiment = file(&path)?;
+        expect_no_more(args)?;
+        let mut experiment = read_experiment(&path)?;
         experiment.seed = self.seed.unwrap_or(experiment.seed);
         experiment.fleet.proxies = self.proxies.unwrap_or(experiment.fleet.proxies).clamp(1, 200);
         experiment.load.rate = self.rate.filter(|r| *r > 0.0).unwrap_or(experiment.load.rate);
@@ -89,14 +89,14 @@
     named.unwrap_or_else(|| std::env::temp_dir().join(format!("chalkwalk-lab-{}", std::process::id())))
 }
 
-fn start(command: String, folder: PathBuf, operator: Vec<String>) -> Start {
-    Start { command, keeper: std::env::current_exe().ok(), folder, operator }
+fn start_settings(command: String, folder: PathBuf, operator: Vec<String>) -> StartSettings {
+    StartSettings { command, supervisor: std::env::current_exe().ok(), folder, operator }
 }
 
 /// The operator's files that an experiment names, beside its own.
-fn operators(experiment: &Experiment, beside: &Path) -> Result<Vec<String>, String> {
+fn operator_files(experiment: &Experiment, comparison: &Path) -> Result<Vec<String>, String> {
     let read = |name: &String| {
-        let path = beside.join(name);
+        let path = comparison.join(name);
         std::fs::read_to_string(&path).map_err(|e| format!("cannot read {}: {e}", path.display()))
     };
     experiment.fleet.operator.iter().map(read).collect()
@@ -107,16 +107,16 @@
     path: &Path,
     command: Option<String>,
     logs: Option<PathBuf>,
-) -> Result<Played, String> {
-    let (kept, folder) = (logs.is_some(), folder(logs));
-    let operator = operators(&experiment, path.parent().unwrap_or(Path::new(".")))?;
+) -> Result<RunResult, String> {
+    let (keep_folder, folder) = (logs.is_some(), folder(logs));
+    let operator = operator_files(&experiment, path.parent().unwrap_or(Path::new(".")))?;
     let command = match command {
         Some(command) => command,
-        None if operator.is_empty() && !experiment.fleet.needs_operator() => usual_proxy()?,
-        None => usual_proxy()? + " --operator \"$OPERATOR\"",
+        None if operator.is_empty() && !experiment.fleet.needs_operator() => default_proxy()?,
+        None => default_proxy()? + " --operator \"$OPERATOR\"",
     };
-    let played = run::play(experiment, start(command, folder.clone(), operator), true);
-    if !kept && played.as_ref().is_ok_and(Played::good) {
+    let played = run::play(experiment, start_settings(command, folder.clone(), operator), true);
+    if !keep_folder && played.as_ref().is_ok_and(RunResult::passed) {
         _ = std::fs::remove_dir_all(&folder);
     } else {
         eprintln!("logs of the proxies: {}", folder.display());
@@ -124,19 +124,19 @@
     played
 }
 
-fn verdict(played: &Played) -> ExitCode {
+fn verdict(played: &RunResult) -> ExitCode {
     print!("{}", table::verdict(played));
-    if played.good() { ExitCode::SUCCESS } else { ExitCode::from(1) }
+    if played.passed() { ExitCode::SUCCESS } else { ExitCode::from(1) }
 }
 
-fn one(mut args: Arguments) -> Result<ExitCode, String> {
-    let fault = |e: pico_args::Error| e.to_string();
-    let instead = Instead::read(&mut args)?;
-    let command: Option<String> = args.opt_value_from_str("--proxy").map_err(fault)?;
-    let json: Option<PathBuf> = args.opt_value_from_str("--json").map_err(fault)?;
-    let report: Option<PathBuf> = args.opt_value_from_str("--report").map_err(fault)?;
-    let logs: Option<PathBuf> = args.opt_value_from_str("--logs").map_err(fault)?;
-    let (experiment, path) = instead.experiment(args)?;
+fn run_one(mut args: Arguments) -> Result<ExitCode, String> {
+    let error = |e: pico_args::Error| e.to_string();
+    let overrides = Overrides::read(&mut args)?;
+    let command: Option<String> = args.opt_value_from_str("--proxy").map_err(error)?;
+    let json: Option<PathBuf> = args.opt_value_from_str("--json").map_err(error)?;
+    let report: Option<PathBuf> = args.opt_value_from_str("--report").map_err(error)?;
+    let logs: Option<PathBuf> = args.opt_value_from_str("--logs").map_err(error)?;
+    let (experiment, path) = overrides.experiment(args)?;
     let played = played(experiment, &path, command, logs)?;
     if let Some(json) = json {
         let text = serde_json::to_string_pretty(&played.figures).map_err(|e| e.to_string())?;
@@ -153,9 +153,9 @@
     Ok(verdict(&played))
 }
 
-fn try_it(mut args: Arguments) -> Result<ExitCode, String> {
+fn try_out(mut args: Arguments) -> Result<ExitCode, String> {
     let command: Option<String> = args.opt_value_from_str("--proxy").map_err(|e| e.to_string())?;
-    no_more(args)?;
+    expect_no_more(args)?;
     println!(
         "Three proxies, nine caches in three zones and an origin on loopback. At 6 s a cache hangs, at 10 s a third of\n\
          what another does fails, and from 13 s on caches are deployed one after the other."
@@ -165,11 +165,11 @@
 }
 
 fn compare(mut args: Arguments) -> Result<ExitCode, String> {
-    let fault = |e: pico_args::Error| e.to_string();
-    let commands: Vec<String> = args.values_from_str("--proxy").map_err(fault)?;
-    let rounds: usize = args.opt_value_from_str("--rounds").map_err(fault)?.unwrap_or(3);
-    let instead = Instead::read(&mut args)?;
-    let (experiment, path) = instead.experiment(args)?;
+    let error = |e: pico_args::Error| e.to_string();
+    let commands: Vec<String> = args.values_from_str("--proxy").map_err(error)?;
+    let rounds: usize = args.opt_value_from_str("--rounds").map_err(error)?.unwrap_or(3);
+    let overrides = Overrides::read(&mut args)?;
+    let (experiment, path) = overrides.experiment(args)?;
     if commands.len() < 2 || commands.len() > 6 {
         return Err("compare takes two to six --proxy COMMAND".into());
     }
@@ -183,21 +183,21 @@
             runs[i].push(played.figures);
         }
     }
-    print!("{}", table::beside(&commands, &runs));
+    print!("{}", table::comparison(&commands, &runs));
     Ok(ExitCode::SUCCESS)
 }
 
 /// Plays one seed after the other; every one has to keep the rules.
 fn soak(mut args: Arguments) -> Result<ExitCode, String> {
-    let fault = |e: pico_args::Error| e.to_string();
-    let first: u64 = args.opt_value_from_str("--seed").map_err(fault)?.unwrap_or(1);
-    let seeds: u64 = args.opt_value_from_str("--seeds").map_err(fault)?.unwrap_or(1);
-    let seconds: f64 = args.opt_value_from_str("--seconds").map_err(fault)?.unwrap_or(60.0);
-    let proxies: usize = args.opt_value_from_str("--proxies").map_err(fault)?.unwrap_or(24);
-    let command: Option<String> = args.opt_value_from_str("--proxy").map_err(fault)?;
-    let logs: Option<PathBuf> = args.opt_value_from_str("--logs").map_err(fault)?;
+    let error = |e: pico_args::Error| e.to_string();
+    let first: u64 = args.opt_value_from_str("--seed").map_err(error)?.unwrap_or(1);
+    let seeds: u64 = args.opt_value_from_str("--seeds").map_err(error)?.unwrap_or(1);
+    let seconds: f64 = args.opt_value_from_str("--seconds").map_err(error)?.unwrap_or(60.0);
+    let proxies: usize = args.opt_value_from_str("--proxies").map_err(error)?.unwrap_or(24);
+    let command: Option<String> = args.opt_value_from_str("--proxy").map_err(error)?;
+    let logs: Option<PathBuf> = args.opt_value_from_str("--logs").map_err(error)?;
     let show = args.contains("--show");
-    no_more(args)?;
+    expect_no_more(args)?;
     let mut broken = Vec::new();
     for seed in first..first + seeds.max(1) {
         let text = Soak { seed, seconds, proxies }.text();
@@ -209,7 +209,7 @@
         let logs = logs.as_ref().map(|logs| logs.join(format!("seed-{seed}")));
         let played = played(experiment, Path::new(""), command.clone(), logs)?;
         print!("{}", table::verdict(&played));
-        broken.extend((!played.good()).then_some(seed));
+        broken.extend((!played.passed()).then_some(seed));
     }
     if broken.is_empty() {
         println!("soak: {} seeds from {first} on, {seconds} s, {proxies} proxies: rules kept", seeds.max(1));
@@ -224,26 +224,26 @@
     if paths.is_empty() {
         return Err("check takes experiments' files".into());
     }
-    let mut faults = Vec::new();
+    let mut errors = Vec::new();
     for path in paths.iter().map(Path::new) {
-        match file(path) {
+        match read_experiment(path) {
             Ok(experiment) => println!("{}: {}", path.display(), experiment.title),
-            Err(fault) => faults.push(fault),
+            Err(error) => errors.push(error),
         }
     }
-    if faults.is_empty() { Ok(ExitCode::SUCCESS) } else { Err(faults.join("\n")) }
+    if errors.is_empty() { Ok(ExitCode::SUCCESS) } else { Err(errors.join("\n")) }
 }
 
 fn stay_up(mut args: Arguments) -> Result<ExitCode, String> {
-    let fault = |e: pico_args::Error| e.to_string();
-    let proxies: usize = args.opt_value_from_str("--proxies").map_err(fault)?.unwrap_or(2);
-    let caches: usize = args.opt_value_from_str("--caches").map_err(fault)?.unwrap_or(6);
-    let command: Option<String> = args.opt_value_from_str("--proxy").map_err(fault)?;
-    no_more(args)?;
+    let error = |e: pico_args::Error| e.to_string();
+    let proxies: usize = args.opt_value_from_str("--proxies").map_err(error)?.unwrap_or(2);
+    let servers: usize = args.opt_value_from_str("--caches").map_err(error)?.unwrap_or(6);
+    let command: Option<String> = args.opt_value_from_str("--proxy").map_err(error)?;
+    expect_no_more(args)?;
     let mut experiment = Experiment::read(TRY).map_err(|e| format!("the built-in experiment: {e}"))?;
-    (experiment.fleet.proxies, experiment.world.caches) = (proxies.clamp(1, 200), caches.clamp(3, 200));
-    let start = start(command.map_or_else(usual_proxy, Ok)?, folder(None), Vec::new());
-    run::stay_up(experiment, start)?;
+    (experiment.fleet.proxies, experiment.world.servers) = (proxies.clamp(1, 200), servers.clamp(3, 200));
+    let start_settings = start_settings(command.map_or_else(default_proxy, Ok)?, folder(None), Vec::new());
+    run::stay_up(experiment, start_settings)?;
     Ok(ExitCode::SUCCESS)
 }
 
@@ -264,11 +264,11 @@
 fn proxy(mut args: Arguments) -> Result<ExitCode, String> {
     let broken: Option<String> = args.opt_value_from_str("--break").map_err(|e| e.to_string())?;
     let kind: String = args.free_from_str().map_err(|_| "proxy takes relay, random or ring".to_string())?;
-    no_more(args)?;
-    let kind = Kind::named(&kind).ok_or(format!("no proxy {kind}: there are relay, random and ring"))?;
+    expect_no_more(args)?;
+    let kind = Strategy::named(&kind).ok_or(format!("no proxy {kind}: there are relay, random and ring"))?;
     let broken = match broken {
-        None => Break::Nothing,
-        Some(rule) => Break::named(&rule)
+        None => BrokenRule::Nothing,
+        Some(rule) => BrokenRule::named(&rule)
             .ok_or(format!("no rule {rule} to break: lose, twice, resend, drained, swap or hold"))?,
     };
     let config = std::env::var("ROUTER_CONFIG").map_err(|_| "ROUTER_CONFIG is not set".to_string())?;
@@ -282,10 +282,10 @@
         println!("{USAGE}");
         return ExitCode::SUCCESS;
     }
-    let said = match args.subcommand() {
+    let result = match args.subcommand() {
         Ok(Some(word)) => match word.as_str() {
-            "try" => try_it(args),
-            "run" => one(args),
+            "try" => try_out(args),
+            "run" => run_one(args),
             "compare" => compare(args),
             "soak" => soak(args),
             "check" => check(args),
@@ -301,8 +301,8 @@
         Ok(None) => Err("no command; chalkwalk-testbed --help lists them".into()),
         Err(e) => Err(e.to_string()),
     };
-    said.unwrap_or_else(|fault| {
-        eprintln!("chalkwalk-testbed: {fault}");
+    result.unwrap_or_else(|error| {
+        eprintln!("chalkwalk-testbed: {error}");
         ExitCode::from(2)
     })
 }
--- a/crates/testbed/src/model/cluster.rs
+++ b/crates/testbed/src/model/cluster.rs
@@ -3,20 +3,20 @@
 //! their replicas, one each, beside their primary's neighbour.
 
 use crate::clock::{Micros, SECOND, micros};
-use crate::experiment::{Experiment, Kind};
+use crate::experiment::{Experiment, FaultKind};
 
 pub const SLOTS: u16 = 16384;
 /// Slots move in blocks of 256.
 pub const BLOCKS: usize = 64;
 /// Of the time to the next move, the part in which a block is on its way.
-const ON_THE_WAY: f64 = 0.8;
+const MIGRATION_PART: f64 = 0.8;
 /// A replica takes over so long after its primary is gone: a node time-out and an election.
-const TAKES_OVER: Micros = 800_000;
+const FAILOVER_DELAY: Micros = 800_000;
 /// A server that is back loads for so long before it answers.
-const LOADS: Micros = SECOND;
+const LOADING_TIME: Micros = SECOND;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Moving {
+struct Migration {
     from: Micros,
     until: Micros,
     to: usize,
@@ -27,7 +27,7 @@
     pub primaries: usize,
     /// By block: owners and since when, in order.
     owners: Vec<Vec<(Micros, usize)>>,
-    moving: Vec<Vec<Moving>>,
+    migrations: Vec<Vec<Migration>>,
     /// Moments at which the map changed: each is an epoch.
     changes: Vec<Micros>,
     loading: Vec<(usize, Micros, Micros)>,
@@ -36,7 +36,7 @@
 
 /// What a server does with a command.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Does {
+pub enum CommandOutcome {
     Serves,
     Moved(usize),
     Ask(usize),
@@ -46,7 +46,7 @@
 
 /// How one comes.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Comes {
+pub struct Command {
     pub slot: u16,
     /// A number from 0 to 999 that is the key's own: keys of a block go over one after the other.
     pub rank: u64,
@@ -60,59 +60,63 @@
 }
 
 impl Cluster {
-    pub fn of(experiment: &Experiment) -> Cluster {
-        let servers = experiment.world.caches;
+    pub fn new(experiment: &Experiment) -> Cluster {
+        let servers = experiment.world.servers;
         let primaries = servers.div_ceil(2);
         let first = |block: usize| vec![(0, block * primaries / BLOCKS)];
         let mut all = Cluster {
             primaries,
             owners: (0..BLOCKS).map(first).collect(),
-            moving: vec![Vec::new(); BLOCKS],
+            migrations: vec![Vec::new(); BLOCKS],
             ..Cluster::default()
         };
         // In order of time: a failover's owner is who had the block then.
-        let mut deeds: Vec<(Micros, usize, Option<Moving>)> = Vec::new();
-        for t in experiment.troubles.iter().map(|t| t.get_ref()) {
+        let mut actions: Vec<(Micros, usize, Option<Migration>)> = Vec::new();
+        for t in experiment.faults.iter().map(|t| t.get_ref()) {
             let (at, span) = (micros(t.at), t.span());
             match t.kind {
-                Kind::SlotsMove => {
+                FaultKind::SlotsMove => {
                     let every = micros(t.every.unwrap_or(1.0)).max(1);
                     for n in 0..(span.end - span.start) / every {
                         let from = at + n * every;
-                        let until = from + (every as f64 * ON_THE_WAY) as Micros;
+                        let until = from + (every as f64 * MIGRATION_PART) as Micros;
                         // Steps of 37 pass through all of 64 blocks.
-                        deeds.push((from, n as usize * 37 % BLOCKS, Some(Moving { from, until, to: 0 })));
+                        actions.push((
+                            from,
+                            n as usize * 37 % BLOCKS,
+                            Some(Migration { from, until, to: 0 }),
+                        ));
                     }
                 }
-                Kind::Failover => {
-                    for server in experiment.met(t) {
-                        deeds.push((at + TAKES_OVER, server, None));
+                FaultKind::Failover => {
+                    for server in experiment.targets(t) {
+                        actions.push((at + FAILOVER_DELAY, server, None));
                         let back = at + micros(t.down.unwrap_or(1.0));
-                        all.loading.push((server, back, back + LOADS));
+                        all.loading.push((server, back, back + LOADING_TIME));
                     }
                 }
-                Kind::Restarts => {
-                    for server in experiment.met(t) {
+                FaultKind::Restarts => {
+                    for server in experiment.targets(t) {
                         let back = at + micros(t.down.unwrap_or(1.0));
-                        all.loading.push((server, back, back + LOADS));
+                        all.loading.push((server, back, back + LOADING_TIME));
                     }
                 }
-                Kind::OldMap => {
+                FaultKind::OldMap => {
                     let by = micros(t.by.unwrap_or(1.0));
-                    all.old_maps.extend(experiment.met(t).into_iter().map(|s| (s, span.clone(), by)));
+                    all.old_maps.extend(experiment.targets(t).into_iter().map(|s| (s, span.clone(), by)));
                 }
                 _ => {}
             }
         }
-        deeds.sort_by_key(|(at, which, _)| (*at, *which));
-        for (at, which, moving) in deeds {
-            match moving {
-                Some(moving) => {
+        actions.sort_by_key(|(at, which, _)| (*at, *which));
+        for (at, which, migrations) in actions {
+            match migrations {
+                Some(migrations) => {
                     let owner = all.owner(which, at);
                     let to = (owner % primaries + 1) % primaries;
-                    all.moving[which].push(Moving { to, ..moving });
-                    all.owners[which].push((moving.until, to));
-                    all.changes.push(moving.until);
+                    all.migrations[which].push(Migration { to, ..migrations });
+                    all.owners[which].push((migrations.until, to));
+                    all.changes.push(migrations.until);
                 }
                 None => {
                     let replica = if which < primaries { primaries + (which + 1) % primaries } else { which };
@@ -120,7 +124,7 @@
                     for block in 0..BLOCKS {
                         if all.owner(block, at) == which {
                             // What was on its way stays with who took over.
-                            all.moving[block].retain(|m| m.until <= at);
+                            all.migrations[block].retain(|m| m.until <= at);
                             all.owners[block].retain(|(since, _)| *since <= at);
                             all.owners[block].push((at, replica));
                         }
@@ -152,27 +156,27 @@
         Some((nth + self.primaries - 1) % self.primaries)
     }
 
-    pub fn does(&self, server: usize, now: Micros, comes: Comes) -> Does {
+    pub fn handle(&self, server: usize, now: Micros, command: Command) -> CommandOutcome {
         if self.loading.iter().any(|(s, from, until)| *s == server && (*from..*until).contains(&now)) {
-            return Does::Loading;
+            return CommandOutcome::Loading;
         }
-        let block = block_of(comes.slot);
+        let block = block_of(command.slot);
         let now = self.seen_by(server, now);
         let owner = self.owner(block, now);
-        let on_its_way = self.moving[block].iter().find(|m| (m.from..m.until).contains(&now));
-        let over = |m: &Moving| (now - m.from) * 1000 / (m.until - m.from) > comes.rank;
-        match on_its_way {
-            Some(m) if owner == server && over(m) => return Does::Ask(m.to),
-            Some(m) if m.to == server && comes.asking => {
-                return if over(m) { Does::Serves } else { Does::TryAgain };
+        let migration = self.migrations[block].iter().find(|m| (m.from..m.until).contains(&now));
+        let migrated = |m: &Migration| (now - m.from) * 1000 / (m.until - m.from) > command.rank;
+        match migration {
+            Some(m) if owner == server && migrated(m) => return CommandOutcome::Ask(m.to),
+            Some(m) if m.to == server && command.asking => {
+                return if migrated(m) { CommandOutcome::Serves } else { CommandOutcome::TryAgain };
             }
             _ => {}
         }
         if owner == server {
-            return Does::Serves;
+            return CommandOutcome::Serves;
         }
-        let of_owner = self.replica_of(server) == Some(owner) && comes.readonly && !comes.write;
-        if of_owner { Does::Serves } else { Does::Moved(owner) }
+        let replicates_owner = self.replica_of(server) == Some(owner) && command.readonly && !command.write;
+        if replicates_owner { CommandOutcome::Serves } else { CommandOutcome::Moved(owner) }
     }
 
     /// What `CLUSTER NODES` says at a server, with addresses as who asks is to use them.
@@ -214,27 +218,42 @@
         let text = "title='t'\nseconds=40\nworld={caches=4}\nfleet={door='resp'}\nload={rate=1}\n[[namespace]]\nname='a'\ntarget_ms=9\n\
             limit_ms=10\nwork_ms=1\n[[trouble]]\nkind='slots-move'\nat=2\nfor=2\nevery=2\n[[trouble]]\nkind='failover'\nat=10\n\
             down=5\ncaches=[0]\n[[trouble]]\nkind='old-map'\nat=20\nfor=5\nby=15\ncaches=[1]";
-        let all = Cluster::of(&Experiment::read(text).unwrap());
-        let comes = |rank| Comes { slot: 5, rank, ..Comes::default() };
-        let at = |server, s: f64, comes| all.does(server, micros(s), comes);
-        assert_eq!((at(0, 1.0, comes(0)), at(1, 1.0, comes(0))), (Does::Serves, Does::Moved(0)));
-        assert_eq!((at(0, 2.8, comes(100)), at(0, 2.8, comes(900))), (Does::Ask(1), Does::Serves));
-        let asking = Comes { asking: true, ..comes(100) };
-        assert_eq!((at(1, 2.8, asking), at(1, 2.8, comes(100))), (Does::Serves, Does::Moved(0)));
-        assert_eq!((at(1, 3.7, comes(900)), at(0, 3.7, comes(0))), (Does::Serves, Does::Moved(1)));
+        let all = Cluster::new(&Experiment::read(text).unwrap());
+        let command = |rank| Command { slot: 5, rank, ..Command::default() };
+        let at = |server, s: f64, command| all.handle(server, micros(s), command);
+        assert_eq!(
+            (at(0, 1.0, command(0)), at(1, 1.0, command(0))),
+            (CommandOutcome::Serves, CommandOutcome::Moved(0))
+        );
+        assert_eq!(
+            (at(0, 2.8, command(100)), at(0, 2.8, command(900))),
+            (CommandOutcome::Ask(1), CommandOutcome::Serves)
+        );
+        let asking = Command { asking: true, ..command(100) };
+        assert_eq!(
+            (at(1, 2.8, asking), at(1, 2.8, command(100))),
+            (CommandOutcome::Serves, CommandOutcome::Moved(0))
+        );
+        assert_eq!(
+            (at(1, 3.7, command(900)), at(0, 3.7, command(0))),
+            (CommandOutcome::Serves, CommandOutcome::Moved(1))
+        );
         // Block 1 was node 0's, whose replica is node 3.
-        let other = Comes { slot: 300, ..Comes::default() };
+        let other = Command { slot: 300, ..Command::default() };
         assert_eq!(
-            (at(3, 9.0, other), at(3, 9.0, Comes { readonly: true, ..other })),
-            (Does::Moved(0), Does::Serves)
+            (at(3, 9.0, other), at(3, 9.0, Command { readonly: true, ..other })),
+            (CommandOutcome::Moved(0), CommandOutcome::Serves)
         );
         assert_eq!(
             (at(3, 10.9, other), at(0, 15.5, other), at(0, 16.5, other)),
-            (Does::Serves, Does::Loading, Does::Moved(3))
+            (CommandOutcome::Serves, CommandOutcome::Loading, CommandOutcome::Moved(3))
+        );
+        assert_eq!(
+            (at(1, 21.0, other), at(1, 26.0, other)),
+            (CommandOutcome::Moved(0), CommandOutcome::Moved(3))
         );
-        assert_eq!((at(1, 21.0, other), at(1, 26.0, other)), (Does::Moved(0), Does::Moved(3)));
-        let told = all.nodes(2, micros(11.0), 4, |n| format!("h:{n}"));
-        let heads: Vec<&str> = told.lines().map(|l| l.split(" connected").next().unwrap()).collect();
+        let nodes = all.nodes(2, micros(11.0), 4, |n| format!("h:{n}"));
+        let heads: Vec<&str> = nodes.lines().map(|l| l.split(" connected").next().unwrap()).collect();
         assert_eq!(
             heads,
             [
--- a/crates/testbed/src/model/etcd.rs
+++ b/crates/testbed/src/model/etcd.rs
@@ -1,7 +1,7 @@
 //! A cluster of three endpoints over one store: what befalls it over the day, and how each endpoint sees the store.
 
 use crate::clock::{Micros, SECOND, micros};
-use crate::experiment::{Experiment, Kind};
+use crate::experiment::{Experiment, FaultKind};
 use std::ops::Range;
 
 pub const ENDPOINTS: usize = 3;
@@ -9,45 +9,45 @@
 const BEHIND: usize = 2;
 
 #[derive(Clone, Debug, Default)]
-pub struct EtcdCourse {
+pub struct EtcdTimeline {
     down: Vec<Range<Micros>>,
     stalls: Vec<Range<Micros>>,
     behind: Vec<(Range<Micros>, Micros)>,
     slow_leases: Vec<(Range<Micros>, Micros)>,
     /// Moments at which every connection is reset.
     breaks: Vec<Micros>,
-    pub deeds: Vec<(Micros, Deed)>,
+    pub actions: Vec<(Micros, StoreAction)>,
 }
 
 /// What is done to the store.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Deed {
+pub enum StoreAction {
     Compact,
     /// To its state of so long ago.
     Restore(Micros),
 }
 
-impl EtcdCourse {
-    pub fn of(experiment: &Experiment) -> EtcdCourse {
-        let mut all = EtcdCourse::default();
-        for t in experiment.troubles.iter().map(|t| t.get_ref()) {
+impl EtcdTimeline {
+    pub fn new(experiment: &Experiment) -> EtcdTimeline {
+        let mut all = EtcdTimeline::default();
+        for t in experiment.faults.iter().map(|t| t.get_ref()) {
             let (span, by) = (t.span(), micros(t.by.unwrap_or(0.0)));
             match t.kind {
-                Kind::EtcdDown => all.down.push(span),
-                Kind::EtcdStall => all.stalls.push(span),
-                Kind::EtcdBehind => all.behind.push((span, by)),
-                Kind::EtcdSlowLeases => all.slow_leases.push((span, by)),
-                Kind::EtcdBreak => all.breaks.push(span.start),
-                Kind::EtcdCompact => all.deeds.push((span.start, Deed::Compact)),
-                Kind::EtcdRestore => {
-                    all.deeds.push((span.start, Deed::Restore(by)));
+                FaultKind::EtcdDown => all.down.push(span),
+                FaultKind::EtcdStall => all.stalls.push(span),
+                FaultKind::EtcdBehind => all.behind.push((span, by)),
+                FaultKind::EtcdSlowLeases => all.slow_leases.push((span, by)),
+                FaultKind::EtcdBreak => all.breaks.push(span.start),
+                FaultKind::EtcdCompact => all.actions.push((span.start, StoreAction::Compact)),
+                FaultKind::EtcdRestore => {
+                    all.actions.push((span.start, StoreAction::Restore(by)));
                     all.breaks.push(span.start);
                 }
                 _ => {}
             }
         }
         all.breaks.extend(all.down.iter().map(|span| span.start).collect::<Vec<_>>());
-        all.deeds.sort_by_key(|(at, _)| *at);
+        all.actions.sort_by_key(|(at, _)| *at);
         all
     }
 
@@ -56,7 +56,7 @@
     }
 
     /// When it goes down or comes up next.
-    pub fn next_turn(&self, now: Micros) -> Micros {
+    pub fn next_transition(&self, now: Micros) -> Micros {
         let ends = self.down.iter().flat_map(|span| [span.start, span.end]);
         ends.filter(|at| *at > now).min().unwrap_or(Micros::MAX)
     }
@@ -94,7 +94,7 @@
         let text = "title='t'\nseconds=40\n[fleet]\nsource='etcd'\n[load]\nrate=1\n[[namespace]]\nname='a'\ntarget_ms=9\n\
             limit_ms=10\nwork_ms=1\n[[trouble]]\nkind='etcd-down'\nat=2\nfor=3\n[[trouble]]\nkind='etcd-behind'\nat=1\nfor=9\n\
             by=0.5\n[[trouble]]\nkind='etcd-restore'\nat=20\nby=4\n[[trouble]]\nkind='etcd-compact'\nat=3";
-        let all = EtcdCourse::of(&Experiment::read(text).unwrap());
+        let all = EtcdTimeline::new(&Experiment::read(text).unwrap());
         assert_eq!((all.is_down(3 * SECOND), all.is_down(5 * SECOND)), (true, false));
         assert_eq!(
             (all.lag(2, 2 * SECOND), all.lag(1, 2 * SECOND), all.lag(2, 11 * SECOND)),
@@ -104,6 +104,9 @@
             [0, 2, 20].map(|s| all.next_break(s * SECOND)),
             [Some(2 * SECOND), Some(20 * SECOND), None]
         );
-        assert_eq!(all.deeds, [(3 * SECOND, Deed::Compact), (20 * SECOND, Deed::Restore(4 * SECOND))]);
+        assert_eq!(
+            all.actions,
+            [(3 * SECOND, StoreAction::Compact), (20 * SECOND, StoreAction::Restore(4 * SECOND))]
+        );
     }
 }
--- a/crates/testbed/src/model/pace.rs
+++ b/crates/testbed/src/model/speed.rs
@@ -7,20 +7,20 @@
 
 /// Speed as steps over time, 1 being the usual; 0 is standing still.
 #[derive(Clone, Debug)]
-pub struct Pace {
+pub struct SpeedProfile {
     steps: Vec<(Micros, f64)>,
 }
 
 /// Warming goes up in so many steps: finer than any window that is judged.
-const WARMING: u64 = 20;
+const RAMP_STEPS: u64 = 20;
 
-impl Default for Pace {
-    fn default() -> Pace {
-        Pace { steps: vec![(0, 1.0)] }
+impl Default for SpeedProfile {
+    fn default() -> SpeedProfile {
+        SpeedProfile { steps: vec![(0, 1.0)] }
     }
 }
 
-impl Pace {
+impl SpeedProfile {
     /// Cuts a step at a moment, and says where it begins.
     fn cut(&mut self, at: Micros) -> usize {
         match self.steps.binary_search_by_key(&at, |s| s.0) {
@@ -34,7 +34,7 @@
     }
 
     /// Makes it so many times as fast within a span.
-    pub fn times(&mut self, span: Range<Micros>, factor: f64) {
+    pub fn scale(&mut self, span: Range<Micros>, factor: f64) {
         if span.is_empty() {
             return;
         }
@@ -44,11 +44,11 @@
     }
 
     /// A start from cold: rises evenly from a share of the speed to all of it.
-    pub fn warm_up(&mut self, born: Micros, cold_share: f64, lasts: Micros) {
-        for i in 0..WARMING {
-            let part = (i as f64 + 0.5) / WARMING as f64;
-            let span = born + lasts * i / WARMING..born + lasts * (i + 1) / WARMING;
-            self.times(span, cold_share + (1.0 - cold_share) * part);
+    pub fn slow_start_from(&mut self, started: Micros, cold_share: f64, duration: Micros) {
+        for i in 0..RAMP_STEPS {
+            let part = (i as f64 + 0.5) / RAMP_STEPS as f64;
+            let span = started + duration * i / RAMP_STEPS..started + duration * (i + 1) / RAMP_STEPS;
+            self.scale(span, cold_share + (1.0 - cold_share) * part);
         }
     }
 
@@ -61,7 +61,7 @@
     }
 
     /// When work that begins now, and takes so long at the usual speed, is done.
-    pub fn done(&self, begun: Micros, work: Micros) -> Micros {
+    pub fn completion(&self, begun: Micros, work: Micros) -> Micros {
         let (mut at, mut left, mut i) = (begun, work as f64, self.step(begun));
         loop {
             let (speed, next) = (self.steps[i].1, self.steps.get(i + 1).map(|s| s.0));
@@ -82,7 +82,7 @@
     }
 }
 
-/// Cores with a bounded queue before them; each lookup's end is known when it comes.
+/// Cores with a bounded queue before them; each request's end is known when it comes.
 #[derive(Clone, Debug)]
 pub struct Cores {
     free: BinaryHeap<Reverse<Micros>>,
@@ -96,7 +96,7 @@
         Cores { free: vec![Reverse(0); cores].into(), ends: BinaryHeap::new(), cores, queue }
     }
 
-    /// How many lookups are in work or wait.
+    /// How many requests are in work or wait.
     pub fn busy(&mut self, now: Micros) -> usize {
         while self.ends.peek().is_some_and(|Reverse(end)| *end <= now) {
             self.ends.pop();
@@ -105,12 +105,12 @@
     }
 
     /// Takes work on and says when it is done, or `None` where the queue is full.
-    pub fn take(&mut self, now: Micros, work: Micros, pace: &Pace) -> Option<Micros> {
+    pub fn schedule(&mut self, now: Micros, work: Micros, speed: &SpeedProfile) -> Option<Micros> {
         if self.busy(now) >= self.cores + self.queue {
             return None;
         }
         let Reverse(free) = self.free.pop().unwrap_or(Reverse(0));
-        let end = pace.done(free.max(now), work);
+        let end = speed.completion(free.max(now), work);
         self.free.push(Reverse(end));
         self.ends.push(Reverse(end));
         Some(end)
@@ -119,22 +119,22 @@
 
 /// Work sent lately, against a budget: a multiple of what can be done in the same time.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct RecentWork {
     parts: Vec<(Micros, Micros)>, // begin of a part of the window, and work sent in it
     window: Micros,
 }
 
 /// The window moves on in so many parts.
-const PARTS: Micros = 20;
+const WINDOW_PARTS: Micros = 20;
 
-impl Sent {
-    pub fn new(window: Micros) -> Sent {
-        Sent { parts: Vec::new(), window: window.max(SECOND / 100) }
+impl RecentWork {
+    pub fn new(window: Micros) -> RecentWork {
+        RecentWork { parts: Vec::new(), window: window.max(SECOND / 100) }
     }
 
     /// Notes work, and says how much came within the window.
     pub fn add(&mut self, now: Micros, work: Micros) -> Micros {
-        let part = now / (self.window / PARTS) * (self.window / PARTS);
+        let part = now / (self.window / WINDOW_PARTS) * (self.window / WINDOW_PARTS);
         self.parts.retain(|(at, _)| at + self.window > now);
         match self.parts.last_mut().filter(|(at, _)| *at == part) {
             Some((_, sum)) => *sum += work,
@@ -150,36 +150,36 @@
 
     #[test]
     fn work_goes_on_after_a_standstill_and_slower_where_it_is_slow() {
-        let mut pace = Pace::default();
-        pace.times(100..200, 0.0);
-        pace.times(300..Micros::MAX, 0.5);
-        let ends =
-            [(0, 50), (50, 100), (150, 10), (250, 100), (400, 10)].map(|(at, work)| pace.done(at, work));
+        let mut speed = SpeedProfile::default();
+        speed.scale(100..200, 0.0);
+        speed.scale(300..Micros::MAX, 0.5);
+        let ends = [(0, 50), (50, 100), (150, 10), (250, 100), (400, 10)]
+            .map(|(at, work)| speed.completion(at, work));
         assert_eq!(ends, [50, 250, 210, 400, 420]);
-        pace.times(500..Micros::MAX, 0.0);
-        assert_eq!(pace.done(490, 100), Micros::MAX);
+        speed.scale(500..Micros::MAX, 0.0);
+        assert_eq!(speed.completion(490, 100), Micros::MAX);
     }
 
     #[test]
     fn a_cold_start_does_what_its_warmth_allows() {
-        let mut pace = Pace::default();
-        pace.warm_up(1000, 0.2, 1000);
+        let mut speed = SpeedProfile::default();
+        speed.slow_start_from(1000, 0.2, 1000);
         // A fifth at first, all at last, three fifths in the mean.
-        let mean = (0..1000).map(|i| pace.speed(1000 + i)).sum::<f64>() / 1000.0;
+        let mean = (0..1000).map(|i| speed.speed(1000 + i)).sum::<f64>() / 1000.0;
         assert!((mean - 0.6).abs() < 0.01, "{mean}");
-        assert!(pace.speed(1000) < 0.25 && pace.speed(1990) > 0.95 && pace.speed(2000) == 1.0);
+        assert!(speed.speed(1000) < 0.25 && speed.speed(1990) > 0.95 && speed.speed(2000) == 1.0);
     }
 
     #[test]
     fn cores_work_side_by_side_and_the_queue_is_bounded() {
-        let (mut cores, pace) = (Cores::new(2, 1), Pace::default());
-        let taken = [0, 0, 0, 0, 101].map(|at| cores.take(at, 100, &pace));
-        assert_eq!(taken, [Some(100), Some(100), Some(200), None, Some(201)]);
+        let (mut cores, speed) = (Cores::new(2, 1), SpeedProfile::default());
+        let scheduled = [0, 0, 0, 0, 101].map(|at| cores.schedule(at, 100, &speed));
+        assert_eq!(scheduled, [Some(100), Some(100), Some(200), None, Some(201)]);
     }
 
     #[test]
     fn work_sent_is_forgotten_with_its_window() {
-        let mut sent = Sent::new(SECOND);
+        let mut sent = RecentWork::new(SECOND);
         let sums =
             [(0, 5), (SECOND / 2, 5), (SECOND * 3 / 2, 1), (SECOND * 5, 1)].map(|(at, w)| sent.add(at, w));
         assert_eq!(sums, [5, 10, 1, 1]);
--- a/crates/testbed/src/model/store.rs
+++ b/crates/testbed/src/model/store.rs
@@ -16,11 +16,11 @@
 }
 
 #[derive(Debug, PartialEq)]
-pub enum Fault {
+pub enum StoreError {
     /// The revision is gone, or not there yet.
     Compacted(i64),
-    Future,
-    NoLease,
+    FutureRevision,
+    LeaseNotFound,
 }
 
 #[derive(Clone, Debug)]
@@ -32,7 +32,7 @@
 
 /// What a write compares first.
 #[derive(Clone, Debug)]
-pub enum Want {
+pub enum Condition {
     Version(i64),
     Created(i64),
     Modified(i64),
@@ -95,8 +95,8 @@
     }
 
     /// A key as of a revision, unless it is gone by then.
-    fn at(&self, places: &[usize], revision: i64) -> Option<&Item> {
-        let items = places.iter().rev().map(|i| &self.log[*i]);
+    fn at(&self, log_indexes: &[usize], revision: i64) -> Option<&Item> {
+        let items = log_indexes.iter().rev().map(|i| &self.log[*i]);
         items.into_iter().find(|item| item.modified <= revision).filter(|item| item.value.is_some())
     }
 
@@ -107,53 +107,54 @@
         end: &[u8],
         revision: i64,
         limit: usize,
-    ) -> Result<(Vec<&Item>, bool), Fault> {
+    ) -> Result<(Vec<&Item>, bool), StoreError> {
         let revision = if revision == 0 { self.revision } else { revision };
         if revision > self.revision {
-            return Err(Fault::Future);
+            return Err(StoreError::FutureRevision);
         }
         if revision < self.compacted {
-            return Err(Fault::Compacted(self.compacted));
+            return Err(StoreError::Compacted(self.compacted));
         }
         let keys = self.keys.range(from.to_vec()..).take_while(|(key, _)| within(key, from, end));
-        let mut found = keys.filter_map(|(_, places)| self.at(places, revision));
+        let mut found = keys.filter_map(|(_, log_indexes)| self.at(log_indexes, revision));
         let items: Vec<&Item> = found.by_ref().take(if limit == 0 { usize::MAX } else { limit }).collect();
         let more = found.next().is_some();
         Ok((items, more))
     }
 
     /// What changed within a range from one revision to another, both included, in order.
-    pub fn changes(&self, from: &[u8], end: &[u8], first: i64, last: i64) -> Result<Vec<&Item>, Fault> {
+    pub fn changes(&self, from: &[u8], end: &[u8], first: i64, last: i64) -> Result<Vec<&Item>, StoreError> {
         if first <= self.compacted {
-            return Err(Fault::Compacted(self.compacted));
+            return Err(StoreError::Compacted(self.compacted));
         }
         let start = self.log.partition_point(|item| item.modified < first);
         let own = |item: &&Item| item.modified <= last && within(&item.key, from, end);
         Ok(self.log[start..].iter().take_while(|item| item.modified <= last).filter(own).collect())
     }
 
-    pub fn compact(&mut self, revision: i64) -> Result<(), Fault> {
+    pub fn compact(&mut self, revision: i64) -> Result<(), StoreError> {
         if revision > self.revision {
-            return Err(Fault::Future);
+            return Err(StoreError::FutureRevision);
         }
         if revision <= self.compacted {
-            return Err(Fault::Compacted(self.compacted));
+            return Err(StoreError::Compacted(self.compacted));
         }
         self.compacted = revision;
         Ok(())
     }
 
     /// All writes of one transaction have one revision; with none that changes anything there is no new one.
-    pub fn write(&mut self, now: Micros, writes: &[Write]) -> Result<i64, Fault> {
+    pub fn write(&mut self, now: Micros, writes: &[Write]) -> Result<i64, StoreError> {
         let next = self.revision + 1;
         let mut items = Vec::new();
         for write in writes {
             match write {
                 Write::Put { key, value, lease } => {
                     if *lease != 0 && !self.leases.contains_key(lease) {
-                        return Err(Fault::NoLease);
+                        return Err(StoreError::LeaseNotFound);
                     }
-                    let before = self.keys.get(key).and_then(|places| self.at(places, self.revision));
+                    let before =
+                        self.keys.get(key).and_then(|log_indexes| self.at(log_indexes, self.revision));
                     items.push(Item {
                         key: key.clone(),
                         value: Some(value.clone()),
@@ -164,8 +165,8 @@
                     });
                 }
                 Write::Delete { key, end } => {
-                    let (gone, _) = self.range(key, end, 0, 0)?;
-                    items.extend(gone.into_iter().map(|item| Item {
+                    let (deleted, _) = self.range(key, end, 0, 0)?;
+                    items.extend(deleted.into_iter().map(|item| Item {
                         value: None,
                         modified: next,
                         version: 0,
@@ -178,12 +179,12 @@
         if !items.is_empty() {
             self.revision = next;
             self.times.push((now, next));
-            items.into_iter().for_each(|item| self.keep(item));
+            items.into_iter().for_each(|item| self.append(item));
         }
         Ok(self.revision)
     }
 
-    fn keep(&mut self, item: Item) {
+    fn append(&mut self, item: Item) {
         self.leases.values_mut().for_each(|lease| _ = lease.keys.remove(&item.key));
         if let Some(lease) = self.leases.get_mut(&item.lease) {
             lease.keys.insert(item.key.clone());
@@ -193,13 +194,13 @@
     }
 
     /// Whether a key is as wanted.
-    pub fn holds(&self, key: &[u8], want: &Want) -> bool {
-        let item = self.keys.get(key).and_then(|places| self.at(places, self.revision));
-        match want {
-            Want::Version(n) => item.map_or(0, |i| i.version) == *n,
-            Want::Created(n) => item.map_or(0, |i| i.created) == *n,
-            Want::Modified(n) => item.map_or(0, |i| i.modified) == *n,
-            Want::Value(value) => item.is_some_and(|i| i.value.as_ref() == Some(value)),
+    pub fn satisfies(&self, key: &[u8], condition: &Condition) -> bool {
+        let item = self.keys.get(key).and_then(|log_indexes| self.at(log_indexes, self.revision));
+        match condition {
+            Condition::Version(n) => item.map_or(0, |i| i.version) == *n,
+            Condition::Created(n) => item.map_or(0, |i| i.created) == *n,
+            Condition::Modified(n) => item.map_or(0, |i| i.modified) == *n,
+            Condition::Value(value) => item.is_some_and(|i| i.value.as_ref() == Some(value)),
         }
     }
 
@@ -223,8 +224,8 @@
         (lease.ttl / SECOND) as i64
     }
 
-    pub fn revoke(&mut self, now: Micros, id: i64) -> Result<(), Fault> {
-        let lease = self.leases.remove(&id).ok_or(Fault::NoLease)?;
+    pub fn revoke(&mut self, now: Micros, id: i64) -> Result<(), StoreError> {
+        let lease = self.leases.remove(&id).ok_or(StoreError::LeaseNotFound)?;
         let writes: Vec<Write> =
             lease.keys.into_iter().map(|key| Write::Delete { key, end: vec![] }).collect();
         _ = self.write(now, &writes);
@@ -233,9 +234,9 @@
 
     /// Takes the keys of leases that have run out.
     pub fn expire(&mut self, now: Micros) {
-        let over: Vec<i64> =
+        let expired: Vec<i64> =
             self.leases.iter().filter(|(_, lease)| lease.until <= now).map(|(id, _)| *id).collect();
-        over.into_iter().for_each(|id| _ = self.revoke(now, id));
+        expired.into_iter().for_each(|id| _ = self.revoke(now, id));
     }
 
     /// When the next lease runs out.
@@ -286,12 +287,12 @@
         );
         assert_eq!(names(s.range(b"a", &[0], 0, 0).unwrap().0), ["c=1@4"]);
         assert_eq!(names(s.changes(b"a", b"z", 3, 4).unwrap()), ["a=2@3", "a=-@4", "b=-@4", "c=1@4"]);
-        assert_eq!(s.range(b"a", &[], 9, 0), Err(Fault::Future));
+        assert_eq!(s.range(b"a", &[], 9, 0), Err(StoreError::FutureRevision));
         assert_eq!(s.compact(3), Ok(()));
-        assert_eq!(s.changes(b"a", b"z", 3, 4), Err(Fault::Compacted(3)));
-        assert_eq!(s.range(b"a", b"z", 2, 0), Err(Fault::Compacted(3)));
+        assert_eq!(s.changes(b"a", b"z", 3, 4), Err(StoreError::Compacted(3)));
+        assert_eq!(s.range(b"a", b"z", 2, 0), Err(StoreError::Compacted(3)));
         assert!(s.changes(b"a", b"z", 4, 4).is_ok() && s.range(b"a", b"z", 3, 0).is_ok());
-        assert!(s.holds(b"c", &Want::Version(1)) && s.holds(b"a", &Want::Created(0)));
+        assert!(s.satisfies(b"c", &Condition::Version(1)) && s.satisfies(b"a", &Condition::Created(0)));
         s.restore(25);
         assert_eq!(
             (s.revision(), names(s.range(b"a", b"z", 0, 0).unwrap().0)),
@@ -311,8 +312,8 @@
         assert_eq!(names(s.range(b"a", b"z", 0, 0).unwrap().0), ["b=2@3"]);
         assert_eq!(
             (s.keep_alive(15 * SECOND, id), s.write(0, &[put("c", "1", id)])),
-            (0, Err(Fault::NoLease))
+            (0, Err(StoreError::LeaseNotFound))
         );
-        assert_eq!(s.revoke(0, id), Err(Fault::NoLease));
+        assert_eq!(s.revoke(0, id), Err(StoreError::LeaseNotFound));
     }
 }
--- a/crates/testbed/src/report/page.rs
+++ b/crates/testbed/src/report/page.rs
@@ -1,9 +1,9 @@
-//! One page of HTML that opens offline: the verdict on top, then charts over time with the troubles as bands behind them.
+//! One page of HTML that opens offline: the verdict on top, then charts over time with the faults as bands behind them.
 
 use crate::clock::seconds;
-use crate::measure::{STEP, Step, over_time};
+use crate::measure::{TIME_STEP, TimeStep, over_time};
 use crate::report::table;
-use crate::run::Played;
+use crate::run::RunResult;
 use plotters::prelude::*;
 use plotters::style::full_palette::{
     AMBER_100, BLUE_700, DEEPORANGE_600, GREEN_700, GREY_600, PURPLE_400, TEAL_600,
@@ -23,18 +23,18 @@
     name: String,
 }
 
-/// Charts end soon after the last lookup is due.
-fn shown(played: &Played) -> f64 {
+/// Charts end soon after the last request is due.
+fn shown(played: &RunResult) -> f64 {
     played.experiment.seconds + 1.0
 }
 
-fn bands(played: &Played) -> Vec<Band> {
+fn bands(played: &RunResult) -> Vec<Band> {
     let end = shown(played);
-    let troubles = played.experiment.troubles.iter().map(|t| t.get_ref());
-    troubles
+    let faults = played.experiment.faults.iter().map(|t| t.get_ref());
+    faults
         .map(|t| Band {
             from: t.at,
-            to: t.lasts.map_or(t.at + 0.3, |lasts| (t.at + lasts).min(end)),
+            to: t.duration.map_or(t.at + 0.3, |lasts| (t.at + lasts).min(end)),
             name: t.kind.to_string(),
         })
         .collect()
@@ -45,29 +45,29 @@
     let top = lines.iter().flat_map(|l| l.2.iter().copied()).fold(0.0, f64::max).max(1e-9) * 1.08;
     {
         let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
-        let fault = |e: &dyn std::fmt::Display| format!("chart {title}: {e}");
-        area.fill(&WHITE).map_err(|e| fault(&e))?;
+        let error = |e: &dyn std::fmt::Display| format!("chart {title}: {e}");
+        area.fill(&WHITE).map_err(|e| error(&e))?;
         let mut chart = ChartBuilder::on(&area)
             .caption(title, ("sans-serif", 15))
             .margin(6)
             .x_label_area_size(22)
             .y_label_area_size(54)
             .build_cartesian_2d(0.0..end, 0.0..top)
-            .map_err(|e| fault(&e))?;
+            .map_err(|e| error(&e))?;
         let spans =
             bands.iter().map(|b| Rectangle::new([(b.from, 0.0), (b.to, top)], AMBER_100.mix(0.45).filled()));
-        chart.draw_series(spans).map_err(|e| fault(&e))?;
+        chart.draw_series(spans).map_err(|e| error(&e))?;
         chart
             .configure_mesh()
             .light_line_style(TRANSPARENT)
             .x_labels(20)
             .y_labels(6)
             .draw()
-            .map_err(|e| fault(&e))?;
+            .map_err(|e| error(&e))?;
         for (name, colour, values) in lines {
-            let points = values.iter().enumerate().map(|(i, v)| (seconds(STEP) * (i as f64 + 0.5), *v));
+            let points = values.iter().enumerate().map(|(i, v)| (seconds(TIME_STEP) * (i as f64 + 0.5), *v));
             let drawn =
-                chart.draw_series(LineSeries::new(points, colour.stroke_width(2))).map_err(|e| fault(&e))?;
+                chart.draw_series(LineSeries::new(points, colour.stroke_width(2))).map_err(|e| error(&e))?;
             if !name.is_empty() {
                 let colour = *colour;
                 drawn
@@ -80,18 +80,18 @@
             .position(SeriesLabelPosition::UpperRight)
             .background_style(WHITE.mix(0.8))
             .draw()
-            .map_err(|e| fault(&e))?;
-        area.present().map_err(|e| fault(&e))?;
+            .map_err(|e| error(&e))?;
+        area.present().map_err(|e| error(&e))?;
     }
     Ok(svg)
 }
 
-fn line(steps: &[Step], name: &str, colour: RGBColor, pick: impl Fn(&Step) -> f64) -> Line {
+fn line(steps: &[TimeStep], name: &str, colour: RGBColor, pick: impl Fn(&TimeStep) -> f64) -> Line {
     (name.to_string(), colour, steps.iter().map(pick).collect())
 }
 
 /// A line for each of many, the highest first where there are too many.
-fn many(steps: &[Step], name: &str, count: usize, pick: impl Fn(&Step, usize) -> f64) -> Vec<Line> {
+fn many(steps: &[TimeStep], name: &str, count: usize, pick: impl Fn(&TimeStep, usize) -> f64) -> Vec<Line> {
     let palette = [BLUE_700, GREEN_700, DEEPORANGE_600, PURPLE_400, TEAL_600, GREY_600];
     let mut lines: Vec<Line> = (0..count)
         .map(|i| {
@@ -116,19 +116,19 @@
     svg{max-width:100%;height:auto;border:1px solid #ddd;margin:8px 0}td{padding:2px 14px 2px 0}";
 
 /// The whole page.
-pub fn page(played: &Played) -> Result<String, String> {
+pub fn page(played: &RunResult) -> Result<String, String> {
     let steps = over_time(&played.experiment, &played.verdict, &played.samples);
     let (bands, end) = (bands(played), shown(played));
-    let steps = &steps[..((end / seconds(STEP)) as usize).min(steps.len())];
-    let per_second = |n: usize| n as f64 / seconds(STEP);
-    let (caches, proxies) = (played.experiment.world.caches, played.experiment.fleet.proxies);
+    let steps = &steps[..((end / seconds(TIME_STEP)) as usize).min(steps.len())];
+    let per_second = |n: usize| n as f64 / seconds(TIME_STEP);
+    let (servers, proxies) = (played.experiment.world.servers, played.experiment.fleet.proxies);
     let charts = [
         (
             "Lookups a second",
             vec![
                 line(steps, "first lookups due", GREY_600, |s| per_second(s.first)),
                 line(steps, "of these in time", GREEN_700, |s| per_second(s.in_time)),
-                line(steps, "deferred", PURPLE_400, |s| per_second(s.deferred)),
+                line(steps, "deferred", PURPLE_400, |s| per_second(s.rejected)),
                 line(steps, "failed", DEEPORANGE_600, |s| per_second(s.failed)),
             ],
         ),
@@ -142,22 +142,22 @@
         (
             "Shots a lookup",
             vec![line(steps, "", TEAL_600, |s| {
-                s.shots as f64 / (s.resolved + s.deferred + s.failed).max(1) as f64
+                s.attempts as f64 / (s.served + s.rejected + s.failed).max(1) as f64
             })],
         ),
         (
             "In flight by cache (the last is the origin)",
-            many(steps, "cache", caches, |s, i| s.in_flight[i] as f64),
+            many(steps, "cache", servers, |s, i| s.in_flight[i] as f64),
         ),
         ("CPU of each proxy, part of a core", many(steps, "proxy", proxies, |s, i| s.cpu[i])),
         ("Memory of each proxy, MB", many(steps, "proxy", proxies, |s, i| s.memory_mb[i])),
     ];
-    let good = played.good();
+    let passed = played.passed();
     let mut html = format!(
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{title}</title><style>{STYLE}</style>\
          <h1>{title}</h1><p class=\"{}\"><b>{}</b></p><pre>{}</pre>",
-        if good { "kept" } else { "broken" },
-        if good {
+        if passed { "kept" } else { "broken" },
+        if passed {
             "Rules kept, and every stated bound holds."
         } else {
             "Rules broken or bounds not held: see below."
--- a/crates/testbed/src/resp.rs
+++ b/crates/testbed/src/resp.rs
@@ -1,11 +1,11 @@
-//! RESP as the lab's own stand-ins and clients speak it: commands as arrays, answers that are no aggregates. It shares nothing
+//! RESP as the testbed's own stand-ins and clients speak it: commands as arrays, answers that are no aggregates. It shares nothing
 //! with the proxy, so that a fault in its codec cannot hide itself.
 
 use crate::clock::{MILLI, Micros};
-use crate::wire::{Conn, Fault};
+use crate::wire::{Connection, ReadError};
 
 /// A command or answer may be as long as the longest value, and some words.
-const LONGEST: usize = 4 << 20;
+const MAX_MESSAGE: usize = 4 << 20;
 
 /// CRC16 by its polynomial, a bit at a time.
 fn crc16(bytes: &[u8]) -> u16 {
@@ -16,7 +16,7 @@
     })
 }
 
-/// The slot of a key whose tag stands in braces, as all of the lab's do.
+/// The slot of a key whose tag stands in braces, as all of the testbed's do.
 pub fn slot(key: &[u8]) -> u16 {
     let open = key.iter().position(|b| *b == b'{').map_or(0, |i| i + 1);
     let close = key.iter().position(|b| *b == b'}').unwrap_or(key.len());
@@ -29,85 +29,85 @@
     Some((&buf[from..from + len], from + len + 2))
 }
 
-fn number(text: &[u8]) -> Result<i64, Fault> {
-    std::str::from_utf8(text).ok().and_then(|t| t.parse().ok()).ok_or(Fault::Nonsense)
+fn number(text: &[u8]) -> Result<i64, ReadError> {
+    std::str::from_utf8(text).ok().and_then(|t| t.parse().ok()).ok_or(ReadError::Malformed)
 }
 
-type Words = Vec<Vec<u8>>;
+type Arguments = Vec<Vec<u8>>;
 
 /// A whole command, and how long it is.
-fn command(buf: &[u8]) -> Result<Option<(Words, usize)>, Fault> {
+fn command(buf: &[u8]) -> Result<Option<(Arguments, usize)>, ReadError> {
     if buf.first().is_some_and(|b| *b != b'*') {
-        return Err(Fault::Nonsense);
+        return Err(ReadError::Malformed);
     }
     let Some((count, mut at)) = line(buf, 1) else { return Ok(None) };
-    let mut words = Vec::new();
+    let mut arguments = Vec::new();
     for _ in 0..number(count)?.clamp(0, 1024) {
         let Some((len, body)) = line(buf, at + 1) else { return Ok(None) };
         if buf[at] != b'$' {
-            return Err(Fault::Nonsense);
+            return Err(ReadError::Malformed);
         }
-        let len = usize::try_from(number(len)?).map_err(|_| Fault::Nonsense)?;
-        let Some(word) = buf.get(body..body + len + 2) else { return Ok(None) };
-        words.push(word[..len].to_vec());
+        let len = usize::try_from(number(len)?).map_err(|_| ReadError::Malformed)?;
+        let Some(argument) = buf.get(body..body + len + 2) else { return Ok(None) };
+        arguments.push(argument[..len].to_vec());
         at = body + len + 2;
     }
-    Ok(Some((words, at)))
+    Ok(Some((arguments, at)))
 }
 
 /// What a client is told.
 #[derive(Debug, PartialEq)]
-pub enum Said {
+pub enum RespAnswer {
     Value(Vec<u8>),
-    Nothing,
+    Nil,
     Error(String),
 }
 
-fn answer(buf: &[u8]) -> Result<Option<(Said, usize)>, Fault> {
+fn answer(buf: &[u8]) -> Result<Option<(RespAnswer, usize)>, ReadError> {
     let Some((text, at)) = line(buf, 1) else { return Ok(None) };
     Ok(Some(match buf[0] {
-        b'+' | b':' => (Said::Value(text.to_vec()), at),
-        b'-' => (Said::Error(String::from_utf8_lossy(text).to_string()), at),
+        b'+' | b':' => (RespAnswer::Value(text.to_vec()), at),
+        b'-' => (RespAnswer::Error(String::from_utf8_lossy(text).to_string()), at),
         b'$' => match usize::try_from(number(text)?) {
-            Err(_) => (Said::Nothing, at),
+            Err(_) => (RespAnswer::Nil, at),
             Ok(len) => match buf.get(at..at + len + 2) {
-                Some(body) => (Said::Value(body[..len].to_vec()), at + len + 2),
+                Some(body) => (RespAnswer::Value(body[..len].to_vec()), at + len + 2),
                 None => return Ok(None),
             },
         },
-        _ => return Err(Fault::Nonsense),
+        _ => return Err(ReadError::Malformed),
     }))
 }
 
 async fn read<T>(
-    conn: &mut Conn,
-    whole: impl Fn(&[u8]) -> Result<Option<(T, usize)>, Fault>,
-) -> Result<T, Fault> {
+    conn: &mut Connection,
+    parse: impl Fn(&[u8]) -> Result<Option<(T, usize)>, ReadError>,
+) -> Result<T, ReadError> {
     loop {
-        if !conn.ahead.is_empty()
-            && let Some((read, len)) = whole(&conn.ahead)?
+        if !conn.buffered.is_empty()
+            && let Some((read, len)) = parse(&conn.buffered)?
         {
-            conn.ahead.drain(..len);
+            conn.buffered.drain(..len);
             return Ok(read);
         }
-        let begun = !conn.ahead.is_empty();
-        if conn.ahead.len() > LONGEST || !matches!(conn.more().await, Ok(1..)) {
-            return Err(if begun { Fault::Broken } else { Fault::Ended });
+        let partial = !conn.buffered.is_empty();
+        if conn.buffered.len() > MAX_MESSAGE || !matches!(conn.fill().await, Ok(1..)) {
+            return Err(if partial { ReadError::Truncated } else { ReadError::Closed });
         }
     }
 }
 
-pub async fn question(conn: &mut Conn) -> Result<Words, Fault> {
+pub async fn read_command(conn: &mut Connection) -> Result<Arguments, ReadError> {
     read(conn, command).await
 }
 
-pub async fn said(conn: &mut Conn) -> Result<Said, Fault> {
+pub async fn read_answer(conn: &mut Connection) -> Result<RespAnswer, ReadError> {
     read(conn, answer).await
 }
 
-pub fn written(words: &[&[u8]]) -> Vec<u8> {
-    let mut out = format!("*{}\r\n", words.len()).into_bytes();
-    words.iter().for_each(|w| out.extend(bulk(w)));
+pub fn encode_command(arguments: &[&[u8]]) -> Vec<u8> {
+    let mut out = format!("*{}\r\n", arguments.len()).into_bytes();
+    arguments.iter().for_each(|w| out.extend(bulk(w)));
     out
 }
 
@@ -115,16 +115,17 @@
     [format!("${}\r\n", body.len()).as_bytes(), body, b"\r\n"].concat()
 }
 
-impl Said {
-    /// The same as a status of HTTP, by which the lab counts; and when to return, where that is told.
+impl RespAnswer {
+    /// The same as a status of HTTP, by which the testbed counts; and when to return, where that is told.
     pub fn status(&self) -> (u16, Option<Micros>) {
         match self {
-            Said::Value(_) => (200, None),
-            Said::Nothing => (404, None),
-            Said::Error(text) => match text.split(' ').next() {
+            RespAnswer::Value(_) => (200, None),
+            RespAnswer::Nil => (404, None),
+            RespAnswer::Error(text) => match text.split(' ').next() {
                 Some("TRYAGAIN" | "CLUSTERDOWN" | "LOADING") => {
-                    let words: Vec<&str> = text.split(' ').collect();
-                    let ms = words.windows(2).find(|w| w[1] == "ms").and_then(|w| w[0].parse::<u64>().ok());
+                    let arguments: Vec<&str> = text.split(' ').collect();
+                    let ms =
+                        arguments.windows(2).find(|w| w[1] == "ms").and_then(|w| w[0].parse::<u64>().ok());
                     (503, ms.map(|ms| ms * MILLI))
                 }
                 Some("ERR") if text.starts_with("ERR abandoned") => (500, None),
@@ -140,15 +141,15 @@
 
     #[test]
     fn what_is_written_reads_back_and_slots_are_the_dialects() {
-        let command_ = written(&[b"SET", b"a{k1}", b"x\r\ny"]);
-        let (words, len) = command(&command_).unwrap().unwrap();
-        assert_eq!((words[2].as_slice(), len), (&b"x\r\ny"[..], command_.len()));
+        let command_ = encode_command(&[b"SET", b"a{k1}", b"x\r\ny"]);
+        let (arguments, len) = command(&command_).unwrap().unwrap();
+        assert_eq!((arguments[2].as_slice(), len), (&b"x\r\ny"[..], command_.len()));
         assert!((0..len).all(|n| matches!(command(&command_[..n]), Ok(None))));
         assert_eq!((slot(b"x{foo}y"), slot(b"foo")), (12182, 12182));
-        let told = |text: &[u8]| answer(text).unwrap().unwrap().0.status();
-        assert_eq!(told(b"-TRYAGAIN deferred, come back in 70 ms\r\n"), (503, Some(70_000)));
+        let status_of = |text: &[u8]| answer(text).unwrap().unwrap().0.status();
+        assert_eq!(status_of(b"-TRYAGAIN deferred, come back in 70 ms\r\n"), (503, Some(70_000)));
         assert_eq!(
-            (told(b"$1\r\na\r\n"), told(b"$-1\r\n"), told(b"-ERR x\r\n")),
+            (status_of(b"$1\r\na\r\n"), status_of(b"$-1\r\n"), status_of(b"-ERR x\r\n")),
             ((200, None), (404, None), (400, None))
         );
     }
--- a/crates/testbed/src/soak.rs
+++ b/crates/testbed/src/soak.rs
@@ -16,12 +16,12 @@
     pub proxies: usize,
 }
 
-const CACHES: usize = 15;
+const SERVERS: usize = 15;
 const ZONES: [&str; 3] = ["north", "middle", "south"];
 const OUTAGES: [&str; 6] = ["closes", "refuses", "unavailable", "unavailable-late", "silent", "half-answer"];
-/// Faults of caches that meet a part of what they get.
+/// Faults of servers that meet a part of what they get.
 const PARTIAL: [&str; 6] = ["fails", "loses", "turns-away", "resets", "half-answers", "spoils"];
-/// Lookups a second and proxy: traffic is thin, as in a large fleet.
+/// Requests a second and proxy: traffic is thin, as in a large fleet.
 const RATE: f64 = 12.0;
 
 struct Draw(ChaCha8Rng);
@@ -74,7 +74,7 @@
         let rate = RATE * *proxies as f64;
         format!(
             "title = \"Soak, seed {seed}\"\nseed = {seed}\nseconds = {seconds}\n\
-             [world]\nzones = {ZONES:?}\ncaches = {CACHES}\ncold_s = 4\nlist_late_s = 0\nlist_call_ms = {list_call:.1}\n\
+             [world]\nzones = {ZONES:?}\ncaches = {SERVERS}\ncold_s = 4\nlist_late_s = 0\nlist_call_ms = {list_call:.1}\n\
              fall_multiple = 4\n\
              [fleet]\nproxies = {proxies}\nnotice_s = 0.5\nsecond_copies = {copies}\nmost_shots = {most}\nsockets = {sockets}\n\
              withdrawals = {withdrawals}\n\
@@ -91,23 +91,23 @@
         let how = draw.one(&OUTAGES);
         let lasts = draw.between(0.4, 0.55) * self.seconds;
         let at = draw.between(1.0, 4.0);
-        trouble(text, "list-down", at, &format!("for = {lasts:.2}\nhow = \"{how}\""));
+        fault(text, "list-down", at, &format!("for = {lasts:.2}\nhow = \"{how}\""));
         let back = at + lasts + draw.between(0.0, 0.3);
-        let drained = draw.several(5, CACHES);
+        let drained = draw.several(5, SERVERS);
         let every = draw.between(0.05, 0.5);
-        trouble(
+        fault(
             text,
             "rolling-deploy",
             back,
             &format!("every = {every:.2}\ndrain = 11\ndown = 0.5\ncaches = {drained:?}"),
         );
         if draw.chance(0.5) {
-            trouble(text, "list-silent", draw.between(0.6, 0.9) * self.seconds, "");
+            fault(text, "list-silent", draw.between(0.6, 0.9) * self.seconds, "");
         }
         if draw.chance(0.5) {
             let (at, lasts) = (draw.between(0.85, 0.95) * self.seconds, draw.between(0.2, 2.0));
             let how = draw.one(&OUTAGES);
-            trouble(text, "list-down", at, &format!("for = {lasts:.2}\nhow = \"{how}\""));
+            fault(text, "list-down", at, &format!("for = {lasts:.2}\nhow = \"{how}\""));
         }
     }
 
@@ -119,7 +119,7 @@
             let left = at + lasts * draw.between(0.7, 0.95);
             _ = writeln!(text, "[[load.surge]]\nat = {at:.2}\nfor = {lasts:.2}\nfactor = 4");
             _ = writeln!(text, "[[load.gust]]\nat = {left:.2}\nshare = 0.8");
-            trouble(text, "stands-still", at, &format!("for = {lasts:.2}"));
+            fault(text, "stands-still", at, &format!("for = {lasts:.2}"));
         }
     }
 
@@ -127,20 +127,20 @@
         for _ in 0..4 {
             let kind = draw.one(&PARTIAL);
             let (at, lasts) = self.span(draw);
-            let (share, caches) = (draw.between(0.05, 0.6), draw.several(3, CACHES));
-            trouble(text, kind, at, &format!("for = {lasts:.2}\nshare = {share:.2}\ncaches = {caches:?}"));
+            let (share, servers) = (draw.between(0.05, 0.6), draw.several(3, SERVERS));
+            fault(text, kind, at, &format!("for = {lasts:.2}\nshare = {share:.2}\ncaches = {servers:?}"));
         }
         for kind in ["hangs", "stands-still", "vanishes"] {
             let (at, lasts) = self.span(draw);
-            let caches = draw.several(2, CACHES);
-            trouble(text, kind, at, &format!("for = {lasts:.2}\ncaches = {caches:?}"));
+            let servers = draw.several(2, SERVERS);
+            fault(text, kind, at, &format!("for = {lasts:.2}\ncaches = {servers:?}"));
         }
-        let (at, caches) = (draw.between(0.1, 0.8) * self.seconds, draw.several(2, CACHES));
-        trouble(text, "restarts", at, &format!("down = 0.7\ncaches = {caches:?}"));
+        let (at, servers) = (draw.between(0.1, 0.8) * self.seconds, draw.several(2, SERVERS));
+        fault(text, "restarts", at, &format!("down = 0.7\ncaches = {servers:?}"));
         if draw.chance(0.5) {
             let (at, lasts) = self.span(draw);
             let zone = draw.one(&ZONES[1..]);
-            trouble(text, "zone-cut", at, &format!("for = {lasts:.2}\nzone = \"{zone}\""));
+            fault(text, "zone-cut", at, &format!("for = {lasts:.2}\nzone = \"{zone}\""));
         }
     }
 
@@ -148,20 +148,20 @@
     fn processes(&self, draw: &mut Draw, text: &mut String) {
         let part = (self.proxies / 4).max(1);
         let (at, some) = (draw.between(0.1, 0.8) * self.seconds, draw.several(part, self.proxies));
-        trouble(text, "proxy-kill", at, &format!("down = 0.4\nproxies = {some:?}"));
+        fault(text, "proxy-kill", at, &format!("down = 0.4\nproxies = {some:?}"));
         let at = draw.between(0.1, 0.8) * self.seconds;
         let others: Vec<usize> = (0..self.proxies).filter(|proxy| !some.contains(proxy)).collect();
         let told: Vec<usize> = others.iter().copied().step_by(4).collect();
-        trouble(text, "proxy-term", at, &format!("down = 0.2\nproxies = {told:?}"));
+        fault(text, "proxy-term", at, &format!("down = 0.2\nproxies = {told:?}"));
         let moved: Vec<usize> = others.iter().copied().skip(1).step_by(4).collect();
         for _ in 0..2 {
             let at = draw.between(0.1, 0.9) * self.seconds;
-            trouble(text, "proxy-hup", at, &format!("proxies = {moved:?}"));
+            fault(text, "proxy-hup", at, &format!("proxies = {moved:?}"));
         }
         let held: Vec<usize> = others.iter().copied().skip(2).step_by(4).collect();
         for _ in 0..3 {
             let at = draw.between(0.1, 0.9) * self.seconds;
-            trouble(text, "proxy-stop", at, &format!("for = 0.15\nproxies = {held:?}"));
+            fault(text, "proxy-stop", at, &format!("for = 0.15\nproxies = {held:?}"));
         }
     }
 
@@ -170,7 +170,7 @@
     }
 }
 
-fn trouble(text: &mut String, kind: &str, at: f64, more: &str) {
+fn fault(text: &mut String, kind: &str, at: f64, more: &str) {
     // Writing to a string does not fail.
     _ = writeln!(text, "[[trouble]]\nkind = \"{kind}\"\nat = {at:.2}\n{more}");
 }
--- a/crates/testbed/src/stand/etcd.rs
+++ b/crates/testbed/src/stand/etcd.rs
@@ -3,11 +3,11 @@
 
 use super::{Site, lock};
 use crate::clock::{MILLI, Micros};
-use crate::evidence::What;
-use crate::model::course::{DELETED, Reach, SERVING};
-use crate::model::etcd::{Deed, EtcdCourse, NO_MAJORITY};
-use crate::model::listing::Line;
-use crate::model::store::{Fault, Item, Store, Want, Write};
+use crate::evidence::EventKind;
+use crate::model::etcd::{EtcdTimeline, NO_MAJORITY, StoreAction};
+use crate::model::server_list::ListedServer;
+use crate::model::store::{Condition, Item, Store, StoreError, Write};
+use crate::model::timeline::{DELETED, Reachability, SERVING};
 use bytes::Bytes;
 use chalkwalk_etcd_wire::{
     CONTENT_TYPE, FrameDecoder, GRPC_MESSAGE, GRPC_STATUS, Message, api, code, encode_frame, path,
@@ -33,72 +33,72 @@
 const LONGEST: usize = 2 << 20;
 
 pub struct Etcd {
-    pub course: EtcdCourse,
+    pub timeline: EtcdTimeline,
     store: Mutex<Store>,
     cluster: Mutex<u64>,
     watchers: Mutex<Vec<Sender<()>>>,
-    /// What each proxy was told last of each cache.
-    told: Mutex<HashMap<(usize, usize), Word>>,
+    /// What each proxy was told last of each server.
+    notified: Mutex<HashMap<(usize, usize), LastNotified>>,
     calls: Mutex<u64>,
     /// Which cluster each proxy was told of last.
-    heard_of: Mutex<HashMap<usize, u64>>,
+    known_cluster: Mutex<HashMap<usize, u64>>,
     /// Since when a proxy is without its watch, and how long each was.
-    without: Mutex<HashMap<usize, Micros>>,
-    back: Mutex<Vec<Micros>>,
+    watch_lost_at: Mutex<HashMap<usize, Micros>>,
+    recovery_times: Mutex<Vec<Micros>>,
 }
 
 /// What a run asked of etcd, and how long watches were away.
 #[derive(Clone, Debug, Default)]
-pub struct Load {
+pub struct EtcdLoad {
     pub calls: u64,
-    pub back: Vec<Micros>,
+    pub recovery_times: Vec<Micros>,
 }
 
 #[derive(Clone, Copy, Default)]
-struct Word {
+struct LastNotified {
     revision: i64,
     started: u64,
 }
 
-type Fail = (&'static str, String);
+type GrpcError = (&'static str, String);
 
-fn fail(fault: Fault) -> Fail {
-    match fault {
-        Fault::Compacted(_) => {
+fn grpc_error(error: StoreError) -> GrpcError {
+    match error {
+        StoreError::Compacted(_) => {
             (code::OUT_OF_RANGE, "etcdserver: mvcc: required revision has been compacted".into())
         }
-        Fault::Future => {
+        StoreError::FutureRevision => {
             (code::OUT_OF_RANGE, "etcdserver: mvcc: required revision is a future revision".into())
         }
-        Fault::NoLease => (code::NOT_FOUND, "etcdserver: requested lease not found".into()),
+        StoreError::LeaseNotFound => (code::NOT_FOUND, "etcdserver: requested lease not found".into()),
     }
 }
 
 impl Etcd {
-    pub fn new(course: EtcdCourse) -> Etcd {
+    pub fn new(timeline: EtcdTimeline) -> Etcd {
         Etcd {
-            course,
+            timeline,
             store: Mutex::default(),
             cluster: Mutex::new(1),
             watchers: Mutex::default(),
-            told: Mutex::default(),
+            notified: Mutex::default(),
             calls: Mutex::default(),
-            heard_of: Mutex::default(),
-            without: Mutex::default(),
-            back: Mutex::default(),
+            known_cluster: Mutex::default(),
+            watch_lost_at: Mutex::default(),
+            recovery_times: Mutex::default(),
         }
     }
 
     fn changed(&self) {
-        lock(&self.watchers).retain(|tell| !tell.is_closed() && tell.try_send(()).is_ok_or_full());
+        lock(&self.watchers).retain(|notify| !notify.is_closed() && notify.try_send(()).is_ok_or_full());
     }
 
     fn header(&self, revision: i64) -> Option<api::ResponseHeader> {
         Some(api::ResponseHeader { cluster_id: *lock(&self.cluster), member_id: 1, revision, raft_term: 2 })
     }
 
-    pub fn load(&self) -> Load {
-        Load { calls: *lock(&self.calls), back: lock(&self.back).clone() }
+    pub fn load(&self) -> EtcdLoad {
+        EtcdLoad { calls: *lock(&self.calls), recovery_times: lock(&self.recovery_times).clone() }
     }
 }
 
@@ -114,60 +114,61 @@
 
 // ---- what stands in the store ----
 
-fn key_of(site: &Site, cache: usize) -> Vec<u8> {
-    let id = if cache == site.origin() { "origin".to_string() } else { format!("cache-{cache:03}") };
+fn key_of(site: &Site, server: usize) -> Vec<u8> {
+    let id = if server == site.origin() { "origin".to_string() } else { format!("cache-{server:03}") };
     format!("{PREFIX}caches/{id}").into_bytes()
 }
 
-fn value_of(site: &Site, line: &Line) -> Vec<u8> {
-    let mut said = site.line(0, line);
-    let state = if line.state == SERVING { "serving" } else { "draining" };
-    let addr = said["addr"].as_str().unwrap_or("").to_string();
+fn value_of(site: &Site, entry: &ListedServer) -> Vec<u8> {
+    let mut response = site.list_entry(0, entry);
+    let state = if entry.state == SERVING { "serving" } else { "draining" };
+    let addr = response["addr"].as_str().unwrap_or("").to_string();
     // Addresses are 127.block.proxy.peer, the proxy counted from 1.
     let parts: Vec<&str> = addr.splitn(4, '.').collect();
     let addr =
         if parts.len() == 4 { format!("{}.{}.{PROXY}.{}", parts[0], parts[1], parts[3]) } else { addr };
-    if let Some(fields) = said.as_object_mut() {
+    if let Some(fields) = response.as_object_mut() {
         fields.remove("id");
         fields.remove("weight");
         fields.insert("v".into(), json!(1));
         fields.insert("addr".into(), json!(addr));
         fields.insert("state".into(), json!(state));
     }
-    said.to_string().into_bytes()
+    response.to_string().into_bytes()
 }
 
 impl Site {
     /// Writes the list as of the beginning.
     pub fn seed_etcd(&self) {
-        let lines = self.listing.whole(crate::model::listing::FIRST);
-        let put = |l: &Line| Write::Put { key: key_of(self, l.cache), value: value_of(self, l), lease: 0 };
-        let writes: Vec<Write> = lines.iter().map(put).collect();
+        let entries = self.server_list.snapshot(crate::model::server_list::FIRST_VERSION);
+        let put =
+            |l: &ListedServer| Write::Put { key: key_of(self, l.server), value: value_of(self, l), lease: 0 };
+        let writes: Vec<Write> = entries.iter().map(put).collect();
         _ = lock(&self.etcd.store).write(0, &writes);
     }
 
     /// Writes what becomes known at the time at which it does, and does to the store what the course has; never ends.
     pub async fn write_etcd(self: Arc<Site>) {
-        let mut notices = self.courses.notices.iter().peekable();
-        let mut deeds = self.etcd.course.deeds.iter().peekable();
+        let mut updates = self.timelines.updates.iter().peekable();
+        let mut actions = self.etcd.timeline.actions.iter().peekable();
         let mut starts = vec![0; self.origin() + 1];
         loop {
             let expiry = lock(&self.etcd.store).next_expiry();
-            let next = [notices.peek().map(|n| n.told), deeds.peek().map(|(at, _)| *at), expiry];
+            let next = [updates.peek().map(|n| n.published), actions.peek().map(|(at, _)| *at), expiry];
             let Some(at) = next.into_iter().flatten().min() else {
                 smol::Timer::after(Duration::from_millis(100)).await;
                 continue;
             };
             // A lease may be kept alive meanwhile, and new ones come.
-            self.clock.reach(at.min(self.clock.now() + 100 * MILLI)).await;
+            self.clock.sleep_until(at.min(self.clock.now() + 100 * MILLI)).await;
             let now = self.clock.now();
             lock(&self.etcd.store).expire(now);
-            while let Some((_, deed)) = deeds.next_if(|(at, _)| *at <= now) {
+            while let Some((_, action)) = actions.next_if(|(at, _)| *at <= now) {
                 let mut store = lock(&self.etcd.store);
                 let revision = store.revision();
-                match deed {
-                    Deed::Compact => _ = store.compact(revision),
-                    Deed::Restore(by) => {
+                match action {
+                    StoreAction::Compact => _ = store.compact(revision),
+                    StoreAction::Restore(by) => {
                         store.restore(now.saturating_sub(*by));
                         *lock(&self.etcd.cluster) += 1;
                     }
@@ -176,18 +177,18 @@
             // What becomes known at one moment is one transaction, as far as each key is in it once.
             let mut writes: Vec<(usize, Write)> = Vec::new();
             while let Some(n) =
-                notices.next_if(|n| n.told <= now && !writes.iter().any(|(c, _)| *c == n.cache))
+                updates.next_if(|n| n.published <= now && !writes.iter().any(|(c, _)| *c == n.server))
             {
-                let key = key_of(&self, n.cache);
+                let key = key_of(&self, n.server);
                 if n.state == SERVING {
-                    starts[n.cache] = n.born;
+                    starts[n.server] = n.started;
                 }
-                let line = Line { cache: n.cache, state: n.state, born: starts[n.cache] };
+                let entry = ListedServer { server: n.server, state: n.state, started: starts[n.server] };
                 let write = match n.state {
                     DELETED => Write::Delete { key, end: vec![] },
-                    _ => Write::Put { key, value: value_of(&self, &line), lease: 0 },
+                    _ => Write::Put { key, value: value_of(&self, &entry), lease: 0 },
                 };
-                writes.push((n.cache, write));
+                writes.push((n.server, write));
             }
             let writes: Vec<Write> = writes.into_iter().map(|(_, write)| write).collect();
             if !writes.is_empty() {
@@ -197,22 +198,23 @@
         }
     }
 
-    /// Notes what a proxy is told of a cache. An older word than one it had takes no drain back, but for a later start.
-    fn note_told(&self, proxy: usize, cache: usize, revision: i64, value: Option<&[u8]>) {
-        let said: Option<Value> = value.and_then(|v| serde_json::from_slice(v).ok());
-        let off = said.as_ref().is_none_or(|s| s["state"] != "serving");
-        let started = said.as_ref().and_then(|s| s["started_ms"].as_u64()).unwrap_or(0);
-        let mut told = lock(&self.etcd.told);
-        let before = told.entry((proxy, cache)).or_default();
+    /// Notes what a proxy is told of a server. An older word than one it had takes no drain back, but for a later start.
+    fn record_notified(&self, proxy: usize, server: usize, revision: i64, value: Option<&[u8]>) {
+        let response: Option<Value> = value.and_then(|v| serde_json::from_slice(v).ok());
+        let off = response.as_ref().is_none_or(|s| s["state"] != "serving");
+        let started = response.as_ref().and_then(|s| s["started_ms"].as_u64()).unwrap_or(0);
+        let mut notified = lock(&self.etcd.notified);
+        let before = notified.entry((proxy, server)).or_default();
         if revision < before.revision && !off && started <= before.started {
             return;
         }
-        *before = Word { revision: revision.max(before.revision), started: started.max(before.started) };
+        *before =
+            LastNotified { revision: revision.max(before.revision), started: started.max(before.started) };
         let now = self.clock.now();
-        self.evidence.note_at(now, 0, proxy, What::Told { cache: cache as u16, off });
+        self.evidence.record_at(now, 0, proxy, EventKind::Notified { server: server as u16, off });
     }
 
-    fn cache_of(&self, key: &[u8]) -> Option<usize> {
+    fn server_of(&self, key: &[u8]) -> Option<usize> {
         (0..self.origin()).find(|c| key_of(self, *c) == key)
     }
 }
@@ -221,36 +223,39 @@
 
 /// What a call needs to know of where it came from.
 #[derive(Clone)]
-struct Asked {
+struct CallContext {
     site: Arc<Site>,
     proxy: usize,
     endpoint: usize,
 }
 
-impl Asked {
+impl CallContext {
     fn store(&self) -> std::sync::MutexGuard<'_, Store> {
         lock(&self.site.etcd.store)
     }
 
     /// Up to which revision this endpoint sees.
-    fn sees(&self) -> i64 {
+    fn visible_revision(&self) -> i64 {
         let now = self.site.clock.now();
-        let lag = self.site.etcd.course.lag(self.endpoint, now);
+        let lag = self.site.etcd.timeline.lag(self.endpoint, now);
         let store = self.store();
         if lag == 0 { store.revision() } else { store.revision_at(now.saturating_sub(lag)) }
     }
 
     /// Whether what is written now reaches the proxy: not across a link that is cut.
-    fn reaches(&self) -> bool {
+    fn can_reach_proxy(&self) -> bool {
         let zones = self.site.zones();
-        let (reach, _) =
-            self.site.courses.reach_zone(self.endpoint % zones, self.proxy % zones, self.site.clock.now());
-        reach == Reach::Up
+        let (reachability, _) = self.site.timelines.zone_reachability(
+            self.endpoint % zones,
+            self.proxy % zones,
+            self.site.clock.now(),
+        );
+        reachability == Reachability::Up
     }
 
-    async fn unstalled(&self) {
-        while let Some(until) = self.site.etcd.course.stalled_until(self.site.clock.now()) {
-            self.site.clock.reach(until).await;
+    async fn wait_stalled(&self) {
+        while let Some(until) = self.site.etcd.timeline.stalled_until(self.site.clock.now()) {
+            self.site.clock.sleep_until(until).await;
         }
     }
 
@@ -278,7 +283,7 @@
     (proxy, endpoint): (usize, usize),
     stream: Async<TcpStream>,
 ) {
-    let asked = Asked { site: site.clone(), proxy, endpoint };
+    let context = CallContext { site: site.clone(), proxy, endpoint };
     let reset = stream.get_ref().try_clone();
     _ = stream.get_ref().set_nodelay(true);
     let begun = site.clock.now();
@@ -287,31 +292,31 @@
         while let Some(Ok((request, respond))) = connection.accept().await {
             *lock(&site.etcd.calls) += 1;
             if let Some(ex) = ex.upgrade() {
-                ex.spawn(call(asked.clone(), request, respond)).detach();
+                ex.spawn(call(context.clone(), request, respond)).detach();
             }
         }
         false
     };
     let broken = async {
-        match site.etcd.course.next_break(begun) {
-            Some(at) => site.clock.reach(at).await,
+        match site.etcd.timeline.next_break(begun) {
+            Some(at) => site.clock.sleep_until(at).await,
             None => std::future::pending().await,
         }
         true
     };
     let was_broken = smol::future::or(serving, broken).await;
-    lock(&site.etcd.without).entry(proxy).or_insert_with(|| site.clock.now());
+    lock(&site.etcd.watch_lost_at).entry(proxy).or_insert_with(|| site.clock.now());
     if was_broken && let Ok(stream) = reset {
         _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
     }
 }
 
 /// Where answers of one call go.
-struct Reply(SendStream<Bytes>);
+struct ResponseStream(SendStream<Bytes>);
 
-impl Reply {
+impl ResponseStream {
     /// Writes a message, and waits until the peer has room for it.
-    async fn say(&mut self, message: &impl Message) -> Option<()> {
+    async fn send(&mut self, message: &impl Message) -> Option<()> {
         let mut bytes = encode_frame(message);
         while !bytes.is_empty() {
             self.0.reserve_capacity(bytes.len());
@@ -334,9 +339,9 @@
 }
 
 /// Messages of a call as they come.
-struct Questions(RecvStream, FrameDecoder);
+struct RequestStream(RecvStream, FrameDecoder);
 
-impl Questions {
+impl RequestStream {
     async fn next<M: Message + Default>(&mut self) -> Option<M> {
         loop {
             if let Some(message) = self.1.next_message().ok()? {
@@ -349,16 +354,16 @@
     }
 }
 
-async fn call(asked: Asked, request: Request<RecvStream>, mut respond: SendResponse<Bytes>) {
+async fn call(context: CallContext, request: Request<RecvStream>, mut respond: SendResponse<Bytes>) {
     let path = request.uri().path().to_string();
-    let mut questions = Questions(request.into_body(), FrameDecoder::new(LONGEST));
-    asked.unstalled().await;
+    let mut requests = RequestStream(request.into_body(), FrameDecoder::new(LONGEST));
+    context.wait_stalled().await;
     let head = Response::builder().header("content-type", CONTENT_TYPE).body(());
     let Some(Ok(stream)) = head.ok().map(|head| respond.send_response(head, false)) else { return };
-    let mut reply = Reply(stream);
+    let mut reply = ResponseStream(stream);
     let ended = match path.as_str() {
-        path::WATCH => watch(&asked, &mut questions, &mut reply).await,
-        _ => one(&asked, &path, &mut questions, &mut reply).await,
+        path::WATCH => watch(&context, &mut requests, &mut reply).await,
+        _ => unary(&context, &path, &mut requests, &mut reply).await,
     };
     match ended {
         Ok(()) => reply.end((code::OK, "")),
@@ -367,79 +372,95 @@
 }
 
 /// A call of one question and one answer.
-async fn one(asked: &Asked, path: &str, questions: &mut Questions, reply: &mut Reply) -> Result<(), Fail> {
+async fn unary(
+    context: &CallContext,
+    path: &str,
+    requests: &mut RequestStream,
+    reply: &mut ResponseStream,
+) -> Result<(), GrpcError> {
     let broken = || (code::UNAVAILABLE, "no question".to_string());
     macro_rules! ask {
         () => {
-            questions.next().await.ok_or_else(broken)?
+            requests.next().await.ok_or_else(broken)?
         };
     }
-    macro_rules! say {
+    macro_rules! send {
         ($answer:expr) => {{
             let answer = $answer;
-            asked.unstalled().await;
-            reply.say(&answer).await.ok_or_else(broken)
+            context.wait_stalled().await;
+            reply.send(&answer).await.ok_or_else(broken)
         }};
     }
-    let (site, etcd) = (&asked.site, &asked.site.etcd);
+    let (site, etcd) = (&context.site, &context.site.etcd);
     let now = site.clock.now();
     if path.starts_with("/etcdserverpb.Lease/") {
-        let lag = etcd.course.lease_lag(now);
-        site.clock.reach(now + lag).await;
+        let lag = etcd.timeline.lease_lag(now);
+        site.clock.sleep_until(now + lag).await;
     }
     match path {
         path::RANGE => {
-            let q: api::RangeRequest = ask!();
-            say!(range(asked, &q).await?)
+            let request: api::RangeRequest = ask!();
+            send!(range(context, &request).await?)
         }
         path::PUT => {
-            let q: api::PutRequest = ask!();
-            let write = Write::Put { key: q.key.to_vec(), value: q.value.to_vec(), lease: q.lease };
-            let revision = asked.store().write(now, &[write]).map_err(fail)?;
+            let request: api::PutRequest = ask!();
+            let write =
+                Write::Put { key: request.key.to_vec(), value: request.value.to_vec(), lease: request.lease };
+            let revision = context.store().write(now, &[write]).map_err(grpc_error)?;
             etcd.changed();
-            say!(api::PutResponse { header: etcd.header(revision) })
+            send!(api::PutResponse { header: etcd.header(revision) })
         }
         path::DELETE_RANGE => {
-            let q: api::DeleteRangeRequest = ask!();
+            let request: api::DeleteRangeRequest = ask!();
             let (header, deleted) = {
-                let mut store = asked.store();
-                let deleted = store.range(&q.key, &q.range_end, 0, 0).map_err(fail)?.0.len() as i64;
-                let write = Write::Delete { key: q.key.to_vec(), end: q.range_end.to_vec() };
-                (etcd.header(store.write(now, &[write]).map_err(fail)?), deleted)
+                let mut store = context.store();
+                let deleted =
+                    store.range(&request.key, &request.range_end, 0, 0).map_err(grpc_error)?.0.len() as i64;
+                let write = Write::Delete { key: request.key.to_vec(), end: request.range_end.to_vec() };
+                (etcd.header(store.write(now, &[write]).map_err(grpc_error)?), deleted)
             };
             etcd.changed();
-            say!(api::DeleteRangeResponse { header, deleted })
+            send!(api::DeleteRangeResponse { header, deleted })
         }
         path::TXN => {
-            let q: api::TxnRequest = ask!();
-            let answer = txn(asked, q, now)?;
+            let request: api::TxnRequest = ask!();
+            let answer = txn(context, request, now)?;
             etcd.changed();
-            say!(answer)
+            send!(answer)
         }
         path::COMPACT => {
-            let q: api::CompactionRequest = ask!();
+            let request: api::CompactionRequest = ask!();
             let header = {
-                let mut store = asked.store();
-                store.compact(q.revision).map_err(fail)?;
+                let mut store = context.store();
+                store.compact(request.revision).map_err(grpc_error)?;
                 etcd.header(store.revision())
             };
-            say!(api::CompactionResponse { header })
+            send!(api::CompactionResponse { header })
         }
         path::LEASE_GRANT => {
-            let q: api::LeaseGrantRequest = ask!();
-            let (id, ttl) = asked.store().grant(site.clock.now(), q.ttl);
-            say!(api::LeaseGrantResponse { header: etcd.header(asked.sees()), id, ttl, error: String::new() })
+            let request: api::LeaseGrantRequest = ask!();
+            let (id, ttl) = context.store().grant(site.clock.now(), request.ttl);
+            send!(api::LeaseGrantResponse {
+                header: etcd.header(context.visible_revision()),
+                id,
+                ttl,
+                error: String::new()
+            })
         }
         path::LEASE_REVOKE => {
-            let q: api::LeaseRevokeRequest = ask!();
-            asked.store().revoke(now, q.id).map_err(fail)?;
+            let request: api::LeaseRevokeRequest = ask!();
+            context.store().revoke(now, request.id).map_err(grpc_error)?;
             etcd.changed();
-            say!(api::LeaseRevokeResponse { header: etcd.header(asked.sees()) })
+            send!(api::LeaseRevokeResponse { header: etcd.header(context.visible_revision()) })
         }
         path::LEASE_KEEP_ALIVE => {
-            while let Some(q) = questions.next::<api::LeaseKeepAliveRequest>().await {
-                let ttl = asked.store().keep_alive(site.clock.now(), q.id);
-                say!(api::LeaseKeepAliveResponse { header: etcd.header(asked.sees()), id: q.id, ttl })?;
+            while let Some(request) = requests.next::<api::LeaseKeepAliveRequest>().await {
+                let ttl = context.store().keep_alive(site.clock.now(), request.id);
+                send!(api::LeaseKeepAliveResponse {
+                    header: etcd.header(context.visible_revision()),
+                    id: request.id,
+                    ttl
+                })?;
             }
             Ok(())
         }
@@ -447,63 +468,69 @@
     }
 }
 
-async fn range(asked: &Asked, q: &api::RangeRequest) -> Result<api::RangeResponse, Fail> {
-    let (site, etcd) = (&asked.site, &asked.site.etcd);
+async fn range(context: &CallContext, request: &api::RangeRequest) -> Result<api::RangeResponse, GrpcError> {
+    let (site, etcd) = (&context.site, &context.site.etcd);
     let began = site.clock.now();
     // By a majority: one that is behind has to hear of all that was written before.
-    let newest = asked.store().revision();
-    while !q.serializable && asked.sees() < newest {
+    let newest = context.store().revision();
+    while !request.serializable && context.visible_revision() < newest {
         if site.clock.now() > began + NO_MAJORITY {
             return Err((code::UNAVAILABLE, "etcdserver: request timed out".into()));
         }
         smol::Timer::after(Duration::from_millis(5)).await;
     }
-    let sees = asked.sees();
+    let visible_revision = context.visible_revision();
     let (kvs, more, items) = {
-        let store = asked.store();
-        let revision = if q.revision > 0 { q.revision } else { sees };
-        let (items, more) =
-            store.range(&q.key, &q.range_end, revision, q.limit.max(0) as usize).map_err(fail)?;
-        let kvs: Vec<api::KeyValue> = items.iter().map(|i| asked.kv(i)).collect();
+        let store = context.store();
+        let revision = if request.revision > 0 { request.revision } else { visible_revision };
+        let (items, more) = store
+            .range(&request.key, &request.range_end, revision, request.limit.max(0) as usize)
+            .map_err(grpc_error)?;
+        let kvs: Vec<api::KeyValue> = items.iter().map(|i| context.kv(i)).collect();
         (kvs, more, items.into_iter().cloned().collect::<Vec<Item>>())
     };
     // Told from when it is written: what is missing in the whole of it is gone.
-    if q.key.as_ref() == PREFIX.as_bytes() && !more && asked.reaches() {
+    if request.key.as_ref() == PREFIX.as_bytes() && !more && context.can_reach_proxy() {
         // What is missing in an older state was not taken away: nobody has said so.
         let cluster = *lock(&etcd.cluster);
-        let another =
-            lock(&etcd.heard_of).insert(asked.proxy, cluster).is_some_and(|before| before != cluster);
-        for cache in 0..site.origin() {
-            if another && !items.iter().any(|i| i.key == key_of(site, cache)) {
+        let other_cluster =
+            lock(&etcd.known_cluster).insert(context.proxy, cluster).is_some_and(|before| before != cluster);
+        for server in 0..site.origin() {
+            if other_cluster && !items.iter().any(|i| i.key == key_of(site, server)) {
                 continue;
             }
-            let item = items.iter().find(|i| i.key == key_of(site, cache));
-            site.note_told(asked.proxy, cache, sees, item.and_then(|i| i.value.as_deref()));
+            let item = items.iter().find(|i| i.key == key_of(site, server));
+            site.record_notified(
+                context.proxy,
+                server,
+                visible_revision,
+                item.and_then(|i| i.value.as_deref()),
+            );
         }
     }
     let count = kvs.len() as i64;
-    Ok(api::RangeResponse { header: etcd.header(sees), kvs, more, count })
+    Ok(api::RangeResponse { header: etcd.header(visible_revision), kvs, more, count })
 }
 
-fn txn(asked: &Asked, q: api::TxnRequest, now: Micros) -> Result<api::TxnResponse, Fail> {
+fn txn(context: &CallContext, request: api::TxnRequest, now: Micros) -> Result<api::TxnResponse, GrpcError> {
     use api::compare::TargetUnion;
     use api::request_op::Request;
-    let etcd = &asked.site.etcd;
-    let mut store = asked.store();
+    let etcd = &context.site.etcd;
+    let mut store = context.store();
     let unknown = || (code::UNIMPLEMENTED, "only EQUAL, and puts and deletes".to_string());
     let mut succeeded = true;
-    for c in &q.compare {
-        let want = match c.target_union.clone().filter(|_| c.result() == api::compare::Result::Equal) {
-            Some(TargetUnion::Version(n)) => Want::Version(n),
-            Some(TargetUnion::CreateRevision(n)) => Want::Created(n),
-            Some(TargetUnion::ModRevision(n)) => Want::Modified(n),
-            Some(TargetUnion::Value(v)) => Want::Value(v.to_vec()),
+    for c in &request.compare {
+        let condition = match c.target_union.clone().filter(|_| c.result() == api::compare::Result::Equal) {
+            Some(TargetUnion::Version(n)) => Condition::Version(n),
+            Some(TargetUnion::CreateRevision(n)) => Condition::Created(n),
+            Some(TargetUnion::ModRevision(n)) => Condition::Modified(n),
+            Some(TargetUnion::Value(v)) => Condition::Value(v.to_vec()),
             _ => return Err(unknown()),
         };
-        succeeded &= store.holds(&c.key, &want);
+        succeeded &= store.satisfies(&c.key, &condition);
     }
     let mut writes = Vec::new();
-    for op in if succeeded { q.success } else { q.failure } {
+    for op in if succeeded { request.success } else { request.failure } {
         writes.push(match op.request {
             Some(Request::RequestPut(p)) => {
                 Write::Put { key: p.key.to_vec(), value: p.value.to_vec(), lease: p.lease }
@@ -514,7 +541,7 @@
             _ => return Err(unknown()),
         });
     }
-    let revision = store.write(now, &writes).map_err(fail)?;
+    let revision = store.write(now, &writes).map_err(grpc_error)?;
     let header = etcd.header(revision);
     let put = || api::response_op::Response::ResponsePut(api::PutResponse { header });
     let responses = writes.iter().map(|_| api::ResponseOp { response: Some(put()) }).collect();
@@ -522,74 +549,85 @@
 }
 
 /// One watch a call: what chalkwalk opens.
-async fn watch(asked: &Asked, questions: &mut Questions, reply: &mut Reply) -> Result<(), Fail> {
+async fn watch(
+    context: &CallContext,
+    requests: &mut RequestStream,
+    reply: &mut ResponseStream,
+) -> Result<(), GrpcError> {
     use api::watch_request::RequestUnion;
     let gone = || (code::UNAVAILABLE, "the watcher is gone".to_string());
     let create = loop {
-        match questions.next::<api::WatchRequest>().await.ok_or_else(gone)?.request_union {
+        match requests.next::<api::WatchRequest>().await.ok_or_else(gone)?.request_union {
             Some(RequestUnion::CreateRequest(create)) => break create,
             _ => continue,
         }
     };
-    let etcd = &asked.site.etcd;
-    let (tell, told): (Sender<()>, Receiver<()>) = bounded(1);
-    lock(&etcd.watchers).push(tell);
-    let said =
-        |created| api::WatchResponse { created, header: etcd.header(asked.sees()), ..Default::default() };
-    asked.unstalled().await;
-    reply.say(&said(true)).await.ok_or_else(gone)?;
-    if asked.store().compacted() < create.start_revision
-        && let Some(since) = lock(&etcd.without).remove(&asked.proxy)
+    let etcd = &context.site.etcd;
+    let (notify, notified): (Sender<()>, Receiver<()>) = bounded(1);
+    lock(&etcd.watchers).push(notify);
+    let response = |created| api::WatchResponse {
+        created,
+        header: etcd.header(context.visible_revision()),
+        ..Default::default()
+    };
+    context.wait_stalled().await;
+    reply.send(&response(true)).await.ok_or_else(gone)?;
+    if context.store().compacted() < create.start_revision
+        && let Some(since) = lock(&etcd.watch_lost_at).remove(&context.proxy)
     {
-        lock(&etcd.back).push(asked.site.clock.now().saturating_sub(since));
+        lock(&etcd.recovery_times).push(context.site.clock.now().saturating_sub(since));
     }
-    let mut next = if create.start_revision > 0 { create.start_revision } else { asked.sees() + 1 };
+    let mut next =
+        if create.start_revision > 0 { create.start_revision } else { context.visible_revision() + 1 };
     loop {
-        asked.unstalled().await;
-        let sees = asked.sees();
+        context.wait_stalled().await;
+        let visible_revision = context.visible_revision();
         let found = {
-            let store = asked.store();
+            let store = context.store();
             store
-                .changes(&create.key, &create.range_end, next, sees)
+                .changes(&create.key, &create.range_end, next, visible_revision)
                 .map(|items| items.into_iter().cloned().collect::<Vec<Item>>())
         };
         match found {
-            Err(Fault::Compacted(revision)) => {
-                let last = api::WatchResponse { canceled: true, compact_revision: revision, ..said(false) };
-                reply.say(&last).await.ok_or_else(gone)?;
+            Err(StoreError::Compacted(revision)) => {
+                let last =
+                    api::WatchResponse { canceled: true, compact_revision: revision, ..response(false) };
+                reply.send(&last).await.ok_or_else(gone)?;
                 return Ok(());
             }
-            Err(other) => return Err(fail(other)),
+            Err(other) => return Err(grpc_error(other)),
             Ok(items) => {
-                next = next.max(sees + 1);
-                send(asked, reply, &create, sees, &items).await.ok_or_else(gone)?;
+                next = next.max(visible_revision + 1);
+                send(context, reply, &create, visible_revision, &items).await.ok_or_else(gone)?;
             }
         }
         // A change, a question, or, where the endpoint is behind, time.
-        let behind = etcd.course.lag(asked.endpoint, asked.site.clock.now()) > 0;
+        let behind = etcd.timeline.lag(context.endpoint, context.site.clock.now()) > 0;
         let step = Duration::from_millis(if behind { 5 } else { 1000 });
         let changed = async {
-            smol::future::or(async { _ = told.recv().await }, async { _ = smol::Timer::after(step).await })
-                .await;
+            smol::future::or(async { _ = notified.recv().await }, async {
+                _ = smol::Timer::after(step).await
+            })
+            .await;
             Some(None)
         };
-        let question = async { questions.next::<api::WatchRequest>().await.map(Some) };
-        match smol::future::or(question, changed).await {
+        let request = async { requests.next::<api::WatchRequest>().await.map(Some) };
+        match smol::future::or(request, changed).await {
             None => return Ok(()),
             Some(None) => {}
-            Some(Some(question)) => match question.request_union {
+            Some(Some(request)) => match request.request_union {
                 Some(RequestUnion::CancelRequest(_)) => {
                     reply
-                        .say(&api::WatchResponse { canceled: true, ..said(false) })
+                        .send(&api::WatchResponse { canceled: true, ..response(false) })
                         .await
                         .ok_or_else(gone)?;
                     return Ok(());
                 }
-                Some(RequestUnion::ProgressRequest(_)) if asked.sees() < next => {
+                Some(RequestUnion::ProgressRequest(_)) if context.visible_revision() < next => {
                     let at = api::WatchResponse { header: etcd.header(next - 1), ..Default::default() };
                     // Behind, it can't say more than it sees.
-                    let at = if asked.sees() < next - 1 { said(false) } else { at };
-                    reply.say(&at).await.ok_or_else(gone)?;
+                    let at = if context.visible_revision() < next - 1 { response(false) } else { at };
+                    reply.send(&at).await.ok_or_else(gone)?;
                 }
                 _ => {}
             },
@@ -598,31 +636,31 @@
 }
 
 async fn send(
-    asked: &Asked,
-    reply: &mut Reply,
+    context: &CallContext,
+    reply: &mut ResponseStream,
     create: &api::WatchCreateRequest,
-    sees: i64,
+    visible_revision: i64,
     items: &[Item],
 ) -> Option<()> {
-    let site = &asked.site;
+    let site = &context.site;
     let most = if create.fragment { FRAGMENT } else { usize::MAX };
     let parts = items.len().div_ceil(most);
     for (i, part) in items.chunks(most.min(items.len().max(1))).enumerate() {
         let event = |item: &Item| api::Event {
             r#type: if item.value.is_some() { api::event::Kind::Put } else { api::event::Kind::Delete }
                 .into(),
-            kv: Some(asked.kv(item)),
+            kv: Some(context.kv(item)),
         };
         let answer = api::WatchResponse {
-            header: site.etcd.header(sees),
+            header: site.etcd.header(visible_revision),
             fragment: i + 1 < parts,
             events: part.iter().map(event).collect(),
             ..Default::default()
         };
-        reply.say(&answer).await?;
-        for item in part.iter().filter(|_| asked.reaches()) {
-            if let Some(cache) = site.cache_of(&item.key) {
-                site.note_told(asked.proxy, cache, item.modified, item.value.as_deref());
+        reply.send(&answer).await?;
+        for item in part.iter().filter(|_| context.can_reach_proxy()) {
+            if let Some(server) = site.server_of(&item.key) {
+                site.record_notified(context.proxy, server, item.modified, item.value.as_deref());
             }
         }
     }
--- a/crates/testbed/src/stand/mod.rs
+++ b/crates/testbed/src/stand/mod.rs
@@ -1,20 +1,20 @@
-//! The stand-ins on sockets: caches, the origin and the list, each at an address of its own for each proxy, so that who
-//! sent a shot is known without asking. The models decide what is said; what is here reads, waits and writes.
+//! The stand-ins on sockets: servers, the origin and the list, each at an address of its own for each proxy, so that who
+//! sent an attempt is known without asking. The models decide what is said; what is here reads, waits and writes.
 
-pub mod cache;
 pub mod etcd;
 pub mod file;
 pub mod list;
 pub mod resp;
+pub mod server;
 
 use crate::clock::{Clock, MILLI, Micros, micros};
-use crate::evidence::{Evidence, Id, What};
-use crate::experiment::{ETCD as FROM_ETCD, Experiment, Outage, RESP};
-use crate::model::cache::{CacheModel, Make, OriginModel};
+use crate::evidence::{EventKind, Evidence, Id};
+use crate::experiment::{Experiment, Outage, PROTOCOL_RESP, SOURCE_ETCD};
 use crate::model::cluster::Cluster;
-use crate::model::course::{Courses, Reach};
-use crate::model::etcd::{ENDPOINTS, EtcdCourse};
-use crate::model::listing::Listing;
+use crate::model::etcd::{ENDPOINTS, EtcdTimeline};
+use crate::model::server::{OriginModel, ServerModel, ServerSpec};
+use crate::model::server_list::ServerList;
+use crate::model::timeline::{Reachability, Timelines};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
@@ -33,16 +33,16 @@
 }
 
 const PORT: u16 = 3000;
-/// Addresses of one proxy's view: itself, its list, the origin, and caches from 10 on.
+/// Addresses of one proxy's view: itself, its list, the origin, and servers from 10 on.
 const PROXY: u8 = 1;
 const LIST: u8 = 2;
 const ORIGIN: u8 = 3;
 /// Where the list stands once it has moved.
-const MOVED: u8 = 4;
+const MOVED_LIST: u8 = 4;
 const ETCD: u8 = 5;
 /// Where a proxy listens for RESP.
-const DOOR: u8 = 8;
-const CACHES: u8 = 10;
+const RESP_LISTENER: u8 = 8;
+const SERVERS: u8 = 10;
 
 impl Net {
     /// A block of addresses that no other run on this machine has now: who holds its first address has it.
@@ -67,11 +67,11 @@
     }
 
     pub fn list(&self, proxy: usize, moved: bool) -> SocketAddr {
-        self.addr(proxy, if moved { MOVED } else { LIST })
+        self.addr(proxy, if moved { MOVED_LIST } else { LIST })
     }
 
     pub fn resp(&self, proxy: usize) -> SocketAddr {
-        self.addr(proxy, DOOR)
+        self.addr(proxy, RESP_LISTENER)
     }
 
     /// One of etcd's endpoints.
@@ -79,31 +79,31 @@
         self.addr(proxy, ETCD + endpoint as u8)
     }
 
-    /// The origin is the cache after the last.
-    pub fn cache(&self, proxy: usize, cache: usize, caches: usize) -> SocketAddr {
-        self.addr(proxy, if cache == caches { ORIGIN } else { CACHES + cache as u8 })
+    /// The origin is the server after the last.
+    pub fn server(&self, proxy: usize, server: usize, servers: usize) -> SocketAddr {
+        self.addr(proxy, if server == servers { ORIGIN } else { SERVERS + server as u8 })
     }
 }
 
 /// All that the stand-ins share.
 pub struct Site {
     pub experiment: Experiment,
-    pub courses: Courses,
+    pub timelines: Timelines,
     pub clock: Clock,
     pub evidence: Evidence,
     pub net: Net,
     pub etcd: etcd::Etcd,
     pub cluster: Cluster,
-    pub listing: Listing,
-    make: Make,
-    caches: Vec<Mutex<(usize, CacheModel)>>, // the life, and the process that lives it
-    connections: Vec<AtomicUsize>,           // to each cache, the origin last
+    pub server_list: ServerList,
+    spec: ServerSpec,
+    servers: Vec<Mutex<(usize, ServerModel)>>, // the life, and the process that lives it
+    connections: Vec<AtomicUsize>,             // to each server, the origin last
     origin: Mutex<OriginModel>,
-    /// Which caches missed for a lookup, until the origin has answered it.
+    /// Which servers missed for a request, until the origin has answered it.
     missed: Mutex<HashMap<Id, Vec<(usize, usize)>>>,
-    /// When the effect of a tagged lookup came about, by its tag and the group that drops repeats.
+    /// When the effect of a tagged request came about, by its tag and the group that drops repeats.
     tags: Mutex<HashMap<(Vec<u8>, u64), Micros>>,
-    list_free: Mutex<Micros>,     // from when on the list takes another call
+    list_free_at: Mutex<Micros>,  // from when on the list takes another call
     list_calls: Vec<AtomicUsize>, // that each proxy has made
     chance: Mutex<ChaCha8Rng>,
 }
@@ -116,39 +116,43 @@
 impl Site {
     pub fn new(experiment: Experiment, clock: Clock, net: Net) -> Arc<Site> {
         let world = &experiment.world;
-        let courses = Courses::of(&experiment);
-        let make = Make {
+        let timelines = Timelines::new(&experiment);
+        let spec = ServerSpec {
             cores: world.cores,
             queue: world.queue,
             values: world.values,
-            cold_share: world.cold_share,
-            cold_time: micros(world.cold_s),
-            fall_multiple: world.fall_multiple,
-            fall_time: micros(world.fall_s),
+            slow_start_share: world.slow_start_share,
+            slow_start: micros(world.slow_start_s),
+            collapse_multiple: world.collapse_multiple,
+            collapse_window: micros(world.collapse_window_s),
             // Servers that speak RESP hold what they are asked for.
-            through: world.mode == "through" || experiment.fleet.door == RESP,
+            through: world.mode == "through" || experiment.fleet.protocol == PROTOCOL_RESP,
         };
         let warm = |_| {
-            let mut model = CacheModel::new(make.clone(), 0);
-            let kept = ((experiment.load.keys as f64 * world.kept) as u64).min(world.values as u64);
-            (0..kept).rev().for_each(|key| model.keep(key));
+            let mut model = ServerModel::new(spec.clone(), 0);
+            let kept = ((experiment.load.keys as f64 * world.cached_share) as u64).min(world.values as u64);
+            (0..kept).rev().for_each(|key| model.store(key));
             Mutex::new((0, model))
         };
         Arc::new(Site {
-            listing: Listing::new(world.caches, courses.notices.clone()),
-            caches: (0..world.caches).map(warm).collect(),
-            connections: (0..=world.caches).map(|_| AtomicUsize::new(0)).collect(),
-            origin: Mutex::new(OriginModel::new(world.origin_places, world.origin_queue, world.origin_drag)),
+            server_list: ServerList::new(world.servers, timelines.updates.clone()),
+            servers: (0..world.servers).map(warm).collect(),
+            connections: (0..=world.servers).map(|_| AtomicUsize::new(0)).collect(),
+            origin: Mutex::new(OriginModel::new(
+                world.origin_slots,
+                world.origin_queue,
+                world.origin_contention,
+            )),
             missed: Mutex::default(),
             tags: Mutex::default(),
-            list_free: Mutex::default(),
+            list_free_at: Mutex::default(),
             list_calls: (0..experiment.fleet.proxies).map(|_| AtomicUsize::new(0)).collect(),
             chance: Mutex::new(ChaCha8Rng::seed_from_u64(experiment.seed)),
             evidence: Evidence::new(clock.clone()),
-            cluster: Cluster::of(&experiment),
-            etcd: etcd::Etcd::new(EtcdCourse::of(&experiment)),
-            make,
-            courses,
+            cluster: Cluster::new(&experiment),
+            etcd: etcd::Etcd::new(EtcdTimeline::new(&experiment)),
+            spec,
+            timelines,
             clock,
             net,
             experiment,
@@ -156,37 +160,37 @@
     }
 
     pub fn origin(&self) -> usize {
-        self.experiment.world.caches
+        self.experiment.world.servers
     }
 
     fn zones(&self) -> usize {
         self.experiment.world.zones.len()
     }
 
-    /// How a cache, or the origin or the list for what lies above them, stands to a proxy, and until when.
-    fn reach(&self, peer: usize, proxy: usize) -> (Reach, Micros) {
+    /// How a server, or the origin or the list for what lies above them, stands to a proxy, and until when.
+    fn reachability(&self, peer: usize, proxy: usize) -> (Reachability, Micros) {
         let (zone, now) = (proxy % self.zones(), self.clock.now());
         if let Some(endpoint) = self.endpoint(peer) {
-            let turn = self.etcd.course.next_turn(now);
-            if self.etcd.course.is_down(now) {
-                return (Reach::Refused, turn);
+            let turn = self.etcd.timeline.next_transition(now);
+            if self.etcd.timeline.is_down(now) {
+                return (Reachability::Refused, turn);
             }
-            let (reach, until) = self.courses.reach_zone(endpoint % self.zones(), zone, now);
-            return (reach, until.min(turn));
+            let (reachability, until) = self.timelines.zone_reachability(endpoint % self.zones(), zone, now);
+            return (reachability, until.min(turn));
         }
         if peer < self.origin() {
-            return self.courses.reach(peer, (peer % self.zones(), zone), now);
+            return self.timelines.reachability(peer, (peer % self.zones(), zone), now);
         }
-        let (reach, until) = self.courses.reach_first(zone, now);
+        let (reachability, until) = self.timelines.origin_reachability(zone, now);
         if peer == self.origin() {
-            return (reach, until);
+            return (reachability, until);
         }
         // The list has outages of its own in which nothing listens.
         let refuses = |(_, how): &&(Range<Micros>, Outage)| *how == Outage::Refuses;
-        let spans = self.courses.list_down.iter().filter(refuses).map(|(span, _)| span);
+        let spans = self.timelines.list_down.iter().filter(refuses).map(|(span, _)| span);
         let turn = spans.clone().flat_map(|span| [span.start, span.end]).filter(|at| *at > now).min();
         let down = spans.clone().any(|span| span.contains(&now));
-        (if down { Reach::Refused } else { reach }, until.min(turn.unwrap_or(Micros::MAX)))
+        (if down { Reachability::Refused } else { reachability }, until.min(turn.unwrap_or(Micros::MAX)))
     }
 
     /// Peers beyond the origin and the list's two addresses are endpoints of etcd.
@@ -194,22 +198,23 @@
         peer.checked_sub(self.origin() + 3)
     }
 
-    fn luck(&self) -> f64 {
+    fn draw_luck(&self) -> f64 {
         lock(&self.chance).random()
     }
 
     /// Binds every address that proxies are told, and serves on them.
     pub fn open(self: &Arc<Site>, ex: &Arc<Executor<'static>>) -> io::Result<()> {
         for proxy in 0..self.experiment.fleet.proxies {
-            let from_etcd = self.experiment.fleet.source == FROM_ETCD;
+            let from_etcd = self.experiment.fleet.source == SOURCE_ETCD;
             for peer in 0..=self.origin() + 2 + if from_etcd { ENDPOINTS } else { 0 } {
                 let addr = match (self.endpoint(peer), peer.checked_sub(self.origin() + 1)) {
                     (Some(endpoint), _) => self.net.etcd(proxy, endpoint),
                     (None, Some(moved)) => self.net.list(proxy, moved == 1),
-                    (None, None) => self.net.cache(proxy, peer, self.origin()),
+                    (None, None) => self.net.server(proxy, peer, self.origin()),
                 };
                 let listener = listen(addr)?;
-                ex.spawn(door(self.clone(), Arc::downgrade(ex), (peer, proxy), addr, listener)).detach();
+                ex.spawn(run_listener(self.clone(), Arc::downgrade(ex), (peer, proxy), addr, listener))
+                    .detach();
             }
         }
         Ok(())
@@ -224,15 +229,15 @@
 }
 
 /// Comes to an end when a stretch does.
-async fn over(clock: &Clock, until: Micros) {
+async fn sleep_until_or_forever(clock: &Clock, until: Micros) {
     match until {
         Micros::MAX => std::future::pending().await,
-        until => clock.reach(until).await,
+        until => clock.sleep_until(until).await,
     }
 }
 
 /// Accepts while the peer is up; refuses while its process is gone; and lets nothing come up while it is silent.
-async fn door(
+async fn run_listener(
     site: Arc<Site>,
     // Weak, or the executor would hold itself by its own tasks.
     ex: Weak<Executor<'static>>,
@@ -242,10 +247,10 @@
 ) {
     let mut open = Some(listener);
     loop {
-        let (reach, until) = site.reach(peer, proxy);
-        if reach == Reach::Refused {
+        let (reachability, until) = site.reachability(peer, proxy);
+        if reachability == Reachability::Refused {
             open = None;
-            over(&site.clock, until).await;
+            sleep_until_or_forever(&site.clock, until).await;
             continue;
         }
         let listener = match open.take().map_or_else(|| listen(addr), Ok) {
@@ -256,9 +261,9 @@
                 continue;
             }
         };
-        if reach == Reach::Silent {
-            let filling = fill(&listener, addr);
-            over(&site.clock, until).await;
+        if reachability == Reachability::Silent {
+            let filling = fill_backlog(&listener, addr);
+            sleep_until_or_forever(&site.clock, until).await;
             drop(filling);
             // What came meanwhile is reset: the machine knows nothing of it.
             while let Ok((stream, _)) = listener.get_ref().accept() {
@@ -288,14 +293,14 @@
                 }
             }
         };
-        smol::future::or(accepting, over(&site.clock, until)).await;
+        smol::future::or(accepting, sleep_until_or_forever(&site.clock, until)).await;
         open = Some(listener);
     }
 }
 
 /// A listen queue of no length, filled: from then on the kernel drops what would open a connection, as a machine that is
 /// gone does. (Linux lets one connection into a queue of no length.)
-fn fill(listener: &Async<TcpListener>, addr: SocketAddr) -> Vec<socket2::Socket> {
+fn fill_backlog(listener: &Async<TcpListener>, addr: SocketAddr) -> Vec<socket2::Socket> {
     _ = socket2::SockRef::from(listener.get_ref()).listen(0);
     let connect = |_| {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).ok()?;
@@ -308,49 +313,51 @@
 
 /// One connection, until it ends or the stretch does in which the peer is up.
 async fn serve(site: Arc<Site>, (peer, proxy): (usize, usize), stream: Async<TcpStream>, until: Micros) {
-    let mut conn = crate::wire::Conn::new(stream);
+    let mut conn = crate::wire::Connection::new(stream);
     let served = async {
         if peer > site.origin() {
             list::calls(&site, proxy, &mut conn).await;
-        } else if site.experiment.fleet.door == RESP {
-            resp::shots(&site, peer, proxy, &mut conn).await;
+        } else if site.experiment.fleet.protocol == PROTOCOL_RESP {
+            resp::serve_attempts(&site, peer, proxy, &mut conn).await;
         } else {
-            cache::shots(&site, peer, proxy, &mut conn).await;
+            server::serve_attempts(&site, peer, proxy, &mut conn).await;
         }
         false
     };
     let gone = async {
-        over(&site.clock, until).await;
+        sleep_until_or_forever(&site.clock, until).await;
         true
     };
     if !smol::future::or(served, gone).await {
         return;
     }
-    // Open and silent, until whoever was away is back and knows nothing of it. A shot that is open ends with the connection,
+    // Open and silent, until whoever was away is back and knows nothing of it. An attempt that is open ends with the connection,
     // whichever side ends it.
     let cut = |id: Option<Id>| {
-        id.into_iter().for_each(|id| site.evidence.note(id, proxy, What::Cut { cache: peer as u16 }));
+        id.into_iter().for_each(|id| {
+            site.evidence.record(id, proxy, EventKind::AttemptAborted { server: peer as u16 })
+        });
     };
     loop {
-        match site.reach(peer, proxy) {
-            (Reach::Silent, until) => {
+        match site.reachability(peer, proxy) {
+            (Reachability::Silent, until) => {
                 let closed = async {
-                    match conn.open {
-                        Some(_) => conn.closed().await,
+                    match conn.open_attempt {
+                        Some(_) => conn.wait_closed().await,
                         None => std::future::pending().await,
                     }
                     true
                 };
                 let returned = async {
-                    over(&site.clock, until).await;
+                    sleep_until_or_forever(&site.clock, until).await;
                     false
                 };
                 if smol::future::or(closed, returned).await {
-                    cut(conn.open.take());
+                    cut(conn.open_attempt.take());
                 }
             }
             _ => {
-                cut(conn.open.take());
+                cut(conn.open_attempt.take());
                 return conn.reset();
             }
         }
@@ -366,7 +373,7 @@
 ) {
     let mut serving = std::pin::pin!(serving);
     let gone = async {
-        over(&site.clock, until).await;
+        sleep_until_or_forever(&site.clock, until).await;
         true
     };
     let served = async {
@@ -377,36 +384,36 @@
         return;
     }
     // Not played on, it is silent; it is reset by the end of this.
-    while let (Reach::Silent, until) = site.reach(peer, proxy) {
-        over(&site.clock, until).await;
+    while let (Reachability::Silent, until) = site.reachability(peer, proxy) {
+        sleep_until_or_forever(&site.clock, until).await;
     }
 }
 
 /// One of the connections that a peer holds.
-struct Counted<'a> {
+struct ConnectionCount<'a> {
     of: &'a AtomicUsize,
     /// So many there were before it.
     before: usize,
 }
 
-impl Counted<'_> {
-    fn new(of: &AtomicUsize) -> Counted<'_> {
-        Counted { of, before: of.fetch_add(1, Ordering::Relaxed) }
+impl ConnectionCount<'_> {
+    fn new(of: &AtomicUsize) -> ConnectionCount<'_> {
+        ConnectionCount { of, before: of.fetch_add(1, Ordering::Relaxed) }
     }
 }
 
-impl Drop for Counted<'_> {
+impl Drop for ConnectionCount<'_> {
     fn drop(&mut self) {
         self.of.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// Half of what clients of a busy house wait for: work differs that much from lookup to lookup.
+/// Half of what clients of a busy house wait for: work differs that much from request to request.
 const SPREAD: f64 = 0.5;
 
 impl Site {
-    /// The work of a lookup, spread evenly about its namespace's mean.
-    fn work_of(&self, mean_ms: f64) -> Micros {
-        (mean_ms * MILLI as f64 * (1.0 - SPREAD + 2.0 * SPREAD * self.luck())) as Micros
+    /// The work of a request, spread evenly about its request class's mean.
+    fn draw_work(&self, mean_ms: f64) -> Micros {
+        (mean_ms * MILLI as f64 * (1.0 - SPREAD + 2.0 * SPREAD * self.draw_luck())) as Micros
     }
 }
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -8,17 +8,17 @@
 use std::ops::Range;
 
 /// Longer messages are refused: no experiment has longer values.
-const LONGEST: usize = 4 << 20;
-const MOST_FIELDS: usize = 48;
+const MAX_MESSAGE: usize = 4 << 20;
+const MAX_FIELDS: usize = 48;
 
 #[derive(Debug)]
-pub enum Fault {
+pub enum ReadError {
     /// The connection ended between two messages.
-    Ended,
+    Closed,
     /// It ended, or broke, within one.
-    Broken,
+    Truncated,
     /// What came is no message.
-    Nonsense,
+    Malformed,
 }
 
 /// One message, and where its parts stand in it.
@@ -34,21 +34,21 @@
 }
 
 impl Message {
-    fn word(&self, at: &Range<usize>) -> &str {
+    fn text(&self, at: &Range<usize>) -> &str {
         std::str::from_utf8(&self.bytes[at.clone()]).unwrap_or("")
     }
 
     pub fn method(&self) -> &str {
-        self.word(&self.method)
+        self.text(&self.method)
     }
 
     pub fn target(&self) -> &str {
-        self.word(&self.target)
+        self.text(&self.target)
     }
 
     pub fn field(&self, name: &str) -> Option<&str> {
-        let named = |(n, _): &&(Range<usize>, Range<usize>)| self.word(n).eq_ignore_ascii_case(name);
-        self.fields.iter().find(named).map(|(_, value)| self.word(value).trim())
+        let named = |(n, _): &&(Range<usize>, Range<usize>)| self.text(n).eq_ignore_ascii_case(name);
+        self.fields.iter().find(named).map(|(_, value)| self.text(value).trim())
     }
 
     pub fn body(&self) -> &[u8] {
@@ -56,41 +56,41 @@
     }
 }
 
-fn place(buf: &[u8], part: &[u8]) -> Range<usize> {
+fn range_of(buf: &[u8], part: &[u8]) -> Range<usize> {
     let start = (part.as_ptr() as usize).wrapping_sub(buf.as_ptr() as usize);
     if part.is_empty() { 0..0 } else { start..start + part.len() }
 }
 
 /// The head at the start of the buffer, its length, and that of the body.
-fn head(buf: &[u8], question: bool) -> Result<Option<(Message, usize, usize)>, Fault> {
-    let mut lines = [httparse::EMPTY_HEADER; MOST_FIELDS];
+fn head(buf: &[u8], is_request: bool) -> Result<Option<(Message, usize, usize)>, ReadError> {
+    let mut lines = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut message = Message::default();
-    let parsed = if question {
-        let mut q = httparse::Request::new(&mut lines);
-        let parsed = q.parse(buf);
-        message.method = place(buf, q.method.unwrap_or("").as_bytes());
-        message.target = place(buf, q.path.unwrap_or("").as_bytes());
+    let parsed = if is_request {
+        let mut request = httparse::Request::new(&mut lines);
+        let parsed = request.parse(buf);
+        message.method = range_of(buf, request.method.unwrap_or("").as_bytes());
+        message.target = range_of(buf, request.path.unwrap_or("").as_bytes());
         parsed
     } else {
-        let mut a = httparse::Response::new(&mut lines);
-        let parsed = a.parse(buf);
-        message.status = a.code.unwrap_or(0);
+        let mut response = httparse::Response::new(&mut lines);
+        let parsed = response.parse(buf);
+        message.status = response.code.unwrap_or(0);
         parsed
     };
     let len = match parsed {
         Ok(httparse::Status::Complete(len)) => len,
         Ok(httparse::Status::Partial) if buf.len() < 64 << 10 => return Ok(None),
-        _ => return Err(Fault::Nonsense),
+        _ => return Err(ReadError::Malformed),
     };
-    let said = lines.iter().take_while(|l| !l.name.is_empty());
-    message.fields = said.map(|l| (place(buf, l.name.as_bytes()), place(buf, l.value))).collect();
+    let headers = lines.iter().take_while(|l| !l.name.is_empty());
+    message.fields = headers.map(|l| (range_of(buf, l.name.as_bytes()), range_of(buf, l.value))).collect();
     let mut length = 0;
     for line in lines.iter().take_while(|l| !l.name.is_empty()) {
         if line.name.eq_ignore_ascii_case("Content-Length") {
-            let said = std::str::from_utf8(line.value).ok().and_then(|v| v.trim().parse().ok());
-            length = said.filter(|n| *n <= LONGEST).ok_or(Fault::Nonsense)?;
+            let headers = std::str::from_utf8(line.value).ok().and_then(|v| v.trim().parse().ok());
+            length = headers.filter(|n| *n <= MAX_MESSAGE).ok_or(ReadError::Malformed)?;
         } else if line.name.eq_ignore_ascii_case("Transfer-Encoding") {
-            return Err(Fault::Nonsense);
+            return Err(ReadError::Malformed);
         } else if line.name.eq_ignore_ascii_case("Connection") {
             message.close = line.value.eq_ignore_ascii_case(b"close");
         }
@@ -99,26 +99,26 @@
 }
 
 /// A connection and what was read from it ahead.
-pub struct Conn {
+pub struct Connection {
     pub stream: Async<TcpStream>,
-    pub ahead: Vec<u8>,
-    /// The lookup whose shot is open on it.
-    pub open: Option<Id>,
+    pub buffered: Vec<u8>,
+    /// The request whose attempt is open on it.
+    pub open_attempt: Option<Id>,
 }
 
-impl Conn {
-    pub fn new(stream: Async<TcpStream>) -> Conn {
+impl Connection {
+    pub fn new(stream: Async<TcpStream>) -> Connection {
         _ = stream.get_ref().set_nodelay(true);
-        Conn { stream, ahead: Vec::new(), open: None }
+        Connection { stream, buffered: Vec::new(), open_attempt: None }
     }
 
     /// Reads some more; `Ok(0)` is the end. Dropped while it waits, it has read nothing.
-    pub async fn more(&mut self) -> io::Result<usize> {
+    pub async fn fill(&mut self) -> io::Result<usize> {
         loop {
-            let old = self.ahead.len();
-            self.ahead.resize(old + 4096.max(old), 0);
-            let got = self.stream.get_ref().read(&mut self.ahead[old..]);
-            self.ahead.truncate(old + got.as_ref().copied().unwrap_or(0));
+            let old = self.buffered.len();
+            self.buffered.resize(old + 4096.max(old), 0);
+            let got = self.stream.get_ref().read(&mut self.buffered[old..]);
+            self.buffered.truncate(old + got.as_ref().copied().unwrap_or(0));
             match got {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => self.stream.readable().await?,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -127,33 +127,33 @@
         }
     }
 
-    async fn message(&mut self, question: bool) -> Result<Message, Fault> {
+    async fn message(&mut self, is_request: bool) -> Result<Message, ReadError> {
         loop {
-            if !self.ahead.is_empty()
-                && let Some((mut message, len, length)) = head(&self.ahead, question)?
-                && self.ahead.len() >= len + length
+            if !self.buffered.is_empty()
+                && let Some((mut message, len, length)) = head(&self.buffered, is_request)?
+                && self.buffered.len() >= len + length
             {
-                let rest = self.ahead.split_off(len + length);
-                message.bytes = std::mem::replace(&mut self.ahead, rest);
+                let rest = self.buffered.split_off(len + length);
+                message.bytes = std::mem::replace(&mut self.buffered, rest);
                 message.body = len..len + length;
-                if !question && (100..200).contains(&message.status) {
+                if !is_request && (100..200).contains(&message.status) {
                     continue;
                 }
                 return Ok(message);
             }
-            let begun = !self.ahead.is_empty();
-            if !matches!(self.more().await, Ok(1..)) {
-                return Err(if begun { Fault::Broken } else { Fault::Ended });
+            let partial = !self.buffered.is_empty();
+            if !matches!(self.fill().await, Ok(1..)) {
+                return Err(if partial { ReadError::Truncated } else { ReadError::Closed });
             }
         }
     }
 
-    pub async fn question(&mut self) -> Result<Message, Fault> {
+    pub async fn read_request(&mut self) -> Result<Message, ReadError> {
         self.message(true).await
     }
 
     /// The next answer; interim ones are passed over.
-    pub async fn answer(&mut self) -> Result<Message, Fault> {
+    pub async fn read_response(&mut self) -> Result<Message, ReadError> {
         self.message(false).await
     }
 
@@ -180,9 +180,9 @@
     }
 
     /// Whether nothing has come that should not have, its end included.
-    pub fn quiet(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         let nothing = |e: &io::Error| e.kind() == io::ErrorKind::WouldBlock;
-        self.ahead.is_empty() && self.stream.get_ref().peek(&mut [0]).is_err_and(|e| nothing(&e))
+        self.buffered.is_empty() && self.stream.get_ref().peek(&mut [0]).is_err_and(|e| nothing(&e))
     }
 
     /// Ends it with a reset, whatever is still to be read or written.
@@ -199,10 +199,10 @@
         }
     }
 
-    /// Comes to an end when the other side ends the connection; what it sends meanwhile stays in `ahead`.
-    pub async fn closed(&mut self) {
-        while matches!(self.more().await, Ok(1..)) {
-            if self.ahead.len() > LONGEST {
+    /// Comes to an end when the other side ends the connection; what it sends meanwhile stays in `buffered`.
+    pub async fn wait_closed(&mut self) {
+        while matches!(self.fill().await, Ok(1..)) {
+            if self.buffered.len() > MAX_MESSAGE {
                 return;
             }
         }
@@ -210,7 +210,7 @@
 }
 
 /// An answer's head; `extra` lines end with a line break each.
-pub fn answer_head(status: u16, length: usize, extra: &str) -> String {
+pub fn response_head(status: u16, length: usize, extra: &str) -> String {
     let reason = match status {
         200 => "OK",
         400 => "Bad Request",
--- a/crates/testbed/tests/judge.rs
+++ b/crates/testbed/tests/judge.rs
@@ -1,20 +1,20 @@
-//! The judge sees what it has to: proxies of the lab's own break one rule each, and each breach is found by name.
+//! The judge sees what it has to: proxies of the testbed's own break one rule each, and each breach is found by name.
 
 use expect_test::expect;
 use std::process::Command;
 
-const LAB: &str = env!("CARGO_BIN_EXE_chalkwalk-testbed");
+const TESTBED: &str = env!("CARGO_BIN_EXE_chalkwalk-testbed");
 
-/// The rules that a proxy was found to break, and whether the lab says by its exit that all is well.
+/// The rules that a proxy was found to break, and whether the testbed says by its exit that all is well.
 fn broken(experiment: &str, proxy: &str) -> String {
     let name = proxy.replace([' ', '-'], "_");
     let json = format!("{}/{}_{name}.json", env!("CARGO_TARGET_TMPDIR"), std::process::id());
     let file = format!("{}/tests/files/{experiment}.toml", env!("CARGO_MANIFEST_DIR"));
-    let command = format!("'{LAB}' proxy {proxy}");
-    let out = Command::new(LAB)
+    let command = format!("'{TESTBED}' proxy {proxy}");
+    let out = Command::new(TESTBED)
         .args(["run", &file, "--proxy", &command, "--json", &json])
         .output()
-        .unwrap_or_else(|e| panic!("{LAB}: {e}"));
+        .unwrap_or_else(|e| panic!("{TESTBED}: {e}"));
     let said = std::fs::read_to_string(&json)
         .unwrap_or_else(|e| panic!("{e}: {}", String::from_utf8_lossy(&out.stderr)));
     let figures: serde_json::Value = serde_json::from_str(&said).expect("the figures are JSON");
@@ -96,7 +96,7 @@
     let file = format!("{}/{}_bad.toml", env!("CARGO_TARGET_TMPDIR"), std::process::id());
     let check = |text: &str| {
         std::fs::write(&file, text).expect("a file");
-        let out = Command::new(LAB).args(["check", &file]).output().expect("the lab");
+        let out = Command::new(TESTBED).args(["check", &file]).output().expect("the lab");
         format!("{}\n{}", out.status, String::from_utf8_lossy(&out.stderr).replace(&file, "FILE"))
     };
     let odd = "title = 'x'\nseconds = 3\nwhatever = 1\n";
