--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -525,18 +525,3 @@
     let memory = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
     Some((ticks * SECOND / TICKS_PER_SECOND, memory.split_whitespace().next()?.parse().ok()?))
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_wave_is_a_action_for_each_and_kills_an_even_part() {
-        let text = "title='t'\nseconds=40\n[fleet]\nproxies=10\n[load]\nrate=1\n[[namespace]]\nname='a'\ntarget_ms=9\n\
-                    limit_ms=10\nwork_ms=1\n[[trouble]]\nkind='restart-wave'\nat=2\nevery=1.5\ndown=0.1\nkilled=0.3";
-        let proxy_actions = proxy_actions(&Experiment::read(text).unwrap());
-        let killed: Vec<_> =
-            proxy_actions.iter().filter(|d| d.kind == FaultKind::ProxyKill).map(|d| d.proxy).collect();
-        assert_eq!((proxy_actions.len(), proxy_actions[9].at, killed), (10, 15_500_000, vec![3, 6, 9]));
-    }
-}
--- a/crates/testbed/src/model/etcd.rs
+++ b/crates/testbed/src/model/etcd.rs
@@ -84,29 +84,3 @@
 
 /// Calls that need a majority fail after so long where there is none, as the server's own time-out does.
 pub const NO_MAJORITY: Micros = 2 * SECOND;
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_befalls_etcd_is_known_ahead() {
-        let text = "title='t'\nseconds=40\n[fleet]\nsource='etcd'\n[load]\nrate=1\n[[namespace]]\nname='a'\ntarget_ms=9\n\
-            limit_ms=10\nwork_ms=1\n[[trouble]]\nkind='etcd-down'\nat=2\nfor=3\n[[trouble]]\nkind='etcd-behind'\nat=1\nfor=9\n\
-            by=0.5\n[[trouble]]\nkind='etcd-restore'\nat=20\nby=4\n[[trouble]]\nkind='etcd-compact'\nat=3";
-        let all = EtcdTimeline::new(&Experiment::read(text).unwrap());
-        assert_eq!((all.is_down(3 * SECOND), all.is_down(5 * SECOND)), (true, false));
-        assert_eq!(
-            (all.lag(2, 2 * SECOND), all.lag(1, 2 * SECOND), all.lag(2, 11 * SECOND)),
-            (500_000, 0, 0)
-        );
-        assert_eq!(
-            [0, 2, 20].map(|s| all.next_break(s * SECOND)),
-            [Some(2 * SECOND), Some(20 * SECOND), None]
-        );
-        assert_eq!(
-            all.actions,
-            [(3 * SECOND, StoreAction::Compact), (20 * SECOND, StoreAction::Restore(4 * SECOND))]
-        );
-    }
-}
--- a/crates/testbed/src/model/server_list.rs
+++ b/crates/testbed/src/model/server_list.rs
@@ -53,28 +53,3 @@
         self.updates.get((version.max(FIRST_VERSION) - FIRST_VERSION) as usize).map(|n| n.published)
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::model::timeline::{DELETED, DRAINING};
-
-    #[test]
-    fn the_whole_list_and_its_changes_tell_the_same() {
-        let update = |published, server, state, started| ListUpdate { published, server, state, started };
-        let updates = vec![update(5, 0, DRAINING, 0), update(7, 0, DELETED, 0), update(9, 0, SERVING, 8)];
-        let list = ServerList::new(1, updates);
-        let states = |entries: Vec<ListedServer>| {
-            entries.iter().map(|l| (l.server, l.state, l.started)).collect::<Vec<_>>()
-        };
-        assert_eq!([4, 5, 8, 9].map(|at| list.version(at)), [1, 2, 3, 4]);
-        assert_eq!(states(list.snapshot(1)), [(0, SERVING, 0), (1, SERVING, 0)]);
-        assert_eq!(states(list.snapshot(3)), [(1, SERVING, 0)]);
-        assert_eq!(states(list.snapshot(4)), [(0, SERVING, 8), (1, SERVING, 0)]);
-        assert_eq!(states(list.changes_since(2, 4)), [(0, DELETED, 0), (0, SERVING, 8)]);
-        assert_eq!(
-            (list.next_change(1), list.next_change(4), list.changes_since(9, 4).len()),
-            (Some(5), None, 0)
-        );
-    }
-}
--- a/crates/testbed/src/stand/server.rs
+++ b/crates/testbed/src/stand/server.rs
@@ -315,20 +315,3 @@
     };
     checked.is_ok()
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_body_is_for_one_request_and_whole_or_it_is_for_none() {
-        let made = body(0xabc, 7, 3, 100);
-        assert_eq!(made.len(), 100);
-        let mut cut = made.clone();
-        cut.truncate(60);
-        let mut changed = made.clone();
-        changed[50] = b'x';
-        let seen = [is_for(&made, 0xabc), is_for(&made, 0xabd), is_for(&cut, 0xabc), is_for(&changed, 0xabc)];
-        assert_eq!((seen, is_for(b"", 0)), ([true, false, false, false], false));
-    }
-}
--- /dev/null
+++ b/crates/testbed/tests/models/store.rs
@@ -0,0 +1,55 @@
+use chalkwalk_testbed::clock::SECOND;
+use chalkwalk_testbed::model::store::{Condition, Item, Store, StoreError, Write};
+
+fn put(key: &str, value: &str, lease: i64) -> Write {
+    Write::Put { key: key.into(), value: value.into(), lease }
+}
+
+fn names(items: Vec<&Item>) -> Vec<String> {
+    let word = |i: &Item| {
+        let value = i.value.as_ref().map_or("-".into(), |v| String::from_utf8_lossy(v).to_string());
+        format!("{}={value}@{}", String::from_utf8_lossy(&i.key), i.modified)
+    };
+    items.into_iter().map(word).collect()
+}
+
+#[test]
+fn states_and_changes_are_readable_until_their_revision_is_compacted() {
+    let mut s = Store::default();
+    s.write(10, &[put("a", "1", 0), put("b", "1", 0)]).unwrap();
+    s.write(20, &[put("a", "2", 0)]).unwrap();
+    s.write(30, &[Write::Delete { key: b"a".to_vec(), end: b"z".to_vec() }, put("c", "1", 0)]).unwrap();
+    assert_eq!(s.write(40, &[Write::Delete { key: b"x".to_vec(), end: vec![] }]), Ok(4));
+    assert_eq!(names(s.range(b"a", b"z", 3, 0).unwrap().0), ["a=2@3", "b=1@2"]);
+    assert_eq!(s.range(b"a", b"z", 2, 1).map(|(i, more)| (names(i), more)), Ok((vec!["a=1@2".into()], true)));
+    assert_eq!(names(s.range(b"a", &[0], 0, 0).unwrap().0), ["c=1@4"]);
+    assert_eq!(names(s.changes(b"a", b"z", 3, 4).unwrap()), ["a=2@3", "a=-@4", "b=-@4", "c=1@4"]);
+    assert_eq!(s.range(b"a", &[], 9, 0), Err(StoreError::FutureRevision));
+    assert_eq!(s.compact(3), Ok(()));
+    assert_eq!(s.changes(b"a", b"z", 3, 4), Err(StoreError::Compacted(3)));
+    assert_eq!(s.range(b"a", b"z", 2, 0), Err(StoreError::Compacted(3)));
+    assert!(s.changes(b"a", b"z", 4, 4).is_ok() && s.range(b"a", b"z", 3, 0).is_ok());
+    assert!(s.satisfies(b"c", &Condition::Version(1)) && s.satisfies(b"a", &Condition::Created(0)));
+    s.restore(25);
+    assert_eq!(
+        (s.revision(), names(s.range(b"a", b"z", 0, 0).unwrap().0)),
+        (3, vec!["a=2@3".into(), "b=1@2".into()])
+    );
+}
+
+#[test]
+fn an_expired_lease_deletes_its_keys_unless_it_is_kept_alive() {
+    let mut s = Store::default();
+    let (id, ttl) = s.grant(0, 10);
+    s.write(0, &[put("a", "1", id), put("b", "1", id)]).unwrap();
+    assert_eq!((ttl, s.keep_alive(5 * SECOND, id), s.next_expiry()), (10, 10, Some(15 * SECOND)));
+    // Written again without it: the lease has no more part in it.
+    s.write(6 * SECOND, &[put("b", "2", 0)]).unwrap();
+    s.expire(15 * SECOND);
+    assert_eq!(names(s.range(b"a", b"z", 0, 0).unwrap().0), ["b=2@3"]);
+    assert_eq!(
+        (s.keep_alive(15 * SECOND, id), s.write(0, &[put("c", "1", id)])),
+        (0, Err(StoreError::LeaseNotFound))
+    );
+    assert_eq!(s.revoke(0, id), Err(StoreError::LeaseNotFound));
+}
