--- /dev/null
+++ b/crates/testbed/src/cli/processes.rs
@@ -0,0 +1,41 @@
+//! Commands that become, or are, a proxy: the supervised start, and the baselines.
+
+use super::arguments::expect_no_more;
+use super::error::CliError;
+use chalkwalk_testbed::baseline::{self, BrokenRule, Strategy};
+use pico_args::Arguments;
+use rustix::process::{Signal, getppid, set_parent_process_death_signal};
+use std::os::unix::process::CommandExt;
+use std::process::{Command, ExitCode};
+
+/// `keep`: becomes another program that the system ends with this one's parent.
+pub fn keep(args: Arguments) -> Result<ExitCode, CliError> {
+    let parent = getppid();
+    set_parent_process_death_signal(Some(Signal::KILL)).map_err(CliError::Keep)?;
+    if getppid() != parent {
+        return Err(CliError::usage("the parent is gone already"));
+    }
+    let command = args.finish();
+    let (program, rest) = command.split_first().ok_or(CliError::usage("keep takes a command"))?;
+    Err(CliError::Exec(Command::new(program).args(rest).exec()))
+}
+
+/// `proxy`: a proxy to measure beside.
+pub fn proxy(mut args: Arguments) -> Result<ExitCode, CliError> {
+    let broken: Option<String> = args.opt_value_from_str("--break")?;
+    let strategy: String =
+        args.free_from_str().map_err(|_| CliError::usage("proxy takes relay, random or ring"))?;
+    expect_no_more(args)?;
+    let strategy = Strategy::named(&strategy)
+        .ok_or_else(|| CliError::usage(format!("no proxy {strategy}: there are relay, random and ring")))?;
+    let broken = match broken {
+        None => BrokenRule::Nothing,
+        Some(rule) => BrokenRule::named(&rule).ok_or_else(|| {
+            let known = "lose, twice, resend, drained, swap or hold";
+            CliError::usage(format!("no rule {rule} to break: {known}"))
+        })?,
+    };
+    let config = std::env::var("ROUTER_CONFIG").map_err(|_| CliError::usage("ROUTER_CONFIG is not set"))?;
+    baseline::run(strategy, broken, &config)?;
+    Ok(ExitCode::SUCCESS)
+}
--- /dev/null
+++ b/crates/testbed/src/fleet/config.rs
@@ -0,0 +1,156 @@
+//! What a proxy gets at its start: the platform's configuration, and its operator's file.
+
+use super::Fleet;
+use crate::experiment::{ListSource, Protocol, Repeats, RequestClass};
+use crate::model::etcd::ENDPOINTS;
+use crate::model::server_list::FIRST_VERSION;
+use crate::stand::Site;
+use crate::stand::etcd::PREFIX;
+use serde_json::{Value, json};
+use std::path::Path;
+
+/// Servers that a proxy is given to ask for the slot map.
+const SEEDS: usize = 3;
+
+fn nanoseconds(ms: f64) -> u64 {
+    (ms * 1e6) as u64
+}
+
+/// Names as a list in TOML.
+fn quoted(names: impl Iterator<Item = String>) -> String {
+    let names: Vec<String> = names.map(|name| format!("\"{name}\"")).collect();
+    names.join(", ")
+}
+
+/// As the platform's settings have it.
+fn idempotency(repeats: Repeats) -> &'static str {
+    match repeats {
+        Repeats::Replayable => "free",
+        Repeats::Tagged => "guarded",
+        Repeats::SingleUse => "single_shot",
+    }
+}
+
+fn class_settings(class: &RequestClass) -> Value {
+    json!({
+        "name": class.name,
+        "idempotency": idempotency(class.repeats()),
+        "group": class.dedup_group().name(),
+        "dedupWindowNs": nanoseconds(class.window_ms),
+        "targetTimeNs": nanoseconds(class.target_ms),
+        "timeLimitNs": nanoseconds(class.limit_ms),
+        "utility": 1.0,
+        "overdueUtility": 0.0,
+    })
+}
+
+/// The table of the RESP frontend, where clients speak that.
+fn resp_table(site: &Site, proxy: usize) -> String {
+    let experiment = &site.experiment;
+    if experiment.fleet.protocol() != Protocol::Resp {
+        return String::new();
+    }
+    let servers = 0..site.origin().min(SEEDS);
+    let seeds = servers.map(|server| site.net.server(proxy, server, site.origin()).to_string());
+    let stale_reads = experiment.classes.iter().filter(|class| class.stale_reads);
+    let mut table = format!(
+        "[resp]\nlisten = \"{}\"\nseeds = [{}]\nnamespace = \"{}\"\nstale_reads = [{}]\n",
+        site.net.resp(proxy),
+        quoted(seeds),
+        experiment.classes[0].name,
+        quoted(stale_reads.map(|class| class.name.clone()))
+    );
+    for class in &experiment.classes {
+        table += &format!("[[resp.prefix]]\nprefix = \"{0}:\"\nnamespace = \"{0}\"\n", class.name);
+    }
+    table
+}
+
+/// The table of the list's source, where it is not the platform.
+fn membership_table(site: &Site, proxy: usize, list: &Path) -> String {
+    let fleet = &site.experiment.fleet;
+    match fleet.list_source() {
+        ListSource::Platform => String::new(),
+        ListSource::Etcd => {
+            let endpoints = (0..ENDPOINTS).map(|endpoint| site.net.etcd(proxy, endpoint).to_string());
+            format!(
+                "[membership]\nsource = \"etcd\"\nendpoints = [{}]\nprefix = \"{PREFIX}\"\ncount = {}\n",
+                quoted(endpoints),
+                fleet.count_peers
+            )
+        }
+        ListSource::File => {
+            format!("[membership]\nsource = \"file\"\nfile = {:?}\n", list.display().to_string())
+        }
+    }
+}
+
+impl Fleet {
+    /// The text of a proxy's operator's file: the experiment's own, with where the list comes from before its end.
+    pub(super) fn operator_text(&self, text: &str, proxy: usize, list: &Path) -> String {
+        operator_text(&self.site, text, proxy, list)
+    }
+
+    /// A proxy's configuration, as the platform gives it.
+    pub(super) fn configuration(&self, proxy: usize, list_moved: bool) -> Value {
+        let experiment = &self.site.experiment;
+        let net = self.site.net;
+        let fleet = &experiment.fleet;
+        let from_platform = fleet.list_source() == ListSource::Platform;
+        let list = || json!(net.list(proxy, list_moved).to_string());
+        let known = || json!({"version": FIRST_VERSION, "full": true, "servers": self.site.known(proxy)});
+        json!({
+            "name": super::name(proxy),
+            "listen": net.proxy(proxy).to_string(),
+            "discovery": if from_platform { list() } else { Value::Null },
+            "seed": format!("{:x}", experiment.seed.wrapping_add(proxy as u64 + 1)),
+            "limits": {"cores": 1.0, "memory_mb": fleet.memory_mb, "sockets": fleet.sockets},
+            "known": if from_platform { known() } else { Value::Null },
+            "settings": self.settings(proxy),
+        })
+    }
+
+    fn settings(&self, proxy: usize) -> Value {
+        let experiment = &self.site.experiment;
+        let fleet = &experiment.fleet;
+        let world = &experiment.world;
+        let classes: Vec<Value> = experiment.classes.iter().map(class_settings).collect();
+        json!({
+            "az": experiment.zone_of(proxy),
+            "zones": world.zones,
+            "kinds": ["cache", "origin"],
+            "position": proxy,
+            "balancers": fleet.proxies,
+            "discovery": "subscribe",
+            "familyInfo": {"mode": world.cache_mode().name(), "originKind": 1},
+            "ceilings": {
+                "mostShots": fleet.max_attempts,
+                "secondCopies": fleet.hedging,
+                "probes": fleet.probes,
+                "cancelling": fleet.cancellation,
+                "retryAfter": fleet.max_retry_after_s > 0.0,
+                "maxRetryAfterNs": nanoseconds(fleet.max_retry_after_s * 1e3),
+                "connIdleNs": nanoseconds(world.idle_s * 1e3),
+                "connectTimeoutNs": nanoseconds(fleet.connect_ms),
+            },
+            "rules": {
+                "drainGraceNs": nanoseconds(fleet.drain_grace_s * 1e3),
+                "startCapacity": world.slow_start_share,
+                "coldNs": nanoseconds(world.slow_start_s * 1e3),
+                "fallMultiple": world.collapse_multiple,
+                "fallNs": nanoseconds(world.collapse_window_s * 1e3),
+            },
+            "namespaces": classes,
+        })
+    }
+}
+
+/// The text of an operator's file: the experiment's own, with the testbed's tables before its end.
+pub(super) fn operator_text(site: &Site, text: &str, proxy: usize, list: &Path) -> String {
+    let tables = membership_table(site, proxy, list) + &resp_table(site, proxy);
+    if tables.is_empty() {
+        return text.to_string();
+    }
+    let own = text.rsplit_once("[end]").map_or("version = 1\n", |(own, _)| own);
+    format!("{own}{tables}[end]\n")
+}
--- /dev/null
+++ b/crates/testbed/src/load/connection.rs
@@ -0,0 +1,125 @@
+//! One connection of a client to a proxy: a request written, and its answer read, in whichever protocol.
+
+use crate::clock::{Micros, micros, seconds};
+use crate::evidence::Id;
+use crate::experiment::{Experiment, Protocol, Repeats};
+use crate::load::plan::Arrival;
+use crate::resp::{self, RespAnswer};
+use crate::stand::body::is_for;
+use crate::wire::{Connection, ReadError};
+use std::io;
+
+/// What a write sets a key to.
+const NEW_VALUE: &[u8] = b"new value";
+
+/// A connection, and to which proxy.
+pub(super) struct ClientConnection {
+    pub connection: Connection,
+    pub proxy: usize,
+}
+
+/// One request of a client's: a first try or a retry.
+pub(super) struct Try<'a> {
+    pub experiment: &'a Experiment,
+    pub arrival: &'a Arrival,
+    pub id: Id,
+    /// The first try's id, whose effect this one repeats.
+    pub first: Id,
+    pub is_retry: bool,
+}
+
+/// What came back.
+pub(super) struct ClientAnswer {
+    pub status: u16,
+    pub retry_after: Option<Micros>,
+    /// Whether it was made for this request.
+    pub matches: bool,
+    /// Whether the connection ends with it.
+    pub close: bool,
+}
+
+impl Try<'_> {
+    pub fn limit(&self) -> Micros {
+        micros(self.experiment.classes[self.arrival.class].limit_ms / 1e3)
+    }
+
+    /// Writes the request.
+    pub async fn write(&self, connection: &Connection) -> io::Result<()> {
+        match self.experiment.fleet.protocol() {
+            Protocol::Resp => connection.write(&[&self.resp_command()]).await,
+            Protocol::Http => {
+                let body = self.body();
+                connection.write(&[self.http_head(body.len()).as_bytes(), body]).await
+            }
+        }
+    }
+
+    fn body(&self) -> &'static [u8] {
+        if self.experiment.classes[self.arrival.class].write { NEW_VALUE } else { b"" }
+    }
+
+    /// The key's slot is by its tag in braces; behind that it has which request it is, and whose effect it repeats.
+    fn resp_command(&self) -> Vec<u8> {
+        let class = &self.experiment.classes[self.arrival.class];
+        let (id, first) = (self.id, self.first);
+        let key = format!("{}:{{k{}}}:{id:016x}:{first:016x}", class.name, self.arrival.key);
+        if class.write {
+            resp::encode_command(&[b"SET", key.as_bytes(), NEW_VALUE])
+        } else {
+            resp::encode_command(&[b"GET", key.as_bytes()])
+        }
+    }
+
+    fn http_head(&self, body_length: usize) -> String {
+        let class = &self.experiment.classes[self.arrival.class];
+        let mut head = format!(
+            "{} /api/k{} HTTP/1.1\r\nHost: lab\r\nX-Correlation-Id: {:016x}\r\nX-Service-Class: {}\r\nX-Time-Left: {:.4}\r\n",
+            if class.write { "PUT" } else { "GET" },
+            self.arrival.key,
+            self.id,
+            class.name,
+            seconds(self.limit()),
+        );
+        if let Some(tenant) = self.experiment.load.tenants.get(self.arrival.tenant) {
+            head += &format!("X-Facts: tenant={}\r\n", tenant.name);
+        }
+        if self.is_retry {
+            head += "X-Repeat: 1\r\n";
+        }
+        if class.repeats() == Repeats::Tagged {
+            head += &format!("Idempotency-Key: t{:016x}\r\n", self.first);
+        }
+        head + &format!("Content-Length: {body_length}\r\n\r\n")
+    }
+
+    /// Reads the answer.
+    pub async fn read_answer(&self, connection: &mut Connection) -> Result<ClientAnswer, ReadError> {
+        match self.experiment.fleet.protocol() {
+            Protocol::Resp => self.read_resp(connection).await,
+            Protocol::Http => self.read_http(connection).await,
+        }
+    }
+
+    async fn read_resp(&self, connection: &mut Connection) -> Result<ClientAnswer, ReadError> {
+        let answer = resp::read_answer(connection).await?;
+        let (status, retry_after) = answer.status();
+        let is_write = self.experiment.classes[self.arrival.class].write;
+        let matches = match &answer {
+            // A write's answer does not hold whom it is for.
+            RespAnswer::Value(body) => is_write || is_for(body, self.id),
+            _ => true,
+        };
+        Ok(ClientAnswer { status, retry_after, matches, close: false })
+    }
+
+    async fn read_http(&self, connection: &mut Connection) -> Result<ClientAnswer, ReadError> {
+        let message = connection.read_response().await?;
+        let retry_after = message.field("Retry-After").and_then(|value| value.parse::<f64>().ok());
+        Ok(ClientAnswer {
+            status: message.status,
+            retry_after: retry_after.map(micros),
+            matches: message.status != 200 || is_for(message.body(), self.id),
+            close: message.close,
+        })
+    }
+}
--- a/crates/testbed/src/load/front.rs
+++ b/crates/testbed/src/load/front.rs
@@ -1,8 +1,11 @@
 //! The front before the proxies: deals connections out in turn, and notices late that a proxy is gone.
 
 use crate::clock::{Clock, Micros};
+use crate::sync::lock;
+use std::ops::Range;
 use std::sync::Mutex;
 
+/// The front.
 pub struct Front {
     clock: Clock,
     rotation: Mutex<Rotation>,
@@ -10,39 +13,37 @@
 
 struct Rotation {
     last: usize,
-    /// Since when, and until when, it deals to each proxy.
-    serves: Vec<Option<(Micros, Micros)>>,
+    /// When it deals to each proxy.
+    serving: Vec<Option<Range<Micros>>>,
 }
 
 impl Front {
+    /// Before so many proxies, all of them down.
     pub fn new(proxies: usize, clock: Clock) -> Front {
-        Front { clock, rotation: Mutex::new(Rotation { last: 0, serves: vec![None; proxies] }) }
-    }
-
-    fn rotation(&self) -> std::sync::MutexGuard<'_, Rotation> {
-        self.rotation.lock().unwrap_or_else(|broken| broken.into_inner())
+        Front { clock, rotation: Mutex::new(Rotation { last: 0, serving: vec![None; proxies] }) }
     }
 
+    /// A proxy is up.
     pub fn up(&self, proxy: usize) {
-        self.rotation().serves[proxy] = Some((self.clock.now(), Micros::MAX));
+        lock(&self.rotation).serving[proxy] = Some(self.clock.now()..Micros::MAX);
     }
 
-    /// It is gone, or going, which is noticed so much later.
+    /// It is gone, or draining, which is noticed so much later.
     pub fn down(&self, proxy: usize, delay: Micros) {
         let until = self.clock.now() + delay;
-        if let Some((_, end)) = &mut self.rotation().serves[proxy] {
-            *end = until.min(*end);
+        if let Some(serving) = &mut lock(&self.rotation).serving[proxy] {
+            serving.end = until.min(serving.end);
         }
     }
 
     /// The next proxy in turn that it believes to be up.
     pub fn next_proxy(&self) -> Option<usize> {
         let now = self.clock.now();
-        let mut rotation = self.rotation();
-        let count = rotation.serves.len();
+        let mut rotation = lock(&self.rotation);
+        let count = rotation.serving.len();
         for _ in 0..count {
             rotation.last = (rotation.last + 1) % count;
-            if rotation.serves[rotation.last].is_some_and(|(from, until)| from <= now && now < until) {
+            if rotation.serving[rotation.last].as_ref().is_some_and(|serving| serving.contains(&now)) {
                 return Some(rotation.last);
             }
         }
--- /dev/null
+++ b/crates/testbed/src/measure/steps.rs
@@ -0,0 +1,131 @@
+//! The figures of a run over time, in steps.
+
+use super::firsts::first_requests;
+use super::{histogram, quantile_ms};
+use crate::clock::{Micros, SECOND};
+use crate::experiment::Experiment;
+use crate::fleet::Sample;
+use crate::oracle::{Outcome, RequestRecord, Verdict};
+use hdrhistogram::Histogram;
+
+/// One step.
+#[derive(Clone, Debug, Default)]
+pub struct TimeStep {
+    /// First requests due.
+    pub first: usize,
+    /// Of these, served in time.
+    pub in_time: usize,
+    /// Requests served.
+    pub served: usize,
+    /// Requests rejected.
+    pub rejected: usize,
+    /// Requests that failed, in whichever way.
+    pub failed: usize,
+    /// Attempts that began.
+    pub attempts: usize,
+    /// The median latency.
+    pub p50_ms: f64,
+    /// Its 99th percentile.
+    pub p99_ms: f64,
+    /// By server, the origin last.
+    pub in_flight: Vec<usize>,
+    /// By proxy: the part of a core.
+    pub cpu: Vec<f64>,
+    /// By proxy.
+    pub memory_mb: Vec<f64>,
+}
+
+/// Half a second: some dozens of requests at the usual loads.
+pub const TIME_STEP: Micros = SECOND / 2;
+
+struct Steps {
+    steps: Vec<TimeStep>,
+    latencies: Vec<Histogram<u64>>,
+}
+
+/// A run in steps of half a second.
+pub fn over_time(experiment: &Experiment, verdict: &Verdict, samples: &[Sample]) -> Vec<TimeStep> {
+    let mut steps = Steps::new(experiment);
+    for first in first_requests(&verdict.records) {
+        let step = steps.at(first.record.request.due);
+        step.first += 1;
+        step.in_time += usize::from(first.is_in_time(experiment));
+    }
+    for record in &verdict.records {
+        steps.add_outcome(record);
+        steps.add_attempts(record);
+    }
+    for proxy in 0..experiment.fleet.proxies {
+        steps.add_usage(proxy, samples);
+    }
+    steps.finish()
+}
+
+impl Steps {
+    fn new(experiment: &Experiment) -> Steps {
+        let count = (experiment.ends_at() / TIME_STEP + 1) as usize;
+        let proxies = experiment.fleet.proxies;
+        let empty = TimeStep {
+            in_flight: vec![0; experiment.world.servers + 1],
+            cpu: vec![0.0; proxies],
+            memory_mb: vec![0.0; proxies],
+            ..TimeStep::default()
+        };
+        Steps { steps: vec![empty; count], latencies: (0..count).map(|_| histogram()).collect() }
+    }
+
+    fn index(&self, at: Micros) -> usize {
+        ((at / TIME_STEP) as usize).min(self.steps.len() - 1)
+    }
+
+    fn at(&mut self, at: Micros) -> &mut TimeStep {
+        let i = self.index(at);
+        &mut self.steps[i]
+    }
+
+    fn add_outcome(&mut self, record: &RequestRecord) {
+        let due = record.request.due;
+        if let Some(served) = record.served_at() {
+            let i = self.index(due);
+            _ = self.latencies[i].record(served.saturating_sub(due));
+        }
+        let step = self.at(due);
+        match record.outcome {
+            Outcome::Served => step.served += 1,
+            Outcome::Rejected => step.rejected += 1,
+            Outcome::Failed | Outcome::Unanswered | Outcome::Killed | Outcome::NotAccepted => {
+                step.failed += 1;
+            }
+            Outcome::InvalidRequest | Outcome::Cancelled => {}
+        }
+    }
+
+    fn add_attempts(&mut self, record: &RequestRecord) {
+        for attempt in &record.attempts {
+            self.at(attempt.started).attempts += 1;
+            let end = attempt.end().unwrap_or(attempt.started + record.request.limit);
+            // In flight where a step ends.
+            for i in self.index(attempt.started)..self.index(end) {
+                self.steps[i].in_flight[usize::from(attempt.server)] += 1;
+            }
+        }
+    }
+
+    fn add_usage(&mut self, proxy: usize, samples: &[Sample]) {
+        let own: Vec<&Sample> = samples.iter().filter(|sample| sample.proxy == proxy).collect();
+        for pair in own.windows(2) {
+            let (before, sample) = (pair[0], pair[1]);
+            let step = self.at(sample.at);
+            step.memory_mb[proxy] = step.memory_mb[proxy].max(sample.memory_kb as f64 / 1024.0);
+            step.cpu[proxy] += sample.cpu_us.saturating_sub(before.cpu_us) as f64 / TIME_STEP as f64;
+        }
+    }
+
+    fn finish(mut self) -> Vec<TimeStep> {
+        for (step, latency) in self.steps.iter_mut().zip(&self.latencies) {
+            step.p50_ms = quantile_ms(latency, 0.5);
+            step.p99_ms = quantile_ms(latency, 0.99);
+        }
+        self.steps
+    }
+}
--- a/crates/testbed/src/model/mod.rs
+++ b/crates/testbed/src/model/mod.rs
@@ -1,5 +1,5 @@
-//! What the stand-ins are models of. Nothing in here has a socket, a clock or chance of its own: time and luck are
-//! passed in, so that a course of events can be worked out, and tested, ahead of playing it.
+//! What the stand-ins are models of. Nothing in here has a socket, a clock or randomness of its own: time and luck are passed
+//! in, so that what happens can be worked out, and tested, ahead of playing it.
 
 pub mod cluster;
 pub mod etcd;
--- a/crates/testbed/src/model/server.rs
+++ b/crates/testbed/src/model/server.rs
@@ -6,78 +6,127 @@
 use lru::LruCache;
 use std::num::NonZeroUsize;
 
-/// What is said to an attempt.
+/// The reply to an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply {
+    /// The cached value.
     Hit,
-    /// Fetched by the server, or made by the origin.
+    /// The value, fetched by the server, or made by the origin.
     Fetched,
+    /// The key is not cached.
     Miss,
+    /// An error.
     Error,
-    /// Turned away unseen.
+    /// Refused, and surely not run.
     Unprocessed,
+    /// None, ever.
     Silence,
+    /// A reset of the connection.
     Reset,
+    /// Half of the value.
     Truncated,
+    /// Noise.
     Garbage,
 }
 
+/// What becomes of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlannedReply {
+    /// The reply.
     pub reply: Reply,
+    /// When.
     pub at: Micros,
-    /// An interim answer goes ahead.
+    /// Whether an interim response goes ahead.
     pub interim: bool,
-    /// Its effect, if it has one, comes about.
+    /// Whether its effect, if it has one, comes about.
     pub takes_effect: bool,
-    /// What was sent to it just now pushed it over.
+    /// Whether the server collapsed under this attempt.
     pub collapses: bool,
 }
 
-/// What an attempt asks for, as the model needs it.
+impl PlannedReply {
+    /// A reply without interim response and effect.
+    pub fn plain(reply: Reply, at: Micros) -> PlannedReply {
+        PlannedReply { reply, at, interim: false, takes_effect: false, collapses: false }
+    }
+}
+
+/// What the model needs to know of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptInput {
+    /// Its key.
     pub key: u64,
+    /// Whether it writes.
     pub write: bool,
+    /// How long it takes at the usual speed.
     pub work: Micros,
-    /// 0 to 1: decides by chance what meets only a part of the attempts.
+    /// From 0 to 1: decides where a fault affects only a share of the attempts.
     pub luck: f64,
 }
 
-/// What a server is like, once for all of them.
+/// What all servers have in common.
 #[derive(Clone, Debug)]
 pub struct ServerSpec {
+    /// Cores of each.
     pub cores: usize,
+    /// Requests that wait for one.
     pub queue: usize,
+    /// Values that are cached.
     pub values: usize,
+    /// The speed just after a start, as a share of the full speed.
     pub slow_start_share: f64,
+    /// From a start to full speed.
     pub slow_start: Micros,
+    /// In slow start a server collapses when it is sent more than so many times what it can do, ...
     pub collapse_multiple: f64,
+    /// ... over this window.
     pub collapse_window: Micros,
+    /// Whether it fetches what it lacks by itself.
     pub through: bool,
 }
 
+/// One process of a server.
 pub struct ServerModel {
     spec: ServerSpec,
     cores: Cores,
     cached: LruCache<u64, ()>,
-    sent: RecentWork,
+    recent_work: RecentWork,
     started: Micros,
     purges_applied: usize,
-    pub collapsed: bool,
+    collapsed: bool,
 }
 
-/// Turning away, missing and failing take a part of the work: the request is read and the key looked for.
+/// Refusing, missing and failing take an eighth of the work: the request is read and the key looked up.
 const SMALL_WORK_DIVISOR: Micros = 8;
-/// Above the budget of a cold server, for chance: so many requests of the size that comes.
-const COLD_BUDGET_SLACK: Micros = 8;
+/// Above the budget of a server in slow start, as arrivals are random: so many requests of the size that comes.
+const COLLAPSE_SLACK: Micros = 8;
+
+/// Misbehaviors that affect one attempt.
+struct Affecting(Vec<Misbehavior>);
+
+impl Affecting {
+    fn new(timeline: &ServerTimeline, now: Micros, luck: f64) -> Affecting {
+        let on = timeline.misbehaviors.iter();
+        let on = on.filter(|on| on.span.contains(&now) && luck < on.share);
+        Affecting(on.map(|on| on.misbehavior).collect())
+    }
+
+    fn has(&self, misbehavior: Misbehavior) -> bool {
+        self.0.contains(&misbehavior)
+    }
+
+    fn is_unanswered(&self) -> bool {
+        self.has(Misbehavior::Hangs) || self.has(Misbehavior::Loses)
+    }
+}
 
 impl ServerModel {
+    /// A process that started then, with nothing cached.
     pub fn new(spec: ServerSpec, started: Micros) -> ServerModel {
         ServerModel {
             cores: Cores::new(spec.cores, spec.queue),
             cached: LruCache::new(NonZeroUsize::new(spec.values).unwrap_or(NonZeroUsize::MIN)),
-            sent: RecentWork::new(spec.collapse_window),
+            recent_work: RecentWork::new(spec.collapse_window),
             started,
             purges_applied: 0,
             collapsed: false,
@@ -85,31 +134,42 @@
         }
     }
 
+    /// Caches a key's value.
     pub fn store(&mut self, key: u64) {
         self.cached.put(key, ());
     }
 
+    /// Drops a key's value.
     pub fn remove(&mut self, key: u64) {
         self.cached.pop(&key);
     }
 
+    /// Whether a key's value is cached.
     pub fn contains(&self, key: u64) -> bool {
         self.cached.contains(&key)
     }
 
-    /// Whether a cold process was sent more than it bears; counts what is sent now.
-    fn collapses(&mut self, now: Micros, attempt: &AttemptInput) -> bool {
-        if self.started == 0 || now >= self.started + self.spec.slow_start {
+    /// Whether a process in slow start is sent more than it bears; counts what is sent now.
+    fn collapses_under(&mut self, now: Micros, attempt: &AttemptInput) -> bool {
+        let spec = &self.spec;
+        if self.started == 0 || now >= self.started + spec.slow_start {
             return false;
         }
-        let sent = self.sent.add(now, attempt.work);
-        let part = (now - self.started) as f64 / self.spec.slow_start as f64;
-        let ramp = self.spec.slow_start_share + (1.0 - self.spec.slow_start_share) * part;
-        let capacity = ramp * self.spec.cores as f64 * self.spec.collapse_window as f64;
-        sent as f64 > capacity * self.spec.collapse_multiple + (COLD_BUDGET_SLACK * attempt.work) as f64
+        let sent = self.recent_work.add(now, attempt.work);
+        let progress = (now - self.started) as f64 / spec.slow_start as f64;
+        let speed = spec.slow_start_share + (1.0 - spec.slow_start_share) * progress;
+        let capacity = speed * spec.cores as f64 * spec.collapse_window as f64;
+        sent as f64 > capacity * spec.collapse_multiple + (COLLAPSE_SLACK * attempt.work) as f64
+    }
+
+    fn apply_purges(&mut self, now: Micros, timeline: &ServerTimeline) {
+        while timeline.purges.get(self.purges_applied).is_some_and(|at| *at <= now) {
+            self.purges_applied += 1;
+            self.cached.clear();
+        }
     }
 
-    /// What becomes of an attempt that comes now. `fetch` asks the origin's model, where the server fetches by itself.
+    /// What becomes of an attempt that comes now. `fetch` is the origin's model, where the server fetches by itself.
     pub fn handle(
         &mut self,
         now: Micros,
@@ -117,85 +177,91 @@
         timeline: &ServerTimeline,
         fetch: impl FnOnce(Micros) -> Option<Micros>,
     ) -> PlannedReply {
-        while timeline.purges.get(self.purges_applied).is_some_and(|at| *at <= now) {
-            self.purges_applied += 1;
-            self.cached.clear();
-        }
-        let collapses = !self.collapsed && self.collapses(now, &attempt);
+        self.apply_purges(now, timeline);
+        let collapses = !self.collapsed && self.collapses_under(now, &attempt);
         self.collapsed |= collapses;
-        let hit_faults: Vec<(Misbehavior, f64)> = timeline
-            .misbehaviors
-            .iter()
-            .filter(|(span, _, share)| span.contains(&now) && attempt.luck < *share)
-            .map(|(_, misbehavior, share)| (*misbehavior, *share))
-            .collect();
-        let hit_by = |misbehavior: Misbehavior| hit_faults.iter().any(|(e, _)| *e == misbehavior);
-        let interim = hit_by(Misbehavior::Interim);
-        let plan = |reply: Reply, at: Micros, takes_effect: bool| PlannedReply {
-            reply,
-            at,
-            interim,
-            takes_effect,
-            collapses,
+        let affecting = Affecting::new(timeline, now, attempt.luck);
+        let interim = affecting.has(Misbehavior::Interim);
+        let plan = match self.refusal(now, &attempt, timeline, &affecting) {
+            Some(refusal) => refusal,
+            None => self.process(now, &attempt, timeline, &affecting, fetch),
         };
-        let small_work_done = timeline.speed.completion(now, attempt.work / SMALL_WORK_DIVISOR);
-        if self.collapsed || hit_by(Misbehavior::Resets) {
-            return plan(Reply::Reset, now, false);
-        }
-        if hit_by(Misbehavior::TurnsAway) {
-            return plan(Reply::Unprocessed, small_work_done, false);
+        PlannedReply { interim, collapses, ..plan }
+    }
+
+    /// The reply to what is not even looked up.
+    fn refusal(
+        &self,
+        now: Micros,
+        attempt: &AttemptInput,
+        timeline: &ServerTimeline,
+        affecting: &Affecting,
+    ) -> Option<PlannedReply> {
+        if self.collapsed || affecting.has(Misbehavior::Resets) {
+            return Some(PlannedReply::plain(Reply::Reset, now));
         }
-        if hit_by(Misbehavior::Fails) {
-            return plan(Reply::Error, small_work_done, false);
+        let soon = timeline.speed.completion(now, attempt.work / SMALL_WORK_DIVISOR);
+        if affecting.has(Misbehavior::TurnsAway) {
+            return Some(PlannedReply::plain(Reply::Unprocessed, soon));
         }
-        let cached_here = self.cached.get(&attempt.key).is_some();
-        // Writes are the origin's where servers only store.
-        if !self.spec.through && (attempt.write || !cached_here) {
-            return match self.cores.schedule(now, attempt.work / SMALL_WORK_DIVISOR, &timeline.speed) {
-                Some(_) if hit_by(Misbehavior::Hangs) || hit_by(Misbehavior::Loses) => {
-                    plan(Reply::Silence, Micros::MAX, false)
-                }
-                Some(at) => plan(Reply::Miss, at, false),
-                None => plan(Reply::Unprocessed, small_work_done, false),
+        affecting.has(Misbehavior::Fails).then(|| PlannedReply::plain(Reply::Error, soon))
+    }
+
+    fn process(
+        &mut self,
+        now: Micros,
+        attempt: &AttemptInput,
+        timeline: &ServerTimeline,
+        affecting: &Affecting,
+        fetch: impl FnOnce(Micros) -> Option<Micros>,
+    ) -> PlannedReply {
+        let small_work = attempt.work / SMALL_WORK_DIVISOR;
+        let unprocessed =
+            || PlannedReply::plain(Reply::Unprocessed, timeline.speed.completion(now, small_work));
+        let cached = self.cached.get(&attempt.key).is_some();
+        // Writes are the origin's where servers only cache.
+        if !self.spec.through && (attempt.write || !cached) {
+            return match self.cores.schedule(now, small_work, &timeline.speed) {
+                Some(_) if affecting.is_unanswered() => PlannedReply::plain(Reply::Silence, Micros::MAX),
+                Some(at) => PlannedReply::plain(Reply::Miss, at),
+                None => unprocessed(),
             };
         }
         let Some(done) = self.cores.schedule(now, attempt.work, &timeline.speed) else {
-            return plan(Reply::Unprocessed, small_work_done, false);
+            return unprocessed();
         };
-        if hit_by(Misbehavior::Hangs) || hit_by(Misbehavior::Loses) {
-            // Whether it ran will never be heard: it did.
-            return plan(Reply::Silence, Micros::MAX, true);
+        let ran = |reply, at| PlannedReply { takes_effect: true, ..PlannedReply::plain(reply, at) };
+        if affecting.is_unanswered() {
+            // Whether it ran will never be known to anybody: it did.
+            return ran(Reply::Silence, Micros::MAX);
         }
-        if hit_by(Misbehavior::Half) {
-            return plan(Reply::Truncated, done, true);
+        if affecting.has(Misbehavior::Half) {
+            return ran(Reply::Truncated, done);
         }
-        if hit_by(Misbehavior::Spoils) {
-            return plan(Reply::Garbage, done, true);
+        if affecting.has(Misbehavior::Spoils) {
+            return ran(Reply::Garbage, done);
         }
-        if cached_here && !attempt.write {
-            return plan(Reply::Hit, done, true);
+        if cached && !attempt.write {
+            return ran(Reply::Hit, done);
         }
-        match fetch(done) {
-            Some(at) => {
-                if attempt.write {
-                    self.remove(attempt.key);
-                } else {
-                    self.store(attempt.key);
-                }
-                plan(Reply::Fetched, at, true)
-            }
-            None => plan(Reply::Error, done, false),
+        let Some(fetched) = fetch(done) else { return PlannedReply::plain(Reply::Error, done) };
+        if attempt.write {
+            self.remove(attempt.key);
+        } else {
+            self.store(attempt.key);
         }
+        ran(Reply::Fetched, fetched)
     }
 }
 
-/// The origin: few places, slower the more of them are taken.
+/// The origin: few slots, slower the more of them are in use.
 pub struct OriginModel {
     cores: Cores,
     contention: f64,
 }
 
 impl OriginModel {
+    /// So many slots, so many places to wait, and how much longer work takes for each request in progress.
     pub fn new(slots: usize, queue: usize, contention: f64) -> OriginModel {
         OriginModel { cores: Cores::new(slots, queue), contention }
     }
--- a/crates/testbed/src/model/server_list.rs
+++ b/crates/testbed/src/model/server_list.rs
@@ -1,16 +1,20 @@
-//! The platform's list: versions, the whole of it, and what changed since one.
+//! The platform's endpoint list: its versions, the whole of it, and what changed since one.
 
 use crate::clock::Micros;
-use crate::model::timeline::{ListUpdate, SERVING};
+use crate::model::timeline::{EndpointStatus, ListUpdate};
 
-/// What the list says of one server.
+/// One server's entry.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ListedServer {
+    /// Which server; the origin is the one after the last.
     pub server: usize,
-    pub state: &'static str,
+    /// Its status.
+    pub status: EndpointStatus,
+    /// When its process started; 0: long ago.
     pub started: Micros,
 }
 
+/// The list over a run.
 pub struct ServerList {
     updates: Vec<ListUpdate>,
     servers: usize,
@@ -19,37 +23,50 @@
 /// Every list begins with one version before its first change.
 pub const FIRST_VERSION: u64 = 1;
 
+/// How many changes a version includes.
+fn changes_in(version: u64) -> usize {
+    (version.max(FIRST_VERSION) - FIRST_VERSION) as usize
+}
+
 impl ServerList {
-    /// The origin is listed as the server after the last.
+    /// Of so many servers and the origin, with its changes in order of time.
     pub fn new(servers: usize, updates: Vec<ListUpdate>) -> ServerList {
         ServerList { updates, servers }
     }
 
+    /// The version at a moment.
     pub fn version(&self, now: Micros) -> u64 {
-        FIRST_VERSION + self.updates.partition_point(|n| n.published <= now) as u64
+        FIRST_VERSION + self.updates.partition_point(|update| update.published <= now) as u64
     }
 
-    /// The whole list as of a version, without those that are gone.
+    /// The whole list as of a version, without servers that are gone.
     pub fn snapshot(&self, version: u64) -> Vec<ListedServer> {
-        let mut entries: Vec<ListedServer> =
-            (0..=self.servers).map(|server| ListedServer { server, state: SERVING, started: 0 }).collect();
-        for n in self.updates.iter().take((version - FIRST_VERSION) as usize) {
-            let started = if n.state == SERVING { n.started } else { entries[n.server].started };
-            entries[n.server] = ListedServer { server: n.server, state: n.state, started };
+        let first = |server| ListedServer { server, status: EndpointStatus::Ready, started: 0 };
+        let mut entries: Vec<ListedServer> = (0..=self.servers).map(first).collect();
+        for update in self.updates.iter().take(changes_in(version)) {
+            let entry = &mut entries[update.server];
+            entry.status = update.status;
+            if update.status == EndpointStatus::Ready {
+                entry.started = update.started;
+            }
         }
-        entries.retain(|l| l.state != crate::model::timeline::DELETED);
+        entries.retain(|entry| entry.status != EndpointStatus::Gone);
         entries
     }
 
     /// What changed after one version, up to another, in order.
     pub fn changes_since(&self, version: u64, to: u64) -> Vec<ListedServer> {
-        let part = (version.max(FIRST_VERSION) - FIRST_VERSION) as usize..(to - FIRST_VERSION) as usize;
-        let entry = |n: &ListUpdate| ListedServer { server: n.server, state: n.state, started: n.started };
-        self.updates.get(part).unwrap_or(&[]).iter().map(entry).collect()
+        let entry = |update: &ListUpdate| ListedServer {
+            server: update.server,
+            status: update.status,
+            started: update.started,
+        };
+        let changes = self.updates.get(changes_in(version)..changes_in(to)).unwrap_or(&[]);
+        changes.iter().map(entry).collect()
     }
 
-    /// When there will be something newer.
+    /// When there will be a newer version.
     pub fn next_change(&self, version: u64) -> Option<Micros> {
-        self.updates.get((version.max(FIRST_VERSION) - FIRST_VERSION) as usize).map(|n| n.published)
+        self.updates.get(changes_in(version)).map(|update| update.published)
     }
 }
--- a/crates/testbed/src/model/speed.rs
+++ b/crates/testbed/src/model/speed.rs
@@ -5,29 +5,36 @@
 use std::collections::BinaryHeap;
 use std::ops::Range;
 
+/// The speed from one moment on.
+#[derive(Clone, Copy, Debug)]
+struct SpeedStep {
+    from: Micros,
+    speed: f64,
+}
+
 /// Speed as steps over time, 1 being the usual; 0 is standing still.
 #[derive(Clone, Debug)]
 pub struct SpeedProfile {
-    steps: Vec<(Micros, f64)>,
+    steps: Vec<SpeedStep>,
 }
 
-/// Warming goes up in so many steps: finer than any window that is judged.
+/// A slow start rises in so many steps: finer than any window that is judged.
 const RAMP_STEPS: u64 = 20;
 
 impl Default for SpeedProfile {
     fn default() -> SpeedProfile {
-        SpeedProfile { steps: vec![(0, 1.0)] }
+        SpeedProfile { steps: vec![SpeedStep { from: 0, speed: 1.0 }] }
     }
 }
 
 impl SpeedProfile {
-    /// Cuts a step at a moment, and says where it begins.
-    fn cut(&mut self, at: Micros) -> usize {
-        match self.steps.binary_search_by_key(&at, |s| s.0) {
+    /// Makes a step begin at a moment, and returns its index.
+    fn split_at(&mut self, at: Micros) -> usize {
+        match self.steps.binary_search_by_key(&at, |step| step.from) {
             Ok(i) => i,
             Err(i) => {
-                let speed = self.steps[i - 1].1;
-                self.steps.insert(i, (at, speed));
+                let speed = self.steps[i - 1].speed;
+                self.steps.insert(i, SpeedStep { from: at, speed });
                 i
             }
         }
@@ -38,33 +45,38 @@
         if span.is_empty() {
             return;
         }
-        let (from, to) = (self.cut(span.start), span.end);
-        let end = if to == Micros::MAX { self.steps.len() } else { self.cut(to) };
-        self.steps[from..end].iter_mut().for_each(|s| s.1 *= factor);
+        let first = self.split_at(span.start);
+        let end = if span.end == Micros::MAX { self.steps.len() } else { self.split_at(span.end) };
+        for step in &mut self.steps[first..end] {
+            step.speed *= factor;
+        }
     }
 
-    /// A start from cold: rises evenly from a share of the speed to all of it.
-    pub fn slow_start_from(&mut self, started: Micros, cold_share: f64, duration: Micros) {
+    /// A slow start: rises evenly from a share of the speed to all of it.
+    pub fn slow_start(&mut self, started: Micros, first_share: f64, duration: Micros) {
         for i in 0..RAMP_STEPS {
-            let part = (i as f64 + 0.5) / RAMP_STEPS as f64;
+            let progress = (i as f64 + 0.5) / RAMP_STEPS as f64;
             let span = started + duration * i / RAMP_STEPS..started + duration * (i + 1) / RAMP_STEPS;
-            self.scale(span, cold_share + (1.0 - cold_share) * part);
+            self.scale(span, first_share + (1.0 - first_share) * progress);
         }
     }
 
     fn step(&self, at: Micros) -> usize {
-        self.steps.partition_point(|s| s.0 <= at) - 1
+        self.steps.partition_point(|step| step.from <= at) - 1
     }
 
+    /// The speed at a moment.
     pub fn speed(&self, at: Micros) -> f64 {
-        self.steps[self.step(at)].1
+        self.steps[self.step(at)].speed
     }
 
-    /// When work that begins now, and takes so long at the usual speed, is done.
+    /// When work that begins now, and takes so long at the usual speed, is done; `Micros::MAX` where it never is.
     pub fn completion(&self, begun: Micros, work: Micros) -> Micros {
-        let (mut at, mut left, mut i) = (begun, work as f64, self.step(begun));
-        loop {
-            let (speed, next) = (self.steps[i].1, self.steps.get(i + 1).map(|s| s.0));
+        let mut at = begun;
+        let mut left = work as f64;
+        for i in self.step(begun)..self.steps.len() {
+            let speed = self.steps[i].speed;
+            let next = self.steps.get(i + 1).map(|step| step.from);
             if speed > 0.0 {
                 let end = at as f64 + left / speed;
                 match next {
@@ -72,31 +84,31 @@
                     _ => return end.round() as Micros,
                 }
             }
-            match next {
-                Some(next) => at = next,
-                // It stands still for good.
-                None => return Micros::MAX,
-            }
-            i += 1;
+            at = next.unwrap_or(Micros::MAX);
         }
+        // It stands still for good.
+        Micros::MAX
     }
 }
 
-/// Cores with a bounded queue before them; each request's end is known when it comes.
+/// Cores with a bounded queue before them; the end of each piece of work is known when it comes.
 #[derive(Clone, Debug)]
 pub struct Cores {
+    /// When each core is free.
     free: BinaryHeap<Reverse<Micros>>,
-    ends: BinaryHeap<Reverse<Micros>>, // of all that is in work or waits
+    /// When all that is in progress or waits is done.
+    ends: BinaryHeap<Reverse<Micros>>,
     cores: usize,
     queue: usize,
 }
 
 impl Cores {
+    /// So many cores, and so many places to wait.
     pub fn new(cores: usize, queue: usize) -> Cores {
         Cores { free: vec![Reverse(0); cores].into(), ends: BinaryHeap::new(), cores, queue }
     }
 
-    /// How many requests are in work or wait.
+    /// How much is in progress or waits.
     pub fn busy(&mut self, now: Micros) -> usize {
         while self.ends.peek().is_some_and(|Reverse(end)| *end <= now) {
             self.ends.pop();
@@ -104,7 +116,7 @@
         self.ends.len()
     }
 
-    /// Takes work on and says when it is done, or `None` where the queue is full.
+    /// Accepts work and returns when it is done, or `None` where the queue is full.
     pub fn schedule(&mut self, now: Micros, work: Micros, speed: &SpeedProfile) -> Option<Micros> {
         if self.busy(now) >= self.cores + self.queue {
             return None;
@@ -117,29 +129,40 @@
     }
 }
 
-/// Work sent lately, against a budget: a multiple of what can be done in the same time.
+/// Work that was sent in a part of the window.
+#[derive(Clone, Copy, Debug)]
+struct WorkPart {
+    from: Micros,
+    work: Micros,
+}
+
+/// Work that was sent within a window up to now.
 #[derive(Clone, Debug)]
 pub struct RecentWork {
-    parts: Vec<(Micros, Micros)>, // begin of a part of the window, and work sent in it
+    parts: Vec<WorkPart>,
     window: Micros,
 }
 
 /// The window moves on in so many parts.
 const WINDOW_PARTS: Micros = 20;
+/// A shorter window would have parts of no length.
+const MIN_WINDOW: Micros = SECOND / 100;
 
 impl RecentWork {
+    /// None yet, with a window of that length.
     pub fn new(window: Micros) -> RecentWork {
-        RecentWork { parts: Vec::new(), window: window.max(SECOND / 100) }
+        RecentWork { parts: Vec::new(), window: window.max(MIN_WINDOW) }
     }
 
-    /// Notes work, and says how much came within the window.
+    /// Adds work, and returns how much came within the window.
     pub fn add(&mut self, now: Micros, work: Micros) -> Micros {
-        let part = now / (self.window / WINDOW_PARTS) * (self.window / WINDOW_PARTS);
-        self.parts.retain(|(at, _)| at + self.window > now);
-        match self.parts.last_mut().filter(|(at, _)| *at == part) {
-            Some((_, sum)) => *sum += work,
-            None => self.parts.push((part, work)),
+        let part_length = self.window / WINDOW_PARTS;
+        let from = now / part_length * part_length;
+        self.parts.retain(|part| part.from + self.window > now);
+        match self.parts.last_mut().filter(|part| part.from == from) {
+            Some(part) => part.work += work,
+            None => self.parts.push(WorkPart { from, work }),
         }
-        self.parts.iter().map(|(_, sum)| sum).sum()
+        self.parts.iter().map(|part| part.work).sum()
     }
 }
--- a/crates/testbed/src/model/store.rs
+++ b/crates/testbed/src/model/store/mod.rs
@@ -1,62 +1,102 @@
-//! A store of keys with revisions, as etcd's public API describes it: every write has a revision, older states can be asked
-//! for until they are compacted, leases take their keys with them. No I/O, and time is passed in.
+//! A store of keys with revisions, as etcd's public API describes it: every write has a revision, older states can be read
+//! until they are compacted, keys of a lease go with it. No I/O, and time is passed in.
 
-use crate::clock::{Micros, SECOND};
-use std::collections::{BTreeMap, BTreeSet};
+mod leases;
+
+pub use leases::GrantedLease;
+
+use crate::clock::Micros;
+use leases::Lease;
+use std::collections::BTreeMap;
 
 /// A key's state from one revision on; gone where it has no value.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Item {
+    /// Its key.
     pub key: Vec<u8>,
+    /// Its value; none where the key was deleted.
     pub value: Option<Vec<u8>>,
+    /// The revision that created the key.
     pub created: i64,
+    /// The revision of this state.
     pub modified: i64,
+    /// How often it was written since it was created.
     pub version: i64,
+    /// Its lease; 0: none.
     pub lease: i64,
 }
 
-#[derive(Debug, PartialEq)]
+/// Why a call is refused; the texts are those of etcd.
+#[derive(Debug, PartialEq, thiserror::Error)]
 pub enum StoreError {
-    /// The revision is gone, or not there yet.
+    /// The revision is gone: the store is compacted up to the one that is named.
+    #[error("etcdserver: mvcc: required revision has been compacted")]
     Compacted(i64),
+    /// The revision is not there yet.
+    #[error("etcdserver: mvcc: required revision is a future revision")]
     FutureRevision,
+    /// There is no such lease.
+    #[error("etcdserver: requested lease not found")]
     LeaseNotFound,
 }
 
-#[derive(Clone, Debug)]
-struct Lease {
-    ttl: Micros,
-    until: Micros,
-    keys: BTreeSet<Vec<u8>>,
-}
-
 /// What a write compares first.
 #[derive(Clone, Debug)]
 pub enum Condition {
+    /// The key was written so often; 0: it is not there.
     Version(i64),
+    /// It was created by this revision; 0: it is not there.
     Created(i64),
+    /// It was last written by this revision; 0: it is not there.
     Modified(i64),
+    /// It has this value.
     Value(Vec<u8>),
 }
 
+/// One write of a transaction.
 #[derive(Clone, Debug)]
 pub enum Write {
-    Put { key: Vec<u8>, value: Vec<u8>, lease: i64 },
-    Delete { key: Vec<u8>, end: Vec<u8> },
+    /// Sets a key's value and lease.
+    Put {
+        /// Which key.
+        key: Vec<u8>,
+        /// Its value.
+        value: Vec<u8>,
+        /// Its lease; 0: none.
+        lease: i64,
+    },
+    /// Deletes the keys of a range.
+    Delete {
+        /// The first key.
+        key: Vec<u8>,
+        /// The end of the range, as the API has it.
+        end: Vec<u8>,
+    },
+}
+
+/// When a revision came about.
+#[derive(Clone, Copy, Debug)]
+struct RevisionTime {
+    at: Micros,
+    revision: i64,
 }
 
+/// The store.
 #[derive(Clone, Debug)]
 pub struct Store {
     revision: i64,
     compacted: i64,
-    log: Vec<Item>,                      // in order of their revisions
-    keys: BTreeMap<Vec<u8>, Vec<usize>>, // the places of their items in the log
+    /// Every state of every key, in order of revisions.
+    log: Vec<Item>,
+    /// The indexes of a key's states in the log.
+    keys: BTreeMap<Vec<u8>, Vec<usize>>,
     leases: BTreeMap<i64, Lease>,
     next_lease: i64,
-    times: Vec<(Micros, i64)>, // when a revision came about
+    times: Vec<RevisionTime>,
 }
 
-/// Whether a key is within a range as the API has it: one key where no end is said.
+/// Whether a key is within a range as the API has it: one key where the end is empty, all keys from the first on where it is a
+/// zero byte.
 pub fn within(key: &[u8], from: &[u8], end: &[u8]) -> bool {
     match end {
         [] => key == from,
@@ -74,24 +114,26 @@
             keys: BTreeMap::new(),
             leases: BTreeMap::new(),
             next_lease: 1,
-            times: vec![(0, 1)],
+            times: vec![RevisionTime { at: 0, revision: 1 }],
         }
     }
 }
 
 impl Store {
+    /// The newest revision.
     pub fn revision(&self) -> i64 {
         self.revision
     }
 
+    /// The revision that the store is compacted up to.
     pub fn compacted(&self) -> i64 {
         self.compacted
     }
 
     /// The revision as of a moment.
     pub fn revision_at(&self, at: Micros) -> i64 {
-        let i = self.times.partition_point(|(time, _)| *time <= at);
-        i.checked_sub(1).map_or(1, |i| self.times[i].1)
+        let i = self.times.partition_point(|time| time.at <= at);
+        i.checked_sub(1).map_or(1, |i| self.times[i].revision)
     }
 
     /// A key as of a revision, unless it is gone by then.
@@ -132,6 +174,7 @@
         Ok(self.log[start..].iter().take_while(|item| item.modified <= last).filter(own).collect())
     }
 
+    /// Drops the states before a revision.
     pub fn compact(&mut self, revision: i64) -> Result<(), StoreError> {
         if revision > self.revision {
             return Err(StoreError::FutureRevision);
@@ -149,41 +192,49 @@
         let mut items = Vec::new();
         for write in writes {
             match write {
-                Write::Put { key, value, lease } => {
-                    if *lease != 0 && !self.leases.contains_key(lease) {
-                        return Err(StoreError::LeaseNotFound);
-                    }
-                    let before =
-                        self.keys.get(key).and_then(|log_indexes| self.at(log_indexes, self.revision));
-                    items.push(Item {
-                        key: key.clone(),
-                        value: Some(value.clone()),
-                        created: before.map_or(next, |item| item.created),
-                        modified: next,
-                        version: before.map_or(1, |item| item.version + 1),
-                        lease: *lease,
-                    });
-                }
-                Write::Delete { key, end } => {
-                    let (deleted, _) = self.range(key, end, 0, 0)?;
-                    items.extend(deleted.into_iter().map(|item| Item {
-                        value: None,
-                        modified: next,
-                        version: 0,
-                        lease: 0,
-                        ..item.clone()
-                    }));
-                }
+                Write::Put { key, value, lease } => items.push(self.put(next, key, value, *lease)?),
+                Write::Delete { key, end } => items.extend(self.delete(next, key, end)?),
             }
         }
         if !items.is_empty() {
             self.revision = next;
-            self.times.push((now, next));
-            items.into_iter().for_each(|item| self.append(item));
+            self.times.push(RevisionTime { at: now, revision: next });
+            for item in items {
+                self.append(item);
+            }
         }
         Ok(self.revision)
     }
 
+    /// The state that a put makes.
+    fn put(&self, revision: i64, key: &[u8], value: &[u8], lease: i64) -> Result<Item, StoreError> {
+        if lease != 0 && !self.leases.contains_key(&lease) {
+            return Err(StoreError::LeaseNotFound);
+        }
+        let before = self.present(key);
+        Ok(Item {
+            key: key.to_vec(),
+            value: Some(value.to_vec()),
+            created: before.map_or(revision, |item| item.created),
+            modified: revision,
+            version: before.map_or(1, |item| item.version + 1),
+            lease,
+        })
+    }
+
+    /// The states that the delete of a range makes.
+    fn delete(&self, revision: i64, key: &[u8], end: &[u8]) -> Result<Vec<Item>, StoreError> {
+        let (deleted, _) = self.range(key, end, 0, 0)?;
+        let gone =
+            |item: &Item| Item { value: None, modified: revision, version: 0, lease: 0, ..item.clone() };
+        Ok(deleted.into_iter().map(gone).collect())
+    }
+
+    /// A key as it is now.
+    fn present(&self, key: &[u8]) -> Option<&Item> {
+        self.keys.get(key).and_then(|log_indexes| self.at(log_indexes, self.revision))
+    }
+
     fn append(&mut self, item: Item) {
         self.leases.values_mut().for_each(|lease| _ = lease.keys.remove(&item.key));
         if let Some(lease) = self.leases.get_mut(&item.lease) {
@@ -193,9 +244,9 @@
         self.log.push(item);
     }
 
-    /// Whether a key is as wanted.
+    /// Whether a key is as a condition has it.
     pub fn satisfies(&self, key: &[u8], condition: &Condition) -> bool {
-        let item = self.keys.get(key).and_then(|log_indexes| self.at(log_indexes, self.revision));
+        let item = self.present(key);
         match condition {
             Condition::Version(n) => item.map_or(0, |i| i.version) == *n,
             Condition::Created(n) => item.map_or(0, |i| i.created) == *n,
@@ -204,51 +255,11 @@
         }
     }
 
-    // ---- leases ----
-
-    /// The new lease's number and its time in seconds.
-    pub fn grant(&mut self, now: Micros, ttl_s: i64) -> (i64, i64) {
-        let id = self.next_lease;
-        self.next_lease += 1;
-        let ttl_s = ttl_s.max(1);
-        let ttl = ttl_s as Micros * SECOND;
-        self.leases.insert(id, Lease { ttl, until: now + ttl, keys: BTreeSet::new() });
-        (id, ttl_s)
-    }
-
-    /// Its time in seconds from now on; 0 where there is none.
-    pub fn keep_alive(&mut self, now: Micros, id: i64) -> i64 {
-        self.expire(now);
-        let Some(lease) = self.leases.get_mut(&id) else { return 0 };
-        lease.until = now + lease.ttl;
-        (lease.ttl / SECOND) as i64
-    }
-
-    pub fn revoke(&mut self, now: Micros, id: i64) -> Result<(), StoreError> {
-        let lease = self.leases.remove(&id).ok_or(StoreError::LeaseNotFound)?;
-        let writes: Vec<Write> =
-            lease.keys.into_iter().map(|key| Write::Delete { key, end: vec![] }).collect();
-        _ = self.write(now, &writes);
-        Ok(())
-    }
-
-    /// Takes the keys of leases that have run out.
-    pub fn expire(&mut self, now: Micros) {
-        let expired: Vec<i64> =
-            self.leases.iter().filter(|(_, lease)| lease.until <= now).map(|(id, _)| *id).collect();
-        expired.into_iter().for_each(|id| _ = self.revoke(now, id));
-    }
-
-    /// When the next lease runs out.
-    pub fn next_expiry(&self) -> Option<Micros> {
-        self.leases.values().map(|lease| lease.until).min()
-    }
-
     /// As it was at an earlier moment, as from a backup: later revisions never were, and leases are as they are now.
     pub fn restore(&mut self, at: Micros) {
         let revision = self.revision_at(at).max(self.compacted);
         self.log.retain(|item| item.modified <= revision);
-        self.times.retain(|(_, of)| *of <= revision);
+        self.times.retain(|time| time.revision <= revision);
         self.revision = revision;
         self.keys.clear();
         for (i, item) in self.log.iter().enumerate() {
--- /dev/null
+++ b/crates/testbed/src/model/timeline/build.rs
@@ -0,0 +1,215 @@
+//! How the timelines follow from an experiment's faults.
+
+use super::{
+    EndpointStatus, Incarnation, ListOutage, ListUpdate, Misbehavior, MisbehaviorSpan, OriginFailure,
+    Reachability, ServerTimeline, Timelines, ZoneCut,
+};
+use crate::clock::{Micros, SECOND, micros};
+use crate::experiment::{Experiment, Fault, FaultKind};
+use std::ops::Range;
+
+/// The list finds out by its own calls that a machine is gone: some of those and a second more.
+const DETECTION_DELAY: Micros = 2 * SECOND;
+/// Stands in for a time that a kind of fault requires; the experiment's check has refused a fault without it.
+const DEFAULT_SECONDS: f64 = 1.0;
+
+/// A time of a fault that its kind requires.
+fn required(seconds: Option<f64>) -> Micros {
+    micros(seconds.unwrap_or(DEFAULT_SECONDS))
+}
+
+fn misbehavior(kind: FaultKind) -> Option<Misbehavior> {
+    Some(match kind {
+        FaultKind::Fails => Misbehavior::Fails,
+        FaultKind::Hangs => Misbehavior::Hangs,
+        FaultKind::Loses => Misbehavior::Loses,
+        FaultKind::TurnsAway => Misbehavior::TurnsAway,
+        FaultKind::Resets => Misbehavior::Resets,
+        FaultKind::HalfAnswers => Misbehavior::Half,
+        FaultKind::Spoils => Misbehavior::Spoils,
+        FaultKind::Interim => Misbehavior::Interim,
+        _ => return None,
+    })
+}
+
+impl ServerTimeline {
+    /// One process that has run since long ago and goes on.
+    fn new() -> ServerTimeline {
+        let always = Incarnation { started: 0, ended: Micros::MAX, after: Reachability::Refused };
+        ServerTimeline { incarnations: vec![always], ..ServerTimeline::default() }
+    }
+
+    /// Ends the process that runs at a moment; the next one starts when the server returns.
+    fn end(&mut self, at: Micros, after: Reachability, returns: Micros) {
+        let running = self.incarnations.last_mut();
+        if let Some(running) = running.filter(|process| process.started <= at && at < process.ended) {
+            running.ended = at;
+            running.after = after;
+            let next = Incarnation { started: returns, ended: Micros::MAX, after: Reachability::Refused };
+            self.incarnations.push(next);
+        }
+    }
+}
+
+/// The list shows changes within a span later.
+struct ListDelay {
+    span: Range<Micros>,
+    by: Micros,
+}
+
+struct Builder<'a> {
+    experiment: &'a Experiment,
+    timelines: Timelines,
+    /// From a change to the moment the list shows it.
+    list_delay: Micros,
+    list_delays: Vec<ListDelay>,
+}
+
+impl Timelines {
+    /// Works out what happens in an experiment.
+    pub fn new(experiment: &Experiment) -> Timelines {
+        let world = &experiment.world;
+        let servers = (0..world.servers).map(|_| ServerTimeline::new()).collect();
+        let mut builder = Builder {
+            experiment,
+            timelines: Timelines { servers, ..Timelines::default() },
+            list_delay: micros(world.list_delay_s),
+            list_delays: Vec::new(),
+        };
+        let mut faults: Vec<&Fault> = experiment.each_fault().collect();
+        faults.sort_by_key(|fault| micros(fault.at));
+        for fault in faults {
+            builder.apply(fault);
+        }
+        builder.finish()
+    }
+}
+
+impl Builder<'_> {
+    fn apply(&mut self, fault: &Fault) {
+        if let Some(misbehavior) = misbehavior(fault.kind) {
+            self.misbehave(fault, misbehavior);
+            return;
+        }
+        let span = fault.span();
+        match fault.kind {
+            FaultKind::StandsStill => self.scale_speed(fault, 0.0),
+            FaultKind::Slow => self.scale_speed(fault, 1.0 / fault.factor.unwrap_or(1.0)),
+            FaultKind::Vanishes | FaultKind::ZoneLost => {
+                let gone_delay = self.list_delay + DETECTION_DELAY;
+                for server in self.experiment.targets(fault) {
+                    self.take_away(server, Reachability::Silent, span.clone(), gone_delay);
+                }
+            }
+            FaultKind::Failover => self.fail_over(fault),
+            FaultKind::Restarts => {
+                let returns = span.start + required(fault.down);
+                for server in self.experiment.targets(fault) {
+                    self.take_away(server, Reachability::Refused, span.start..returns, self.list_delay);
+                }
+            }
+            FaultKind::RollingDeploy => self.deploy(fault),
+            FaultKind::CopiesVoid => {
+                for server in self.experiment.targets(fault) {
+                    self.timelines.servers[server].purges.push(span.start);
+                }
+            }
+            _ => self.apply_beside_servers(fault),
+        }
+    }
+
+    /// Faults of the origin, the links and the list.
+    fn apply_beside_servers(&mut self, fault: &Fault) {
+        let timelines = &mut self.timelines;
+        let span = fault.span();
+        match fault.kind {
+            FaultKind::OriginSlow => timelines.origin.scale(span, 1.0 / fault.factor.unwrap_or(1.0)),
+            FaultKind::OriginFails => {
+                let share = fault.share.unwrap_or(1.0);
+                timelines.origin_failures.push(OriginFailure { span, share });
+            }
+            FaultKind::ZoneCut => {
+                let named = |zone: &String| self.experiment.world.zones.iter().position(|own| own == zone);
+                let zone = fault.zone.as_ref().and_then(named);
+                timelines.zone_cuts.extend(zone.map(|zone| ZoneCut { span, zone }));
+            }
+            FaultKind::ListDown => {
+                let outage = fault.outage.unwrap_or_default();
+                timelines.list_down.push(ListOutage { span, outage });
+            }
+            FaultKind::ListOld => timelines.list_old.push(span),
+            FaultKind::ListSilent => timelines.list_silences.push(span.start),
+            FaultKind::ListLate => {
+                self.list_delays.push(ListDelay { span, by: micros(fault.by.unwrap_or(0.0)) });
+            }
+            // Those of proxies, etcd and hash slots have timelines of their own.
+            _ => {}
+        }
+    }
+
+    fn misbehave(&mut self, fault: &Fault, misbehavior: Misbehavior) {
+        let share = fault.share.unwrap_or(1.0);
+        for server in self.experiment.targets(fault) {
+            let span = MisbehaviorSpan { span: fault.span(), misbehavior, share };
+            self.timelines.servers[server].misbehaviors.push(span);
+        }
+    }
+
+    fn scale_speed(&mut self, fault: &Fault, factor: f64) {
+        for server in self.experiment.targets(fault) {
+            self.timelines.servers[server].speed.scale(fault.span(), factor);
+        }
+    }
+
+    /// The list is not notified: who took over is the servers' own matter.
+    fn fail_over(&mut self, fault: &Fault) {
+        let start = fault.span().start;
+        let returns = start + required(fault.down);
+        for server in self.experiment.targets(fault) {
+            self.timelines.servers[server].end(start, Reachability::Refused, returns);
+        }
+    }
+
+    fn deploy(&mut self, fault: &Fault) {
+        let every = required(fault.every);
+        for (i, server) in self.experiment.targets(fault).into_iter().enumerate() {
+            let notice = fault.span().start + every * i as Micros;
+            let end = notice + required(fault.drain);
+            let returns = end + required(fault.down);
+            self.publish(notice + self.list_delay, server, EndpointStatus::Draining, 0);
+            self.take_away(server, Reachability::Refused, end..returns, self.list_delay);
+        }
+    }
+
+    fn publish(&mut self, published: Micros, server: usize, status: EndpointStatus, started: Micros) {
+        self.timelines.updates.push(ListUpdate { published, server, status, started });
+    }
+
+    /// A server is gone for a time, and returns in slow start; the list shows both, the first so much later.
+    fn take_away(&mut self, server: usize, after: Reachability, span: Range<Micros>, gone_delay: Micros) {
+        self.timelines.servers[server].end(span.start, after, span.end);
+        if span.start + gone_delay < span.end {
+            self.publish(span.start + gone_delay, server, EndpointStatus::Gone, 0);
+        }
+        self.publish(span.end + self.list_delay, server, EndpointStatus::Ready, span.end);
+    }
+
+    fn finish(self) -> Timelines {
+        let mut timelines = self.timelines;
+        for update in &mut timelines.updates {
+            let delays = self.list_delays.iter().filter(|delay| delay.span.contains(&update.published));
+            let delay = delays.map(|delay| delay.by).max();
+            update.published += delay.unwrap_or(0);
+        }
+        timelines.updates.sort_by_key(|update| (update.published, update.server));
+        let world = &self.experiment.world;
+        for timeline in &mut timelines.servers {
+            let starts = timeline.incarnations.iter().map(|process| process.started);
+            for started in starts.filter(|started| *started > 0) {
+                let duration = micros(world.slow_start_s);
+                timeline.speed.slow_start(started, world.slow_start_share, duration);
+            }
+        }
+        timelines
+    }
+}
--- a/crates/testbed/src/report/mod.rs
+++ b/crates/testbed/src/report/mod.rs
@@ -1,4 +1,6 @@
-//! What a run is told by: a table on the terminal, JSON, and a page with charts that opens offline.
+//! How a run is reported: a table on the terminal, a comparison of several, and a page with charts that opens offline.
 
+mod charts;
+pub mod comparison;
 pub mod page;
-pub mod table;
+pub mod verdict;
--- /dev/null
+++ b/crates/testbed/src/report/verdict.rs
@@ -0,0 +1,171 @@
+//! The verdict and the figures as lines of text.
+
+use crate::measure::{ClassFigures, DuringFaults, Figures, share};
+use crate::run::RunResult;
+use std::fmt::Write;
+
+/// Breaches shown in full.
+const SHOWN_BREACHES: usize = 10;
+
+/// A line of its own. Writing to a string does not fail.
+macro_rules! line {
+    ($out:expr, $($text:tt)*) => {
+        _ = writeln!($out, $($text)*)
+    };
+}
+
+/// The figures and the verdict.
+pub fn verdict(result: &RunResult) -> String {
+    let mut out = String::new();
+    figures(&mut out, &result.figures);
+    let verdict = &result.verdict;
+    if verdict.breaches.is_empty() {
+        line!(out, "  rules kept; {} caches pushed over", verdict.collapsed);
+    } else {
+        let breaches = verdict.breaches.len() + verdict.further_breaches;
+        line!(out, "  RULES BROKEN, {breaches} times; {} caches pushed over", verdict.collapsed);
+    }
+    for breach in verdict.breaches.iter().take(SHOWN_BREACHES) {
+        line!(out, "    {breach}");
+    }
+    for bound in &result.out_of_bounds {
+        line!(out, "  OUT OF BOUNDS: {bound}");
+    }
+    out
+}
+
+fn figures(out: &mut String, figures: &Figures) {
+    line!(out, "{}  (seed {}, {} proxies)", figures.title, figures.seed, figures.proxies);
+    outcomes(out, figures);
+    costs(out, figures);
+    if let Some(during) = &figures.during_faults {
+        during_faults(out, during);
+    }
+    drains(out, figures);
+    sources(out, figures);
+    table(out, "namespace", &figures.by_class);
+    table(out, "tenant", &figures.by_tenant);
+}
+
+fn outcomes(out: &mut String, figures: &Figures) {
+    let percent = |count: usize| 100.0 * share(count, figures.requests);
+    line!(
+        out,
+        "  in time {:.2}% of {} first lookups, {:.2}% in the worst 5 s",
+        100.0 * figures.in_time,
+        figures.first_requests,
+        100.0 * figures.worst_window
+    );
+    line!(
+        out,
+        "  {} lookups: resolved {:.2}%, deferred {:.2}%, abandoned {:.2}%",
+        figures.requests,
+        percent(figures.served),
+        percent(figures.rejected),
+        percent(figures.failed)
+    );
+    line!(
+        out,
+        "  turned down {}, left {}, killed {}, not taken {}, unanswered {}",
+        figures.invalid,
+        figures.cancelled,
+        figures.killed,
+        figures.not_accepted,
+        figures.unanswered
+    );
+}
+
+fn costs(out: &mut String, figures: &Figures) {
+    line!(
+        out,
+        "  {:.3} shots a lookup, {:.1}% of them at the origin, {:.1}% across zones; busiest cache {:.1}%",
+        figures.attempts_per_request,
+        100.0 * share(figures.origin_attempts, figures.attempts),
+        100.0 * share(figures.cross_zone_attempts, figures.attempts),
+        100.0 * figures.busiest_share
+    );
+    line!(
+        out,
+        "  {:.1} us of CPU a lookup, {:.1} MB at most; the lab was {:.2} ms late at its 99th percentile",
+        figures.cpu_us_per_request,
+        figures.memory_mb_peak,
+        figures.send_delay_p99_ms
+    );
+}
+
+fn during_faults(out: &mut String, during: &DuringFaults) {
+    let recovered = during.recovered_s.map_or("not by the end".to_string(), |s| format!("after {s:.0} s"));
+    line!(
+        out,
+        "  while in trouble {:.2}% in time; to a first lookup {:.3} lookups, {:.3} shots at caches, {:.3} at the origin; as before {recovered}",
+        100.0 * during.in_time,
+        during.requests_per_first,
+        during.server_attempts_per_first,
+        during.origin_attempts_per_first
+    );
+}
+
+fn drains(out: &mut String, figures: &Figures) {
+    let drains = &figures.drains;
+    if drains.notified > 0 {
+        line!(
+            out,
+            "  {} times a proxy was told that a cache is off; its last shot there came after {:.1} ms (p50), {:.1} ms (p99), {:.1} ms (longest)",
+            drains.notified,
+            drains.p50_ms,
+            drains.p99_ms,
+            drains.max_ms
+        );
+    }
+}
+
+/// What is only measured with some protocols and sources of the list.
+fn sources(out: &mut String, figures: &Figures) {
+    if let Some(redirections) = &figures.redirections {
+        line!(
+            out,
+            "  {:.4} redirections a lookup, {:.5} for the {} that came once the map had settled",
+            redirections.per_request,
+            redirections.settled_per_request,
+            redirections.settled_requests
+        );
+    }
+    if let Some(etcd) = &figures.etcd {
+        line!(
+            out,
+            "  etcd was asked {:.1} times a second; {} watches were lost, and back after {:.0} ms (p50), {:.0} ms (p99), {:.0} ms (longest)",
+            etcd.calls_per_second,
+            etcd.watches_lost,
+            etcd.recovery_p50_ms,
+            etcd.recovery_p99_ms,
+            etcd.recovery_max_ms
+        );
+    }
+}
+
+fn table(out: &mut String, what: &str, rows: &[ClassFigures]) {
+    if rows.is_empty() {
+        return;
+    }
+    line!(
+        out,
+        "  {what:<18} {:>9} {:>8} {:>9} {:>9} {:>9}",
+        "first",
+        "in time",
+        "p50 ms",
+        "p99 ms",
+        "p99.9 ms"
+    );
+    for row in rows {
+        line!(
+            out,
+            "  {:<18} {:>9} {:>7.2}% {:>9.2} {:>9.2} {:>9.2}",
+            row.name,
+            row.first_requests,
+            100.0 * row.in_time,
+            row.p50_ms,
+            row.p99_ms,
+            row.p99_9_ms
+        );
+    }
+}
--- a/crates/testbed/src/resp/tests.rs
+++ b/crates/testbed/src/resp/tests.rs
@@ -3,11 +3,11 @@
 #[test]
 fn commands_round_trip_and_slots_follow_the_cluster_specification() {
     let command_ = encode_command(&[b"SET", b"a{k1}", b"x\r\ny"]);
-    let (arguments, len) = command(&command_).unwrap().unwrap();
+    let (arguments, len) = parse_command(&command_).unwrap().unwrap();
     assert_eq!((arguments[2].as_slice(), len), (&b"x\r\ny"[..], command_.len()));
-    assert!((0..len).all(|n| matches!(command(&command_[..n]), Ok(None))));
+    assert!((0..len).all(|n| matches!(parse_command(&command_[..n]), Ok(None))));
     assert_eq!((slot(b"x{foo}y"), slot(b"foo")), (12182, 12182));
-    let status_of = |text: &[u8]| answer(text).unwrap().unwrap().0.status();
+    let status_of = |text: &[u8]| parse_answer(text).unwrap().unwrap().0.status();
     assert_eq!(status_of(b"-TRYAGAIN deferred, come back in 70 ms\r\n"), (503, Some(70_000)));
     assert_eq!(
         (status_of(b"$1\r\na\r\n"), status_of(b"$-1\r\n"), status_of(b"-ERR x\r\n")),
--- /dev/null
+++ b/crates/testbed/src/stand/body.rs
@@ -0,0 +1,24 @@
+//! Bodies of responses: made for one request, so that another's or a broken one is recognised.
+
+use crate::evidence::Id;
+
+/// The checksum at the end, as hexadecimal digits.
+const CHECKSUM_LENGTH: usize = 8;
+const FILLER: u8 = b'v';
+
+/// A body made for one request: for whom, by whom, filled up to its length, and its own checksum.
+pub fn body(id: Id, key: u64, by: usize, bytes: usize) -> Vec<u8> {
+    let mut body = format!("{id:016x} {key} {by} ").into_bytes();
+    body.resize(bytes.max(body.len() + CHECKSUM_LENGTH) - CHECKSUM_LENGTH, FILLER);
+    let sum = crc32fast::hash(&body);
+    body.extend(format!("{sum:08x}").into_bytes());
+    body
+}
+
+/// Whether a body is whole and made for that request.
+pub fn is_for(body: &[u8], id: Id) -> bool {
+    let length = body.len().saturating_sub(CHECKSUM_LENGTH);
+    let Some((content, sum)) = body.split_at_checked(length) else { return false };
+    content.starts_with(format!("{id:016x} ").as_bytes())
+        && sum == format!("{:08x}", crc32fast::hash(content)).as_bytes()
+}
--- /dev/null
+++ b/crates/testbed/src/stand/decide.rs
@@ -0,0 +1,134 @@
+//! What becomes of an attempt: asks the models, and records what follows from their answer.
+
+use super::{MissedAt, RunningServer, Site, TagKey};
+use crate::clock::{MILLI, Micros, micros};
+use crate::evidence::{ClientRequest, EventKind, Id};
+use crate::experiment::{DedupGroup, Protocol, Repeats, RequestClass};
+use crate::model::server::{AttemptInput, PlannedReply, Reply, ServerModel};
+use crate::sync::lock;
+
+/// Of the servers that missed for a request so many store what the origin answered, the first ones.
+const STORE_COPIES: usize = 2;
+/// Repeats of a tagged request are known by its tag for its window; older tags are dropped once there are so many.
+const MAX_TAGS: usize = 1 << 16;
+
+/// An attempt that has come whole.
+pub(super) struct Attempt<'a> {
+    /// At which server; the origin is the one after the last.
+    pub server: usize,
+    pub proxy: usize,
+    pub now: Micros,
+    pub id: Id,
+    pub request: &'a ClientRequest,
+    pub write: bool,
+    /// By which servers know a repeat of it.
+    pub tag: Option<&'a [u8]>,
+}
+
+impl Site {
+    /// Asks the models what becomes of an attempt, and does what follows from it here.
+    pub(super) fn decide(&self, attempt: &Attempt) -> PlannedReply {
+        let class = &self.experiment.classes[attempt.request.class];
+        // In this order: each draws from the run's random numbers.
+        let input = AttemptInput {
+            key: attempt.request.key,
+            write: attempt.write,
+            work: self.draw_work(class.work_ms),
+            luck: self.draw_luck(),
+        };
+        let origin_fails = self.timelines.origin_fails(attempt.now, self.draw_luck());
+        let plan = if attempt.server == self.origin() {
+            self.decide_at_origin(attempt.now, origin_fails)
+        } else {
+            self.decide_at_server(attempt, input, origin_fails)
+        };
+        let server = attempt.server as u16;
+        if plan.collapses {
+            self.evidence.record(attempt.id, attempt.proxy, EventKind::ServerCollapsed { server });
+        }
+        let has_effect = plan.takes_effect && class.repeats() != Repeats::Replayable;
+        if has_effect && !self.drops_repeat(attempt, class) {
+            self.evidence.record(attempt.id, attempt.proxy, EventKind::EffectApplied { server });
+        }
+        plan
+    }
+
+    /// When the origin has done what is sent to it, if it accepts it.
+    fn fetch(&self, from: Micros, origin_fails: bool) -> Option<Micros> {
+        if origin_fails {
+            return None;
+        }
+        if self.experiment.fleet.protocol() == Protocol::Resp {
+            return Some(from);
+        }
+        let work = self.draw_work(self.experiment.world.origin_ms);
+        lock(&self.origin).handle(from, work, &self.timelines.origin)
+    }
+
+    fn decide_at_origin(&self, now: Micros, origin_fails: bool) -> PlannedReply {
+        match self.fetch(now, origin_fails) {
+            Some(at) => PlannedReply { takes_effect: true, ..PlannedReply::plain(Reply::Fetched, at) },
+            // It read the request, and whether its effect came about is not known: it did not.
+            None if origin_fails => PlannedReply::plain(Reply::Error, now + MILLI),
+            None => PlannedReply::plain(Reply::Unprocessed, now),
+        }
+    }
+
+    fn decide_at_server(&self, attempt: &Attempt, input: AttemptInput, origin_fails: bool) -> PlannedReply {
+        let timeline = &self.timelines.servers[attempt.server];
+        let mut running = lock(&self.servers[attempt.server]);
+        // A new process has nothing of the one before.
+        let incarnation = timeline.at(attempt.now).unwrap_or(running.incarnation);
+        if incarnation != running.incarnation {
+            let started = timeline.incarnations[incarnation].started;
+            *running = RunningServer { incarnation, model: ServerModel::new(self.spec.clone(), started) };
+        }
+        let fetch = |from| self.fetch(from, origin_fails);
+        let plan = running.model.handle(attempt.now, input, timeline, fetch);
+        if plan.reply == Reply::Miss && !attempt.write {
+            let missed = MissedAt { server: attempt.server, incarnation };
+            lock(&self.missed).entry(attempt.id).or_default().push(missed);
+        }
+        plan
+    }
+
+    /// Whether this is a repeat of a tagged request that its group of servers drops.
+    fn drops_repeat(&self, attempt: &Attempt, class: &RequestClass) -> bool {
+        let Some(tag) = attempt.tag.filter(|_| class.repeats() == Repeats::Tagged) else {
+            return false;
+        };
+        let group = match class.dedup_group() {
+            DedupGroup::All => 0,
+            DedupGroup::Zone => (attempt.server % self.zones()) as u64,
+            DedupGroup::Cell => self.experiment.cell_of(attempt.server),
+        };
+        let (now, window) = (attempt.now, micros(class.window_ms / 1e3));
+        let mut tags = lock(&self.tags);
+        if tags.len() >= MAX_TAGS {
+            tags.retain(|_, ran| now < *ran + window);
+        }
+        let key = TagKey { tag: tag.to_vec(), group };
+        if tags.get(&key).is_some_and(|ran| now < *ran + window) {
+            return true;
+        }
+        tags.insert(key, now);
+        false
+    }
+
+    /// The origin has answered a request: its value is stored where it was missed, and a write drops all copies.
+    pub(super) fn store_fetched(&self, id: Id, request: &ClientRequest) {
+        let missed = lock(&self.missed).remove(&id).unwrap_or_default();
+        if self.experiment.classes[request.class].write {
+            for server in &self.servers {
+                lock(server).model.remove(request.key);
+            }
+            return;
+        }
+        for missed in missed.into_iter().take(STORE_COPIES) {
+            let mut running = lock(&self.servers[missed.server]);
+            if running.incarnation == missed.incarnation {
+                running.model.store(request.key);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/stand/etcd/call.rs
@@ -0,0 +1,93 @@
+//! A call: where it came from, and what its endpoint sees of the store.
+
+use super::stream::{RequestStream, ResponseStream};
+use super::writer::value_for;
+use super::{unary, watch};
+use crate::clock::Micros;
+use crate::model::store::{Item, Store};
+use crate::model::timeline::Reachability;
+use crate::stand::Site;
+use crate::sync::lock;
+use bytes::Bytes;
+use chalkwalk_etcd_wire::{CONTENT_TYPE, api, path};
+use h2::RecvStream;
+use h2::server::SendResponse;
+use http::{Request, Response};
+use std::sync::{Arc, MutexGuard};
+
+/// What a call needs to know of where it came from.
+#[derive(Clone)]
+pub(super) struct CallContext {
+    pub site: Arc<Site>,
+    pub proxy: usize,
+    pub endpoint: usize,
+}
+
+impl CallContext {
+    pub fn now(&self) -> Micros {
+        self.site.clock.now()
+    }
+
+    pub fn store(&self) -> MutexGuard<'_, Store> {
+        lock(&self.site.etcd.store)
+    }
+
+    pub fn header(&self, revision: i64) -> Option<api::ResponseHeader> {
+        self.site.etcd.header(revision)
+    }
+
+    /// Up to which revision this endpoint sees.
+    pub fn visible_revision(&self) -> i64 {
+        let now = self.now();
+        let lag = self.site.etcd.timeline.lag(self.endpoint, now);
+        let store = self.store();
+        if lag == 0 { store.revision() } else { store.revision_at(now.saturating_sub(lag)) }
+    }
+
+    /// Whether what is written now reaches the proxy: not across a link that is cut.
+    pub fn can_reach_proxy(&self) -> bool {
+        let zones = self.site.zones();
+        let (endpoint, proxy) = (self.endpoint % zones, self.proxy % zones);
+        let (reachability, _) = self.site.timelines.zone_reachability(endpoint, proxy, self.now());
+        reachability == Reachability::Up
+    }
+
+    /// Waits while the cluster stalls.
+    pub async fn wait_stalled(&self) {
+        while let Some(until) = self.site.etcd.timeline.stalled_until(self.now()) {
+            self.site.clock.sleep_until(until).await;
+        }
+    }
+
+    /// A key's state as this proxy reads it.
+    pub fn key_value(&self, item: &Item) -> api::KeyValue {
+        let value = item.value.clone().unwrap_or_default();
+        api::KeyValue {
+            key: item.key.clone().into(),
+            create_revision: item.created,
+            mod_revision: item.modified,
+            version: item.version,
+            value: value_for(value, self.proxy).into(),
+            lease: item.lease,
+        }
+    }
+}
+
+/// One call, from its head to its trailers.
+pub(super) async fn serve_call(
+    context: CallContext,
+    request: Request<RecvStream>,
+    mut respond: SendResponse<Bytes>,
+) {
+    let path = request.uri().path().to_string();
+    let mut requests = RequestStream::new(request.into_body());
+    context.wait_stalled().await;
+    let head = Response::builder().header("content-type", CONTENT_TYPE).body(());
+    let Some(Ok(stream)) = head.ok().map(|head| respond.send_response(head, false)) else { return };
+    let mut responses = ResponseStream(stream);
+    let result = match path.as_str() {
+        path::WATCH => watch::serve(&context, &mut requests, &mut responses).await,
+        _ => unary::serve(&context, &path, &mut requests, &mut responses).await,
+    };
+    responses.end(result);
+}
--- /dev/null
+++ b/crates/testbed/src/stand/etcd/mod.rs
@@ -0,0 +1,158 @@
+//! A stand-in for a cluster of etcd on sockets, after its public v3 API: gRPC over HTTP/2 without TLS, three endpoints for each
+//! proxy over one store. Who calls is known by the address, and values hold the addresses that this proxy is to use.
+
+mod call;
+mod stream;
+mod txn;
+mod unary;
+mod watch;
+mod writer;
+
+use super::Site;
+use crate::clock::Micros;
+use crate::evidence::EventKind;
+use crate::model::etcd::EtcdTimeline;
+use crate::model::store::Store;
+use crate::sync::lock;
+use call::{CallContext, serve_call};
+use chalkwalk_etcd_wire::api;
+use h2::server::handshake;
+use serde_json::Value;
+use smol::channel::{Receiver, Sender, bounded};
+use smol::{Async, Executor};
+use std::collections::HashMap;
+use std::net::TcpStream;
+use std::sync::{Arc, Mutex, Weak};
+use std::time::Duration;
+use tokio_util::compat::FuturesAsyncReadCompatExt;
+
+/// Every key begins with it. Proxies get it by their operator's file.
+pub const PREFIX: &str = "/lab/";
+/// The state of a server in service, in values.
+const SERVING: &str = "serving";
+
+/// The cluster's state.
+pub struct Etcd {
+    /// What happens to it.
+    pub timeline: EtcdTimeline,
+    store: Mutex<Store>,
+    /// Which cluster it is: a restored one is another.
+    cluster: Mutex<u64>,
+    watchers: Mutex<Vec<Sender<()>>>,
+    /// What each proxy was notified of last, by proxy and server.
+    notified: Mutex<HashMap<(usize, usize), LastNotified>>,
+    calls: Mutex<u64>,
+    /// Which cluster each proxy has read from last.
+    known_cluster: Mutex<HashMap<usize, u64>>,
+    /// Since when a proxy is without its watch.
+    watch_lost_at: Mutex<HashMap<usize, Micros>>,
+    /// How long each loss of a watch lasted.
+    recovery_times: Mutex<Vec<Micros>>,
+}
+
+/// How much a run called etcd, and how long watches were lost.
+#[derive(Clone, Debug, Default)]
+pub struct EtcdLoad {
+    /// Calls in all.
+    pub calls: u64,
+    /// How long each loss of a watch lasted.
+    pub recovery_times: Vec<Micros>,
+}
+
+#[derive(Clone, Copy, Default)]
+struct LastNotified {
+    revision: i64,
+    started: u64,
+}
+
+impl Etcd {
+    /// An empty store.
+    pub fn new(timeline: EtcdTimeline) -> Etcd {
+        Etcd {
+            timeline,
+            store: Mutex::default(),
+            cluster: Mutex::new(1),
+            watchers: Mutex::default(),
+            notified: Mutex::default(),
+            calls: Mutex::default(),
+            known_cluster: Mutex::default(),
+            watch_lost_at: Mutex::default(),
+            recovery_times: Mutex::default(),
+        }
+    }
+
+    /// Wakes the watchers; those that are gone are forgotten.
+    fn wake_watchers(&self) {
+        let is_open = |wake: &Sender<()>| !wake.try_send(()).is_err_and(|error| error.is_closed());
+        lock(&self.watchers).retain(|wake| !wake.is_closed() && is_open(wake));
+    }
+
+    fn add_watcher(&self) -> Receiver<()> {
+        let (wake, woken) = bounded(1);
+        lock(&self.watchers).push(wake);
+        woken
+    }
+
+    fn header(&self, revision: i64) -> Option<api::ResponseHeader> {
+        Some(api::ResponseHeader { cluster_id: *lock(&self.cluster), member_id: 1, revision, raft_term: 2 })
+    }
+
+    /// What the run asked of it so far.
+    pub fn load(&self) -> EtcdLoad {
+        EtcdLoad { calls: *lock(&self.calls), recovery_times: lock(&self.recovery_times).clone() }
+    }
+}
+
+impl Site {
+    /// Records what a proxy is notified of. An older state than one it had takes no drain back, but for a later start.
+    fn record_notified(&self, proxy: usize, server: usize, revision: i64, value: Option<&[u8]>) {
+        let fields: Option<Value> = value.and_then(|value| serde_json::from_slice(value).ok());
+        let off = fields.as_ref().is_none_or(|fields| fields["state"] != SERVING);
+        let started = fields.as_ref().and_then(|fields| fields["started_ms"].as_u64()).unwrap_or(0);
+        let mut notified = lock(&self.etcd.notified);
+        let last = notified.entry((proxy, server)).or_default();
+        if revision < last.revision && !off && started <= last.started {
+            return;
+        }
+        last.revision = last.revision.max(revision);
+        last.started = last.started.max(started);
+        let now = self.clock.now();
+        let kind = EventKind::Notified { server: server as u16, off };
+        self.evidence.record_at(now, 0, proxy, kind);
+    }
+}
+
+/// One connection, until it ends or every connection is reset.
+pub(super) async fn serve(
+    site: Arc<Site>,
+    executor: Weak<Executor<'static>>,
+    (proxy, endpoint): (usize, usize),
+    stream: Async<TcpStream>,
+) {
+    let context = CallContext { site: site.clone(), proxy, endpoint };
+    let reset = stream.get_ref().try_clone();
+    _ = stream.get_ref().set_nodelay(true);
+    let begun = site.clock.now();
+    let serving = async {
+        let Ok(mut connection) = handshake(stream.compat()).await else { return false };
+        while let Some(Ok((request, respond))) = connection.accept().await {
+            *lock(&site.etcd.calls) += 1;
+            if let Some(executor) = executor.upgrade() {
+                executor.spawn(serve_call(context.clone(), request, respond)).detach();
+            }
+        }
+        false
+    };
+    let broken = async {
+        match site.etcd.timeline.next_break(begun) {
+            Some(at) => site.clock.sleep_until(at).await,
+            None => std::future::pending().await,
+        }
+        true
+    };
+    let was_broken = smol::future::or(serving, broken).await;
+    lock(&site.etcd.watch_lost_at).entry(proxy).or_insert_with(|| site.clock.now());
+    if was_broken && let Ok(stream) = reset {
+        _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/stand/etcd/unary.rs
@@ -0,0 +1,169 @@
+//! Calls of one request and one response, and the renewal of leases.
+
+use super::PREFIX;
+use super::call::CallContext;
+use super::stream::{GrpcError, RequestStream, ResponseStream};
+use super::txn;
+use super::writer::key_of;
+use crate::clock::Micros;
+use crate::model::etcd::NO_MAJORITY;
+use crate::model::store::{Item, Write};
+use crate::sync::lock;
+use chalkwalk_etcd_wire::{Message, api, path};
+use std::time::Duration;
+
+/// An endpoint that is behind looks again after so long.
+const LOOK_AGAIN: Duration = Duration::from_millis(5);
+
+/// Serves a call by its path.
+pub(super) async fn serve(
+    context: &CallContext,
+    path: &str,
+    requests: &mut RequestStream,
+    responses: &mut ResponseStream,
+) -> Result<(), GrpcError> {
+    let now = context.now();
+    if path.starts_with("/etcdserverpb.Lease/") {
+        let lag = context.site.etcd.timeline.lease_lag(now);
+        context.site.clock.sleep_until(now + lag).await;
+    }
+    let mut out = Responder { context, responses };
+    match path {
+        path::RANGE => out.send(range(context, &requests.only().await?).await?).await,
+        path::PUT => out.send(put(context, requests.only().await?, now)?).await,
+        path::DELETE_RANGE => out.send(delete_range(context, requests.only().await?, now)?).await,
+        path::TXN => out.send(txn::run(context, requests.only().await?, now)?).await,
+        path::COMPACT => out.send(compact(context, requests.only().await?)?).await,
+        path::LEASE_GRANT => out.send(grant(context, requests.only().await?)).await,
+        path::LEASE_REVOKE => out.send(revoke(context, requests.only().await?, now)?).await,
+        path::LEASE_KEEP_ALIVE => {
+            while let Some(request) = requests.next::<api::LeaseKeepAliveRequest>().await {
+                out.send(keep_alive(context, request)).await?;
+            }
+            Ok(())
+        }
+        _ => Err(GrpcError::unimplemented("unknown method")),
+    }
+}
+
+/// Sends responses, unless the cluster stalls.
+struct Responder<'a> {
+    context: &'a CallContext,
+    responses: &'a mut ResponseStream,
+}
+
+impl Responder<'_> {
+    async fn send(&mut self, response: impl Message) -> Result<(), GrpcError> {
+        self.context.wait_stalled().await;
+        let sent = self.responses.send(&response).await;
+        sent.ok_or_else(|| GrpcError::unavailable("no question"))
+    }
+}
+
+fn put(context: &CallContext, request: api::PutRequest, now: Micros) -> Result<api::PutResponse, GrpcError> {
+    let write = Write::Put { key: request.key.to_vec(), value: request.value.to_vec(), lease: request.lease };
+    let revision = context.store().write(now, &[write])?;
+    context.site.etcd.wake_watchers();
+    Ok(api::PutResponse { header: context.header(revision) })
+}
+
+fn delete_range(
+    context: &CallContext,
+    request: api::DeleteRangeRequest,
+    now: Micros,
+) -> Result<api::DeleteRangeResponse, GrpcError> {
+    let (revision, deleted) = {
+        let mut store = context.store();
+        let deleted = store.range(&request.key, &request.range_end, 0, 0)?.0.len() as i64;
+        let write = Write::Delete { key: request.key.to_vec(), end: request.range_end.to_vec() };
+        (store.write(now, &[write])?, deleted)
+    };
+    context.site.etcd.wake_watchers();
+    Ok(api::DeleteRangeResponse { header: context.header(revision), deleted })
+}
+
+fn compact(
+    context: &CallContext,
+    request: api::CompactionRequest,
+) -> Result<api::CompactionResponse, GrpcError> {
+    let mut store = context.store();
+    store.compact(request.revision)?;
+    Ok(api::CompactionResponse { header: context.header(store.revision()) })
+}
+
+fn grant(context: &CallContext, request: api::LeaseGrantRequest) -> api::LeaseGrantResponse {
+    let lease = context.store().grant(context.now(), request.ttl);
+    api::LeaseGrantResponse {
+        header: context.header(context.visible_revision()),
+        id: lease.id,
+        ttl: lease.ttl_s,
+        error: String::new(),
+    }
+}
+
+fn revoke(
+    context: &CallContext,
+    request: api::LeaseRevokeRequest,
+    now: Micros,
+) -> Result<api::LeaseRevokeResponse, GrpcError> {
+    context.store().revoke(now, request.id)?;
+    context.site.etcd.wake_watchers();
+    Ok(api::LeaseRevokeResponse { header: context.header(context.visible_revision()) })
+}
+
+fn keep_alive(context: &CallContext, request: api::LeaseKeepAliveRequest) -> api::LeaseKeepAliveResponse {
+    let ttl = context.store().keep_alive(context.now(), request.id);
+    api::LeaseKeepAliveResponse { header: context.header(context.visible_revision()), id: request.id, ttl }
+}
+
+async fn range(context: &CallContext, request: &api::RangeRequest) -> Result<api::RangeResponse, GrpcError> {
+    if !request.serializable {
+        wait_for_newest(context).await?;
+    }
+    let visible = context.visible_revision();
+    let revision = if request.revision > 0 { request.revision } else { visible };
+    let (items, more) = {
+        let store = context.store();
+        let limit = request.limit.max(0) as usize;
+        let (items, more) = store.range(&request.key, &request.range_end, revision, limit)?;
+        (items.into_iter().cloned().collect::<Vec<Item>>(), more)
+    };
+    let kvs: Vec<api::KeyValue> = items.iter().map(|item| context.key_value(item)).collect();
+    // Notified from when it is written: what is missing in the whole of it is gone.
+    if request.key.as_ref() == PREFIX.as_bytes() && !more && context.can_reach_proxy() {
+        record_snapshot(context, &items, visible);
+    }
+    let count = kvs.len() as i64;
+    Ok(api::RangeResponse { header: context.header(visible), kvs, more, count })
+}
+
+/// By a majority: an endpoint that is behind has to learn all that was written before.
+async fn wait_for_newest(context: &CallContext) -> Result<(), GrpcError> {
+    let began = context.now();
+    let newest = context.store().revision();
+    while context.visible_revision() < newest {
+        if context.now() > began + NO_MAJORITY {
+            return Err(GrpcError::unavailable("etcdserver: request timed out"));
+        }
+        smol::Timer::after(LOOK_AGAIN).await;
+    }
+    Ok(())
+}
+
+/// What the whole list notifies a proxy of.
+fn record_snapshot(context: &CallContext, items: &[Item], revision: i64) {
+    let (site, proxy) = (&context.site, context.proxy);
+    let cluster = *lock(&site.etcd.cluster);
+    let before = lock(&site.etcd.known_cluster).insert(proxy, cluster);
+    let other_cluster = before.is_some_and(|before| before != cluster);
+    for server in 0..site.origin() {
+        let key = key_of(site, server);
+        let item = items.iter().find(|item| item.key == key);
+        // What is missing in an older state was not taken away: nothing has been written of that.
+        if other_cluster && item.is_none() {
+            continue;
+        }
+        let value = item.and_then(|item| item.value.as_deref());
+        site.record_notified(proxy, server, revision, value);
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/stand/etcd/watch.rs
@@ -0,0 +1,179 @@
+//! A watch: the changes of a range from one revision on, as its endpoint sees them. One watch a call, which is what chalkwalk
+//! opens.
+
+use super::call::CallContext;
+use super::stream::{GrpcError, RequestStream, ResponseStream};
+use crate::model::store::{Item, StoreError};
+use crate::sync::lock;
+use chalkwalk_etcd_wire::api;
+use chalkwalk_etcd_wire::api::watch_request::RequestUnion;
+use smol::channel::Receiver;
+use smol::future::or;
+use std::time::Duration;
+
+/// Events a response at the most, where the watcher accepts fragments.
+const FRAGMENT: usize = 40;
+/// Without a change, a watch looks again after so long ...
+const LOOK_AGAIN: Duration = Duration::from_millis(1000);
+/// ... or after so long where its endpoint is behind.
+const LOOK_AGAIN_BEHIND: Duration = Duration::from_millis(5);
+
+/// What a watch waits for.
+enum Wake {
+    /// A change, or time.
+    Changed,
+    /// A request on the open watch.
+    Request(Option<RequestUnion>),
+    /// The watcher is gone.
+    Closed,
+}
+
+struct Watch<'a> {
+    context: &'a CallContext,
+    responses: &'a mut ResponseStream,
+    create: api::WatchCreateRequest,
+    /// The next revision that is to be sent.
+    next: i64,
+}
+
+fn watcher_gone() -> GrpcError {
+    GrpcError::unavailable("the watcher is gone")
+}
+
+/// Serves a watch until it ends.
+pub(super) async fn serve(
+    context: &CallContext,
+    requests: &mut RequestStream,
+    responses: &mut ResponseStream,
+) -> Result<(), GrpcError> {
+    let create = loop {
+        let request = requests.next::<api::WatchRequest>().await.ok_or_else(watcher_gone)?;
+        if let Some(RequestUnion::CreateRequest(create)) = request.request_union {
+            break create;
+        }
+    };
+    let woken = context.site.etcd.add_watcher();
+    context.wait_stalled().await;
+    let created = api::WatchResponse { created: true, ..response(context) };
+    responses.send(&created).await.ok_or_else(watcher_gone)?;
+    record_recovery(context, &create);
+    let next = if create.start_revision > 0 { create.start_revision } else { context.visible_revision() + 1 };
+    Watch { context, responses, create, next }.run(requests, &woken).await
+}
+
+/// A response that holds nothing but what its endpoint sees.
+fn response(context: &CallContext) -> api::WatchResponse {
+    api::WatchResponse { header: context.header(context.visible_revision()), ..Default::default() }
+}
+
+/// A proxy that was without its watch has one again, unless its history is gone.
+fn record_recovery(context: &CallContext, create: &api::WatchCreateRequest) {
+    let etcd = &context.site.etcd;
+    if context.store().compacted() < create.start_revision
+        && let Some(since) = lock(&etcd.watch_lost_at).remove(&context.proxy)
+    {
+        lock(&etcd.recovery_times).push(context.now().saturating_sub(since));
+    }
+}
+
+impl Watch<'_> {
+    async fn run(mut self, requests: &mut RequestStream, woken: &Receiver<()>) -> Result<(), GrpcError> {
+        loop {
+            self.context.wait_stalled().await;
+            let visible = self.context.visible_revision();
+            match self.changes(visible) {
+                Ok(items) => {
+                    self.next = self.next.max(visible + 1);
+                    self.send_events(visible, &items).await.ok_or_else(watcher_gone)?;
+                }
+                Err(StoreError::Compacted(revision)) => return self.cancel(revision).await,
+                Err(other) => return Err(other.into()),
+            }
+            match self.wait(requests, woken).await {
+                Wake::Changed => {}
+                Wake::Closed => return Ok(()),
+                Wake::Request(Some(RequestUnion::CancelRequest(_))) => return self.cancel(0).await,
+                Wake::Request(Some(RequestUnion::ProgressRequest(_))) => self.send_progress().await?,
+                Wake::Request(_) => {}
+            }
+        }
+    }
+
+    fn changes(&self, visible: i64) -> Result<Vec<Item>, StoreError> {
+        let store = self.context.store();
+        let create = &self.create;
+        let items = store.changes(&create.key, &create.range_end, self.next, visible)?;
+        Ok(items.into_iter().cloned().collect())
+    }
+
+    /// Waits for a change, a request, or, where the endpoint is behind, time.
+    async fn wait(&self, requests: &mut RequestStream, woken: &Receiver<()>) -> Wake {
+        let lag = self.context.site.etcd.timeline.lag(self.context.endpoint, self.context.now());
+        let step = if lag > 0 { LOOK_AGAIN_BEHIND } else { LOOK_AGAIN };
+        let changed = async {
+            or(async { _ = woken.recv().await }, async { _ = smol::Timer::after(step).await }).await;
+            Wake::Changed
+        };
+        let request = async {
+            match requests.next::<api::WatchRequest>().await {
+                Some(request) => Wake::Request(request.request_union),
+                None => Wake::Closed,
+            }
+        };
+        or(request, changed).await
+    }
+
+    /// The last response: the watch ends, at a compaction with its revision.
+    async fn cancel(self, compact_revision: i64) -> Result<(), GrpcError> {
+        let last = api::WatchResponse { canceled: true, compact_revision, ..response(self.context) };
+        self.responses.send(&last).await.ok_or_else(watcher_gone)
+    }
+
+    /// All up to the revision of a progress response has been sent; where the endpoint is behind, it can't go beyond what it
+    /// sees.
+    async fn send_progress(&mut self) -> Result<(), GrpcError> {
+        if self.context.visible_revision() >= self.next {
+            return Ok(());
+        }
+        let is_behind = self.context.visible_revision() < self.next - 1;
+        let progress = if is_behind {
+            response(self.context)
+        } else {
+            api::WatchResponse { header: self.context.header(self.next - 1), ..Default::default() }
+        };
+        self.responses.send(&progress).await.ok_or_else(watcher_gone)
+    }
+
+    /// Sends changes, in fragments where the watcher accepts them; `None` where it is gone.
+    async fn send_events(&mut self, visible: i64, items: &[Item]) -> Option<()> {
+        let limit = if self.create.fragment { FRAGMENT } else { usize::MAX };
+        let fragments = items.len().div_ceil(limit);
+        for (i, fragment) in items.chunks(limit.min(items.len().max(1))).enumerate() {
+            let response = api::WatchResponse {
+                header: self.context.header(visible),
+                fragment: i + 1 < fragments,
+                events: fragment.iter().map(|item| event(self.context, item)).collect(),
+                ..Default::default()
+            };
+            self.responses.send(&response).await?;
+            record_events(self.context, fragment);
+        }
+        Some(())
+    }
+}
+
+fn event(context: &CallContext, item: &Item) -> api::Event {
+    let kind = if item.value.is_some() { api::event::Kind::Put } else { api::event::Kind::Delete };
+    api::Event { r#type: kind.into(), kv: Some(context.key_value(item)) }
+}
+
+/// What events notify a proxy of, if they reach it.
+fn record_events(context: &CallContext, items: &[Item]) {
+    let site = &context.site;
+    for item in items.iter().filter(|_| context.can_reach_proxy()) {
+        let servers = &mut (0..site.origin());
+        if let Some(server) = servers.find(|server| super::writer::key_of(site, *server) == item.key) {
+            site.record_notified(context.proxy, server, item.modified, item.value.as_deref());
+        }
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/stand/etcd/writer.rs
@@ -0,0 +1,131 @@
+//! What is written to the store: the list as it becomes known, and what is done to the store itself.
+
+use super::{PREFIX, SERVING};
+use crate::clock::{MILLI, Micros};
+use crate::model::etcd::StoreAction;
+use crate::model::server_list::{FIRST_VERSION, ListedServer};
+use crate::model::store::Write;
+use crate::model::timeline::{EndpointStatus, ListUpdate};
+use crate::stand::Site;
+use crate::sync::lock;
+use serde_json::json;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// In values, in place of the proxy that is to read them.
+pub(super) const PROXY: &str = "@PROXY@";
+/// A lease may be renewed meanwhile, and new ones come: the writer looks again after so long.
+const LOOK_AGAIN: Micros = 100 * MILLI;
+
+pub(super) fn key_of(site: &Site, server: usize) -> Vec<u8> {
+    format!("{PREFIX}caches/{}", site.endpoint_id(server)).into_bytes()
+}
+
+/// An entry's value, for any proxy.
+fn value_of(site: &Site, entry: &ListedServer) -> Vec<u8> {
+    let mut value = site.list_entry(0, entry);
+    let state = if entry.status == EndpointStatus::Ready { SERVING } else { "draining" };
+    let addr = for_any_proxy(value["addr"].as_str().unwrap_or(""));
+    if let Some(fields) = value.as_object_mut() {
+        fields.remove("id");
+        fields.remove("weight");
+        fields.insert("v".into(), json!(1));
+        fields.insert("addr".into(), json!(addr));
+        fields.insert("state".into(), json!(state));
+    }
+    value.to_string().into_bytes()
+}
+
+/// Addresses are 127.block.proxy.peer, the proxy counted from 1.
+fn for_any_proxy(addr: &str) -> String {
+    match addr.splitn(4, '.').collect::<Vec<_>>()[..] {
+        [net, block, _, peer] => format!("{net}.{block}.{PROXY}.{peer}"),
+        _ => addr.to_string(),
+    }
+}
+
+/// A proxy's own form of a value.
+pub(super) fn value_for(value: Vec<u8>, proxy: usize) -> Vec<u8> {
+    match String::from_utf8(value) {
+        Ok(text) => text.replace(PROXY, &(proxy + 1).to_string()).into_bytes(),
+        Err(error) => error.into_bytes(),
+    }
+}
+
+impl Site {
+    /// Writes the list as of the beginning.
+    pub fn seed_etcd(&self) {
+        let put = |entry: &ListedServer| Write::Put {
+            key: key_of(self, entry.server),
+            value: value_of(self, entry),
+            lease: 0,
+        };
+        let writes: Vec<Write> = self.server_list.snapshot(FIRST_VERSION).iter().map(put).collect();
+        _ = lock(&self.etcd.store).write(0, &writes);
+    }
+
+    /// Writes what becomes known at the time at which it does, and does to the store what its timeline has; never ends.
+    pub async fn write_etcd(self: Arc<Site>) {
+        let mut updates = self.timelines.updates.iter().peekable();
+        let mut actions = self.etcd.timeline.actions.iter().peekable();
+        let mut started = vec![0; self.origin() + 1];
+        loop {
+            let expiry = lock(&self.etcd.store).next_expiry();
+            let next_update = updates.peek().map(|update| update.published);
+            let next_action = actions.peek().map(|timed| timed.at);
+            let Some(at) = [next_update, next_action, expiry].into_iter().flatten().min() else {
+                smol::Timer::after(Duration::from_micros(LOOK_AGAIN)).await;
+                continue;
+            };
+            self.clock.sleep_until(at.min(self.clock.now() + LOOK_AGAIN)).await;
+            let now = self.clock.now();
+            lock(&self.etcd.store).expire(now);
+            while let Some(timed) = actions.next_if(|timed| timed.at <= now) {
+                self.act_on_store(timed.action, now);
+            }
+            // What becomes known at one moment is one transaction, as far as each server is in it once.
+            let mut batch: Vec<&ListUpdate> = Vec::new();
+            while let Some(update) = updates.next_if(|update| {
+                update.published <= now && !batch.iter().any(|before| before.server == update.server)
+            }) {
+                batch.push(update);
+            }
+            self.write_updates(&batch, &mut started, now);
+            self.etcd.wake_watchers();
+        }
+    }
+
+    fn act_on_store(&self, action: StoreAction, now: Micros) {
+        let mut store = lock(&self.etcd.store);
+        match action {
+            StoreAction::Compact => {
+                let revision = store.revision();
+                _ = store.compact(revision);
+            }
+            StoreAction::Restore(by) => {
+                store.restore(now.saturating_sub(by));
+                *lock(&self.etcd.cluster) += 1;
+            }
+        }
+    }
+
+    /// Writes changes in one transaction; `started` is when each server's process started, as far as it is written.
+    fn write_updates(&self, updates: &[&ListUpdate], started: &mut [Micros], now: Micros) {
+        let mut writes = Vec::new();
+        for update in updates {
+            let server = update.server;
+            let key = key_of(self, server);
+            if update.status == EndpointStatus::Ready {
+                started[server] = update.started;
+            }
+            let entry = ListedServer { server, status: update.status, started: started[server] };
+            writes.push(match update.status {
+                EndpointStatus::Gone => Write::Delete { key, end: vec![] },
+                _ => Write::Put { key, value: value_of(self, &entry), lease: 0 },
+            });
+        }
+        if !writes.is_empty() {
+            _ = lock(&self.etcd.store).write(now, &writes);
+        }
+    }
+}
--- a/crates/testbed/src/stand/file.rs
+++ b/crates/testbed/src/stand/file.rs
@@ -1,21 +1,26 @@
 //! The list as a file, one for each proxy with the addresses that it is to use: whole, renamed into place, or as a careless
 //! writer would have it.
 
-use super::{Site, lock};
+use super::Site;
+use crate::clock::Micros;
 use crate::evidence::EventKind;
-use crate::model::timeline::SERVING;
+use crate::model::server_list::ListedServer;
+use crate::model::timeline::EndpointStatus;
+use crate::sync::lock;
 use std::collections::HashMap;
+use std::io;
 use std::path::{Path, PathBuf};
 use std::sync::Mutex;
 use std::time::Duration;
 
 /// Between the halves of a file that is written in place.
-const HALVES_GAP: Duration = Duration::from_millis(20);
+const BETWEEN_HALVES: Duration = Duration::from_millis(20);
 
-/// Which servers a file last told a proxy to be off.
+/// One proxy's list file.
 pub struct ListFile {
     path: PathBuf,
     proxy: usize,
+    /// Whether each server was off in the file as it was written last.
     notified_off: Mutex<HashMap<usize, bool>>,
     writing: smol::lock::Mutex<()>,
 }
@@ -25,13 +30,14 @@
 pub enum WriteMode {
     /// Beside it, and renamed.
     Replaced,
-    /// A file that can't be taken, in place.
+    /// A file that cannot be read, in place.
     Broken,
     /// In place, the second half later than the first.
     InHalves,
 }
 
 impl ListFile {
+    /// A file that is still to be written.
     pub fn new(path: &Path, proxy: usize) -> ListFile {
         ListFile {
             path: path.to_path_buf(),
@@ -44,60 +50,69 @@
     /// The list as of now.
     fn text(&self, site: &Site) -> String {
         let now = site.clock.now();
-        let entries = site.server_list.snapshot(site.server_list.version(now));
         let mut text = format!("version = 1\nserial = {now}\n");
-        for entry in &entries {
-            let listed = site.list_entry(self.proxy, entry);
-            let state = if entry.state == SERVING { "serving" } else { "draining" };
+        for entry in &entries_at(site, now) {
+            let fields = site.list_entry(self.proxy, entry);
+            let state = if entry.status == EndpointStatus::Ready { "serving" } else { "draining" };
             text += &format!(
                 "[[cache]]\nid = {}\naddr = {}\nzone = {}\nkind = {}\ncell = {}\nstate = \"{state}\"\nstarted_ms = {}\n",
-                listed["id"],
-                listed["addr"],
-                listed["zone"],
-                listed["kind"],
-                listed["cell"],
-                listed["started_ms"]
+                fields["id"],
+                fields["addr"],
+                fields["zone"],
+                fields["kind"],
+                fields["cell"],
+                fields["started_ms"]
             );
         }
         text + "[end]\n"
     }
 
+    /// Writes the list as of now.
     pub async fn write(&self, site: &Site, mode: WriteMode) {
         // One writer at a time, or the second half of an old list would stand over a new one.
         let _one = self.writing.lock().await;
         let text = self.text(site);
-        let beside = self.path.with_extension("new");
         let written = match mode {
-            WriteMode::Replaced => {
-                std::fs::write(&beside, &text).and_then(|()| std::fs::rename(&beside, &self.path))
-            }
+            WriteMode::Replaced => self.replace(&text),
             WriteMode::Broken => {
                 _ = std::fs::write(&self.path, text.replace("addr = \"", "addr = \"x"));
                 return;
             }
             WriteMode::InHalves => {
                 _ = std::fs::write(&self.path, &text.as_bytes()[..text.len() / 2]);
-                smol::Timer::after(HALVES_GAP).await;
+                smol::Timer::after(BETWEEN_HALVES).await;
                 std::fs::write(&self.path, &text)
             }
         };
-        if written.is_err() {
-            return;
+        if written.is_ok() {
+            self.record_notified(site);
         }
-        // Told from now on: whoever looks finds it.
+    }
+
+    fn replace(&self, text: &str) -> io::Result<()> {
+        let beside = self.path.with_extension("new");
+        std::fs::write(&beside, text)?;
+        std::fs::rename(&beside, &self.path)
+    }
+
+    /// Notified from now on: whoever reads the file finds it.
+    fn record_notified(&self, site: &Site) {
         let now = site.clock.now();
-        let entries = site.server_list.snapshot(site.server_list.version(now));
+        let entries = entries_at(site, now);
+        let is_ready = |server: usize| {
+            entries.iter().any(|entry| entry.server == server && entry.status == EndpointStatus::Ready)
+        };
         let mut notified_off = lock(&self.notified_off);
         for server in 0..site.origin() {
-            let off = !entries.iter().any(|l| l.server == server && l.state == SERVING);
+            let off = !is_ready(server);
             if notified_off.insert(server, off).unwrap_or(false) != off {
-                site.evidence.record_at(
-                    now,
-                    0,
-                    self.proxy,
-                    EventKind::Notified { server: server as u16, off },
-                );
+                let kind = EventKind::Notified { server: server as u16, off };
+                site.evidence.record_at(now, 0, self.proxy, kind);
             }
         }
     }
 }
+
+fn entries_at(site: &Site, now: Micros) -> Vec<ListedServer> {
+    site.server_list.snapshot(site.server_list.version(now))
+}
--- /dev/null
+++ b/crates/testbed/src/stand/list_entries.rs
@@ -0,0 +1,35 @@
+//! Entries of the list as proxies read them.
+
+use super::Site;
+use crate::clock::MILLI;
+use crate::model::server_list::{FIRST_VERSION, ListedServer};
+use serde_json::{Value, json};
+
+impl Site {
+    /// The name of a server, or of the origin, in the list.
+    pub(super) fn endpoint_id(&self, server: usize) -> String {
+        if server == self.origin() { "origin".to_string() } else { format!("cache-{server:03}") }
+    }
+
+    /// The whole list before any change, as a proxy gets it with its configuration.
+    pub fn known(&self, proxy: usize) -> Vec<Value> {
+        let entries = self.server_list.snapshot(FIRST_VERSION);
+        entries.iter().map(|entry| self.list_entry(proxy, entry)).collect()
+    }
+
+    /// An entry of the list as one proxy reads it.
+    pub fn list_entry(&self, proxy: usize, entry: &ListedServer) -> Value {
+        let is_origin = entry.server == self.origin();
+        let started = if entry.started == 0 { 0 } else { self.clock.unix_start_ms() + entry.started / MILLI };
+        json!({
+            "id": self.endpoint_id(entry.server),
+            "addr": self.net.server(proxy, entry.server, self.origin()).to_string(),
+            "zone": self.experiment.zone_of(if is_origin { 0 } else { entry.server }),
+            "kind": if is_origin { "origin" } else { "cache" },
+            "cell": if is_origin { 0 } else { self.experiment.cell_of(entry.server) },
+            "state": entry.status.wire_name(),
+            "weight": 1.0,
+            "started_ms": started,
+        })
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/stand/peer.rs
@@ -0,0 +1,82 @@
+//! What a proxy connects to: where it listens, and whether it can be reached.
+
+use super::Site;
+use crate::clock::Micros;
+use crate::experiment::{ListSource, Outage};
+use crate::model::etcd::ENDPOINTS;
+use crate::model::timeline::{ListOutage, Reachability};
+use std::net::SocketAddr;
+
+/// A stand-in that proxies connect to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Peer {
+    /// A server by its number, or the origin as the one after the last.
+    Server(usize),
+    /// The list, at its first address or at the one it moves to.
+    List { moved: bool },
+    /// An endpoint of etcd.
+    Etcd(usize),
+}
+
+/// A peer as one proxy sees it.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Link {
+    pub peer: Peer,
+    pub proxy: usize,
+}
+
+impl Site {
+    /// All that a proxy may connect to.
+    pub(super) fn peers(&self) -> Vec<Peer> {
+        let mut peers: Vec<Peer> = (0..=self.origin()).map(Peer::Server).collect();
+        peers.push(Peer::List { moved: false });
+        peers.push(Peer::List { moved: true });
+        if self.experiment.fleet.list_source() == ListSource::Etcd {
+            peers.extend((0..ENDPOINTS).map(Peer::Etcd));
+        }
+        peers
+    }
+
+    pub(super) fn address(&self, link: Link) -> SocketAddr {
+        match link.peer {
+            Peer::Server(server) => self.net.server(link.proxy, server, self.origin()),
+            Peer::List { moved } => self.net.list(link.proxy, moved),
+            Peer::Etcd(endpoint) => self.net.etcd(link.proxy, endpoint),
+        }
+    }
+
+    /// Whether a proxy can reach a peer, and until when that holds.
+    pub(super) fn reachability(&self, link: Link) -> (Reachability, Micros) {
+        let zones = self.zones();
+        let zone = link.proxy % zones;
+        let now = self.clock.now();
+        match link.peer {
+            Peer::Server(server) if server < self.origin() => {
+                self.timelines.reachability(server, (server % zones, zone), now)
+            }
+            Peer::Server(_) => self.timelines.origin_reachability(zone, now),
+            Peer::List { .. } => self.list_reachability(zone, now),
+            Peer::Etcd(endpoint) => self.etcd_reachability(endpoint, zone, now),
+        }
+    }
+
+    /// The list has outages of its own in which nothing listens.
+    fn list_reachability(&self, zone: usize, now: Micros) -> (Reachability, Micros) {
+        let (reachability, until) = self.timelines.origin_reachability(zone, now);
+        let refuses = |down: &&ListOutage| down.outage == Outage::Refuses;
+        let spans = self.timelines.list_down.iter().filter(refuses).map(|down| &down.span);
+        let transitions = spans.clone().flat_map(|span| [span.start, span.end]);
+        let next = transitions.filter(|at| *at > now).min().unwrap_or(Micros::MAX);
+        let is_down = spans.clone().any(|span| span.contains(&now));
+        (if is_down { Reachability::Refused } else { reachability }, until.min(next))
+    }
+
+    fn etcd_reachability(&self, endpoint: usize, zone: usize, now: Micros) -> (Reachability, Micros) {
+        let next = self.etcd.timeline.next_transition(now);
+        if self.etcd.timeline.is_down(now) {
+            return (Reachability::Refused, next);
+        }
+        let (reachability, until) = self.timelines.zone_reachability(endpoint % self.zones(), zone, now);
+        (reachability, until.min(next))
+    }
+}
--- a/crates/testbed/src/stand/resp.rs
+++ b/crates/testbed/src/stand/resp.rs
@@ -1,132 +1,217 @@
 //! Servers that speak the cluster dialect of RESP, after its public specification: slots, redirections, replicas, loading.
 
-use super::{ConnectionCount, Site, server};
-use crate::clock::MILLI;
-use crate::evidence::{EventKind, Id};
-use crate::model::cluster::{Command, CommandOutcome};
+use super::body::body;
+use super::decide::Attempt;
+use super::server::{closes_connection, wait_until_due};
+use super::{ConnectionCount, Site};
+use crate::clock::{MILLI, Micros};
+use crate::evidence::{ClientRequest, EventKind, Id};
+use crate::model::cluster::{Command, CommandOutcome, RANKS};
 use crate::model::server::{PlannedReply, Reply};
-use crate::resp::{bulk, read_command, slot};
+use crate::resp::{Arguments, bulk, read_command, slot};
 use crate::wire::Connection;
 
-/// What a key of the testbed's says: `class:{kN}:ID[:FIRST]`.
-struct Key {
+/// The work of a health check.
+const HEALTH_CHECK_WORK: Micros = MILLI / 2;
+/// Spreads keys evenly over the ranks in which they migrate: 2^64 by the golden ratio.
+const RANK_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
+const LOADING: &[u8] = b"-LOADING the data set is loaded\r\n";
+
+/// What a key of the testbed's holds: `namespace:{kN}:ID:FIRST`.
+struct RequestKey {
     id: Id,
+    /// The id of the client's first try.
     tag: Vec<u8>,
 }
 
-fn parse_key(text: &[u8]) -> Option<Key> {
-    let text = std::str::from_utf8(text).ok()?;
-    let mut parts = text.rsplit(':');
-    let (first, id) = (parts.next()?, parts.next()?);
-    Some(Key { id: Id::from_str_radix(id, 16).ok()?, tag: first.as_bytes().to_vec() })
+impl RequestKey {
+    fn parse(text: &[u8]) -> Option<RequestKey> {
+        let text = std::str::from_utf8(text).ok()?;
+        let mut parts = text.rsplit(':');
+        let first = parts.next()?;
+        let id = parts.next()?;
+        Some(RequestKey { id: Id::from_str_radix(id, 16).ok()?, tag: first.as_bytes().to_vec() })
+    }
+}
+
+/// One end of a connection between a proxy and a server.
+struct RespConnection<'a> {
+    site: &'a Site,
+    server: usize,
+    proxy: usize,
+    /// Whether the next command came with ASKING.
+    asking: bool,
+    readonly: bool,
+}
+
+/// A command on a key, and the request that it belongs to.
+struct KeyCommand {
+    name: String,
+    key: RequestKey,
+    slot: u16,
+    request: ClientRequest,
+}
+
+/// Serves commands on a connection until it ends.
+pub(super) async fn serve_attempts(site: &Site, server: usize, proxy: usize, connection: &mut Connection) {
+    let _count = ConnectionCount::new(&site.connections[server]);
+    let mut serving = RespConnection { site, server, proxy, asking: false, readonly: false };
+    while serving.serve_next(connection).await.is_some() {}
 }
 
-pub async fn serve_attempts(site: &Site, peer: usize, proxy: usize, conn: &mut Connection) {
-    let _counted = ConnectionCount::new(&site.connections[peer]);
-    let (mut asking, mut readonly) = (false, false);
-    let addr = |node| site.net.server(proxy, node, site.origin()).to_string();
-    while let Ok(words) = read_command(conn).await {
-        let started = site.clock.now();
-        let name = String::from_utf8_lossy(words.first().map_or(&[], Vec::as_slice)).to_uppercase();
-        let reply = match name.as_str() {
+impl RespConnection<'_> {
+    /// One command and its answer; `None` where the connection ends.
+    async fn serve_next(&mut self, connection: &mut Connection) -> Option<()> {
+        let arguments = read_command(connection).await.ok()?;
+        let started = self.site.clock.now();
+        let first = arguments.first().map_or(&[][..], Vec::as_slice);
+        let name = String::from_utf8_lossy(first).to_uppercase();
+        if let Some(answer) = self.answer_without_key(&name, started).await {
+            return connection.write(&[&answer]).await.ok();
+        }
+        let command = self.identify(connection, name, &arguments).await?;
+        let server = self.server as u16;
+        self.record_at(started, command.key.id, EventKind::AttemptStarted { server });
+        let (plan, answer) = self.plan(&command);
+        self.reply(connection, command.key.id, plan, &answer).await
+    }
+
+    fn record_at(&self, at: Micros, id: Id, kind: EventKind) {
+        self.site.evidence.record_at(at, id, self.proxy, kind);
+    }
+
+    fn address(&self, node: usize) -> String {
+        self.site.net.server(self.proxy, node, self.site.origin()).to_string()
+    }
+
+    /// The answer to a command that is about no key.
+    async fn answer_without_key(&mut self, name: &str, now: Micros) -> Option<Vec<u8>> {
+        let site = self.site;
+        match name {
             "PING" => {
-                let done = site.timelines.servers[peer].speed.completion(started, MILLI / 2);
+                let done = site.timelines.servers[self.server].speed.completion(now, HEALTH_CHECK_WORK);
                 site.clock.sleep_until(done).await;
-                let loading = site.cluster.handle(peer, done, Command::default()) == CommandOutcome::Loading;
-                Some(if loading {
-                    b"-LOADING the data set is loaded\r\n".to_vec()
-                } else {
-                    b"+PONG\r\n".to_vec()
-                })
+                let loading = site.cluster.is_loading(self.server, done);
+                Some(if loading { LOADING.to_vec() } else { b"+PONG\r\n".to_vec() })
             }
             "ASKING" => {
-                asking = true;
+                self.asking = true;
                 Some(b"+OK\r\n".to_vec())
             }
             "READONLY" => {
-                readonly = true;
+                self.readonly = true;
                 Some(b"+OK\r\n".to_vec())
             }
             "CLUSTER" => {
-                let text = site.cluster.nodes(peer, started, site.origin(), addr);
+                let addr = |node| self.address(node);
+                let text = site.cluster.nodes(self.server, now, site.origin(), addr);
                 Some(bulk(text.as_bytes()))
             }
             _ => None,
-        };
-        if let Some(reply) = reply {
-            if conn.write(&[&reply]).await.is_err() {
-                return;
-            }
-            continue;
         }
-        let write = name == "SET";
-        let Some(parse_key) = words.get(1).and_then(|w| parse_key(w)) else {
-            _ = conn.write(&[b"-ERR no key of the lab's\r\n"]).await;
-            return;
+    }
+
+    /// Which request a command is for; where it is for none, that is recorded and refused.
+    async fn identify(
+        &self,
+        connection: &Connection,
+        name: String,
+        arguments: &Arguments,
+    ) -> Option<KeyCommand> {
+        let key_text = arguments.get(1).map_or(&[][..], Vec::as_slice);
+        let Some(key) = RequestKey::parse(key_text) else {
+            _ = connection.write(&[b"-ERR no key of the lab's\r\n"]).await;
+            return None;
         };
-        let (id, server) = (parse_key.id, peer as u16);
-        let Some(request) = site.evidence.request(id) else {
-            site.evidence.record(id, proxy, EventKind::UnknownRequest { server });
-            _ = conn.write(&[b"-ERR an id that nobody sent\r\n"]).await;
-            return;
+        let Some(request) = self.site.evidence.request(key.id) else {
+            let unknown = EventKind::UnknownRequest { server: self.server as u16 };
+            self.site.evidence.record(key.id, self.proxy, unknown);
+            _ = connection.write(&[b"-ERR an id that nobody sent\r\n"]).await;
+            return None;
         };
-        site.evidence.record_at(started, id, proxy, EventKind::AttemptStarted { server });
-        let now = site.clock.now();
-        site.evidence.record_at(now, id, proxy, EventKind::AttemptReceived { server, write });
-        let slot = slot(&words[1]);
-        let rank = request.key.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
-        let command =
-            Command { slot, rank: rank % 1000, asking: std::mem::take(&mut asking), readonly, write };
-        let refused = match site.cluster.handle(peer, now, command) {
-            CommandOutcome::Serves => None,
-            CommandOutcome::Moved(to) => Some((Reply::Miss, format!("-MOVED {slot} {}\r\n", addr(to)))),
-            CommandOutcome::Ask(to) => Some((Reply::Miss, format!("-ASK {slot} {}\r\n", addr(to)))),
-            CommandOutcome::TryAgain => {
-                Some((Reply::Unprocessed, "-TRYAGAIN the key is on its way\r\n".into()))
+        Some(KeyCommand { name, key, slot: slot(key_text), request })
+    }
+
+    /// What becomes of a command that has come whole now, and its answer.
+    fn plan(&mut self, command: &KeyCommand) -> (PlannedReply, Vec<u8>) {
+        let now = self.site.clock.now();
+        let write = command.name == "SET";
+        let server = self.server as u16;
+        self.record_at(now, command.key.id, EventKind::AttemptReceived { server, write });
+        if let Some((reply, answer)) = self.refusal(command, write, now) {
+            return (PlannedReply::plain(reply, now), answer);
+        }
+        let plan = self.site.decide(&Attempt {
+            server: self.server,
+            proxy: self.proxy,
+            now,
+            id: command.key.id,
+            request: &command.request,
+            write,
+            tag: Some(&command.key.tag),
+        });
+        (plan, self.answer(command, write, plan.reply))
+    }
+
+    /// The answer of a server that does not hold the key, or not yet.
+    fn refusal(&mut self, command: &KeyCommand, write: bool, now: Micros) -> Option<(Reply, Vec<u8>)> {
+        let slot = command.slot;
+        let rank = (command.request.key.wrapping_mul(RANK_FACTOR) >> 32) % RANKS;
+        let asking = std::mem::take(&mut self.asking);
+        let on_slot = Command { slot, rank, asking, readonly: self.readonly, write };
+        let (reply, answer) = match self.site.cluster.handle(self.server, now, on_slot) {
+            CommandOutcome::Serves => return None,
+            CommandOutcome::Moved(to) => {
+                (Reply::Miss, format!("-MOVED {slot} {}\r\n", self.address(to)).into_bytes())
             }
-            CommandOutcome::Loading => {
-                Some((Reply::Unprocessed, "-LOADING the data set is loaded\r\n".into()))
+            CommandOutcome::Ask(to) => {
+                (Reply::Miss, format!("-ASK {slot} {}\r\n", self.address(to)).into_bytes())
             }
+            CommandOutcome::TryAgain => (Reply::Unprocessed, b"-TRYAGAIN the key is on its way\r\n".to_vec()),
+            CommandOutcome::Loading => (Reply::Unprocessed, LOADING.to_vec()),
         };
-        let (plan, bytes) = match refused {
-            Some((reply, text)) => (
-                PlannedReply { reply, at: now, interim: false, takes_effect: false, collapses: false },
-                text.into_bytes(),
-            ),
-            None => {
-                let attempt = server::Attempt {
-                    peer,
-                    proxy,
-                    now,
-                    id,
-                    request: &request,
-                    write,
-                    tag: Some(&parse_key.tag),
-                };
-                let plan = server::decide(site, &attempt);
-                let value = server::body(id, request.key, peer, site.experiment.classes[request.class].bytes);
-                let bytes = match plan.reply {
-                    Reply::Hit | Reply::Fetched if write => b"+OK\r\n".to_vec(),
-                    Reply::Hit | Reply::Fetched => bulk(&value),
-                    Reply::Unprocessed => b"-LOADING busy\r\n".to_vec(),
-                    Reply::Truncated => bulk(&value)[..value.len() / 2].to_vec(),
-                    Reply::Garbage => b"?what\r\n".to_vec(),
-                    Reply::Error | Reply::Miss => b"-ERR failed\r\n".to_vec(),
-                    Reply::Silence | Reply::Reset => Vec::new(),
-                };
-                (plan, bytes)
+        Some((reply, answer))
+    }
+
+    /// The bytes of a reply.
+    fn answer(&self, command: &KeyCommand, write: bool, reply: Reply) -> Vec<u8> {
+        let request = &command.request;
+        let bytes = self.site.experiment.classes[request.class].bytes;
+        let value = || body(command.key.id, request.key, self.server, bytes);
+        match reply {
+            Reply::Hit | Reply::Fetched if write => b"+OK\r\n".to_vec(),
+            Reply::Hit | Reply::Fetched => bulk(&value()),
+            Reply::Unprocessed => b"-LOADING busy\r\n".to_vec(),
+            Reply::Truncated => {
+                let value = value();
+                bulk(&value)[..value.len() / 2].to_vec()
             }
-        };
-        if !server::wait_until_due(site, conn, &plan).await {
-            return site.evidence.record(id, proxy, EventKind::AttemptAborted { server });
+            Reply::Garbage => b"?what\r\n".to_vec(),
+            Reply::Error | Reply::Miss => b"-ERR failed\r\n".to_vec(),
+            Reply::Silence | Reply::Reset => Vec::new(),
         }
-        let at = site.clock.now();
-        if conn.write(&[&bytes]).await.is_err() {
-            return site.evidence.record(id, proxy, EventKind::AttemptAborted { server });
+    }
+
+    async fn reply(
+        &self,
+        connection: &mut Connection,
+        id: Id,
+        plan: PlannedReply,
+        answer: &[u8],
+    ) -> Option<()> {
+        let server = self.server as u16;
+        let aborted = EventKind::AttemptAborted { server };
+        if !wait_until_due(self.site, connection, &plan).await {
+            self.site.evidence.record(id, self.proxy, aborted);
+            return None;
         }
-        site.evidence.record_at(at, id, proxy, EventKind::Replied { server, reply: plan.reply });
-        if server::closes_connection(conn, &plan) {
-            return;
+        // Recorded with the time ahead of the write: the proxy may act on it before the write returns.
+        let replied = self.site.clock.now();
+        if connection.write(&[answer]).await.is_err() {
+            self.site.evidence.record(id, self.proxy, aborted);
+            return None;
         }
+        self.record_at(replied, id, EventKind::Replied { server, reply: plan.reply });
+        (!closes_connection(connection, &plan)).then_some(())
     }
 }
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -1,5 +1,5 @@
 //! HTTP/1.1 framing for stand-ins, clients and the baselines: bodies by length only, as all of them write it. It is the
-//! lab's own, so that a fault in the proxy's framing cannot hide itself.
+//! testbed's own, so that a bug in the proxy's framing cannot hide itself.
 
 use crate::evidence::Id;
 use smol::Async;
@@ -9,28 +9,46 @@
 
 /// Longer messages are refused: no experiment has longer values.
 const MAX_MESSAGE: usize = 4 << 20;
+/// More header fields are refused: a proxy sends a dozen.
 const MAX_FIELDS: usize = 48;
+/// A longer head is refused.
+const MAX_HEAD: usize = 64 << 10;
+/// Read at once, at the least.
+const MIN_READ: usize = 4096;
 
-#[derive(Debug)]
+/// Why no message could be read.
+#[derive(Debug, thiserror::Error)]
 pub enum ReadError {
     /// The connection ended between two messages.
+    #[error("the connection was closed")]
     Closed,
     /// It ended, or broke, within one.
+    #[error("the connection broke within a message")]
     Truncated,
     /// What came is no message.
+    #[error("malformed message")]
     Malformed,
 }
 
+/// A header field's name and value, by where they stand in the message.
+struct Field {
+    name: Range<usize>,
+    value: Range<usize>,
+}
+
 /// One message, and where its parts stand in it.
 #[derive(Default)]
 pub struct Message {
+    /// The whole of it.
     pub bytes: Vec<u8>,
-    pub body: Range<usize>,
+    /// Of a response; 0 for a request.
     pub status: u16,
+    /// Whether the connection ends with it.
     pub close: bool,
+    body: Range<usize>,
     method: Range<usize>,
     target: Range<usize>,
-    fields: Vec<(Range<usize>, Range<usize>)>,
+    fields: Vec<Field>,
 }
 
 impl Message {
@@ -38,75 +56,104 @@
         std::str::from_utf8(&self.bytes[at.clone()]).unwrap_or("")
     }
 
+    /// Of a request.
     pub fn method(&self) -> &str {
         self.text(&self.method)
     }
 
+    /// Of a request.
     pub fn target(&self) -> &str {
         self.text(&self.target)
     }
 
+    /// A header field's value.
     pub fn field(&self, name: &str) -> Option<&str> {
-        let named = |(n, _): &&(Range<usize>, Range<usize>)| self.text(n).eq_ignore_ascii_case(name);
-        self.fields.iter().find(named).map(|(_, value)| self.text(value).trim())
+        let named = |field: &&Field| self.text(&field.name).eq_ignore_ascii_case(name);
+        self.fields.iter().find(named).map(|field| self.text(&field.value).trim())
     }
 
+    /// The body.
     pub fn body(&self) -> &[u8] {
         &self.bytes[self.body.clone()]
     }
 }
 
-fn range_of(buf: &[u8], part: &[u8]) -> Range<usize> {
-    let start = (part.as_ptr() as usize).wrapping_sub(buf.as_ptr() as usize);
+/// Which messages are read.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum MessageKind {
+    Request,
+    Response,
+}
+
+/// A message's head, and the lengths of its parts.
+struct Head {
+    message: Message,
+    length: usize,
+    body_length: usize,
+}
+
+/// Where a part of a buffer stands in it.
+fn range_of(buffer: &[u8], part: &[u8]) -> Range<usize> {
+    let start = (part.as_ptr() as usize).wrapping_sub(buffer.as_ptr() as usize);
     if part.is_empty() { 0..0 } else { start..start + part.len() }
 }
 
-/// The head at the start of the buffer, its length, and that of the body.
-fn head(buf: &[u8], is_request: bool) -> Result<Option<(Message, usize, usize)>, ReadError> {
-    let mut lines = [httparse::EMPTY_HEADER; MAX_FIELDS];
+/// The head at the start of the buffer; none where it is not whole yet.
+fn parse_head(buffer: &[u8], kind: MessageKind) -> Result<Option<Head>, ReadError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut message = Message::default();
-    let parsed = if is_request {
-        let mut request = httparse::Request::new(&mut lines);
-        let parsed = request.parse(buf);
-        message.method = range_of(buf, request.method.unwrap_or("").as_bytes());
-        message.target = range_of(buf, request.path.unwrap_or("").as_bytes());
-        parsed
-    } else {
-        let mut response = httparse::Response::new(&mut lines);
-        let parsed = response.parse(buf);
-        message.status = response.code.unwrap_or(0);
-        parsed
+    let parsed = match kind {
+        MessageKind::Request => {
+            let mut request = httparse::Request::new(&mut headers);
+            let parsed = request.parse(buffer);
+            message.method = range_of(buffer, request.method.unwrap_or("").as_bytes());
+            message.target = range_of(buffer, request.path.unwrap_or("").as_bytes());
+            parsed
+        }
+        MessageKind::Response => {
+            let mut response = httparse::Response::new(&mut headers);
+            let parsed = response.parse(buffer);
+            message.status = response.code.unwrap_or(0);
+            parsed
+        }
     };
-    let len = match parsed {
-        Ok(httparse::Status::Complete(len)) => len,
-        Ok(httparse::Status::Partial) if buf.len() < 64 << 10 => return Ok(None),
+    let length = match parsed {
+        Ok(httparse::Status::Complete(length)) => length,
+        Ok(httparse::Status::Partial) if buffer.len() < MAX_HEAD => return Ok(None),
         _ => return Err(ReadError::Malformed),
     };
-    let headers = lines.iter().take_while(|l| !l.name.is_empty());
-    message.fields = headers.map(|l| (range_of(buf, l.name.as_bytes()), range_of(buf, l.value))).collect();
-    let mut length = 0;
-    for line in lines.iter().take_while(|l| !l.name.is_empty()) {
-        if line.name.eq_ignore_ascii_case("Content-Length") {
-            let headers = std::str::from_utf8(line.value).ok().and_then(|v| v.trim().parse().ok());
-            length = headers.filter(|n| *n <= MAX_MESSAGE).ok_or(ReadError::Malformed)?;
-        } else if line.name.eq_ignore_ascii_case("Transfer-Encoding") {
+    let mut body_length = 0;
+    for header in headers.iter().take_while(|header| !header.name.is_empty()) {
+        let name = range_of(buffer, header.name.as_bytes());
+        message.fields.push(Field { name, value: range_of(buffer, header.value) });
+        if header.name.eq_ignore_ascii_case("Content-Length") {
+            body_length = content_length(header.value)?;
+        } else if header.name.eq_ignore_ascii_case("Transfer-Encoding") {
             return Err(ReadError::Malformed);
-        } else if line.name.eq_ignore_ascii_case("Connection") {
-            message.close = line.value.eq_ignore_ascii_case(b"close");
+        } else if header.name.eq_ignore_ascii_case("Connection") {
+            message.close = header.value.eq_ignore_ascii_case(b"close");
         }
     }
-    Ok(Some((message, len, length)))
+    Ok(Some(Head { message, length, body_length }))
+}
+
+fn content_length(value: &[u8]) -> Result<usize, ReadError> {
+    let length = std::str::from_utf8(value).ok().and_then(|text| text.trim().parse().ok());
+    length.filter(|length| *length <= MAX_MESSAGE).ok_or(ReadError::Malformed)
 }
 
 /// A connection and what was read from it ahead.
 pub struct Connection {
+    /// Its socket.
     pub stream: Async<TcpStream>,
+    /// Read, and not yet a message.
     pub buffered: Vec<u8>,
     /// The request whose attempt is open on it.
     pub open_attempt: Option<Id>,
 }
 
 impl Connection {
+    /// A connection on which nothing has been read yet.
     pub fn new(stream: Async<TcpStream>) -> Connection {
         _ = stream.get_ref().set_nodelay(true);
         Connection { stream, buffered: Vec::new(), open_attempt: None }
@@ -116,7 +163,7 @@
     pub async fn fill(&mut self) -> io::Result<usize> {
         loop {
             let old = self.buffered.len();
-            self.buffered.resize(old + 4096.max(old), 0);
+            self.buffered.resize(old + MIN_READ.max(old), 0);
             let got = self.stream.get_ref().read(&mut self.buffered[old..]);
             self.buffered.truncate(old + got.as_ref().copied().unwrap_or(0));
             match got {
@@ -127,16 +174,11 @@
         }
     }
 
-    async fn message(&mut self, is_request: bool) -> Result<Message, ReadError> {
+    /// The next message; interim responses are passed over.
+    async fn read_message(&mut self, kind: MessageKind) -> Result<Message, ReadError> {
         loop {
-            if !self.buffered.is_empty()
-                && let Some((mut message, len, length)) = head(&self.buffered, is_request)?
-                && self.buffered.len() >= len + length
-            {
-                let rest = self.buffered.split_off(len + length);
-                message.bytes = std::mem::replace(&mut self.buffered, rest);
-                message.body = len..len + length;
-                if !is_request && (100..200).contains(&message.status) {
+            if let Some(message) = self.buffered_message(kind)? {
+                if kind == MessageKind::Response && (100..200).contains(&message.status) {
                     continue;
                 }
                 return Ok(message);
@@ -148,13 +190,31 @@
         }
     }
 
+    /// The message at the start of the buffer, if it is there whole.
+    fn buffered_message(&mut self, kind: MessageKind) -> Result<Option<Message>, ReadError> {
+        if self.buffered.is_empty() {
+            return Ok(None);
+        }
+        let Some(head) = parse_head(&self.buffered, kind)? else { return Ok(None) };
+        let length = head.length + head.body_length;
+        if self.buffered.len() < length {
+            return Ok(None);
+        }
+        let rest = self.buffered.split_off(length);
+        let mut message = head.message;
+        message.bytes = std::mem::replace(&mut self.buffered, rest);
+        message.body = head.length..length;
+        Ok(Some(message))
+    }
+
+    /// The next request.
     pub async fn read_request(&mut self) -> Result<Message, ReadError> {
-        self.message(true).await
+        self.read_message(MessageKind::Request).await
     }
 
-    /// The next answer; interim ones are passed over.
+    /// The next response; interim ones are passed over.
     pub async fn read_response(&mut self) -> Result<Message, ReadError> {
-        self.message(false).await
+        self.read_message(MessageKind::Response).await
     }
 
     /// Writes all parts, gathered.
@@ -209,7 +269,7 @@
     }
 }
 
-/// An answer's head; `extra` lines end with a line break each.
+/// A response's head; `extra` lines end with a line break each.
 pub fn response_head(status: u16, length: usize, extra: &str) -> String {
     let reason = match status {
         200 => "OK",
--- a/crates/testbed/tests/models/etcd.rs
+++ b/crates/testbed/tests/models/etcd.rs
@@ -1,6 +1,6 @@
 use chalkwalk_testbed::clock::SECOND;
 use chalkwalk_testbed::experiment::Experiment;
-use chalkwalk_testbed::model::etcd::{EtcdTimeline, StoreAction};
+use chalkwalk_testbed::model::etcd::{EtcdTimeline, StoreAction, TimedAction};
 
 #[test]
 fn faults_of_etcd_are_computed_ahead() {
@@ -13,6 +13,9 @@
     assert_eq!([0, 2, 20].map(|s| all.next_break(s * SECOND)), [Some(2 * SECOND), Some(20 * SECOND), None]);
     assert_eq!(
         all.actions,
-        [(3 * SECOND, StoreAction::Compact), (20 * SECOND, StoreAction::Restore(4 * SECOND))]
+        [
+            TimedAction { at: 3 * SECOND, action: StoreAction::Compact },
+            TimedAction { at: 20 * SECOND, action: StoreAction::Restore(4 * SECOND) },
+        ]
     );
 }
--- a/crates/testbed/tests/models/server.rs
+++ b/crates/testbed/tests/models/server.rs
@@ -1,5 +1,4 @@
-use chalkwalk_testbed::clock::Micros;
-use chalkwalk_testbed::clock::{MILLI, SECOND};
+use chalkwalk_testbed::clock::{MILLI, Micros, SECOND};
 use chalkwalk_testbed::model::server::{AttemptInput, Reply, ServerModel, ServerSpec};
 use chalkwalk_testbed::model::timeline::{Incarnation, Reachability, ServerTimeline};
 
@@ -49,7 +48,7 @@
 }
 
 #[test]
-fn a_server_in_slow_start_collapses_under_load_that_a_warm_one_takes() {
+fn a_server_in_slow_start_collapses_under_load_that_a_warm_one_bears() {
     let timeline = timeline();
     let collapsed = [SECOND, 0].map(|started| {
         let mut server = ServerModel::new(spec(), started);
--- a/crates/testbed/tests/models/speed.rs
+++ b/crates/testbed/tests/models/speed.rs
@@ -16,7 +16,7 @@
 #[test]
 fn a_slow_start_rises_evenly_to_full_speed() {
     let mut speed = SpeedProfile::default();
-    speed.slow_start_from(1000, 0.2, 1000);
+    speed.slow_start(1000, 0.2, 1000);
     // A fifth at first, all at last, three fifths in the mean.
     let mean = (0..1000).map(|i| speed.speed(1000 + i)).sum::<f64>() / 1000.0;
     assert!((mean - 0.6).abs() < 0.01, "{mean}");
--- a/crates/testbed/tests/models/store.rs
+++ b/crates/testbed/tests/models/store.rs
@@ -40,9 +40,10 @@
 #[test]
 fn an_expired_lease_deletes_its_keys_unless_it_is_kept_alive() {
     let mut s = Store::default();
-    let (id, ttl) = s.grant(0, 10);
+    let lease = s.grant(0, 10);
+    let id = lease.id;
     s.write(0, &[put("a", "1", id), put("b", "1", id)]).unwrap();
-    assert_eq!((ttl, s.keep_alive(5 * SECOND, id), s.next_expiry()), (10, 10, Some(15 * SECOND)));
+    assert_eq!((lease.ttl_s, s.keep_alive(5 * SECOND, id), s.next_expiry()), (10, 10, Some(15 * SECOND)));
     // Written again without it: the lease has no more part in it.
     s.write(6 * SECOND, &[put("b", "2", 0)]).unwrap();
     s.expire(15 * SECOND);
--- a/crates/testbed/tests/models/timeline.rs
+++ b/crates/testbed/tests/models/timeline.rs
@@ -1,6 +1,6 @@
 use chalkwalk_testbed::clock::SECOND;
 use chalkwalk_testbed::experiment::Experiment;
-use chalkwalk_testbed::model::timeline::{DELETED, DRAINING, Reachability, SERVING, Timelines};
+use chalkwalk_testbed::model::timeline::{EndpointStatus, Reachability, Timelines};
 
 const SMALL_FLEET: &str = r#"
     title = "t"
@@ -21,8 +21,8 @@
 #[test]
 fn a_rolling_deploy_drains_each_in_turn_and_restarts_it_in_slow_start() {
     let all = timelines("[[trouble]]\nkind='rolling-deploy'\nat=2\nevery=4\ndrain=1\ndown=1\ncaches=[1,2]");
-    let seen: Vec<_> = all.updates.iter().map(|n| (n.published / 100_000, n.server, n.state)).collect();
-    let (d, g, s) = (DRAINING, DELETED, SERVING);
+    let seen: Vec<_> = all.updates.iter().map(|n| (n.published / 100_000, n.server, n.status)).collect();
+    let (d, g, s) = (EndpointStatus::Draining, EndpointStatus::Gone, EndpointStatus::Ready);
     assert_eq!(seen, [(25, 1, d), (35, 1, g), (45, 1, s), (65, 2, d), (75, 2, g), (85, 2, s)]);
     assert_eq!(all.reachability(1, (1, 0), 3 * SECOND), (Reachability::Refused, 4 * SECOND));
     assert!(all.servers[1].speed.speed(4 * SECOND) < 0.3 && all.servers[0].speed.speed(4 * SECOND) == 1.0);
@@ -50,6 +50,6 @@
 fn a_late_list_delays_the_changes_within_its_span() {
     let delay = "[[trouble]]\nkind='list-late'\nat=0\nfor=3\nby=5\n";
     let all = timelines(&format!("{delay}[[trouble]]\nkind='restarts'\nat=1\ndown=6\ncaches=[0]"));
-    let seen: Vec<_> = all.updates.iter().map(|n| (n.published / 100_000, n.state)).collect();
-    assert_eq!(seen, [(65, DELETED), (75, SERVING)]);
+    let seen: Vec<_> = all.updates.iter().map(|n| (n.published / 100_000, n.status)).collect();
+    assert_eq!(seen, [(65, EndpointStatus::Gone), (75, EndpointStatus::Ready)]);
 }
