--- a/crates/testbed/src/baseline/proxy.rs
+++ b/crates/testbed/src/baseline/proxy.rs
@@ -55,6 +55,7 @@
 }
 
 impl Proxy {
+    /// Takes up a list, and returns its version.
     pub fn apply_list(&self, list: &Value) -> Option<u64> {
         self.endpoints.borrow_mut().apply(list, self.broken == BrokenRule::Drained)
     }
--- a/crates/testbed/src/experiment/defaults.rs
+++ b/crates/testbed/src/experiment/defaults.rs
@@ -103,7 +103,7 @@
     1024
 }
 
-/// A span of no length tells a default from what the file states.
+/// A span of no length distinguishes a default from what the file states.
 pub(super) fn repeats() -> Spanned<String> {
     Spanned::new(0..0, Repeats::Replayable.name().into())
 }
--- a/crates/testbed/src/fleet/config.rs
+++ b/crates/testbed/src/fleet/config.rs
@@ -1,6 +1,7 @@
 //! What a proxy gets at its start: the platform's configuration, and its operator's file.
 
 use super::Fleet;
+use super::process::name;
 use crate::experiment::{ListSource, Protocol, Repeats, RequestClass};
 use crate::model::etcd::ENDPOINTS;
 use crate::model::server_list::FIRST_VERSION;
@@ -100,7 +101,7 @@
         let list = || json!(net.list(proxy, list_moved).to_string());
         let known = || json!({"version": FIRST_VERSION, "full": true, "servers": self.site.known(proxy)});
         json!({
-            "name": super::name(proxy),
+            "name": name(proxy),
             "listen": net.proxy(proxy).to_string(),
             "discovery": if from_platform { list() } else { Value::Null },
             "seed": format!("{:x}", experiment.seed.wrapping_add(proxy as u64 + 1)),
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -4,6 +4,7 @@
 mod actions;
 mod config;
 mod error;
+mod process;
 mod usage;
 
 pub use actions::{ProxyAction, proxy_actions};
@@ -17,9 +18,9 @@
 use crate::stand::file::{ListFile, WriteMode};
 use crate::sync::lock;
 use crate::wire::Connection;
+use process::{ProxyProcess, name};
 use rustix::process::{Pid, Signal, kill_process};
 use smol::{Async, Timer};
-use std::fs::{File, OpenOptions};
 use std::io;
 use std::net::TcpStream;
 use std::path::PathBuf;
@@ -54,18 +55,6 @@
     pub memory_kb: u64,
 }
 
-struct ProxyProcess {
-    child: Option<Child>,
-    /// CPU time of earlier processes.
-    cpu_us_before: u64,
-    config: PathBuf,
-    operator: PathBuf,
-    list: PathBuf,
-    log: File,
-    /// Whether its configuration has the list's second address.
-    list_moved: bool,
-}
-
 /// All proxies of a run.
 pub struct Fleet {
     site: Arc<Site>,
@@ -88,36 +77,6 @@
 const KILL_GRACE: Micros = 700_000;
 const LONGEST_LIMIT: Micros = 3 * SECOND;
 
-/// A proxy's name: of its files, and for the platform.
-fn name(proxy: usize) -> String {
-    format!("proxy-{proxy:02}")
-}
-
-impl ProxyProcess {
-    /// Prepares a proxy's files; nothing is started.
-    fn new(site: &Site, start: &StartSettings, proxy: usize) -> io::Result<ProxyProcess> {
-        let name = name(proxy);
-        let file = |ending: &str| start.folder.join(format!("{name}.{ending}"));
-        let log = OpenOptions::new().create(true).append(true).open(file("log"))?;
-        let operator = file("operator.toml");
-        let list = file("list.toml");
-        let own = start.operator.first().map_or("", String::as_str);
-        let text = config::operator_text(site, own, proxy, &list);
-        if !text.is_empty() {
-            std::fs::write(&operator, text)?;
-        }
-        Ok(ProxyProcess {
-            child: None,
-            cpu_us_before: 0,
-            config: file("json"),
-            operator,
-            list,
-            log,
-            list_moved: false,
-        })
-    }
-}
-
 impl Fleet {
     /// Prepares the files of all proxies.
     pub fn new(site: Arc<Site>, start: StartSettings) -> io::Result<Arc<Fleet>> {
--- a/crates/testbed/src/load/connection.rs
+++ b/crates/testbed/src/load/connection.rs
@@ -39,6 +39,7 @@
 }
 
 impl Try<'_> {
+    /// The time limit.
     pub fn limit(&self) -> Micros {
         micros(self.experiment.classes[self.arrival.class].limit_ms / 1e3)
     }
--- a/crates/testbed/src/load/plan.rs
+++ b/crates/testbed/src/load/plan.rs
@@ -6,7 +6,7 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
 
-/// Tells the plan's random numbers from the stand-ins', which have the seed itself.
+/// Keeps the plan's random numbers apart from those of the stand-ins, which have the seed itself.
 const PLAN_SEED: u64 = 0x10ad;
 
 /// A first request.
--- a/crates/testbed/src/load/tries.rs
+++ b/crates/testbed/src/load/tries.rs
@@ -13,7 +13,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Beyond the time limit a client waits so long for an answer that comes late, to tell it from none at all.
+/// Beyond the time limit a client waits so long for an answer that comes late, to distinguish it from none at all.
 const LATE_ANSWER_WAIT: Micros = 500 * MILLI;
 /// A connection that ends so soon after a request was written to it had been closed before the proxy could read it.
 const CLOSE_RACE: Micros = 20 * MILLI;
--- a/crates/testbed/src/measure/classes.rs
+++ b/crates/testbed/src/measure/classes.rs
@@ -32,8 +32,20 @@
 }
 
 impl Breakdown<'_> {
+    /// The figures by request class.
+    pub fn class(&self) -> Vec<ClassFigures> {
+        let names = self.experiment.classes.iter().map(|class| &class.name);
+        self.names(names, |record| record.request.class)
+    }
+
+    /// The figures by tenant.
+    pub fn tenant(&self) -> Vec<ClassFigures> {
+        let names = self.experiment.load.tenants.iter().map(|tenant| &tenant.name);
+        self.names(names, |record| record.request.tenant)
+    }
+
     /// The figures by names; `number_of` is by which name, by its number, a request counts.
-    pub fn names<'a>(
+    fn names<'a>(
         &self,
         names: impl Iterator<Item = &'a String>,
         number_of: impl Fn(&RequestRecord) -> usize,
--- a/crates/testbed/src/measure/firsts.rs
+++ b/crates/testbed/src/measure/firsts.rs
@@ -20,6 +20,7 @@
 }
 
 impl FirstRequest<'_> {
+    /// Whether it was served within the latency objective.
     pub fn is_in_time(&self, experiment: &Experiment) -> bool {
         let target = micros(experiment.classes[self.record.request.class].target_ms / 1e3);
         self.served.is_some_and(|at| at <= self.record.request.due + target)
--- a/crates/testbed/src/measure/mod.rs
+++ b/crates/testbed/src/measure/mod.rs
@@ -5,27 +5,24 @@
 mod classes;
 mod during_faults;
 mod firsts;
+mod sources;
 mod steps;
 mod traffic;
 
 pub use classes::ClassFigures;
 pub use during_faults::DuringFaults;
+pub use sources::{DrainFigures, EtcdFigures, Redirections};
 pub use steps::{TIME_STEP, TimeStep, over_time};
 
-use crate::clock::{MILLI, Micros, SECOND};
-use crate::experiment::{Experiment, ListSource, Protocol};
+use crate::clock::{MILLI, Micros};
+use crate::experiment::Experiment;
 use crate::fleet::Sample;
-use crate::model::server::Reply;
-use crate::oracle::{Attempt, Outcome, RequestRecord, Verdict};
-use crate::stand::etcd::EtcdLoad;
+use crate::oracle::{Outcome, Verdict};
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
 /// Digits of a histogram's values: latencies are right to a thousandth.
 const HISTOGRAM_DIGITS: u8 = 3;
-/// After the last fault slot maps settle within so much.
-const SETTLING_TIME: Micros = 2 * SECOND;
-
 /// A histogram of latencies.
 pub(crate) fn histogram() -> Histogram<u64> {
     Histogram::new(HISTOGRAM_DIGITS).unwrap_or_else(|_| unreachable!("up to five digits are allowed"))
@@ -46,119 +43,6 @@
     if whole == 0 { 0.0 } else { part as f64 / whole as f64 }
 }
 
-/// How many redirections a request met.
-#[derive(Clone, Debug, Default, Serialize)]
-pub struct Redirections {
-    /// In the mean.
-    #[serde(rename = "per_lookup")]
-    pub per_request: f64,
-    /// How many requests came once the map had settled: from two seconds after the last fault on.
-    #[serde(rename = "settled_lookups")]
-    pub settled_requests: usize,
-    /// The mean of these.
-    #[serde(rename = "settled_per_lookup")]
-    pub settled_per_request: f64,
-}
-
-impl Redirections {
-    fn measure(experiment: &Experiment, verdict: &Verdict) -> Option<Redirections> {
-        if experiment.fleet.protocol() != Protocol::Resp {
-            return None;
-        }
-        let ends = experiment.each_fault().map(|fault| fault.span().end).filter(|end| *end < Micros::MAX);
-        let settled = ends.max().unwrap_or(0) + SETTLING_TIME;
-        let requests_from = |from: Micros| {
-            let is_own = move |record: &&RequestRecord| {
-                record.request.due >= from && record.outcome != Outcome::NotAccepted
-            };
-            verdict.records.iter().filter(is_own)
-        };
-        let per_request = |from: Micros| {
-            let attempts = requests_from(from).flat_map(|record| &record.attempts);
-            share(attempts.filter(|attempt| is_miss(attempt)).count(), requests_from(from).count())
-        };
-        Some(Redirections {
-            per_request: per_request(0),
-            settled_requests: requests_from(settled).count(),
-            settled_per_request: per_request(settled),
-        })
-    }
-}
-
-fn is_miss(attempt: &Attempt) -> bool {
-    attempt.reply.is_some_and(|answered| answered.reply == Reply::Miss)
-}
-
-/// How often etcd was called, and how long proxies were without a watch each time that they lost it.
-#[derive(Clone, Debug, Default, Serialize)]
-pub struct EtcdFigures {
-    /// Calls of all proxies.
-    #[serde(rename = "calls_a_second")]
-    pub calls_per_second: f64,
-    /// Watches that were lost and came back.
-    #[serde(rename = "lost")]
-    pub watches_lost: usize,
-    /// The median time without one.
-    #[serde(rename = "back_p50_ms")]
-    pub recovery_p50_ms: f64,
-    /// Its 99th percentile.
-    #[serde(rename = "back_p99_ms")]
-    pub recovery_p99_ms: f64,
-    /// The longest.
-    #[serde(rename = "back_longest_ms")]
-    pub recovery_max_ms: f64,
-}
-
-impl EtcdFigures {
-    /// Of a run whose list came from etcd.
-    pub fn measure(experiment: &Experiment, load: &EtcdLoad) -> Option<EtcdFigures> {
-        if experiment.fleet.list_source() != ListSource::Etcd {
-            return None;
-        }
-        let mut recovery = histogram();
-        for time in &load.recovery_times {
-            _ = recovery.record(*time);
-        }
-        Some(EtcdFigures {
-            calls_per_second: load.calls as f64 / experiment.seconds,
-            watches_lost: load.recovery_times.len(),
-            recovery_p50_ms: quantile_ms(&recovery, 0.5),
-            recovery_p99_ms: quantile_ms(&recovery, 0.99),
-            recovery_max_ms: max_ms(&recovery),
-        })
-    }
-}
-
-/// From when a proxy was notified that a server is off to its last new attempt there.
-#[derive(Clone, Debug, Default, Serialize)]
-pub struct DrainFigures {
-    /// How often a proxy was notified.
-    #[serde(rename = "told")]
-    pub notified: usize,
-    /// The median.
-    pub p50_ms: f64,
-    /// The 99th percentile.
-    pub p99_ms: f64,
-    /// The longest.
-    #[serde(rename = "longest_ms")]
-    pub max_ms: f64,
-}
-
-impl DrainFigures {
-    fn measure(verdict: &Verdict) -> DrainFigures {
-        let mut times = histogram();
-        for drain in &verdict.drains {
-            _ = times.record(drain.last - drain.notified);
-        }
-        DrainFigures {
-            notified: verdict.drains.len(),
-            p50_ms: quantile_ms(&times, 0.5),
-            p99_ms: quantile_ms(&times, 0.99),
-            max_ms: max_ms(&times),
-        }
-    }
-}
-
 /// All figures of a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Figures {
@@ -274,9 +158,6 @@
         let answered = verdict.records.iter().filter(|record| !record.answers.is_empty()).count();
         let traffic = traffic::Traffic::measure(experiment, verdict);
         let cpu_us = traffic::cpu_us(experiment.fleet.proxies, samples);
-        let memory_kb = samples.iter().map(|sample| sample.memory_kb).max().unwrap_or(0);
-        let class_names = experiment.classes.iter().map(|class| &class.name);
-        let tenant_names = experiment.load.tenants.iter().map(|tenant| &tenant.name);
         let by = classes::Breakdown { experiment, verdict, firsts: &firsts };
         Figures {
             title: experiment.title.clone(),
@@ -303,13 +184,13 @@
             drains: DrainFigures::measure(verdict),
             redirections: Redirections::measure(experiment, verdict),
             etcd: None,
-            by_class: by.names(class_names, |record| record.request.class),
-            by_tenant: by.names(tenant_names, |record| record.request.tenant),
+            by_class: by.class(),
+            by_tenant: by.tenant(),
             collapsed: verdict.collapsed,
             breaches: verdict.breaches.iter().map(ToString::to_string).collect(),
             breaches_in_all: verdict.breaches.len() + verdict.further_breaches,
             cpu_us_per_request: cpu_us as f64 / answered.max(1) as f64,
-            memory_mb_peak: memory_kb as f64 / 1024.0,
+            memory_mb_peak: traffic::peak_memory_mb(samples),
             send_delay_p99_ms: clients.send_delay_p99 as f64 / MILLI as f64,
             connects_refused: clients.connects_refused,
             sent_again: clients.sent_again,
--- a/crates/testbed/src/measure/traffic.rs
+++ b/crates/testbed/src/measure/traffic.rs
@@ -16,6 +16,7 @@
 }
 
 impl Traffic {
+    /// Counts a run's attempts.
     pub fn measure(experiment: &Experiment, verdict: &Verdict) -> Traffic {
         let origin = experiment.world.servers;
         let zones = experiment.world.zones.len();
@@ -48,3 +49,8 @@
     };
     (0..proxies).map(used).sum()
 }
+
+/// The most memory that any proxy had.
+pub(super) fn peak_memory_mb(samples: &[Sample]) -> f64 {
+    samples.iter().map(|sample| sample.memory_kb).max().unwrap_or(0) as f64 / 1024.0
+}
--- a/crates/testbed/src/model/server.rs
+++ b/crates/testbed/src/model/server.rs
@@ -216,20 +216,18 @@
         fetch: impl FnOnce(Micros) -> Option<Micros>,
     ) -> PlannedReply {
         let small_work = attempt.work / SMALL_WORK_DIVISOR;
-        let unprocessed =
-            || PlannedReply::plain(Reply::Unprocessed, timeline.speed.completion(now, small_work));
         let cached = self.cached.get(&attempt.key).is_some();
         // Writes are the origin's where servers only cache.
-        if !self.spec.through && (attempt.write || !cached) {
-            return match self.cores.schedule(now, small_work, &timeline.speed) {
-                Some(_) if affecting.is_unanswered() => PlannedReply::plain(Reply::Silence, Micros::MAX),
-                Some(at) => PlannedReply::plain(Reply::Miss, at),
-                None => unprocessed(),
-            };
-        }
-        let Some(done) = self.cores.schedule(now, attempt.work, &timeline.speed) else {
-            return unprocessed();
+        let is_miss = !self.spec.through && (attempt.write || !cached);
+        let work = if is_miss { small_work } else { attempt.work };
+        let Some(done) = self.cores.schedule(now, work, &timeline.speed) else {
+            return PlannedReply::plain(Reply::Unprocessed, timeline.speed.completion(now, small_work));
         };
+        if is_miss {
+            let silent = affecting.is_unanswered();
+            let (reply, at) = if silent { (Reply::Silence, Micros::MAX) } else { (Reply::Miss, done) };
+            return PlannedReply::plain(reply, at);
+        }
         let ran = |reply, at| PlannedReply { takes_effect: true, ..PlannedReply::plain(reply, at) };
         if affecting.is_unanswered() {
             // Whether it ran will never be known to anybody: it did.
--- a/crates/testbed/src/oracle/attempts.rs
+++ b/crates/testbed/src/oracle/attempts.rs
@@ -16,6 +16,7 @@
 }
 
 impl Finding {
+    /// What was seen, and when.
     pub fn new(rule: Rule, at: Micros, seen: String) -> Finding {
         Finding { rule, at, seen }
     }
@@ -100,7 +101,7 @@
     }
 }
 
-/// What is wrong with a deferral, which tells the client that a retry does no harm.
+/// What is wrong with a rejection, after which the client may retry.
 pub(super) fn unsafe_deferral(
     class: &RequestClass,
     attempts: &[Attempt],
--- a/crates/testbed/src/oracle/mod.rs
+++ b/crates/testbed/src/oracle/mod.rs
@@ -31,7 +31,7 @@
     OwnAnswer,
     /// Nothing runs twice that must not.
     RunsOnce,
-    /// Nobody is told to retry what may have run and must not run twice.
+    /// No client is sent away to retry what may have run and must not run twice.
     SafeDeferral,
     /// No two attempts at once, where hedging is not allowed.
     OneAttemptAtOnce,
@@ -47,7 +47,7 @@
     KnownRequest,
     /// Nothing is sent for a client that has cancelled.
     NothingAfterCancel,
-    /// A proxy ends only when it is told to.
+    /// A proxy ends only by a signal.
     KeepsRunning,
 }
 
--- a/crates/testbed/src/oracle/spans.rs
+++ b/crates/testbed/src/oracle/spans.rs
@@ -10,6 +10,7 @@
 pub(super) struct AttemptSpans(HashMap<(Index, u64), Vec<Range<Micros>>>);
 
 impl AttemptSpans {
+    /// Of all attempts of a run.
     pub fn new(records: &[RequestRecord]) -> AttemptSpans {
         let mut spans: HashMap<(Index, u64), Vec<Range<Micros>>> = HashMap::new();
         for record in records {
--- a/crates/testbed/src/report/charts.rs
+++ b/crates/testbed/src/report/charts.rs
@@ -9,7 +9,7 @@
 };
 
 const SIZE: (u32, u32) = (960, 240);
-/// More lines than that can't be told apart: the highest are drawn.
+/// More lines than that cannot be distinguished: the highest are drawn.
 const MAX_LINES: usize = 24;
 /// More lines than that have no names in the chart.
 const MAX_NAMED_LINES: usize = 8;
@@ -42,6 +42,7 @@
 }
 
 impl Line {
+    /// A line of one figure of each step.
     pub fn new(steps: &[TimeStep], name: &str, colour: RGBColor, pick: impl Fn(&TimeStep) -> f64) -> Line {
         Line { name: name.to_string(), colour, values: steps.iter().map(pick).collect() }
     }
--- a/crates/testbed/src/soak.rs
+++ b/crates/testbed/src/soak.rs
@@ -144,15 +144,15 @@
         }
     }
 
-    /// A quarter of the processes is killed, told to end, or held up for a moment; some are told that discovery has moved.
+    /// A quarter of the processes each is killed, terminated, or stopped for a moment; some are notified that discovery has moved.
     fn processes(&self, draw: &mut Draw, text: &mut String) {
         let part = (self.proxies / 4).max(1);
         let (at, some) = (draw.between(0.1, 0.8) * self.seconds, draw.several(part, self.proxies));
         fault(text, "proxy-kill", at, &format!("down = 0.4\nproxies = {some:?}"));
         let at = draw.between(0.1, 0.8) * self.seconds;
         let others: Vec<usize> = (0..self.proxies).filter(|proxy| !some.contains(proxy)).collect();
-        let told: Vec<usize> = others.iter().copied().step_by(4).collect();
-        fault(text, "proxy-term", at, &format!("down = 0.2\nproxies = {told:?}"));
+        let terminated: Vec<usize> = others.iter().copied().step_by(4).collect();
+        fault(text, "proxy-term", at, &format!("down = 0.2\nproxies = {terminated:?}"));
         let moved: Vec<usize> = others.iter().copied().skip(1).step_by(4).collect();
         for _ in 0..2 {
             let at = draw.between(0.1, 0.9) * self.seconds;
--- a/crates/testbed/src/stand/etcd/call.rs
+++ b/crates/testbed/src/stand/etcd/call.rs
@@ -24,14 +24,17 @@
 }
 
 impl CallContext {
+    /// The time of the run.
     pub fn now(&self) -> Micros {
         self.site.clock.now()
     }
 
+    /// The store, locked.
     pub fn store(&self) -> MutexGuard<'_, Store> {
         lock(&self.site.etcd.store)
     }
 
+    /// A response's header.
     pub fn header(&self, revision: i64) -> Option<api::ResponseHeader> {
         self.site.etcd.header(revision)
     }
--- a/crates/testbed/src/stand/etcd/stream.rs
+++ b/crates/testbed/src/stand/etcd/stream.rs
@@ -18,10 +18,12 @@
 }
 
 impl GrpcError {
+    /// It may be tried again.
     pub fn unavailable(reason: &str) -> GrpcError {
         GrpcError { code: code::UNAVAILABLE, reason: reason.into() }
     }
 
+    /// The stand-in has no such call.
     pub fn unimplemented(reason: &str) -> GrpcError {
         GrpcError { code: code::UNIMPLEMENTED, reason: reason.into() }
     }
@@ -76,6 +78,7 @@
 }
 
 impl RequestStream {
+    /// Nothing read yet.
     pub fn new(body: RecvStream) -> RequestStream {
         RequestStream { body, frames: FrameDecoder::new(MAX_MESSAGE) }
     }
