--- a/crates/engine/src/background.rs
+++ b/crates/engine/src/background.rs
@@ -44,5 +44,5 @@
     let left = engine.requests.borrow().left_waiting();
     let violations = engine.violations.total();
     info!(engine.log, "{}", event;
-        "left_waiting" => left, "withheld" => engine.refused.over(), "violations" => violations);
+        "left_waiting" => left, "withheld" => engine.refused.request_over(), "violations" => violations);
 }
--- a/crates/engine/src/budget.rs
+++ b/crates/engine/src/budget.rs
@@ -1,206 +1,173 @@
-//! One budget of descriptors for clients, attempts and the pool. Idle ones go first.
+//! One budget of descriptors for client connections, connections to servers and the pool. When it runs short, idle connections are
+//! closed first.
 
-use chalkwalk_balancer::admission::may_close;
+#[cfg(test)]
+mod tests;
+
+use crate::idle_clients::IdleClients;
+pub use crate::idle_clients::IdleTicket;
 use chalkwalk_sockets::within;
-use chalkwalk_time::Span;
 use smol::channel::Sender;
 use smol::future::FutureExt;
 use smol::lock::{Semaphore, SemaphoreGuardArc};
-use std::cell::{Cell, RefCell};
-use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Idle connections are closed one by one, and each has this moment to be gone.
-const MAKE_ROOM: Duration = Duration::from_millis(5);
+/// Idle connections are closed one by one, and each is given this long to be gone.
+const CLOSE_TIME: Duration = Duration::from_millis(5);
 
-/// What is open besides: standard streams, epoll, its timer and event, the signals' pair, the listener, 11 in all as
-/// counted; the list's two connections, which wait for no place; one that waits for its place, and one to spare.
-const BESIDES: usize = 15;
+/// Descriptors that are open besides: standard streams, epoll, its timer and event, the signals' pair, the listener, 11 in all
+/// as counted; the two connections of the endpoint list, which wait for no permit; one that waits for its permit, and one to spare.
+const OTHER_DESCRIPTORS: usize = 15;
 
-pub type Permit = SemaphoreGuardArc;
-/// Whether a connection was used, and when it became idle among all.
-pub type IdleTicket = (bool, u64);
+/// How long a request that arrived while all connections were busy waits for a permit: most responses take less, and the
+/// connection that had one is idle a moment later.
+const PERMIT_SOON: Duration = Duration::from_millis(60);
 
-/// How long a request that came while all were busy waits for a place: most answers take less, and whoever had one is idle
-/// a moment later.
-const PLACE_SOON: Duration = Duration::from_millis(60);
+/// One descriptor of the budget, given back on drop.
+pub type Permit = SemaphoreGuardArc;
 
+/// The descriptors of the process, in shares.
 pub struct DescriptorBudget {
-    out: Arc<Semaphore>, // connections to servers
+    /// Connections to servers.
+    servers: Arc<Semaphore>,
     clients: Arc<Semaphore>,
-    both: Arc<Semaphore>,        // for either, as they come
-    turned_away: Arc<Semaphore>, // clients that came when all of the others were busy
-    // Client connections with nothing to do: those that never had, and then the longest idle first.
-    idle: RefCell<BTreeMap<IdleTicket, (Instant, Sender<()>)>>,
-    next: Cell<u64>,
-    most_idle: usize,
-    half: [usize; 3], // of out, of those and clients, and of all three
+    /// For clients and servers alike, as they come.
+    shared: Arc<Semaphore>,
+    /// Clients that came when all other permits were busy; they are only rejected.
+    rejecting: Arc<Semaphore>,
+    idle_clients: IdleClients,
+    half: HalfShares,
+}
+
+/// Half of each share: what another process of the proxy gets.
+struct HalfShares {
+    servers: usize,
+    clients: usize,
+    shared: usize,
 }
 
 impl DescriptorBudget {
+    /// Divides so many descriptors.
     pub fn new(descriptors: usize) -> DescriptorBudget {
-        let all = descriptors.saturating_sub(BESIDES).max(16);
-        // A third each, and a third for whoever needs it: each client that waits for an answer needs an attempt out at least,
-        // and one that writes slowly, or reads, needs none.
-        let (out, both) = (all / 3, all / 3);
-        // Held for a moment each, the time it takes to say no; with fewer than four, others wait unseen for it.
-        let turned_away = (all / 16).max(4);
-        let clients = all - out - both - turned_away;
+        let all = descriptors.saturating_sub(OTHER_DESCRIPTORS).max(16);
+        // A third each, and a third for either: each client that waits for a response needs at least one attempt in flight, and
+        // one that writes or reads slowly needs none.
+        let servers = all / 3;
+        let shared = all / 3;
+        // Held for a moment each, the time that a rejection takes; with fewer than four, others wait unseen for it.
+        let rejecting = (all / 16).max(4);
+        let clients = all - servers - shared - rejecting;
         DescriptorBudget {
-            out: Arc::new(Semaphore::new(out)),
+            servers: Arc::new(Semaphore::new(servers)),
             clients: Arc::new(Semaphore::new(clients)),
-            both: Arc::new(Semaphore::new(both)),
-            turned_away: Arc::new(Semaphore::new(turned_away)),
-            idle: RefCell::default(),
-            next: Cell::new(0),
-            most_idle: all / 6,
-            half: [out / 2, out / 2 + clients / 2, out / 2 + clients / 2 + both / 2],
+            shared: Arc::new(Semaphore::new(shared)),
+            rejecting: Arc::new(Semaphore::new(rejecting)),
+            // Guards clients against others that ask once and keep their connection: a load balancer in front may let only so
+            // many be open at once, a third of our descriptors, and half of that is for those that ask.
+            idle_clients: IdleClients::new(all / 6),
+            half: HalfShares { servers: servers / 2, clients: clients / 2, shared: shared / 2 },
         }
     }
 
-    /// Takes half of all places as they become free: they are another process's of this proxy, as the two may hold no more
-    /// than one. `make_room` closes an idle connection to a server.
-    pub async fn lend_half(&self, make_room: impl Fn()) -> Vec<Permit> {
-        let mut places = Vec::new();
-        for (of, half) in [&self.out, &self.clients, &self.both].into_iter().zip(self.half) {
-            while places.len() < half {
-                places.extend(of.try_acquire_arc());
-                if places.len() < half {
-                    if Arc::ptr_eq(of, &self.out) {
-                        make_room()
-                    } else {
-                        _ = self.close_idle()
-                    };
-                    places.extend(within(MAKE_ROOM, of.acquire_arc()).await);
-                }
-            }
-        }
-        places
+    /// Takes half of all permits as they become free, for another process of this proxy: the two together may hold no more than
+    /// one. `close_idle_server` closes an idle connection to a server.
+    pub async fn lend_half(&self, close_idle_server: impl Fn()) -> Vec<Permit> {
+        let close_idle_client = || _ = self.close_idle();
+        let mut lent = acquire_many(&self.servers, self.half.servers, close_idle_server).await;
+        lent.extend(acquire_many(&self.clients, self.half.clients, close_idle_client).await);
+        lent.extend(acquire_many(&self.shared, self.half.shared, close_idle_client).await);
+        lent
     }
 
-    /// Waits for a place for a connection to a server; `make_room` closes one that is idle.
-    pub async fn acquire_for_server(&self, make_room: impl Fn()) -> Permit {
+    /// Waits for a permit for a connection to a server; `close_idle_server` closes one that is idle.
+    pub async fn acquire_for_server(&self, close_idle_server: impl Fn()) -> Permit {
         loop {
-            if let Some(place) = self.out.try_acquire_arc().or_else(|| self.both.try_acquire_arc()) {
-                return place;
+            if let Some(permit) = self.servers.try_acquire_arc().or_else(|| self.shared.try_acquire_arc()) {
+                return permit;
             }
-            make_room();
-            // Clients beyond their own places may have it; while they have some left, none that is idle is in the way.
+            close_idle_server();
+            // Clients beyond their own share may have to give one back; while that share has some left, no idle client is in the
+            // way.
             if self.clients.try_acquire_arc().is_none() {
                 self.close_idle();
             }
-            if let Some(place) = self.soon(&self.out).await {
-                return place;
+            if let Some(permit) = self.acquire_soon(&self.servers).await {
+                return permit;
             }
         }
     }
 
-    /// Waits for a place for a client, and says whether its requests are taken: not where no other is idle.
+    /// Waits for a permit for a client, and returns with it whether its requests are admitted: they are not where no other client
+    /// is idle.
     pub async fn acquire_for_client(&self) -> (Permit, bool) {
         loop {
-            if let Some(place) = self.try_client() {
-                return (place, true);
+            if let Some(permit) = self.try_acquire_for_client() {
+                return (permit, true);
             }
             // Guards requests against waiting unseen, before they are accepted, until their time is over.
             if !self.close_idle()
-                && let Some(place) = self.turned_away.try_acquire_arc()
+                && let Some(permit) = self.rejecting.try_acquire_arc()
             {
-                return (place, false);
+                return (permit, false);
             }
-            if let Some(place) = self.soon(&self.clients).await {
-                return (place, true);
+            if let Some(permit) = self.acquire_soon(&self.clients).await {
+                return (permit, true);
             }
         }
     }
 
-    /// A client's place, if there is one, or one becomes free or idle soon.
+    /// A client's permit, if there is one now, or one is given back or becomes idle soon.
     pub async fn acquire_for_client_soon(&self) -> Option<Permit> {
-        let end = Instant::now() + PLACE_SOON;
+        let deadline = Instant::now() + PERMIT_SOON;
         loop {
-            if let Some(place) = self.try_client() {
-                return Some(place);
+            if let Some(permit) = self.try_acquire_for_client() {
+                return Some(permit);
             }
-            if !self.close_idle() && Instant::now() >= end {
+            if !self.close_idle() && Instant::now() >= deadline {
                 return None;
             }
-            if let Some(place) = self.soon(&self.clients).await {
-                return Some(place);
+            if let Some(permit) = self.acquire_soon(&self.clients).await {
+                return Some(permit);
             }
         }
     }
 
-    pub fn try_client(&self) -> Option<Permit> {
-        self.clients.try_acquire_arc().or_else(|| self.both.try_acquire_arc())
+    fn try_acquire_for_client(&self) -> Option<Permit> {
+        self.clients.try_acquire_arc().or_else(|| self.shared.try_acquire_arc())
     }
 
-    /// A place that becomes free soon. Who waits asks again after that: guards against waiting for ever for what
-    /// became idle only meanwhile.
-    async fn soon(&self, of: &Arc<Semaphore>) -> Option<Permit> {
-        within(MAKE_ROOM, of.acquire_arc().or(self.both.acquire_arc())).await
+    /// A permit that is given back soon. The caller looks again after that, which guards against waiting forever for a connection
+    /// that became idle only meanwhile.
+    async fn acquire_soon(&self, share: &Arc<Semaphore>) -> Option<Permit> {
+        within(CLOSE_TIME, share.acquire_arc().or(self.shared.acquire_arc())).await
     }
 
-    /// Puts a client's connection down as idle; closing it is asked for through `close`.
+    /// Marks a client's connection as idle: it may be asked to close through `close`. `used`: whether it has carried a request.
     pub fn mark_idle(&self, close: Sender<()>, used: bool) -> IdleTicket {
-        let id = (used, self.next.get());
-        self.next.set(id.1 + 1);
-        self.idle.borrow_mut().insert(id, (Instant::now(), close));
-        // Guards clients against others that ask once and keep their connection: whoever stands between may let
-        // only so many be open at once, a third of our descriptors, and half of that is for those that ask.
-        if self.idle.borrow().len() > self.most_idle {
-            self.close_idle();
-        }
-        id
+        self.idle_clients.add(close, used)
     }
 
-    pub fn mark_busy(&self, id: IdleTicket) {
-        self.idle.borrow_mut().remove(&id);
+    /// Marks a client's connection as in use again, or closed.
+    pub fn mark_busy(&self, ticket: IdleTicket) {
+        self.idle_clients.remove(ticket);
     }
 
+    /// Asks an idle client connection to close; whether there was one.
     pub fn close_idle(&self) -> bool {
-        let mut idle = self.idle.borrow_mut();
-        let may_go = |used: bool, since: Instant| may_close(used, Span::from(since.elapsed()));
-        let longest = idle.iter().find(|((used, _), (since, _))| may_go(*used, *since)).map(|(id, _)| *id);
-        longest.and_then(|id| idle.remove(&id)).is_some_and(|(_, close)| close.try_send(()).is_ok())
+        self.idle_clients.close_first()
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// How many places there are for servers, and then for clients.
-    fn places(budget: &DescriptorBudget) -> (usize, usize) {
-        let out: Vec<Permit> = std::iter::from_fn(|| budget.out.try_acquire_arc()).collect();
-        let clients: Vec<Permit> = std::iter::from_fn(|| budget.try_client()).collect();
-        (out.len(), clients.len())
-    }
-
-    /// Clients that write slowly have the places that no server needs, and two processes of a proxy have half each.
-    #[test]
-    fn places_are_for_either_side_as_they_come_and_half_of_them_another_processs() {
-        let budget = DescriptorBudget::new(192);
-        let alone = places(&budget);
-        let lent = smol::block_on(budget.lend_half(|| ()));
-        let together = places(&budget);
-        drop(lent);
-        expect_test::expect!["(59, 107) (30, 54) (59, 107)"]
-            .assert_eq(&format!("{alone:?} {together:?} {:?}", places(&budget)));
-    }
-
-    /// While clients have places of their own left, none that is idle is closed for an attempt that waits.
-    #[test]
-    fn an_attempt_that_waits_closes_no_client_that_is_not_in_its_way() {
-        let budget = DescriptorBudget::new(192);
-        let (close, closed) = smol::channel::bounded(1);
-        budget.mark_idle(close, false);
-        let mut held: Vec<Permit> = (0..118)
-            .filter_map(|_| smol::block_on(within(MAKE_ROOM, budget.acquire_for_server(|| ()))))
-            .collect();
-        let waits = || smol::block_on(within(MAKE_ROOM * 3, budget.acquire_for_server(|| ()))).is_none();
-        let before = (waits(), closed.is_empty());
-        held.extend(std::iter::from_fn(|| budget.clients.try_acquire_arc()));
-        expect_test::expect!["(true, true) (true, false)"]
-            .assert_eq(&format!("{before:?} {:?}", (waits(), closed.is_empty())));
+/// Acquires so many permits of a share, closing idle connections one by one while there are too few.
+async fn acquire_many(share: &Arc<Semaphore>, count: usize, close_idle: impl Fn()) -> Vec<Permit> {
+    let mut permits = Vec::new();
+    while permits.len() < count {
+        permits.extend(share.try_acquire_arc());
+        if permits.len() < count {
+            close_idle();
+            permits.extend(within(CLOSE_TIME, share.acquire_arc()).await);
+        }
     }
+    permits
 }
--- /dev/null
+++ b/crates/engine/src/budget/tests.rs
@@ -0,0 +1,38 @@
+//! Of the budget's shares; in the crate, as they read how many permits each share has.
+
+use super::*;
+
+/// How many permits there are for servers, and then for clients.
+fn free_permits(budget: &DescriptorBudget) -> (usize, usize) {
+    let servers: Vec<Permit> = std::iter::from_fn(|| budget.servers.try_acquire_arc()).collect();
+    let clients: Vec<Permit> = std::iter::from_fn(|| budget.try_acquire_for_client()).collect();
+    (servers.len(), clients.len())
+}
+
+/// Clients that write slowly get the permits that no server connection needs, and two processes of a proxy have half each.
+#[test]
+fn shared_permits_go_to_either_side_and_half_of_all_to_another_process() {
+    let budget = DescriptorBudget::new(192);
+    let alone = free_permits(&budget);
+    let lent = smol::block_on(budget.lend_half(|| ()));
+    let together = free_permits(&budget);
+    drop(lent);
+    expect_test::expect!["(59, 107) (30, 54) (59, 107)"]
+        .assert_eq(&format!("{alone:?} {together:?} {:?}", free_permits(&budget)));
+}
+
+/// While clients have permits of their own left, no idle one is closed for an attempt that waits.
+#[test]
+fn an_attempt_that_waits_closes_no_idle_client_while_clients_have_permits_left() {
+    let budget = DescriptorBudget::new(192);
+    let (close, closed) = smol::channel::bounded(1);
+    budget.mark_idle(close, false);
+    let mut held: Vec<Permit> = (0..118)
+        .filter_map(|_| smol::block_on(within(CLOSE_TIME, budget.acquire_for_server(|| ()))))
+        .collect();
+    let waits = || smol::block_on(within(CLOSE_TIME * 3, budget.acquire_for_server(|| ()))).is_none();
+    let before = (waits(), closed.is_empty());
+    held.extend(std::iter::from_fn(|| budget.clients.try_acquire_arc()));
+    expect_test::expect!["(true, true) (true, false)"]
+        .assert_eq(&format!("{before:?} {:?}", (waits(), closed.is_empty())));
+}
--- a/crates/engine/src/clock.rs
+++ b/crates/engine/src/clock.rs
@@ -1,63 +1,69 @@
-//! The proxy's clock, and what it can't tell: when something came that it reads after a standstill.
+//! The proxy's clock, and a heartbeat that notices when the process stood still (was stopped, or got no core). What is read right
+//! after a standstill may have arrived at any moment during it, so arrivals are then dated back to the last heartbeat.
 
 use chalkwalk_time::{Span, Timestamp};
 use smol::Timer;
 use std::cell::Cell;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Unix time at the start, and from there on what has passed: it never goes back.
+/// The time of one process: Unix time at its start plus what has elapsed since, so that it never goes back.
 pub struct Clock {
-    unix: Timestamp,
+    unix_at_start: Timestamp,
     start: Instant,
-    beat: Cell<Timestamp>, // when all that had come was last known to be heard
+    /// The last moment at which all input that had arrived was known to be read.
+    last_heartbeat: Cell<Timestamp>,
 }
 
-/// Short beside any time limit, long beside what a turn of the executor takes.
-const BEAT: Duration = Duration::from_millis(20);
-/// Many turns of the executor.
-const HEAR: Duration = Duration::from_millis(2);
-/// Two beats and a half: 50 ms, as late as the rules allow an answer to be.
+/// Short beside any time limit, long beside one turn of the executor.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(20);
+/// How long reading what arrived during a standstill takes: many turns of the executor.
+const CATCH_UP_TIME: Duration = Duration::from_millis(2);
+/// A heartbeat older than this means that the process stood still: two and a half intervals. It is 50 ms, which is as late as a
+/// response may be.
 const STANDSTILL: Span = Span::from_millis(50);
 
 impl Default for Clock {
     fn default() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let unix = Timestamp::ZERO + Span::from(unix);
-        Clock { unix, start: Instant::now(), beat: Cell::new(unix) }
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let unix_at_start = Timestamp::ZERO + Span::from(since_epoch);
+        Clock { unix_at_start, start: Instant::now(), last_heartbeat: Cell::new(unix_at_start) }
     }
 }
 
 impl Clock {
+    /// The present time.
     pub fn now(&self) -> Timestamp {
-        self.unix + Span::from(self.start.elapsed())
+        self.unix_at_start + Span::from(self.start.elapsed())
     }
 
+    /// The same moment as an instant that timers wait for; moments before the start are the start.
     pub fn instant(&self, at: Timestamp) -> Instant {
-        self.start + Duration::from(at.saturating_since(self.unix))
+        self.start + Duration::from(at.saturating_since(self.unix_at_start))
     }
 
-    /// Notes again and again that all is heard; never ends.
+    /// Records a heartbeat at each interval; never ends.
     pub async fn run_heartbeat(&self) {
         loop {
-            self.beat.set(self.now());
-            Timer::after(BEAT).await;
-            if self.earliest_arrival() == self.beat.get() {
-                // Just after a standstill: timers may be told before what came meanwhile is read.
-                Timer::after(HEAR).await;
+            self.last_heartbeat.set(self.now());
+            Timer::after(HEARTBEAT_INTERVAL).await;
+            if self.earliest_arrival() == self.last_heartbeat.get() {
+                // Just after a standstill timers may fire before what arrived during it is read.
+                Timer::after(CATCH_UP_TIME).await;
             }
         }
     }
 
-    /// Just after a standstill, waits for the moment in which what came meanwhile is read; else not at all.
+    /// Just after a standstill, waits until what arrived during it is read; otherwise returns at once.
     pub async fn catch_up(&self) {
-        if self.now() > self.beat.get() + STANDSTILL {
-            Timer::after(HEAR).await;
+        if self.now() > self.last_heartbeat.get() + STANDSTILL {
+            Timer::after(CATCH_UP_TIME).await;
         }
     }
 
-    /// What is heard now came after this: now, or before a standstill (a stopped process, a starved core).
+    /// The earliest moment at which input that is read now can have arrived: now, or the last heartbeat before a standstill.
     pub fn earliest_arrival(&self) -> Timestamp {
-        let (now, beat) = (self.now(), self.beat.get());
-        if now > beat + STANDSTILL { beat } else { now }
+        let now = self.now();
+        let last_heartbeat = self.last_heartbeat.get();
+        if now > last_heartbeat + STANDSTILL { last_heartbeat } else { now }
     }
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -9,7 +9,7 @@
 use crate::requests::RequestTable;
 use crate::response::HealthCheck;
 use crate::servers::ServerRegistry;
-use crate::violations::{Refused, Violations};
+use crate::violations::{RefusedAttempts, Violations};
 use chalkwalk_capture::Recorder;
 use chalkwalk_sockets::{MemoryBudget, wait_until};
 use chalkwalk_time::{Span, Timestamp};
@@ -33,7 +33,7 @@
     pub executor: LocalExecutor<'static>,
     pub log: Logger,
     /// Attempts that were not written, by why not.
-    pub(crate) refused: Refused,
+    pub(crate) refused: RefusedAttempts,
     /// What must not happen, counted.
     pub violations: Violations,
     pub(crate) sooner: Receiver<()>,
@@ -81,7 +81,7 @@
             health_check,
             executor: LocalExecutor::new(),
             log,
-            refused: Refused::default(),
+            refused: RefusedAttempts::default(),
             violations: Violations::default(),
             sooner: sooner_told,
             wanted: wanted_told,
--- /dev/null
+++ b/crates/engine/src/idle_clients.rs
@@ -0,0 +1,68 @@
+//! Client connections with nothing to do, in the order in which they are closed when descriptors run short.
+
+use chalkwalk_balancer::admission::may_close;
+use chalkwalk_time::Span;
+use smol::channel::Sender;
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::time::Instant;
+
+/// Names an idle connection among all. The order of the fields is the order of closing: connections that never carried a request
+/// go first, and then those that are idle longest.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct IdleTicket {
+    used: bool,
+    number: u64,
+}
+
+struct IdleClient {
+    since: Instant,
+    close: Sender<()>,
+}
+
+impl IdleClient {
+    fn may_close(&self, used: bool) -> bool {
+        may_close(used, Span::from(self.since.elapsed()))
+    }
+}
+
+/// The client connections that are idle now.
+pub(crate) struct IdleClients {
+    clients: RefCell<BTreeMap<IdleTicket, IdleClient>>,
+    next_number: Cell<u64>,
+    max: usize,
+}
+
+impl IdleClients {
+    /// At most `max` stay idle; beyond that the first in order is closed.
+    pub fn new(max: usize) -> IdleClients {
+        IdleClients { clients: RefCell::default(), next_number: Cell::new(0), max }
+    }
+
+    /// Adds a connection, which is asked to close through `close`. `used`: whether it has carried a request.
+    pub fn add(&self, close: Sender<()>, used: bool) -> IdleTicket {
+        let ticket = IdleTicket { used, number: self.next_number.get() };
+        self.next_number.set(ticket.number + 1);
+        let client = IdleClient { since: Instant::now(), close };
+        self.clients.borrow_mut().insert(ticket, client);
+        if self.clients.borrow().len() > self.max {
+            self.close_first();
+        }
+        ticket
+    }
+
+    /// Removes a connection that is in use again, or closed.
+    pub fn remove(&self, ticket: IdleTicket) {
+        self.clients.borrow_mut().remove(&ticket);
+    }
+
+    /// Asks the first connection in order that may be closed to close; whether there was one.
+    pub fn close_first(&self) -> bool {
+        let mut clients = self.clients.borrow_mut();
+        let first = clients.iter().find(|(ticket, client)| client.may_close(ticket.used));
+        let first = first.map(|(ticket, _)| *ticket);
+        first
+            .and_then(|ticket| clients.remove(&ticket))
+            .is_some_and(|client| client.close.try_send(()).is_ok())
+    }
+}
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -14,6 +14,7 @@
 pub mod clock;
 pub mod config;
 pub mod engine;
+mod idle_clients;
 pub mod lifecycle;
 pub mod pool;
 pub mod requests;
--- a/crates/engine/src/violations.rs
+++ b/crates/engine/src/violations.rs
@@ -1,25 +1,30 @@
-//! Counts, at run time, of attempts that were refused right before their first byte, and of what must not happen at all.
+//! Counters of attempts that were refused right before their first byte, and of violations: what must not happen at all, checked
+//! at run time.
 
 use chalkwalk_balancer::admission::{Refusal, Violation};
 use slog::{Logger, warn};
 use std::cell::Cell;
 
-/// Attempts that were refused, since the start.
+/// Of each kind of violation the first is logged, and then each hundredth: one that repeats must not flood the log.
+const LOGGED_EACH: u64 = 100;
+
+/// Attempts that were refused since the start.
 #[derive(Default)]
-pub struct Refused {
-    over: Cell<u64>,
+pub struct RefusedAttempts {
+    request_over: Cell<u64>,
 }
 
-impl Refused {
+impl RefusedAttempts {
+    /// Counts an attempt that was refused.
     pub fn count(&self, refusal: Refusal) {
         if matches!(refusal, Refusal::Answered | Refusal::ClientLeft) {
-            self.over.set(self.over.get() + 1);
+            self.request_over.set(self.request_over.get() + 1);
         }
     }
 
-    /// As the request was over, or its client gone.
-    pub fn over(&self) -> u64 {
-        self.over.get()
+    /// Those refused because their request had its response, or its client had gone.
+    pub fn request_over(&self) -> u64 {
+        self.request_over.get()
     }
 }
 
@@ -28,17 +33,18 @@
 pub struct Violations([Cell<u64>; Violation::ALL.len()]);
 
 impl Violations {
-    /// Counts it, if there is one. The first of each kind and each hundredth are lines in the log.
+    /// Counts a violation, if there is one, and logs the first of its kind and each hundredth.
     pub fn check(&self, log: &Logger, violation: Option<Violation>) {
         let Some(violation) = violation else { return };
-        let Some(place) = Violation::ALL.iter().position(|one| *one == violation) else { return };
-        let count = self.0[place].get() + 1;
-        self.0[place].set(count);
-        if count == 1 || count.is_multiple_of(100) {
+        let Some(index) = Violation::ALL.iter().position(|kind| *kind == violation) else { return };
+        let count = self.0[index].get() + 1;
+        self.0[index].set(count);
+        if count == 1 || count.is_multiple_of(LOGGED_EACH) {
             warn!(log, "violation"; "of" => violation.name(), "count" => count);
         }
     }
 
+    /// All of them together.
     pub fn total(&self) -> u64 {
         self.0.iter().map(Cell::get).sum()
     }
