--- a/crates/engine/src/api.rs
+++ b/crates/engine/src/api.rs
@@ -5,7 +5,7 @@
 use crate::pool::ServerConnection;
 use crate::requests::{AttemptHandle, Command, PendingAttempt, RequestTable};
 use crate::response::{BodyStream, ClientRequest, Response, ResponseBody, ServerResponse};
-use crate::servers::{ListChanges, ListedEndpoint};
+use crate::servers::{ListChanges, ListUpdate, ListedEndpoint};
 use chalkwalk_balancer::admission::{Refusal, Written};
 use chalkwalk_balancer::{AttemptOutcome, RequestId, ServerIndex};
 use chalkwalk_limits::LimitTable;
@@ -53,8 +53,9 @@
 /// A source tells what the list says: the whole of it, or what changed. A doubted one brings no server back that was told
 /// to be off.
 pub fn apply_endpoint_list(engine: &Rc<Engine>, lines: &[ListedEndpoint], whole_list: bool, doubted: bool) {
-    let (off, changed) = call(engine, |requests, now| requests.listed(now, lines, (whole_list, doubted)));
-    off.into_iter().for_each(|server| engine.pool.forget(server));
+    let update = ListUpdate { endpoints: lines, whole: whole_list, doubted };
+    let (off, changed) = call(engine, |requests, now| requests.listed(now, &update));
+    off.into_iter().for_each(|server| engine.pool.close_all(server));
     if changed != ListChanges::default() {
         info!(engine.log, "servers changed"; "off" => named(&changed.off), "back" => named(&changed.back));
     }
@@ -72,7 +73,7 @@
 /// Operators take a server out at that moment, or put it back. What is idle to it is closed: it restarts meanwhile.
 pub fn set_server_disabled(engine: &Rc<Engine>, id: &str, out: bool, at: Timestamp) {
     let server = call(engine, |requests, now| requests.barred(now, id, (out, at)));
-    server.into_iter().for_each(|server| engine.pool.forget(server));
+    server.into_iter().for_each(|server| engine.pool.close_all(server));
 }
 
 /// A call to discovery failed after so long; the balancer will want another.
@@ -154,7 +155,7 @@
     // The connection is closed, unless it is back in the pool, before the balancer hears of the ending.
     handle.hold(None);
     if outcome == AttemptOutcome::Unreachable {
-        engine.pool.forget(*server);
+        engine.pool.close_all(*server);
     }
     call(&engine, |requests, now| requests.ended(now, (*request_id, *attempt), outcome, took, answer));
 }
@@ -260,7 +261,7 @@
     let Some(addr) = engine.requests.borrow().servers.addr(server) else {
         return Err(AttemptOutcome::Unreachable);
     };
-    if !fresh && let Some(conn) = engine.pool.rested(server, addr).await {
+    if !fresh && let Some(conn) = engine.pool.acquire(server, addr).await {
         return Ok(conn);
     }
     let permit = engine.budget.acquire_for_server(|| engine.pool.close_longest_idle()).await;
@@ -294,7 +295,7 @@
     let answered = within(engine.config.connect_timeout.get() * 2, ask).await.flatten().is_some();
     if !answered {
         // What was idle to a machine that vanished is reset only when it is back, and by the first request on it.
-        engine.pool.forget(server);
+        engine.pool.close_all(server);
     }
     call(&engine, |requests, now| requests.probed(now, server, answered));
 }
--- a/crates/engine/src/background.rs
+++ b/crates/engine/src/background.rs
@@ -2,7 +2,7 @@
 
 use crate::api;
 use crate::engine::Engine;
-use crate::pool::SPARE;
+use crate::pool::SPARE_IDLE_TIME;
 use chalkwalk_sockets::wait_until;
 use slog::info;
 use smol::Timer;
@@ -26,10 +26,10 @@
     let (mut told, mut rounds) = (0, 0u32);
     loop {
         for _ in 0..8 {
-            Timer::after(SPARE / 2).await;
-            engine.pool.trim();
+            Timer::after(SPARE_IDLE_TIME / 2).await;
+            engine.pool.close_spare();
         }
-        engine.pool.sweep();
+        engine.pool.close_stale();
         rounds += 1;
         let left = engine.requests.borrow().left_waiting();
         if rounds.is_multiple_of(60) && std::mem::replace(&mut told, left) != left {
--- /dev/null
+++ b/crates/engine/src/pool/tests.rs
@@ -0,0 +1,33 @@
+//! Of what the pool gives back; in the crate, as they read how many connections it holds.
+
+use super::*;
+use crate::budget::DescriptorBudget;
+use std::net::TcpListener;
+use std::thread::sleep;
+
+/// Of six connections that were used concurrently once one stays open, and two where two are used concurrently all the time: a
+/// hundred proxies hold a hundred of a server's connections and not six hundred.
+#[test]
+fn connections_that_were_needed_once_are_closed() {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let addr = listener.local_addr().unwrap();
+    let pool = ConnectionPool::new(Duration::from_secs(30));
+    let budget = DescriptorBudget::new(64);
+    let open = || {
+        let permit = smol::block_on(budget.acquire_for_server(|| ()));
+        ServerConnection::new(Async::new(TcpStream::connect(addr).unwrap()).unwrap(), addr, permit)
+    };
+    let connections: Vec<ServerConnection> = (0..6).map(|_| open()).collect();
+    connections.into_iter().for_each(|conn| pool.put(0, conn));
+    let mut idle = Vec::new();
+    for concurrent in [2, 0] {
+        for _ in 0..6 {
+            let used: Vec<ServerConnection> = (0..concurrent).filter_map(|_| pool.pop(0, addr)).collect();
+            used.into_iter().for_each(|conn| pool.put(0, conn));
+            sleep(SPARE_IDLE_TIME / 5);
+            pool.close_spare();
+        }
+        idle.push(pool.idle.borrow()[&0].len());
+    }
+    expect_test::expect!["[2, 1]"].assert_eq(&format!("{idle:?}"));
+}
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -3,7 +3,7 @@
 
 use crate::pool::ServerConnection;
 use crate::response::{ClientRequest, Response, ResponseStatus};
-use crate::servers::{ListChanges, ListedEndpoint, ServerRegistry};
+use crate::servers::{ListChanges, ListUpdate, ServerRegistry};
 use chalkwalk_balancer::admission::{Refusal, UnsentAttempt};
 use chalkwalk_balancer::{AttemptOutcome, Balancer, Effects, Learned, RequestId, ServerIndex};
 use chalkwalk_capture::{Decision, Event, Recorder};
@@ -240,7 +240,7 @@
     /// Takes a request and routes it; its final answer comes by the channel.
     pub fn take(&mut self, now: Timestamp, ask: Rc<dyn ClientRequest>) -> (RequestId, Receiver<Response>) {
         let (answer, answered) = bounded(1);
-        let order = ask.allowed_servers().map(|addrs| self.servers.at(&addrs));
+        let order = ask.allowed_servers().map(|addrs| self.servers.in_service_at(&addrs));
         let (balancer, sink) = self.at(now);
         if let Some(recorder) = &mut sink.recorder {
             recorder.request_accepted(
@@ -284,7 +284,7 @@
             open.ask.attempt_ended(outcome);
             open.ask.allowed_servers()
         });
-        let order = order.map(|addrs| self.servers.at(&addrs));
+        let order = order.map(|addrs| self.servers.in_service_at(&addrs));
         let (balancer, sink) = self.at(now);
         if let Some(open) = sink.open.get_mut(&request_id) {
             open.out -= 1;
@@ -370,25 +370,20 @@
     }
 
     /// Takes what a list says. Returns the servers that are off, and what it has changed.
-    pub fn listed(
-        &mut self,
-        now: Timestamp,
-        lines: &[ListedEndpoint],
-        (whole_list, doubted): (bool, bool),
-    ) -> (Vec<ServerIndex>, ListChanges) {
+    pub fn listed(&mut self, now: Timestamp, update: &ListUpdate<'_>) -> (Vec<ServerIndex>, ListChanges) {
         let was_off: Vec<ServerIndex> = self.servers.off().collect();
         self.sink.now = now;
         self.balancer.advance_clock(now);
-        let endpoints = self.servers.take(now, lines, whole_list, doubted);
+        let endpoints = self.servers.apply(now, update);
         if let Some(recorder) = &mut self.sink.recorder {
-            recorder.endpoints_listed(now, whole_list, &endpoints);
+            recorder.endpoints_listed(now, update.whole, &endpoints);
         }
-        match whole_list {
+        match update.whole {
             true => self.balancer.replace_endpoints(&endpoints, &mut self.sink),
             false => self.balancer.update_endpoints(&endpoints, &mut self.sink),
         }
-        let changed = self.servers.changed(&was_off);
-        self.servers.forget(&self.balancer);
+        let changed = self.servers.changes_since(&was_off);
+        self.servers.forget_unused(&self.balancer);
         (self.servers.off().collect(), changed)
     }
 
--- a/crates/engine/src/servers.rs
+++ b/crates/engine/src/servers.rs
@@ -1,4 +1,7 @@
-//! The servers as a list tells them, and the small indices that stand for them from here on.
+//! The servers as endpoint lists describe them, and the small indices by which the balancer knows them.
+
+#[cfg(test)]
+mod tests;
 
 use chalkwalk_balancer::{Balancer, Endpoint, EndpointStatus, ServerIndex};
 pub use chalkwalk_membership::ListedEndpoint;
@@ -15,157 +18,167 @@
     pub back: Vec<String>,
 }
 
-/// What the engine itself needs of a server.
+/// What a source of the endpoint list has read of it.
+#[derive(Clone, Copy, Debug)]
+pub struct ListUpdate<'a> {
+    /// The endpoints, with their status.
+    pub endpoints: &'a [ListedEndpoint],
+    /// Whether they are the whole list, so that a server that is not among them is gone; otherwise they are what changed.
+    pub whole: bool,
+    /// Whether the list may be older than what was known before. It then brings no server back that was notified to be off and has
+    /// not started since.
+    pub doubted: bool,
+}
+
+/// What the engine itself needs to know of a server.
 struct Row {
     addr: SocketAddr,
-    off_since: Option<Timestamp>, // draining or gone, as told
+    /// Since when it was notified to be draining or gone.
+    off_since: Option<Timestamp>,
+    /// When its process started.
     born: Timestamp,
 }
 
+/// The servers by id and by index.
 #[derive(Default)]
 pub struct ServerRegistry {
     rows: Vec<Row>,
-    index: HashMap<String, ServerIndex>,
-    free: Vec<ServerIndex>, // below the number of rows, and no server's
+    indices: HashMap<String, ServerIndex>,
+    /// Indices below the number of rows that are no server's.
+    free: Vec<ServerIndex>,
     zones: Vec<String>,
     kinds: Vec<String>,
 }
 
 impl ServerRegistry {
+    /// Zones and kinds are numbered in this order; zones that a list adds come after them.
     pub fn new(zones: &[String], kinds: &[String]) -> ServerRegistry {
         ServerRegistry { zones: zones.to_vec(), kinds: kinds.to_vec(), ..ServerRegistry::default() }
     }
 
+    /// The address of a server.
     pub fn addr(&self, server: ServerIndex) -> Option<SocketAddr> {
         self.rows.get(server).map(|row| row.addr)
     }
 
     /// The servers in service at these addresses, in that order.
-    pub fn at(&self, addrs: &[SocketAddr]) -> Vec<ServerIndex> {
-        let at =
+    pub fn in_service_at(&self, addrs: &[SocketAddr]) -> Vec<ServerIndex> {
+        let in_service =
             |addr: &SocketAddr| self.rows.iter().position(|row| row.addr == *addr && row.off_since.is_none());
-        addrs.iter().filter_map(at).collect()
+        addrs.iter().filter_map(in_service).collect()
     }
 
-    /// Since when a server is draining or gone, as told.
+    /// Since when a server is draining or gone, as notified.
     pub fn off_since(&self, server: ServerIndex) -> Option<Timestamp> {
         self.rows.get(server)?.off_since
     }
 
-    /// What is off by now and was not, and the other way round, after what was off before.
-    pub fn changed(&self, was_off: &[ServerIndex]) -> ListChanges {
-        let mut changed = ListChanges::default();
-        for (id, server) in &self.index {
-            match (was_off.binary_search(server).is_ok(), self.off_since(*server).is_some()) {
-                (false, true) => changed.off.push(id.clone()),
-                (true, false) => changed.back.push(id.clone()),
+    /// Which servers are off by now and were not, and the other way round. `was_off`: those that were off before, sorted.
+    pub fn changes_since(&self, was_off: &[ServerIndex]) -> ListChanges {
+        let mut changes = ListChanges::default();
+        for (id, server) in &self.indices {
+            let was_off = was_off.binary_search(server).is_ok();
+            let is_off = self.off_since(*server).is_some();
+            match (was_off, is_off) {
+                (false, true) => changes.off.push(id.clone()),
+                (true, false) => changes.back.push(id.clone()),
                 _ => {}
             }
         }
-        changed.off.sort_unstable();
-        changed.back.sort_unstable();
-        changed
+        changes.off.sort_unstable();
+        changes.back.sort_unstable();
+        changes
     }
 
-    /// The place of a server, if it has one.
+    /// The index of a server, if it has one.
     pub fn index_of(&self, id: &str) -> Option<ServerIndex> {
-        self.index.get(id).copied()
+        self.indices.get(id).copied()
     }
 
-    /// Whether the server of this line is in service as far as was told, and has not started since the line was true.
-    pub fn is_ready(&self, line: &ListedEndpoint) -> bool {
-        let row = self.index_of(&line.id).map(|server| &self.rows[server]);
-        row.is_some_and(|row| row.off_since.is_none() && row.born <= line.born)
+    /// Whether the server of this endpoint is in service as far as notified, and has not started since the endpoint was read.
+    pub fn is_ready(&self, endpoint: &ListedEndpoint) -> bool {
+        let row = self.index_of(&endpoint.id).map(|server| &self.rows[server]);
+        row.is_some_and(|row| row.off_since.is_none() && row.born <= endpoint.born)
     }
 
-    /// Servers that are off.
+    /// The servers that are off, in order.
     pub fn off(&self) -> impl Iterator<Item = ServerIndex> {
         self.rows.iter().enumerate().filter(|(_, row)| row.off_since.is_some()).map(|(server, _)| server)
     }
 
-    /// Takes what a list says, and returns it by index for the balancer. Of a doubted one a server is not ready that was told
-    /// to be off and has not started since.
-    pub fn take<'a>(
-        &mut self,
-        now: Timestamp,
-        lines: &'a [ListedEndpoint],
-        whole_list: bool,
-        doubted: bool,
-    ) -> Vec<Endpoint<'a>> {
+    /// Takes up what a list says, and returns it by index for the balancer.
+    pub fn apply<'a>(&mut self, now: Timestamp, update: &ListUpdate<'a>) -> Vec<Endpoint<'a>> {
         let was_off: Vec<Option<Timestamp>> = self.rows.iter().map(|row| row.off_since).collect();
-        if whole_list {
-            self.rows.iter_mut().for_each(|row| _ = row.off_since.get_or_insert(now));
+        if update.whole {
+            for row in &mut self.rows {
+                row.off_since.get_or_insert(now);
+            }
         }
-        let entry = |line: &'a ListedEndpoint| {
-            let server = self.row(&line.id, line.addr);
-            let row = &mut self.rows[server];
-            let stays_off =
-                doubted && was_off.get(server).is_some_and(Option::is_some) && line.born <= row.born;
-            let status = if stays_off { EndpointStatus::Draining } else { line.status };
-            (row.addr, row.born) = (line.addr, line.born);
-            let since = was_off.get(server).copied().flatten().unwrap_or(now);
-            row.off_since = (status != EndpointStatus::Ready).then_some(since);
-            let zone = self.zones.iter().position(|z| *z == line.zone).unwrap_or_else(|| {
-                self.zones.push(line.zone.clone());
-                self.zones.len() - 1
-            });
-            let kind = self.kinds.iter().position(|k| *k == line.kind).unwrap_or(usize::MAX);
+        let apply_one = |endpoint: &'a ListedEndpoint| {
+            let server = self.index_or_insert(&endpoint.id, endpoint.addr);
+            let was_off_since = was_off.get(server).copied().flatten();
+            let status = self.update_row(now, server, endpoint, was_off_since, update.doubted);
             Endpoint {
                 server,
-                id: &line.id,
-                zone,
-                kind,
-                cell: line.cell,
-                size: line.size,
+                id: &endpoint.id,
+                zone: self.zone_number(&endpoint.zone),
+                kind: self.kinds.iter().position(|kind| *kind == endpoint.kind).unwrap_or(usize::MAX),
+                cell: endpoint.cell,
+                size: endpoint.size,
                 status,
-                born: line.born,
+                born: endpoint.born,
             }
         };
-        lines.iter().map(entry).collect()
+        update.endpoints.iter().map(apply_one).collect()
     }
 
-    /// Forgets what is gone and done with, and uses its index again: ids are ever new.
-    pub fn forget(&mut self, balancer: &Balancer) {
-        let ServerRegistry { index, free, .. } = self;
-        index.retain(|_, server| {
-            let done = balancer.index_is_free(*server);
-            free.extend(done.then_some(*server));
-            !done
+    /// Updates what is known of a server by its endpoint, and returns the status that it has by that.
+    fn update_row(
+        &mut self,
+        now: Timestamp,
+        server: ServerIndex,
+        endpoint: &ListedEndpoint,
+        was_off_since: Option<Timestamp>,
+        doubted: bool,
+    ) -> EndpointStatus {
+        let row = &mut self.rows[server];
+        let stays_off = doubted && was_off_since.is_some() && endpoint.born <= row.born;
+        let status = if stays_off { EndpointStatus::Draining } else { endpoint.status };
+        row.addr = endpoint.addr;
+        row.born = endpoint.born;
+        row.off_since = (status != EndpointStatus::Ready).then_some(was_off_since.unwrap_or(now));
+        status
+    }
+
+    fn zone_number(&mut self, zone: &str) -> usize {
+        self.zones.iter().position(|known| known == zone).unwrap_or_else(|| {
+            self.zones.push(zone.to_string());
+            self.zones.len() - 1
+        })
+    }
+
+    /// Forgets servers whose index the balancer needs no more, and frees their indices for others: ids are ever new.
+    pub fn forget_unused(&mut self, balancer: &Balancer) {
+        let ServerRegistry { indices, free, .. } = self;
+        indices.retain(|_, server| {
+            let unused = balancer.index_is_free(*server);
+            free.extend(unused.then_some(*server));
+            !unused
         });
         free.sort_unstable();
     }
 
-    fn row(&mut self, id: &str, addr: SocketAddr) -> usize {
-        if let Some(server) = self.index.get(id) {
+    fn index_or_insert(&mut self, id: &str, addr: SocketAddr) -> ServerIndex {
+        if let Some(server) = self.indices.get(id) {
             return *server;
         }
         let server = self.free.pop().unwrap_or(self.rows.len());
-        self.index.insert(id.to_string(), server);
+        self.indices.insert(id.to_string(), server);
         let row = Row { addr, off_since: None, born: Timestamp::ZERO };
         match self.rows.get_mut(server) {
-            Some(place) => *place = row,
+            Some(unused) => *unused = row,
             None => self.rows.push(row),
         }
         server
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn the_place_of_a_server_that_is_done_with_is_the_next_ones() {
-        let mut servers = ServerRegistry::default();
-        let mut places = Vec::new();
-        for id in ["amber", "birch", "birch", "cedar", "delta"] {
-            places.push(servers.row(id, "127.0.0.1:3000".parse().unwrap()));
-            if id == "cedar" {
-                servers.index.remove("birch");
-                servers.free.push(1);
-            }
-        }
-        expect_test::expect!["[0, 1, 1, 2, 1] of 3"]
-            .assert_eq(&format!("{places:?} of {}", servers.rows.len()));
-    }
-}
