--- a/crates/discovery/src/call.rs
+++ b/crates/discovery/src/call.rs
@@ -1,7 +1,7 @@
-//! One call to discovery, from its connection to the whole answer.
+//! One call to the discovery service, from its connection to the whole answer.
 
-use crate::list::DiscoveryAddress;
-use crate::terms;
+use crate::address::DiscoveryAddress;
+use crate::timing;
 use chalkwalk_balancer::discovery::GIVE_UP_CONNECTING;
 use chalkwalk_http1::{self as http1, ResponseReader};
 use chalkwalk_sockets::{is_idle, within};
@@ -12,61 +12,75 @@
 use std::pin::Pin;
 use std::time::{Duration, Instant};
 
-/// The longest list: 400 bytes a line hold ten thousand servers.
-const LONGEST: usize = 4 << 20;
-/// A connection that is kept from one call to the next.
-pub type Link = Cell<Option<Async<TcpStream>>>;
+/// The longest answer, in bytes: 400 bytes a server hold ten thousand servers.
+const MAX_ANSWER_BYTES: usize = 4 << 20;
 
-/// Why a call brought nothing.
-pub enum Fault {
+/// A connection that is reused from one call to the next.
+pub(crate) type ReusableConnection = Cell<Option<Async<TcpStream>>>;
+
+/// Why a call brought no answer that could be read.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum CallError {
     /// The service has too much to do.
+    #[error("answered 503")]
     Busy,
-    Failed(String),
-    /// It answered, and broke off: what was told by it is not known.
+    /// It answered, and broke off: which changes it had notified by then is not known.
+    #[error("an answer cut short")]
     CutShort,
+    #[error("no answer in time")]
+    TimedOut,
+    #[error("no connection: {0}")]
+    NotConnected(std::io::Error),
+    #[error("not written: {0}")]
+    NotWritten(std::io::Error),
+    #[error("no answer")]
+    NoAnswer,
+    #[error("answered {0}")]
+    Status(u16),
+    #[error("a list of over {MAX_ANSWER_BYTES} bytes")]
+    TooLong,
 }
 
-impl std::fmt::Display for Fault {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            Fault::Busy => write!(f, "answered 503"),
-            Fault::Failed(fault) => write!(f, "{fault}"),
-            Fault::CutShort => write!(f, "an answer cut short"),
-        }
-    }
-}
+/// An answer's body, or why there is none.
+pub(crate) type CallResult = Result<Vec<u8>, CallError>;
 
-pub type Said = Result<Vec<u8>, Fault>;
+/// What a call requests, and how long it may wait at the service for a change.
+pub(crate) struct ListRequest {
+    pub target: String,
+    pub wait: Duration,
+}
 
 /// A call under way, until the answer's body is there.
-type Calling<'a> = Pin<Box<dyn Future<Output = Said> + 'a>>;
+type PendingAnswer<'a> = Pin<Box<dyn Future<Output = CallResult> + 'a>>;
 
 /// A call under way.
-pub struct Call<'a> {
+pub(crate) struct Call<'a> {
+    /// Its number in the log.
     pub number: u64,
     pub begun: Instant,
-    /// How long it may wait for news.
+    /// How long it may wait at the service for a change.
     pub wait: Duration,
-    pub answer: Calling<'a>,
+    pub answer: PendingAnswer<'a>,
 }
 
 impl<'a> Call<'a> {
     pub fn begin(
-        source: &'a DiscoveryAddress,
-        link: &'a Link,
+        address: &'a DiscoveryAddress,
+        connection: &'a ReusableConnection,
         number: u64,
-        (target, wait): (String, Duration),
+        request: ListRequest,
     ) -> Call<'a> {
+        let ListRequest { target, wait } = request;
         let answer = async move {
-            let said = within(terms::over(wait), call(source, link, &target)).await;
-            said.unwrap_or_else(|| Err(Fault::Failed("no answer in time".into())))
+            let answer = within(timing::give_up_after(wait), get(address, connection, &target)).await;
+            answer.unwrap_or(Err(CallError::TimedOut))
         };
         Call { number, begun: Instant::now(), wait, answer: Box::pin(answer) }
     }
 
-    /// From when on it is taken for silent.
+    /// From when on it counts as silent.
     pub fn silent_at(&self) -> Instant {
-        self.begun + terms::silent(self.wait)
+        self.begun + timing::silent_after(self.wait)
     }
 
     /// How long it has taken by now.
@@ -75,46 +89,52 @@
     }
 }
 
-/// One call; where a kept link turns out to be closed meanwhile, on a new one.
-async fn call(source: &DiscoveryAddress, link: &Link, target: &str) -> Said {
-    if let Some(kept) = link.take().filter(is_idle)
-        && let Ok(said) = ask(source, kept, link, target).await
-    {
-        return said;
+/// One call on the reusable connection, or on a new one where the service has closed that meanwhile.
+async fn get(address: &DiscoveryAddress, connection: &ReusableConnection, target: &str) -> CallResult {
+    if let Some(open) = connection.take().filter(is_idle) {
+        match get_on(address, open, connection, target).await {
+            Err(CallError::NotWritten(_) | CallError::NoAnswer) => {}
+            result => return result,
+        }
     }
     // A machine that is cut off never answers; one that is there does so sooner than it lets a call wait.
-    let stream =
-        within(Duration::from(GIVE_UP_CONNECTING), Async::<TcpStream>::connect(source.address())).await;
+    let connecting = Async::<TcpStream>::connect(address.address());
+    let stream = within(Duration::from(GIVE_UP_CONNECTING), connecting).await;
     let stream = stream.unwrap_or_else(|| Err(std::io::ErrorKind::TimedOut.into()));
-    let stream = stream.map_err(|e| Fault::Failed(format!("no connection: {e}")))?;
-    ask(source, stream, link, target).await.map_err(Fault::Failed)?
+    let stream = stream.map_err(CallError::NotConnected)?;
+    get_on(address, stream, connection, target).await
 }
 
-/// What the list says, or an `Err` outside if it said nothing.
-async fn ask(
-    source: &DiscoveryAddress,
+/// One call on this connection, which is reusable after an answer that was read whole.
+async fn get_on(
+    address: &DiscoveryAddress,
     open: Async<TcpStream>,
-    link: &Link,
+    connection: &ReusableConnection,
     target: &str,
-) -> Result<Said, String> {
-    http1::send_get(&open, source.address(), target).await.map_err(|e| format!("not written: {e}"))?;
-    let mut answer = ResponseReader::start(&open).await.map_err(|_| "no answer".to_string())?;
+) -> CallResult {
+    let written = http1::send_get(&open, address.address(), target).await;
+    written.map_err(CallError::NotWritten)?;
+    let mut answer = ResponseReader::start(&open).await.map_err(|_| CallError::NoAnswer)?;
     match answer.message.status {
         200 => {}
-        503 => return Ok(Err(Fault::Busy)),
-        other => return Ok(Err(Fault::Failed(format!("answered {other}")))),
+        503 => return Err(CallError::Busy),
+        other => return Err(CallError::Status(other)),
     }
+    let body = read_body(&mut answer, &open).await?;
+    if answer.is_reusable() {
+        connection.set(Some(open));
+    }
+    Ok(body)
+}
+
+async fn read_body(answer: &mut ResponseReader, open: &Async<TcpStream>) -> CallResult {
     let mut body = Vec::new();
     loop {
-        match answer.next_part(&open).await {
-            Ok(Some(part)) if body.len() + part.len() <= LONGEST => body.extend(part),
-            Ok(Some(_)) => return Ok(Err(Fault::Failed(format!("a list of over {LONGEST} bytes")))),
-            Ok(None) => break,
-            Err(_) => return Ok(Err(Fault::CutShort)),
+        match answer.next_part(open).await {
+            Ok(Some(part)) if body.len() + part.len() <= MAX_ANSWER_BYTES => body.extend(part),
+            Ok(Some(_)) => return Err(CallError::TooLong),
+            Ok(None) => return Ok(body),
+            Err(_) => return Err(CallError::CutShort),
         }
     }
-    if answer.is_reusable() {
-        link.set(Some(open));
-    }
-    Ok(Ok(body))
 }
--- /dev/null
+++ b/crates/discovery/src/field_paths.rs
@@ -0,0 +1,58 @@
+//! Which fields a configuration has, whatever their values: a later one that lacks any of them counts as damaged, as no list of
+//! required fields can know what its writer meant to say.
+
+use chalkwalk_settings::fields::JsonObject;
+use serde_json::Value;
+use std::collections::BTreeSet;
+
+/// The paths of a configuration's fields; in a list of objects, of those that all of them have.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct FieldPaths(BTreeSet<String>);
+
+/// The list that was known at a start, which may be empty: its fields don't count.
+const LAST_KNOWN_LIST: &str = "known";
+
+impl FieldPaths {
+    /// Of this configuration.
+    pub fn of(config: &JsonObject) -> FieldPaths {
+        let mut paths = BTreeSet::new();
+        for (name, value) in config.iter().filter(|(name, _)| *name != LAST_KNOWN_LIST) {
+            collect(name, value, &mut paths);
+        }
+        FieldPaths(paths)
+    }
+
+    /// The first field that this one has and the other lacks.
+    pub fn first_missing_in<'a>(&'a self, other: &FieldPaths) -> Option<&'a str> {
+        self.0.iter().find(|path| !other.0.contains(*path)).map(String::as_str)
+    }
+}
+
+fn collect(path: &str, value: &Value, paths: &mut BTreeSet<String>) {
+    if value.is_null() {
+        return;
+    }
+    paths.insert(path.to_string());
+    match value {
+        Value::Object(fields) => collect_fields(&format!("{path}."), fields, paths),
+        Value::Array(items) => {
+            let common = items.iter().map(|item| item_paths(path, item)).reduce(|a, b| &a & &b);
+            paths.extend(common.unwrap_or_default());
+        }
+        _ => {}
+    }
+}
+
+fn collect_fields(prefix: &str, fields: &JsonObject, paths: &mut BTreeSet<String>) {
+    for (name, value) in fields {
+        collect(&format!("{prefix}{name}"), value, paths);
+    }
+}
+
+fn item_paths(path: &str, item: &Value) -> BTreeSet<String> {
+    let mut paths = BTreeSet::new();
+    if let Value::Object(fields) = item {
+        collect_fields(&format!("{path}[]."), fields, &mut paths);
+    }
+    paths
+}
--- /dev/null
+++ b/crates/discovery/src/startup.rs
@@ -0,0 +1,224 @@
+//! The configuration that the platform hands a proxy at its start: where it listens, and the settings for the engine.
+
+use crate::address::parse_address;
+use crate::field_paths::FieldPaths;
+use chalkwalk_engine::config::EngineConfig;
+use chalkwalk_http1 as http1;
+use chalkwalk_limits::{Idempotency, Namespace, PlatformLimits};
+use chalkwalk_settings::PlatformSettings;
+use chalkwalk_settings::fields::{FieldError, FieldResult, JsonObject, integer, object, text, text_or};
+use chalkwalk_time::Span;
+use serde_json::Value;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// No platform allows more attempts: what is above is a slip in writing.
+const MAX_ATTEMPTS: f64 = 1000.0;
+/// An hour, in ticks: no client waits for longer, and it bounds every wait of a request.
+const LONGEST_TIME_TICKS: f64 = 3.6e7;
+/// One second, in ticks: where the platform states no target time, nor one for connecting.
+const DEFAULT_TIME_TICKS: f64 = 1e4;
+/// Ten seconds, in ticks: after which servers close idle connections where the platform does not state it.
+const DEFAULT_IDLE_TICKS: f64 = 1e5;
+/// What a process may hold by default.
+const DEFAULT_DESCRIPTORS: usize = 1024;
+/// The least memory that a proxy is given.
+const DEFAULT_MEMORY_MB: u64 = 32;
+const MEGABYTE: usize = 1_000_000;
+
+/// Names the admin address where the configuration has none.
+const ADMIN_ADDRESS_VARIABLE: &str = "ROUTER_CONSOLE";
+
+/// What the configuration file says.
+pub struct StartupConfig {
+    /// Where clients connect to.
+    pub listen: SocketAddr,
+    /// Where operators call, if they do.
+    pub admin_address: Option<SocketAddr>,
+    /// Where the discovery service is, if there is one.
+    pub list_address: Option<SocketAddr>,
+    /// The endpoint list as this proxy last had it.
+    pub last_known_list: Value,
+    /// Names of the namespaces, in the platform's order.
+    pub namespaces: Vec<String>,
+    /// What the engine starts with.
+    pub engine: EngineConfig,
+    /// Which fields the file has at all.
+    pub fields: FieldPaths,
+}
+
+impl StartupConfig {
+    /// Reads the file. The first field that can't be read is the error.
+    pub fn load(path: &str) -> FieldResult<StartupConfig> {
+        let text = std::fs::read_to_string(path).map_err(|error| format!("cannot read {path}: {error}"))?;
+        let json: Value =
+            serde_json::from_str(&text).map_err(|error| format!("{path} is no JSON: {error}"))?;
+        StartupConfig::read(object(&json, "the configuration")?)
+    }
+
+    fn read(config: &JsonObject) -> FieldResult<StartupConfig> {
+        let settings = read_settings(config)?;
+        let namespaces = settings.namespaces.clone();
+        Ok(StartupConfig {
+            engine: engine_config(config, settings)?,
+            listen: parse_address(text(config, "listen")?, "field listen")?,
+            admin_address: admin_address(config)?,
+            list_address: optional_address(config, "discovery")?,
+            last_known_list: config.get("known").cloned().unwrap_or(Value::Null),
+            namespaces,
+            fields: FieldPaths::of(config),
+        })
+    }
+}
+
+/// The settings, with what the settings map can't hold checked as well.
+fn read_settings(config: &JsonObject) -> FieldResult<PlatformSettings> {
+    let missing = || FieldError::Missing { field: "field settings".to_string(), expected: "an object" };
+    let settings = config.get("settings").ok_or_else(missing)?;
+    let settings = chalkwalk_settings::read(object(settings, "field settings")?)?;
+    let values = Values(&settings.values);
+    for (index, name) in settings.namespaces.iter().enumerate() {
+        check_namespace(index, name, &settings.namespaces[..index], values)?;
+    }
+    check_max_attempts(values.max_attempts())?;
+    Ok(settings)
+}
+
+fn check_namespace(index: usize, name: &str, before: &[String], values: Values) -> FieldResult<()> {
+    if before.iter().any(|other| other == name) {
+        return Err(format!("setting namespaces[{index}].name: \"{name}\" is there twice").into());
+    }
+    for (setting, field) in [("time limit", "timeLimitNs"), ("target time", "targetTimeNs")] {
+        let ticks = values.number(&namespace_setting(index, setting), DEFAULT_TIME_TICKS);
+        if !(1.0..=LONGEST_TIME_TICKS).contains(&ticks) {
+            return Err(format!(
+                "setting namespaces[{index}].{field}: expected a time above 0 and up to an hour"
+            )
+            .into());
+        }
+    }
+    Ok(())
+}
+
+fn check_max_attempts(max_attempts: f64) -> FieldResult<()> {
+    if max_attempts.fract() == 0.0 && (1.0..=MAX_ATTEMPTS).contains(&max_attempts) {
+        return Ok(());
+    }
+    Err(FieldError::Unexpected {
+        field: "setting ceilings.mostShots".to_string(),
+        expected: "a whole number above 0",
+        found: max_attempts.to_string(),
+    })
+}
+
+fn engine_config(config: &JsonObject, settings: PlatformSettings) -> FieldResult<EngineConfig> {
+    let empty = JsonObject::new();
+    let limits = config.get("limits").map_or(Ok(&empty), |limits| object(limits, "field limits"))?;
+    let seed = text_or(config, "seed", "0")?;
+    let values = Values(&settings.values);
+    Ok(EngineConfig {
+        name: text_or(config, "name", "")?.to_string(),
+        seed: parse_seed(seed)?,
+        descriptors: match limits.get("sockets") {
+            None => DEFAULT_DESCRIPTORS,
+            Some(_) => integer(limits, "sockets")? as usize,
+        },
+        memory: limits.get("memory_mb").and_then(Value::as_u64).unwrap_or(DEFAULT_MEMORY_MB) as usize
+            * MEGABYTE,
+        connect_timeout: values.duration("connect time", DEFAULT_TIME_TICKS).into(),
+        idle_timeout: values.duration("idle time", DEFAULT_IDLE_TICKS),
+        drain_grace: values.span("drain grace", 0.0).into(),
+        platform_limits: platform_limits(values, &settings.namespaces, settings.tenants),
+        limits: None,
+        settings: settings.values,
+        zones: settings.zones,
+        kinds: settings.kinds,
+    })
+}
+
+fn parse_seed(seed: &str) -> FieldResult<u64> {
+    u64::from_str_radix(seed, 16).map_err(|_| FieldError::Unexpected {
+        field: "field seed".to_string(),
+        expected: "a hexadecimal number",
+        found: format!("\"{seed}\""),
+    })
+}
+
+fn platform_limits(values: Values, namespaces: &[String], tenants: Vec<String>) -> PlatformLimits {
+    PlatformLimits {
+        max_attempts: values.max_attempts() as u64,
+        hedging: values.number("second copies", 0.0) > 0.0,
+        connect_time: values.span("connect time", DEFAULT_TIME_TICKS),
+        max_body_bytes: http1::MAX_BODY as u64,
+        namespaces: namespaces.iter().enumerate().map(|(i, name)| namespace(values, i, name)).collect(),
+        tenants,
+        frontends: Vec::new(),
+    }
+}
+
+fn namespace(values: Values, index: usize, name: &str) -> Namespace {
+    let setting = |name: &str| namespace_setting(index, name);
+    let time_limit = values.number(&setting("time limit"), 0.0).min(LONGEST_TIME_TICKS);
+    Namespace {
+        name: name.to_string(),
+        time_limit: Span::from_ticks(time_limit as u64),
+        latency_objective: values.span(&setting("target time"), DEFAULT_TIME_TICKS),
+        idempotency: match values.text(&setting("repeats")) {
+            "replayable" => Idempotency::Replayable,
+            "tagged" => Idempotency::Tagged,
+            _ => Idempotency::SingleUse,
+        },
+        dedup_window: values.span(&setting("window"), 0.0),
+    }
+}
+
+/// The name in the settings map of a namespace's setting.
+fn namespace_setting(index: usize, name: &str) -> String {
+    format!("namespace {index} {name}")
+}
+
+fn admin_address(config: &JsonObject) -> FieldResult<Option<SocketAddr>> {
+    match (optional_address(config, "console")?, std::env::var(ADMIN_ADDRESS_VARIABLE)) {
+        (None, Ok(address)) if !address.is_empty() => {
+            parse_address(&address, ADMIN_ADDRESS_VARIABLE).map(Some)
+        }
+        (configured, _) => Ok(configured),
+    }
+}
+
+fn optional_address(config: &JsonObject, name: &str) -> FieldResult<Option<SocketAddr>> {
+    match text_or(config, name, "")? {
+        "" => Ok(None),
+        address => parse_address(address, &format!("field {name}")).map(Some),
+    }
+}
+
+/// The settings map, with defaults where it has no value or one that is no number.
+#[derive(Clone, Copy)]
+struct Values<'a>(&'a BTreeMap<String, String>);
+
+impl<'a> Values<'a> {
+    fn number(self, name: &str, default: f64) -> f64 {
+        self.0.get(name).and_then(|value| value.parse().ok()).unwrap_or(default)
+    }
+
+    fn span(self, name: &str, default_ticks: f64) -> Span {
+        Span::from_ticks(self.number(name, default_ticks) as u64)
+    }
+
+    fn duration(self, name: &str, default_ticks: f64) -> Duration {
+        Duration::from(self.span(name, default_ticks))
+    }
+
+    fn text(self, name: &str) -> &'a str {
+        self.0.get(name).map_or("", String::as_str)
+    }
+
+    fn max_attempts(self) -> f64 {
+        self.number("most shots", 1.0)
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/discovery/tests/field_paths.rs
@@ -0,0 +1,20 @@
+//! A later configuration that lacks fields of the first is noticed.
+
+use chalkwalk_discovery::FieldPaths;
+use serde_json::{Value, json};
+
+fn paths(config: Value) -> FieldPaths {
+    FieldPaths::of(config.as_object().expect("an object"))
+}
+
+#[test]
+fn the_first_field_that_is_gone_is_named() {
+    let first = paths(
+        json!({"a": {"b": 1, "c": null}, "list": [{"x": 1, "y": 2}, {"x": 3}], "known": {"version": 1}}),
+    );
+    let missing = |later: Value| first.first_missing_in(&paths(later)).map(str::to_string);
+    assert_eq!(missing(json!({"a": {"b": 2}, "list": [{"x": 1}], "more": 1})), None);
+    assert_eq!(missing(json!({"a": {"b": null}, "list": [{"x": 1}]})), Some("a.b".into()));
+    assert_eq!(missing(json!({"a": {"b": 2}, "list": [{"x": 1}, {"y": 1}]})), Some("list[].x".into()));
+    assert_eq!(missing(json!({"list": [{"x": 1}]})), Some("a".into()));
+}
