--- a/crates/proxy/src/captures.rs
+++ b/crates/proxy/src/captures.rs
@@ -1,7 +1,8 @@
 //! What the command line does with captures.
 
 use chalkwalk_capture::{
-    CaptureItem, Decision, Difference, Event, FILE_MARK, RecordedCall, encode_item, excerpt, read, replay,
+    CaptureItem, Damage, Decision, Difference, Event, FILE_MARK, RecordedCall, encode_item, excerpt, read,
+    replay,
 };
 use chalkwalk_time::{TICKS_PER_SECOND, Timestamp};
 use std::fmt::Write;
@@ -34,8 +35,8 @@
         let shown = path.display().to_string();
         let bytes = std::fs::read(&path).map_err(|e| format!("{shown}: {e}"))?;
         let found = read(&bytes).map_err(|e| format!("{shown}: {e}"))?;
-        if let Some((at, damage)) = found.damage {
-            _ = writeln!(out, "{shown}: {damage}, from byte {at} of {}", bytes.len());
+        if let Some(Damage { at, error }) = found.damage {
+            _ = writeln!(out, "{shown}: {error}, from byte {at} of {}", bytes.len());
         }
         segments.push((path, found.items, bytes.len()));
     }
