--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -7,7 +7,7 @@
 use crate::plain::{Attempt, EndpointStatus, Learned, Tally, leaning, mixed, point};
 use crate::plain::{
     AttemptOutcome, Chance, ClassHandle, Effects, Endpoint, Line, Request, RequestId, Server, ServerIndex,
-    Settings,
+    Settings, StateChange,
 };
 use chalkwalk_time::{Span, Timestamp};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -142,7 +142,7 @@
         // The watch goes on: what changes just after an answer counts as told, asked for or not.
         let failed_calls = discovery::failures_after_answer(self.failed_calls);
         if std::mem::replace(&mut self.failed_calls, failed_calls) > 0 {
-            effects.log("discovery reached again", "");
+            effects.report(StateChange::DiscoveryRecovered);
         }
         for e in endpoints {
             let known = self.servers.len().max(e.server + 1);
@@ -211,7 +211,7 @@
     /// A call to discovery that took so long brought nothing: the next one is made after a rest, within the term for changes.
     pub fn discovery_call_failed(&mut self, took: Span, effects: &mut dyn Effects) {
         if self.failed_calls == 0 {
-            effects.log("discovery lost", "");
+            effects.report(StateChange::DiscoveryLost);
         }
         self.failed_calls = self.failed_calls.saturating_add(1);
         let rest =
@@ -597,7 +597,7 @@
         let c = &mut self.servers[server];
         // From half a second, doubled at each leave up to eight: short troubles cost little, long ones too.
         (c.left, c.stay) = (true, (c.stay * 2).clamp(SECOND / 2, 8 * SECOND));
-        effects.log("cache left", &c.id);
+        effects.report(StateChange::ServerEjected { server: &c.id });
         c.calls += 1;
         let wait = c.stay + self.chance.span_below(c.stay / 4);
         effects.set_timer(SERVER_TOKEN + server as u64, wait);
@@ -611,7 +611,7 @@
             self.leave(server, effects);
         } else if c.left {
             (c.left, c.doubt) = (false, 7);
-            effects.log("cache tried again", &c.id);
+            effects.report(StateChange::ServerReadmitted { server: &c.id });
         }
     }
 
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -9,6 +9,6 @@
 
 pub use balancer::Balancer;
 pub use plain::{
-    AttemptOutcome, Effects, Endpoint, EndpointStatus, Learned, RequestId, ServerIndex, point_of,
+    AttemptOutcome, Effects, Endpoint, EndpointStatus, Learned, RequestId, ServerIndex, StateChange, point_of,
 };
 pub use state::Snapshot;
--- a/crates/balancer/src/plain.rs
+++ b/crates/balancer/src/plain.rs
@@ -298,8 +298,57 @@
     fn check_health(&mut self, server: ServerIndex);
     fn set_timer(&mut self, token: u64, after: Span);
     fn watch_endpoints(&mut self);
-    /// A change of state, and the server that it is of, or none.
-    fn log(&mut self, event: &str, server: &str);
+    /// Reports a change of state, for the log.
+    fn report(&mut self, change: StateChange);
+}
+
+/// A change of state that operators are shown.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum StateChange<'a> {
+    /// The first call to discovery that failed after one that was answered.
+    DiscoveryLost,
+    /// The first call to discovery that was answered after one that failed.
+    DiscoveryRecovered,
+    /// A server failed too often, and gets no attempts until it is readmitted.
+    ServerEjected {
+        /// The id of the server in the list.
+        server: &'a str,
+    },
+    /// An ejected server passed its health check or its ejection is over; it gets one attempt at a time until it has answered two.
+    ServerReadmitted {
+        /// The id of the server in the list.
+        server: &'a str,
+    },
+}
+
+impl<'a> StateChange<'a> {
+    /// Its name in log lines.
+    pub fn name(self) -> &'static str {
+        match self {
+            StateChange::DiscoveryLost => "discovery lost",
+            StateChange::DiscoveryRecovered => "discovery recovered",
+            StateChange::ServerEjected { .. } => "server ejected",
+            StateChange::ServerReadmitted { .. } => "server readmitted",
+        }
+    }
+
+    /// Its name in captures and on the simulator's wire. Stored data: never changes.
+    pub fn stored_name(self) -> &'static str {
+        match self {
+            StateChange::DiscoveryLost => "discovery lost",
+            StateChange::DiscoveryRecovered => "discovery reached again",
+            StateChange::ServerEjected { .. } => "cache left",
+            StateChange::ServerReadmitted { .. } => "cache tried again",
+        }
+    }
+
+    /// The id of the server that changed, if it is about one.
+    pub fn server(self) -> Option<&'a str> {
+        match self {
+            StateChange::DiscoveryLost | StateChange::DiscoveryRecovered => None,
+            StateChange::ServerEjected { server } | StateChange::ServerReadmitted { server } => Some(server),
+        }
+    }
 }
 
 /// Multiply-with-carry, after Marsaglia.
--- a/crates/balancer/tests/decisions.rs
+++ b/crates/balancer/tests/decisions.rs
@@ -103,7 +103,7 @@
     expect![[r#"
         lookup 0 -> cache 0
         lookup 1 -> cache 3
-        log: cache left amber
+        log: server ejected amber
         wake in 574 ms
         lookup 0 -> cache 1
         lookup 0 abandoned
@@ -224,15 +224,15 @@
         lookup 2 -> cache 2
         lookup 2 -> cache 1
         lookup 3 -> cache 2
-        log: cache left cedar
+        log: server ejected cedar
         wake in 581 ms
         lookup 3 -> cache 1
         lookup 4 -> cache 1
         probe cache 2
-        log: cache tried again cedar
+        log: server readmitted cedar
         lookup 5 -> cache 2
         lookup 6 -> cache 1
-        log: cache left cedar
+        log: server ejected cedar
         wake in 1144 ms
         lookup 5 -> cache 1
     "#]]
@@ -309,7 +309,7 @@
         lookup 12 -> cache 2
         lookup 11 withdraws shot 0
         lookup 13 -> cache 3
-        log: cache left delta
+        log: server ejected delta
         wake in 566 ms
         lookup 13 -> cache 2
         lookup 14 -> cache 2
@@ -521,7 +521,7 @@
         watch the list
         wake in 1698 ms
         watch the list
-        log: discovery reached again
+        log: discovery recovered
     "#]]
     .assert_eq(&h.told());
 }
@@ -631,7 +631,7 @@
         lookup 6 -> cache 1
         lookup 6 abandoned
         lookup 7 -> cache 1
-        log: cache left birch
+        log: server ejected birch
         wake in 596 ms
         lookup 7 abandoned
     "#]]
--- a/crates/balancer/tests/fleet.rs
+++ b/crates/balancer/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Many routers that share nothing but one service: what is harmless in one, and harmful when all do it.
 
 use chalkwalk_balancer::discovery::{NOTIFIED_WITHIN, TURN};
-use chalkwalk_balancer::{Balancer, Effects, RequestId, ServerIndex};
+use chalkwalk_balancer::{Balancer, Effects, RequestId, ServerIndex, StateChange};
 use chalkwalk_time::{Span, Timestamp};
 use expect_test::expect;
 use std::collections::{BTreeMap, VecDeque};
@@ -31,7 +31,7 @@
     fn watch_endpoints(&mut self) {
         self.watch = true;
     }
-    fn log(&mut self, _: &str, _: &str) {}
+    fn report(&mut self, _: StateChange) {}
 }
 
 /// So many proxies, all started at once, and a service that works through `a_second` calls in turn, turns away what would
--- a/crates/balancer/tests/helper/mod.rs
+++ b/crates/balancer/tests/helper/mod.rs
@@ -1,7 +1,7 @@
 //! A balancer whose decisions are written down line by line.
 
 use chalkwalk_balancer::{
-    AttemptOutcome, Balancer, Effects, Endpoint, EndpointStatus, RequestId, ServerIndex,
+    AttemptOutcome, Balancer, Effects, Endpoint, EndpointStatus, RequestId, ServerIndex, StateChange,
 };
 use chalkwalk_time::{Span, Timestamp};
 use std::collections::BTreeMap;
@@ -47,8 +47,9 @@
     fn watch_endpoints(&mut self) {
         self.line("watch the list".into());
     }
-    fn log(&mut self, event: &str, server: &str) {
-        self.line(format!("log: {event} {server}").trim_end().to_string());
+    fn report(&mut self, change: StateChange) {
+        let server = change.server().unwrap_or_default();
+        self.line(format!("log: {} {server}", change.name()).trim_end().to_string());
     }
 }
 
--- a/crates/capture/src/replay/apply.rs
+++ b/crates/capture/src/replay/apply.rs
@@ -2,7 +2,7 @@
 
 use crate::event::{Decision, Event, RecordedEndpoint};
 use crate::outcome::outcome_of_number;
-use chalkwalk_balancer::{Balancer, Effects, RequestId, ServerIndex, Snapshot};
+use chalkwalk_balancer::{Balancer, Effects, RequestId, ServerIndex, Snapshot, StateChange};
 use chalkwalk_time::{Span, Timestamp};
 
 /// Makes one call, and returns what the balancer decides; `None` where there is no balancer to call, or the event is invalid.
@@ -127,7 +127,10 @@
     fn watch_endpoints(&mut self) {
         self.0.push(Decision::WatchEndpoints);
     }
-    fn log(&mut self, event: &str, server: &str) {
-        self.0.push(Decision::Log { event: event.into(), server: server.into() });
+    fn report(&mut self, change: StateChange) {
+        self.0.push(Decision::Log {
+            event: change.stored_name().into(),
+            server: change.server().unwrap_or_default().into(),
+        });
     }
 }
--- a/crates/capture/tests/replay.rs
+++ b/crates/capture/tests/replay.rs
@@ -1,7 +1,7 @@
 //! A random run of calls into the balancer, captured, truncated at any byte, and replayed.
 
 use chalkwalk_balancer::{
-    AttemptOutcome, Balancer, Effects, Endpoint, EndpointStatus, RequestId, ServerIndex,
+    AttemptOutcome, Balancer, Effects, Endpoint, EndpointStatus, RequestId, ServerIndex, StateChange,
 };
 use chalkwalk_capture::{
     CaptureContents, CaptureItem, Decision, Event, Recorder, encode_item, excerpt, read, replay,
@@ -51,8 +51,11 @@
     fn watch_endpoints(&mut self) {
         self.recorder.record_decision(Decision::WatchEndpoints);
     }
-    fn log(&mut self, event: &str, server: &str) {
-        self.recorder.record_decision(Decision::Log { event: event.into(), server: server.into() });
+    fn report(&mut self, change: StateChange) {
+        self.recorder.record_decision(Decision::Log {
+            event: change.stored_name().into(),
+            server: change.server().unwrap_or_default().into(),
+        });
     }
 }
 
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -5,7 +5,7 @@
 use crate::response::{ClientRequest, Response, ResponseStatus};
 use crate::servers::{ListChanges, ListUpdate, ServerRegistry};
 use chalkwalk_balancer::admission::{Refusal, UnsentAttempt};
-use chalkwalk_balancer::{AttemptOutcome, Balancer, Effects, Learned, RequestId, ServerIndex};
+use chalkwalk_balancer::{AttemptOutcome, Balancer, Effects, Learned, RequestId, ServerIndex, StateChange};
 use chalkwalk_capture::{Decision, Event, Recorder};
 use chalkwalk_time::{Span, Timestamp};
 use slog::{Logger, info};
@@ -148,11 +148,14 @@
         self.done(|| Decision::WatchEndpoints);
         _ = self.wanted.try_send(());
     }
-    fn log(&mut self, event: &str, server: &str) {
-        self.done(|| Decision::Log { event: event.into(), server: server.into() });
-        match server {
-            "" => info!(self.log, "{}", event),
-            server => info!(self.log, "{}", event; "cache" => server),
+    fn report(&mut self, change: StateChange) {
+        self.done(|| Decision::Log {
+            event: change.stored_name().into(),
+            server: change.server().unwrap_or_default().into(),
+        });
+        match change.server() {
+            None => info!(self.log, "{}", change.name()),
+            Some(server) => info!(self.log, "{}", change.name(); "cache" => server),
         }
     }
 }
--- a/crates/simulator-adapter/src/desk.rs
+++ b/crates/simulator-adapter/src/desk.rs
@@ -1,7 +1,7 @@
 //! One instance: its balancer, and the small indices that stand for the wire's names at its door.
 
 use chalkwalk_balancer::{
-    AttemptOutcome, Balancer, Effects, Endpoint, EndpointStatus, RequestId, ServerIndex,
+    AttemptOutcome, Balancer, Effects, Endpoint, EndpointStatus, RequestId, ServerIndex, StateChange,
 };
 use chalkwalk_settings::PlatformSettings;
 use chalkwalk_settings::fields::{
@@ -79,9 +79,12 @@
     fn watch_endpoints(&mut self) {
         self.actions.push(json!({"kind": "SUBSCRIBE", "active": true}));
     }
-    fn log(&mut self, event: &str, server: &str) {
-        let text = format!("{event} {server}");
-        self.actions.push(json!({"kind": "REMARK", "noteText": text.trim_end()}));
+    fn report(&mut self, change: StateChange) {
+        let text = match change.server() {
+            Some(server) => format!("{} {server}", change.stored_name()),
+            None => change.stored_name().to_string(),
+        };
+        self.actions.push(json!({"kind": "REMARK", "noteText": text}));
     }
 }
 
