--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -25,15 +25,15 @@
     /// Whether the client has its final answer.
     pub answered: bool,
     /// Whether the client is still there, as far as can be read.
-    pub awaited: bool,
+    pub client_connected: bool,
 }
 
 /// Why an attempt may not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum SendRefusal {
     /// The server is draining or gone, as notified, or operators took it out. The grace is for what can't be helped, and how much
     /// of it is over is not known to the moment, as the notice may have waited to be read.
-    ServerOff,
+    ServerUnavailable,
     TooLate,
     Answered,
     ClientLeft,
@@ -79,26 +79,26 @@
 
 /// An attempt whose last byte was just written.
 #[derive(Clone, Copy, Debug)]
-pub struct Written {
+pub struct WrittenAttempt {
     pub at: Timestamp,
     /// When it was last asked whether it may be sent.
     pub allowed_at: Timestamp,
     pub until: Timestamp,
     /// Since when the server is off, as notified by now.
-    pub off_since: Option<Timestamp>,
+    pub unavailable_since: Option<Timestamp>,
     pub grace: Span,
     /// Whether the client is still there.
-    pub awaited: bool,
+    pub client_connected: bool,
 }
 
-impl Written {
+impl WrittenAttempt {
     /// What must not have happened by it.
     pub fn violation(&self) -> Option<Violation> {
-        if self.off_since.is_some_and(|since| self.at > since + self.grace) {
+        if self.unavailable_since.is_some_and(|since| self.at > since + self.grace) {
             Some(Violation::SentAfterGrace)
         } else if self.at > self.until {
             Some(Violation::SentTooLate)
-        } else if !self.awaited && self.at > self.allowed_at + CLIENT_GONE {
+        } else if !self.client_connected && self.at > self.allowed_at + CLIENT_GONE {
             Some(Violation::SentAfterClientLeft)
         } else {
             None
@@ -108,26 +108,26 @@
 
 impl Balancer {
     /// Whether an attempt may be sent now.
-    pub fn may_send(&self, attempt: &UnsentAttempt, now: Timestamp) -> Result<(), Refusal> {
-        if !self.may_ask(attempt.server) {
-            return Err(Refusal::ServerOff);
+    pub fn may_send(&self, attempt: &UnsentAttempt, now: Timestamp) -> Result<(), SendRefusal> {
+        if !self.is_available(attempt.server) {
+            return Err(SendRefusal::ServerUnavailable);
         }
         if now >= attempt.until {
-            return Err(Refusal::TooLate);
+            return Err(SendRefusal::TooLate);
         }
         let request = self.requests.get(&attempt.request.0).filter(|l| !l.over && !attempt.answered);
-        let Some(request) = request else { return Err(Refusal::Answered) };
-        if !attempt.awaited {
-            return Err(Refusal::ClientLeft);
+        let Some(request) = request else { return Err(SendRefusal::Answered) };
+        if !attempt.client_connected {
+            return Err(SendRefusal::ClientLeft);
         }
         match self.may_repeat(request, Some(attempt.server), now, Some(attempt.number)) {
             true => Ok(()),
-            false => Err(Refusal::MayRunTwice),
+            false => Err(SendRefusal::MayRunTwice),
         }
     }
 
     /// Whether a server, or the origin, is in service as notified, and not out by an operator's word.
-    pub fn may_ask(&self, server: ServerIndex) -> bool {
+    pub fn is_available(&self, server: ServerIndex) -> bool {
         let ready = self.servers.get(server).is_some_and(|c| c.status == crate::plain::EndpointStatus::Ready);
         ready && !self.is_disabled(server)
     }
--- a/crates/balancer/src/asked.rs
+++ b/crates/balancer/src/asked.rs
@@ -2,8 +2,8 @@
 
 use crate::balancer::Balancer;
 use crate::plain::{
-    ClassHandle, Effects, EndpointStatus, Learned, Request, RequestId, Server, ServerIndex, Settings, mixed,
-    point,
+    ClassHandle, Effects, EndpointStatus, LearnedServer, Request, RequestId, Server, ServerIndex, Settings,
+    mixed, point,
 };
 use chalkwalk_time::Timestamp;
 use std::collections::BTreeMap;
@@ -35,7 +35,7 @@
         self.rings();
     }
 
-    /// What the figures of `learned` rest on: target times, the own zone, what weights say. Learned under others they mean
+    /// What the figures of `learned` rest on: target times, the own zone, what weights say. LearnedServer under others they mean
     /// something else.
     pub fn learning_terms(&self) -> u64 {
         let targets = self.settings.classes.iter().map(|class| class.target.ticks());
@@ -44,16 +44,21 @@
     }
 
     /// What was learned of the servers in service, of those where it differs from what holds at first.
-    pub fn learned(&self) -> Vec<Learned> {
+    pub fn learned(&self) -> Vec<LearnedServer> {
         let told = |c: &&Server| c.status == EndpointStatus::Ready && (c.part, c.room) != (1000, 800);
-        let of =
-            |c: &Server| Learned { id: c.id.clone(), born: c.born, size: c.size, part: c.part, room: c.room };
+        let of = |c: &Server| LearnedServer {
+            id: c.id.clone(),
+            born: c.born,
+            size: c.size,
+            key_share: c.part,
+            concurrency_limit: c.room,
+        };
         self.servers.iter().filter(told).map(of).collect()
     }
 
     /// What a process before this one has learned on the same terms: taken up once the list names a server that has not
     /// started since. Connections, silences, doubts, times, and all that is learned of the origin start afresh.
-    pub fn restore_learned(&mut self, learned: Vec<Learned>) {
+    pub fn restore_learned(&mut self, learned: Vec<LearnedServer>) {
         self.carried = learned.into_iter().map(|l| (l.id.clone(), l)).collect();
         (0..self.servers.len()).for_each(|server| self.recall(server));
     }
@@ -62,7 +67,7 @@
         let c = &mut self.servers[server];
         if let Some(l) = self.carried.remove(&c.id).filter(|l| l.born == c.born) {
             // Within what could have been learned, whatever is said.
-            (c.part, c.room) = (l.part.clamp(30, 1000), l.room.clamp(10, 10_000));
+            (c.part, c.room) = (l.key_share.clamp(30, 1000), l.concurrency_limit.clamp(10, 10_000));
             c.size = if self.settings.sizes { c.size } else { c.size.max(l.size.min(1_000_000)) };
         }
     }
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -4,7 +4,7 @@
 //! takes `route(..)` once, then what happens. What it wants leaves by the `Effects`. Same calls, same ways.
 
 use crate::discovery;
-use crate::plain::{Attempt, EndpointStatus, Learned, Tally, leaning, mixed, point};
+use crate::plain::{Attempt, EndpointStatus, LearnedServer, Tally, leaning, mixed, point};
 use crate::plain::{
     AttemptOutcome, Chance, ClassHandle, Effects, Endpoint, Line, Request, RequestId, Server, ServerIndex,
     Settings, StateChange,
@@ -84,7 +84,7 @@
     pub(crate) salt: u64,         // own, so that proxies pass a loaded server for different keys
     pub(crate) refused: u64,      // ten-thousandths of the attempts at servers that found no connection
     pub(crate) links: [u64; 2],   // hundredths of servers to hold connections to, own zone and others
-    pub(crate) carried: BTreeMap<String, Learned>, // by a process before, of servers not yet listed
+    pub(crate) carried: BTreeMap<String, LearnedServer>, // by a process before, of servers not yet listed
     pub(crate) barred: BTreeMap<String, Timestamp>, // ids that operators took out, listed or not: since when
 }
 
@@ -215,12 +215,12 @@
         }
         self.failed_calls = self.failed_calls.saturating_add(1);
         let rest =
-            self.settings.discovery_retry.rest(took, self.failed_calls, |end| self.chance.span_below(end));
+            self.settings.discovery_retry.delay(took, self.failed_calls, |end| self.chance.span_below(end));
         effects.set_timer(WATCH_TOKEN, rest);
     }
 
     fn ready(&self, server: ServerIndex) -> bool {
-        Some(server) != self.origin && self.may_ask(server)
+        Some(server) != self.origin && self.is_available(server)
     }
 
     /// What an answer seldom takes: three times what nine in ten stay under, as a few heavy requests together
@@ -449,7 +449,7 @@
     fn ask_origin(&mut self, request_id: RequestId, effects: &mut dyn Effects) {
         let l = &self.requests[&request_id.0];
         let left = l.useful_until.saturating_since(self.now);
-        let up = |o: &ServerIndex| self.may_ask(*o) && self.may_attempt(l, *o);
+        let up = |o: &ServerIndex| self.is_available(*o) && self.may_attempt(l, *o);
         let Some(origin) = self.origin.filter(up) else {
             return self.give_up(request_id, effects);
         };
--- a/crates/balancer/src/discovery.rs
+++ b/crates/balancer/src/discovery.rs
@@ -5,11 +5,11 @@
 //!
 //! | part | at most |
 //! | --- | --- |
-//! | a call that was doomed before discovery could be reached, until it has failed or another is made beside it | [`GIVE_UP_CONNECTING`], [`SILENT_AFTER`] |
-//! | the rest after it, the shorter the longer it took | [`Retry`] |
-//! | the next call's turn at the service | [`TURN`] |
+//! | a call that was doomed before discovery could be reached, until it has failed or another is made beside it | [`CONNECT_TIMEOUT`], [`POLL_SILENT_AFTER`] |
+//! | the rest after it, the shorter the longer it took | [`Backoff`] |
+//! | the next call's turn at the service | [`LONGEST_QUEUE_WAIT`] |
 //!
-//! So a call that brought nothing and the next one begin [`CALLS_APART`] at most; that is checked at run time.
+//! So a call that brought nothing and the next one begin [`LONGEST_CALL_INTERVAL`] at most; that is checked at run time.
 //!
 //! A rest is as evenly spread as the term allows, not as short as it could be: all processes of a fleet lose discovery
 //! together, and meet it again together. Spread over 3 s, with 2 s in which each may wait for its turn, a service that answers
@@ -22,29 +22,29 @@
 /// A change counts as notified at the latest so long after discovery had it and could be reached.
 pub const NOTIFIED_WITHIN: Span = Span::from_secs(6);
 /// How long the service lets a call wait for its turn.
-pub const TURN: Span = Span::from_secs(2);
+pub const LONGEST_QUEUE_WAIT: Span = Span::from_secs(2);
 /// A connection that does not come up is given up after so long. The first SYN is sent again after 1 s.
-pub const GIVE_UP_CONNECTING: Span = Span::from_secs(2);
+pub const CONNECT_TIMEOUT: Span = Span::from_secs(2);
 /// A call for the present list that has no answer is followed by another beside it: a second beyond its turn, so that no call
 /// is made twice to a service that merely has much to do.
-pub const SILENT_AFTER: Span = TURN.plus(SECOND);
+pub const POLL_SILENT_AFTER: Span = LONGEST_QUEUE_WAIT.plus(SECOND);
 
 /// How long a watch may wait for news, at the most. What a silent one misses counts as notified 2 s after its wait is over; a
 /// shorter wait costs every process more calls in calm times, a longer one leaves a silent watch unnoticed for longer than any
 /// other fault.
-pub const WATCH: Span = Span::from_millis(5_500);
+pub const LONGEST_WATCH_WAIT: Span = Span::from_millis(5_500);
 /// So long after its wait a watch without an answer is taken for silent, and another call is made beside it.
 pub const WATCH_SILENT_AFTER: Span = Span::from_millis(500);
 /// From the beginning of a call that brought nothing to that of the next, at the most: what the first missed is told by the next,
 /// at the end of its turn at the latest.
-pub const CALLS_APART: Span = NOTIFIED_WITHIN.minus(TURN);
+pub const LONGEST_CALL_INTERVAL: Span = NOTIFIED_WITHIN.minus(LONGEST_QUEUE_WAIT);
 
 /// No failing call is repeated sooner, or calls that fail at once would spin.
 const SHORTEST_REST: Span = Span::from_millis(250);
 /// For starved cores, the transfer and reading a long list.
 const HEADROOM: Span = Span::from_millis(250);
 /// From the beginning of a call that brought nothing to that of the next.
-const RETRIED_WITHIN: Span = CALLS_APART.minus(HEADROOM);
+const RETRIED_WITHIN: Span = LONGEST_CALL_INTERVAL.minus(HEADROOM);
 /// A call that took so long was waited for: half of a turn, and well above what a call takes on a busy machine.
 const WAITED: Span = Span::from_secs(1);
 /// After a call that was waited for no rest is shorter, as a service that works on calls which it has refused by then has to get
@@ -58,22 +58,22 @@
 const REST_WHILE_CONGESTED: (Span, Span) = (Span::from_secs(4), Span::from_secs(12));
 
 /// An older call beside a newer one that failed is heard until so long after the beginning of the newer: the shortest rest follows.
-pub const OLDER_HEARD: Span = RETRIED_WITHIN.minus(SHORTEST_REST.times(2));
+pub const OLDER_CALL_TIMEOUT: Span = RETRIED_WITHIN.minus(SHORTEST_REST.times(2));
 
 // The term, part by part: what takes the longest before the next call can be made.
-const _: () = assert!(GIVE_UP_CONNECTING.plus(SHORTEST_REST.times(2)).fits(RETRIED_WITHIN));
-const _: () = assert!(SILENT_AFTER.fits(RETRIED_WITHIN));
-const _: () = assert!(WATCH_SILENT_AFTER.plus(SHORTEST_REST.times(2)).fits(TURN));
+const _: () = assert!(CONNECT_TIMEOUT.plus(SHORTEST_REST.times(2)).fits(RETRIED_WITHIN));
+const _: () = assert!(POLL_SILENT_AFTER.fits(RETRIED_WITHIN));
+const _: () = assert!(WATCH_SILENT_AFTER.plus(SHORTEST_REST.times(2)).fits(LONGEST_QUEUE_WAIT));
 // A silent watch is followed by another call while what it misses does not count as notified yet.
-const _: () = assert!(WATCH.plus(WATCH_SILENT_AFTER).fits(NOTIFIED_WITHIN));
+const _: () = assert!(LONGEST_WATCH_WAIT.plus(WATCH_SILENT_AFTER).fits(NOTIFIED_WITHIN));
 
 /// Whether a call that begins so long after the one before keeps the term; that one could wait for news for `wait`. The grace of
 /// drains covers the headroom.
-pub fn called_in_time(apart: Span, wait: Span) -> bool {
+pub fn call_interval_allowed(apart: Span, wait: Span) -> bool {
     // A watch may fail just before it is taken for silent, and the shortest rest follows. What it missed counts as notified a turn
     // after its wait.
     let watched = if wait > Span::ZERO { wait + WATCH_SILENT_AFTER + 2 * SHORTEST_REST } else { Span::ZERO };
-    apart <= CALLS_APART.max(watched) + HEADROOM
+    apart <= LONGEST_CALL_INTERVAL.max(watched) + HEADROOM
 }
 
 /// How many calls in a row count as failed after one that was answered: none, but that one answer does not end congestion.
@@ -83,7 +83,7 @@
 
 /// The rests after failed calls, as the settings of a deployment bound them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Retry {
+pub struct Backoff {
     shortest: Span,
     /// From the beginning of the failed call on.
     within: Span,
@@ -91,22 +91,22 @@
     most: Span,
 }
 
-impl Retry {
+impl Backoff {
     /// Where the list is asked for. `ask_time`: for so long a process may neither watch nor ask.
-    pub fn asked(ask_time: Span) -> Retry {
-        Retry { shortest: SHORTEST_REST, within: RETRIED_WITHIN, most: ask_time.max(2 * SHORTEST_REST) }
+    pub fn polled(ask_time: Span) -> Backoff {
+        Backoff { shortest: SHORTEST_REST, within: RETRIED_WITHIN, most: ask_time.max(2 * SHORTEST_REST) }
     }
 
     /// Where the list is pushed by an agent of the process's own: what it has counts as notified at once, and only the grace
     /// runs. A quarter of it leaves time for further tries; nobody shares the agent.
-    pub fn pushed(grace: Span) -> Retry {
+    pub fn pushed(grace: Span) -> Backoff {
         let longest = (grace / 4).clamp(SECOND / 20, RETRIED_WITHIN);
-        Retry { shortest: longest / 4, within: RETRIED_WITHIN, most: longest }
+        Backoff { shortest: longest / 4, within: RETRIED_WITHIN, most: longest }
     }
 
     /// How long to rest after a call that took so long and brought nothing, the last of so many in a row; `below` draws an even
     /// number below another.
-    pub fn rest(&self, took: Span, in_a_row: u32, below: impl FnOnce(Span) -> Span) -> Span {
+    pub fn delay(&self, took: Span, in_a_row: u32, below: impl FnOnce(Span) -> Span) -> Span {
         let waited = took >= WAITED;
         let (shortest, longest) = match waited && in_a_row > CONGESTED_AFTER {
             true => REST_WHILE_CONGESTED,
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -9,6 +9,7 @@
 
 pub use balancer::Balancer;
 pub use plain::{
-    AttemptOutcome, Effects, Endpoint, EndpointStatus, Learned, RequestId, ServerIndex, StateChange, point_of,
+    AttemptOutcome, Effects, Endpoint, EndpointStatus, LearnedServer, RequestId, ServerIndex, StateChange,
+    key_point,
 };
 pub use state::Snapshot;
--- a/crates/balancer/src/plain.rs
+++ b/crates/balancer/src/plain.rs
@@ -1,6 +1,6 @@
 //! What goes in and out of the balancer. Nothing here decides.
 
-use crate::discovery::Retry;
+use crate::discovery::Backoff;
 use chalkwalk_limits::RetryBudget;
 use chalkwalk_time::{Span, Timestamp};
 use std::cell::Cell;
@@ -78,7 +78,7 @@
     pub cold_time: Span,
     pub proxies: u64,
     /// How soon discovery is called again after a call that brought nothing.
-    pub discovery_retry: Retry,
+    pub discovery_retry: Backoff,
     pub through: bool, // servers fetch for themselves
     pub sizes: bool,   // what the list says of them is their own, and not their load of the moment
     pub origin_kind: Option<usize>,
@@ -121,8 +121,8 @@
         };
         Settings {
             discovery_retry: match num("watched", 0.0) > 0.0 {
-                true => Retry::asked(ticks(num("ask time", 1e5))),
-                false => Retry::pushed(ticks(num("drain grace", 1e4))),
+                true => Backoff::polled(ticks(num("ask time", 1e5))),
+                false => Backoff::pushed(ticks(num("drain grace", 1e4))),
             },
             zone: num("zone", 0.0) as usize,
             probes: num("probes", 0.0) > 0.0,
@@ -247,16 +247,16 @@
 
 /// What one process of a proxy has learned of a server that means the same to the next.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Learned {
+pub struct LearnedServer {
     pub id: String,
     /// Of another start these figures say nothing.
     pub born: Timestamp,
     /// The largest weight heard, in hundredths, where weights move with load.
     pub size: u64,
     /// Thousandths of its keys that it keeps.
-    pub part: u64,
-    /// Hundredths of an attempt that it takes at once.
-    pub room: u64,
+    pub key_share: u64,
+    /// How many attempts it takes at once, in hundredths of an attempt.
+    pub concurrency_limit: u64,
 }
 
 /// What this proxy knows of one server (or of the origin).
@@ -387,7 +387,7 @@
 }
 
 /// Where a key stands, by which alone the balancer knows it.
-pub fn point_of(key: &str) -> u64 {
+pub fn key_point(key: &str) -> u64 {
     point(key, 0)
 }
 
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -11,13 +11,13 @@
 /// A balancer's state. Equal states decide alike.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
-    pub words: Vec<u64>,
+    pub numbers: Vec<u64>,
     pub texts: Vec<String>,
 }
 
 /// Takes a state apart, from its beginning on.
 struct Taking<'a> {
-    words: std::slice::Iter<'a, u64>,
+    numbers: std::slice::Iter<'a, u64>,
     texts: std::slice::Iter<'a, String>,
 }
 
@@ -29,10 +29,10 @@
 
 impl Part for u64 {
     fn put(&self, to: &mut Snapshot) {
-        to.words.push(*self);
+        to.numbers.push(*self);
     }
     fn get(from: &mut Taking) -> Option<u64> {
-        from.words.next().copied()
+        from.numbers.next().copied()
     }
 }
 
@@ -49,7 +49,7 @@
     ($($kind:ty: $to:expr, $of:expr;)*) => {$(
         impl Part for $kind {
             fn put(&self, to: &mut Snapshot) {
-                to.words.push($to(*self));
+                to.numbers.push($to(*self));
             }
             fn get(from: &mut Taking) -> Option<$kind> {
                 u64::get(from).and_then($of)
@@ -262,7 +262,7 @@
 
     /// A balancer of that house which knows all that another knew; nothing where the state is none of such a balancer's.
     pub fn from_snapshot(values: &BTreeMap<String, String>, state: &Snapshot) -> Option<Balancer> {
-        let from = &mut Taking { words: state.words.iter(), texts: state.texts.iter() };
+        let from = &mut Taking { numbers: state.numbers.iter(), texts: state.texts.iter() };
         let mut r = Balancer { settings: Settings::read(values), ..Balancer::default() };
         r.now = Part::get(from)?;
         [r.settings.proxies, r.pooled, r.taken, r.taken_lately] = Part::get(from)?;
@@ -288,7 +288,7 @@
         }
         let servers = r.servers.len();
         let known = r.requests.values().flat_map(|l| &l.attempts).all(|s| s.server < servers);
-        let good = from.words.next().is_none() && known && r.origin.is_none_or(|o| o < servers);
+        let good = from.numbers.next().is_none() && known && r.origin.is_none_or(|o| o < servers);
         good.then(|| {
             r.rings();
             r
--- a/crates/balancer/tests/admission.rs
+++ b/crates/balancer/tests/admission.rs
@@ -3,7 +3,9 @@
 #[allow(dead_code)] // shared with other tests, which use the rest
 mod helper;
 
-use chalkwalk_balancer::admission::{Refusal, UnsentAttempt, Violation, Written, may_close, may_start};
+use chalkwalk_balancer::admission::{
+    SendRefusal, UnsentAttempt, Violation, WrittenAttempt, may_close, may_start,
+};
 use chalkwalk_balancer::{AttemptOutcome, EndpointStatus, RequestId};
 use chalkwalk_time::{Span, Timestamp};
 use helper::{Harness, harness};
@@ -17,7 +19,7 @@
 }
 
 fn attempt(request: RequestId, number: usize) -> UnsentAttempt {
-    UnsentAttempt { request, number, server: 0, until: at(20_000), answered: false, awaited: true }
+    UnsentAttempt { request, number, server: 0, until: at(20_000), answered: false, client_connected: true }
 }
 
 /// One server, and a request whose attempt there was decided.
@@ -38,11 +40,11 @@
 fn nothing_is_sent_to_a_server_that_began_to_drain_meanwhile_or_that_operators_took_out() {
     let (mut harness, request) = decided(REPLAYABLE);
     harness.list(&[("amber", 0, EndpointStatus::Draining, 0)]);
-    assert_eq!(harness.balancer.may_send(&attempt(request, 0), at(100)), Err(Refusal::ServerOff));
+    assert_eq!(harness.balancer.may_send(&attempt(request, 0), at(100)), Err(SendRefusal::ServerUnavailable));
     let (mut harness, request) = decided(REPLAYABLE);
     harness.balancer.set_disabled("amber", true, at(50));
-    assert_eq!(harness.balancer.may_send(&attempt(request, 0), at(100)), Err(Refusal::ServerOff));
-    assert!(!harness.balancer.may_ask(7), "a server that nobody has named");
+    assert_eq!(harness.balancer.may_send(&attempt(request, 0), at(100)), Err(SendRefusal::ServerUnavailable));
+    assert!(!harness.balancer.is_available(7), "a server that nobody has named");
 }
 
 #[test]
@@ -50,17 +52,17 @@
     let (mut harness, request) = decided(REPLAYABLE);
     let this = attempt(request, 0);
     assert_eq!(harness.balancer.may_send(&this, at(19_999)), Ok(()));
-    assert_eq!(harness.balancer.may_send(&this, at(20_000)), Err(Refusal::TooLate));
+    assert_eq!(harness.balancer.may_send(&this, at(20_000)), Err(SendRefusal::TooLate));
     assert_eq!(
         harness.balancer.may_send(&UnsentAttempt { answered: true, ..this }, at(100)),
-        Err(Refusal::Answered)
+        Err(SendRefusal::Answered)
     );
     assert_eq!(
-        harness.balancer.may_send(&UnsentAttempt { awaited: false, ..this }, at(100)),
-        Err(Refusal::ClientLeft)
+        harness.balancer.may_send(&UnsentAttempt { client_connected: false, ..this }, at(100)),
+        Err(SendRefusal::ClientLeft)
     );
     harness.left_by_client(request);
-    assert_eq!(harness.balancer.may_send(&this, at(100)), Err(Refusal::Answered));
+    assert_eq!(harness.balancer.may_send(&this, at(100)), Err(SendRefusal::Answered));
 }
 
 /// The same crossing for each effect: the first attempt may have run by the time at which the second is to be written.
@@ -73,29 +75,38 @@
         // The window of the tagged namespace is half a second.
         [4_999, 5_000].map(|now| harness.balancer.may_send(&attempt(request, 1), at(now)))
     });
-    assert_eq!(sent, [[Ok(()), Ok(())], [Ok(()), Err(Refusal::MayRunTwice)]]);
+    assert_eq!(sent, [[Ok(()), Ok(())], [Ok(()), Err(SendRefusal::MayRunTwice)]]);
     // What was decided as a single attempt is still out when a second asks.
     let (harness, request) = decided(SINGLE_USE);
-    assert_eq!(harness.balancer.may_send(&attempt(request, 1), at(100)), Err(Refusal::MayRunTwice));
+    assert_eq!(harness.balancer.may_send(&attempt(request, 1), at(100)), Err(SendRefusal::MayRunTwice));
 }
 
 #[test]
 fn what_must_not_have_happened_by_a_write_is_named() {
-    let good = Written {
+    let good = WrittenAttempt {
         at: at(1000),
         allowed_at: at(990),
         until: at(1000),
-        off_since: Some(at(500)),
+        unavailable_since: Some(at(500)),
         grace: Span::from_ticks(500),
-        awaited: false,
+        client_connected: false,
     };
     assert_eq!(good.violation(), None);
-    let found = |written: Written| written.violation();
-    assert_eq!(found(Written { grace: Span::from_ticks(499), ..good }), Some(Violation::SentAfterGrace));
-    assert_eq!(found(Written { until: at(999), ..good }), Some(Violation::SentTooLate));
-    let held_up = Written { at: at(2001), allowed_at: at(1000), until: at(9000), off_since: None, ..good };
+    let found = |written: WrittenAttempt| written.violation();
+    assert_eq!(
+        found(WrittenAttempt { grace: Span::from_ticks(499), ..good }),
+        Some(Violation::SentAfterGrace)
+    );
+    assert_eq!(found(WrittenAttempt { until: at(999), ..good }), Some(Violation::SentTooLate));
+    let held_up = WrittenAttempt {
+        at: at(2001),
+        allowed_at: at(1000),
+        until: at(9000),
+        unavailable_since: None,
+        ..good
+    };
     assert_eq!(found(held_up), Some(Violation::SentAfterClientLeft));
-    assert_eq!(found(Written { awaited: true, ..held_up }), None);
+    assert_eq!(found(WrittenAttempt { client_connected: true, ..held_up }), None);
 }
 
 #[test]
--- a/crates/balancer/tests/decisions.rs
+++ b/crates/balancer/tests/decisions.rs
@@ -2,7 +2,7 @@
 
 mod helper;
 
-use chalkwalk_balancer::{AttemptOutcome, Endpoint, EndpointStatus, Learned};
+use chalkwalk_balancer::{AttemptOutcome, Endpoint, EndpointStatus, LearnedServer};
 use chalkwalk_time::{Span, Timestamp};
 use expect_test::expect;
 use helper::{Harness, SERVER, WATCH, harness};
@@ -1426,8 +1426,12 @@
         old.left_by_client(request_id);
     }
     let learned = old.balancer.learned();
-    let spoilt =
-        learned.iter().map(|l| Learned { part: u64::MAX, room: u64::MAX, size: u64::MAX, ..l.clone() });
+    let spoilt = learned.iter().map(|l| LearnedServer {
+        key_share: u64::MAX,
+        concurrency_limit: u64::MAX,
+        size: u64::MAX,
+        ..l.clone()
+    });
     let days = [(Vec::new(), 0), (learned.clone(), 0), (learned.clone(), 5), (spoilt.collect(), 0)];
     let first = days.map(|(carried, born)| {
         let mut new = harness(&[("cold time", "0")]);
--- a/crates/balancer/tests/fleet.rs
+++ b/crates/balancer/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! Many routers that share nothing but one service: what is harmless in one, and harmful when all do it.
 
-use chalkwalk_balancer::discovery::{NOTIFIED_WITHIN, TURN};
+use chalkwalk_balancer::discovery::{LONGEST_QUEUE_WAIT, NOTIFIED_WITHIN};
 use chalkwalk_balancer::{Balancer, Effects, RequestId, ServerIndex, StateChange};
 use chalkwalk_time::{Span, Timestamp};
 use expect_test::expect;
@@ -201,8 +201,9 @@
                 }
             }
         }
-        for (who, since, refused) in
-            queue.iter_mut().filter(|(_, since, refused)| !refused && now >= *since + TURN.ticks())
+        for (who, since, refused) in queue
+            .iter_mut()
+            .filter(|(_, since, refused)| !refused && now >= *since + LONGEST_QUEUE_WAIT.ticks())
         {
             *refused = true;
             let (balancer, wants) = &mut fleet[*who];
--- a/crates/capture/src/recorder.rs
+++ b/crates/capture/src/recorder.rs
@@ -80,7 +80,7 @@
     /// Records the balancer's state.
     pub fn snapshot(&mut self, now: Timestamp, settings: &BTreeMap<String, String>, state: Snapshot) {
         self.next_snapshot = now + self.snapshot_interval;
-        let Snapshot { words, texts } = state;
+        let Snapshot { numbers: words, texts } = state;
         self.record_event(now, Event::Snapshot { settings: settings.clone(), words, texts });
     }
 
@@ -94,7 +94,7 @@
         expires: Timestamp,
         order: Option<&[usize]>,
     ) {
-        let point = chalkwalk_balancer::point_of(key);
+        let point = chalkwalk_balancer::key_point(key);
         let key = if self.keep_keys { key.to_string() } else { String::new() };
         let order = order.map(<[usize]>::to_vec);
         self.record_event(now, Event::RequestAccepted { class, point, key, write, expires, order });
--- a/crates/capture/src/replay/apply.rs
+++ b/crates/capture/src/replay/apply.rs
@@ -11,7 +11,7 @@
     match (event, balancer.as_mut()) {
         (Event::Start { seed, settings }, _) => *balancer = Some(Balancer::new(*seed, settings, &mut log)),
         (Event::Snapshot { settings, words, texts }, None) => {
-            let state = Snapshot { words: words.clone(), texts: texts.clone() };
+            let state = Snapshot { numbers: words.clone(), texts: texts.clone() };
             *balancer = Some(Balancer::from_snapshot(settings, &state)?);
         }
         (_, None) => return None,
@@ -95,9 +95,10 @@
 
 /// The recorded state has to be what the calls so far have led to. A difference shows as a decision that no capture holds.
 fn compare_state(balancer: &Balancer, words: &[u64], texts: &[String], log: &mut DecisionLog) {
-    let recorded = Snapshot { words: words.to_vec(), texts: texts.to_vec() };
+    let recorded = Snapshot { numbers: words.to_vec(), texts: texts.to_vec() };
     if balancer.snapshot() != Some(recorded) {
-        log.log("another state than the snapshot's", "");
+        log.0
+            .push(Decision::Log { event: "another state than the snapshot's".into(), server: String::new() });
     }
 }
 
--- a/crates/discovery-etcd/src/machine.rs
+++ b/crates/discovery-etcd/src/machine.rs
@@ -1,6 +1,6 @@
 //! What to ask etcd next and what its answers mean, without I/O: one machine from the first connection on.
 
-use chalkwalk_balancer::discovery::Retry;
+use chalkwalk_balancer::discovery::Backoff;
 use chalkwalk_etcd_wire::api::{Event, KeyValue, RangeResponse, WatchResponse, event::Kind};
 use chalkwalk_etcd_wire::prefix_end;
 use chalkwalk_membership::MOST_LINES;
@@ -131,7 +131,7 @@
         let after = match tried {
             0 => self.below(FIRST_SPREAD),
             n if !n.is_multiple_of(self.endpoints) => self.below(NEXT_ENDPOINT_SPREAD),
-            _ => Retry::asked(ANY_TIME).rest(took, self.fails, |end| self.below(end)),
+            _ => Backoff::polled(ANY_TIME).delay(took, self.fails, |end| self.below(end)),
         };
         self.fails = self.fails.saturating_add(1);
         Do::Connect { endpoint: self.endpoint, after }
--- a/crates/discovery/src/call.rs
+++ b/crates/discovery/src/call.rs
@@ -2,7 +2,7 @@
 
 use crate::address::DiscoveryAddress;
 use crate::timing;
-use chalkwalk_balancer::discovery::GIVE_UP_CONNECTING;
+use chalkwalk_balancer::discovery::CONNECT_TIMEOUT;
 use chalkwalk_http1::{self as http1, ResponseReader};
 use chalkwalk_sockets::{is_idle, within};
 use chalkwalk_time::Span;
@@ -99,7 +99,7 @@
     }
     // A machine that is cut off never answers; one that is there does so sooner than it lets a call wait.
     let connecting = Async::<TcpStream>::connect(address.address());
-    let stream = within(Duration::from(GIVE_UP_CONNECTING), connecting).await;
+    let stream = within(Duration::from(CONNECT_TIMEOUT), connecting).await;
     let stream = stream.unwrap_or_else(|| Err(std::io::ErrorKind::TimedOut.into()));
     let stream = stream.map_err(CallError::NotConnected)?;
     get_on(address, stream, connection, target).await
--- a/crates/discovery/src/timing.rs
+++ b/crates/discovery/src/timing.rs
@@ -5,7 +5,7 @@
 //! over where that is later. A watch waits for 5.5 s at most, so that another call is made beside a silent one before the first
 //! of the two.
 
-use chalkwalk_balancer::discovery::{SILENT_AFTER, WATCH, WATCH_SILENT_AFTER};
+use chalkwalk_balancer::discovery::{LONGEST_WATCH_WAIT, POLL_SILENT_AFTER, WATCH_SILENT_AFTER};
 use std::time::Duration;
 
 /// How long a call may take beside its wait. Discovery is one small service for all, and works through its calls in turn: where
@@ -18,7 +18,7 @@
 /// How long a watch waits for a change: at random from three quarters of the longest wait on. Those of a whole fleet begin
 /// together, after each change, and would all have to be answered in the same moment.
 pub(crate) fn watch_wait(random: &mut fastrand::Rng) -> Duration {
-    let longest = Duration::from(WATCH).as_millis() as u64;
+    let longest = Duration::from(LONGEST_WATCH_WAIT).as_millis() as u64;
     Duration::from_millis(random.u64(longest * 3 / 4..=longest))
 }
 
@@ -32,7 +32,7 @@
 /// if it waits for its turn as long as it may, within half a second of the time at which what the first missed counts as
 /// notified. The grace period of a drain has to cover that, as it covers a process that is held up.
 pub(crate) fn silent_after(wait: Duration) -> Duration {
-    (wait + Duration::from(WATCH_SILENT_AFTER)).max(Duration::from(SILENT_AFTER))
+    (wait + Duration::from(WATCH_SILENT_AFTER)).max(Duration::from(POLL_SILENT_AFTER))
 }
 
 /// After how long a call without an answer is given up.
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -5,7 +5,7 @@
 use crate::timing;
 use crate::watch_state::{LastCall, WatchState};
 use chalkwalk_balancer::admission::Violation;
-use chalkwalk_balancer::discovery::{OLDER_HEARD, called_in_time};
+use chalkwalk_balancer::discovery::{OLDER_CALL_TIMEOUT, call_interval_allowed};
 use chalkwalk_engine::api;
 use chalkwalk_engine::engine::Engine;
 use chalkwalk_sockets::wait_until;
@@ -93,8 +93,9 @@
         let request = self.state.next_request(self.random);
         let call = Call::begin(self.address, self.connection, self.state.calls, request);
         let last = self.state.last_call.replace(LastCall { begun: call.begun, wait: call.wait });
-        let in_time = last
-            .is_none_or(|last| called_in_time(Span::from(call.begun - last.begun), Span::from(last.wait)));
+        let in_time = last.is_none_or(|last| {
+            call_interval_allowed(Span::from(call.begun - last.begun), Span::from(last.wait))
+        });
         self.engine.violations.check(&self.engine.log, (!in_time).then_some(Violation::DiscoveryNotCalled));
         call
     }
@@ -216,7 +217,7 @@
     /// The older call may still bring what the newer did not; the backoff after it is that much shorter.
     async fn older_answers_instead(&mut self) -> bool {
         let Some(OlderCall { call, former_address }) = self.older.take() else { return false };
-        let until = self.current.begun + Duration::from(OLDER_HEARD);
+        let until = self.current.begun + Duration::from(OLDER_CALL_TIMEOUT);
         let Some(Ok(body)) = wait_until(until, call.answer).await else { return false };
         self.caller.state.accept_older(self.caller.engine, &body, former_address)
     }
--- a/crates/engine/src/api.rs
+++ b/crates/engine/src/api.rs
@@ -6,7 +6,7 @@
 use crate::requests::{AttemptHandle, Command, PendingAttempt, RequestTable};
 use crate::response::{BodyStream, ClientRequest, Response, ResponseBody, ServerResponse};
 use crate::servers::{ListChanges, ListUpdate, ListedEndpoint};
-use chalkwalk_balancer::admission::{Refusal, Written};
+use chalkwalk_balancer::admission::{SendRefusal, WrittenAttempt};
 use chalkwalk_balancer::{AttemptOutcome, RequestId, ServerIndex};
 use chalkwalk_limits::LimitTable;
 use chalkwalk_sockets::{wait_until, within};
@@ -232,7 +232,7 @@
     if let Err(refusal) = may_send {
         engine.refused.count(refusal);
         debug!(engine.log, "attempt withheld"; "cache" => server, "why" => ?refusal);
-        if refusal == Refusal::ClientLeft {
+        if refusal == SendRefusal::ClientLeft {
             client_left(engine, *request_id);
         }
         return Err(AttemptOutcome::NotSent);
@@ -240,13 +240,13 @@
     handle.hold(Some(conn.clone()));
     ask.write_to(&conn.stream, *until - now).await.map_err(|_| AttemptOutcome::Unreachable)?;
     handle.written.set(true);
-    let written = Written {
+    let written = WrittenAttempt {
         at: engine.clock.now(),
         allowed_at: now,
         until: *until.min(by),
-        off_since: engine.requests.borrow().servers.off_since(*server),
+        unavailable_since: engine.requests.borrow().servers.off_since(*server),
         grace: engine.config.drain_grace.get(),
-        awaited: ask.client_is_waiting(),
+        client_connected: ask.client_is_waiting(),
     };
     engine.violations.check(&engine.log, written.violation());
     Ok(conn)
@@ -282,7 +282,7 @@
 async fn probe(engine: Rc<Engine>, server: ServerIndex) {
     let ask = async {
         let conn = connection(&engine, server, true).await.ok()?;
-        if !engine.requests.borrow().may_ask(server) {
+        if !engine.requests.borrow().is_available(server) {
             return None;
         }
         let keep = engine.health_check.check(&conn.stream).await?;
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -4,8 +4,10 @@
 use crate::pool::ServerConnection;
 use crate::response::{ClientRequest, Response, ResponseStatus};
 use crate::servers::{ListChanges, ListUpdate, ServerRegistry};
-use chalkwalk_balancer::admission::{Refusal, UnsentAttempt};
-use chalkwalk_balancer::{AttemptOutcome, Balancer, Effects, Learned, RequestId, ServerIndex, StateChange};
+use chalkwalk_balancer::admission::{SendRefusal, UnsentAttempt};
+use chalkwalk_balancer::{
+    AttemptOutcome, Balancer, Effects, LearnedServer, RequestId, ServerIndex, StateChange,
+};
 use chalkwalk_capture::{Decision, Event, Recorder};
 use chalkwalk_time::{Span, Timestamp};
 use slog::{Logger, info};
@@ -399,30 +401,35 @@
     }
 
     /// Whether an attempt may be sent now; `awaited`: whether its client is still there.
-    pub fn may_send(&self, now: Timestamp, pending: &PendingAttempt, awaited: bool) -> Result<(), Refusal> {
+    pub fn may_send(
+        &self,
+        now: Timestamp,
+        pending: &PendingAttempt,
+        awaited: bool,
+    ) -> Result<(), SendRefusal> {
         let attempt = UnsentAttempt {
             request: pending.request_id,
             number: pending.attempt,
             server: pending.server,
             until: pending.until.min(pending.by),
             answered: self.is_over(pending.request_id),
-            awaited,
+            client_connected: awaited,
         };
         self.balancer.may_send(&attempt, now)
     }
 
     /// Whether a server may be asked anything: it is in service, and not left out by operators.
-    pub fn may_ask(&self, server: ServerIndex) -> bool {
-        self.balancer.may_ask(server)
+    pub fn is_available(&self, server: ServerIndex) -> bool {
+        self.balancer.is_available(server)
     }
 
     /// What was learned of the servers, for the process that comes after this one.
-    pub fn learned(&self) -> Vec<Learned> {
+    pub fn learned(&self) -> Vec<LearnedServer> {
         self.balancer.learned()
     }
 
     /// Takes up what a process before this one has learned. Not where all is captured, as a replay would not know of it.
-    pub fn restore_learned(&mut self, learned: Vec<Learned>) -> bool {
+    pub fn restore_learned(&mut self, learned: Vec<LearnedServer>) -> bool {
         let taken = self.sink.recorder.is_none();
         if taken {
             self.balancer.restore_learned(learned);
--- a/crates/engine/src/violations.rs
+++ b/crates/engine/src/violations.rs
@@ -1,7 +1,7 @@
 //! Counters of attempts that were refused right before their first byte, and of violations: what must not happen at all, checked
 //! at run time.
 
-use chalkwalk_balancer::admission::{Refusal, Violation};
+use chalkwalk_balancer::admission::{SendRefusal, Violation};
 use slog::{Logger, warn};
 use std::cell::Cell;
 
@@ -16,8 +16,8 @@
 
 impl RefusedAttempts {
     /// Counts an attempt that was refused.
-    pub fn count(&self, refusal: Refusal) {
-        if matches!(refusal, Refusal::Answered | Refusal::ClientLeft) {
+    pub fn count(&self, refusal: SendRefusal) {
+        if matches!(refusal, SendRefusal::Answered | SendRefusal::ClientLeft) {
             self.request_over.set(self.request_over.get() + 1);
         }
     }
--- a/crates/proxy/src/operators.rs
+++ b/crates/proxy/src/operators.rs
@@ -110,12 +110,12 @@
         if !learned.is_usable(requests.learning_terms(), self.engine.clock.now()) {
             return false;
         }
-        let of = |(id, figures): (String, ServerFigures)| policy::Learned {
+        let of = |(id, figures): (String, ServerFigures)| policy::LearnedServer {
             id,
             born: Timestamp::from_ticks(figures.started),
             size: figures.weight,
-            part: figures.key_share,
-            room: figures.concurrency_limit,
+            key_share: figures.key_share,
+            concurrency_limit: figures.concurrency_limit,
         };
         requests.restore_learned(learned.bounded().servers.into_iter().map(of).collect())
     }
@@ -124,12 +124,12 @@
     async fn write_learned(&self) {
         let (at, requests) = (self.engine.clock.now(), &self.engine.requests);
         let (terms, learned) = (requests.borrow().learning_terms(), requests.borrow().learned());
-        let figures = |l: policy::Learned| {
+        let figures = |l: policy::LearnedServer| {
             let figures = ServerFigures {
                 started: l.born.ticks(),
                 weight: l.size,
-                key_share: l.part,
-                concurrency_limit: l.room,
+                key_share: l.key_share,
+                concurrency_limit: l.concurrency_limit,
             };
             (l.id, figures)
         };
