--- /dev/null
+++ b/crates/engine/src/attempt.rs
@@ -0,0 +1,211 @@
+//! One attempt, from its connection to its end: a connection is acquired, whether it may still be sent is asked right before its
+//! first byte, the request is written, and the response read. A long response is passed on part by part while it comes.
+
+use crate::attempt_handle::AttemptHandle;
+use crate::connect;
+use crate::effect_sink::PendingAttempt;
+use crate::engine::Engine;
+use crate::pool::ServerConnection;
+use crate::response::{BodyStream, Response, ResponseBody, ServerResponse};
+use chalkwalk_balancer::admission::{SendRefusal, WrittenAttempt};
+use chalkwalk_balancer::{AttemptOutcome, ServerIndex};
+use chalkwalk_sockets::{wait_until, within};
+use chalkwalk_time::Timestamp;
+use slog::debug;
+use smol::channel::{Sender, bounded};
+use smol::future::FutureExt;
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// A streamed response of which nothing more arrives for so long, or of which nobody takes more, is broken off. The time limit of
+/// the request is over by then, and a server that is slow on purpose writes something each second.
+const STREAM_STALL_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// How an attempt ended, or how far it has come.
+pub(crate) enum Progress {
+    Ended {
+        outcome: AttemptOutcome,
+        response: Option<Response>,
+    },
+    /// The response has started, and goes on.
+    Streaming(StreamingResponse),
+}
+
+impl Progress {
+    fn ended(outcome: AttemptOutcome) -> Progress {
+        Progress::Ended { outcome, response: None }
+    }
+}
+
+/// A response of which the start is read.
+pub(crate) struct StreamingResponse {
+    outcome: AttemptOutcome,
+    response: Response,
+    connection: Rc<ServerConnection>,
+    body: Box<dyn ResponseBody>,
+}
+
+/// An attempt while it is sent.
+pub(crate) struct Attempt<'a> {
+    pub engine: &'a Engine,
+    pub pending: &'a PendingAttempt,
+    /// Called where the client turns out to have left, before the attempt ends by that.
+    pub on_client_left: &'a dyn Fn(),
+}
+
+impl Attempt<'_> {
+    /// Sends the attempt, and reads its response or the start of it, until it is cancelled or times out.
+    pub async fn run(&self) -> Progress {
+        let cancelled = async {
+            self.pending.handle.cancelled().await;
+            self.cut_short(AttemptOutcome::Cancelled)
+        };
+        let progress = cancelled.or(self.send());
+        let deadline = self.engine.clock.instant(self.pending.times_out_at);
+        wait_until(deadline, progress).await.unwrap_or_else(|| self.cut_short(AttemptOutcome::TimedOut))
+    }
+
+    /// A request that is not written to its last byte has surely not run.
+    fn cut_short(&self, outcome: AttemptOutcome) -> Progress {
+        Progress::ended(if self.pending.handle.is_written() { outcome } else { AttemptOutcome::NotSent })
+    }
+
+    async fn send(&self) -> Progress {
+        let Attempt { engine, pending, .. } = self;
+        if engine.clock.now() >= pending.times_out_at {
+            return Progress::ended(AttemptOutcome::NotSent);
+        }
+        let deadline = engine.clock.instant(pending.may_be_sent_until());
+        let connection = match wait_until(deadline, self.connect_and_write()).await {
+            Some(Ok(connection)) => connection,
+            Some(Err(outcome)) => return Progress::ended(outcome),
+            None => return Progress::ended(AttemptOutcome::NotSent),
+        };
+        let Some(ServerResponse { outcome, response, reusable, remaining_body }) =
+            pending.request.read_response(&connection.stream).await
+        else {
+            return Progress::ended(AttemptOutcome::ConnectionLost);
+        };
+        let response = match (remaining_body, response) {
+            (Some(body), Some(response)) => {
+                return Progress::Streaming(StreamingResponse { outcome, response, connection, body });
+            }
+            (_, response) => response,
+        };
+        pending.handle.release_connection();
+        if reusable && let Ok(connection) = Rc::try_unwrap(connection) {
+            engine.pool.put(pending.server, connection);
+        }
+        Progress::Ended { outcome, response }
+    }
+
+    /// Writes the request to a connection; nothing is written of which a part may come too late.
+    async fn connect_and_write(&self) -> Result<Rc<ServerConnection>, AttemptOutcome> {
+        let Attempt { engine, pending, .. } = self;
+        let connection = Rc::new(connect::pooled_or_new(engine, pending.server).await?);
+        // After a standstill what arrived during it is read first: a drain, an operator's call, a client's end.
+        engine.clock.catch_up().await;
+        let allowed_at = engine.clock.now();
+        self.check_still_allowed(allowed_at)?;
+        pending.handle.set_connection(connection.clone());
+        let time_left = pending.times_out_at - allowed_at;
+        let written = pending.request.write_to(&connection.stream, time_left).await;
+        written.map_err(|_| AttemptOutcome::Unreachable)?;
+        pending.handle.set_written();
+        self.check_written(allowed_at);
+        Ok(connection)
+    }
+
+    /// Whether the attempt may be sent after all that it waited for. On a busy process the connection and the end of the time are
+    /// seen in one turn of the executor, and the client's end lies unread while a connection, a permit, a key's turn or a quiet time is
+    /// waited for. An attempt that is refused here has surely not run, and goes elsewhere.
+    fn check_still_allowed(&self, now: Timestamp) -> Result<(), AttemptOutcome> {
+        let Attempt { engine, pending, .. } = self;
+        let client_connected = pending.request.client_is_waiting();
+        let allowed = engine.requests.borrow().may_send(now, pending, client_connected);
+        let Err(refusal) = allowed else { return Ok(()) };
+        engine.refused.count(refusal);
+        debug!(engine.log, "attempt withheld"; "cache" => pending.server, "why" => ?refusal);
+        if refusal == SendRefusal::ClientLeft {
+            (self.on_client_left)();
+        }
+        Err(AttemptOutcome::NotSent)
+    }
+
+    /// Checks that an attempt that was just written did not break a rule.
+    fn check_written(&self, allowed_at: Timestamp) {
+        let Attempt { engine, pending, .. } = self;
+        let written = WrittenAttempt {
+            at: engine.clock.now(),
+            allowed_at,
+            until: pending.may_be_sent_until(),
+            unavailable_since: engine.requests.borrow().servers.unavailable_since(pending.server),
+            grace: engine.config.drain_grace.get(),
+            client_connected: pending.request.client_is_waiting(),
+        };
+        engine.violations.check(&engine.log, written.violation());
+    }
+}
+
+/// What remains of a response to pass on. The fields are dropped in this order, the connection last.
+pub(crate) struct BodyTransfer {
+    outcome: AttemptOutcome,
+    complete: Rc<Cell<bool>>,
+    parts: Sender<Vec<u8>>,
+    body: Box<dyn ResponseBody>,
+    connection: Rc<ServerConnection>,
+}
+
+impl StreamingResponse {
+    /// The response, from which the rest of its body can be read, and what passes that on.
+    pub fn start(self) -> (Response, BodyTransfer) {
+        let StreamingResponse { outcome, mut response, connection, body } = self;
+        let (sender, parts) = bounded(1);
+        let complete = Rc::new(Cell::new(false));
+        let stream = BodyStream { content_length: body.content_length(), parts, complete: complete.clone() };
+        response.stream = Some(stream);
+        (response, BodyTransfer { outcome, complete, parts: sender, body, connection })
+    }
+}
+
+impl BodyTransfer {
+    /// Passes the parts of the body on until it ends, breaks off, is read no more, or the attempt is cancelled. Returns how the
+    /// attempt ended.
+    pub async fn run(self, engine: &Engine, server: ServerIndex, handle: &AttemptHandle) -> AttemptOutcome {
+        let cancelled = async {
+            handle.cancelled().await;
+            AttemptOutcome::Cancelled
+        };
+        cancelled.or(self.transfer(engine, server, handle)).await
+    }
+
+    async fn transfer(
+        mut self,
+        engine: &Engine,
+        server: ServerIndex,
+        handle: &AttemptHandle,
+    ) -> AttemptOutcome {
+        loop {
+            let part = within(STREAM_STALL_TIMEOUT, self.body.next_part(&self.connection.stream)).await;
+            match part {
+                Some(Ok(Some(part))) => {
+                    let sent = within(STREAM_STALL_TIMEOUT, self.parts.send(part)).await;
+                    if !matches!(sent, Some(Ok(()))) {
+                        return AttemptOutcome::Cancelled;
+                    }
+                }
+                Some(Ok(None)) => break,
+                _ => return AttemptOutcome::ConnectionLost,
+            }
+        }
+        self.complete.set(true);
+        handle.release_connection();
+        if self.body.is_reusable()
+            && let Ok(connection) = Rc::try_unwrap(self.connection)
+        {
+            engine.pool.put(server, connection);
+        }
+        self.outcome
+    }
+}
--- a/crates/engine/src/background.rs
+++ b/crates/engine/src/background.rs
@@ -1,6 +1,6 @@
 //! Tasks that run for as long as the proxy does: the balancer's timers, and the upkeep of the connection pool.
 
-use crate::api;
+use crate::dispatch::call;
 use crate::engine::Engine;
 use crate::pool::SPARE_IDLE_TIME;
 use chalkwalk_sockets::wait_until;
@@ -8,38 +8,48 @@
 use smol::Timer;
 use std::rc::Rc;
 
-/// Calls the balancer back at the times it has named; never ends.
+/// Spare connections are looked for twice in the time that they may be idle.
+const CLOSE_SPARE_PER_IDLE_TIME: u32 = 2;
+/// Stale connections are closed with each eighth round of those, about once a second, as that looks at each connection.
+const SPARE_ROUNDS_PER_STALE_ROUND: u32 = 8;
+/// The counters are logged at most once in so many rounds, which is once a minute.
+const STALE_ROUNDS_PER_REPORT: u32 = 60;
+
+/// Fires the balancer's timers; never ends.
 pub async fn run_timers(engine: Rc<Engine>) {
     loop {
-        let due = engine.requests.borrow().next_wake();
+        let due = engine.requests.borrow().next_timer();
         match due {
-            Some(due) if due <= engine.clock.now() => api::call(&engine, |requests, now| requests.wake(now)),
-            Some(due) => _ = wait_until(engine.clock.instant(due), engine.sooner.recv()).await,
-            None => _ = engine.sooner.recv().await,
+            Some(due) if due <= engine.clock.now() => {
+                call(&engine, |requests, now| requests.fire_timer(now));
+            }
+            Some(due) => _ = wait_until(engine.clock.instant(due), engine.earlier_timer.recv()).await,
+            None => _ = engine.earlier_timer.recv().await,
         }
     }
 }
 
-/// Gives back what is spare, twice in the time it may be, and closes what is idle too long with each eighth round, about
-/// once a second, as that looks at each connection; counts in the log once a minute what has become more; never ends.
+/// Closes spare and stale connections of the pool, and logs the counters where more clients have left; never ends.
 pub async fn run_pool_sweeps(engine: Rc<Engine>) {
-    let (mut told, mut rounds) = (0, 0u32);
+    let mut logged = 0;
+    let mut rounds = 0u32;
     loop {
-        for _ in 0..8 {
-            Timer::after(SPARE_IDLE_TIME / 2).await;
+        for _ in 0..SPARE_ROUNDS_PER_STALE_ROUND {
+            Timer::after(SPARE_IDLE_TIME / CLOSE_SPARE_PER_IDLE_TIME).await;
             engine.pool.close_spare();
         }
         engine.pool.close_stale();
         rounds += 1;
         let left = engine.requests.borrow().left_waiting();
-        if rounds.is_multiple_of(60) && std::mem::replace(&mut told, left) != left {
+        if rounds.is_multiple_of(STALE_ROUNDS_PER_REPORT) && left != logged {
+            logged = left;
             log_counters(&engine, "clients left");
         }
     }
 }
 
-/// Says how many requests were left so far while they waited, how many attempts were withheld as their request was over, and how often
-/// what must not happen has happened.
+/// Logs how many requests so far were left by their clients while they waited, how many attempts were withheld as their request was
+/// over, and how often what must not happen has happened.
 pub(crate) fn log_counters(engine: &Engine, event: &'static str) {
     let left = engine.requests.borrow().left_waiting();
     let violations = engine.violations.total();
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -3,56 +3,76 @@
 use crate::budget::DescriptorBudget;
 use crate::classes::RequestClasses;
 use crate::clock::Clock;
+use crate::close_schedule::{ClosePosition, CloseTimes, DrainWindow};
 use crate::config::EngineConfig;
+use crate::effect_sink::Signals;
 use crate::lifecycle::{Lifecycle, Phase};
 use crate::pool::ConnectionPool;
-use crate::requests::RequestTable;
+use crate::request_table::RequestTable;
 use crate::response::HealthCheck;
 use crate::servers::ServerRegistry;
 use crate::violations::{RefusedAttempts, Violations};
 use chalkwalk_capture::Recorder;
 use chalkwalk_sockets::{MemoryBudget, wait_until};
-use chalkwalk_time::{Span, Timestamp};
+use chalkwalk_time::Timestamp;
 use slog::Logger;
 use smol::LocalExecutor;
 use smol::channel::{Receiver, bounded};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
+/// Long responses may take this part of the memory: the rest of the proxy needs a few megabytes, and as much again is the system's
+/// for what is on its way.
+const RESPONSE_MEMORY_DIVISOR: usize = 3;
+
+/// One proxy without its protocols.
 pub struct Engine {
+    /// What it was given at its start; its cells change with the settings.
     pub config: EngineConfig,
+    /// The limits of requests.
     pub classes: RequestClasses,
+    /// The proxy's time.
     pub clock: Clock,
+    /// The descriptors that connections need.
     pub budget: DescriptorBudget,
-    /// For long answers.
+    /// For long responses.
     pub response_memory: MemoryBudget,
+    /// The phases of the process.
     pub lifecycle: Lifecycle,
+    /// The open requests, and the balancer.
     pub requests: RefCell<RequestTable>,
+    /// Idle connections to servers.
     pub pool: ConnectionPool,
+    /// How the health of a server is checked.
     pub health_check: Box<dyn HealthCheck>,
+    /// All tasks of the proxy.
     pub executor: LocalExecutor<'static>,
+    /// The proxy's log.
     pub log: Logger,
-    /// Attempts that were not written, by why not.
+    /// Attempts that were not written, counted by why not.
     pub(crate) refused: RefusedAttempts,
     /// What must not happen, counted.
     pub violations: Violations,
-    pub(crate) sooner: Receiver<()>,
-    wanted: Receiver<()>,
-    clients: Cell<usize>, // their open connections
-    welcomed: Cell<u64>,
-    leaving: Cell<Option<(Timestamp, Timestamp)>>, // since when, and when every answer must be out
-    heard_list: Cell<bool>,
+    /// A timer is due before the one that is waited for.
+    pub(crate) earlier_timer: Receiver<()>,
+    watch_requested: Receiver<()>,
+    open_clients: Cell<usize>,
+    clients_so_far: Cell<u64>,
+    drain: Cell<Option<DrainWindow>>,
+    has_received_list: Cell<bool>,
 }
 
 impl Engine {
+    /// An engine that was given this configuration, and checks servers in this way. `recorder`: where all calls to the balancer are
+    /// captured.
     pub fn new(
         mut config: EngineConfig,
         health_check: Box<dyn HealthCheck>,
         log: Logger,
         recorder: Option<Recorder>,
     ) -> Rc<Engine> {
-        let (sooner, sooner_told) = bounded(1);
-        let (wanted, wanted_told) = bounded(1);
+        let (earlier_timer, earlier_timer_signal) = bounded(1);
+        let (watch_requested, watch_signal) = bounded(1);
         let servers = ServerRegistry::new(&config.zones, &config.kinds);
         let classes = RequestClasses::new(
             std::mem::take(&mut config.settings),
@@ -60,21 +80,19 @@
             config.limits.take(),
         );
         let clock = Clock::default();
-        let recorder = (recorder, clock.now());
         let requests = RequestTable::new(
             config.seed,
             &classes.balancer_settings(),
             servers,
-            (sooner, wanted),
+            Signals { earlier_timer, watch_requested },
             log.clone(),
             recorder,
+            clock.now(),
         );
         Rc::new(Engine {
             clock,
             budget: DescriptorBudget::new(config.descriptors),
-            // A third of the memory: the rest of the proxy needs a few megabytes, and as much again is the system's for
-            // what is on its way.
-            response_memory: MemoryBudget::new(config.memory / 3),
+            response_memory: MemoryBudget::new(config.memory / RESPONSE_MEMORY_DIVISOR),
             lifecycle: Lifecycle::default(),
             requests: RefCell::new(requests),
             pool: ConnectionPool::new(config.idle_timeout),
@@ -83,119 +101,108 @@
             log,
             refused: RefusedAttempts::default(),
             violations: Violations::default(),
-            sooner: sooner_told,
-            wanted: wanted_told,
-            clients: Cell::new(0),
-            welcomed: Cell::new(0),
-            leaving: Cell::new(None),
-            heard_list: Cell::new(false),
+            earlier_timer: earlier_timer_signal,
+            watch_requested: watch_signal,
+            open_clients: Cell::new(0),
+            clients_so_far: Cell::new(0),
+            drain: Cell::new(None),
+            has_received_list: Cell::new(false),
             classes,
             config,
         })
     }
 
-    /// Comes to its end when the balancer wants the list watched.
+    /// Returns once the balancer wants the endpoint list watched.
     pub async fn watch_requested(&self) {
-        _ = self.wanted.recv().await;
+        _ = self.watch_requested.recv().await;
     }
 
-    /// What the balancer wanted by now, it has.
+    /// Whatever watch the balancer wanted by now has been made.
     pub fn clear_watch_request(&self) {
-        _ = self.wanted.try_recv();
+        _ = self.watch_requested.try_recv();
     }
 
-    /// A source of the list has answered since the start.
+    /// A source of the endpoint list has answered since the start.
     pub fn list_received(&self) {
-        self.heard_list.set(true);
+        self.has_received_list.set(true);
     }
 
+    /// Whether a source of the endpoint list has answered since the start.
     pub fn has_received_list(&self) -> bool {
-        self.heard_list.get()
+        self.has_received_list.get()
     }
 
-    /// The capture ends, with all that was told by now.
+    /// Ends the capture, with all that happened by now.
     pub fn stop_capture(&self) {
         self.requests.borrow_mut().stop_capture();
     }
 
-    /// Open connections of clients.
-    pub fn clients(&self) -> usize {
-        self.clients.get()
+    /// How many client connections are open.
+    pub fn open_clients(&self) -> usize {
+        self.open_clients.get()
     }
 
-    /// When every answer must be out, once the proxy has been told to end.
+    /// When every response must be sent, once the proxy has been asked to shut down.
     pub fn response_deadline(&self) -> Option<Timestamp> {
-        self.leaving.get().map(|(_, last)| last)
+        self.drain.get().map(|window| window.response_deadline)
     }
 
-    /// The proxy has been told to end: since when, and when every answer must be out.
-    pub fn leave(&self, told: Timestamp, last: Timestamp) {
-        self.leaving.set(Some((told, last)));
+    /// The proxy has been asked to shut down.
+    pub(crate) fn begin_drain(&self, window: DrainWindow) {
+        self.drain.set(Some(window));
         self.lifecycle.enter(Phase::Draining);
     }
 }
 
 /// A client's connection among those that the proxy waits for before it ends.
 pub struct ClientConnection {
+    /// The proxy.
     pub engine: Rc<Engine>,
-    /// Its place among those that are closed one after the other when the proxy leaves, in thousandths.
-    place: u64,
+    position: ClosePosition,
 }
 
 impl ClientConnection {
+    /// A connection that was just accepted; it counts as open until this is dropped.
     pub fn new(engine: &Rc<Engine>) -> ClientConnection {
-        engine.clients.set(engine.clients.get() + 1);
-        engine.welcomed.set(engine.welcomed.get() + 1);
-        // Steps of the golden section lie evenly spread, however many there are.
-        ClientConnection { engine: engine.clone(), place: engine.welcomed.get() * 618 % 1000 }
+        engine.open_clients.set(engine.open_clients.get() + 1);
+        engine.clients_so_far.set(engine.clients_so_far.get() + 1);
+        let position = ClosePosition::of_connection(engine.clients_so_far.get());
+        ClientConnection { engine: engine.clone(), position }
     }
 
-    /// When it is closed: from the first moment on with an answer that says so, at the second though it is idle.
-    ///
-    /// Told to end, not before two thirds of the time that is left to the proxy, as whoever was restarted before may not be
-    /// heard of yet, and not after five sixths, so that what is taken until then is answered; in between one by one, not to
-    /// flood the others. Where another process of this proxy has taken over, with answers from the first second on: who
-    /// connects again comes to that one, and a connection that is told to close meets no request.
-    ///
-    /// Out of service, with answers within the first second, and idle within two: the front has heard of it by then, and at
-    /// four seconds none may be open that had a request in the last two. Told to end as well, whichever comes first.
-    fn turn(&self) -> Option<(Timestamp, Timestamp)> {
+    fn close_times(&self) -> Option<CloseTimes> {
         let lifecycle = &self.engine.lifecycle;
-        let leaving = self.engine.leaving.get().map(|(told, last)| {
-            let late = told + (last - told) * (4000 + self.place) / 6000;
-            (if lifecycle.is_superseded() { told + Span::from_ticks(10 * self.place) } else { late }, late)
-        });
-        let emptied = lifecycle.out_of_service_since().map(|since| {
-            (
-                since + Span::from_ticks(2000) + Span::from_ticks(8 * self.place),
-                since + Span::from_ticks(10_000) + Span::from_ticks(8 * self.place),
-            )
-        });
-        match (leaving, emptied) {
-            (Some(a), Some(b)) => Some((a.0.min(b.0), a.1.min(b.1))),
-            (a, b) => a.or(b),
-        }
+        self.position.close_times(
+            self.engine.drain.get(),
+            lifecycle.is_superseded(),
+            lifecycle.out_of_service_since(),
+        )
     }
 
+    /// Whether the next response on it says that it closes.
     pub fn must_close(&self) -> bool {
-        self.turn().is_some_and(|(answered, _)| answered <= self.engine.clock.now())
+        self.close_times().is_some_and(|times| times.with_response <= self.engine.clock.now())
     }
 
-    /// Comes to its end when it is closed though idle.
+    /// Returns once it is to be closed though it is idle.
     pub async fn close_due(&self) {
         loop {
-            let turns = self.engine.lifecycle.changed();
-            match self.turn() {
-                None => turns.await,
-                Some((_, idle)) if idle <= self.engine.clock.now() => return,
-                Some((_, idle)) => _ = wait_until(self.engine.clock.instant(idle), turns).await,
+            // Listens before it looks, so that no change between the two is missed.
+            let change = self.engine.lifecycle.changed();
+            let Some(CloseTimes { when_idle, .. }) = self.close_times() else {
+                change.await;
+                continue;
+            };
+            if when_idle <= self.engine.clock.now() {
+                return;
             }
+            _ = wait_until(self.engine.clock.instant(when_idle), change).await;
         }
     }
 }
 
 impl Drop for ClientConnection {
     fn drop(&mut self) {
-        self.engine.clients.set(self.engine.clients.get() - 1);
+        self.engine.open_clients.set(self.engine.open_clients.get() - 1);
     }
 }
--- /dev/null
+++ b/crates/engine/src/health_check.rs
@@ -0,0 +1,32 @@
+//! A health check of one server, on a connection of its own.
+
+use crate::connect;
+use crate::engine::Engine;
+use chalkwalk_balancer::ServerIndex;
+use chalkwalk_sockets::within;
+
+/// A check may take as long as a connection may, and as long again for the response.
+const CONNECT_TIMEOUTS: u32 = 2;
+
+/// Checks a server; whether it passed.
+pub(crate) async fn check(engine: &Engine, server: ServerIndex) -> bool {
+    let limit = engine.config.connect_timeout.get() * CONNECT_TIMEOUTS;
+    let passed = within(limit, check_on_new_connection(engine, server)).await.flatten().is_some();
+    if !passed {
+        // An idle connection to a machine that vanished is reset only when that is back, and by the first request on it.
+        engine.pool.close_all(server);
+    }
+    passed
+}
+
+async fn check_on_new_connection(engine: &Engine, server: ServerIndex) -> Option<()> {
+    let connection = connect::new(engine, server).await.ok()?;
+    if !engine.requests.borrow().may_send_to(server) {
+        return None;
+    }
+    let reusable = engine.health_check.check(&connection.stream).await?;
+    if reusable {
+        engine.pool.put(server, connection);
+    }
+    Some(())
+}
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,24 +1,39 @@
-//! The engine: one proxy without its protocols. It owns the balancer and tells it all that happens, keeps the requests that are
-//! open and their one answer, connections by server, descriptors, the phases of the program, its clock and its wakes.
+//! The engine: one proxy without its protocols. It owns the balancer and notifies it of all that happens, keeps the open requests
+//! until their one final response, the connections to servers, the descriptor budget, the lifecycle of the process, its clock and the
+//! balancer's timers. It decides nothing.
 //!
-//! It may use `policy`, `limits`, `membership`, `net`, smol and slog. No protocol ever enters it, neither of clients nor of servers,
-//! and no format of a list: a request comes in as something that can write itself to a server and read what comes back (`response::ClientRequest`), and
-//! leaves as bytes with a verdict; a list comes in as plain lines (`servers::ListedEndpoint`). It decides nothing.
+//! It may use `balancer`, `capture`, `limits`, `membership`, `sockets`, `time`, smol and slog. No protocol ever enters it, neither of
+//! clients nor of servers, and no format of an endpoint list: a request comes in as something that can write itself to a server and read
+//! what comes back ([`response::ClientRequest`]), and leaves as bytes with a status; an endpoint list comes in as plain endpoints
+//! ([`servers::ListedEndpoint`]).
 //!
-//! Modules point down only: `api`, `background` and `shutdown` use `engine`, which holds what those below it keep.
+//! Modules use those below them only:
+//!
+//! - `shutdown`, `background` and `api` call the engine from outside;
+//! - `dispatch` calls the request table and spawns the tasks that it wants;
+//! - `attempt`, `health_check` and `connect` are those tasks;
+//! - `engine` holds what the others share: `request_table` with `effect_sink`, `pool`, `budget`, `lifecycle` and the rest.
 
 pub mod api;
+mod attempt;
+mod attempt_handle;
 pub mod background;
 pub mod budget;
 pub mod classes;
 pub mod clock;
+mod close_schedule;
 pub mod config;
+mod connect;
+mod dispatch;
+mod effect_sink;
 pub mod engine;
+mod health_check;
 mod idle_clients;
 pub mod lifecycle;
 pub mod pool;
-pub mod requests;
+pub mod request_table;
 pub mod response;
 pub mod servers;
 pub mod shutdown;
+mod timers;
 pub mod violations;
--- /dev/null
+++ b/crates/engine/src/request_table.rs
@@ -0,0 +1,244 @@
+//! The request table: the balancer and the requests that are open. The balancer is notified of all that happens here, one call at a
+//! time; what it wants done is only noted meanwhile, and carried out by `dispatch` once the call is over.
+
+mod servers;
+
+use crate::effect_sink::{AttemptId, Command, EffectSink, OpenRequest, PendingAttempt, Signals};
+use crate::response::{ClientRequest, Response, ResponseStatus};
+use crate::servers::ServerRegistry;
+use chalkwalk_balancer::admission::{SendRefusal, UnsentAttempt};
+use chalkwalk_balancer::{AttemptOutcome, Balancer, RequestId, ServerIndex};
+use chalkwalk_capture::{Event, Recorder};
+use chalkwalk_time::{Span, Timestamp};
+use slog::Logger;
+use smol::channel::{Receiver, bounded};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+/// The setting that says whether the balancer asks for the endpoint list, by "1".
+const WATCHED_SETTING: &str = "watched";
+
+/// The open requests and the balancer that decides on them.
+pub struct RequestTable {
+    balancer: Balancer,
+    /// As the balancer last read them.
+    settings: BTreeMap<String, String>,
+    sink: EffectSink,
+    /// The servers of the endpoint list.
+    pub servers: ServerRegistry,
+    /// Requests whose client left before any of their attempts was written.
+    left_waiting: u64,
+}
+
+/// How an attempt ended.
+pub(crate) struct AttemptResult {
+    pub outcome: AttemptOutcome,
+    pub took: Span,
+    /// The final response of the request, where it is one.
+    pub response: Option<Response>,
+}
+
+/// The limits of a request's class once other limits apply.
+pub(crate) struct RenewedLimits {
+    pub class: usize,
+    pub time_limit: Span,
+}
+
+impl RequestTable {
+    /// A table with a new balancer.
+    pub(crate) fn new(
+        seed: u64,
+        settings: &BTreeMap<String, String>,
+        servers: ServerRegistry,
+        signals: Signals,
+        log: Logger,
+        recorder: Option<Recorder>,
+        now: Timestamp,
+    ) -> RequestTable {
+        let mut sink = EffectSink::new(now, signals, log, recorder);
+        sink.record_event(|| Event::Start { seed, settings: settings.clone() });
+        let balancer = Balancer::new(seed, settings, &mut sink);
+        // The balancer asks for the list where the setting says so; elsewhere a watch is started all the same.
+        if settings.get(WATCHED_SETTING).is_none_or(|watched| watched != "1") {
+            _ = sink.signals.watch_requested.try_send(());
+        }
+        RequestTable { balancer, settings: settings.clone(), sink, servers, left_waiting: 0 }
+    }
+
+    /// The balancer and its effects, both at the present time; every call to the balancer begins here.
+    fn at(&mut self, now: Timestamp) -> (&mut Balancer, &mut EffectSink) {
+        self.sink.now = now;
+        self.balancer.advance_clock(now);
+        if let Some(recorder) = self.sink.recorder.as_mut().filter(|recorder| recorder.wants_snapshot(now))
+            && let Some(state) = self.balancer.snapshot()
+        {
+            recorder.snapshot(now, &self.settings, state);
+        }
+        (&mut self.balancer, &mut self.sink)
+    }
+
+    /// Ends the capture.
+    pub fn stop_capture(&mut self) {
+        self.sink.recorder = None;
+    }
+
+    /// What the balancer wants done by now.
+    pub(crate) fn take_commands(&mut self) -> Vec<Command> {
+        self.sink.take_commands()
+    }
+
+    /// How many requests are without their final response, or with an attempt in flight.
+    pub fn open_requests(&self) -> usize {
+        self.sink.open.len()
+    }
+
+    /// How many requests so far had their client leave before any of their attempts was written.
+    pub fn left_waiting(&self) -> u64 {
+        self.left_waiting
+    }
+
+    /// Accepts a request and routes it; its final response comes by the channel.
+    pub(crate) fn accept_request(
+        &mut self,
+        now: Timestamp,
+        request: Rc<dyn ClientRequest>,
+    ) -> (RequestId, Receiver<Response>) {
+        let (respond, response) = bounded(1);
+        let allowed = self.allowed_servers(&*request);
+        let (balancer, sink) = self.at(now);
+        let class = request.class();
+        let key = request.key();
+        let write = request.is_write();
+        let expires = request.expires();
+        if let Some(recorder) = &mut sink.recorder {
+            recorder.request_accepted(now, class, key, write, expires, allowed.as_deref());
+        }
+        let request_id = balancer.accept_request(class, key, write, expires);
+        if let Some(allowed) = allowed {
+            balancer.restrict_to(request_id, allowed);
+        }
+        sink.open.insert(request_id, OpenRequest::new(request, respond));
+        balancer.route_request(request_id, sink);
+        (request_id, response)
+    }
+
+    /// The servers that alone may serve a request, where they are settled.
+    fn allowed_servers(&self, request: &dyn ClientRequest) -> Option<Vec<ServerIndex>> {
+        request.allowed_servers().map(|addrs| self.servers.in_service_at(&addrs))
+    }
+
+    /// Whether an attempt may be sent now; `client_connected`: whether its client is still there.
+    pub(crate) fn may_send(
+        &self,
+        now: Timestamp,
+        pending: &PendingAttempt,
+        client_connected: bool,
+    ) -> Result<(), SendRefusal> {
+        let attempt = UnsentAttempt {
+            request: pending.id.request_id,
+            number: pending.id.number,
+            server: pending.server,
+            until: pending.may_be_sent_until(),
+            answered: self.sink.is_over(pending.id.request_id),
+            client_connected,
+        };
+        self.balancer.may_send(&attempt, now)
+    }
+
+    /// The response to an attempt has started, and is the request's; the attempt goes on until the response has ended.
+    pub(crate) fn response_started(&mut self, now: Timestamp, attempt: AttemptId, response: Response) {
+        let AttemptId { request_id, number } = attempt;
+        let (balancer, sink) = self.at(now);
+        sink.respond(request_id, response);
+        sink.record_event(|| Event::ResponseStarted { request_id: request_id.0, attempt: number });
+        balancer.response_started(request_id, number, sink);
+    }
+
+    /// An attempt has ended, and its connection is closed or back in the pool.
+    pub(crate) fn attempt_ended(&mut self, now: Timestamp, attempt: AttemptId, result: AttemptResult) {
+        let AttemptId { request_id, number } = attempt;
+        let AttemptResult { outcome, took, response } = result;
+        let request = self.sink.open.get(&request_id).map(|open| open.request.clone());
+        let allowed = request.and_then(|request| {
+            request.attempt_ended(outcome);
+            self.allowed_servers(&*request)
+        });
+        let (balancer, sink) = self.at(now);
+        if let Some(open) = sink.open.get_mut(&request_id) {
+            open.in_flight -= 1;
+        }
+        if let Some(response) = response {
+            sink.respond(request_id, response);
+        }
+        let finished = sink.is_over(request_id);
+        if let Some(recorder) = &mut sink.recorder {
+            recorder.attempt_ended(now, request_id.0, number, outcome, took, finished, allowed.as_deref());
+        }
+        if let Some(allowed) = allowed {
+            balancer.restrict_to(request_id, allowed);
+        }
+        balancer.attempt_ended(request_id, number, outcome, took, finished, sink);
+        sink.remove_if_done(request_id);
+    }
+
+    /// The client of a request has gone, or given it up.
+    pub(crate) fn client_left(&mut self, now: Timestamp, request_id: RequestId) {
+        self.at(now);
+        if let Some(open) = self.sink.open.get_mut(&request_id)
+            && open.response.take().is_some()
+            && !open.attempts.iter().any(|attempt| attempt.is_written())
+        {
+            self.left_waiting += 1;
+        }
+        self.sink.record_event(|| Event::ClientLeft(request_id.0));
+        self.balancer.client_left(request_id, &mut self.sink);
+        self.sink.remove_if_done(request_id);
+    }
+
+    /// Fails all requests that are open.
+    pub(crate) fn fail_all(&mut self, now: Timestamp) {
+        let mut open: Vec<RequestId> = self.sink.open.keys().copied().collect();
+        open.sort_unstable_by_key(|request_id| request_id.0);
+        for request_id in open {
+            self.sink.respond(request_id, Response::empty(ResponseStatus::Failed));
+            self.client_left(now, request_id);
+        }
+    }
+
+    /// Other settings apply: the balancer reads them, and each open request for which `renewed` returns limits gets its class and
+    /// its time limit anew.
+    pub(crate) fn apply_settings(
+        &mut self,
+        now: Timestamp,
+        settings: &BTreeMap<String, String>,
+        renewed: impl Fn(&dyn ClientRequest) -> Option<RenewedLimits>,
+    ) {
+        let (balancer, sink) = self.at(now);
+        sink.record_event(|| Event::SettingsChanged(settings.clone()));
+        balancer.apply_settings(settings);
+        let mut open: Vec<(RequestId, Rc<dyn ClientRequest>)> =
+            sink.open.iter().map(|(request_id, open)| (*request_id, open.request.clone())).collect();
+        open.sort_unstable_by_key(|(request_id, _)| request_id.0);
+        for (request_id, request) in open {
+            let Some(RenewedLimits { class, time_limit }) = renewed(&*request) else { continue };
+            let expires = request.received_at() + time_limit;
+            sink.record_event(|| Event::LimitsRenewed { request_id: request_id.0, class, expires });
+            balancer.renew_limits(request_id, class, expires, sink);
+        }
+        self.settings = settings.clone();
+    }
+
+    /// When the next timer of the balancer is due.
+    pub(crate) fn next_timer(&self) -> Option<Timestamp> {
+        self.sink.timers.next_due()
+    }
+
+    /// Fires the first timer of the balancer, if it is due.
+    pub(crate) fn fire_timer(&mut self, now: Timestamp) {
+        if let Some(token) = self.sink.timers.pop_due(now) {
+            let (balancer, sink) = self.at(now);
+            sink.record_event(|| Event::TimerFired(token));
+            balancer.timer_fired(token, sink);
+        }
+    }
+}
--- a/crates/engine/src/servers.rs
+++ b/crates/engine/src/servers.rs
@@ -34,7 +34,7 @@
 struct Row {
     addr: SocketAddr,
     /// Since when it was notified to be draining or gone.
-    off_since: Option<Timestamp>,
+    unavailable_since: Option<Timestamp>,
     /// When its process started.
     born: Timestamp,
 }
@@ -63,14 +63,15 @@
 
     /// The servers in service at these addresses, in that order.
     pub fn in_service_at(&self, addrs: &[SocketAddr]) -> Vec<ServerIndex> {
-        let in_service =
-            |addr: &SocketAddr| self.rows.iter().position(|row| row.addr == *addr && row.off_since.is_none());
+        let in_service = |addr: &SocketAddr| {
+            self.rows.iter().position(|row| row.addr == *addr && row.unavailable_since.is_none())
+        };
         addrs.iter().filter_map(in_service).collect()
     }
 
     /// Since when a server is draining or gone, as notified.
-    pub fn off_since(&self, server: ServerIndex) -> Option<Timestamp> {
-        self.rows.get(server)?.off_since
+    pub fn unavailable_since(&self, server: ServerIndex) -> Option<Timestamp> {
+        self.rows.get(server)?.unavailable_since
     }
 
     /// Which servers are off by now and were not, and the other way round. `was_off`: those that were off before, sorted.
@@ -78,7 +79,7 @@
         let mut changes = ListChanges::default();
         for (id, server) in &self.indices {
             let was_off = was_off.binary_search(server).is_ok();
-            let is_off = self.off_since(*server).is_some();
+            let is_off = self.unavailable_since(*server).is_some();
             match (was_off, is_off) {
                 (false, true) => changes.off.push(id.clone()),
                 (true, false) => changes.back.push(id.clone()),
@@ -98,20 +99,24 @@
     /// Whether the server of this endpoint is in service as far as notified, and has not started since the endpoint was read.
     pub fn is_ready(&self, endpoint: &ListedEndpoint) -> bool {
         let row = self.index_of(&endpoint.id).map(|server| &self.rows[server]);
-        row.is_some_and(|row| row.off_since.is_none() && row.born <= endpoint.born)
+        row.is_some_and(|row| row.unavailable_since.is_none() && row.born <= endpoint.born)
     }
 
     /// The servers that are off, in order.
     pub fn off(&self) -> impl Iterator<Item = ServerIndex> {
-        self.rows.iter().enumerate().filter(|(_, row)| row.off_since.is_some()).map(|(server, _)| server)
+        self.rows
+            .iter()
+            .enumerate()
+            .filter(|(_, row)| row.unavailable_since.is_some())
+            .map(|(server, _)| server)
     }
 
     /// Takes up what a list says, and returns it by index for the balancer.
     pub fn apply<'a>(&mut self, now: Timestamp, update: &ListUpdate<'a>) -> Vec<Endpoint<'a>> {
-        let was_off: Vec<Option<Timestamp>> = self.rows.iter().map(|row| row.off_since).collect();
+        let was_off: Vec<Option<Timestamp>> = self.rows.iter().map(|row| row.unavailable_since).collect();
         if update.whole {
             for row in &mut self.rows {
-                row.off_since.get_or_insert(now);
+                row.unavailable_since.get_or_insert(now);
             }
         }
         let apply_one = |endpoint: &'a ListedEndpoint| {
@@ -146,7 +151,7 @@
         let status = if stays_off { EndpointStatus::Draining } else { endpoint.status };
         row.addr = endpoint.addr;
         row.born = endpoint.born;
-        row.off_since = (status != EndpointStatus::Ready).then_some(was_off_since.unwrap_or(now));
+        row.unavailable_since = (status != EndpointStatus::Ready).then_some(was_off_since.unwrap_or(now));
         status
     }
 
@@ -174,7 +179,7 @@
         }
         let server = self.free.pop().unwrap_or(self.rows.len());
         self.indices.insert(id.to_string(), server);
-        let row = Row { addr, off_since: None, born: Timestamp::ZERO };
+        let row = Row { addr, unavailable_since: None, born: Timestamp::ZERO };
         match self.rows.get_mut(server) {
             Some(unused) => *unused = row,
             None => self.rows.push(row),
--- /dev/null
+++ b/crates/engine/src/shutdown/tests.rs
@@ -0,0 +1,33 @@
+//! Of the schedule; in the crate, as it is not public.
+
+use super::*;
+
+/// In ms, for limits from none to ten seconds: connections are accepted for as long as a load balancer in front sends them (400 ms),
+/// then comes the last response, its writing, and SIGKILL, each after the one before.
+#[test]
+fn each_step_of_the_shutdown_is_in_time_whatever_the_limits_are() {
+    let steps = [0, 1, 300, 499, 500, 2_000, 3_000, 6_000, 30_000, 100_000].map(|limit| {
+        let DrainSchedule { accept_for, last_response_after: last } =
+            DrainSchedule::new(Span::from_ticks(limit));
+        let kill = limit.min(MAX_TIME_LIMIT.ticks()) + 7_000;
+        assert!(accept_for >= Span::from_ticks(4_000) && accept_for < last, "{limit}");
+        assert!(
+            last >= Span::from_ticks(limit.min(MAX_TIME_LIMIT.ticks()))
+                && last + Span::from(WRITE_TIME) + Span::from_ticks(500) <= Span::from_ticks(kill),
+            "{limit}"
+        );
+        format!("{}: {} {} {}", limit / 10, accept_for / 10, last / 10, kill / 10)
+    });
+    expect_test::expect![[r#"
+        0: 400 450 700
+        0: 400 450 700
+        30: 430 480 730
+        49: 449 499 749
+        50: 450 500 750
+        200: 500 650 900
+        300: 500 750 1000
+        600: 500 1050 1300
+        3000: 500 3450 3700
+        10000: 500 3450 3700"#]]
+    .assert_eq(&steps.join("\n"));
+}
--- a/crates/http-frontend/src/servers.rs
+++ b/crates/http-frontend/src/servers.rs
@@ -3,7 +3,7 @@
 use crate::admit::HttpRequest;
 use chalkwalk_balancer::AttemptOutcome;
 use chalkwalk_engine::response::{
-    BoxFuture, ClientRequest, HealthCheck, Response, ResponseBody, ResponseStatus, ServerResponse,
+    BoxFuture, BrokenOff, ClientRequest, HealthCheck, Response, ResponseBody, ResponseStatus, ServerResponse,
 };
 use chalkwalk_http1::{self as http1, ResponseReader};
 use chalkwalk_sockets::{MemoryBudget, MemoryReservation, is_idle, wait_until, write_all};
@@ -163,11 +163,11 @@
     fn next_part<'a>(
         &'a mut self,
         stream: &'a Async<TcpStream>,
-    ) -> BoxFuture<'a, Result<Option<Vec<u8>>, ()>> {
+    ) -> BoxFuture<'a, Result<Option<Vec<u8>>, BrokenOff>> {
         Box::pin(async move {
-            let part = self.answering.next_part(stream).await.map_err(|_| ())?;
+            let part = self.answering.next_part(stream).await.map_err(|_| BrokenOff)?;
             // One whose length is not told may never end: longer than any, it is broken off.
-            self.left = self.left.checked_sub(part.as_ref().map_or(0, Vec::len)).ok_or(())?;
+            self.left = self.left.checked_sub(part.as_ref().map_or(0, Vec::len)).ok_or(BrokenOff)?;
             Ok(part)
         })
     }
