--- a/crates/engine/src/shutdown.rs
+++ b/crates/engine/src/shutdown.rs
@@ -55,7 +55,7 @@
     let response_deadline = requested_at + schedule.last_response_after;
     engine.begin_drain(DrainWindow { started: requested_at, response_deadline });
     let superseded = engine.lifecycle.is_superseded();
-    info!(engine.log, "leaving"; "open" => engine.requests.borrow().open_requests(), "succeeded" => superseded);
+    info!(engine.log, "draining"; "open" => engine.requests.borrow().open_requests(), "succeeded" => superseded);
     // A process that has taken over accepts whoever connects from now on.
     if !superseded {
         Timer::at(engine.clock.instant(requested_at + schedule.accept_for)).await;
@@ -73,5 +73,5 @@
         Timer::after(WRITE_CHECK_INTERVAL).await;
     }
     engine.lifecycle.enter(Phase::Ended);
-    background::log_counters(engine, "ended");
+    background::log_counters(engine, "stopped");
 }
