--- a/crates/discovery-etcd/src/lib.rs
+++ b/crates/discovery-etcd/src/lib.rs
@@ -1,14 +1,18 @@
-//! etcd as a source of the list: the whole of it at a revision, a watch from the next one, and this proxy's own key under a
-//! lease, by etcd's public v3 API (gRPC over HTTP/2 without TLS).
+//! etcd as a source of the endpoint list: the whole list at a revision, a watch from the next one on,
+//! and this proxy's own key under a lease, by etcd's public v3 API (gRPC over HTTP/2 without TLS).
 //!
-//! It may use `source`, `membership`, `engine`, `etcd-wire`, h2 and smol. A door never enters it. What to ask next, and what an answer
-//! means, is `machine`'s, which does no I/O; `call` is one call on a connection, `follow` plays the machine on sockets, `announce`
-//! keeps the lease.
+//! This crate may use `discovery-feed`, `membership`, `engine`, `etcd-wire`, h2 and smol. No frontend
+//! enters it. What to request next, and what a response means, is decided by `machine`, which does no
+//! I/O; `call` is one call on a connection, `session` runs the machine on one connection, `source` opens
+//! one connection after the other, `announcement` keeps the lease.
 
-mod announce;
+mod announcement;
 mod call;
-mod follow;
+mod error;
+mod live_proxies;
 pub mod machine;
+mod session;
+mod source;
 
-pub use announce::Announcement;
-pub use follow::EtcdSource;
+pub use announcement::Announcement;
+pub use source::EtcdSource;
--- /dev/null
+++ b/crates/discovery-etcd/src/session.rs
@@ -0,0 +1,226 @@
+//! A session: runs the machine on one connection, and hands what becomes known to the feed.
+
+use crate::call::{CallStream, Connection};
+use crate::error::SessionError;
+use crate::machine::{Key, KeyChange, KeyValuePair, ListSnapshot, PAGE_KEYS, Step, Transition, Update};
+use crate::source::EtcdSource;
+use chalkwalk_etcd_wire::{api, path};
+use chalkwalk_membership::ListEntry;
+use chalkwalk_membership::format::parse_endpoint;
+use chalkwalk_membership::reconcile::{EndpointChange, RevisionedChange};
+use chalkwalk_sockets::within;
+use std::time::{Duration, Instant};
+
+/// A watch is polled for its progress so often, and lost if nothing came for twice that and a half: with
+/// the polls a second apart it is lost 3 s after its last response, and the next endpoint has 3 s to
+/// report what it missed.
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
+
+/// An open watch.
+struct Watch {
+    stream: CallStream,
+    last_response: Instant,
+    last_progress_request: Instant,
+}
+
+impl Watch {
+    fn request_progress(&mut self) -> Result<(), SessionError> {
+        let request = api::watch_request::RequestUnion::ProgressRequest(api::WatchProgressRequest {});
+        self.stream.send(&api::WatchRequest { request_union: Some(request) }, false)?;
+        self.last_progress_request = Instant::now();
+        Ok(())
+    }
+
+    /// Whether it has been silent for too long, and not just because this process stood still: after a
+    /// standstill everything that came meanwhile is read first, and progress requested anew.
+    fn is_silent(&self) -> bool {
+        let silent = self.last_response + SILENCE_TIMEOUT < Instant::now();
+        silent && self.last_progress_request > self.last_response
+    }
+}
+
+impl EtcdSource {
+    /// All that happens on one connection, until it is lost; returns why.
+    pub(crate) async fn run_session(&self, connection: &Connection) -> SessionError {
+        let announcing = async {
+            if let Some(announcement) = &self.announcement
+                && let Err(error) = announcement.hold(connection).await
+            {
+                return error;
+            }
+            std::future::pending().await
+        };
+        smol::future::or(self.follow_list(connection), announcing).await
+    }
+
+    async fn follow_list(&self, connection: &Connection) -> SessionError {
+        let mut watch = None;
+        let mut step = self.machine.borrow_mut().connected();
+        loop {
+            match self.run_step(connection, step, &mut watch).await {
+                Ok(next) => step = next,
+                Err(error) => return error,
+            }
+        }
+    }
+
+    async fn run_step(
+        &self,
+        connection: &Connection,
+        step: Step,
+        watch: &mut Option<Watch>,
+    ) -> Result<Step, SessionError> {
+        match step {
+            Step::ReadPage { from, revision } => self.read_page(connection, from, revision).await,
+            Step::OpenWatch { from } => {
+                *watch = Some(self.open_watch(connection, from).await?);
+                Ok(Step::AwaitResponse)
+            }
+            Step::AwaitResponse => self.await_response(watch.as_mut().ok_or(SessionError::NoWatch)?).await,
+        }
+    }
+
+    async fn read_page(
+        &self,
+        connection: &Connection,
+        from: Vec<u8>,
+        revision: i64,
+    ) -> Result<Step, SessionError> {
+        let range = self.machine.borrow().range();
+        let request = api::RangeRequest {
+            key: from.into(),
+            range_end: range.end.into(),
+            limit: PAGE_KEYS,
+            revision,
+            // By a majority: an endpoint that is behind does not answer out of its own state.
+            serializable: false,
+        };
+        let page = connection.call(path::RANGE, &request).await?;
+        let transition = self.machine.borrow_mut().page_received(page)?;
+        self.apply(transition)
+    }
+
+    async fn open_watch(&self, connection: &Connection, from: i64) -> Result<Watch, SessionError> {
+        let range = self.machine.borrow().range();
+        let create = api::WatchCreateRequest {
+            key: range.start.into(),
+            range_end: range.end.into(),
+            start_revision: from,
+            progress_notify: true,
+            watch_id: 0,
+            fragment: true,
+        };
+        let mut stream = connection.open_stream(path::WATCH).await?;
+        let create = api::watch_request::RequestUnion::CreateRequest(create);
+        stream.send(&api::WatchRequest { request_union: Some(create) }, false)?;
+        let now = Instant::now();
+        Ok(Watch { stream, last_response: now, last_progress_request: now })
+    }
+
+    async fn await_response(&self, watch: &mut Watch) -> Result<Step, SessionError> {
+        let poll_due = watch.last_progress_request + PROGRESS_INTERVAL;
+        let wait = poll_due.saturating_duration_since(Instant::now());
+        if let Some(response) = within(wait, watch.stream.next::<api::WatchResponse>()).await {
+            let response = response?.ok_or(SessionError::WatchEnded)?;
+            watch.last_response = Instant::now();
+            let transition = self.machine.borrow_mut().watch_response(response)?;
+            return self.apply(transition);
+        }
+        if watch.is_silent() {
+            return Err(SessionError::WatchSilent);
+        }
+        watch.request_progress()?;
+        Ok(Step::AwaitResponse)
+    }
+
+    /// Hands what became known to the feed, and returns the next step.
+    fn apply(&self, transition: Transition) -> Result<Step, SessionError> {
+        match transition.update {
+            Update::Nothing => {}
+            Update::Progress { revision } => {
+                self.feed.advance_to(revision);
+                self.report_proxy_count();
+            }
+            Update::List(list) => self.apply_list(list)?,
+            Update::Changes(changes) => self.apply_changes(changes),
+        }
+        Ok(transition.next)
+    }
+
+    fn apply_list(&self, list: ListSnapshot) -> Result<(), SessionError> {
+        if list.cluster_changed {
+            self.feed.history_changed();
+        }
+        self.live_proxies.borrow_mut().clear();
+        let entries = self.read_entries(list.pairs);
+        self.feed.apply_list(list.revision, entries)?;
+        self.machine.borrow_mut().list_accepted(list.revision);
+        self.report_proxy_count();
+        Ok(())
+    }
+
+    fn read_entries(&self, pairs: Vec<KeyValuePair>) -> Vec<ListEntry> {
+        let known = self.feed.endpoints();
+        let mut entries = Vec::new();
+        for KeyValuePair { key, value } in pairs {
+            match key {
+                Key::Endpoint(id) => match parse_endpoint(&id, &value, &self.feed.allowed_names) {
+                    Ok(entry) => entries.push(entry),
+                    Err(error) => {
+                        self.feed.reject(&error.to_string());
+                        // A value that can't be read changes nothing: the endpoint stays as it was.
+                        let as_before = known.iter().find(|endpoint| endpoint.id == id);
+                        entries.extend(as_before.cloned().map(ListEntry::from));
+                    }
+                },
+                Key::Proxy(name) => self.update_proxy(name, Some(&value)),
+            }
+        }
+        entries
+    }
+
+    fn apply_changes(&self, changes: Vec<KeyChange>) {
+        let changes: Vec<RevisionedChange> =
+            changes.into_iter().filter_map(|change| self.read_change(change)).collect();
+        if !changes.is_empty() {
+            self.feed.apply_changes(changes);
+        }
+        self.report_proxy_count();
+    }
+
+    /// The change of an endpoint, if it is one and can be read.
+    fn read_change(&self, KeyChange { revision, key, value }: KeyChange) -> Option<RevisionedChange> {
+        let id = match key {
+            Key::Endpoint(id) => id,
+            Key::Proxy(name) => {
+                self.update_proxy(name, value.as_deref());
+                return None;
+            }
+        };
+        let Some(value) = value else {
+            return Some(RevisionedChange { revision, change: EndpointChange::Removed(id) });
+        };
+        match parse_endpoint(&id, &value, &self.feed.allowed_names) {
+            Ok(entry) => Some(RevisionedChange { revision, change: EndpointChange::Put(entry) }),
+            Err(error) => {
+                self.feed.reject(&error.to_string());
+                None
+            }
+        }
+    }
+
+    /// A proxy's key was written, or is gone.
+    fn update_proxy(&self, name: String, value: Option<&[u8]>) {
+        if let Err(error) = self.live_proxies.borrow_mut().update(name.clone(), value) {
+            self.feed.reject(&format!("proxy {name}: {error}"));
+        }
+    }
+
+    fn report_proxy_count(&self) {
+        if self.announcement.is_some() {
+            // This one counts whether its key is there yet or not.
+            self.feed.observe_proxies(self.live_proxies.borrow().count().max(1));
+        }
+    }
+}
--- /dev/null
+++ b/crates/discovery-etcd/src/source.rs
@@ -0,0 +1,75 @@
+//! The source: connects to one endpoint after the other, and runs a session on each until it ends.
+
+use crate::announcement::Announcement;
+use crate::call::Connection;
+use crate::error::SessionError;
+use crate::live_proxies::LiveProxies;
+use crate::machine::{ConnectAttempt, Machine};
+use chalkwalk_discovery_feed::Feed;
+use chalkwalk_engine::engine::Engine;
+use chalkwalk_time::Span;
+use slog::info;
+use smol::Timer;
+use std::cell::RefCell;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// etcd as the source of a feed.
+pub struct EtcdSource {
+    pub(crate) feed: Rc<Feed>,
+    endpoints: Vec<SocketAddr>,
+    pub(crate) machine: RefCell<Machine>,
+    /// Where proxies count each other.
+    pub(crate) announcement: Option<Announcement>,
+    pub(crate) live_proxies: RefCell<LiveProxies>,
+}
+
+impl EtcdSource {
+    /// A source that reads all keys with the prefix; no connection is opened yet.
+    pub fn new(
+        engine: &Rc<Engine>,
+        feed: Rc<Feed>,
+        endpoints: Vec<SocketAddr>,
+        prefix: &str,
+        announcement: Option<Announcement>,
+    ) -> Rc<EtcdSource> {
+        let machine = RefCell::new(Machine::new(prefix, endpoints.len(), engine.config.seed));
+        Rc::new(EtcdSource { feed, endpoints, machine, announcement, live_proxies: RefCell::default() })
+    }
+
+    /// Never ends.
+    pub async fn follow(self: Rc<EtcdSource>) {
+        let mut attempt = self.machine.borrow().first_attempt();
+        loop {
+            Timer::after(Duration::from(attempt.delay)).await;
+            attempt = self.try_endpoint(attempt.endpoint).await;
+        }
+    }
+
+    /// Uses an endpoint for as long as it can be used; returns the next attempt.
+    async fn try_endpoint(&self, endpoint: usize) -> ConnectAttempt {
+        let engine = &self.feed.engine;
+        let addr = self.endpoints[endpoint];
+        let began = engine.clock.now();
+        let error = match Connection::open(&engine.executor, addr).await {
+            Ok(connection) => self.run_session(&connection).await,
+            Err(error) => error.into(),
+        };
+        self.feed.source_unavailable(&format!("{addr}: {error}"));
+        let took = engine.clock.now() - began;
+        let next = self.next_attempt(&error, took);
+        info!(engine.log, "etcd call failed"; "endpoint" => %addr, "fault" => %error,
+            "took_ms" => took.as_millis(), "next" => %self.endpoints[next.endpoint],
+            "rest_ms" => next.delay.as_millis());
+        next
+    }
+
+    fn next_attempt(&self, error: &SessionError, took: Span) -> ConnectAttempt {
+        let mut machine = self.machine.borrow_mut();
+        match error {
+            SessionError::ListRejected(_) => machine.list_rejected(),
+            _ => machine.connection_failed(took),
+        }
+    }
+}
--- a/crates/discovery-feed/src/feed.rs
+++ b/crates/discovery-feed/src/feed.rs
@@ -1,244 +1,200 @@
-//! From what a source reads to what the engine is told.
+//! From what a source reads to what the engine is notified of.
+//!
+//! A source reports lists, changes and proxy counts here; what it can't read it reports as rejected, and
+//! that it can't be reached as unavailable. The decisions are the reconciler's.
 
 use chalkwalk_engine::api;
 use chalkwalk_engine::engine::Engine;
-use chalkwalk_membership::ListedEndpoint;
-use chalkwalk_membership::count::Count;
 use chalkwalk_membership::format::AllowedNames;
-use chalkwalk_membership::persisted::{Age, PersistedList};
-use chalkwalk_membership::reconcile::{Change, Reconciler, SourceKind, Told};
-use chalkwalk_time::{Span, Timestamp};
+use chalkwalk_membership::proxy_count::ProxyCount;
+use chalkwalk_membership::reconcile::{
+    ListError, ListUpdate, ReconcileEvent, Reconciler, RevisionedChange, SourceKind,
+};
+use chalkwalk_membership::{ListEntry, ListedEndpoint};
+use chalkwalk_time::Timestamp;
 use slog::{info, warn};
 use smol::Timer;
 use smol::channel::{Receiver, Sender, bounded};
 use std::cell::{Cell, RefCell};
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
 
+/// Counts of proxy_count fall by themselves; they are looked at once in so long.
+const COUNT_INTERVAL: Duration = Duration::from_secs(5);
+
+/// The one list of a process, fed by one source.
 pub struct Feed {
+    /// What is notified, with its clock and its log.
     pub engine: Rc<Engine>,
-    pub known: AllowedNames,
+    /// The zones and kinds that the source may name.
+    pub allowed_names: AllowedNames,
     reconciler: RefCell<Reconciler>,
-    count: RefCell<Count>,
-    divided_by: Cell<u64>,
-    keep: Option<PathBuf>,
-    unkept: Cell<bool>, // it changed since it was last written down
-    passed_over: Cell<u64>,
-    lost: Cell<bool>,
-    sooner: Sender<()>,
-    sooner_told: Receiver<()>,
+    proxy_count: RefCell<ProxyCount>,
+    /// By how many proxy_count the balancer divides now.
+    sharing_proxies: Cell<u64>,
+    /// Where the list is persisted, if the operator configures it.
+    pub(crate) persistence_path: Option<PathBuf>,
+    /// Whether the list has changed since it was last written to disk.
+    pub(crate) unpersisted: Cell<bool>,
+    rejections: Cell<u64>,
+    unavailable: Cell<bool>,
+    /// Wakes the timers: the next deadline may be sooner than the one that is waited for.
+    wake_timers: Sender<()>,
+    timers_woken: Receiver<()>,
 }
 
-/// Between two writes to disk: a deploy changes the list several times a second.
-const WRITES: Duration = Duration::from_secs(1);
-
 impl Feed {
-    pub fn new(engine: &Rc<Engine>, trust: SourceKind, keep: Option<PathBuf>) -> Rc<Feed> {
-        let (sooner, sooner_told) = bounded(1);
-        let written = engine.classes.proxy_count();
-        let known = AllowedNames { zones: engine.config.zones.clone(), kinds: engine.config.kinds.clone() };
+    /// A feed of the engine, without any list yet.
+    pub fn new(engine: &Rc<Engine>, source: SourceKind, persistence_path: Option<PathBuf>) -> Rc<Feed> {
+        let (wake_timers, timers_woken) = bounded(1);
+        let configured = engine.classes.proxy_count();
+        let allowed_names =
+            AllowedNames { zones: engine.config.zones.clone(), kinds: engine.config.kinds.clone() };
         Rc::new(Feed {
             engine: engine.clone(),
-            known,
-            reconciler: RefCell::new(Reconciler::new(trust)),
-            count: RefCell::new(Count::new(written)),
-            divided_by: Cell::new(written),
-            keep,
-            unkept: Cell::new(false),
-            passed_over: Cell::new(0),
-            lost: Cell::new(false),
-            sooner,
-            sooner_told,
+            allowed_names,
+            reconciler: RefCell::new(Reconciler::new(source)),
+            proxy_count: RefCell::new(ProxyCount::new(configured)),
+            sharing_proxies: Cell::new(configured),
+            persistence_path,
+            unpersisted: Cell::new(false),
+            rejections: Cell::new(0),
+            unavailable: Cell::new(false),
+            wake_timers,
+            timers_woken,
         })
     }
 
-    /// Tells the engine the list as it was last kept, before any source is asked.
-    pub fn load_persisted(&self) {
-        let Some(path) = &self.keep else { return };
-        let fault = match std::fs::read_to_string(path).map_err(|e| e.to_string()) {
-            Ok(text) => match PersistedList::parse(&text, &self.known) {
-                Ok(kept) => return self.start_from(kept),
-                Err(fault) => fault,
-            },
-            // The first start of all.
-            Err(_) if !path.exists() => return,
-            Err(fault) => fault,
-        };
-        warn!(self.engine.log, "kept list passed over"; "fault" => fault);
-    }
-
-    fn start_from(&self, kept: PersistedList) {
-        let now = self.engine.clock.now();
-        let minutes = now.saturating_since(kept.at) / Span::from_secs(60);
-        let count = kept.lines.len();
-        match kept.age(now) {
-            Age::TooOld => {
-                return warn!(self.engine.log, "kept list passed over"; "fault" => "too old", "minutes" => minutes);
-            }
-            Age::Old => warn!(self.engine.log, "kept list is old"; "minutes" => minutes, "caches" => count),
-            Age::Young => info!(self.engine.log, "kept list taken"; "minutes" => minutes, "caches" => count),
-        }
-        let lines = kept.lines.into_iter().map(|line| (line, false)).collect();
-        _ = self.whole(kept.revision, lines);
-        self.unkept.set(false);
-    }
-
     /// As of which revision the list is known.
     pub fn revision(&self) -> u64 {
         self.reconciler.borrow().revision()
     }
 
-    /// The list as the engine was told it.
+    /// The list as the engine was notified of it.
     pub fn endpoints(&self) -> Vec<ListedEndpoint> {
-        self.reconciler.borrow().lines()
+        self.reconciler.borrow().endpoints()
     }
 
-    /// The whole list as of a revision; each line says whether it is back on purpose. An error is a plain sentence, is in
-    /// the log, and nothing was taken.
-    pub fn whole(&self, revision: u64, lines: Vec<(ListedEndpoint, bool)>) -> Result<(), String> {
-        let told = self.reconciler.borrow_mut().whole(self.engine.clock.now(), revision, lines);
-        match told {
-            Ok(told) => {
-                self.tell(told);
+    /// Applies the whole list as of a revision. An error is in the log already; nothing was applied then
+    /// but the drains.
+    pub fn apply_list(&self, revision: u64, entries: Vec<ListEntry>) -> Result<(), ListError> {
+        let applied = self.reconciler.borrow_mut().apply_list(self.now(), revision, entries);
+        match applied {
+            Ok(update) => {
+                self.publish(update);
                 Ok(())
             }
-            Err(fault) => {
-                self.pass_over(&fault);
-                // Drains in it hold all the same.
-                let told = self.reconciler.borrow_mut().tick(self.engine.clock.now());
-                self.tell(told);
-                Err(fault)
+            Err(error) => {
+                self.reject(&error.to_string());
+                self.tick();
+                Err(error)
             }
         }
     }
 
-    /// What the source says from now on is of another history.
-    pub fn another_history(&self) {
+    /// What the source reports from now on is of another history.
+    pub fn history_changed(&self) {
         warn!(self.engine.log, "another history, and doubted");
-        self.reconciler.borrow_mut().another_history(self.engine.clock.now());
+        self.reconciler.borrow_mut().history_changed(self.now());
     }
 
-    /// What changed, each with its revision, in order.
-    pub fn changes(&self, changes: Vec<(u64, Change)>) {
-        let told = self.reconciler.borrow_mut().changes(self.engine.clock.now(), changes);
-        self.tell(told);
+    /// Applies changes, in order.
+    pub fn apply_changes(&self, changes: Vec<RevisionedChange>) {
+        let update = self.reconciler.borrow_mut().apply_changes(self.now(), changes);
+        self.publish(update);
     }
 
-    /// Nothing changed up to here.
-    pub fn reached(&self, revision: u64) {
-        self.reconciler.borrow_mut().reached(revision);
-        self.heard();
+    /// Nothing changed up to this revision.
+    pub fn advance_to(&self, revision: u64) {
+        self.reconciler.borrow_mut().advance_to(revision);
+        self.source_available();
     }
 
-    /// Something that the source said can't be used: each is a line and a count.
-    pub fn pass_over(&self, fault: &str) {
-        self.passed_over.set(self.passed_over.get() + 1);
-        for fault in fault.lines() {
-            warn!(self.engine.log, "list passed over"; "fault" => fault, "passed_over" => self.passed_over.get());
+    /// Something that the source reported can't be used: it is counted, and each line of the reason logged.
+    pub fn reject(&self, reason: &str) {
+        let rejections = self.rejections.get() + 1;
+        self.rejections.set(rejections);
+        for line in reason.lines() {
+            warn!(self.engine.log, "list passed over"; "fault" => line, "passed_over" => rejections);
         }
     }
 
-    /// The source can't be had; said once until it is heard again.
-    pub fn lost(&self, fault: &str) {
-        if !self.lost.replace(true) {
-            warn!(self.engine.log, "list lost"; "fault" => fault);
+    /// The source can't be reached; logged once until it is available again.
+    pub fn source_unavailable(&self, reason: &str) {
+        if !self.unavailable.replace(true) {
+            warn!(self.engine.log, "list lost"; "fault" => reason);
         }
     }
 
-    fn heard(&self) {
-        if self.lost.replace(false) {
+    fn source_available(&self) {
+        if self.unavailable.replace(false) {
             info!(self.engine.log, "list heard again");
         }
     }
 
-    /// So many proxies are live by what the source says.
-    pub fn counted(&self, live: u64) {
-        self.count.borrow_mut().counted(self.engine.clock.now(), live);
-        self.divide();
+    /// So many proxy_count are live as the source has it, this one included.
+    pub fn observe_proxies(&self, live: u64) {
+        self.proxy_count.borrow_mut().observe(self.now(), live);
+        self.update_sharing();
     }
 
-    fn divide(&self) {
-        let now_by = self.count.borrow_mut().holds(self.engine.clock.now());
-        if self.divided_by.replace(now_by) != now_by {
-            info!(self.engine.log, "caches shared by"; "proxies" => now_by);
-            api::set_proxy_count(&self.engine, now_by);
+    fn update_sharing(&self) {
+        let proxy_count = self.proxy_count.borrow_mut().effective(self.now());
+        if self.sharing_proxies.replace(proxy_count) != proxy_count {
+            info!(self.engine.log, "caches shared by"; "proxy_count" => proxy_count);
+            api::set_proxy_count(&self.engine, proxy_count);
         }
     }
 
-    fn tell(&self, told: Told) {
-        self.heard();
-        for (event, server) in &told.notes {
-            match server.as_str() {
-                "" => warn!(self.engine.log, "{}", event),
-                server => warn!(self.engine.log, "{}", event; "cache" => server),
-            }
+    fn publish(&self, update: ListUpdate) {
+        self.source_available();
+        update.events.iter().for_each(|event| self.log(event));
+        if update.replaces_all || !update.endpoints.is_empty() {
+            self.unpersisted.set(true);
+            // Staleness is the reconciler's concern: the engine takes what it decided.
+            let doubted = false;
+            api::apply_endpoint_list(&self.engine, &update.endpoints, update.replaces_all, doubted);
         }
-        if told.whole || !told.lines.is_empty() {
-            self.unkept.set(true);
-            api::apply_endpoint_list(&self.engine, &told.lines, told.whole, false);
+        _ = self.wake_timers.try_send(());
+    }
+
+    fn log(&self, event: &ReconcileEvent) {
+        match event.endpoint_id() {
+            Some(id) => warn!(self.engine.log, "{}", event.message(); "cache" => id),
+            None => warn!(self.engine.log, "{}", event.message()),
         }
-        // What is due may be sooner than what is waited for.
-        _ = self.sooner.try_send(());
     }
 
-    fn due(&self) -> Option<Timestamp> {
-        self.reconciler.borrow().due()
+    fn next_deadline(&self) -> Option<Timestamp> {
+        self.reconciler.borrow().next_deadline()
     }
 
-    /// What time alone brings; never ends.
+    fn tick(&self) {
+        let update = self.reconciler.borrow_mut().tick(self.now());
+        self.publish(update);
+    }
+
+    /// Applies what time alone changes; never ends.
     pub async fn run_timers(self: Rc<Feed>) {
         loop {
-            let wait = self.due().map(|due| due.saturating_since(self.engine.clock.now()));
-            // Counts fall by themselves, looked at once in a while.
-            let wait = Duration::from(wait.unwrap_or(Span::MAX / 2)).min(Duration::from_secs(5));
-            _ = smol::future::or(async { _ = Timer::after(wait).await }, async {
-                _ = self.sooner_told.recv().await;
-            })
-            .await;
-            if self.due().is_some_and(|due| due <= self.engine.clock.now()) {
-                let told = self.reconciler.borrow_mut().tick(self.engine.clock.now());
-                self.tell(told);
+            self.wait_for_deadline().await;
+            if self.next_deadline().is_some_and(|deadline| deadline <= self.now()) {
+                self.tick();
             }
-            self.divide();
+            self.update_sharing();
         }
     }
 
-    /// Writes the list down whenever it has changed; never ends.
-    pub async fn persist_changes(self: Rc<Feed>) {
-        let Some(path) = self.keep.clone() else { return };
-        let mut failed = false;
-        loop {
-            Timer::after(WRITES).await;
-            if !self.unkept.replace(false) {
-                continue;
-            }
-            let kept = PersistedList {
-                at: self.engine.clock.now(),
-                revision: self.revision(),
-                lines: self.endpoints(),
-            };
-            let (to, text) = (path.clone(), kept.to_text());
-            match smol::unblock(move || write_down(&to, &text)).await {
-                Ok(()) => failed = false,
-                Err(e) => {
-                    self.unkept.set(true);
-                    if !std::mem::replace(&mut failed, true) {
-                        warn!(self.engine.log, "list not kept"; "fault" => %e);
-                    }
-                }
-            }
-        }
+    async fn wait_for_deadline(&self) {
+        let wait = self.next_deadline().map(|deadline| deadline.saturating_since(self.now()));
+        let wait = wait.map_or(COUNT_INTERVAL, |wait| Duration::from(wait).min(COUNT_INTERVAL));
+        let elapsed = async { _ = Timer::after(wait).await };
+        let woken = async { _ = self.timers_woken.recv().await };
+        smol::future::or(elapsed, woken).await;
     }
-}
 
-/// Whole or not at all, whenever the machine stops: beside it, to the disk, and then in its place.
-fn write_down(path: &Path, text: &str) -> std::io::Result<()> {
-    use std::io::Write;
-    let mut beside = path.to_path_buf().into_os_string();
-    beside.push(format!(".{}", std::process::id()));
-    let mut file = std::fs::File::create(&beside)?;
-    file.write_all(text.as_bytes())?;
-    file.sync_all()?;
-    std::fs::rename(&beside, path)
+    pub(crate) fn now(&self) -> Timestamp {
+        self.engine.clock.now()
+    }
 }
--- a/crates/discovery-feed/src/lib.rs
+++ b/crates/discovery-feed/src/lib.rs
@@ -1,11 +1,13 @@
-//! Sources of the list beside the platform's own. `feed` is what they share: they hand it what they read, it has it reconciled,
-//! tells the engine, logs, keeps the list on disk and counts proxies. `file` is one of them, a watched file.
+//! Sources of the endpoint list beside the platform's own. [`Feed`] is what they share: they hand it
+//! what they read; it has it reconciled, notifies the engine, logs, persists the list and counts
+//! proxy_count. [`FileSource`] is one of them, a watched file.
 //!
-//! It may use `engine`, `membership`, smol and slog. A door never enters it, nor the wire of a source that speaks a protocol:
-//! such a source is a package of its own that ends in a feed.
+//! This crate may use `engine`, `membership`, smol and slog. No frontend enters it, nor the protocol of
+//! a source that speaks one: such a source is a crate of its own that ends in a feed.
 
 mod feed;
 mod file;
+mod persistence;
 
 pub use feed::Feed;
 pub use file::FileSource;
--- /dev/null
+++ b/crates/discovery-feed/src/persistence.rs
@@ -0,0 +1,102 @@
+//! The list on disk: read at the start, before any source responds, and written whenever it changed.
+
+use crate::feed::Feed;
+use chalkwalk_membership::ListEntry;
+use chalkwalk_membership::format::AllowedNames;
+use chalkwalk_membership::persisted::{Freshness, PersistedList, PersistedListError};
+use chalkwalk_time::Span;
+use slog::{info, warn};
+use smol::Timer;
+use std::io::Write;
+use std::path::Path;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// Between two writes to disk: a deploy changes the list several times a second.
+const WRITE_INTERVAL: Duration = Duration::from_secs(1);
+const MINUTE: Span = Span::from_secs(60);
+
+/// Why a persisted list can't be loaded.
+#[derive(Debug, thiserror::Error)]
+enum LoadError {
+    #[error(transparent)]
+    Io(#[from] std::io::Error),
+    #[error(transparent)]
+    List(#[from] PersistedListError),
+}
+
+impl Feed {
+    /// Notifies the engine of the list as it was last persisted, before any source responds.
+    pub fn load_persisted(&self) {
+        let Some(path) = &self.persistence_path else { return };
+        match load(path, &self.allowed_names) {
+            Ok(list) => self.apply_persisted(list),
+            // The first start of all.
+            Err(LoadError::Io(_)) if !path.exists() => {}
+            Err(error) => warn!(self.engine.log, "kept list passed over"; "fault" => %error),
+        }
+    }
+
+    fn apply_persisted(&self, list: PersistedList) {
+        let now = self.now();
+        let minutes = now.saturating_since(list.at) / MINUTE;
+        let count = list.endpoints.len();
+        let log = &self.engine.log;
+        match list.freshness(now) {
+            Freshness::Expired => {
+                warn!(log, "kept list passed over"; "fault" => "too old", "minutes" => minutes);
+                return;
+            }
+            Freshness::Stale => warn!(log, "kept list is old"; "minutes" => minutes, "caches" => count),
+            Freshness::Fresh => info!(log, "kept list taken"; "minutes" => minutes, "caches" => count),
+        }
+        let entries = list.endpoints.into_iter().map(ListEntry::from).collect();
+        // An error is in the log; the source's own list follows.
+        _ = self.apply_list(list.revision, entries);
+        self.unpersisted.set(false);
+    }
+
+    /// Writes the list to disk whenever it has changed; never ends, unless there is nowhere to write to.
+    pub async fn persist_changes(self: Rc<Feed>) {
+        let Some(path) = self.persistence_path.clone() else { return };
+        let mut failing = false;
+        loop {
+            Timer::after(WRITE_INTERVAL).await;
+            if !self.unpersisted.replace(false) {
+                continue;
+            }
+            let target = path.clone();
+            let text = self.persisted_list().to_text();
+            match smol::unblock(move || write_atomically(&target, &text)).await {
+                Ok(()) => failing = false,
+                Err(error) => {
+                    self.unpersisted.set(true);
+                    if !failing {
+                        warn!(self.engine.log, "list not kept"; "fault" => %error);
+                    }
+                    failing = true;
+                }
+            }
+        }
+    }
+
+    fn persisted_list(&self) -> PersistedList {
+        PersistedList { at: self.now(), revision: self.revision(), endpoints: self.endpoints() }
+    }
+}
+
+fn load(path: &Path, allowed: &AllowedNames) -> Result<PersistedList, LoadError> {
+    let text = std::fs::read_to_string(path)?;
+    Ok(PersistedList::parse(&text, allowed)?)
+}
+
+/// Whole or not at all, whenever the machine stops: into a file beside it, to the disk, and then in its
+/// place.
+fn write_atomically(path: &Path, text: &str) -> std::io::Result<()> {
+    let mut temporary = path.to_path_buf().into_os_string();
+    temporary.push(format!(".{}", std::process::id()));
+    let mut file = std::fs::File::create(&temporary)?;
+    file.write_all(text.as_bytes())?;
+    file.sync_all()?;
+    std::fs::rename(&temporary, path)
+}
--- /dev/null
+++ b/crates/membership/tests/persisted.rs
@@ -0,0 +1,46 @@
+//! The persisted list's stored form and its age.
+
+use chalkwalk_balancer::EndpointStatus;
+use chalkwalk_membership::ListedEndpoint;
+use chalkwalk_membership::format::AllowedNames;
+use chalkwalk_membership::persisted::{Freshness, PersistedList};
+use chalkwalk_time::{Span, Timestamp};
+
+const HOUR: Span = Span::from_secs(3_600);
+
+#[test]
+fn a_list_parses_back_unless_any_byte_is_missing_or_altered() {
+    let endpoint = |id: &str, status| ListedEndpoint {
+        id: id.into(),
+        addr: "127.0.0.1:3000".parse().unwrap(),
+        zone: "n".into(),
+        kind: String::new(),
+        cell: 3,
+        size: 150,
+        status,
+        born: Timestamp::from_ticks(170),
+    };
+    let endpoints = vec![endpoint("a", EndpointStatus::Ready), endpoint("b \"c\"", EndpointStatus::Draining)];
+    let list = PersistedList { at: Timestamp::ZERO + 100 * HOUR, revision: 9, endpoints };
+    let (text, allowed) = (list.to_text(), AllowedNames::default());
+    assert_eq!(PersistedList::parse(&text, &allowed).unwrap(), list);
+    assert_eq!(PersistedList::parse(&text, &allowed).unwrap().to_text(), text);
+    for at in 0..text.len() {
+        assert!(PersistedList::parse(&text[..at], &allowed).is_err());
+        let mut altered = text.clone().into_bytes();
+        altered[at] ^= 1;
+        assert!(PersistedList::parse(&String::from_utf8(altered).unwrap(), &allowed).is_err(), "{at}");
+    }
+    let freshness = [99, 100, 101, 102, 124, 125].map(|h| list.freshness(Timestamp::ZERO + h * HOUR));
+    assert_eq!(
+        freshness,
+        [
+            Freshness::Expired,
+            Freshness::Fresh,
+            Freshness::Fresh,
+            Freshness::Stale,
+            Freshness::Stale,
+            Freshness::Expired
+        ]
+    );
+}
--- a/crates/membership/tests/reconcile.rs
+++ b/crates/membership/tests/reconcile.rs
@@ -1,8 +1,10 @@
-//! What a source says in whatever order and with whatever breaks, and what the core is told of it.
+//! What a source reports in whatever order and with whatever breaks, and what the engine is notified of.
 
 use chalkwalk_balancer::EndpointStatus;
-use chalkwalk_membership::ListedEndpoint;
-use chalkwalk_membership::reconcile::{Change, Reconciler, SourceKind, Told};
+use chalkwalk_membership::reconcile::{
+    EndpointChange, ListUpdate, ReconcileEvent, Reconciler, RevisionedChange, SourceKind,
+};
+use chalkwalk_membership::{ListEntry, ListedEndpoint};
 use chalkwalk_time::{Span, Timestamp};
 use expect_test::expect;
 use proptest::prelude::*;
@@ -16,7 +18,7 @@
     Timestamp::from_ticks(ticks)
 }
 
-fn line(id: &str, status: EndpointStatus, born: u64) -> ListedEndpoint {
+fn endpoint(id: &str, status: EndpointStatus, born: u64) -> ListedEndpoint {
     let addr = "127.0.0.1:3000".parse().unwrap();
     ListedEndpoint {
         id: id.into(),
@@ -30,92 +32,104 @@
     }
 }
 
-fn on(id: &str, born: u64) -> (ListedEndpoint, bool) {
-    (line(id, EndpointStatus::Ready, born), false)
+fn ready(id: &str, born: u64) -> ListEntry {
+    endpoint(id, EndpointStatus::Ready, born).into()
 }
 
-fn off(id: &str, born: u64) -> (ListedEndpoint, bool) {
-    (line(id, EndpointStatus::Draining, born), false)
+fn draining(id: &str, born: u64) -> ListEntry {
+    endpoint(id, EndpointStatus::Draining, born).into()
 }
 
-fn put((line, back): (ListedEndpoint, bool)) -> Change {
-    Change::Put { line, back }
+fn put(revision: u64, entry: ListEntry) -> RevisionedChange {
+    RevisionedChange { revision, change: EndpointChange::Put(entry) }
 }
 
-/// A reconciler, and a trace of what it tells.
-struct Desk(Reconciler, String);
+fn removed(revision: u64, id: &str) -> RevisionedChange {
+    RevisionedChange { revision, change: EndpointChange::Removed(id.into()) }
+}
+
+/// A reconciler, and a trace of its updates.
+struct Trace {
+    reconciler: Reconciler,
+    text: String,
+}
 
-impl Desk {
-    fn new(trust: SourceKind) -> Desk {
-        Desk(Reconciler::new(trust), String::new())
+impl Trace {
+    fn new(source: SourceKind) -> Trace {
+        Trace { reconciler: Reconciler::new(source), text: String::new() }
     }
 
-    fn note(&mut self, now: u64, told: Told) {
-        let line = |l: &ListedEndpoint| format!(" {}:{:?}@{}", l.id, l.status, l.born);
-        let lines: String = told.lines.iter().map(line).collect();
-        let notes: String = told.notes.iter().map(|(event, id)| format!(" ({event} {id})")).collect();
-        let whole = if told.whole { " whole" } else { "" };
-        let text = format!("{} s{whole}{lines}{notes}", now / S);
-        self.1 += text.trim_end();
-        self.1 += "\n";
+    fn record(&mut self, now: u64, update: ListUpdate) {
+        let endpoint = |e: &ListedEndpoint| format!(" {}:{:?}@{}", e.id, e.status, e.born);
+        let endpoints: String = update.endpoints.iter().map(endpoint).collect();
+        let event = |e: &ReconcileEvent| format!(" ({} {})", e.message(), e.endpoint_id().unwrap_or(""));
+        let events: String = update.events.iter().map(event).collect();
+        let whole = if update.replaces_all { " whole" } else { "" };
+        let text = format!("{} s{whole}{endpoints}{events}", now / S);
+        self.text += text.trim_end();
+        self.text += "\n";
     }
 
-    fn whole(&mut self, now: u64, revision: u64, lines: Vec<(ListedEndpoint, bool)>) {
-        match self.0.whole(at(now), revision, lines) {
-            Ok(told) => self.note(now, told),
-            Err(fault) => self.1 += &format!("{} s {fault}\n", now / S),
+    fn list(&mut self, now: u64, revision: u64, entries: Vec<ListEntry>) {
+        match self.reconciler.apply_list(at(now), revision, entries) {
+            Ok(update) => self.record(now, update),
+            Err(error) => self.text += &format!("{} s {error}\n", now / S),
         }
     }
 
-    fn changes(&mut self, now: u64, changes: Vec<(u64, Change)>) {
-        let told = self.0.changes(at(now), changes);
-        self.note(now, told);
+    fn changes(&mut self, now: u64, changes: Vec<RevisionedChange>) {
+        let update = self.reconciler.apply_changes(at(now), changes);
+        self.record(now, update);
+    }
+
+    fn tick(&mut self, now: u64) {
+        let update = self.reconciler.tick(at(now));
+        self.record(now, update);
     }
 
-    fn pass(&mut self) -> u64 {
-        let due = self.0.due().expect("something is due");
-        let told = self.0.tick(due);
-        self.note(due.ticks(), told);
-        due.ticks()
+    /// Lets time pass until the next deadline, and returns it.
+    fn tick_when_due(&mut self) -> u64 {
+        let due = self.reconciler.next_deadline().expect("something is due").ticks();
+        self.tick(due);
+        due
     }
 }
 
 #[test]
 fn a_drain_in_one_batch_with_returns_is_taken_in_order() {
-    let mut d = Desk::new(SourceKind::Revisioned);
-    d.whole(0, 5, vec![on("a", 1), off("b", 1), on("c", 1), on("d", 1)]);
+    let mut trace = Trace::new(SourceKind::Revisioned);
+    trace.list(0, 5, vec![ready("a", 1), draining("b", 1), ready("c", 1), ready("d", 1)]);
     // a drains while b returns; c drains and is back as another process; d is gone and back.
-    let gone = Change::Gone("d".into());
-    d.changes(
+    trace.changes(
         S,
         vec![
-            (6, put(off("a", 1))),
-            (7, put(on("b", 9))),
-            (8, put(off("c", 1))),
-            (8, gone),
-            (9, put(on("c", 9))),
-            (9, put(on("d", 1))),
+            put(6, draining("a", 1)),
+            put(7, ready("b", 9)),
+            put(8, draining("c", 1)),
+            removed(8, "d"),
+            put(9, ready("c", 9)),
+            put(9, ready("d", 1)),
         ],
     );
-    // Told again after a resume: nothing new.
-    d.changes(2 * S, vec![(6, put(on("a", 1))), (9, put(on("c", 9)))]);
+    // Delivered again after a resume: nothing new.
+    trace.changes(2 * S, vec![put(6, ready("a", 1)), put(9, ready("c", 9))]);
     expect![[r#"
           0 s whole a:Ready@1 b:Draining@1 c:Ready@1 d:Ready@1
           1 s a:Draining@1 b:Ready@9 c:Ready@9
           2 s
     "#]]
-    .assert_eq(&d.1);
+    .assert_eq(&trace.text);
 }
 
 #[test]
 fn an_old_list_brings_nothing_back_and_takes_nothing_away() {
-    let mut d = Desk::new(SourceKind::Revisioned);
-    d.whole(0, 10, vec![on("a", 1), off("b", 1), on("c", 1), on("d", 1)]);
+    let mut trace = Trace::new(SourceKind::Revisioned);
+    trace.list(0, 10, vec![ready("a", 1), draining("b", 1), ready("c", 1), ready("d", 1)]);
     // A state of before b's drain and d's start; b as another process is another matter.
-    let old = || vec![on("a", 1), on("b", 1), on("c", 1)];
-    (1..5).for_each(|i| d.whole(i * S, 4, old()));
-    d.changes(6 * S, vec![(5, put(on("b", 7)))]);
-    assert_eq!(d.pass(), 64 * S);
+    let old = || vec![ready("a", 1), ready("b", 1), ready("c", 1)];
+    (1..5).for_each(|i| trace.list(i * S, 4, old()));
+    trace.changes(6 * S, vec![put(5, ready("b", 7))]);
+    assert_eq!(trace.tick_when_due(), 64 * S);
     expect![[r#"
         0 s whole a:Ready@1 b:Draining@1 c:Ready@1 d:Ready@1
         1 s an old list, 4 after 10
@@ -125,22 +139,21 @@
         6 s b:Ready@7
         64 s d:Gone@1
     "#]]
-    .assert_eq(&d.1);
+    .assert_eq(&trace.text);
 }
 
 #[test]
-fn another_history_is_doubted_whatever_its_revisions_and_drains_of_a_refused_list_hold() {
-    let mut d = Desk::new(SourceKind::Revisioned);
-    d.whole(0, 10, vec![on("a", 1), off("b", 1), on("c", 1), on("d", 3)]);
-    // Refused as old, and yet a drain is a drain; but not that of d's process before.
-    d.whole(S, 8, vec![on("a", 1), on("b", 1), off("c", 1), off("d", 2)]);
-    let told = d.0.tick(Timestamp::from_ticks(S));
-    d.note(S, told);
+fn another_history_is_stale_whatever_its_revisions_and_drains_of_a_rejected_list_hold() {
+    let mut trace = Trace::new(SourceKind::Revisioned);
+    trace.list(0, 10, vec![ready("a", 1), draining("b", 1), ready("c", 1), ready("d", 3)]);
+    // Rejected as old, and yet a drain is a drain; but not that of d's process before.
+    trace.list(S, 8, vec![ready("a", 1), ready("b", 1), draining("c", 1), draining("d", 2)]);
+    trace.tick(S);
     // Restored from a backup, and by now past the revision that was known.
-    d.0.another_history(Timestamp::from_ticks(2 * S));
-    d.whole(2 * S, 30, vec![on("a", 1), on("b", 1), off("c", 1)]);
-    d.changes(3 * S, vec![(31, put(off("a", 1))), (32, put(on("b", 2)))]);
-    assert_eq!(d.pass(), 62 * S);
+    trace.reconciler.history_changed(at(2 * S));
+    trace.list(2 * S, 30, vec![ready("a", 1), ready("b", 1), draining("c", 1)]);
+    trace.changes(3 * S, vec![put(31, draining("a", 1)), put(32, ready("b", 2))]);
+    assert_eq!(trace.tick_when_due(), 62 * S);
     expect![[r#"
         0 s whole a:Ready@1 b:Draining@1 c:Ready@1 d:Ready@3
         1 s an old list, 8 after 10
@@ -149,19 +162,19 @@
         3 s a:Draining@1 b:Ready@2
         62 s d:Gone@3
     "#]]
-    .assert_eq(&d.1);
+    .assert_eq(&trace.text);
 }
 
 #[test]
 fn a_file_that_still_lists_a_drained_server_does_not_bring_it_back() {
-    let mut d = Desk::new(SourceKind::Assembled);
-    d.whole(0, 1, vec![on("a", 1), on("b", 0)]);
-    d.whole(S, 2, vec![off("a", 1), off("b", 0)]);
-    d.whole(2 * S, 3, vec![on("a", 1), on("b", 0)]);
-    d.whole(3 * S, 4, vec![on("a", 5), (line("b", EndpointStatus::Ready, 0), true)]);
+    let mut trace = Trace::new(SourceKind::Assembled);
+    trace.list(0, 1, vec![ready("a", 1), ready("b", 0)]);
+    trace.list(S, 2, vec![draining("a", 1), draining("b", 0)]);
+    trace.list(2 * S, 3, vec![ready("a", 1), ready("b", 0)]);
+    trace.list(3 * S, 4, vec![ready("a", 5), ListEntry { reinstated: true, ..ready("b", 0) }]);
     // Gone by the file and back without a drain: that is what its writer wants.
-    d.whole(4 * S, 5, vec![on("b", 0)]);
-    d.whole(5 * S, 6, vec![on("a", 5), on("b", 0)]);
+    trace.list(4 * S, 5, vec![ready("b", 0)]);
+    trace.list(5 * S, 6, vec![ready("a", 5), ready("b", 0)]);
     expect![[r#"
           0 s whole a:Ready@1 b:Ready@0
           1 s a:Draining@1 b:Draining@0
@@ -170,27 +183,27 @@
           4 s a:Gone@5
           5 s a:Ready@5
     "#]]
-    .assert_eq(&d.1);
+    .assert_eq(&trace.text);
 }
 
 #[test]
-fn a_list_suddenly_short_is_doubted_for_a_while_and_drains_in_it_hold() {
-    let all = || ["a", "b", "c", "d"].map(|id| on(id, 1)).to_vec();
-    let mut d = Desk::new(SourceKind::Revisioned);
-    d.whole(0, 1, all());
-    d.whole(S, 2, vec![off("d", 1)]);
-    d.changes(2 * S, vec![(3, put(on("a", 1)))]);
-    d.changes(3 * S, vec![(4, put(off("b", 1)))]);
-    assert_eq!(d.pass(), 31 * S);
+fn a_mass_removal_is_held_back_for_a_while_and_drains_in_it_hold() {
+    let all = || ["a", "b", "c", "d"].map(|id| ready(id, 1)).to_vec();
+    let mut trace = Trace::new(SourceKind::Revisioned);
+    trace.list(0, 1, all());
+    trace.list(S, 2, vec![draining("d", 1)]);
+    trace.changes(2 * S, vec![put(3, ready("a", 1))]);
+    trace.changes(3 * S, vec![put(4, draining("b", 1))]);
+    assert_eq!(trace.tick_when_due(), 31 * S);
     // One at a time, as leases run out: the third within ten seconds is one too many.
-    d.whole(100 * S, 5, all());
+    trace.list(100 * S, 5, all());
     for (i, id) in ["a", "b", "c"].iter().enumerate() {
-        d.changes((110 + i as u64) * S, vec![(6 + i as u64, Change::Gone(id.to_string()))]);
+        trace.changes((110 + i as u64) * S, vec![removed(6 + i as u64, id)]);
     }
-    d.whole(120 * S, 9, all());
-    // Announced ahead, all may go at once.
-    d.whole(200 * S, 10, ["a", "b", "c", "d"].map(|id| off(id, 1)).to_vec());
-    d.whole(201 * S, 11, vec![]);
+    trace.list(120 * S, 9, all());
+    // Drained before, all may go at once.
+    trace.list(200 * S, 10, ["a", "b", "c", "d"].map(|id| draining(id, 1)).to_vec());
+    trace.list(201 * S, 11, vec![]);
     expect![[r#"
         0 s whole a:Ready@1 b:Ready@1 c:Ready@1 d:Ready@1
         1 s d:Draining@1 (list suddenly short, missing caches kept for now )
@@ -205,21 +218,21 @@
         200 s a:Draining@1 b:Draining@1 c:Draining@1 d:Draining@1
         201 s a:Gone@1 b:Gone@1 c:Gone@1 d:Gone@1
     "#]]
-    .assert_eq(&d.1);
+    .assert_eq(&trace.text);
 }
 
 #[test]
-fn a_server_that_flaps_comes_back_later_each_time_and_goes_at_once() {
-    let mut d = Desk::new(SourceKind::Revisioned);
-    d.whole(0, 1, vec![on("a", 1), on("b", 1)]);
+fn a_flapping_server_returns_later_each_time_and_goes_at_once() {
+    let mut trace = Trace::new(SourceKind::Revisioned);
+    trace.list(0, 1, vec![ready("a", 1), ready("b", 1)]);
     for i in 1..=5 {
-        d.changes(2 * i * S, vec![(10 * i, put(off("a", i)))]);
-        d.changes((2 * i + 1) * S, vec![(10 * i + 1, put(on("a", i + 1)))]);
+        trace.changes(2 * i * S, vec![put(10 * i, draining("a", i))]);
+        trace.changes((2 * i + 1) * S, vec![put(10 * i + 1, ready("a", i + 1))]);
     }
-    assert_eq!(d.pass(), 21 * S);
+    assert_eq!(trace.tick_when_due(), 21 * S);
     // Steady for long: it is as any other.
-    d.changes(200 * S, vec![(100, put(off("a", 6)))]);
-    d.changes(201 * S, vec![(101, put(on("a", 7)))]);
+    trace.changes(200 * S, vec![put(100, draining("a", 6))]);
+    trace.changes(201 * S, vec![put(101, ready("a", 7))]);
     expect![[r#"
         0 s whole a:Ready@1 b:Ready@1
         2 s a:Draining@1
@@ -236,22 +249,23 @@
         200 s a:Draining@6
         201 s a:Ready@7
     "#]]
-    .assert_eq(&d.1);
+    .assert_eq(&trace.text);
 }
 
 // ---- any order, any breaks ----
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// So many of the source's events, in one batch.
+    /// So many of the source's changes, in one batch.
     Batch(usize),
     /// A break: the whole list as of now.
-    Whole,
+    List,
     /// The whole list of so many revisions ago.
-    Old(u64),
-    /// A resume that tells so many events again.
-    Again(usize),
-    Pass(u64),
+    OldList(u64),
+    /// A resume that delivers so many changes again.
+    Redelivery(usize),
+    /// So many ticks pass.
+    Wait(u64),
 }
 
 fn event() -> impl Strategy<Value = (usize, u8)> {
@@ -261,10 +275,10 @@
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         4 => (1usize..5).prop_map(Step::Batch),
-        1 => Just(Step::Whole),
-        1 => (1u64..6).prop_map(Step::Old),
-        1 => (1usize..4).prop_map(Step::Again),
-        2 => (1..S).prop_map(Step::Pass),
+        1 => Just(Step::List),
+        1 => (1u64..6).prop_map(Step::OldList),
+        1 => (1usize..4).prop_map(Step::Redelivery),
+        2 => (1..S).prop_map(Step::Wait),
     ]
 }
 
@@ -273,10 +287,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 3000, rng_seed: RngSeed::Fixed(1), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// The same events in whatever batches, with whatever breaks, old lists and repeats between, end in the source's own
-    /// list, and at no moment is a server in service whose newest word is a drain.
+    /// The same changes in whatever batches, with whatever breaks, old lists and repeats between, end in the source's own
+    /// list, and at no moment is a server in service whose newest known state is a drain.
     #[test]
-    fn any_order_ends_in_the_same_list_and_never_serves_what_is_drained(
+    fn any_order_ends_in_the_same_list_and_never_serves_a_drained_server(
         events in proptest::collection::vec(event(), 1..40),
         steps in proptest::collection::vec(step(), 1..40),
     ) {
@@ -284,73 +298,87 @@
         let mut states = vec![State::new()];
         let mut changes = Vec::new();
         for (i, (server, kind)) in events.iter().enumerate() {
-            let (id, mut state) = (format!("c{server}"), states[i].clone());
-            let born = state.get(&id).map_or(i as u64 + 1, |l| l.born.ticks());
+            let id = format!("c{server}");
+            let mut state = states[i].clone();
+            let revision = i as u64 + 1;
+            let born = state.get(&id).map_or(revision, |endpoint| endpoint.born.ticks());
             let change = match kind {
-                0 => put(off(&id, born)),
-                1 => put(on(&id, born)),
-                2 => put(on(&id, i as u64 + 1)),
-                _ => Change::Gone(id.clone()),
+                0 => put(revision, draining(&id, born)),
+                1 => put(revision, ready(&id, born)),
+                2 => put(revision, ready(&id, revision)),
+                _ => removed(revision, &id),
             };
-            match &change {
-                Change::Put { line, .. } => _ = state.insert(id, line.clone()),
-                Change::Gone(id) => _ = state.remove(id),
+            match &change.change {
+                EndpointChange::Put(entry) => _ = state.insert(id, entry.endpoint.clone()),
+                EndpointChange::Removed(id) => _ = state.remove(id),
             }
             states.push(state);
-            changes.push((i as u64 + 1, change));
+            changes.push(change);
         }
-        let whole = |revision: usize| states[revision].values().map(|l| (l.clone(), false)).collect::<Vec<_>>();
-        let (mut r, mut now, mut at, mut heard) = (Reconciler::new(SourceKind::Revisioned), at(S), 0, 0);
-        let mut seen = State::new();
-        let mut hear = |told: &Told| {
-            if told.whole {
-                seen.clear();
+        let list = |revision: usize| -> Vec<ListEntry> {
+            states[revision].values().map(|endpoint| endpoint.clone().into()).collect()
+        };
+        let mut reconciler = Reconciler::new(SourceKind::Revisioned);
+        let mut now = at(S);
+        // The revision that was delivered last, and the highest so far.
+        let mut delivered = 0;
+        let mut highest = 0;
+        let mut view = State::new();
+        let mut apply = |update: &ListUpdate| {
+            if update.replaces_all {
+                view.clear();
             }
-            told.lines.iter().for_each(|l| _ = seen.insert(l.id.clone(), l.clone()));
-            seen.clone()
+            update.endpoints.iter().for_each(|endpoint| _ = view.insert(endpoint.id.clone(), endpoint.clone()));
+            view.clone()
         };
-        hear(&r.whole(now, 0, whole(0)).unwrap());
+        apply(&reconciler.apply_list(now, 0, list(0)).unwrap());
         for step in steps {
-            let told = match step {
-                Step::Batch(n) => {
-                    let to = (at + n).min(changes.len());
-                    let batch = changes[at..to].to_vec();
-                    at = to;
-                    r.changes(now, batch)
+            let update = match step {
+                Step::Batch(count) => {
+                    let to = (delivered + count).min(changes.len());
+                    let batch = changes[delivered..to].to_vec();
+                    delivered = to;
+                    reconciler.apply_changes(now, batch)
+                }
+                Step::List => {
+                    reconciler.apply_list(now, delivered as u64, list(delivered)).unwrap_or_default()
+                }
+                Step::OldList(by) => {
+                    let old = delivered.saturating_sub(by as usize);
+                    let update = reconciler.apply_list(now, old as u64, list(old));
+                    // Once it is accepted, the source goes on from there.
+                    delivered = if update.is_ok() { old } else { delivered };
+                    update.unwrap_or_default()
                 }
-                Step::Whole => r.whole(now, at as u64, whole(at)).unwrap_or_default(),
-                Step::Old(by) => {
-                    let old = at.saturating_sub(by as usize);
-                    let told = r.whole(now, old as u64, whole(old));
-                    // Once it is believed, the source goes on from there.
-                    at = if told.is_ok() { old } else { at };
-                    told.unwrap_or_default()
+                Step::Redelivery(count) => {
+                    let from = delivered.saturating_sub(count);
+                    reconciler.apply_changes(now, changes[from..delivered].to_vec())
                 }
-                Step::Again(n) => r.changes(now, changes[at.saturating_sub(n)..at].to_vec()),
-                Step::Pass(by) => {
+                Step::Wait(by) => {
                     now += Span::from_ticks(by);
-                    r.tick(now)
+                    reconciler.tick(now)
                 }
             };
-            heard = heard.max(at);
-            let view = hear(&told);
-            for (id, line) in &states[heard] {
-                let serving = view.get(id).is_some_and(|l| l.status == EndpointStatus::Ready);
+            highest = highest.max(delivered);
+            let view = apply(&update);
+            for (id, endpoint) in &states[highest] {
+                let in_service = view.get(id).is_some_and(|seen| seen.status == EndpointStatus::Ready);
                 prop_assert!(
-                    line.status == EndpointStatus::Ready || !serving,
-                    "{id} is drained at revision {heard}, and in service"
+                    endpoint.status == EndpointStatus::Ready || !in_service,
+                    "{id} is drained at revision {highest}, and in service"
                 );
             }
         }
-        // Everything is told in the end, and time passes.
-        let mut view = hear(&r.whole(now, changes.len() as u64, whole(changes.len())).unwrap());
+        // Everything is delivered in the end, and time passes.
+        let last = changes.len();
+        let mut view = apply(&reconciler.apply_list(now, last as u64, list(last)).unwrap());
         for _ in 0..200 {
-            let Some(due) = r.due() else { break };
-            now = now.max(due);
-            view = hear(&r.tick(now));
+            let Some(deadline) = reconciler.next_deadline() else { break };
+            now = now.max(deadline);
+            view = apply(&reconciler.tick(now));
         }
-        view.retain(|_, l| l.status != EndpointStatus::Gone);
-        prop_assert_eq!(&view, &states[changes.len()]);
-        prop_assert_eq!(r.lines(), view.into_values().collect::<Vec<_>>());
+        view.retain(|_, endpoint| endpoint.status != EndpointStatus::Gone);
+        prop_assert_eq!(&view, &states[last]);
+        prop_assert_eq!(reconciler.endpoints(), view.into_values().collect::<Vec<_>>());
     }
 }
