--- a/crates/discovery/src/startup/tests.rs
+++ b/crates/discovery/src/startup/tests.rs
@@ -1,4 +1,4 @@
-//! Configurations as the platform writes them, and what is said of those that can't be read.
+//! Configurations as the platform writes them, and the errors for those that can't be read.
 
 use super::StartupConfig;
 use chalkwalk_time::Span;
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -49,20 +49,20 @@
 /// Why the list is called for.
 #[derive(PartialEq)]
 enum Reason {
-    Wanted,
+    Requested,
     Moved,
 }
 
 async fn wait_for_reason(engine: &Engine, address: &DiscoveryAddress) -> Reason {
-    let wanted = async {
+    let requested = async {
         engine.watch_requested().await;
-        Reason::Wanted
+        Reason::Requested
     };
     let moved = async {
-        // Where nobody can move it any more, the list is called for as if it were wanted.
-        if address.wait_for_move().await { Reason::Moved } else { Reason::Wanted }
+        // Where nobody can move it any more, the list is called for as if it were requested.
+        if address.wait_for_move().await { Reason::Moved } else { Reason::Requested }
     };
-    wanted.or(moved).await
+    requested.or(moved).await
 }
 
 /// Why calls are not made one after the other any more.
--- a/crates/settings/src/convert.rs
+++ b/crates/settings/src/convert.rs
@@ -10,9 +10,9 @@
 /// The longest time, in nanoseconds: half a year, so that none added to a clock is beyond what it can represent.
 const LONGEST: f64 = 1.5e16;
 
-/// The map's word for a kind of idempotency; other texts stay as they are.
-fn standard_word(word: &str) -> &str {
-    match word {
+/// The name in the map of a kind of idempotency; other texts stay as they are.
+fn standard_idempotency(wire: &str) -> &str {
+    match wire {
         "free" => "replayable",
         "guarded" => "tagged",
         "single_shot" => "single-use",
@@ -34,7 +34,7 @@
         Kind::Wait => reader.number().map(|ns| ticks(ns).ceil().to_string()),
         Kind::NonNegativeWait => reader.non_negative().map(|ns| ticks(ns).ceil().to_string()),
         Kind::Flag => reader.flag().map(|flag| u8::from(flag).to_string()),
-        Kind::Text => reader.text().map(|word| standard_word(word).to_string()),
+        Kind::Text => reader.text().map(|text| standard_idempotency(text).to_string()),
         Kind::WeightKind => reader.weight_kind().map(str::to_string),
     }
 }
--- a/crates/settings/tests/fields.rs
+++ b/crates/settings/tests/fields.rs
@@ -1,4 +1,4 @@
-//! Fields of JSON objects, and what is said of those that can't be read.
+//! Fields of JSON objects, and the errors for those that can't be read.
 
 use chalkwalk_settings::fields::size_hundredths;
 use serde_json::json;
