--- /dev/null
+++ b/crates/resp-frontend/src/arguments.rs
@@ -0,0 +1,73 @@
+//! The arguments of a command, as a client sent them. No I/O.
+
+#[cfg(test)]
+mod tests;
+
+use chalkwalk_resp::Writer;
+use std::ops::Range;
+
+/// A command as it came: its bytes, and where its arguments stand in them. The first argument is the command's name.
+#[derive(Debug)]
+pub struct Arguments {
+    bytes: Vec<u8>,
+    ranges: Vec<Range<usize>>,
+}
+
+impl Arguments {
+    /// `bytes`: the command as it came, in RESP or inline. `ranges`: where its arguments stand, the name first.
+    pub fn new(bytes: Vec<u8>, ranges: Vec<Range<usize>>) -> Arguments {
+        Arguments { bytes, ranges }
+    }
+
+    /// How many there are, the name included.
+    pub fn len(&self) -> usize {
+        self.ranges.len()
+    }
+
+    /// How long the command is, as it came.
+    pub fn byte_len(&self) -> usize {
+        self.bytes.len()
+    }
+
+    /// One argument; empty if there are fewer.
+    pub fn get(&self, index: usize) -> &[u8] {
+        self.ranges.get(index).map_or(&[], |range| &self.bytes[range.clone()])
+    }
+
+    /// One argument in upper case: names and options are not case-sensitive.
+    pub fn keyword(&self, index: usize) -> String {
+        String::from_utf8_lossy(self.get(index)).to_ascii_uppercase()
+    }
+
+    /// Keys as texts, by which they are compared and hashed.
+    pub fn key_texts(&self, keys: &[usize]) -> Vec<String> {
+        keys.iter().map(|key| String::from_utf8_lossy(self.get(*key)).to_string()).collect()
+    }
+
+    /// The command on some of its keys: its name, and each of these keys with the arguments that belong to it, `step` in all.
+    pub fn with_keys(&self, keys: &[usize], step: usize) -> Arguments {
+        let per_key = |key: &usize| (*key..key + step).map(|index| self.get(index));
+        let arguments: Vec<&[u8]> =
+            std::iter::once(self.get(0)).chain(keys.iter().flat_map(per_key)).collect();
+        let mut out = Writer::default();
+        out.array(arguments.len());
+        let mut ranges = Vec::with_capacity(arguments.len());
+        for argument in arguments {
+            out.bulk(argument);
+            let end = out.len() - b"\r\n".len();
+            ranges.push(end - argument.len()..end);
+        }
+        Arguments { bytes: out.take(), ranges }
+    }
+
+    /// The command in the form that servers accept: as it came, unless it came inline.
+    pub fn into_resp(self) -> Vec<u8> {
+        if self.bytes.first() == Some(&b'*') {
+            return self.bytes;
+        }
+        let arguments: Vec<&[u8]> = (0..self.len()).map(|index| self.get(index)).collect();
+        let mut out = Writer::default();
+        out.command(&arguments);
+        out.take()
+    }
+}
--- /dev/null
+++ b/crates/resp-frontend/src/connection/pending_reply.rs
@@ -0,0 +1,83 @@
+//! A reply in its turn: ready, or still to come from one server or several.
+
+use super::open_request::OpenRequest;
+use super::reply::encode_response;
+use crate::merge::{MergeRule, PartResponse, merge_responses};
+use chalkwalk_engine::response::Response;
+use chalkwalk_resp::Writer;
+
+/// The reply to one command.
+pub enum PendingReply {
+    /// It is there.
+    Ready(Vec<u8>),
+    /// It is the response to one request.
+    Request { request: OpenRequest, resp3: bool },
+    /// It is merged from the responses to several.
+    Split(OpenSplit),
+    /// It is there, and the connection ends with it.
+    Last(Vec<u8>),
+}
+
+/// The requests of a command that was split by slot.
+pub struct OpenSplit {
+    pub parts: Vec<OpenPart>,
+    pub rule: MergeRule,
+    pub write: bool,
+    pub resp3: bool,
+}
+
+/// One request of a command that was split by slot.
+pub struct OpenPart {
+    pub request: OpenRequest,
+    /// The places of its keys among all keys of the command.
+    pub key_indices: Vec<usize>,
+}
+
+/// The bytes of a reply, and whether the connection ends with them.
+pub struct ResolvedReply {
+    pub bytes: Vec<u8>,
+    pub last: bool,
+}
+
+/// The bytes of an error reply.
+pub fn error_reply(text: &str) -> Vec<u8> {
+    let mut out = Writer::default();
+    out.error(text);
+    out.take()
+}
+
+impl PendingReply {
+    /// Whether it can be written without a wait.
+    pub fn is_ready(&self) -> bool {
+        match self {
+            PendingReply::Ready(_) | PendingReply::Last(_) => true,
+            PendingReply::Request { request, .. } => request.is_answered(),
+            PendingReply::Split(split) => split.parts.iter().all(|part| part.request.is_answered()),
+        }
+    }
+
+    /// Waits for it.
+    pub async fn resolve(self) -> ResolvedReply {
+        match self {
+            PendingReply::Ready(bytes) => ResolvedReply { bytes, last: false },
+            PendingReply::Last(bytes) => ResolvedReply { bytes, last: true },
+            PendingReply::Request { request, resp3 } => {
+                ResolvedReply { bytes: encode_response(request.response().await, resp3), last: false }
+            }
+            PendingReply::Split(split) => ResolvedReply { bytes: split.resolve().await, last: false },
+        }
+    }
+}
+
+impl OpenSplit {
+    async fn resolve(self) -> Vec<u8> {
+        let mut responses = Vec::with_capacity(self.parts.len());
+        for OpenPart { request, key_indices } in self.parts {
+            responses.push(PartResponse { response: request.response().await, key_indices });
+        }
+        match merge_responses(responses, self.rule, self.write, self.resp3) {
+            Ok(bytes) => bytes,
+            Err(status) => encode_response(Some(Response::empty(status)), self.resp3),
+        }
+    }
+}
--- a/crates/resp-frontend/src/frontend.rs
+++ b/crates/resp-frontend/src/frontend.rs
@@ -1,4 +1,4 @@
-//! What all connections of this door share.
+//! What all connections of this frontend share.
 
 use crate::settings::Settings;
 use chalkwalk_engine::engine::Engine;
@@ -7,34 +7,52 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
+/// The RESP frontend of one process: its settings, and the slot map that its requests are routed by.
 pub struct Frontend {
     pub(crate) engine: Rc<Engine>,
     pub(crate) settings: Settings,
-    pub(crate) map: RefCell<SlotMap>,
+    pub(crate) slot_map: RefCell<SlotMap>,
     pub(crate) refresh: RefCell<RefreshSchedule>,
-    pub(crate) wanted: (Sender<()>, Receiver<()>), // the map is likely wrong
-    pub(crate) clients: Cell<u64>,                 // numbers of connections so far
-    /// Whether the servers' own list is the one that is followed.
-    pub(crate) lists: bool,
+    /// Wakes the poll for the slot map. One message is enough, however many ask.
+    refresh_sender: Sender<()>,
+    refresh_receiver: Receiver<()>,
+    /// Connections so far, which number them.
+    connections: Cell<u64>,
+    /// Whether the cluster's own list of nodes is the endpoint list.
+    pub(crate) lists_servers: bool,
 }
 
 impl Frontend {
-    /// `lists`: no other source has the list, so the servers' own word is it.
-    pub fn new(engine: &Rc<Engine>, settings: Settings, lists: bool) -> Rc<Frontend> {
+    /// `lists_servers`: no other source lists the servers, so those that the cluster reports are the endpoint list.
+    pub fn new(engine: &Rc<Engine>, settings: Settings, lists_servers: bool) -> Rc<Frontend> {
+        let (refresh_sender, refresh_receiver) = bounded(1);
         Rc::new(Frontend {
             engine: engine.clone(),
             settings,
-            map: RefCell::default(),
+            slot_map: RefCell::default(),
             refresh: RefCell::default(),
-            wanted: bounded(1),
-            clients: Cell::new(0),
-            lists,
+            refresh_sender,
+            refresh_receiver,
+            connections: Cell::new(0),
+            lists_servers,
         })
     }
 
-    /// Something says that the map is wrong.
-    pub(crate) fn want_map(&self) {
+    /// Requests a poll for the slot map soon: something shows that it is outdated.
+    pub(crate) fn request_refresh(&self) {
         self.refresh.borrow_mut().request();
-        _ = self.wanted.0.try_send(());
+        _ = self.refresh_sender.try_send(());
+    }
+
+    /// Waits until a poll is requested.
+    pub(crate) async fn refresh_requested(&self) {
+        _ = self.refresh_receiver.recv().await;
+    }
+
+    /// The number of a new connection, from 1.
+    pub(crate) fn next_connection_id(&self) -> u64 {
+        let id = self.connections.get() + 1;
+        self.connections.set(id);
+        id
     }
 }
--- /dev/null
+++ b/crates/resp-frontend/src/health_check.rs
@@ -0,0 +1,23 @@
+//! The health check of servers that speak RESP.
+
+use crate::server_reply::ServerReply;
+use chalkwalk_engine::response::{BoxFuture, HealthCheck};
+use chalkwalk_resp::{FrameKind, Writer};
+use chalkwalk_sockets::write_all;
+use smol::Async;
+use std::net::TcpStream;
+
+/// `PING`, which any server answers at once. A server that is loading answers with an error, and gets no requests.
+pub struct Ping;
+
+impl HealthCheck for Ping {
+    fn check<'a>(&'a self, stream: &'a Async<TcpStream>) -> BoxFuture<'a, Option<bool>> {
+        Box::pin(async move {
+            let mut out = Writer::default();
+            out.command(&[b"PING"]);
+            write_all(stream, &[out.as_bytes()]).await.ok()?;
+            let reply = ServerReply::read(stream, false).await?;
+            (reply.kind() == FrameKind::Simple).then_some(reply.reusable)
+        })
+    }
+}
--- /dev/null
+++ b/crates/resp-frontend/src/merge.rs
@@ -0,0 +1,124 @@
+//! One reply out of the replies to a command that was split by slot. No I/O.
+
+#[cfg(test)]
+mod tests;
+
+use chalkwalk_engine::response::{Response, ResponseStatus};
+use chalkwalk_resp::{Frame, FrameKind, ReadLimits, Reader, Writer, number};
+use chalkwalk_time::Span;
+
+/// How the replies to the parts of a command are merged.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum MergeRule {
+    /// Values by key, in the order of the keys.
+    Values,
+    /// Numbers, added up.
+    Sum,
+    /// `OK`, which all have to reply.
+    AllOk,
+}
+
+/// The outcome of one part.
+pub struct PartResponse {
+    /// Its response; none if the request was dropped.
+    pub response: Option<Response>,
+    /// The places of the part's keys among all keys of the command.
+    pub key_indices: Vec<usize>,
+}
+
+impl PartResponse {
+    fn status(&self) -> ResponseStatus {
+        self.response.as_ref().map_or(ResponseStatus::Failed, |response| response.status)
+    }
+}
+
+/// Merges the replies, or returns the status of the whole command where not all parts were served.
+pub fn merge_responses(
+    parts: Vec<PartResponse>,
+    rule: MergeRule,
+    write: bool,
+    resp3: bool,
+) -> Result<Vec<u8>, ResponseStatus> {
+    merged_status(&parts, write)?;
+    let mut replies = Vec::with_capacity(parts.len());
+    for part in parts {
+        let reply = PartReply::parse(part).ok_or(ResponseStatus::Failed)?;
+        if reply.is_error() {
+            // The first error is the reply.
+            return Ok(reply.body);
+        }
+        replies.push(reply);
+    }
+    let mut out = Writer::new(resp3);
+    match rule {
+        MergeRule::Values => write_values(&replies, &mut out),
+        MergeRule::Sum => out.number(replies.iter().map(PartReply::number).sum()),
+        MergeRule::AllOk => out.simple("OK"),
+    }
+    Ok(out.take())
+}
+
+/// The status of the whole command where it is not served. A write of which a part has run, or may have, is never rejected: a
+/// retry would run that part again.
+fn merged_status(parts: &[PartResponse], write: bool) -> Result<(), ResponseStatus> {
+    let any_served = parts.iter().any(|part| part.status() == ResponseStatus::Served);
+    let mut retry_after: Option<Span> = None;
+    let mut rejected = false;
+    for part in parts {
+        match part.status() {
+            ResponseStatus::Served => {}
+            ResponseStatus::Rejected(after) => {
+                rejected = true;
+                retry_after = retry_after.max(after);
+            }
+            ResponseStatus::Failed => return Err(ResponseStatus::Failed),
+        }
+    }
+    match (rejected, write && any_served) {
+        (false, _) => Ok(()),
+        (true, true) => Err(ResponseStatus::Failed),
+        (true, false) => Err(ResponseStatus::Rejected(retry_after)),
+    }
+}
+
+/// A server's reply to one part.
+struct PartReply {
+    body: Vec<u8>,
+    frames: Vec<Frame>,
+    key_indices: Vec<usize>,
+}
+
+impl PartReply {
+    fn parse(part: PartResponse) -> Option<PartReply> {
+        let body = part.response.map_or(Vec::new(), |response| response.body);
+        let (frames, _) = Reader::new(ReadLimits::default()).next_frame(&body).ok()??;
+        Some(PartReply { body, frames, key_indices: part.key_indices })
+    }
+
+    fn is_error(&self) -> bool {
+        matches!(self.frames[0].kind, FrameKind::Error | FrameKind::BulkError)
+    }
+
+    fn number(&self) -> i64 {
+        number(&self.body[self.frames[0].range.clone()]).unwrap_or(0)
+    }
+}
+
+fn write_values(replies: &[PartReply], out: &mut Writer) {
+    let total: usize = replies.iter().map(|reply| reply.key_indices.len()).sum();
+    let mut values: Vec<Option<&[u8]>> = vec![None; total];
+    for reply in replies {
+        for (frame, index) in reply.frames[1..].iter().zip(&reply.key_indices) {
+            if frame.kind != FrameKind::Null {
+                values[*index] = Some(&reply.body[frame.range.clone()]);
+            }
+        }
+    }
+    out.array(total);
+    for value in values {
+        match value {
+            Some(value) => out.bulk(value),
+            None => out.null(),
+        }
+    }
+}
--- /dev/null
+++ b/crates/resp-frontend/src/session/auth.rs
@@ -0,0 +1,132 @@
+//! `AUTH` and `HELLO`: who the client is, and which version of the protocol it is answered in.
+
+use super::{Session, VERSION, number_field, text_field};
+use crate::arguments::Arguments;
+use crate::settings::Settings;
+use chalkwalk_resp::Writer;
+use thiserror::Error;
+
+/// The user that `AUTH` with a secret alone means.
+const DEFAULT_USER: &[u8] = b"default";
+
+/// Why a client is not greeted; the text is the error that it gets, in the dialect's own words.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+enum HelloError {
+    /// No users are set, so there is nothing to authenticate against.
+    #[error(
+        "ERR AUTH <password> called without any password configured for the default user. Are you sure your configuration is correct?"
+    )]
+    NoUsers,
+    /// No user of that name and secret.
+    #[error("WRONGPASS invalid username-password pair or user is disabled.")]
+    WrongSecret,
+    /// The version of the protocol is neither 2 nor 3.
+    #[error("NOPROTO unsupported protocol version")]
+    UnsupportedVersion,
+    /// The name has characters that names may not have.
+    #[error("ERR Client names cannot contain spaces, newlines or special characters.")]
+    InvalidName,
+    /// An option is unknown or lacks its values.
+    #[error("ERR Syntax error in HELLO option")]
+    Syntax,
+    /// The client has not authenticated, neither before nor with this command.
+    #[error(
+        "NOAUTH HELLO must be called with the client already authenticated, otherwise the HELLO <proto> AUTH <user> <pass> option can be used to authenticate the client and select the RESP protocol version at the same time"
+    )]
+    NotAuthenticated,
+}
+
+impl Session {
+    /// `AUTH [user] secret`
+    pub(super) fn auth(&mut self, arguments: &Arguments, settings: &Settings, out: &mut Writer) {
+        let authenticated = match arguments.len() {
+            2 => self.authenticate(DEFAULT_USER, arguments.get(1), settings),
+            _ => self.authenticate(arguments.get(1), arguments.get(2), settings),
+        };
+        match authenticated {
+            Ok(()) => out.simple("OK"),
+            Err(error) => out.error(&error.to_string()),
+        }
+    }
+
+    fn authenticate(&mut self, user: &[u8], secret: &[u8], settings: &Settings) -> Result<(), HelloError> {
+        if settings.users.is_empty() {
+            return Err(HelloError::NoUsers);
+        }
+        if !settings.authenticates(user, secret) {
+            return Err(HelloError::WrongSecret);
+        }
+        self.authenticated = true;
+        self.user = String::from_utf8_lossy(user).to_string();
+        Ok(())
+    }
+
+    /// `HELLO [version [AUTH user secret] [SETNAME name]]`
+    pub(super) fn hello(&mut self, arguments: &Arguments, settings: &Settings, out: &mut Writer) {
+        match self.negotiate(arguments, settings) {
+            Ok(()) => self.greet(out),
+            Err(error) => out.error(&error.to_string()),
+        }
+    }
+
+    /// Applies the options in order, then the version. Options before a wrong one stay applied.
+    fn negotiate(&mut self, arguments: &Arguments, settings: &Settings) -> Result<(), HelloError> {
+        let resp3 = match arguments.get(1) {
+            b"" => self.resp3,
+            b"2" => false,
+            b"3" => true,
+            _ => return Err(HelloError::UnsupportedVersion),
+        };
+        let mut position = 2;
+        while position < arguments.len() {
+            position += self.apply_hello_option(arguments, position, settings)?;
+        }
+        if !self.authenticated {
+            return Err(HelloError::NotAuthenticated);
+        }
+        self.resp3 = resp3;
+        Ok(())
+    }
+
+    /// Applies the option at a position and returns how many arguments it takes.
+    fn apply_hello_option(
+        &mut self,
+        arguments: &Arguments,
+        position: usize,
+        settings: &Settings,
+    ) -> Result<usize, HelloError> {
+        match (arguments.keyword(position).as_str(), arguments.len() - position) {
+            ("AUTH", 3..) => {
+                let (user, secret) = (arguments.get(position + 1), arguments.get(position + 2));
+                match self.authenticate(user, secret, settings) {
+                    // A client that has authenticated before stays so.
+                    Err(HelloError::WrongSecret) if self.authenticated => Ok(3),
+                    authenticated => authenticated.map(|()| 3),
+                }
+            }
+            ("SETNAME", 2..) if self.set_name(arguments.get(position + 1)) => Ok(2),
+            ("SETNAME", 2..) => Err(HelloError::InvalidName),
+            _ => Err(HelloError::Syntax),
+        }
+    }
+
+    /// What this server is, in the version of the protocol that was agreed on.
+    fn greet(&self, out: &mut Writer) {
+        const FIELDS: usize = 7;
+        out.resp3 = self.resp3;
+        out.map(FIELDS);
+        text_field("server", "redis", out);
+        text_field("version", VERSION, out);
+        number_field("proto", self.protocol_version(), out);
+        number_field("id", self.id as i64, out);
+        text_field("mode", "cluster", out);
+        text_field("role", "master", out);
+        out.bulk(b"modules");
+        out.array(0);
+    }
+
+    /// The version of the protocol that the client is answered in.
+    pub(super) fn protocol_version(&self) -> i64 {
+        if self.resp3 { 3 } else { 2 }
+    }
+}
--- /dev/null
+++ b/crates/resp-frontend/src/session/cluster_command.rs
@@ -0,0 +1,95 @@
+//! `CLUSTER`: the fleet as a cluster whose nodes are the instances, so that drivers send each key to the instance that answers
+//! for its slot.
+
+use super::cluster_node::{ClusterNode, cluster_nodes};
+use super::{number_field, text_field, unknown_subcommand};
+use crate::arguments::Arguments;
+use crate::settings::Settings;
+use chalkwalk_resp::{Writer, slot_of};
+use chalkwalk_slot_map::SLOT_COUNT;
+
+/// `CLUSTER subcommand ...`
+pub fn reply(arguments: &Arguments, settings: &Settings, out: &mut Writer) {
+    let subcommand = arguments.keyword(1);
+    let nodes = cluster_nodes(settings);
+    match (subcommand.as_str(), arguments.len()) {
+        ("KEYSLOT", 3) => out.number(i64::from(slot_of(arguments.get(2)))),
+        ("MYID", 2) => my_id(&nodes, out),
+        ("INFO", 2) => info(&nodes, out),
+        ("SLOTS", 2) => slots(&nodes, out),
+        ("SHARDS", 2) => shards(&nodes, out),
+        ("NODES", 2) => node_lines(&nodes, out),
+        _ => unknown_subcommand("CLUSTER", &subcommand, out),
+    }
+}
+
+/// The id of this instance; of the first where this one is not among them.
+fn my_id(nodes: &[ClusterNode], out: &mut Writer) {
+    let own = nodes.iter().find(|node| node.is_self).or(nodes.first());
+    out.bulk(own.map_or("", |node| &node.id).as_bytes());
+}
+
+fn info(nodes: &[ClusterNode], out: &mut Writer) {
+    let count = nodes.len();
+    let state = format!("cluster_enabled:1\r\ncluster_state:ok\r\ncluster_slots_assigned:{SLOT_COUNT}\r\n");
+    let size = format!("cluster_known_nodes:{count}\r\ncluster_size:{count}\r\n");
+    out.bulk(format!("{state}{size}").as_bytes());
+}
+
+/// For each range of slots: its first and last slot, and its one node.
+fn slots(nodes: &[ClusterNode], out: &mut Writer) {
+    const RANGE_FIELDS: usize = 3;
+    const NODE_FIELDS: usize = 3;
+    out.array(nodes.len());
+    for node in nodes {
+        out.array(RANGE_FIELDS);
+        out.number(i64::from(node.slots.first));
+        out.number(i64::from(node.slots.last));
+        out.array(NODE_FIELDS);
+        out.bulk(node.addr.ip().to_string().as_bytes());
+        out.number(i64::from(node.addr.port()));
+        out.bulk(node.id.as_bytes());
+    }
+}
+
+/// For each shard: its slots, and its one node.
+fn shards(nodes: &[ClusterNode], out: &mut Writer) {
+    const SHARD_FIELDS: usize = 2;
+    const RANGE_ENDS: usize = 2;
+    const SHARD_NODES: usize = 1;
+    out.array(nodes.len());
+    for node in nodes {
+        out.map(SHARD_FIELDS);
+        out.bulk(b"slots");
+        out.array(RANGE_ENDS);
+        out.number(i64::from(node.slots.first));
+        out.number(i64::from(node.slots.last));
+        out.bulk(b"nodes");
+        out.array(SHARD_NODES);
+        shard_node(node, out);
+    }
+}
+
+fn shard_node(node: &ClusterNode, out: &mut Writer) {
+    const FIELDS: usize = 7;
+    let ip = node.addr.ip().to_string();
+    out.map(FIELDS);
+    text_field("id", &node.id, out);
+    text_field("ip", &ip, out);
+    text_field("endpoint", &ip, out);
+    text_field("role", "master", out);
+    text_field("health", "online", out);
+    number_field("port", i64::from(node.addr.port()), out);
+    number_field("replication-offset", 0, out);
+}
+
+/// A line a node: `id addr@bus flags master ping pong epoch link slots`.
+fn node_lines(nodes: &[ClusterNode], out: &mut Writer) {
+    let mut text = String::new();
+    for ClusterNode { id, addr, slots, is_self } in nodes {
+        let myself = if *is_self { "myself," } else { "" };
+        let range = format!("{}-{}", slots.first, slots.last);
+        text += &format!("{id} {addr}@0 {myself}master - 0 0 1 connected {range}\n");
+    }
+    out.bulk(text.as_bytes());
+}
--- /dev/null
+++ b/crates/resp-frontend/src/session/cluster_node.rs
@@ -0,0 +1,51 @@
+//! The fleet's instances as clients see them: as the nodes of a cluster.
+
+use crate::settings::Settings;
+use chalkwalk_slot_map::SlotRange;
+use std::net::SocketAddr;
+
+/// An instance as a node of the cluster.
+pub struct ClusterNode {
+    /// Its node id.
+    pub id: String,
+    /// Where clients reach it.
+    pub addr: SocketAddr,
+    /// The slots that it answers for.
+    pub slots: SlotRange,
+    /// Whether it is this instance.
+    pub is_self: bool,
+}
+
+/// All instances; this one alone, for all slots, where none are set.
+pub fn cluster_nodes(settings: &Settings) -> Vec<ClusterNode> {
+    let node = |name: &str, addr: SocketAddr, slots: SlotRange| ClusterNode {
+        id: node_id(name),
+        addr,
+        slots,
+        is_self: addr == settings.listen,
+    };
+    if settings.instances.is_empty() {
+        return vec![node("self", settings.listen, SlotRange::ALL)];
+    }
+    settings.instances.iter().map(|instance| node(&instance.name, instance.addr, instance.slots)).collect()
+}
+
+/// The node id of an instance: forty hexadecimal digits, as the dialect has them, and the same for a name on every instance. It
+/// is the FNV-1a hash of the name, continued over a counter until there are digits enough.
+fn node_id(name: &str) -> String {
+    const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+    const FNV_PRIME: u64 = 0x100_0000_01b3;
+    const DIGITS: usize = 40;
+    /// Sixteen digits a round.
+    const ROUNDS: u8 = 3;
+    let mut hash = FNV_OFFSET_BASIS;
+    let mut id = String::new();
+    for round in 0..ROUNDS {
+        for byte in name.bytes().chain([round]) {
+            hash = (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
+        }
+        id += &format!("{hash:016x}");
+    }
+    id.truncate(DIGITS);
+    id
+}
--- /dev/null
+++ b/crates/resp-frontend/src/slot_map_poll.rs
@@ -0,0 +1,118 @@
+//! The slot map is polled from the servers: by one call at a time, from one server after the other.
+
+mod fetch;
+
+use crate::frontend::Frontend;
+use chalkwalk_balancer::EndpointStatus;
+use chalkwalk_engine::api;
+use chalkwalk_engine::servers::ListedEndpoint;
+use chalkwalk_slot_map::ClusterView;
+use chalkwalk_sockets::within;
+use chalkwalk_time::Timestamp;
+use fetch::{FetchError, fetch_view};
+use slog::{info, warn};
+use smol::Timer;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// For one call: a server that takes longer is passed over.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// The size of a server whose size nobody states: the cluster reports none, so all count as equal.
+const DEFAULT_SIZE: u64 = 100;
+
+/// Puts the seeds on the endpoint list until the cluster has reported its nodes, where its report is the list.
+pub fn list_seeds(frontend: &Rc<Frontend>) {
+    if frontend.lists_servers {
+        apply_list(frontend, frontend.settings.seeds.iter().copied());
+    }
+}
+
+/// Keeps the slot map up to date; never ends.
+pub async fn follow_slot_map(frontend: Rc<Frontend>) {
+    let mut loaded = false;
+    loop {
+        wait_until_due(&frontend).await;
+        let engine = &frontend.engine;
+        let now = engine.clock.now();
+        let nodes = nodes_to_poll(&frontend);
+        let turn = frontend.refresh.borrow_mut().start(now, nodes.len());
+        let Some(node) = nodes.get(turn).copied() else {
+            frontend.refresh.borrow_mut().finish(now, false);
+            continue;
+        };
+        let polled = poll(&frontend, node).await;
+        frontend.refresh.borrow_mut().finish(engine.clock.now(), polled.is_ok());
+        match polled {
+            Ok(()) if loaded => {}
+            Ok(()) => {
+                loaded = true;
+                let ranges = frontend.slot_map.borrow().assignments().len();
+                info!(engine.log, "slot map known"; "parts" => ranges);
+            }
+            Err(error) => {
+                warn!(engine.log, "slot map call failed"; "node" => %node, "fault" => %error);
+            }
+        }
+    }
+}
+
+/// Waits until the next poll is due, which a request for one may bring forward.
+async fn wait_until_due(frontend: &Frontend) {
+    let clock = &frontend.engine.clock;
+    loop {
+        let now = clock.now();
+        let due = frontend.refresh.borrow().next_due().unwrap_or(now);
+        if due <= now {
+            return;
+        }
+        let timer = Timer::at(clock.instant(due));
+        smol::future::or(async { _ = timer.await }, frontend.refresh_requested()).await;
+    }
+}
+
+/// The nodes that are polled in turn: the owners of slots, and the seeds.
+fn nodes_to_poll(frontend: &Frontend) -> Vec<SocketAddr> {
+    let slot_map = frontend.slot_map.borrow();
+    let mut nodes: Vec<SocketAddr> =
+        slot_map.assignments().iter().map(|assignment| assignment.owner).collect();
+    nodes.extend(&frontend.settings.seeds);
+    nodes.sort();
+    nodes.dedup();
+    nodes
+}
+
+/// Polls one node and applies its view.
+async fn poll(frontend: &Rc<Frontend>, node: SocketAddr) -> Result<(), FetchError> {
+    let view = within(CALL_TIMEOUT, fetch_view(node)).await.unwrap_or(Err(FetchError::TimedOut))?;
+    frontend.slot_map.borrow_mut().apply_view(&view)?;
+    if frontend.lists_servers {
+        apply_list(frontend, live_nodes(&view));
+    }
+    Ok(())
+}
+
+fn live_nodes(view: &ClusterView) -> impl Iterator<Item = SocketAddr> {
+    view.nodes.iter().filter(|node| !node.failed).map(|node| node.addr)
+}
+
+fn apply_list(frontend: &Rc<Frontend>, addrs: impl Iterator<Item = SocketAddr>) {
+    let endpoints: Vec<ListedEndpoint> = addrs.map(|addr| endpoint(frontend, addr)).collect();
+    api::apply_endpoint_list(&frontend.engine, &endpoints, true, false);
+}
+
+fn endpoint(frontend: &Frontend, addr: SocketAddr) -> ListedEndpoint {
+    // The cluster does not report zones: all servers count as near.
+    let engine = &frontend.engine;
+    let zone = engine.config.zones.get(engine.classes.zone()).cloned().unwrap_or_default();
+    ListedEndpoint {
+        id: addr.to_string(),
+        addr,
+        zone,
+        kind: String::new(),
+        cell: 0,
+        size: DEFAULT_SIZE,
+        status: EndpointStatus::Ready,
+        born: Timestamp::ZERO,
+    }
+}
