--- a/crates/resp-frontend/src/arguments/tests.rs
+++ b/crates/resp-frontend/src/arguments/tests.rs
@@ -1,4 +1,4 @@
-//! Arguments are taken apart and put together again.
+//! Commands are split by key and encoded for servers.
 
 use crate::test_support::arguments;
 
--- a/crates/resp-frontend/src/command.rs
+++ b/crates/resp-frontend/src/command.rs
@@ -1,5 +1,6 @@
 //! What is to be done with a command: answered here, sent to one server, or split by slot. No I/O.
 
+mod error;
 mod set_options;
 #[cfg(test)]
 mod tests;
@@ -8,11 +9,11 @@
 use crate::command_table::{CommandSpec, LOCAL_COMMANDS};
 use crate::merge::MergeRule;
 use chalkwalk_resp::slot_of;
+use error::MAX_SLOTS;
 use set_options::check_set_options;
-use thiserror::Error;
 
-/// Slots that one command may touch: a reading list has some dozens of covers.
-const MAX_SLOTS: usize = 64;
+pub use error::CommandError;
+
 /// How much of an unknown name goes into the error.
 const MAX_SHOWN: usize = 64;
 
@@ -58,32 +59,6 @@
     pub positions: Vec<usize>,
 }
 
-/// Why a command is rejected; the text is the error that the client gets, in the dialect's own words.
-#[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum CommandError {
-    /// No command of that name is known.
-    #[error("ERR unknown command '{0}'")]
-    Unknown(String),
-    /// The command of that name takes fewer or more arguments.
-    #[error("ERR wrong number of arguments for '{0}' command")]
-    WrongArity(String),
-    /// An expiry is zero or negative.
-    #[error("ERR invalid expire time in 'set' command")]
-    InvalidExpiry,
-    /// An expiry is not a number.
-    #[error("ERR value is not an integer or out of range")]
-    NotAnInteger,
-    /// An option is unknown, given twice, or lacks its value.
-    #[error("ERR syntax error")]
-    Syntax,
-    /// The keys are in several slots, and the command may not be split.
-    #[error("CROSSSLOT Keys in request don't hash to the same slot")]
-    CrossSlot,
-    /// The keys are in more slots than one command may touch.
-    #[error("ERR the keys are in more than {MAX_SLOTS} slots")]
-    TooManySlots,
-}
-
 /// Decides what is to be done with a command. `split`: whether keys in several slots are split into one command a slot.
 pub fn classify_command(arguments: &Arguments, split: bool) -> Result<Command, CommandError> {
     let name = arguments.keyword(0);
--- a/crates/resp-frontend/src/command/set_options.rs
+++ b/crates/resp-frontend/src/command/set_options.rs
@@ -1,6 +1,6 @@
 //! The options of `SET`: an expiry in seconds or milliseconds, and a condition, each once.
 
-use super::CommandError;
+use super::error::CommandError;
 use crate::arguments::Arguments;
 
 /// Checks the options of a `SET` from a position on.
--- a/crates/resp-frontend/src/command_table.rs
+++ b/crates/resp-frontend/src/command_table.rs
@@ -44,7 +44,7 @@
         COMMANDS.iter().find(|spec| spec.name == name)
     }
 
-    /// Whether it takes so many arguments, the name included.
+    /// Whether it accepts so many arguments, the name included.
     pub fn accepts(&self, argument_count: usize) -> bool {
         let count = argument_count as i64;
         let arity_fits = if self.arity < 0 { count >= -self.arity } else { count == self.arity };
--- a/crates/resp-frontend/src/connection/dispatch.rs
+++ b/crates/resp-frontend/src/connection/dispatch.rs
@@ -3,7 +3,8 @@
 use super::backpressure::UnreadBytes;
 use super::key_order::KeyOrder;
 use super::open_request::OpenRequest;
-use super::pending_reply::{OpenPart, OpenSplit, PendingReply, error_reply};
+use super::pending_reply::{OpenPart, OpenSplit, PendingReply};
+use super::reply::error_reply;
 use crate::arguments::Arguments;
 use crate::command::{Command, CommandError, KeyedCommand, SplitCommand, classify_command};
 use crate::frontend::Frontend;
@@ -85,10 +86,7 @@
     fn execute(&mut self, arguments: &Arguments) -> PendingReply {
         let mut out = Writer::default();
         self.session.execute(arguments, &self.frontend.settings, &mut out);
-        match self.session.closing {
-            true => PendingReply::Last(out.take()),
-            false => PendingReply::Ready(out.take()),
-        }
+        if self.session.closing { PendingReply::Last(out.take()) } else { PendingReply::Ready(out.take()) }
     }
 
     async fn start_keyed(
--- a/crates/resp-frontend/src/connection/key_order.rs
+++ b/crates/resp-frontend/src/connection/key_order.rs
@@ -1,5 +1,8 @@
 //! The order of one connection's commands on the same key.
 
+#[cfg(test)]
+mod tests;
+
 use smol::channel::Receiver;
 use std::collections::VecDeque;
 
--- a/crates/resp-frontend/src/connection/open_request.rs
+++ b/crates/resp-frontend/src/connection/open_request.rs
@@ -22,7 +22,7 @@
 pub struct StartedRequest {
     /// The request.
     pub request: OpenRequest,
-    /// Closes once the request is answered, whenever the response is taken.
+    /// Closes once the request is answered, whether or not the client has read the response.
     pub done: Receiver<()>,
 }
 
--- a/crates/resp-frontend/src/connection/pending_reply.rs
+++ b/crates/resp-frontend/src/connection/pending_reply.rs
@@ -4,7 +4,6 @@
 use super::reply::encode_response;
 use crate::merge::{MergeRule, PartResponse, merge_responses};
 use chalkwalk_engine::response::Response;
-use chalkwalk_resp::Writer;
 
 /// The reply to one command.
 pub enum PendingReply {
@@ -39,13 +38,6 @@
     pub last: bool,
 }
 
-/// The bytes of an error reply.
-pub fn error_reply(text: &str) -> Vec<u8> {
-    let mut out = Writer::default();
-    out.error(text);
-    out.take()
-}
-
 impl PendingReply {
     /// Whether it can be written without a wait.
     pub fn is_ready(&self) -> bool {
--- a/crates/resp-frontend/src/connection/receive.rs
+++ b/crates/resp-frontend/src/connection/receive.rs
@@ -4,7 +4,8 @@
 use super::command_reader::{CommandReader, Input};
 use super::dispatch::Dispatcher;
 use super::idle::evicted_while_idle;
-use super::pending_reply::{PendingReply, error_reply};
+use super::pending_reply::PendingReply;
+use super::reply::error_reply;
 use crate::frontend::Frontend;
 use chalkwalk_engine::engine::ClientConnection;
 use chalkwalk_sockets::within;
@@ -19,6 +20,9 @@
 /// Between two commands. Drivers keep pools of connections; idle ones are closed sooner where descriptors are short.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(300);
 
+/// The reply to the first command of a connection that no descriptor was free for.
+const NOT_ADMITTED: &str = "TRYAGAIN deferred, no place for this connection";
+
 /// The receiving side of a connection.
 pub struct Receiving<'a> {
     connection: &'a ClientConnection,
@@ -51,11 +55,10 @@
             let more = match self.reader.next_command() {
                 Ok(Input::Command(arguments)) => {
                     self.used = true;
-                    let reply = match admitted {
-                        true => self.dispatcher.dispatch(arguments).await,
-                        false => {
-                            PendingReply::Last(error_reply("TRYAGAIN deferred, no place for this connection"))
-                        }
+                    let reply = if admitted {
+                        self.dispatcher.dispatch(arguments).await
+                    } else {
+                        PendingReply::Last(error_reply(NOT_ADMITTED))
                     };
                     replies.push(reply).await
                 }
--- a/crates/resp-frontend/src/connection/reply.rs
+++ b/crates/resp-frontend/src/connection/reply.rs
@@ -1,7 +1,10 @@
-//! The engine's response to a request, encoded in the dialect.
+//! Replies in the dialect: errors, and the engine's response to a request.
+
+#[cfg(test)]
+mod tests;
 
-use super::pending_reply::error_reply;
 use chalkwalk_engine::response::{Response, ResponseStatus};
+use chalkwalk_resp::Writer;
 use chalkwalk_time::{Span, TICKS_PER_MILLISECOND};
 
 /// RESP2's nulls, as a bulk string and as an array.
@@ -9,6 +12,13 @@
 /// RESP3's one null.
 const RESP3_NULL: &[u8] = b"_\r\n";
 
+/// The bytes of an error reply.
+pub fn error_reply(text: &str) -> Vec<u8> {
+    let mut out = Writer::default();
+    out.error(text);
+    out.take()
+}
+
 /// The reply to a client for a response; none: the request was dropped.
 pub fn encode_response(response: Option<Response>, resp3: bool) -> Vec<u8> {
     let Some(response) = response else { return error_reply("ERR abandoned") };
--- a/crates/resp-frontend/src/frontend.rs
+++ b/crates/resp-frontend/src/frontend.rs
@@ -7,13 +7,16 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
+/// The name of this frontend in the routes of the operator's file.
+pub const FRONTEND_NAME: &str = "resp";
+
 /// The RESP frontend of one process: its settings, and the slot map that its requests are routed by.
 pub struct Frontend {
     pub(crate) engine: Rc<Engine>,
     pub(crate) settings: Settings,
     pub(crate) slot_map: RefCell<SlotMap>,
     pub(crate) refresh: RefCell<RefreshSchedule>,
-    /// Wakes the poll for the slot map. One message is enough, however many ask.
+    /// Wakes the poll for the slot map. One message is enough, however many request it.
     refresh_sender: Sender<()>,
     refresh_receiver: Receiver<()>,
     /// Connections so far, which number them.
--- a/crates/resp-frontend/src/lib.rs
+++ b/crates/resp-frontend/src/lib.rs
@@ -27,10 +27,7 @@
 mod test_support;
 
 pub use connection::accept_clients;
-pub use frontend::Frontend;
+pub use frontend::{FRONTEND_NAME, Frontend};
 pub use health_check::Ping;
 pub use settings::{Instance, PrefixRule, Settings, User, hash_secret};
 pub use slot_map_poll::{follow_slot_map, list_seeds};
-
-/// The name of this frontend in the routes of the operator's file.
-pub const FRONTEND_NAME: &str = "resp";
--- a/crates/resp-frontend/src/parse.rs
+++ b/crates/resp-frontend/src/parse.rs
@@ -1,5 +1,8 @@
 //! Commands out of the bytes that a client sent: arrays of bulk strings, or inline lines. No I/O.
 
+#[cfg(test)]
+mod tests;
+
 use crate::arguments::Arguments;
 use chalkwalk_resp::{Frame, FrameKind, ProtocolError, ReadLimits, Reader};
 use std::ops::Range;
--- /dev/null
+++ b/crates/resp-frontend/src/parse/tests.rs
@@ -0,0 +1,34 @@
+//! Commands are parsed off the start of a buffer, whole or not at all.
+
+use super::*;
+
+/// The arguments with `|` between them and the length in bytes, or what else the bytes are.
+fn parsed_text(bytes: &[u8]) -> String {
+    let command = match parse_command(&mut Reader::new(ReadLimits::default()), bytes) {
+        Ok(Some(command)) => command,
+        Ok(None) => return "incomplete".into(),
+        Err(error) => return format!("error: {error}"),
+    };
+    let Some(arguments) = command.arguments else { return format!("blank, {} bytes", command.len) };
+    let texts: Vec<_> =
+        (0..arguments.len()).map(|index| String::from_utf8_lossy(arguments.get(index))).collect();
+    format!("{}, {} bytes", texts.join("|"), command.len)
+}
+
+#[test]
+fn arrays_are_parsed_once_whole_and_only_of_bulk_strings() {
+    assert_eq!(parsed_text(b"*2\r\n$3\r\nGET\r\n$1\r\na\r\n*1\r\n"), "GET|a, 20 bytes");
+    assert_eq!(parsed_text(b"*2\r\n$3\r\nGET\r\n$1\r\na\r"), "incomplete");
+    assert_eq!(parsed_text(b"*0\r\n"), "blank, 4 bytes");
+    assert_eq!(parsed_text(b""), "incomplete");
+    assert!(parsed_text(b"*1\r\n:1\r\n").starts_with("error: "));
+}
+
+#[test]
+fn inline_commands_are_split_at_white_space_and_end_with_a_line_break() {
+    assert_eq!(parsed_text(b"get  a\tb\r\nping"), "get|a|b, 10 bytes");
+    assert_eq!(parsed_text(b" ping \n"), "ping, 7 bytes");
+    assert_eq!(parsed_text(b"\r\n"), "blank, 2 bytes");
+    assert_eq!(parsed_text(b"ping"), "incomplete");
+    assert_eq!(parsed_text(&[b'a'; 8 << 10]), "error: too big inline request");
+}
--- a/crates/resp-frontend/src/request.rs
+++ b/crates/resp-frontend/src/request.rs
@@ -1,7 +1,7 @@
 //! A request as this frontend accepted it: how it is written to a server, and what the server's reply means.
 
 use crate::arguments::Arguments;
-use crate::frontend::Frontend;
+use crate::frontend::{FRONTEND_NAME, Frontend};
 use crate::server_reply::ServerReply;
 use chalkwalk_balancer::AttemptOutcome;
 use chalkwalk_balancer::admission::may_start;
@@ -18,7 +18,7 @@
 use std::rc::Rc;
 use thiserror::Error;
 
-/// Replies up to so many bytes need no memory reservation, as on the platform.
+/// Replies up to so many bytes need no memory reservation, as those of an HTTP server.
 const MAX_UNRESERVED: usize = 64 << 10;
 /// Commands up to so many bytes are accepted by every class: a class's limit is on the body of a request, which a short command
 /// does not have.
@@ -158,7 +158,7 @@
 }
 
 fn attributes<'a>(namespace: usize, key: &'a str, user: &'a str) -> RequestAttributes<'a> {
-    RequestAttributes { namespace, path: key, tenant: user, frontend: crate::FRONTEND_NAME }
+    RequestAttributes { namespace, path: key, tenant: user, frontend: FRONTEND_NAME }
 }
 
 fn without_response(outcome: AttemptOutcome, reusable: bool) -> ServerResponse {
--- a/crates/resp-frontend/src/session/auth.rs
+++ b/crates/resp-frontend/src/session/auth.rs
@@ -1,6 +1,8 @@
 //! `AUTH` and `HELLO`: who the client is, and which version of the protocol it is answered in.
 
-use super::{Session, VERSION, number_field, text_field};
+use super::client_command::INVALID_NAME;
+use super::reply_parts::{VERSION, number_field, text_field};
+use super::state::Session;
 use crate::arguments::Arguments;
 use crate::settings::Settings;
 use chalkwalk_resp::Writer;
@@ -24,7 +26,7 @@
     #[error("NOPROTO unsupported protocol version")]
     UnsupportedVersion,
     /// The name has characters that names may not have.
-    #[error("ERR Client names cannot contain spaces, newlines or special characters.")]
+    #[error("{INVALID_NAME}")]
     InvalidName,
     /// An option is unknown or lacks its values.
     #[error("ERR Syntax error in HELLO option")]
--- a/crates/resp-frontend/src/session/client_command.rs
+++ b/crates/resp-frontend/src/session/client_command.rs
@@ -1,12 +1,16 @@
 //! `CLIENT`: the connection's id and name, and what libraries report of themselves.
 
-use super::{Session, unknown_subcommand};
+use super::reply_parts::unknown_subcommand;
+use super::state::Session;
 use crate::arguments::Arguments;
 use chalkwalk_resp::Writer;
 
-/// The longest name that a client may give its connection. The dialect sets no limit; names are kept as long as the connection.
+/// The longest name that a client may give its connection. The dialect sets no limit; a name is held as long as its connection.
 const MAX_NAME: usize = 128;
 
+/// The dialect's error for a name that is too long or has characters that names may not have.
+pub const INVALID_NAME: &str = "ERR Client names cannot contain spaces, newlines or special characters.";
+
 impl Session {
     /// Sets the connection's name, unless it is too long or has characters that the dialect does not allow.
     pub(super) fn set_name(&mut self, name: &[u8]) -> bool {
@@ -25,7 +29,7 @@
             ("GETNAME", 2) => out.bulk(self.name.as_bytes()),
             ("SETNAME", 3) if self.set_name(arguments.get(2)) => out.simple("OK"),
             ("SETNAME", 3) => {
-                out.error("ERR Client names cannot contain spaces, newlines or special characters.");
+                out.error(INVALID_NAME);
             }
             // Libraries report their names and versions, which nothing here depends on.
             ("SETINFO", 4) => out.simple("OK"),
--- a/crates/resp-frontend/src/session/cluster_command.rs
+++ b/crates/resp-frontend/src/session/cluster_command.rs
@@ -2,7 +2,7 @@
 //! for its slot.
 
 use super::cluster_node::{ClusterNode, cluster_nodes};
-use super::{number_field, text_field, unknown_subcommand};
+use super::reply_parts::{number_field, text_field, unknown_subcommand};
 use crate::arguments::Arguments;
 use crate::settings::Settings;
 use chalkwalk_resp::{Writer, slot_of};
--- a/crates/resp-frontend/src/session/command_command.rs
+++ b/crates/resp-frontend/src/session/command_command.rs
@@ -1,6 +1,6 @@
 //! `COMMAND`, as drivers send it when they connect: the table of commands, its length, or rows of it.
 
-use super::unknown_subcommand;
+use super::reply_parts::unknown_subcommand;
 use crate::arguments::Arguments;
 use crate::command_table::{COMMANDS, CommandSpec, LastKey};
 use chalkwalk_resp::Writer;
--- a/crates/resp-frontend/src/session/tests.rs
+++ b/crates/resp-frontend/src/session/tests.rs
@@ -1,8 +1,9 @@
 //! Connection and cluster commands are answered byte for byte as drivers expect.
 
-use super::*;
-use crate::settings::{Instance, User, hash_secret};
+use super::Session;
+use crate::settings::{Instance, Settings, User, hash_secret};
 use crate::test_support::arguments;
+use chalkwalk_resp::Writer;
 use chalkwalk_slot_map::SlotRange;
 use expect_test::expect;
 use std::net::SocketAddr;
--- a/crates/resp-frontend/src/slot_map_poll.rs
+++ b/crates/resp-frontend/src/slot_map_poll.rs
@@ -18,7 +18,7 @@
 
 /// For one call: a server that takes longer is passed over.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// The size of a server whose size nobody states: the cluster reports none, so all count as equal.
+/// The size of every server: the cluster reports none, so all count as equal.
 const DEFAULT_SIZE: u64 = 100;
 
 /// Puts the seeds on the endpoint list until the cluster has reported its nodes, where its report is the list.
--- a/crates/resp-frontend/src/slot_map_poll/fetch.rs
+++ b/crates/resp-frontend/src/slot_map_poll/fetch.rs
@@ -40,7 +40,7 @@
     Outdated(#[from] OutdatedView),
 }
 
-/// Asks a node for its view of the cluster, on a connection of its own.
+/// Fetches a node's view of the cluster, on a connection of its own.
 pub async fn fetch_view(node: SocketAddr) -> Result<ClusterView, FetchError> {
     let stream = Async::<TcpStream>::connect(node).await.map_err(FetchError::Connect)?;
     let mut out = Writer::default();
--- /dev/null
+++ b/crates/resp-frontend/tests/settings.rs
@@ -0,0 +1,58 @@
+//! Keys find their request class, users authenticate, and slots find the instance that answers for them.
+
+use chalkwalk_resp_frontend::{Instance, PrefixRule, Settings, User, hash_secret};
+use chalkwalk_slot_map::SlotRange;
+use std::net::SocketAddr;
+
+fn addr(port: u16) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], port))
+}
+
+fn settings() -> Settings {
+    let instance = |port: u16, slots: (u16, u16)| Instance {
+        name: port.to_string(),
+        addr: addr(port),
+        slots: SlotRange::from(slots),
+    };
+    let user = |name: &str, secret: &[u8]| User { name: name.into(), secret_sha256: hash_secret(secret) };
+    Settings {
+        listen: addr(2),
+        seeds: vec![],
+        read_class: 0,
+        write_class: 1,
+        prefixes: vec![
+            PrefixRule { prefix: "loan:".into(), read_class: 2, write_class: 3 },
+            PrefixRule { prefix: "loan".into(), read_class: 4, write_class: 4 },
+        ],
+        stale_reads: vec![],
+        split_multi_slot: false,
+        instances: vec![instance(1, (0, 99)), instance(2, (50, 149)), instance(3, (100, 199))],
+        users: vec![user("ann", b"one"), user("bob", b"two")],
+    }
+}
+
+#[test]
+fn the_first_prefix_that_matches_decides_the_class() {
+    let settings = settings();
+    let classes = |key: &[u8]| [settings.class_of(key, false), settings.class_of(key, true)];
+    assert_eq!(classes(b"loan:7"), [2, 3]);
+    assert_eq!(classes(b"loans"), [4, 4]);
+    assert_eq!(classes(b"page"), [0, 1]);
+}
+
+#[test]
+fn a_secret_is_good_only_with_its_own_users_name() {
+    let settings = settings();
+    assert!(settings.authenticates(b"ann", b"one") && settings.authenticates(b"bob", b"two"));
+    for (name, secret) in [("ann", "two"), ("bob", "one"), ("ann", ""), ("", "one"), ("eve", "one")] {
+        assert!(!settings.authenticates(name.as_bytes(), secret.as_bytes()), "{name} {secret}");
+    }
+}
+
+#[test]
+fn this_instance_answers_where_it_can_and_else_the_first_that_does() {
+    let settings = settings();
+    let port = |slot| settings.instance_of(slot).map(|instance| instance.addr.port());
+    assert_eq!([10, 70, 120, 170].map(port), [Some(1), Some(2), Some(2), Some(3)]);
+    assert_eq!(port(200), None);
+}
--- a/crates/slot-map/src/error_meaning.rs
+++ b/crates/slot-map/src/error_meaning.rs
@@ -1,6 +1,6 @@
 //! What a server's error reply means for the request that got it.
 
-use crate::SLOT_COUNT;
+use crate::slot_range::SLOT_COUNT;
 use std::net::SocketAddr;
 
 /// What an error reply means for the request.
--- a/crates/slot-map/src/node.rs
+++ b/crates/slot-map/src/node.rs
@@ -1,6 +1,6 @@
 //! A node of the cluster, and the line of `CLUSTER NODES` that describes it.
 
-use crate::SlotRange;
+use crate::slot_range::SlotRange;
 use std::net::SocketAddr;
 
 /// A node as the cluster itself describes it.
--- a/crates/slot-map/src/route.rs
+++ b/crates/slot-map/src/route.rs
@@ -1,6 +1,7 @@
 //! The route of one request among the servers: which may serve it next, after the redirections so far.
 
-use crate::{ErrorMeaning, SlotMap};
+use crate::error_meaning::ErrorMeaning;
+use crate::slot_map::SlotMap;
 use std::net::SocketAddr;
 
 /// Redirections that one request follows: a slot that moves twice between its attempts takes two, and an `ASK` one more. More is
@@ -15,18 +16,13 @@
     stale_reads: bool,
     redirections: u32,
     /// The target of an `ASK`: the one server for the next attempt, after `ASKING`.
-    ask: Option<SocketAddr>,
+    ask_target: Option<SocketAddr>,
 }
 
 impl RequestRoute {
     /// The route of a request for a slot. `stale_reads`: whether replicas may serve it.
     pub fn new(slot: u16, stale_reads: bool) -> RequestRoute {
-        RequestRoute { slot, stale_reads, redirections: 0, ask: None }
-    }
-
-    /// The slot of the request's keys.
-    pub fn slot(&self) -> u16 {
-        self.slot
+        RequestRoute { slot, stale_reads, redirections: 0, ask_target: None }
     }
 
     /// The servers that may serve it now, the preferred one first. Empty if no owner is known or redirections form a loop.
@@ -34,7 +30,7 @@
         if self.redirections > MAX_REDIRECTIONS {
             return Vec::new();
         }
-        if let Some(to) = self.ask {
+        if let Some(to) = self.ask_target {
             return vec![to];
         }
         let servers = map.servers_for(self.slot);
@@ -43,7 +39,7 @@
 
     /// Whether an attempt at that server has to begin with `ASKING`.
     pub fn needs_asking(&self, to: SocketAddr) -> bool {
-        self.ask == Some(to)
+        self.ask_target == Some(to)
     }
 
     /// Whether an attempt at that server has to begin with `READONLY`: it is not the owner.
@@ -54,7 +50,7 @@
     /// Applies a server's error to the route, and a `MOVED` to the map. Returns whether the map should be refreshed.
     pub fn on_error(&mut self, meaning: &ErrorMeaning, map: &mut SlotMap) -> bool {
         // An `ASK` holds for one attempt.
-        self.ask = None;
+        self.ask_target = None;
         match meaning {
             ErrorMeaning::Moved { slot, to } => {
                 self.redirections += 1;
@@ -67,7 +63,7 @@
             ErrorMeaning::Ask { slot, to } => {
                 self.redirections += 1;
                 let same_slot = *slot == self.slot;
-                self.ask = same_slot.then_some(*to);
+                self.ask_target = same_slot.then_some(*to);
                 !same_slot
             }
             ErrorMeaning::MapOutdated => true,
@@ -77,6 +73,6 @@
 
     /// An attempt ended without an answer. After an `ASK`, the next goes to the owner again.
     pub fn on_no_answer(&mut self) {
-        self.ask = None;
+        self.ask_target = None;
     }
 }
--- a/crates/slot-map/src/slot_map.rs
+++ b/crates/slot-map/src/slot_map.rs
@@ -1,12 +1,14 @@
-//! The slot map: which node owns each slot, kept as ranges, and its replicas.
+//! The slot map: which node owns each slot, held as ranges, and its replicas.
 
-use crate::{ClusterView, Node, SLOT_COUNT, SlotRange};
+use crate::node::Node;
+use crate::slot_range::{SLOT_COUNT, SlotRange};
+use crate::view::ClusterView;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Redirections that are kept until the next view; a cluster that has moved more slots is polled for one anyway.
+/// Redirections that are held until the next view; a cluster that has moved more slots is polled for one anyway.
 const MAX_MOVED: usize = 1024;
 
 /// A range of slots with one owner.
@@ -44,11 +46,6 @@
 }
 
 impl SlotMap {
-    /// Whether no slot has a known owner.
-    pub fn is_empty(&self) -> bool {
-        self.assignments.is_empty() && self.moved.is_empty()
-    }
-
     /// The ranges that views have assigned, in order. Redirections since the last view are not among them.
     pub fn assignments(&self) -> &[SlotAssignment] {
         &self.assignments
--- a/crates/slot-map/src/view.rs
+++ b/crates/slot-map/src/view.rs
@@ -1,6 +1,6 @@
 //! What one node reports of the whole cluster: the reply to `CLUSTER NODES`.
 
-use crate::Node;
+use crate::node::Node;
 use std::net::SocketAddr;
 use thiserror::Error;
 
