--- a/crates/discovery-feed/src/feed.rs
+++ b/crates/discovery-feed/src/feed.rs
@@ -20,7 +20,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Counts of proxy_count fall by themselves; they are looked at once in so long.
+/// Counts of proxies fall by themselves; they are looked at once in so long.
 const COUNT_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The one list of a process, fed by one source.
@@ -31,7 +31,7 @@
     pub allowed_names: AllowedNames,
     reconciler: RefCell<Reconciler>,
     proxy_count: RefCell<ProxyCount>,
-    /// By how many proxy_count the balancer divides now.
+    /// By how many proxies the balancer divides now.
     sharing_proxies: Cell<u64>,
     /// Where the list is persisted, if the operator configures it.
     pub(crate) persistence_path: Option<PathBuf>,
@@ -133,7 +133,7 @@
         }
     }
 
-    /// So many proxy_count are live as the source has it, this one included.
+    /// So many proxies are live as the source has it, this one included.
     pub fn observe_proxies(&self, live: u64) {
         self.proxy_count.borrow_mut().observe(self.now(), live);
         self.update_sharing();
@@ -142,7 +142,7 @@
     fn update_sharing(&self) {
         let proxy_count = self.proxy_count.borrow_mut().effective(self.now());
         if self.sharing_proxies.replace(proxy_count) != proxy_count {
-            info!(self.engine.log, "caches shared by"; "proxy_count" => proxy_count);
+            info!(self.engine.log, "caches shared by"; "proxies" => proxy_count);
             api::set_proxy_count(&self.engine, proxy_count);
         }
     }
--- a/crates/discovery/src/address.rs
+++ b/crates/discovery/src/address.rs
@@ -15,7 +15,7 @@
     })
 }
 
-/// Where the endpoint list is read from. It may move while the proxy is_ready.
+/// Where the endpoint list is read from. It may move while the proxy serves.
 pub struct DiscoveryAddress {
     current: Cell<SocketAddr>,
     moves: Sender<()>,
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -20,7 +20,7 @@
 /// Watches whenever the balancer wants it to, until a call fails; the balancer is notified of that and wants it again.
 ///
 /// `last_known` is the version of the list that was known at the start, from which the first call goes on. With `immediate` that
-/// call does not wait for a change: a process that takes over is_ready once it knows that there is none.
+/// call does not wait for a change: a process that takes over serves once it knows that there is none.
 pub async fn watch_endpoint_list(
     engine: Rc<Engine>,
     address: Rc<DiscoveryAddress>,
--- /dev/null
+++ b/crates/proxy/src/captures/segment.rs
@@ -0,0 +1,77 @@
+//! Segments of captures, read from the files or folders that the command line names.
+
+use crate::error::CaptureFileError;
+use chalkwalk_capture::{CaptureItem, Damage, RecordedCall, read};
+use chalkwalk_time::{TICKS_PER_SECOND, Timestamp};
+use std::fmt::Write;
+use std::path::{Path, PathBuf};
+
+/// A segment's file, as far as it can be read.
+pub struct Segment {
+    pub path: PathBuf,
+    pub items: Vec<CaptureItem>,
+    /// The length of the file.
+    pub bytes: usize,
+}
+
+impl Segment {
+    /// The instance that wrote it: the first part of its name.
+    pub fn instance(&self) -> &str {
+        let name = self.path.file_name().and_then(|name| name.to_str()).unwrap_or("");
+        name.split('.').next().unwrap_or("")
+    }
+
+    /// All calls, and when each was made.
+    pub fn calls(&self) -> impl Iterator<Item = (Timestamp, &RecordedCall)> {
+        let blocks = self.items.iter().filter_map(|item| match item {
+            CaptureItem::Calls(block) => Some(block),
+            CaptureItem::Gap(_) => None,
+        });
+        blocks.flat_map(|block| {
+            block.calls.iter().scan(block.from, |at, call| {
+                *at += call.after;
+                Some((*at, call))
+            })
+        })
+    }
+}
+
+/// Reads all segments, as far as they can be read. What is damaged is added to the text.
+pub fn read_segments(named: &[PathBuf], text: &mut String) -> Result<Vec<Segment>, CaptureFileError> {
+    let mut segments = Vec::new();
+    for path in segment_files(named)? {
+        let bytes = std::fs::read(&path).map_err(|error| file_error(&path, error))?;
+        let contents = read(&bytes);
+        let contents = contents.map_err(|error| CaptureFileError::Format { path: path.clone(), error })?;
+        if let Some(Damage { at, error }) = contents.damage {
+            _ = writeln!(text, "{}: {error}, from byte {at} of {}", path.display(), bytes.len());
+        }
+        segments.push(Segment { path, items: contents.items, bytes: bytes.len() });
+    }
+    Ok(segments)
+}
+
+/// The files that are named, or all captures of a folder, in order.
+fn segment_files(named: &[PathBuf]) -> Result<Vec<PathBuf>, CaptureFileError> {
+    let is_capture = |path: &PathBuf| path.extension().is_some_and(|ending| ending == "capture");
+    let mut files = Vec::new();
+    for path in named {
+        if path.is_dir() {
+            let listed = std::fs::read_dir(path).map_err(|error| file_error(path, error))?;
+            files.extend(listed.flatten().map(|entry| entry.path()).filter(is_capture));
+        } else {
+            files.push(path.clone());
+        }
+    }
+    files.sort();
+    if files.is_empty() { Err(CaptureFileError::NoFiles) } else { Ok(files) }
+}
+
+pub fn file_error(path: &Path, error: std::io::Error) -> CaptureFileError {
+    CaptureFileError::File { path: path.to_path_buf(), error }
+}
+
+/// A moment, in seconds of Unix time.
+pub fn seconds(at: Timestamp) -> String {
+    format!("{}.{:04}", at.ticks() / TICKS_PER_SECOND, at.ticks() % TICKS_PER_SECOND)
+}
--- /dev/null
+++ b/crates/proxy/src/reload.rs
@@ -0,0 +1,122 @@
+//! The configuration reloaded while the proxy runs: settings of the platform, limits of the operator, and where the endpoint
+//! list is. All of it comes into force, or nothing.
+
+use crate::endpoint_source::EndpointSource;
+use crate::error::StartError;
+use crate::startup::{StartupFiles, StartupSettings};
+use chalkwalk_config::{CaptureConfig, MembershipConfig, RespConfig};
+use chalkwalk_discovery::FieldPaths;
+use chalkwalk_engine::api;
+use chalkwalk_engine::engine::Engine;
+use chalkwalk_http_frontend::Frontend;
+use slog::{info, warn};
+use std::rc::Rc;
+
+/// Settings as they were at the start, which only a restart can change.
+pub struct FixedSettings {
+    pub membership: Option<MembershipConfig>,
+    pub resp: Option<RespConfig>,
+    pub capture: Option<CaptureConfig>,
+    /// The fields that the configuration had.
+    pub fields: FieldPaths,
+}
+
+/// Settings of the platform that only a restart can change, by their names: indices in use depend on them.
+const FIXED_PLATFORM_SETTINGS: [&str; 7] =
+    ["zones", "zone", "kinds", "origin kind", "through", "watched", "tenants"];
+
+/// Why a new configuration is rejected.
+#[derive(Debug, thiserror::Error)]
+enum ReloadError {
+    /// It can't be read: a line for each error in it.
+    #[error(transparent)]
+    Load(#[from] StartError),
+    #[error("field {0}: missing, and was there at the start")]
+    MissingField(String),
+    #[error("its membership, RESP frontend or capture differs, which needs a restart")]
+    OperatorFile,
+    #[error("its {0} differ, which needs a restart")]
+    PlatformSetting(&'static str),
+    #[error("its zones or kinds differ, which needs a restart")]
+    ZonesOrKinds,
+    #[error("its namespaces differ, which needs a restart with RESP")]
+    RespNamespaces,
+}
+
+/// Reads both files again, and applies both or neither. What the configuration knows of servers is as old as the file, and what
+/// the endpoint list has brought since is newer.
+pub fn reload(
+    engine: &Rc<Engine>,
+    frontend: &Frontend,
+    files: &StartupFiles,
+    source: Option<&EndpointSource>,
+    fixed: &FixedSettings,
+) {
+    match load(engine, files, fixed) {
+        Ok(settings) => apply(engine, frontend, settings, source, files.operator.is_some()),
+        Err(error) => {
+            for line in error.to_string().lines() {
+                warn!(engine.log, "new configuration rejected"; "fault" => line);
+            }
+        }
+    }
+}
+
+fn load(
+    engine: &Engine,
+    files: &StartupFiles,
+    fixed: &FixedSettings,
+) -> Result<StartupSettings, ReloadError> {
+    let settings = files.load()?;
+    check_fixed(engine, &settings, fixed)?;
+    Ok(settings)
+}
+
+/// Fails if the new settings can't come into force without a restart.
+fn check_fixed(engine: &Engine, new: &StartupSettings, fixed: &FixedSettings) -> Result<(), ReloadError> {
+    let StartupSettings { config, membership, resp, capture } = new;
+    if let Some(field) = fixed.fields.first_missing_in(&config.fields) {
+        return Err(ReloadError::MissingField(field.to_string()));
+    }
+    if *membership != fixed.membership || *resp != fixed.resp || *capture != fixed.capture {
+        return Err(ReloadError::OperatorFile);
+    }
+    let current = engine.classes.platform_settings();
+    let differs = |name: &&str| current.get(*name) != config.engine.settings.get(*name);
+    if let Some(name) = FIXED_PLATFORM_SETTINGS.into_iter().find(differs) {
+        return Err(ReloadError::PlatformSetting(name));
+    }
+    if config.engine.zones != engine.config.zones || config.engine.kinds != engine.config.kinds {
+        return Err(ReloadError::ZonesOrKinds);
+    }
+    // The RESP frontend knows namespaces by their indices.
+    if resp.is_some() && config.namespaces != engine.classes.namespace_names() {
+        return Err(ReloadError::RespNamespaces);
+    }
+    Ok(())
+}
+
+fn apply(
+    engine: &Rc<Engine>,
+    frontend: &Frontend,
+    settings: StartupSettings,
+    source: Option<&EndpointSource>,
+    has_operator_file: bool,
+) {
+    let StartupSettings { config, resp, .. } = settings;
+    let address = config.list_address.map_or_else(|| "-".to_string(), |address| address.to_string());
+    let is_new = config.engine.settings != engine.classes.platform_settings();
+    let shown = if is_new { "new" } else { "as before" };
+    info!(engine.log, "configuration reloaded"; "list" => address, "settings" => shown);
+    if let Some(source) = source {
+        source.reload(config.list_address);
+    }
+    if is_new {
+        if resp.is_none() {
+            frontend.set_namespaces(config.namespaces);
+        }
+        api::apply_settings(engine, config.engine);
+    } else if has_operator_file {
+        api::set_limits(engine, config.engine.limits);
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/resp_settings.rs
@@ -0,0 +1,35 @@
+//! The RESP frontend's settings, from what the operator's file has.
+
+use chalkwalk_config::{KeyPrefix, ProxyInstance, RespConfig, RespUser};
+use chalkwalk_resp_frontend::{Instance, PrefixRule, Settings, User};
+
+/// The settings for the frontend of a proxy with so many namespaces.
+pub fn resp_settings(config: &RespConfig, namespaces: usize) -> Settings {
+    Settings {
+        listen: config.listen,
+        seeds: config.seeds.clone(),
+        read_class: config.namespace,
+        write_class: config.write_namespace,
+        prefixes: config.prefixes.iter().map(prefix_rule).collect(),
+        stale_reads: (0..namespaces).map(|index| config.stale_reads.contains(&index)).collect(),
+        split_multi_slot: config.split,
+        instances: config.instances.iter().map(instance).collect(),
+        users: config.users.iter().map(user).collect(),
+    }
+}
+
+fn prefix_rule(config: &KeyPrefix) -> PrefixRule {
+    PrefixRule {
+        prefix: config.prefix.clone(),
+        read_class: config.namespace,
+        write_class: config.write_namespace,
+    }
+}
+
+fn instance(config: &ProxyInstance) -> Instance {
+    Instance { name: config.name.clone(), addr: config.address, slots: config.slots.into() }
+}
+
+fn user(config: &RespUser) -> User {
+    User { name: config.name.clone(), secret_sha256: config.secret }
+}
--- /dev/null
+++ b/crates/proxy/src/state_files/reader.rs
@@ -0,0 +1,70 @@
+//! The read of the other processes' records, outside the proxy's own thread.
+
+use super::FILE_ENDING;
+use chalkwalk_handover::{DecodeError, HandoverRecord, MAX_FILE_BYTES};
+use std::fs;
+use std::io::{self, Read};
+use std::path::{Path, PathBuf};
+
+/// Why another process's record can't be read.
+#[derive(Debug, thiserror::Error)]
+pub enum ReadError {
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    #[error(transparent)]
+    Decode(#[from] DecodeError),
+}
+
+/// The file of another process.
+pub struct PeerFile {
+    pub path: PathBuf,
+    pub record: Result<HandoverRecord, ReadError>,
+    /// Whether its process is alive.
+    pub is_alive: bool,
+}
+
+/// Where the other processes' files are.
+pub struct PeerReader {
+    folder: PathBuf,
+    /// What the names of this proxy's files begin with.
+    name_prefix: String,
+    own_file: PathBuf,
+}
+
+impl PeerReader {
+    pub(super) fn new(folder: PathBuf, name_prefix: String, own_file: PathBuf) -> PeerReader {
+        PeerReader { folder, name_prefix, own_file }
+    }
+
+    /// Reads all files; blocks.
+    pub fn read(self) -> Vec<PeerFile> {
+        let Ok(listed) = fs::read_dir(&self.folder) else { return Vec::new() };
+        let mut paths: Vec<PathBuf> = listed.flatten().map(|entry| entry.path()).collect();
+        paths.retain(|path| self.is_peer_file(path));
+        paths.sort();
+        paths.into_iter().map(PeerFile::read).collect()
+    }
+
+    fn is_peer_file(&self, path: &Path) -> bool {
+        let name = path.file_name().and_then(|name| name.to_str()).unwrap_or("");
+        *path != self.own_file && name.starts_with(&self.name_prefix) && name.ends_with(FILE_ENDING)
+    }
+}
+
+impl PeerFile {
+    fn read(path: PathBuf) -> PeerFile {
+        let record = read_record(&path);
+        let is_alive = record.as_ref().is_ok_and(|record| is_running(record.pid));
+        PeerFile { path, record, is_alive }
+    }
+}
+
+fn is_running(pid: u32) -> bool {
+    Path::new("/proc").join(pid.to_string()).exists()
+}
+
+fn read_record(path: &Path) -> Result<HandoverRecord, ReadError> {
+    let mut text = String::new();
+    fs::File::open(path)?.take(MAX_FILE_BYTES as u64).read_to_string(&mut text)?;
+    Ok(HandoverRecord::decode(&text)?)
+}
--- a/crates/proxy/tests/sockets/operators.rs
+++ b/crates/proxy/tests/sockets/operators.rs
@@ -319,7 +319,7 @@
     let mut log = String::new();
     day.proxy.stderr.take().unwrap().read_to_string(&mut log).unwrap();
     for line in log.lines() {
-        if let Some((_, fault)) = line.split_once("passed over, fault: ") {
+        if let Some((_, fault)) = line.split_once("rejected, fault: ") {
             // Where in the file depends on the ports in it.
             let fault = fault.split(" at line").next().unwrap().trim_end_matches(", proxy: p");
             day.told.say(fault.replace(&day.path, "FILE"));
--- a/crates/proxy/tests/sources.rs
+++ b/crates/proxy/tests/sources.rs
@@ -173,7 +173,7 @@
     assert!(
         code == Some(0)
             && said.contains("from 2 starts")
-            && said.contains("0 differ, 0 calls passed over, 0 gaps"),
+            && said.contains("0 differ, 0 calls skipped, 0 gaps"),
         "{code:?} {said}"
     );
     let (_, shown) = run(&["show", "--lookup", "0"]);
