--- a/crates/engine/src/api.rs
+++ b/crates/engine/src/api.rs
@@ -31,8 +31,9 @@
     call(engine, |requests, now| requests.fail_all(now));
 }
 
-/// A source of the endpoint list has read it: the whole list, or what changed. A `doubted` one, which may be older than what was known
-/// before, brings no server back that was notified to be off and has not started since.
+/// A source of the endpoint list has read it: the whole list, or what changed. A `doubted` one,
+/// which may be older than what was known before, brings no server back that was notified to be off
+/// and has not started since.
 pub fn apply_endpoint_list(
     engine: &Rc<Engine>,
     endpoints: &[ListedEndpoint],
@@ -59,7 +60,8 @@
     if more > 0 { format!("{named} and {more} more") } else { named }
 }
 
-/// Operators disable a server at that moment, or enable it again. Idle connections to it are closed: it restarts meanwhile.
+/// Operators disable a server at that moment, or enable it again. Idle connections to it are
+/// closed: it restarts meanwhile.
 pub fn set_server_disabled(engine: &Rc<Engine>, id: &str, disabled: bool, at: Timestamp) {
     let server = call(engine, |requests, now| requests.set_server_disabled(now, id, disabled, at));
     if let Some(server) = server {
@@ -72,12 +74,14 @@
     call(engine, |requests, now| requests.discovery_call_failed(now, took));
 }
 
-/// So many proxies share the servers, this one included, as a source of the endpoint list counts them.
+/// So many proxies share the servers, this one included, as a source of the endpoint list counts
+/// them.
 pub fn set_proxy_count(engine: &Rc<Engine>, proxies: u64) {
     engine.requests.borrow_mut().set_proxy_count(proxies);
 }
 
-/// Other limits of the operator apply from now on, also to open requests: see [`RequestTable::apply_settings`].
+/// Other limits of the operator apply from now on, also to open requests: see
+/// [`RequestTable::apply_settings`].
 ///
 /// [`RequestTable::apply_settings`]: crate::request_table::RequestTable::apply_settings
 pub fn set_limits(engine: &Rc<Engine>, limits: Option<LimitTable>) {
@@ -90,8 +94,8 @@
     call(engine, |requests, now| requests.apply_settings(now, &settings, renewed));
 }
 
-/// Other settings of the platform apply from now on, with an operator's limits on them. Open requests keep the limits that they were
-/// accepted with.
+/// Other settings of the platform apply from now on, with an operator's limits on them. Open
+/// requests keep the limits that they were accepted with.
 pub fn apply_settings(engine: &Rc<Engine>, mut config: EngineConfig) {
     let limits = config.limits.take();
     engine.config.connect_timeout.set(config.connect_timeout.get());
--- a/crates/engine/src/attempt.rs
+++ b/crates/engine/src/attempt.rs
@@ -1,5 +1,6 @@
-//! One attempt, from its connection to its end: a connection is acquired, whether it may still be sent is asked right before its
-//! first byte, the request is written, and the response read. A long response is passed on part by part while it comes.
+//! One attempt, from its connection to its end: a connection is acquired, whether it may still be
+//! sent is asked right before its first byte, the request is written, and the response read. A long
+//! response is passed on part by part while it comes.
 
 use crate::attempt_handle::AttemptHandle;
 use crate::connect;
@@ -18,8 +19,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A streamed response of which nothing more arrives for so long, or of which nobody takes more, is broken off. The time limit of
-/// the request is over by then, and a server that is slow on purpose writes something each second.
+/// A streamed response of which nothing more arrives for so long, or of which nobody takes more, is
+/// broken off. The time limit of the request is over by then, and a server that is slow on purpose
+/// writes something each second.
 const STREAM_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How an attempt ended, or how far it has come.
@@ -55,7 +57,8 @@
 }
 
 impl Attempt<'_> {
-    /// Sends the attempt, and reads its response or the start of it, until it is cancelled or times out.
+    /// Sends the attempt, and reads its response or the start of it, until it is cancelled or times
+    /// out.
     pub async fn run(&self) -> Progress {
         let cancelled = async {
             self.pending.handle.cancelled().await;
@@ -104,7 +107,8 @@
     async fn connect_and_write(&self) -> Result<Rc<ServerConnection>, AttemptOutcome> {
         let Attempt { engine, pending, .. } = self;
         let connection = Rc::new(connect::pooled_or_new(engine, pending.server).await?);
-        // After a standstill what arrived during it is read first: a drain, an operator's call, a client's end.
+        // After a standstill what arrived during it is read first: a drain, an operator's call, a
+        // client's end.
         engine.clock.catch_up().await;
         let allowed_at = engine.clock.now();
         self.check_still_allowed(allowed_at)?;
@@ -117,9 +121,10 @@
         Ok(connection)
     }
 
-    /// Whether the attempt may be sent after all that it waited for. On a busy process the connection and the end of the time are
-    /// seen in one turn of the executor, and the client's end lies unread while a connection, a permit, a key's turn or a quiet time is
-    /// waited for. An attempt that is refused here has surely not run, and goes elsewhere.
+    /// Whether the attempt may be sent after all that it waited for. On a busy process the
+    /// connection and the end of the time are seen in one turn of the executor, and the client's
+    /// end lies unread while a connection, a permit, a key's turn or a quiet time is waited for. An
+    /// attempt that is refused here has surely not run, and goes elsewhere.
     fn check_still_allowed(&self, now: Timestamp) -> Result<(), AttemptOutcome> {
         let Attempt { engine, pending, .. } = self;
         let client_connected = pending.request.client_is_waiting();
@@ -148,7 +153,8 @@
     }
 }
 
-/// What remains of a response to pass on. The fields are dropped in this order, the connection last.
+/// What remains of a response to pass on. The fields are dropped in this order, the connection
+/// last.
 pub(crate) struct BodyTransfer {
     outcome: AttemptOutcome,
     complete: Rc<Cell<bool>>,
@@ -170,8 +176,8 @@
 }
 
 impl BodyTransfer {
-    /// Passes the parts of the body on until it ends, breaks off, is read no more, or the attempt is cancelled. Returns how the
-    /// attempt ended.
+    /// Passes the parts of the body on until it ends, breaks off, is read no more, or the attempt
+    /// is cancelled. Returns how the attempt ended.
     pub async fn run(self, engine: &Engine, server: ServerIndex, handle: &AttemptHandle) -> AttemptOutcome {
         let cancelled = async {
             handle.cancelled().await;
--- a/crates/engine/src/attempt_handle.rs
+++ b/crates/engine/src/attempt_handle.rs
@@ -1,4 +1,5 @@
-//! One attempt as seen from outside its task: how it is cancelled, and what is known of its progress.
+//! One attempt as seen from outside its task: how it is cancelled, and what is known of its
+//! progress.
 
 use crate::pool::ServerConnection;
 use smol::channel::{Receiver, Sender, bounded};
@@ -22,7 +23,8 @@
         AttemptHandle { connection: RefCell::default(), written: Cell::new(false), cancel, cancelled }
     }
 
-    /// Ends the attempt. Its connection is shut down at once, so that whatever is written next, to whomever, is written after it.
+    /// Ends the attempt. Its connection is shut down at once, so that whatever is written next, to
+    /// whomever, is written after it.
     pub(crate) fn cancel(&self) {
         if let Some(connection) = self.connection.borrow().as_ref() {
             _ = connection.stream.get_ref().shutdown(Shutdown::Both);
--- a/crates/engine/src/background.rs
+++ b/crates/engine/src/background.rs
@@ -1,4 +1,5 @@
-//! Tasks that run for as long as the proxy does: the balancer's timers, and the upkeep of the connection pool.
+//! Tasks that run for as long as the proxy does: the balancer's timers, and the upkeep of the
+//! connection pool.
 
 use crate::dispatch::call;
 use crate::engine::Engine;
@@ -10,7 +11,8 @@
 
 /// Spare connections are looked for twice in the time that they may be idle.
 const CLOSE_SPARE_PER_IDLE_TIME: u32 = 2;
-/// Stale connections are closed with each eighth round of those, about once a second, as that looks at each connection.
+/// Stale connections are closed with each eighth round of those, about once a second, as that looks
+/// at each connection.
 const SPARE_ROUNDS_PER_STALE_ROUND: u32 = 8;
 /// The counters are logged at most once in so many rounds, which is once a minute.
 const STALE_ROUNDS_PER_REPORT: u32 = 60;
@@ -29,7 +31,8 @@
     }
 }
 
-/// Closes spare and stale connections of the pool, and logs the counters where more clients have left; never ends.
+/// Closes spare and stale connections of the pool, and logs the counters where more clients have
+/// left; never ends.
 pub async fn run_pool_sweeps(engine: Rc<Engine>) {
     let mut logged = 0;
     let mut rounds = 0u32;
@@ -48,8 +51,8 @@
     }
 }
 
-/// Logs how many requests so far were left by their clients while they waited, how many attempts were withheld as their request was
-/// over, and how often what must not happen has happened.
+/// Logs how many requests so far were left by their clients while they waited, how many attempts
+/// were withheld as their request was over, and how often what must not happen has happened.
 pub(crate) fn log_counters(engine: &Engine, event: &'static str) {
     let left = engine.requests.borrow().left_waiting();
     let violations = engine.violations.total();
--- a/crates/engine/src/budget.rs
+++ b/crates/engine/src/budget.rs
@@ -1,5 +1,5 @@
-//! One budget of descriptors for client connections, connections to servers and the pool. When it runs short, idle connections are
-//! closed first.
+//! One budget of descriptors for client connections, connections to servers and the pool. When it
+//! runs short, idle connections are closed first.
 
 #[cfg(test)]
 mod tests;
@@ -16,12 +16,13 @@
 /// Idle connections are closed one by one, and each is given this long to be gone.
 const CLOSE_TIME: Duration = Duration::from_millis(5);
 
-/// Descriptors that are open besides: standard streams, epoll, its timer and event, the signals' pair, the listener, 11 in all
-/// as counted; the two connections of the endpoint list, which wait for no permit; one that waits for its permit, and one to spare.
+/// Descriptors that are open besides: standard streams, epoll, its timer and event, the signals'
+/// pair, the listener, 11 in all as counted; the two connections of the endpoint list, which wait
+/// for no permit; one that waits for its permit, and one to spare.
 const OTHER_DESCRIPTORS: usize = 15;
 
-/// How long a request that arrived while all connections were busy waits for a permit: most responses take less, and the
-/// connection that had one is idle a moment later.
+/// How long a request that arrived while all connections were busy waits for a permit: most
+/// responses take less, and the connection that had one is idle a moment later.
 const PERMIT_SOON: Duration = Duration::from_millis(60);
 
 /// One descriptor of the budget, given back on drop.
@@ -51,11 +52,12 @@
     /// Divides so many descriptors.
     pub fn new(descriptors: usize) -> DescriptorBudget {
         let all = descriptors.saturating_sub(OTHER_DESCRIPTORS).max(16);
-        // A third each, and a third for either: each client that waits for a response needs at least one attempt in flight, and
-        // one that writes or reads slowly needs none.
+        // A third each, and a third for either: each client that waits for a response needs at
+        // least one attempt in flight, and one that writes or reads slowly needs none.
         let servers = all / 3;
         let shared = all / 3;
-        // Held for a moment each, the time that a rejection takes; with fewer than four, others wait unseen for it.
+        // Held for a moment each, the time that a rejection takes; with fewer than four, others
+        // wait unseen for it.
         let rejecting = (all / 16).max(4);
         let clients = all - servers - shared - rejecting;
         DescriptorBudget {
@@ -63,15 +65,17 @@
             clients: Arc::new(Semaphore::new(clients)),
             shared: Arc::new(Semaphore::new(shared)),
             rejecting: Arc::new(Semaphore::new(rejecting)),
-            // Guards clients against others that ask once and keep their connection: a load balancer in front may let only so
-            // many be open at once, a third of our descriptors, and half of that is for those that ask.
+            // Guards clients against others that ask once and keep their connection: a load
+            // balancer in front may let only so many be open at once, a third of our descriptors,
+            // and half of that is for those that ask.
             idle_clients: IdleClients::new(all / 6),
             half: HalfShares { servers: servers / 2, clients: clients / 2, shared: shared / 2 },
         }
     }
 
-    /// Takes half of all permits as they become free, for another process of this proxy: the two together may hold no more than
-    /// one. `close_idle_server` closes an idle connection to a server.
+    /// Takes half of all permits as they become free, for another process of this proxy: the two
+    /// together may hold no more than one. `close_idle_server` closes an idle connection to a
+    /// server.
     pub async fn lend_half(&self, close_idle_server: impl Fn()) -> Vec<Permit> {
         let close_idle_client = || _ = self.close_idle();
         let mut lent = acquire_many(&self.servers, self.half.servers, close_idle_server).await;
@@ -80,15 +84,16 @@
         lent
     }
 
-    /// Waits for a permit for a connection to a server; `close_idle_server` closes one that is idle.
+    /// Waits for a permit for a connection to a server; `close_idle_server` closes one that is
+    /// idle.
     pub async fn acquire_for_server(&self, close_idle_server: impl Fn()) -> Permit {
         loop {
             if let Some(permit) = self.servers.try_acquire_arc().or_else(|| self.shared.try_acquire_arc()) {
                 return permit;
             }
             close_idle_server();
-            // Clients beyond their own share may have to give one back; while that share has some left, no idle client is in the
-            // way.
+            // Clients beyond their own share may have to give one back; while that share has some
+            // left, no idle client is in the way.
             if self.clients.try_acquire_arc().is_none() {
                 self.close_idle();
             }
@@ -98,14 +103,15 @@
         }
     }
 
-    /// Waits for a permit for a client, and returns with it whether its requests are admitted: they are not where no other client
-    /// is idle.
+    /// Waits for a permit for a client, and returns with it whether its requests are admitted: they
+    /// are not where no other client is idle.
     pub async fn acquire_for_client(&self) -> (Permit, bool) {
         loop {
             if let Some(permit) = self.try_acquire_for_client() {
                 return (permit, true);
             }
-            // Guards requests against waiting unseen, before they are accepted, until their time is over.
+            // Guards requests against waiting unseen, before they are accepted, until their time is
+            // over.
             if !self.close_idle()
                 && let Some(permit) = self.rejecting.try_acquire_arc()
             {
@@ -137,13 +143,14 @@
         self.clients.try_acquire_arc().or_else(|| self.shared.try_acquire_arc())
     }
 
-    /// A permit that is given back soon. The caller looks again after that, which guards against waiting forever for a connection
-    /// that became idle only meanwhile.
+    /// A permit that is given back soon. The caller looks again after that, which guards against
+    /// waiting forever for a connection that became idle only meanwhile.
     async fn acquire_soon(&self, share: &Arc<Semaphore>) -> Option<Permit> {
         within(CLOSE_TIME, share.acquire_arc().or(self.shared.acquire_arc())).await
     }
 
-    /// Marks a client's connection as idle: it may be asked to close through `close`. `used`: whether it has carried a request.
+    /// Marks a client's connection as idle: it may be asked to close through `close`. `used`:
+    /// whether it has carried a request.
     pub fn mark_idle(&self, close: Sender<()>, used: bool) -> IdleTicket {
         self.idle_clients.add(close, used)
     }
@@ -159,7 +166,8 @@
     }
 }
 
-/// Acquires so many permits of a share, closing idle connections one by one while there are too few.
+/// Acquires so many permits of a share, closing idle connections one by one while there are too
+/// few.
 async fn acquire_many(share: &Arc<Semaphore>, count: usize, close_idle: impl Fn()) -> Vec<Permit> {
     let mut permits = Vec::new();
     while permits.len() < count {
--- a/crates/engine/src/budget/tests.rs
+++ b/crates/engine/src/budget/tests.rs
@@ -9,7 +9,8 @@
     (servers.len(), clients.len())
 }
 
-/// Clients that write slowly get the permits that no server connection needs, and two processes of a proxy have half each.
+/// Clients that write slowly get the permits that no server connection needs, and two processes of
+/// a proxy have half each.
 #[test]
 fn shared_permits_go_to_either_side_and_half_of_all_to_another_process() {
     let budget = DescriptorBudget::new(192);
--- a/crates/engine/src/classes.rs
+++ b/crates/engine/src/classes.rs
@@ -1,4 +1,5 @@
-//! The classes of requests and their limits as they apply now, and the same as settings that the balancer reads.
+//! The classes of requests and their limits as they apply now, and the same as settings that the
+//! balancer reads.
 
 use chalkwalk_limits::{LimitTable, Limits, PlatformLimits, RequestAttributes};
 use chalkwalk_time::Span;
@@ -51,8 +52,8 @@
         }
     }
 
-    /// Other settings apply from now on. Classes are numbered anew: a request that was accepted before knows by its generation that
-    /// its number may be another class's.
+    /// Other settings apply from now on. Classes are numbered anew: a request that was accepted
+    /// before knows by its generation that its number may be another class's.
     pub fn apply_settings(
         &self,
         settings: BTreeMap<String, String>,
@@ -123,8 +124,8 @@
         self.active.borrow().number(ZONE_SETTING).unwrap_or(0.0) as usize
     }
 
-    /// The settings that the balancer reads: the platform's as they are where no operator has set anything, and otherwise with a
-    /// namespace for each class.
+    /// The settings that the balancer reads: the platform's as they are where no operator has set
+    /// anything, and otherwise with a namespace for each class.
     pub fn balancer_settings(&self) -> BTreeMap<String, String> {
         let active = self.active.borrow();
         let mut settings = active.settings.clone();
--- a/crates/engine/src/clock.rs
+++ b/crates/engine/src/clock.rs
@@ -1,12 +1,14 @@
-//! The proxy's clock, and a heartbeat that notices when the process stood still (was stopped, or got no core). What is read right
-//! after a standstill may have arrived at any moment during it, so arrivals are then dated back to the last heartbeat.
+//! The proxy's clock, and a heartbeat that notices when the process stood still (was stopped, or
+//! got no core). What is read right after a standstill may have arrived at any moment during it, so
+//! arrivals are then dated back to the last heartbeat.
 
 use chalkwalk_time::{Span, Timestamp};
 use smol::Timer;
 use std::cell::Cell;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The time of one process: Unix time at its start plus what has elapsed since, so that it never goes back.
+/// The time of one process: Unix time at its start plus what has elapsed since, so that it never
+/// goes back.
 pub struct Clock {
     unix_at_start: Timestamp,
     start: Instant,
@@ -18,8 +20,8 @@
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(20);
 /// How long reading what arrived during a standstill takes: many turns of the executor.
 const CATCH_UP_TIME: Duration = Duration::from_millis(2);
-/// A heartbeat older than this means that the process stood still: two and a half intervals. It is 50 ms, which is as late as a
-/// response may be.
+/// A heartbeat older than this means that the process stood still: two and a half intervals. It is
+/// 50 ms, which is as late as a response may be.
 const STANDSTILL: Span = Span::from_millis(50);
 
 impl Default for Clock {
@@ -53,14 +55,16 @@
         }
     }
 
-    /// Just after a standstill, waits until what arrived during it is read; otherwise returns at once.
+    /// Just after a standstill, waits until what arrived during it is read; otherwise returns at
+    /// once.
     pub async fn catch_up(&self) {
         if self.now() > self.last_heartbeat.get() + STANDSTILL {
             Timer::after(CATCH_UP_TIME).await;
         }
     }
 
-    /// The earliest moment at which input that is read now can have arrived: now, or the last heartbeat before a standstill.
+    /// The earliest moment at which input that is read now can have arrived: now, or the last
+    /// heartbeat before a standstill.
     pub fn earliest_arrival(&self) -> Timestamp {
         let now = self.now();
         let last_heartbeat = self.last_heartbeat.get();
--- a/crates/engine/src/close_schedule.rs
+++ b/crates/engine/src/close_schedule.rs
@@ -1,5 +1,5 @@
-//! When client connections are closed once the proxy shuts down or is taken out of service: one after the other, so that they do not
-//! all come to the other proxies at once.
+//! When client connections are closed once the proxy shuts down or is taken out of service: one
+//! after the other, so that they do not all come to the other proxies at once.
 
 use chalkwalk_time::{Span, Timestamp};
 
@@ -40,7 +40,8 @@
         ClosePosition(number * 618 % 1000)
     }
 
-    /// So long after the first of all connections is closed, where the last is closed after a thousand of these.
+    /// So long after the first of all connections is closed, where the last is closed after a
+    /// thousand of these.
     fn after(self, step: Span) -> Span {
         step * self.0
     }
@@ -60,10 +61,12 @@
         }
     }
 
-    /// Shutting down, not before two thirds of the time that is left to the proxy, as a proxy that was restarted before may not be known
-    /// as back yet, and not after five sixths, so that what is accepted until then is answered; in between one by one, not to
-    /// flood the others. Where another process of this proxy has taken over, with responses within the first second: a client that
-    /// connects again comes to that one, and a connection that is asked to close meets no request.
+    /// Shutting down, not before two thirds of the time that is left to the proxy, as a proxy that
+    /// was restarted before may not be known as back yet, and not after five sixths, so that what
+    /// is accepted until then is answered; in between one by one, not to flood the others. Where
+    /// another process of this proxy has taken over, with responses within the first second: a
+    /// client that connects again comes to that one, and a connection that is asked to close meets
+    /// no request.
     fn close_times_of_drain(self, window: DrainWindow, superseded: bool) -> CloseTimes {
         let DrainWindow { started, response_deadline } = window;
         let late = started + (response_deadline - started) * (4000 + self.0) / 6000;
@@ -71,8 +74,9 @@
         CloseTimes { with_response: if superseded { soon } else { late }, when_idle: late }
     }
 
-    /// Out of service, with responses within the first second, and idle within two: the load balancer in front has learned of it by
-    /// then, and at four seconds none may be open that had a request in the last two.
+    /// Out of service, with responses within the first second, and idle within two: the load
+    /// balancer in front has learned of it by then, and at four seconds none may be open that had a
+    /// request in the last two.
     fn close_times_out_of_service(self, since: Timestamp) -> CloseTimes {
         let spread = self.after(Span::from_ticks(8));
         CloseTimes {
--- a/crates/engine/src/connect.rs
+++ b/crates/engine/src/connect.rs
@@ -1,4 +1,5 @@
-//! Connections to servers for attempts and health checks: one of the pool, or a new one within the descriptor budget.
+//! Connections to servers for attempts and health checks: one of the pool, or a new one within the
+//! descriptor budget.
 
 use crate::engine::Engine;
 use crate::pool::ServerConnection;
@@ -39,8 +40,8 @@
     Ok(ServerConnection::new(stream, addr, permit))
 }
 
-/// How an attempt ends whose connection could not be opened. That this machine is out of descriptors, of buffers or memory, or of
-/// ports says nothing about the server.
+/// How an attempt ends whose connection could not be opened. That this machine is out of
+/// descriptors, of buffers or memory, or of ports says nothing about the server.
 fn outcome_of(error: &io::Error) -> AttemptOutcome {
     match Errno::from_io_error(error) {
         Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM | Errno::ADDRNOTAVAIL) => {
--- a/crates/engine/src/effect_sink.rs
+++ b/crates/engine/src/effect_sink.rs
@@ -1,5 +1,6 @@
-//! What the balancer's decisions take effect on: the open requests, its timers and the log. Effects that need a task are only noted as
-//! commands, and carried out once the call to the balancer is over.
+//! What the balancer's decisions take effect on: the open requests, its timers and the log. Effects
+//! that need a task are only noted as commands, and carried out once the call to the balancer is
+//! over.
 
 use crate::attempt_handle::AttemptHandle;
 use crate::response::{ClientRequest, Response, ResponseStatus};
@@ -52,7 +53,8 @@
     }
 }
 
-/// A request from its arrival to its final response, or to the end of its last attempt if that is later.
+/// A request from its arrival to its final response, or to the end of its last attempt if that is
+/// later.
 pub(crate) struct OpenRequest {
     pub request: Rc<dyn ClientRequest>,
     /// Where its final response goes; `None` once it has that, or nobody waits for it any more.
@@ -72,7 +74,8 @@
     }
 }
 
-/// How the request table wakes tasks that wait for it. Each channel has capacity for one signal, which is enough to wake by.
+/// How the request table wakes tasks that wait for it. Each channel has capacity for one signal,
+/// which is enough to wake by.
 pub(crate) struct Signals {
     /// A timer is due before the one that is waited for.
     pub earlier_timer: Sender<()>,
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -21,8 +21,8 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// Long responses may take this part of the memory: the rest of the proxy needs a few megabytes, and as much again is the system's
-/// for what is on its way.
+/// Long responses may take this part of the memory: the rest of the proxy needs a few megabytes,
+/// and as much again is the system's for what is on its way.
 const RESPONSE_MEMORY_DIVISOR: usize = 3;
 
 /// One proxy without its protocols.
@@ -63,8 +63,8 @@
 }
 
 impl Engine {
-    /// An engine that was given this configuration, and checks servers in this way. `recorder`: where all calls to the balancer are
-    /// captured.
+    /// An engine that was given this configuration, and checks servers in this way. `recorder`:
+    /// where all calls to the balancer are captured.
     pub fn new(
         mut config: EngineConfig,
         health_check: Box<dyn HealthCheck>,
--- a/crates/engine/src/health_check.rs
+++ b/crates/engine/src/health_check.rs
@@ -13,7 +13,8 @@
     let limit = engine.config.connect_timeout.get() * CONNECT_TIMEOUTS;
     let passed = within(limit, check_on_new_connection(engine, server)).await.flatten().is_some();
     if !passed {
-        // An idle connection to a machine that vanished is reset only when that is back, and by the first request on it.
+        // An idle connection to a machine that vanished is reset only when that is back, and by the
+        // first request on it.
         engine.pool.close_all(server);
     }
     passed
--- a/crates/engine/src/idle_clients.rs
+++ b/crates/engine/src/idle_clients.rs
@@ -1,4 +1,5 @@
-//! Client connections with nothing to do, in the order in which they are closed when descriptors run short.
+//! Client connections with nothing to do, in the order in which they are closed when descriptors
+//! run short.
 
 use chalkwalk_balancer::admission::may_close;
 use chalkwalk_time::Span;
@@ -7,8 +8,8 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// Names an idle connection among all. The order of the fields is the order of closing: connections that never carried a request
-/// go first, and then those that are idle longest.
+/// Names an idle connection among all. The order of the fields is the order of closing: connections
+/// that never carried a request go first, and then those that are idle longest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct IdleTicket {
     used: bool,
@@ -39,7 +40,8 @@
         IdleClients { clients: RefCell::default(), next_number: Cell::new(0), max }
     }
 
-    /// Adds a connection, which is asked to close through `close`. `used`: whether it has carried a request.
+    /// Adds a connection, which is asked to close through `close`. `used`: whether it has carried a
+    /// request.
     pub fn add(&self, close: Sender<()>, used: bool) -> IdleTicket {
         let ticket = IdleTicket { used, number: self.next_number.get() };
         self.next_number.set(ticket.number + 1);
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,18 +1,21 @@
-//! The engine: one proxy without its protocols. It owns the balancer and notifies it of all that happens, keeps the open requests
-//! until their one final response, the connections to servers, the descriptor budget, the lifecycle of the process, its clock and the
-//! balancer's timers. It decides nothing.
+//! The engine: one proxy without its protocols. It owns the balancer and notifies it of all that
+//! happens, keeps the open requests until their one final response, the connections to servers, the
+//! descriptor budget, the lifecycle of the process, its clock and the balancer's timers. It decides
+//! nothing.
 //!
-//! It may use `balancer`, `capture`, `limits`, `membership`, `sockets`, `time`, smol and slog. No protocol ever enters it, neither of
-//! clients nor of servers, and no format of an endpoint list: a request comes in as something that can write itself to a server and read
-//! what comes back ([`response::ClientRequest`]), and leaves as bytes with a status; an endpoint list comes in as plain endpoints
-//! ([`servers::ListedEndpoint`]).
+//! It may use `balancer`, `capture`, `limits`, `membership`, `sockets`, `time`, smol and slog. No
+//! protocol ever enters it, neither of clients nor of servers, and no format of an endpoint list: a
+//! request comes in as something that can write itself to a server and read what comes back
+//! ([`response::ClientRequest`]), and leaves as bytes with a status; an endpoint list comes in as
+//! plain endpoints ([`servers::ListedEndpoint`]).
 //!
 //! Modules use those below them only:
 //!
 //! - `shutdown`, `background` and `api` call the engine from outside;
 //! - `dispatch` calls the request table and spawns the tasks that it wants;
 //! - `attempt`, `health_check` and `connect` are those tasks;
-//! - `engine` holds what the others share: `request_table` with `effect_sink`, `pool`, `budget`, `lifecycle` and the rest.
+//! - `engine` holds what the others share: `request_table` with `effect_sink`, `pool`, `budget`,
+//!   `lifecycle` and the rest.
 
 pub mod api;
 mod attempt;
--- a/crates/engine/src/lifecycle.rs
+++ b/crates/engine/src/lifecycle.rs
@@ -1,5 +1,6 @@
-//! The phases of the process from start to exit, and what else decides whether the proxy is ready for clients: whether operators
-//! took it out of service, and whether another process of the same proxy has taken over.
+//! The phases of the process from start to exit, and what else decides whether the proxy is ready
+//! for clients: whether operators took it out of service, and whether another process of the same
+//! proxy has taken over.
 
 use chalkwalk_time::Timestamp;
 use event_listener::Event;
@@ -12,7 +13,8 @@
     Starting,
     /// Serving clients.
     Serving,
-    /// Asked to shut down: new connections are still accepted, as the load balancer in front learns of it late.
+    /// Asked to shut down: new connections are still accepted, as the load balancer in front learns
+    /// of it late.
     Draining,
     /// Accepts no more connections and answers the requests that it has.
     Finishing,
@@ -62,7 +64,8 @@
         }
     }
 
-    /// What `/up` reports. Where another process has taken over, the proxy is ready though this process ends.
+    /// What `/up` reports. Where another process has taken over, the proxy is ready though this
+    /// process ends.
     pub fn is_ready(&self) -> bool {
         let serving = self.is_serving() || self.superseded.get();
         serving && self.out_of_service_since.get().is_none()
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -1,5 +1,6 @@
-//! Connections to servers, and the pool of those that are idle. The one used last is reused first; none is reused that is near the
-//! server's idle timeout, has unread input, or carried a response just now.
+//! Connections to servers, and the pool of those that are idle. The one used last is reused first;
+//! none is reused that is near the server's idle timeout, has unread input, or carried a response
+//! just now.
 
 #[cfg(test)]
 mod tests;
@@ -36,19 +37,24 @@
     }
 }
 
-/// Idle connections to one server at most: more than are ever in use at once with a server that is not late.
+/// Idle connections to one server at most: more than are ever in use at once with a server that is
+/// not late.
 const MAX_IDLE_PER_SERVER: usize = 64;
 
-/// How long a connection beyond the first to a server is kept idle: what a proxy uses concurrently again and again stays, as the
-/// one used last is reused first, and what it needed once is closed. A server accepts so many connections, and the ones that each
-/// of a hundred proxies holds idle are the ones that none of them gets when it needs one. A second closed too few
-/// (docs/notes/fleet.md), and less would open anew what responses of a tenth of a second need concurrently.
+/// How long a connection beyond the first to a server is kept idle: what a proxy uses concurrently
+/// again and again stays, as the one used last is reused first, and what it needed once is closed.
+/// A server accepts so many connections, and the ones that each of a hundred proxies holds idle are
+/// the ones that none of them gets when it needs one. A second closed too few
+/// (docs/notes/fleet.md), and less would open anew what responses of a tenth of a second need
+/// concurrently.
 pub const SPARE_IDLE_TIME: Duration = Duration::from_millis(250);
 
-/// How long a connection is quiet after a response before the next request is written to it. A server may send a second response
-/// some milliseconds after the first, and nothing in it says which request it is for: read as the next one's it would be a value
-/// that no server made for it. Those seen came 1.5 to 5.8 ms after (docs/notes/endings.md); a request that finds no other connection
-/// waits this long, which is shorter than a handshake between zones and takes no further connection of the server.
+/// How long a connection is quiet after a response before the next request is written to it. A
+/// server may send a second response some milliseconds after the first, and nothing in it says
+/// which request it is for: read as the next one's it would be a value that no server made for it.
+/// Those seen came 1.5 to 5.8 ms after (docs/notes/endings.md); a request that finds no other
+/// connection waits this long, which is shorter than a handshake between zones and takes no further
+/// connection of the server.
 const QUIET_TIME: Duration = Duration::from_millis(10);
 
 /// The idle connections, by server.
@@ -59,8 +65,9 @@
 }
 
 impl ConnectionPool {
-    /// `idle_timeout`: after which servers close what is idle. A connection is reused for half of that: a server that closes
-    /// earlier than it says is noticed when the connection is looked at before its reuse.
+    /// `idle_timeout`: after which servers close what is idle. A connection is reused for half of
+    /// that: a server that closes earlier than it says is noticed when the connection is looked at
+    /// before its reuse.
     pub fn new(idle_timeout: Duration) -> ConnectionPool {
         let max_idle_time = idle_timeout / 2;
         // At most half of the time for which it is reused, where servers close very early.
@@ -68,8 +75,8 @@
         ConnectionPool { idle: RefCell::default(), max_idle_time, quiet_time }
     }
 
-    /// The connection used last among those that are quiet for long enough, if it can still be reused; where none is, the one
-    /// that will be first, once it is.
+    /// The connection used last among those that are quiet for long enough, if it can still be
+    /// reused; where none is, the one that will be first, once it is.
     pub async fn acquire(&self, server: ServerIndex, addr: SocketAddr) -> Option<ServerConnection> {
         while let Some(connection) = self.pop(server, addr) {
             if connection.is_quiet_since(self.quiet_time) {
--- a/crates/engine/src/pool/tests.rs
+++ b/crates/engine/src/pool/tests.rs
@@ -5,8 +5,9 @@
 use std::net::TcpListener;
 use std::thread::sleep;
 
-/// Of six connections that were used concurrently once one stays open, and two where two are used concurrently all the time: a
-/// hundred proxies hold a hundred of a server's connections and not six hundred.
+/// Of six connections that were used concurrently once one stays open, and two where two are used
+/// concurrently all the time: a hundred proxies hold a hundred of a server's connections and not
+/// six hundred.
 #[test]
 fn connections_that_were_needed_once_are_closed() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
--- a/crates/engine/src/request_table.rs
+++ b/crates/engine/src/request_table.rs
@@ -1,5 +1,6 @@
-//! The request table: the balancer and the requests that are open. The balancer is notified of all that happens here, one call at a
-//! time; what it wants done is only noted meanwhile, and carried out by `dispatch` once the call is over.
+//! The request table: the balancer and the requests that are open. The balancer is notified of all
+//! that happens here, one call at a time; what it wants done is only noted meanwhile, and carried
+//! out by `dispatch` once the call is over.
 
 mod servers;
 
@@ -58,14 +59,16 @@
         let mut sink = EffectSink::new(now, signals, log, recorder);
         sink.record_event(|| Event::Start { seed, settings: settings.clone() });
         let balancer = Balancer::new(seed, settings, &mut sink);
-        // The balancer asks for the list where the setting says so; elsewhere a watch is started all the same.
+        // The balancer asks for the list where the setting says so; elsewhere a watch is started
+        // all the same.
         if settings.get(WATCHED_SETTING).is_none_or(|watched| watched != "1") {
             _ = sink.signals.watch_requested.try_send(());
         }
         RequestTable { balancer, settings: settings.clone(), sink, servers, left_waiting: 0 }
     }
 
-    /// The balancer and its effects, both at the present time; every call to the balancer begins here.
+    /// The balancer and its effects, both at the present time; every call to the balancer begins
+    /// here.
     fn at(&mut self, now: Timestamp) -> (&mut Balancer, &mut EffectSink) {
         self.sink.now = now;
         self.balancer.advance_clock(now);
@@ -145,7 +148,8 @@
         self.balancer.may_send(&attempt, now)
     }
 
-    /// The response to an attempt has started, and is the request's; the attempt goes on until the response has ended.
+    /// The response to an attempt has started, and is the request's; the attempt goes on until the
+    /// response has ended.
     pub(crate) fn response_started(&mut self, now: Timestamp, attempt: AttemptId, response: Response) {
         let AttemptId { request_id, number } = attempt;
         let (balancer, sink) = self.at(now);
@@ -205,8 +209,8 @@
         }
     }
 
-    /// Other settings apply: the balancer reads them, and each open request for which `renewed` returns limits gets its class and
-    /// its time limit anew.
+    /// Other settings apply: the balancer reads them, and each open request for which `renewed`
+    /// returns limits gets its class and its time limit anew.
     pub(crate) fn apply_settings(
         &mut self,
         now: Timestamp,
--- a/crates/engine/src/request_table/servers.rs
+++ b/crates/engine/src/request_table/servers.rs
@@ -1,4 +1,5 @@
-//! The part of the request table that concerns servers: endpoint lists, health checks, operators, and what was learned of them.
+//! The part of the request table that concerns servers: endpoint lists, health checks, operators,
+//! and what was learned of them.
 
 use super::RequestTable;
 use crate::servers::{ListChanges, ListUpdate};
@@ -48,7 +49,8 @@
         balancer.health_check_finished(server, answered, sink);
     }
 
-    /// Operators disable a server at that moment, or enable it again. Returns its index, if it has one.
+    /// Operators disable a server at that moment, or enable it again. Returns its index, if it has
+    /// one.
     pub(crate) fn set_server_disabled(
         &mut self,
         now: Timestamp,
@@ -88,8 +90,8 @@
         self.balancer.learned()
     }
 
-    /// Restores what a process before this one has learned; whether it did. It does not while a capture runs, as a replay would not
-    /// know of it.
+    /// Restores what a process before this one has learned; whether it did. It does not while a
+    /// capture runs, as a replay would not know of it.
     pub fn restore_learned(&mut self, learned: Vec<LearnedServer>) -> bool {
         if self.sink.recorder.is_some() {
             return false;
--- a/crates/engine/src/response.rs
+++ b/crates/engine/src/response.rs
@@ -1,5 +1,5 @@
-//! What the engine must know of a request and its response, whatever their protocol: a request can write itself to a server and read
-//! the response, which is bytes with a status.
+//! What the engine must know of a request and its response, whatever their protocol: a request can
+//! write itself to a server and read the response, which is bytes with a status.
 
 use chalkwalk_balancer::AttemptOutcome;
 use chalkwalk_limits::RequestAttributes;
@@ -38,7 +38,8 @@
     pub stream: Option<BodyStream>,
 }
 
-/// The rest of a body, part by part as the server sends it. At most one part waits: a client that reads slowly slows the server.
+/// The rest of a body, part by part as the server sends it. At most one part waits: a client that
+/// reads slowly slows the server.
 pub struct BodyStream {
     /// Of the whole body in bytes, where it is known.
     pub content_length: Option<u64>,
@@ -63,7 +64,8 @@
     pub response: Option<Response>,
     /// Whether the connection may carry another attempt.
     pub reusable: bool,
-    /// What of the response is still to come on the connection, where the request has its response before that.
+    /// What of the response is still to come on the connection, where the request has its response
+    /// before that.
     pub remaining_body: Option<Box<dyn ResponseBody>>,
 }
 
@@ -109,13 +111,14 @@
     /// When its time is over.
     fn expires(&self) -> Timestamp;
 
-    /// Which servers alone may serve it, in order of preference, where the servers themselves settle that; called again after each
-    /// attempt. `None`: any, in ring order.
+    /// Which servers alone may serve it, in order of preference, where the servers themselves
+    /// settle that; called again after each attempt. `None`: any, in ring order.
     fn allowed_servers(&self) -> Option<Vec<SocketAddr>> {
         None
     }
 
-    /// Whether its client is still there and waits, as far as can be read at this moment, whether or not it was notified of.
+    /// Whether its client is still there and waits, as far as can be read at this moment, whether
+    /// or not it was notified of.
     fn client_is_waiting(&self) -> bool {
         true
     }
@@ -126,7 +129,8 @@
     /// Writes it whole to a server, with how long its response will be waited for.
     fn write_to<'a>(&'a self, stream: &'a Async<TcpStream>, left: Span) -> BoxFuture<'a, io::Result<()>>;
 
-    /// Reads the server's response to it; `None` if the connection broke or the response can't be understood.
+    /// Reads the server's response to it; `None` if the connection broke or the response can't be
+    /// understood.
     fn read_response<'a>(&'a self, stream: &'a Async<TcpStream>) -> BoxFuture<'a, Option<ServerResponse>>;
 }
 
--- a/crates/engine/src/servers.rs
+++ b/crates/engine/src/servers.rs
@@ -1,4 +1,5 @@
-//! The servers as endpoint lists describe them, and the small indices by which the balancer knows them.
+//! The servers as endpoint lists describe them, and the small indices by which the balancer knows
+//! them.
 
 #[cfg(test)]
 mod tests;
@@ -23,10 +24,11 @@
 pub struct ListUpdate<'a> {
     /// The endpoints, with their status.
     pub endpoints: &'a [ListedEndpoint],
-    /// Whether they are the whole list, so that a server that is not among them is gone; otherwise they are what changed.
+    /// Whether they are the whole list, so that a server that is not among them is gone; otherwise
+    /// they are what changed.
     pub whole: bool,
-    /// Whether the list may be older than what was known before. It then brings no server back that was notified to be off and has
-    /// not started since.
+    /// Whether the list may be older than what was known before. It then brings no server back that
+    /// was notified to be off and has not started since.
     pub doubted: bool,
 }
 
@@ -74,7 +76,8 @@
         self.rows.get(server)?.unavailable_since
     }
 
-    /// Which servers are off by now and were not, and the other way round. `was_off`: those that were off before, sorted.
+    /// Which servers are off by now and were not, and the other way round. `was_off`: those that
+    /// were off before, sorted.
     pub fn changes_since(&self, was_off: &[ServerIndex]) -> ListChanges {
         let mut changes = ListChanges::default();
         for (id, server) in &self.indices {
@@ -96,7 +99,8 @@
         self.indices.get(id).copied()
     }
 
-    /// Whether the server of this endpoint is in service as far as notified, and has not started since the endpoint was read.
+    /// Whether the server of this endpoint is in service as far as notified, and has not started
+    /// since the endpoint was read.
     pub fn is_ready(&self, endpoint: &ListedEndpoint) -> bool {
         let row = self.index_of(&endpoint.id).map(|server| &self.rows[server]);
         row.is_some_and(|row| row.unavailable_since.is_none() && row.born <= endpoint.born)
@@ -137,7 +141,8 @@
         update.endpoints.iter().map(apply_one).collect()
     }
 
-    /// Updates what is known of a server by its endpoint, and returns the status that it has by that.
+    /// Updates what is known of a server by its endpoint, and returns the status that it has by
+    /// that.
     fn update_row(
         &mut self,
         now: Timestamp,
@@ -162,7 +167,8 @@
         })
     }
 
-    /// Forgets servers whose index the balancer needs no more, and frees their indices for others: ids are ever new.
+    /// Forgets servers whose index the balancer needs no more, and frees their indices for others:
+    /// ids are ever new.
     pub fn forget_unused(&mut self, balancer: &Balancer) {
         let ServerRegistry { indices, free, .. } = self;
         indices.retain(|_, server| {
--- a/crates/engine/src/shutdown.rs
+++ b/crates/engine/src/shutdown.rs
@@ -1,5 +1,5 @@
-//! The end of a proxy: asked to shut down, it still accepts connections for a moment, serves those that it has, answers all requests that
-//! it accepted, and is gone before it would be killed.
+//! The end of a proxy: asked to shut down, it still accepts connections for a moment, serves those
+//! that it has, answers all requests that it accepted, and is gone before it would be killed.
 
 #[cfg(test)]
 mod tests;
@@ -15,14 +15,17 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long connections are accepted after the request to shut down: a load balancer in front learns of it within 0.4 s.
+/// How long connections are accepted after the request to shut down: a load balancer in front
+/// learns of it within 0.4 s.
 const ACCEPT_TIME: Span = Span::from_millis(500);
-/// At least so long is left between the last connection and the last response, for the request that came with it.
+/// At least so long is left between the last connection and the last response, for the request that
+/// came with it.
 const LAST_REQUEST_TIME: Span = Span::from_millis(50);
-/// For writing the responses that were given at the very last, on a core that has little time for this proxy: SIGKILL comes 0.05 s
-/// after that.
+/// For writing the responses that were given at the very last, on a core that has little time for
+/// this proxy: SIGKILL comes 0.05 s after that.
 const WRITE_TIME: Duration = Duration::from_millis(200);
-/// From the request to shut down to the last response, beside the longest time limit: SIGKILL comes 0.7 s beside it.
+/// From the request to shut down to the last response, beside the longest time limit: SIGKILL comes
+/// 0.7 s beside it.
 const BESIDE_TIME_LIMIT: Span = Span::from_millis(450);
 /// The longest that SIGKILL waits for time limits.
 const MAX_TIME_LIMIT: Span = Span::from_secs(3);
@@ -48,8 +51,9 @@
     }
 }
 
-/// Shuts down, from the request to do so, which came at that moment, to the last phase. `accepting` is the frontends' task, which
-/// ends once [`Phase::Finishing`] is reached and the connections that had arrived by then are accepted.
+/// Shuts down, from the request to do so, which came at that moment, to the last phase. `accepting`
+/// is the frontends' task, which ends once [`Phase::Finishing`] is reached and the connections that
+/// had arrived by then are accepted.
 pub async fn run(engine: &Rc<Engine>, accepting: Task<()>, requested_at: Timestamp) {
     let schedule = DrainSchedule::new(engine.classes.longest_time_limit());
     let response_deadline = requested_at + schedule.last_response_after;
@@ -61,7 +65,8 @@
         Timer::at(engine.clock.instant(requested_at + schedule.accept_for)).await;
     }
     engine.lifecycle.enter(Phase::Finishing);
-    // Where all permits are taken, connections that wait for one do so no longer than to the last response.
+    // Where all permits are taken, connections that wait for one do so no longer than to the last
+    // response.
     wait_until(engine.clock.instant(response_deadline), accepting).await;
     while engine.open_clients() > 0 && engine.clock.now() < response_deadline {
         Timer::after(CHECK_INTERVAL).await;
--- a/crates/engine/src/shutdown/tests.rs
+++ b/crates/engine/src/shutdown/tests.rs
@@ -2,8 +2,9 @@
 
 use super::*;
 
-/// In ms, for limits from none to ten seconds: connections are accepted for as long as a load balancer in front sends them (400 ms),
-/// then comes the last response, its writing, and SIGKILL, each after the one before.
+/// In ms, for limits from none to ten seconds: connections are accepted for as long as a load
+/// balancer in front sends them (400 ms), then comes the last response, its writing, and SIGKILL,
+/// each after the one before.
 #[test]
 fn each_step_of_the_shutdown_is_in_time_whatever_the_limits_are() {
     let steps = [0, 1, 300, 499, 500, 2_000, 3_000, 6_000, 30_000, 100_000].map(|limit| {
--- a/crates/engine/src/timers.rs
+++ b/crates/engine/src/timers.rs
@@ -4,7 +4,8 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// The order of the fields is the order of firing: of those due at the same moment the one set first comes first.
+/// The order of the fields is the order of firing: of those due at the same moment the one set
+/// first comes first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Timer {
     due: Timestamp,
--- a/crates/engine/src/violations.rs
+++ b/crates/engine/src/violations.rs
@@ -1,11 +1,12 @@
-//! Counters of attempts that were refused right before their first byte, and of violations: what must not happen at all, checked
-//! at run time.
+//! Counters of attempts that were refused right before their first byte, and of violations: what
+//! must not happen at all, checked at run time.
 
 use chalkwalk_balancer::admission::{SendRefusal, Violation};
 use slog::{Logger, warn};
 use std::cell::Cell;
 
-/// Of each kind of violation the first is logged, and then each hundredth: one that repeats must not flood the log.
+/// Of each kind of violation the first is logged, and then each hundredth: one that repeats must
+/// not flood the log.
 const LOGGED_EACH: u64 = 100;
 
 /// Attempts that were refused since the start.
