--- a/crates/http-frontend/src/admit.rs
+++ b/crates/http-frontend/src/admit.rs
@@ -1,116 +1,123 @@
-//! Stage "admit": what a message asks for. A request is taken only with a known namespace and time left.
+//! Stage "admit": what a message asks for. A request is accepted only with a known namespace, time
+//! left, and an id of its own.
 
-use crate::door::{Frontend, OpenId};
-use crate::relay::Reply;
+use crate::decimal::parse_seconds;
+use crate::frontend::Frontend;
+use crate::request::{HttpRequest, attributes_of, path_of};
 use chalkwalk_balancer::admission::may_start;
 use chalkwalk_engine::classes::ClassLimits;
 use chalkwalk_http1::Message;
-use chalkwalk_limits::RequestAttributes;
-use chalkwalk_time::{Span, Timestamp};
+use chalkwalk_time::Timestamp;
 use smol::Async;
 use std::net::TcpStream;
 use std::ops::Range;
-use std::rc::{Rc, Weak};
+use std::rc::Rc;
 
-/// What a request is told by, each once.
-const KEY_FIELDS: [&str; 5] =
+/// The fields that decide on a request, which may come once each.
+const SINGLE_FIELDS: [&str; 5] =
     ["Host", "X-Correlation-Id", "X-Service-Class", "X-Time-Left", "Idempotency-Key"];
 
-/// The name by which an operator's routes know this door.
-pub const FRONTEND_NAME: &str = "http";
+/// Where a load balancer in front checks whether the proxy is ready.
+const READINESS_PATH: &str = "/up";
 
-/// Whose request it is, where that is told.
-fn tenant(message: &Message) -> &str {
-    let facts = message.header("X-Facts").unwrap_or("");
-    facts.split(',').find_map(|fact| fact.trim().strip_prefix("tenant=")).unwrap_or("")
+/// What a message asks for.
+pub(crate) enum Admitted {
+    Request(Rc<HttpRequest>),
+    /// Whether the proxy is ready.
+    Readiness {
+        ready: bool,
+    },
 }
 
-/// A request as taken, with the message it came in.
-pub struct HttpRequest {
-    pub door: Rc<Frontend>,
-    pub message: Message,
-    pub key: Range<usize>,
-    pub ns: usize,
-    pub class: usize,
-    pub generation: u64, // of the settings that its class is of
-    pub write: bool,
-    pub taken: Timestamp,
-    pub expires: Timestamp,
-    /// Its client's connection, while that is served.
-    pub client: Weak<Async<TcpStream>>,
-    _open: OpenId,
+/// Why a message is no request that can be accepted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum AdmitError {
+    /// The method is neither GET nor PUT.
+    MethodNotAllowed,
+    /// No service class is named.
+    NoServiceClass,
+    /// A field is missing, malformed, unknown or there twice.
+    BadField,
+    /// The body is longer than the class allows.
+    BodyTooLong,
+    /// The time for the request is over.
+    Expired,
+    /// Another request with this id is open.
+    IdInUse,
 }
 
-/// The request, whose time counts from when it came, or the answer to what is none: a 4xx to what is wrong, after
-/// which the connection is closed.
-pub fn admit(
-    door: &Rc<Frontend>,
+impl AdmitError {
+    /// The HTTP status that it is answered with.
+    pub fn status(self) -> u16 {
+        match self {
+            AdmitError::MethodNotAllowed => 405,
+            AdmitError::NoServiceClass => 404,
+            AdmitError::BadField => 400,
+            AdmitError::BodyTooLong => 413,
+            AdmitError::Expired => 408,
+            AdmitError::IdInUse => 409,
+        }
+    }
+}
+
+/// Reads what a message asks for. The time of a request counts from its arrival at `received_at`.
+pub(crate) fn admit(
+    frontend: &Rc<Frontend>,
     message: Message,
-    came: Timestamp,
+    received_at: Timestamp,
     client: &Rc<Async<TcpStream>>,
-) -> Result<HttpRequest, Reply> {
-    let wrong = |status| Err(Reply::bare(status));
-    let engine = &door.engine;
-    let target = message.text(&message.target);
-    let path = target.split('?').next().unwrap_or("");
+) -> Result<Admitted, AdmitError> {
+    let engine = &frontend.engine;
     let method = message.text(&message.method);
-    if path == "/up" && method == "GET" {
-        return wrong(if engine.lifecycle.is_ready() { 200 } else { 503 });
+    if path_of(&message) == READINESS_PATH && method == "GET" {
+        return Ok(Admitted::Readiness { ready: engine.lifecycle.is_ready() });
     }
     if !matches!(method, "GET" | "PUT") {
-        return wrong(405);
-    }
-    let Some(namespace) = message.header("X-Service-Class") else { return wrong(404) };
-    if message.header("X-Correlation-Id").is_none_or(str::is_empty) {
-        return wrong(400);
+        return Err(AdmitError::MethodNotAllowed);
     }
-    let Some(ns) = door.namespaces.borrow().iter().position(|n| n == namespace) else {
-        return wrong(400);
-    };
-    if message.has_duplicate(&KEY_FIELDS) {
-        return wrong(400);
+    let write = method == "PUT";
+    let namespace = namespace_of(frontend, &message)?;
+    if message.has_duplicate(&SINGLE_FIELDS) {
+        return Err(AdmitError::BadField);
     }
-    let Some(left) = message.header("X-Time-Left").and_then(time_left) else { return wrong(400) };
-    let place = RequestAttributes { namespace: ns, path, tenant: tenant(&message), frontend: FRONTEND_NAME };
-    let ClassLimits { class, time_limit, longest_body } = engine.classes.find(place);
+    let time_left = message.header("X-Time-Left").and_then(parse_seconds).ok_or(AdmitError::BadField)?;
+    let ClassLimits { class, time_limit, longest_body } =
+        engine.classes.find(attributes_of(&message, namespace));
     if message.body.len() as u64 > longest_body {
-        return wrong(413);
+        return Err(AdmitError::BodyTooLong);
     }
-    let expires = may_start(engine.clock.now(), came + left.min(time_limit), engine.response_deadline());
-    let Some(expires) = expires else { return wrong(408) };
-    let start = message.target.start + path.rfind('/').map_or(0, |slash| slash + 1);
-    let key = start..message.target.start + path.len();
-    let write = method == "PUT";
+    let expires = received_at + time_left.min(time_limit);
+    let expires = may_start(engine.clock.now(), expires, engine.response_deadline());
+    let expires = expires.ok_or(AdmitError::Expired)?;
     let id = message.header_bytes("X-Correlation-Id").unwrap_or_default().to_vec();
-    let Some(open) = door.open_ids.open(id) else { return wrong(409) };
-    let generation = engine.classes.generation();
-    Ok(HttpRequest {
-        door: door.clone(),
-        key,
-        ns,
+    let open = frontend.open_ids.open(id).ok_or(AdmitError::IdInUse)?;
+    Ok(Admitted::Request(Rc::new(HttpRequest {
+        frontend: frontend.clone(),
+        key: key_range(&message),
+        namespace,
         class,
-        generation,
+        generation: engine.classes.generation(),
         write,
-        taken: came,
+        received_at,
         expires,
         message,
         client: Rc::downgrade(client),
         _open: open,
-    })
+    })))
 }
 
-impl HttpRequest {
-    pub fn place(&self) -> RequestAttributes<'_> {
-        let target = self.message.text(&self.message.target);
-        let path = target.split('?').next().unwrap_or("");
-        RequestAttributes { namespace: self.ns, path, tenant: tenant(&self.message), frontend: FRONTEND_NAME }
+/// The namespace that a message names; it must have a correlation id as well.
+fn namespace_of(frontend: &Frontend, message: &Message) -> Result<usize, AdmitError> {
+    let name = message.header("X-Service-Class").ok_or(AdmitError::NoServiceClass)?;
+    if message.header("X-Correlation-Id").is_none_or(str::is_empty) {
+        return Err(AdmitError::BadField);
     }
+    frontend.namespace(name).ok_or(AdmitError::BadField)
 }
 
-/// Timestamp from seconds in plain decimals, nine places before the point at most: thirty years.
-fn time_left(said: &str) -> Option<Span> {
-    let (whole, part) = said.split_once('.').unwrap_or((said, "0"));
-    let plain = |digits: &str| !digits.is_empty() && digits.bytes().all(|b| b.is_ascii_digit());
-    let seconds = (plain(whole) && plain(part) && whole.len() <= 9).then(|| said.parse::<f64>().ok())??;
-    Some(Span::from_ticks((seconds * 1e4) as u64)).filter(|span| !span.is_zero())
+/// Where the key is in a message: the last segment of its path.
+fn key_range(message: &Message) -> Range<usize> {
+    let path = path_of(message);
+    let start = path.rfind('/').map_or(0, |slash| slash + 1);
+    message.target.start + start..message.target.start + path.len()
 }
--- a/crates/http-frontend/src/connection.rs
+++ b/crates/http-frontend/src/connection.rs
@@ -1,126 +1,132 @@
-//! Clients' connections, one request at a time on each.
+//! One client's connection, one request at a time on it: the stages in their order.
 
-use crate::admit::admit;
-use crate::door::Frontend;
-use crate::relay::{self, Reply};
+use crate::admit::{Admitted, admit};
+use crate::frontend::Frontend;
+use crate::read_request::read_request;
+use crate::reply::Reply;
 use crate::route::route;
-use crate::take_in::take_in;
+use crate::write_reply::{ReplyOptions, refuse, write_reply};
 use chalkwalk_engine::budget::Permit;
 use chalkwalk_engine::engine::ClientConnection;
-use chalkwalk_engine::lifecycle::Phase;
+use chalkwalk_http1::{HttpError, Message};
 use chalkwalk_sockets::is_idle;
 use chalkwalk_time::{Span, Timestamp};
-use slog::warn;
-use smol::future::FutureExt;
-use smol::{Async, Timer};
-use std::io;
-use std::net::{TcpListener, TcpStream};
+use smol::Async;
+use std::net::TcpStream;
 use std::rc::Rc;
-use std::time::{Duration, Instant};
+use std::time::Instant;
 
-/// After an accept that failed, as it does when no descriptor is left: short beside any time limit.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
-
-/// What was there whole is read in a few turns of the executor.
+/// A message that was there whole is read in a few turns of the executor.
 const READ_AT_ONCE: Span = Span::from_millis(10);
 
-/// Takes connections until the proxy empties; whoever has one by then is let in.
-pub async fn accept(door: Rc<Frontend>, listener: Async<TcpListener>) {
-    let engine = &door.engine;
-    let mut held = None;
-    let over = async {
-        engine.lifecycle.reached(Phase::Finishing).await;
-    };
-    let taking = async {
-        let mut failing = false;
-        // No connection that is accepted next came before that.
-        let mut clear = engine.clock.earliest_arrival();
+/// A client's connection. The fields are dropped in this order: the socket is closed before the
+/// connection counts as closed, and its permit is given back last.
+pub(crate) struct Connection {
+    /// What was read beyond the present message.
+    unread: Vec<u8>,
+    stream: Rc<Async<TcpStream>>,
+    open: ClientConnection,
+    permit: Permit,
+    /// Whether its requests are admitted; otherwise they are rejected at once.
+    admitted: bool,
+    frontend: Rc<Frontend>,
+}
+
+/// When a first message arrived that was there before the connection was served: it may have waited
+/// for as long as the connection did, and that much less time is left to it. It is whole then; what
+/// is still on its way has not waited.
+struct QueuedMessage {
+    arrived_after: Timestamp,
+    read_by: Timestamp,
+}
+
+impl Connection {
+    /// A connection that was just accepted.
+    pub fn new(
+        frontend: &Rc<Frontend>,
+        stream: Async<TcpStream>,
+        permit: Permit,
+        admitted: bool,
+    ) -> Connection {
+        _ = stream.get_ref().set_nodelay(true);
+        Connection {
+            unread: Vec::new(),
+            stream: Rc::new(stream),
+            open: ClientConnection::new(&frontend.engine),
+            permit,
+            admitted,
+            frontend: frontend.clone(),
+        }
+    }
+
+    /// Serves the connection to its end. It cannot have arrived before `arrived_after`.
+    pub async fn serve(mut self, arrived_after: Timestamp) {
+        let mut opened = Some(Instant::now());
+        let mut queued = self.queued_message(arrived_after);
         loop {
-            match listener.get_ref().accept() {
-                Ok((stream, _)) => {
-                    failing = false;
-                    let Ok(stream) = Async::new(stream) else { continue };
-                    held = Some(stream);
-                    // Room is made only for one that is here: whoever is closed for nothing comes again.
-                    let (permit, taken) = engine.budget.acquire_for_client().await;
-                    if let Some(stream) = held.take() {
-                        welcome(&door, stream, permit, taken, clear);
-                    }
-                }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                    _ = listener.readable().await;
-                    clear = engine.clock.earliest_arrival();
-                }
-                Err(e) => {
-                    if !std::mem::replace(&mut failing, true) {
-                        warn!(engine.log, "cannot accept"; "fault" => %e);
-                    }
-                    engine.budget.close_idle();
-                    Timer::after(ACCEPT_AGAIN).await;
-                }
+            let message = match self.read_message(opened.take()).await {
+                Ok(Some(message)) => message,
+                Ok(None) => return,
+                Err(error) => return refuse(&self.stream, Reply::empty(error.status())).await,
+            };
+            let received_at = self.received_at(queued.take());
+            self.admit_if_possible().await;
+            let close = message.close || !self.admitted;
+            let http10 = message.is_http10;
+            let Some(reply) = self.reply_to(message, received_at).await else { return };
+            if reply.is_client_error() {
+                return refuse(&self.stream, reply).await;
+            }
+            let options = ReplyOptions { close: close || self.open.must_close(), http10 };
+            if !write_reply(&self.stream, reply, options).await {
+                return;
             }
         }
-    };
-    over.or(taking).await;
-    // Whoever has a connection by now may have written a request to it: taken in, before the door closes.
-    let waiting = || listener.get_ref().accept().ok().and_then(|(stream, _)| Async::new(stream).ok());
-    while let Some(stream) = held.take().or_else(waiting) {
-        let (permit, taken) = engine.budget.acquire_for_client().await;
-        welcome(&door, stream, permit, taken, engine.clock.earliest_arrival());
     }
-}
 
-fn welcome(door: &Rc<Frontend>, stream: Async<TcpStream>, permit: Permit, taken: bool, clear: Timestamp) {
-    _ = stream.get_ref().set_nodelay(true);
-    let open = ClientConnection::new(&door.engine);
-    door.engine.executor.spawn(serve(door.clone(), stream, permit, open, taken, clear)).detach();
-}
+    fn queued_message(&self, arrived_after: Timestamp) -> Option<QueuedMessage> {
+        let is_queued = !is_idle(&self.stream);
+        let read_by = self.frontend.engine.clock.now() + READ_AT_ONCE;
+        is_queued.then_some(QueuedMessage { arrived_after, read_by })
+    }
 
-/// One connection, to its end: the stages in their order. Requests that are not taken are turned away at once.
-async fn serve(
-    door: Rc<Frontend>,
-    stream: Async<TcpStream>,
-    mut permit: Permit,
-    open: ClientConnection,
-    mut taken: bool,
-    clear: Timestamp,
-) {
-    let (engine, stream) = (&door.engine, Rc::new(stream));
-    let mut rest = Vec::new();
-    let mut opened = Some(Instant::now());
-    // What is there already may have waited for as long as the connection did: that much less time is left to it. It is
-    // whole then, and what is still on its way has not waited.
-    let (mut waited, welcomed) = (!is_idle(&stream), engine.clock.now());
-    loop {
-        let message = match take_in(&open, &stream, &mut rest, opened.take()).await {
-            Ok(Some(message)) => message,
-            Ok(None) => return,
-            Err(error) => return relay::turn_down(&stream, Reply::bare(error.status())).await,
-        };
-        let waited = std::mem::take(&mut waited) && engine.clock.now() < welcomed + READ_AT_ONCE;
-        let came = if waited { clear } else { engine.clock.earliest_arrival() };
-        if !taken && let Some(place) = engine.budget.acquire_for_client_soon().await {
-            // It came while all others were busy; by now one is not.
-            _ = std::mem::replace(&mut permit, place);
-            taken = true;
+    async fn read_message(&mut self, opened: Option<Instant>) -> Result<Option<Message>, HttpError> {
+        read_request(&self.open, &self.stream, &mut self.unread, opened).await
+    }
+
+    /// When the message that was just read arrived.
+    fn received_at(&self, queued: Option<QueuedMessage>) -> Timestamp {
+        let clock = &self.frontend.engine.clock;
+        match queued {
+            Some(queued) if clock.now() < queued.read_by => queued.arrived_after,
+            _ => clock.earliest_arrival(),
         }
-        let (close, old) = (message.close || !taken, message.is_http10);
-        let answer = match admit(&door, message, came, &stream) {
-            // More at once than one request: none of it is taken.
-            _ if !rest.is_empty() => Reply::bare(400),
-            Ok(_) if !taken => Reply::bare(503),
-            Ok(request) => match route(engine, &stream, &mut rest, request).await {
-                Some(answer) => answer,
-                None => return,
-            },
-            Err(answer) => answer,
-        };
-        if (400..500).contains(&answer.status) {
-            return relay::turn_down(&stream, answer).await;
+    }
+
+    /// A connection that was accepted while all others were busy is admitted where by now one is
+    /// not.
+    async fn admit_if_possible(&mut self) {
+        if !self.admitted
+            && let Some(permit) = self.frontend.engine.budget.acquire_for_client_soon().await
+        {
+            self.permit = permit;
+            self.admitted = true;
         }
-        let close = close || open.must_close();
-        if !relay::relay(&stream, answer, close, old).await {
-            return;
+    }
+
+    /// The reply to a message; `None` if the client has gone.
+    async fn reply_to(&mut self, message: Message, received_at: Timestamp) -> Option<Reply> {
+        if !self.unread.is_empty() {
+            // More than one request at once: none of it is accepted.
+            return Some(Reply::empty(400));
+        }
+        match admit(&self.frontend, message, received_at, &self.stream) {
+            Err(error) => Some(Reply::empty(error.status())),
+            Ok(Admitted::Readiness { ready }) => Some(Reply::empty(if ready { 200 } else { 503 })),
+            Ok(Admitted::Request(_)) if !self.admitted => Some(Reply::empty(503)),
+            Ok(Admitted::Request(request)) => {
+                route(&self.frontend.engine, &self.stream, &mut self.unread, request).await
+            }
         }
     }
 }
--- a/crates/http-frontend/src/lib.rs
+++ b/crates/http-frontend/src/lib.rs
@@ -1,17 +1,26 @@
-//! The HTTP/1.1 door: clients' connections on one side, attempts to servers on the other, as the platform's protocol has them.
+//! The HTTP/1.1 frontend: clients' connections on one side, attempts to servers on the other, in
+//! the platform's dialect of HTTP.
 //!
-//! It may use `engine`, `http1`, `limits` and `net`. Another protocol's door never enters it, nor a source of the list; it decides
-//! nothing. A request passes its stages in their order: `take_in`, `admit`, `route`, the engine, and `relay`.
+//! It may use `engine`, `balancer`, `http1`, `limits`, `sockets`, `time`, smol and slog. Another
+//! protocol's frontend never enters it, nor a source of the endpoint list; it decides nothing.
+//!
+//! A connection comes in by `accept`, and `connection` has each request pass its stages in their
+//! order: `read_request`, `admit`, `route` (the engine), and `write_reply`. The engine then writes
+//! a `request` to a server, and `server_response` reads what comes back.
 
+mod accept;
 mod admit;
-mod clients;
-mod door;
-mod relay;
+mod connection;
+mod decimal;
+mod frontend;
+mod health_check;
+mod read_request;
+mod reply;
+mod request;
 mod route;
-mod servers;
-mod take_in;
+mod server_response;
+mod write_reply;
 
-pub use admit::FRONTEND_NAME;
-pub use clients::accept;
-pub use door::Frontend;
-pub use servers::AliveCheck;
+pub use accept::accept;
+pub use frontend::{FRONTEND_NAME, Frontend};
+pub use health_check::AliveCheck;
--- a/crates/http-frontend/src/read_request.rs
+++ b/crates/http-frontend/src/read_request.rs
@@ -1,4 +1,4 @@
-//! Stage "take in": a message read whole off a client's connection, or the connection's end.
+//! Stage "read": a message read whole off a client's connection, or the connection's end.
 
 use chalkwalk_engine::engine::ClientConnection;
 use chalkwalk_http1::{self as http1, HttpError, Message, RequestLimits};
@@ -9,62 +9,75 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// A connection that says nothing for so long after an answer is closed: longer than clients commonly pause.
-const IDLE: Duration = Duration::from_secs(30);
-/// For a head from its first byte on, and for the first byte from the accept on: a client that sends nonsense or nothing is
-/// to be rid of within 3 s, and one that is slow may take 2 s.
-const SLOWEST: Duration = Duration::from_millis(2500);
+/// A connection on which nothing comes for so long after a response is closed: longer than clients
+/// commonly pause.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// For a head from its first byte on, and for the first byte from the accept on: a client that
+/// sends nonsense or nothing is to be closed within 3 s, and one that is slow may take 2 s.
+const HEAD_TIMEOUT: Duration = Duration::from_millis(2500);
+/// A new connection without its first message is not idle for so long: if it were closed its
+/// request would be lost, as clients send again only what crosses a close between two requests.
+/// Many round trips, and short beside what a silent client may hold up.
+const FRESH_TIME: Duration = Duration::from_millis(300);
 
-/// A connection without its first message yet is not idle: closed, its request is lost, as clients send again only
-/// what crosses a close between two. Many round trips, and short beside what a silent one may hold up.
-const FRESH: Duration = Duration::from_millis(300);
-
-/// `opened` says when the connection was, if nothing has come on it yet.
-pub async fn take_in(
+/// Reads the next message; `None` where the connection is to be closed. `opened`: when the
+/// connection was, if nothing has come on it yet.
+pub(crate) async fn read_request(
     open: &ClientConnection,
     stream: &Async<TcpStream>,
-    rest: &mut Vec<u8>,
+    unread: &mut Vec<u8>,
     opened: Option<Instant>,
 ) -> Result<Option<Message>, HttpError> {
-    if !begins(open, stream, rest, opened).await {
+    if !wait_for_first_byte(open, stream, unread, opened).await {
         return Ok(None);
     }
     let engine = &open.engine;
-    let longest = engine.classes.longest_body() as usize;
-    let taking = RequestLimits {
-        head_deadline: Instant::now() + SLOWEST,
-        max_body: longest,
+    let limits = RequestLimits {
+        head_deadline: Instant::now() + HEAD_TIMEOUT,
+        max_body: engine.classes.longest_body() as usize,
         memory: &engine.response_memory,
     };
-    http1::read_request(stream, rest, taking).await.map(Some)
+    http1::read_request(stream, unread, limits).await.map(Some)
 }
 
 /// Waits for the first byte of a message; false if the connection is to be closed.
-async fn begins(
+async fn wait_for_first_byte(
     open: &ClientConnection,
     stream: &Async<TcpStream>,
-    rest: &mut Vec<u8>,
+    unread: &mut Vec<u8>,
     opened: Option<Instant>,
 ) -> bool {
     if opened.is_some()
-        && let Some(got) = within(FRESH, read_more(stream, rest)).await
+        && let Some(read) = within(FRESH_TIME, read_more(stream, unread)).await
     {
-        return matches!(got, Ok(1..));
+        return matches!(read, Ok(1..));
     }
+    wait_while_idle(open, stream, unread, opened).await
+        // What has come by the moment of closing is still accepted.
+        || (!is_idle(stream) && matches!(read_more(stream, unread).await, Ok(1..)))
+}
+
+/// Waits for the first byte on a connection that is idle: it may be closed for others' sake, or as
+/// the proxy shuts down.
+async fn wait_while_idle(
+    open: &ClientConnection,
+    stream: &Async<TcpStream>,
+    unread: &mut Vec<u8>,
+    opened: Option<Instant>,
+) -> bool {
     let (close, closed) = bounded(1);
-    let turn = open.engine.budget.mark_idle(close, opened.is_none());
-    let end = opened.map_or_else(|| Instant::now() + IDLE, |at| at + SLOWEST);
-    let begun = async { matches!(read_more(stream, rest).await, Ok(1..)) };
-    let made_way = async {
+    let ticket = open.engine.budget.mark_idle(close, opened.is_none());
+    let deadline = opened.map_or_else(|| Instant::now() + IDLE_TIMEOUT, |at| at + HEAD_TIMEOUT);
+    let first_byte = async { matches!(read_more(stream, unread).await, Ok(1..)) };
+    let closed_for_others = async {
         _ = closed.recv().await;
         false
     };
-    let leaving = async {
+    let close_due = async {
         open.close_due().await;
         false
     };
-    let begun = wait_until(end, begun.or(made_way).or(leaving)).await.unwrap_or(false);
-    open.engine.budget.mark_busy(turn);
-    // What has come by the moment of closing is still taken.
-    begun || (!is_idle(stream) && matches!(read_more(stream, rest).await, Ok(1..)))
+    let came = wait_until(deadline, first_byte.or(closed_for_others).or(close_due)).await;
+    open.engine.budget.mark_busy(ticket);
+    came.unwrap_or(false)
 }
--- a/crates/http-frontend/src/route.rs
+++ b/crates/http-frontend/src/route.rs
@@ -1,7 +1,7 @@
-//! Stage "route": a request is handed to the balancer, and its one final answer waited for.
+//! Stage "route": a request is handed to the engine, and its one final response waited for.
 
-use crate::admit::HttpRequest;
-use crate::relay::Reply;
+use crate::reply::Reply;
+use crate::request::HttpRequest;
 use chalkwalk_balancer::admission::Violation;
 use chalkwalk_engine::api;
 use chalkwalk_engine::engine::Engine;
@@ -13,37 +13,40 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Beside a time limit, until a request's answer is taken to be forgotten: the rules allow 50 ms.
+/// Beside a time limit, until a request's response is taken to be forgotten: the rules allow 50 ms.
 const OVERDUE: Duration = Duration::from_millis(30);
 
-/// `None` if the client has gone away. One that sends more before its answer breaks the protocol and gets none.
-pub async fn route(
+/// The reply to a request; `None` if its client has gone. A client that sends more before the
+/// response breaks the protocol and gets none.
+pub(crate) async fn route(
     engine: &Rc<Engine>,
     stream: &Async<TcpStream>,
-    rest: &mut Vec<u8>,
-    request: HttpRequest,
+    unread: &mut Vec<u8>,
+    request: Rc<HttpRequest>,
 ) -> Option<Reply> {
     let expires = request.expires;
-    let (request_id, answered) = api::accept_request(engine, Rc::new(request));
-    let late = async {
-        // The balancer answers by then; a request it forgot would hold the connection for ever.
+    let (request_id, response) = api::accept_request(engine, request);
+    let overdue = async {
+        // The balancer responds by then; a request that it forgot would hold the connection
+        // forever.
         Timer::at(engine.clock.instant(expires) + OVERDUE).await;
         warn!(engine.log, "a lookup without an answer");
         engine.violations.check(&engine.log, Some(Violation::NoFinalAnswer));
         api::client_left(engine, request_id);
-        Some(Reply::bare(500))
+        Some(Reply::empty(500))
     };
-    let gone = async {
-        let came = matches!(read_more(stream, rest).await, Ok(1..));
+    let client_left = async {
+        let sent_more = matches!(read_more(stream, unread).await, Ok(1..));
         api::client_left(engine, request_id);
-        came.then(|| Reply::bare(400))
+        sent_more.then(|| Reply::empty(400))
     };
-    let answer = async {
-        match answered.recv().await {
-            Ok(answer) => Some(Reply::from(answer)),
-            // Called off where an attempt was to be written: what that saw is read here next.
+    let responded = async {
+        match response.recv().await {
+            Ok(response) => Some(Reply::from(response)),
+            // The client was seen to have left where an attempt was to be written: what was seen
+            // there is read here next.
             Err(_) => std::future::pending().await,
         }
     };
-    answer.or(gone).or(late).await
+    responded.or(client_left).or(overdue).await
 }
--- a/crates/http-frontend/src/server_response.rs
+++ b/crates/http-frontend/src/server_response.rs
@@ -1,193 +1,163 @@
-//! The side of the servers: a request written on as it came, what an answer says of the attempt, and probes.
+//! A server's response: what it says of the attempt, and its body, whole or in part.
 
-use crate::admit::HttpRequest;
 use chalkwalk_balancer::AttemptOutcome;
 use chalkwalk_engine::response::{
-    BoxFuture, BrokenOff, ClientRequest, HealthCheck, Response, ResponseBody, ResponseStatus, ServerResponse,
+    BoxFuture, BrokenOff, Response, ResponseBody, ResponseStatus, ServerResponse,
 };
-use chalkwalk_http1::{self as http1, ResponseReader};
-use chalkwalk_sockets::{MemoryBudget, MemoryReservation, is_idle, wait_until, write_all};
-use chalkwalk_time::{Span, TICKS_PER_SECOND, Timestamp};
+use chalkwalk_http1::{self as http1, Message, ResponseReader};
+use chalkwalk_sockets::{MemoryBudget, MemoryReservation, wait_until};
 use smol::Async;
-use std::io;
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// Seconds with decimals, as the protocol writes times.
-pub(crate) fn seconds(span: Span) -> String {
-    format!("{}.{:04}", span.ticks() / TICKS_PER_SECOND, span.ticks() % TICKS_PER_SECOND)
-}
-
-impl ClientRequest for HttpRequest {
-    fn class(&self) -> usize {
-        self.class
-    }
-
-    fn attributes(&self) -> Option<chalkwalk_limits::RequestAttributes<'_>> {
-        (self.generation == self.door.engine.classes.generation()).then(|| HttpRequest::place(self))
-    }
-
-    fn received_at(&self) -> Timestamp {
-        self.taken
-    }
-
-    fn key(&self) -> &str {
-        self.message.text(&self.key)
-    }
-
-    fn is_write(&self) -> bool {
-        self.write
-    }
-
-    fn expires(&self) -> Timestamp {
-        self.expires
-    }
-
-    /// Nothing comes from a client that waits: its end and what it sends ahead of the answer both end the request.
-    fn client_is_waiting(&self) -> bool {
-        self.client.upgrade().is_some_and(|client| is_idle(&client))
-    }
+/// How many bytes of a long body are read at once.
+const PART_SIZE: usize = 16 << 10;
+/// How many such parts a streamed body holds at most: one that is read, one that waits, one that is
+/// written.
+const PARTS_HELD: usize = 3;
+/// A body of unknown length is waited for so long before it is streamed: short beside a latency
+/// objective, and most are complete by then.
+const LENGTH_SHOWS: Duration = Duration::from_millis(50);
 
-    fn write_to<'a>(&'a self, stream: &'a Async<TcpStream>, left: Span) -> BoxFuture<'a, io::Result<()>> {
-        Box::pin(async move {
-            let (m, time_left) = (&self.message, seconds(left));
-            let mut parts: Vec<&[u8]> = vec![m.slice(&m.method), b" ", m.slice(&m.target), b" HTTP/1.1\r\n"];
-            for name in ["Host", "X-Correlation-Id", "Idempotency-Key", "Content-Type"] {
-                if let Some(value) = m.header_bytes(name) {
-                    parts.extend([name.as_bytes(), b": ", value, b"\r\n"]);
-                }
-            }
-            parts.extend([&b"X-Time-Left: "[..], time_left.as_bytes(), b"\r\n"]);
-            let length = m.body.len().to_string();
-            if self.write || !m.body.is_empty() {
-                parts.extend([&b"Content-Length: "[..], length.as_bytes(), b"\r\n"]);
-            }
-            parts.extend([&b"\r\n"[..], m.slice(&m.body)]);
-            write_all(stream, &parts).await
-        })
+/// Reads a response. One of up to 64 KiB is read whole, so that one that breaks off can be tried
+/// elsewhere; a longer one is passed on from its first bytes on. `None` where it breaks off or
+/// makes no sense.
+pub(crate) async fn read(
+    mut reader: ResponseReader,
+    stream: &Async<TcpStream>,
+    memory: &MemoryBudget,
+) -> Option<ServerResponse> {
+    let outcome = outcome_of(&reader.message);
+    let served = reader.message.status == 200;
+    if !is_length_allowed(reader.content_length, served) {
+        return None;
     }
-
-    fn read_response<'a>(&'a self, stream: &'a Async<TcpStream>) -> BoxFuture<'a, Option<ServerResponse>> {
-        Box::pin(async move {
-            let answering = ResponseReader::start(stream).await.ok()?;
-            read(answering, stream, &self.door.engine.response_memory).await
-        })
+    let BodyStart { bytes, complete } = read_body_start(&mut reader, stream, served).await?;
+    let reusable = reader.is_reusable();
+    if !served {
+        return Some(ServerResponse { outcome, response: None, reusable, remaining_body: None });
     }
+    let content_type = reader.message.header("Content-Type").unwrap_or("").to_string();
+    let bytes_read = bytes.len();
+    let response = Response { content_type, body: bytes, ..Response::empty(ResponseStatus::Served) };
+    let remaining_body = if complete { None } else { Some(remaining_body(reader, bytes_read, memory)) };
+    Some(ServerResponse { outcome, response: Some(response), reusable, remaining_body })
 }
 
-/// What is read at once of a long answer, in bytes, and of how many such parts a flow holds at most: read, waiting, written.
-const PART: (usize, usize) = (16 << 10, 3);
-/// An answer of unknown length is waited for so long before it flows: short beside a target time, and most are whole by then.
-const LENGTH_SHOWS: Duration = Duration::from_millis(50);
-
-/// What a server's answer says of the attempt. One of up to 64 KiB is read whole, so that one that breaks off can be asked for
-/// elsewhere; a longer one is passed on from its first bytes on.
-async fn read(
-    mut answering: ResponseReader,
-    stream: &Async<TcpStream>,
-    room: &MemoryBudget,
-) -> Option<ServerResponse> {
-    let message = &answering.message;
-    let turned_away = message.header("X-Unprocessed").is_some_and(|v| v == "1");
-    let outcome = match message.status {
+/// What the head of a response says of the attempt.
+fn outcome_of(message: &Message) -> AttemptOutcome {
+    let unprocessed = message.header("X-Unprocessed").is_some_and(|value| value == "1");
+    match message.status {
         200 => match message.header("X-Lookup") {
             Some("hit") => AttemptOutcome::CompletedFromCache,
             Some("miss") => AttemptOutcome::CompletedByFetch,
             _ => AttemptOutcome::Completed,
         },
         404 => AttemptOutcome::CacheMiss,
-        503 | 504 if turned_away => AttemptOutcome::Overloaded,
-        // No word on the server: a client asked for what can't be had.
+        503 | 504 if unprocessed => AttemptOutcome::Overloaded,
+        // Says nothing about the server: a client requested what can't be had.
         400..=499 => AttemptOutcome::InvalidRequest,
         _ => AttemptOutcome::ServerError,
-    };
-    let resolved = message.status == 200;
-    let long = |n: usize| n > http1::MAX_BUFFERED_BODY;
-    let told = answering.content_length.map(|n| long(n as usize));
-    // Longer than any is nonsense, and so is a long word on a failure.
-    if answering.content_length > Some(http1::MAX_BODY as u64) || (told == Some(true) && !resolved) {
-        return None;
     }
-    let shows = Instant::now() + LENGTH_SHOWS;
-    let mut body = Vec::new();
-    let mut whole = false;
-    // Nothing of it is the client's before its first byte is here.
-    while !whole && (told != Some(true) || body.is_empty()) {
-        let part = answering.next_part(stream);
-        let part = match told {
-            Some(_) => part.await,
-            None if resolved && !body.is_empty() => match wait_until(shows, part).await {
+}
+
+fn is_long(bytes: usize) -> bool {
+    bytes > http1::MAX_BUFFERED_BODY
+}
+
+/// A body that is longer than any may be makes no sense, and neither does a long one that reports a
+/// failure.
+fn is_length_allowed(content_length: Option<u64>, served: bool) -> bool {
+    content_length
+        .is_none_or(|length| length <= http1::MAX_BODY as u64 && (served || !is_long(length as usize)))
+}
+
+/// What of a body is read before the response is passed on.
+#[derive(Default)]
+struct BodyStart {
+    bytes: Vec<u8>,
+    complete: bool,
+}
+
+/// Reads a short body whole, and of a long one the first bytes: nothing of it is the client's
+/// before its first byte is here.
+async fn read_body_start(
+    reader: &mut ResponseReader,
+    stream: &Async<TcpStream>,
+    served: bool,
+) -> Option<BodyStart> {
+    let length_known = reader.content_length.is_some();
+    let known_long = reader.content_length.is_some_and(|length| is_long(length as usize));
+    let length_shows_by = Instant::now() + LENGTH_SHOWS;
+    let mut start = BodyStart::default();
+    while !start.complete && (!known_long || start.bytes.is_empty()) {
+        let part = reader.next_part(stream);
+        let may_be_streamed = served && !length_known && !start.bytes.is_empty();
+        let part = if may_be_streamed {
+            match wait_until(length_shows_by, part).await {
                 Some(part) => part,
                 None => break,
-            },
-            None => part.await,
+            }
+        } else {
+            part.await
         };
         match part.ok()? {
-            Some(part) => body.extend(part),
-            None => whole = true,
+            Some(part) => start.bytes.extend(part),
+            None => start.complete = true,
         }
-        if long(body.len()) {
-            if !resolved {
-                return None;
-            }
-            break;
+        if is_long(start.bytes.len()) {
+            return served.then_some(start);
         }
     }
-    let keep = answering.is_reusable();
-    if !resolved {
-        return Some(ServerResponse { outcome, response: None, reusable: keep, remaining_body: None });
-    }
-    let kind = answering.message.header("Content-Type").unwrap_or("").to_string();
-    let begun = body.len();
-    let answer = Some(Response { content_type: kind, body, ..Response::empty(ResponseStatus::Served) });
-    if whole {
-        return Some(ServerResponse { outcome, response: answer, reusable: keep, remaining_body: None });
-    }
-    let held = room.try_reserve(PART.0 * PART.1);
-    if held.is_some() {
-        answering.max_read = PART.0;
-    }
-    let left = http1::MAX_BODY.saturating_sub(begun);
-    let rest: Box<dyn ResponseBody> = Box::new(Flowing { answering, left, _held: held });
-    Some(ServerResponse { outcome, response: answer, reusable: keep, remaining_body: Some(rest) })
+    Some(start)
+}
+
+/// The rest of a long body, with its share of the memory for them; without one it is read in
+/// smaller parts.
+fn remaining_body(
+    mut reader: ResponseReader,
+    bytes_read: usize,
+    memory: &MemoryBudget,
+) -> Box<dyn ResponseBody> {
+    let memory = memory.try_reserve(PART_SIZE * PARTS_HELD);
+    if memory.is_some() {
+        reader.max_read = PART_SIZE;
+    }
+    let bytes_left = http1::MAX_BODY.saturating_sub(bytes_read);
+    Box::new(RemainingBody { reader, bytes_left, _memory: memory })
 }
 
-/// The rest of a long answer, with its part of the room for them; without one it is read in smaller parts.
-struct Flowing {
-    answering: ResponseReader,
-    left: usize, // bytes that may still come
-    _held: Option<MemoryReservation>,
+struct RemainingBody {
+    reader: ResponseReader,
+    /// How many bytes may still come.
+    bytes_left: usize,
+    _memory: Option<MemoryReservation>,
+}
+
+impl RemainingBody {
+    async fn read_part(&mut self, stream: &Async<TcpStream>) -> Result<Option<Vec<u8>>, BrokenOff> {
+        let part = self.reader.next_part(stream).await.map_err(|_| BrokenOff)?;
+        // A body of unknown length may never end: where it is longer than any may be, it is broken
+        // off.
+        let length = part.as_ref().map_or(0, Vec::len);
+        self.bytes_left = self.bytes_left.checked_sub(length).ok_or(BrokenOff)?;
+        Ok(part)
+    }
 }
 
-impl ResponseBody for Flowing {
+impl ResponseBody for RemainingBody {
     fn next_part<'a>(
         &'a mut self,
         stream: &'a Async<TcpStream>,
     ) -> BoxFuture<'a, Result<Option<Vec<u8>>, BrokenOff>> {
-        Box::pin(async move {
-            let part = self.answering.next_part(stream).await.map_err(|_| BrokenOff)?;
-            // One whose length is not told may never end: longer than any, it is broken off.
-            self.left = self.left.checked_sub(part.as_ref().map_or(0, Vec::len)).ok_or(BrokenOff)?;
-            Ok(part)
-        })
+        Box::pin(self.read_part(stream))
     }
+
     fn content_length(&self) -> Option<u64> {
-        self.answering.content_length
-    }
-    fn is_reusable(&self) -> bool {
-        self.answering.is_reusable()
+        self.reader.content_length
     }
-}
-
-/// The platform's probe: `GET /alive`.
-pub struct AliveCheck;
 
-impl HealthCheck for AliveCheck {
-    fn check<'a>(&'a self, stream: &'a Async<TcpStream>) -> BoxFuture<'a, Option<bool>> {
-        Box::pin(async move {
-            let host = stream.get_ref().peer_addr().ok()?;
-            let message = http1::get(stream, host, "/alive", http1::MAX_BUFFERED_BODY).await.ok()?;
-            (message.status == 200).then_some(!message.close)
-        })
+    fn is_reusable(&self) -> bool {
+        self.reader.is_reusable()
     }
 }
