--- a/crates/http-frontend/src/route.rs
+++ b/crates/http-frontend/src/route.rs
@@ -30,7 +30,7 @@
         // The balancer responds by then; a request that it forgot would hold the connection
         // forever.
         Timer::at(engine.clock.instant(expires) + OVERDUE).await;
-        warn!(engine.log, "a lookup without an answer");
+        warn!(engine.log, "request without a response");
         engine.violations.check(&engine.log, Some(Violation::NoFinalAnswer));
         api::client_left(engine, request_id);
         Some(Reply::empty(500))
