--- a/crates/engine/src/api.rs
+++ b/crates/engine/src/api.rs
@@ -80,10 +80,8 @@
     engine.requests.borrow_mut().set_proxy_count(proxies);
 }
 
-/// Other limits of the operator apply from now on, also to open requests: see
-/// [`RequestTable::apply_settings`].
-///
-/// [`RequestTable::apply_settings`]: crate::request_table::RequestTable::apply_settings
+/// Other limits of the operator apply from now on: the balancer reads them, and each open request
+/// has its class and its time limit anew, where it can still be found by its attributes.
 pub fn set_limits(engine: &Rc<Engine>, limits: Option<LimitTable>) {
     engine.classes.set_limits(limits);
     let settings = engine.classes.balancer_settings();
--- a/crates/engine/src/attempt.rs
+++ b/crates/engine/src/attempt.rs
@@ -106,7 +106,7 @@
     /// Writes the request to a connection; nothing is written of which a part may come too late.
     async fn connect_and_write(&self) -> Result<Rc<ServerConnection>, AttemptOutcome> {
         let Attempt { engine, pending, .. } = self;
-        let connection = Rc::new(connect::pooled_or_new(engine, pending.server).await?);
+        let connection = Rc::new(connect::pooled_or_new_connection(engine, pending.server).await?);
         // After a standstill what arrived during it is read first: a drain, an operator's call, a
         // client's end.
         engine.clock.catch_up().await;
--- a/crates/engine/src/close_schedule.rs
+++ b/crates/engine/src/close_schedule.rs
@@ -1,6 +1,9 @@
 //! When client connections are closed once the proxy shuts down or is taken out of service: one
 //! after the other, so that they do not all come to the other proxies at once.
 
+#[cfg(test)]
+mod tests;
+
 use chalkwalk_time::{Span, Timestamp};
 
 /// The time from the request to shut down to the last response.
--- a/crates/engine/src/connect.rs
+++ b/crates/engine/src/connect.rs
@@ -1,6 +1,9 @@
 //! Connections to servers for attempts and health checks: one of the pool, or a new one within the
 //! descriptor budget.
 
+#[cfg(test)]
+mod tests;
+
 use crate::engine::Engine;
 use crate::pool::ServerConnection;
 use chalkwalk_balancer::{AttemptOutcome, ServerIndex};
@@ -11,7 +14,7 @@
 use std::net::{SocketAddr, TcpStream};
 
 /// A connection to the server, from the pool or new; otherwise how the attempt ends that needed it.
-pub(crate) async fn pooled_or_new(
+pub(crate) async fn pooled_or_new_connection(
     engine: &Engine,
     server: ServerIndex,
 ) -> Result<ServerConnection, AttemptOutcome> {
@@ -23,7 +26,10 @@
 }
 
 /// A new connection to the server; otherwise how an attempt ends that needs it.
-pub(crate) async fn new(engine: &Engine, server: ServerIndex) -> Result<ServerConnection, AttemptOutcome> {
+pub(crate) async fn new_connection(
+    engine: &Engine,
+    server: ServerIndex,
+) -> Result<ServerConnection, AttemptOutcome> {
     let addr = address_of(engine, server)?;
     open(engine, addr).await
 }
--- /dev/null
+++ b/crates/engine/src/connect/tests.rs
@@ -0,0 +1,20 @@
+//! Of how an attempt ends by an error; in the crate, as that is not public.
+
+use super::*;
+
+/// By number: what Linux calls ENFILE, EMFILE, ENOMEM, EADDRNOTAVAIL and ENOBUFS says nothing about
+/// the server; ECONNREFUSED, EHOSTUNREACH and ETIMEDOUT do, and so does an error without a number.
+#[test]
+fn errors_of_this_machine_say_nothing_about_the_server() {
+    for number in [23, 24, 12, 99, 105] {
+        assert_eq!(outcome_of(&io::Error::from_raw_os_error(number)), AttemptOutcome::NotSent, "{number}");
+    }
+    for number in [111, 113, 110] {
+        assert_eq!(
+            outcome_of(&io::Error::from_raw_os_error(number)),
+            AttemptOutcome::Unreachable,
+            "{number}"
+        );
+    }
+    assert_eq!(outcome_of(&io::Error::other("other")), AttemptOutcome::Unreachable);
+}
--- a/crates/engine/src/effect_sink.rs
+++ b/crates/engine/src/effect_sink.rs
@@ -65,6 +65,7 @@
 }
 
 impl OpenRequest {
+    /// A request that has no attempt yet.
     pub fn new(request: Rc<dyn ClientRequest>, response: Sender<Response>) -> OpenRequest {
         OpenRequest { request, response: Some(response), attempts: Vec::new(), in_flight: 0 }
     }
@@ -96,6 +97,7 @@
 }
 
 impl EffectSink {
+    /// Without any request or timer yet.
     pub fn new(now: Timestamp, signals: Signals, log: Logger, recorder: Option<Recorder>) -> EffectSink {
         EffectSink {
             now,
--- a/crates/engine/src/health_check.rs
+++ b/crates/engine/src/health_check.rs
@@ -21,7 +21,7 @@
 }
 
 async fn check_on_new_connection(engine: &Engine, server: ServerIndex) -> Option<()> {
-    let connection = connect::new(engine, server).await.ok()?;
+    let connection = connect::new_connection(engine, server).await.ok()?;
     if !engine.requests.borrow().may_send_to(server) {
         return None;
     }
--- a/crates/engine/src/timers.rs
+++ b/crates/engine/src/timers.rs
@@ -1,5 +1,8 @@
 //! The balancer's timers, in the order in which they fire.
 
+#[cfg(test)]
+mod tests;
+
 use chalkwalk_time::Timestamp;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
--- /dev/null
+++ b/crates/engine/src/timers/tests.rs
@@ -0,0 +1,20 @@
+//! Of the order of timers; in the crate, as the queue is not public.
+
+use super::*;
+use chalkwalk_time::Span;
+
+fn at(ticks: u64) -> Timestamp {
+    Timestamp::ZERO + Span::from_ticks(ticks)
+}
+
+#[test]
+fn timers_fire_in_order_of_their_moments_and_then_of_setting() {
+    let mut timers = TimerQueue::default();
+    let first: Vec<bool> =
+        [(30, 1), (20, 2), (20, 3), (40, 4), (10, 5)].map(|(due, token)| timers.set(at(due), token)).to_vec();
+    assert_eq!(first, [true, true, false, false, true]);
+    assert_eq!(timers.pop_due(at(9)), None);
+    let fired: Vec<u64> = std::iter::from_fn(|| timers.pop_due(at(30))).collect();
+    assert_eq!(fired, [5, 2, 3, 1]);
+    assert_eq!(timers.next_due(), Some(at(40)));
+}
--- a/crates/http-frontend/src/admit.rs
+++ b/crates/http-frontend/src/admit.rs
@@ -67,15 +67,25 @@
     received_at: Timestamp,
     client: &Rc<Async<TcpStream>>,
 ) -> Result<Admitted, AdmitError> {
-    let engine = &frontend.engine;
     let method = message.text(&message.method);
     if path_of(&message) == READINESS_PATH && method == "GET" {
-        return Ok(Admitted::Readiness { ready: engine.lifecycle.is_ready() });
+        return Ok(Admitted::Readiness { ready: frontend.engine.lifecycle.is_ready() });
     }
     if !matches!(method, "GET" | "PUT") {
         return Err(AdmitError::MethodNotAllowed);
     }
     let write = method == "PUT";
+    admit_request(frontend, message, write, received_at, client).map(Admitted::Request)
+}
+
+fn admit_request(
+    frontend: &Rc<Frontend>,
+    message: Message,
+    write: bool,
+    received_at: Timestamp,
+    client: &Rc<Async<TcpStream>>,
+) -> Result<Rc<HttpRequest>, AdmitError> {
+    let engine = &frontend.engine;
     let namespace = namespace_of(frontend, &message)?;
     if message.has_duplicate(&SINGLE_FIELDS) {
         return Err(AdmitError::BadField);
@@ -91,7 +101,7 @@
     let expires = expires.ok_or(AdmitError::Expired)?;
     let id = message.header_bytes("X-Correlation-Id").unwrap_or_default().to_vec();
     let open = frontend.open_ids.open(id).ok_or(AdmitError::IdInUse)?;
-    Ok(Admitted::Request(Rc::new(HttpRequest {
+    Ok(Rc::new(HttpRequest {
         frontend: frontend.clone(),
         key: key_range(&message),
         namespace,
@@ -103,7 +113,7 @@
         message,
         client: Rc::downgrade(client),
         _open: open,
-    })))
+    }))
 }
 
 /// The namespace that a message names; it must have a correlation id as well.
--- a/crates/http-frontend/src/decimal.rs
+++ b/crates/http-frontend/src/decimal.rs
@@ -1,5 +1,8 @@
 //! Times as the protocol writes them: seconds in decimals.
 
+#[cfg(test)]
+mod tests;
+
 use chalkwalk_time::{Span, TICKS_PER_SECOND};
 
 /// Digits before the point of a time that is read: nine are thirty years.
