--- a/crates/settings/src/convert.rs
+++ b/crates/settings/src/convert.rs
@@ -35,7 +35,7 @@
         Kind::NonNegativeWait => reader.non_negative().map(|ns| ticks(ns).ceil().to_string()),
         Kind::Flag => reader.flag().map(|flag| u8::from(flag).to_string()),
         Kind::Text => reader.text().map(|text| standard_idempotency(text).to_string()),
-        Kind::WeightKind => reader.weight_kind().map(str::to_string),
+        Kind::Weights => reader.weight_kind().map(str::to_string),
     }
 }
 
--- a/crates/settings/src/table.rs
+++ b/crates/settings/src/table.rs
@@ -19,7 +19,7 @@
     Flag,
     Text,
     /// What the list's weights are, one of `WEIGHT_KINDS`.
-    WeightKind,
+    Weights,
 }
 
 /// None, a size, about a size, or a size that moves with load.
@@ -41,7 +41,7 @@
     setting("balancers", "proxies", Kind::Number),
     setting("excessUtility", "excess utility", Kind::Number),
     setting("utilityBasis", "utility basis", Kind::Text),
-    setting("weightKind", "size kind", Kind::WeightKind),
+    setting("weightKind", "size kind", Kind::Weights),
     setting("ceilings.mostShots", "most shots", Kind::Number),
     setting("ceilings.secondCopies", "second copies", Kind::Flag),
     setting("ceilings.probes", "probes", Kind::Flag),
