--- /dev/null
+++ b/crates/balancer/src/balancer/attempts.rs
@@ -0,0 +1,298 @@
+//! Starts attempts, and takes what becomes of them: each decision about the server learns from the outcome, one step after the
+//! other, and then the request goes on.
+//!
+//! Must be told of the start of each response and of the end of each attempt, once.
+
+use super::Balancer;
+use super::retry::RetryCost;
+use crate::concurrency_limit::Sample;
+use crate::effects::Effects;
+use crate::load_shedding::Resource;
+use crate::request::Attempt;
+use crate::request_class::Idempotency;
+use crate::slow_start::token_floor;
+use crate::types::{AttemptOutcome, RequestId, ServerIndex};
+use chalkwalk_time::Span;
+
+/// An attempt that has ended, as the decisions learn from it.
+#[derive(Clone, Copy)]
+struct EndedAttempt {
+    key: u64,
+    server: ServerIndex,
+    outcome: AttemptOutcome,
+    took: Span,
+    target: Span,
+    in_flight: u64,
+    likely_fetch: bool,
+    opened_connection: bool,
+    /// It was at a server, and not at the origin.
+    from_server: bool,
+    /// Nothing had come from the server since it was sent.
+    server_was_silent: bool,
+}
+
+impl EndedAttempt {
+    /// An error on a fetch may be the origin's, and says nothing of the server.
+    fn is_origin_error(&self) -> bool {
+        self.likely_fetch && self.outcome == AttemptOutcome::ServerError
+    }
+
+    fn is_late(&self) -> bool {
+        self.took >= self.target || self.is_origin_error() || self.outcome == AttemptOutcome::TimedOut
+    }
+}
+
+impl Balancer {
+    pub(super) fn start_attempt(
+        &mut self,
+        request_id: RequestId,
+        index: ServerIndex,
+        effects: &mut dyn Effects,
+    ) {
+        let timeout = self.silence_timeout();
+        let likely_fetch =
+            self.requests.get(&request_id.0).is_some_and(|request| self.will_likely_fetch(request));
+        let Some(request) = self.requests.get_mut(&request_id.0) else { return };
+        let server = &mut self.servers[index];
+        let sent_at = self.now;
+        let in_flight = server.liveness.start_attempt(sent_at);
+        server.slow_start.spend();
+        request.waiting = false;
+        let class = &request.class;
+        // Guards a tagged request whose attempt waits for a connection: past the window it would run twice.
+        let tagged = class.idempotency == Idempotency::Tagged;
+        let ran = request.attempts.iter().filter(|attempt| tagged && attempt.may_have_run);
+        let not_after = ran.map(|attempt| attempt.sent_at + class.dedup_window).min();
+        let opens_connection = !std::mem::replace(&mut server.connected, true);
+        request.attempts.push(Attempt {
+            server: index,
+            sent_at,
+            in_flight,
+            pending: true,
+            may_have_run: true,
+            opens_connection,
+            likely_fetch,
+            ..Attempt::default()
+        });
+        let hedge_after = class.hedge_after.and_then(|part| self.latencies.quantile(part));
+        let until = request.expires.min(sent_at + class.attempt_timeout);
+        effects.start_attempt(request_id, index, until, not_after.unwrap_or(request.expires));
+        if Some(index) != self.origin {
+            effects.set_timer(request_id.0, hedge_after.unwrap_or(timeout).min(timeout) + Span::TICK);
+        }
+    }
+
+    /// An attempt's response has begun: it is the client's now, and no timer of ours runs for it. What else is in flight for the
+    /// request is of no use any more.
+    pub fn response_started(&mut self, request_id: RequestId, attempt: usize, effects: &mut dyn Effects) {
+        let Some(request) = self.requests.get_mut(&request_id.0) else { return };
+        request.streaming = true;
+        if let Some(started) = request.attempts.get_mut(attempt).filter(|a| a.pending && !a.streaming) {
+            started.streaming = true;
+            self.servers[started.server].liveness.start_response(started.sent_at, self.now);
+        }
+        if self.settings.cancellation {
+            let others = request.pending_attempts().filter(|other| *other != attempt);
+            others.for_each(|other| effects.cancel_attempt(request_id, other));
+        }
+    }
+
+    /// An attempt ended; `finished` says that the client has its answer, by this or before.
+    pub fn attempt_ended(
+        &mut self,
+        request_id: RequestId,
+        attempt: usize,
+        outcome: AttemptOutcome,
+        took: Span,
+        finished: bool,
+        effects: &mut dyn Effects,
+    ) {
+        let Some(ended) = self.end_attempt(request_id, attempt, outcome.without_source(), took) else {
+            return;
+        };
+        let no_place = self.record_connection(&ended);
+        self.record_latency(&ended);
+        let ended_fetch = self.take_fetch(request_id, &ended);
+        self.record_key(&ended);
+        let late_alone = ended.outcome == AttemptOutcome::TimedOut && !ended.server_was_silent;
+        if !(ended.is_origin_error() || no_place || late_alone) {
+            self.record_outcome(ended.server, ended.outcome, effects);
+        }
+        self.record_load(&ended);
+        if ended.from_server && ended.outcome.is_success_or_miss() {
+            self.earn_slow_start_tokens(ended.server);
+        }
+        self.continue_request(request_id, &ended, finished, effects);
+        if ended_fetch {
+            self.end_fetch(ended.key, ended.outcome == AttemptOutcome::Completed, effects);
+        }
+    }
+
+    /// Ends the attempt for its request and for the liveness of its server.
+    fn end_attempt(
+        &mut self,
+        request_id: RequestId,
+        attempt: usize,
+        outcome: AttemptOutcome,
+        took: Span,
+    ) -> Option<EndedAttempt> {
+        let overdue_after = self.overdue_after();
+        let request = self.requests.get_mut(&request_id.0)?;
+        let attempt = request.attempts.get_mut(attempt).filter(|attempt| attempt.pending)?;
+        if outcome.may_still_run() && request.class.in_order {
+            self.key_order.keep_quiet(request.key, self.now + self.settings.key_quiet_time);
+        }
+        attempt.pending = false;
+        attempt.may_have_run = outcome.may_have_run();
+        // A server that alone may serve the request may be asked again across a connection that broke.
+        let broke_at_owner = outcome == AttemptOutcome::ConnectionLost && request.allowed_servers.is_some();
+        attempt.failed = outcome != AttemptOutcome::CacheMiss && !broke_at_owner;
+        let server = &mut self.servers[attempt.server];
+        let server_was_silent = server.liveness.is_silent_since(attempt.sent_at);
+        server.concurrency.set_sparse(server.liveness.answers_seldom(self.now));
+        server.liveness.end_attempt(attempt.streaming);
+        if outcome.is_answer() {
+            server.liveness.record_answer(attempt.sent_at, self.now);
+        }
+        // Guards servers against being taken for late over attempts that they lost, while they answer later ones.
+        let lost = outcome == AttemptOutcome::TimedOut
+            && !server_was_silent
+            && server.liveness.answered_one_sent_after(attempt.sent_at)
+            && took > overdue_after;
+        Some(EndedAttempt {
+            key: request.key,
+            server: attempt.server,
+            outcome: if lost { AttemptOutcome::Cancelled } else { outcome },
+            took,
+            target: request.class.target,
+            in_flight: attempt.in_flight,
+            likely_fetch: attempt.likely_fetch,
+            opened_connection: attempt.opens_connection,
+            from_server: Some(attempt.server) != self.origin,
+            server_was_silent,
+        })
+    }
+
+    /// Learns whether servers have places for connections; whether the attempt failed for lack of one.
+    fn record_connection(&mut self, ended: &EndedAttempt) -> bool {
+        let refused = ended.outcome == AttemptOutcome::Unreachable;
+        let server = &mut self.servers[ended.server];
+        server.connected &= !refused && ended.outcome != AttemptOutcome::ConnectionLost;
+        let group = self.zone_group(&self.servers[ended.server]);
+        if ended.from_server {
+            self.connections.record(refused);
+        }
+        let no_place = refused && ended.opened_connection && self.connections.is_scarce();
+        if no_place {
+            let connected = self.connected_count(group);
+            self.connections.lower(group, connected);
+        } else if ended.opened_connection && ended.from_server && ended.outcome.is_success_or_miss() {
+            self.connections.raise(group);
+        }
+        no_place
+    }
+
+    /// Learns how fast the server answers, and from that how much it takes.
+    fn record_latency(&mut self, ended: &EndedAttempt) {
+        let EndedAttempt { outcome, took, target, from_server, in_flight, .. } = *ended;
+        let server = &mut self.servers[ended.server];
+        if matches!(outcome, AttemptOutcome::Completed | AttemptOutcome::TimedOut) {
+            server.recent_latency.record(took, target);
+        }
+        if outcome == AttemptOutcome::Completed && from_server {
+            self.latencies.record(took);
+        }
+        if from_server && outcome.tells_latency() {
+            server.keys.record_latency(took, target);
+        }
+        let shortest_target = self.settings.shortest_target().unwrap_or(target);
+        server.concurrency.adjust(&Sample { outcome, took, in_flight, target, shortest_target, from_server });
+    }
+
+    /// Whether the attempt was the fetch that others wait for; the request leads it no longer.
+    fn take_fetch(&mut self, request_id: RequestId, ended: &EndedAttempt) -> bool {
+        match self.requests.get_mut(&request_id.0) {
+            Some(request) if !ended.from_server => std::mem::replace(&mut request.leads_fetch, false),
+            _ => false,
+        }
+    }
+
+    /// Learns whether servers hold the key by now.
+    fn record_key(&mut self, ended: &EndedAttempt) {
+        if self.settings.servers_fetch && ended.outcome == AttemptOutcome::Completed {
+            self.shedding.record_resolved(ended.key);
+        } else if ended.outcome == AttemptOutcome::ServerError {
+            self.shedding.forget_resolved(ended.key);
+        }
+    }
+
+    /// Learns whether the servers, or the origin, are late.
+    fn record_load(&mut self, ended: &EndedAttempt) {
+        if ended.is_origin_error() || ended.outcome.tells_latency() {
+            let by_server = ended.from_server && !ended.likely_fetch;
+            let resource = if by_server { Resource::Servers } else { Resource::Origin };
+            self.shedding.record(resource, ended.is_late());
+        }
+    }
+
+    /// An answer earns tokens for its server and for all others in slow start.
+    fn earn_slow_start_tokens(&mut self, answered: ServerIndex) {
+        let ready = self.ring.server_count();
+        let floor = token_floor(&self.settings);
+        for index in 0..self.servers.len() {
+            let progress = self.servers[index].slow_start_progress(&self.settings, self.now);
+            if !progress.is_done() && self.is_ready(index) {
+                self.servers[index].slow_start.earn(index == answered, progress, ready, floor);
+            }
+        }
+    }
+
+    /// Closes the request, retries it or answers it, as the attempt ended.
+    fn continue_request(
+        &mut self,
+        request_id: RequestId,
+        ended: &EndedAttempt,
+        finished: bool,
+        effects: &mut dyn Effects,
+    ) {
+        let request = &self.requests[&request_id.0];
+        let outcome = ended.outcome;
+        let answered = request.answered;
+        let on_ring = request.allowed_servers.is_none();
+        let is_pending = request.is_pending();
+        let answer_begun_elsewhere = request.streaming && is_pending && !answered;
+        let invalid = outcome == AttemptOutcome::InvalidRequest;
+        if invalid && !finished && !answered {
+            effects.fail(request_id);
+        }
+        if answer_begun_elsewhere {
+            // Another attempt's answer is the client's by now, whatever became of this one.
+        } else if finished || answered || invalid {
+            self.close(request_id, effects);
+        } else if outcome == AttemptOutcome::CacheMiss && self.settings.origin_kind.is_some() && on_ring {
+            self.send_to_origin(request_id, effects);
+        } else if !is_pending {
+            self.retry_after_failure(request_id, ended, effects);
+        }
+    }
+
+    fn retry_after_failure(
+        &mut self,
+        request_id: RequestId,
+        ended: &EndedAttempt,
+        effects: &mut dyn Effects,
+    ) {
+        match ended.outcome {
+            AttemptOutcome::Overloaded | AttemptOutcome::TimedOut | AttemptOutcome::NotSent
+                if !ended.from_server =>
+            {
+                self.answer_unserved(request_id, effects);
+            }
+            AttemptOutcome::Unreachable | AttemptOutcome::CacheMiss if ended.from_server => {
+                self.retry(request_id, RetryCost::Free, effects);
+            }
+            // One that broke or was spoilt at the origin says nothing of its load, and may have stored the value.
+            _ => self.retry(request_id, RetryCost::Budgeted, effects),
+        }
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/balancer/endpoints.rs
@@ -0,0 +1,106 @@
+//! Takes lists of servers: what each entry changes, which servers are ready, and when discovery is called again.
+//!
+//! Guards that a drain or an operator's call holds from the moment of the call on, and that a restarted server is a new one.
+
+use super::{Balancer, DISCOVERY_TIMER};
+use crate::effects::{Effects, StateChange};
+use crate::server::Server;
+use crate::slow_start::{SlowStart, token_floor};
+use crate::types::{Endpoint, EndpointStatus, ServerIndex};
+use chalkwalk_time::{Span, Timestamp};
+
+impl Balancer {
+    /// Discovery has sent the whole list: servers not in it are gone.
+    pub fn replace_endpoints(&mut self, endpoints: &[Endpoint], effects: &mut dyn Effects) {
+        self.servers.iter_mut().for_each(|server| server.status = EndpointStatus::Gone);
+        self.update_endpoints(endpoints, effects);
+    }
+
+    /// Discovery has sent the entries that changed.
+    pub fn update_endpoints(&mut self, endpoints: &[Endpoint], effects: &mut dyn Effects) {
+        // The watch goes on: what changes just after an answer counts as notified, called for or not.
+        if self.discovery.record_answer() {
+            effects.report(StateChange::DiscoveryRecovered);
+        }
+        for endpoint in endpoints {
+            self.update_endpoint(endpoint);
+        }
+        self.rebalance_keys(endpoints);
+        self.rebuild_ring();
+    }
+
+    fn update_endpoint(&mut self, endpoint: &Endpoint) {
+        let index = endpoint.server;
+        let known = self.servers.len().max(index + 1);
+        self.servers.resize_with(known, Server::default);
+        if self.servers[index].id != endpoint.id {
+            self.servers[index] = Server::new(endpoint.id);
+        }
+        self.restart_if_newer(index, endpoint.born);
+        let server = &mut self.servers[index];
+        server.zone = endpoint.zone;
+        server.cell = endpoint.cell;
+        server.status = endpoint.status;
+        server.keys.list_size(endpoint.size, self.settings.fixed_sizes);
+        if Some(endpoint.kind) == self.settings.origin_kind {
+            self.origin = Some(index);
+        }
+        self.restore_learned_server(index);
+    }
+
+    /// A new process under a known id, and never an older one.
+    pub(super) fn restart_if_newer(&mut self, server: ServerIndex, started_at: Timestamp) {
+        if started_at > self.servers[server].started_at {
+            let draw = self.random.below(SlowStart::DRAW_END);
+            self.servers[server].restart(started_at, token_floor(&self.settings), draw);
+        }
+    }
+
+    /// Moves keys away from servers whose listed load is above the mean.
+    fn rebalance_keys(&mut self, endpoints: &[Endpoint]) {
+        let ready = || (0..self.servers.len()).filter(|server| self.is_ready(*server));
+        let total: u64 = ready().map(|server| self.servers[server].keys.load()).sum();
+        let mean = total / ready().count().max(1) as u64;
+        for endpoint in endpoints {
+            self.servers[endpoint.server].keys.rebalance(mean);
+        }
+    }
+
+    pub(super) fn rebuild_ring(&mut self) {
+        let mut ring = std::mem::take(&mut self.ring);
+        let own_zone = self.settings.zone;
+        ring.rebuild(
+            self.servers
+                .iter()
+                .enumerate()
+                .map(|(index, server)| (server.id.as_str(), self.is_ready(index), server.zone == own_zone)),
+        );
+        self.ring = ring;
+    }
+
+    /// A call to discovery that took so long failed: the next one is made after a backoff, within the term for changes.
+    pub fn discovery_call_failed(&mut self, took: Span, effects: &mut dyn Effects) {
+        if self.discovery.record_failure() {
+            effects.report(StateChange::DiscoveryLost);
+        }
+        let backoff = self.settings.discovery_backoff;
+        let delay = backoff.delay(took, self.discovery.failures(), |end| self.random.span_below(end));
+        effects.set_timer(DISCOVERY_TIMER, delay);
+    }
+
+    /// Operators take a server out at that moment, whatever any list says, or put it back. It is restarted in
+    /// between: back, it is in slow start as one that started then, and what was held against it is void.
+    pub fn set_disabled(&mut self, id: &str, disabled: bool, at: Timestamp) {
+        if disabled {
+            self.disabled.entry(id.into()).or_insert(at);
+        } else {
+            self.disabled.remove(id);
+            for server in 0..self.servers.len() {
+                if self.servers[server].id == id {
+                    self.restart_if_newer(server, at);
+                }
+            }
+        }
+        self.rebuild_ring();
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/balancer/health.rs
@@ -0,0 +1,57 @@
+//! Ejects servers for their failures, checks their health and readmits them; `outlier.rs` keeps the score.
+
+use super::{Balancer, SERVER_TIMERS};
+use crate::effects::{Effects, StateChange};
+use crate::types::{AttemptOutcome, ServerIndex};
+
+impl Balancer {
+    /// Counts an outcome for or against a server, which may be ejected for it. The origin never is.
+    pub(super) fn record_outcome(
+        &mut self,
+        index: ServerIndex,
+        outcome: AttemptOutcome,
+        effects: &mut dyn Effects,
+    ) {
+        let timeout = self.silence_timeout();
+        let server = &mut self.servers[index];
+        let answered_lately = server.liveness.answered_within(self.now, timeout);
+        if server.failures.record(outcome, answered_lately) && Some(index) != self.origin {
+            self.eject(index, effects);
+        }
+    }
+
+    fn eject(&mut self, index: ServerIndex, effects: &mut dyn Effects) {
+        let server = &mut self.servers[index];
+        server.failures.eject();
+        let backoff = server.ejection.begin();
+        effects.report(StateChange::ServerEjected { server: &server.id });
+        // Spread, so that the proxies that ejected it together do not check it together.
+        let jitter = self.random.span_below(backoff / 4);
+        effects.set_timer(SERVER_TIMERS + index as u64, backoff + jitter);
+    }
+
+    /// The ejection of a server has lasted its time: its health is checked where that can be, else it counts as checked.
+    pub(super) fn ejection_timer_fired(&mut self, index: ServerIndex, effects: &mut dyn Effects) {
+        let known = index < self.servers.len();
+        if known && self.is_ready(index) && self.settings.health_checks {
+            effects.check_health(index);
+        } else {
+            self.health_check_finished(index, true, effects);
+        }
+    }
+
+    /// A health check has ended. An ejected server that passed it gets one attempt at a time until two were answered.
+    pub fn health_check_finished(&mut self, index: ServerIndex, passed: bool, effects: &mut dyn Effects) {
+        let Some(server) = self.servers.get_mut(index) else { return };
+        server.ejection.end_check();
+        if !server.failures.is_ejected() {
+            return;
+        }
+        if passed {
+            server.failures.readmit();
+            effects.report(StateChange::ServerReadmitted { server: &server.id });
+        } else {
+            self.eject(index, effects);
+        }
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/balancer/requests.rs
@@ -0,0 +1,162 @@
+//! Takes requests, routes them and closes them: the order in which the decisions about a request are made.
+
+use super::Balancer;
+use crate::effects::Effects;
+use crate::hash::key_point;
+use crate::key_order::{Next, Turn};
+use crate::load_shedding::Resource;
+use crate::request::Request;
+use crate::request_class::ClassHandle;
+use crate::types::{RequestId, ServerIndex};
+use chalkwalk_time::{Span, Timestamp};
+
+/// The draws of requests are below this.
+const DRAW_END: u64 = 100;
+/// The median, by which a request's turn is foreseen.
+const HALF: u64 = 500;
+
+impl Balancer {
+    /// Accepts a request. It must be answered once, before `expires`; route it next.
+    pub fn accept_request(&mut self, class: usize, key: &str, write: bool, expires: Timestamp) -> RequestId {
+        self.accept_request_at(class, key_point(key), write, expires)
+    }
+
+    /// The same for a key that is known by its point alone.
+    pub fn accept_request_at(
+        &mut self,
+        class: usize,
+        key: u64,
+        write: bool,
+        expires: Timestamp,
+    ) -> RequestId {
+        let request_id = RequestId(self.accepted);
+        self.accepted += 1;
+        self.shedding.count_request();
+        let class = &self.settings.classes[class];
+        class.retry_budget.record_first_attempt(self.now);
+        let useful_until = if class.late_counts { expires } else { expires.min(self.now + class.target) };
+        let draw = self.random.below(DRAW_END);
+        let class = ClassHandle::new(class);
+        let request = Request { class, key, write, expires, useful_until, draw, ..Request::default() };
+        self.requests.insert(request_id.0, request);
+        request_id
+    }
+
+    /// Only these servers may serve it, in this order, in place of the ring's: who holds its key is decided elsewhere.
+    pub fn restrict_to(&mut self, request_id: RequestId, servers: Vec<ServerIndex>) {
+        self.requests.entry(request_id.0).and_modify(|request| request.allowed_servers = Some(servers));
+    }
+
+    /// Limits have changed while it is open: what is sent from now on goes by the new ones, and so does its
+    /// time limit where that is shorter and can still be kept.
+    pub fn renew_limits(
+        &mut self,
+        request_id: RequestId,
+        class: usize,
+        expires: Timestamp,
+        effects: &mut dyn Effects,
+    ) {
+        let now = self.now;
+        let class = ClassHandle::new(&self.settings.classes[class]);
+        let Some(request) = self.requests.get_mut(&request_id.0).filter(|request| !request.answered) else {
+            return;
+        };
+        request.class = class;
+        if now < expires && expires < request.expires {
+            request.expires = expires;
+            request.useful_until = request.useful_until.min(expires);
+            request.shortened = true;
+            effects.set_timer(request_id.0, expires - now);
+        }
+    }
+
+    /// The client does not wait for its answer any more.
+    pub fn client_left(&mut self, request_id: RequestId, effects: &mut dyn Effects) {
+        self.close(request_id, effects);
+    }
+
+    /// Sends a request where the decisions about it lead, or rejects it at once.
+    pub fn route_request(&mut self, request_id: RequestId, effects: &mut dyn Effects) {
+        if !self.is_its_turn(request_id, effects) {
+            return;
+        }
+        let request = &self.requests[&request_id.0];
+        let first_attempt = request.attempts.is_empty();
+        // Guards one class of requests against another that fills the platform.
+        if first_attempt && request.class.is_over_max_open() {
+            return self.answer_unserved(request_id, effects);
+        }
+        if request.write && self.settings.origin_kind.is_some() && request.allowed_servers.is_none() {
+            return self.send_to_origin(request_id, effects);
+        }
+        if first_attempt && self.shedding.sheds(Resource::Servers, request.draw) {
+            return self.answer_unserved(request_id, effects);
+        }
+        // Guards the origin behind the servers: when fetches fail or come late, requests for keys that are not
+        // known to be held are rejected.
+        if self.will_likely_fetch(request) && self.shedding.sheds(Resource::Origin, request.draw) {
+            return self.reject_for_origin(request_id, effects);
+        }
+        match self.select_server(request) {
+            Some(server) => self.start_attempt(request_id, server, effects),
+            None => self.answer_unserved(request_id, effects),
+        }
+    }
+
+    /// Whether the server that gets the request will likely fetch its key from the origin.
+    pub(super) fn will_likely_fetch(&self, request: &Request) -> bool {
+        self.settings.servers_fetch
+            && request.allowed_servers.is_none()
+            && (request.write || self.shedding.needs_fetch(request.key))
+    }
+
+    /// Whether a request is sent now. Else it waits for its turn, or is rejected as that can't come while it is of use.
+    fn is_its_turn(&mut self, request_id: RequestId, effects: &mut dyn Effects) -> bool {
+        let request = &self.requests[&request_id.0];
+        if !request.class.in_order {
+            return true;
+        }
+        let useful_until = request.useful_until;
+        let typical = self.latencies.quantile(HALF).unwrap_or(Span::ZERO);
+        match self.key_order.enter(request.key, request_id, self.now, typical, useful_until) {
+            Turn::Now => return true,
+            Turn::Never => self.answer_unserved(request_id, effects),
+            Turn::Wait => {
+                self.requests.entry(request_id.0).and_modify(|request| request.waiting = true);
+                effects.set_timer(request_id.0, useful_until - self.now);
+            }
+        }
+        false
+    }
+
+    /// The requests with a key go on.
+    pub(super) fn advance_key(&mut self, key: u64, effects: &mut dyn Effects) {
+        match self.key_order.advance(key, self.now) {
+            Next::Nothing => {}
+            Next::Later(request_id, after) => effects.set_timer(request_id.0, after),
+            Next::Start(request_id) => {
+                self.requests.entry(request_id.0).and_modify(|request| request.waiting = false);
+                self.route_request(request_id, effects);
+            }
+        }
+    }
+
+    /// The request has its final answer: nothing more is sent for it.
+    pub(super) fn close(&mut self, request_id: RequestId, effects: &mut dyn Effects) {
+        let Some(request) = self.requests.get_mut(&request_id.0) else { return };
+        if !request.answered && self.settings.cancellation {
+            request.pending_attempts().for_each(|attempt| effects.cancel_attempt(request_id, attempt));
+        }
+        let key = request.key;
+        let led_fetch = std::mem::replace(&mut request.leads_fetch, false);
+        request.answered = true;
+        if !request.is_pending() {
+            self.requests.remove(&request_id.0);
+            self.key_order.leave(key, request_id);
+            self.advance_key(key, effects);
+        }
+        if led_fetch {
+            self.end_fetch(key, false, effects);
+        }
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/balancer/retry.rs
@@ -0,0 +1,139 @@
+//! Decides what follows an attempt that did not serve its request: a retry or a hedged request, or the final answer.
+//!
+//! Must be told of the end of attempts and of timers. Guards the servers against retry storms by the budget of the class, and the
+//! client against a retry that would run its request twice.
+
+use super::{Balancer, SECOND};
+use crate::effects::Effects;
+use crate::request::{Attempt, Request};
+use crate::types::{AttemptOutcome, RequestId};
+use chalkwalk_time::{Span, Timestamp};
+
+/// Whether a retry counts against the budget of the class.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum RetryCost {
+    /// The attempt before has not loaded a server.
+    Free,
+    Budgeted,
+}
+
+/// What the timer of a request finds at its last pending attempt.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Wait {
+    /// Nothing is wrong yet.
+    GoesOn,
+    /// Its server has said nothing since it was sent.
+    Silent,
+    /// It was accepted and never answered, or takes so long that its class asks for a hedged request.
+    HedgeDue,
+}
+
+impl Balancer {
+    /// Tries once more where the limits and the budget allow, else answers.
+    pub(super) fn retry(&mut self, request_id: RequestId, cost: RetryCost, effects: &mut dyn Effects) {
+        let request = &self.requests[&request_id.0];
+        let budget = &request.class.retry_budget;
+        let budgeted = cost == RetryCost::Budgeted;
+        if self.now >= request.useful_until || (budgeted && !budget.allows_retry(self.now)) {
+            return self.answer_unserved(request_id, effects);
+        }
+        if budgeted {
+            budget.record_retry(self.now);
+        }
+        self.route_request(request_id, effects);
+    }
+
+    /// The final answer, at once, unless an attempt is pending. A rejection only where a retry by the client is harmless.
+    pub(super) fn answer_unserved(&mut self, request_id: RequestId, effects: &mut dyn Effects) {
+        if self.requests[&request_id.0].is_pending() {
+            return;
+        }
+        // Half a second to one and a half, spread so that those sent away do not return together.
+        let spread = SECOND / 2 + self.random.span_below(SECOND);
+        let retry_after = spread.min(self.settings.longest_retry_after);
+        if self.may_repeat(&self.requests[&request_id.0], None, self.now + retry_after, None) {
+            effects.reject(request_id, retry_after);
+        } else {
+            effects.fail(request_id);
+        }
+        self.close(request_id, effects);
+    }
+
+    /// The timer of a request has come: it has waited too long, its limit is over, or its attempt may be lost.
+    pub(super) fn request_timer_fired(&mut self, request_id: RequestId, effects: &mut dyn Effects) {
+        let Some(request) = self.requests.get(&request_id.0) else { return };
+        if request.answered || request.streaming {
+            return;
+        }
+        if request.waiting {
+            let key = request.key;
+            return match self.now >= request.useful_until {
+                true => self.answer_unserved(request_id, effects),
+                false => self.advance_key(key, effects),
+            };
+        }
+        if request.shortened && self.now >= request.expires {
+            return request
+                .pending_attempts()
+                .for_each(|attempt| effects.cancel_attempt(request_id, attempt));
+        }
+        let Some(last) = request.attempts.iter().rposition(|attempt| attempt.pending) else { return };
+        let server = request.attempts[last].server;
+        if Some(server) == self.origin || self.now >= request.useful_until {
+            return;
+        }
+        match self.pending_wait(request, last) {
+            Wait::GoesOn => {
+                return effects.set_timer(request_id.0, self.silence_timeout() + Span::TICK);
+            }
+            Wait::Silent => {
+                if self.servers[server].liveness.count_silence() {
+                    self.record_outcome(server, AttemptOutcome::TimedOut, effects);
+                }
+            }
+            Wait::HedgeDue => {}
+        }
+        self.hedge_or_cancel(request_id, last, effects);
+    }
+
+    /// How the wait for a request's last pending attempt stands.
+    fn pending_wait(&self, request: &Request, last: usize) -> Wait {
+        let attempt = &request.attempts[last];
+        let liveness = &self.servers[attempt.server].liveness;
+        if self.is_lost(attempt) || (last == 0 && self.is_hedge_due(request, attempt.sent_at)) {
+            Wait::HedgeDue
+        } else if !liveness.is_silent_since(attempt.sent_at) || !self.is_silent(attempt.server) {
+            Wait::GoesOn
+        } else {
+            Wait::Silent
+        }
+    }
+
+    /// Guards against attempts that are accepted and never answered: one sent later was, and this is overdue.
+    fn is_lost(&self, attempt: &Attempt) -> bool {
+        let liveness = &self.servers[attempt.server].liveness;
+        liveness.answered_one_sent_after(attempt.sent_at) && self.now > attempt.sent_at + self.overdue_after()
+    }
+
+    /// Guards the urgent against the slow tail, where the class asks for it: one hedged request, within its budget.
+    fn is_hedge_due(&self, request: &Request, sent_at: Timestamp) -> bool {
+        let class = &request.class;
+        let hedge_after = class.hedge_after.and_then(|part| self.latencies.quantile(part));
+        hedge_after.is_some_and(|after| self.now > sent_at + after)
+            && class.hedging
+            && class.retry_budget.allows_retry(self.now)
+    }
+
+    /// Sends a hedged request where the class allows it, else withdraws the attempt so that its end leads to a retry.
+    fn hedge_or_cancel(&mut self, request_id: RequestId, attempt: usize, effects: &mut dyn Effects) {
+        let request = &self.requests[&request_id.0];
+        if request.class.hedging {
+            self.retry(request_id, RetryCost::Budgeted, effects);
+        } else if self.settings.cancellation
+            && request.class.retry_budget.allows_retry(self.now)
+            && self.may_repeat(request, None, self.now, None)
+        {
+            effects.cancel_attempt(request_id, attempt);
+        }
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/effects.rs
@@ -0,0 +1,73 @@
+//! What a balancer wants done: its calls out, each at the moment of the decision. Nothing here decides.
+
+use crate::types::{RequestId, ServerIndex};
+use chalkwalk_time::{Span, Timestamp};
+
+/// What a balancer calls while it decides. An implementation must not call back into the balancer.
+pub trait Effects {
+    /// Sends the request to a server: given up at `until`, and not written at all where that would be later than `by`.
+    fn start_attempt(&mut self, request_id: RequestId, server: ServerIndex, until: Timestamp, by: Timestamp);
+    /// Withdraws an attempt, by its index among those of the request.
+    fn cancel_attempt(&mut self, request_id: RequestId, attempt: usize);
+    /// Answers the client that the request was not served, and when to retry; zero: without a time.
+    fn reject(&mut self, request_id: RequestId, retry_after: Span);
+    /// Answers the client that the request failed, and may have run.
+    fn fail(&mut self, request_id: RequestId);
+    /// Checks the health of an ejected server; `Balancer::health_check_finished` takes the result.
+    fn check_health(&mut self, server: ServerIndex);
+    /// Calls `Balancer::timer_fired` with the token after so long.
+    fn set_timer(&mut self, token: u64, after: Span);
+    /// Calls discovery for the list of servers, and goes on watching it.
+    fn watch_endpoints(&mut self);
+    /// Reports a change of state, for the log.
+    fn report(&mut self, change: StateChange);
+}
+
+/// A change of state that operators are shown.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum StateChange<'a> {
+    /// The first call to discovery that failed after one that was answered.
+    DiscoveryLost,
+    /// The first call to discovery that was answered after one that failed.
+    DiscoveryRecovered,
+    /// A server failed too often, and gets no attempts until it is readmitted.
+    ServerEjected {
+        /// The id of the server in the list.
+        server: &'a str,
+    },
+    /// An ejected server passed its health check or its ejection is over; it gets one attempt at a time until it has answered two.
+    ServerReadmitted {
+        /// The id of the server in the list.
+        server: &'a str,
+    },
+}
+
+impl<'a> StateChange<'a> {
+    /// Its name in log lines.
+    pub fn name(self) -> &'static str {
+        match self {
+            StateChange::DiscoveryLost => "discovery lost",
+            StateChange::DiscoveryRecovered => "discovery recovered",
+            StateChange::ServerEjected { .. } => "server ejected",
+            StateChange::ServerReadmitted { .. } => "server readmitted",
+        }
+    }
+
+    /// Its name in captures and on the simulator's wire. Stored data: never changes.
+    pub fn stored_name(self) -> &'static str {
+        match self {
+            StateChange::DiscoveryLost => "discovery lost",
+            StateChange::DiscoveryRecovered => "discovery reached again",
+            StateChange::ServerEjected { .. } => "cache left",
+            StateChange::ServerReadmitted { .. } => "cache tried again",
+        }
+    }
+
+    /// The id of the server that changed, if it is about one.
+    pub fn server(self) -> Option<&'a str> {
+        match self {
+            StateChange::DiscoveryLost | StateChange::DiscoveryRecovered => None,
+            StateChange::ServerEjected { server } | StateChange::ServerReadmitted { server } => Some(server),
+        }
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/fetches.rs
@@ -0,0 +1,38 @@
+//! Decides who fetches a key from the origin: one request a key at a time; others that need it wait for that fetch and then ask
+//! the server again. Guards the origin against a stampede on one key.
+//!
+//! Must be told when a fetch has ended.
+
+use crate::snapshot::stored;
+use crate::types::RequestId;
+use std::collections::HashMap;
+
+/// The fetches in flight, by key, with the requests that wait for each.
+#[derive(Default)]
+pub(crate) struct Fetches {
+    waiting: HashMap<u64, Vec<RequestId>>,
+}
+
+stored! { Fetches { waiting } }
+
+impl Fetches {
+    /// Joins the fetch of a key, if one is in flight.
+    pub fn join(&mut self, key: u64, request_id: RequestId) -> bool {
+        match self.waiting.get_mut(&key) {
+            Some(waiting) => {
+                waiting.push(request_id);
+                true
+            }
+            None => false,
+        }
+    }
+
+    pub fn begin(&mut self, key: u64) {
+        self.waiting.insert(key, Vec::new());
+    }
+
+    /// The fetch of a key has ended. Returns the requests that waited for it.
+    pub fn end(&mut self, key: u64) -> Vec<RequestId> {
+        self.waiting.remove(&key).unwrap_or_default()
+    }
+}
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,15 +1,36 @@
-//! chalkwalk's balancer and the plain types it is called with.
+//! Every decision of chalkwalk about a request: which server gets it, when it is tried again, and when it is given up.
+//!
+//! Pure: no I/O and no clock. A [`Balancer`] is told what happens and when, and what it wants done leaves by its [`Effects`].
+//! Start reading with `balancer.rs`; each module beside it makes one decision, and owns what that decision knows.
 
 pub mod admission;
-mod asked;
 mod balancer;
+mod concurrency_limit;
+mod connections;
 pub mod discovery;
-mod plain;
-mod state;
+mod effects;
+mod fetches;
+mod hash;
+mod histogram;
+mod key_order;
+mod key_share;
+mod liveness;
+mod load_shedding;
+mod outlier;
+mod random;
+mod recent_latency;
+mod request;
+mod request_class;
+mod ring;
+mod server;
+mod settings;
+mod slow_start;
+mod snapshot;
+mod types;
+mod values;
 
 pub use balancer::Balancer;
-pub use plain::{
-    AttemptOutcome, Effects, Endpoint, EndpointStatus, LearnedServer, RequestId, ServerIndex, StateChange,
-    key_point,
-};
-pub use state::Snapshot;
+pub use effects::{Effects, StateChange};
+pub use hash::key_point;
+pub use snapshot::Snapshot;
+pub use types::{AttemptOutcome, Endpoint, EndpointStatus, LearnedServer, RequestId, ServerIndex};
--- /dev/null
+++ b/crates/balancer/src/request_class.rs
@@ -0,0 +1,120 @@
+//! Classes of requests: the limits and the promises that hold for the requests of each.
+
+use crate::values::Values;
+use chalkwalk_limits::RetryBudget;
+use chalkwalk_time::Span;
+use std::cell::Cell;
+use std::ops::Deref;
+use std::rc::Rc;
+
+/// Whether a request may run twice.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(crate) enum Idempotency {
+    /// A repeat does no harm.
+    Replayable,
+    /// Servers drop a repeat that comes within the class's window, by its tag.
+    Tagged,
+    /// A repeat is never allowed.
+    #[default]
+    SingleUse,
+}
+
+/// Which servers drop the repeat of a tagged request: those that share what they have seen.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(crate) enum DedupGroup {
+    All,
+    Zone,
+    #[default]
+    Cell,
+}
+
+/// What holds for the requests of one namespace, or of one class of it.
+#[derive(Default)]
+pub(crate) struct RequestClass {
+    /// The latency objective.
+    pub target: Span,
+    /// An answer after the target time is still of use.
+    pub late_counts: bool,
+    /// Requests with one key run one at a time, as accepted.
+    pub in_order: bool,
+    pub idempotency: Idempotency,
+    pub dedup_group: DedupGroup,
+    pub dedup_window: Span,
+    pub max_attempts: usize,
+    pub hedging: bool,
+    /// A single attempt is given up after this.
+    pub attempt_timeout: Span,
+    /// A hedged request goes out after the time within which so many thousandths of answers come.
+    pub hedge_after: Option<u64>,
+    pub retry_budget: RetryBudget,
+    pub max_open: u64,
+    open: Cell<u64>,
+}
+
+impl RequestClass {
+    /// Reads the class with that number; without a budget of its own it shares that of all others.
+    pub fn read(values: &Values, index: usize, shared_budget: &RetryBudget) -> RequestClass {
+        let own = |name: &str| format!("namespace {index} {name}");
+        let own_budget = values.has(&own("further shots"));
+        RequestClass {
+            target: values.span(&own("target time"), 1e4),
+            in_order: values.flag(&own("in order")),
+            late_counts: values.flag(&own("late utility")),
+            idempotency: match values.text(&own("repeats")) {
+                "replayable" => Idempotency::Replayable,
+                "tagged" => Idempotency::Tagged,
+                _ => Idempotency::SingleUse,
+            },
+            dedup_group: match values.text(&own("group")) {
+                "all" => DedupGroup::All,
+                "zone" => DedupGroup::Zone,
+                _ => DedupGroup::Cell,
+            },
+            dedup_window: values.span(&own("window"), 0.0),
+            max_attempts: values.number(&own("most shots"), values.number("most shots", 1.0)) as usize,
+            hedging: values.number(&own("second copies"), values.number("second copies", 0.0)) > 0.0,
+            attempt_timeout: values.span(&own("shot wait"), 1e12),
+            hedge_after: Some(values.number(&own("copies after"), 0.0) as u64).filter(|part| *part > 0),
+            retry_budget: match own_budget {
+                true => RetryBudget::own(values.number(&own("further shots"), 0.0) as u64),
+                false => shared_budget.clone(),
+            },
+            max_open: values.number(&own("most open"), 1e12) as u64,
+            open: Cell::new(0),
+        }
+    }
+
+    /// More requests are open than may be.
+    pub fn is_over_max_open(&self) -> bool {
+        self.open.get() > self.max_open
+    }
+}
+
+/// The class as an open request holds it: counted among the open ones of the class meanwhile.
+#[derive(Default)]
+pub(crate) struct ClassHandle(Rc<RequestClass>);
+
+impl ClassHandle {
+    pub fn new(class: &Rc<RequestClass>) -> ClassHandle {
+        class.open.set(class.open.get() + 1);
+        ClassHandle(class.clone())
+    }
+
+    /// Whether it is a handle of that class.
+    pub fn is_of(&self, class: &Rc<RequestClass>) -> bool {
+        Rc::ptr_eq(&self.0, class)
+    }
+}
+
+impl Deref for ClassHandle {
+    type Target = RequestClass;
+    fn deref(&self) -> &RequestClass {
+        &self.0
+    }
+}
+
+impl Drop for ClassHandle {
+    fn drop(&mut self) {
+        self.0.open.set(self.0.open.get().saturating_sub(1));
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/server.rs
@@ -0,0 +1,88 @@
+//! What this proxy knows of one server, or of the origin: one part for each decision about it. Nothing here decides.
+
+use crate::concurrency_limit::ConcurrencyLimit;
+use crate::key_share::KeyShare;
+use crate::liveness::Liveness;
+use crate::outlier::{Ejection, FailureScore};
+use crate::recent_latency::RecentLatency;
+use crate::settings::Settings;
+use crate::slow_start::{Progress, SlowStart, token_floor};
+use crate::snapshot::stored;
+use crate::types::{EndpointStatus, LearnedServer};
+use chalkwalk_time::Timestamp;
+
+#[derive(Default)]
+pub(crate) struct Server {
+    pub id: String,
+    pub zone: usize,
+    pub cell: u64,
+    pub keys: KeyShare,
+    pub status: EndpointStatus,
+    pub started_at: Timestamp,
+    pub liveness: Liveness,
+    pub failures: FailureScore,
+    /// A connection to it is held, as far as attempts tell.
+    pub connected: bool,
+    pub ejection: Ejection,
+    pub recent_latency: RecentLatency,
+    pub concurrency: ConcurrencyLimit,
+    pub slow_start: SlowStart,
+}
+
+stored! {
+    Server {
+        id, zone, cell, keys, status, started_at, liveness, failures, connected, ejection, recent_latency, concurrency, slow_start,
+    }
+}
+
+impl Server {
+    pub fn new(id: &str) -> Server {
+        Server {
+            id: id.into(),
+            keys: KeyShare::all(),
+            concurrency: ConcurrencyLimit::at_first(),
+            ..Server::default()
+        }
+    }
+
+    /// A new process under the id: what was held against the old one is void, and its slow start begins.
+    pub fn restart(&mut self, at: Timestamp, token_floor: u64, draw: u64) {
+        self.started_at = at;
+        self.slow_start.restart(token_floor, draw);
+        self.failures.reset();
+        self.ejection.reset();
+        self.keys.reset();
+    }
+
+    /// A second has passed.
+    pub fn recover(&mut self, settings: &Settings) {
+        self.slow_start.refill(token_floor(settings));
+        self.keys.recover();
+        self.recent_latency.decay();
+        self.ejection.decay(self.failures.is_ejected());
+    }
+
+    pub fn slow_start_progress(&self, settings: &Settings, now: Timestamp) -> Progress {
+        Progress::new(settings, self.started_at, now)
+    }
+
+    /// What was learned of it, where it differs from what holds at first.
+    pub fn learned(&self) -> Option<LearnedServer> {
+        let differs = !self.keys.has_all() || !self.concurrency.is_at_first();
+        (self.status == EndpointStatus::Ready && differs).then(|| LearnedServer {
+            id: self.id.clone(),
+            born: self.started_at,
+            size: self.keys.size(),
+            key_share: self.keys.share(),
+            concurrency_limit: self.concurrency.limit(),
+        })
+    }
+
+    /// Takes over what another process has learned of it, if it has not started since.
+    pub fn restore_learned(&mut self, learned: &LearnedServer, settings: &Settings) {
+        if learned.born == self.started_at {
+            self.keys.restore(learned.key_share, learned.size, settings.fixed_sizes);
+            self.concurrency.restore(learned.concurrency_limit);
+        }
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/settings.rs
@@ -0,0 +1,74 @@
+//! The settings of a deployment, read from the map of names and values. Nothing here decides.
+
+use crate::discovery::Backoff;
+use crate::request_class::RequestClass;
+use crate::values::Values;
+use chalkwalk_limits::RetryBudget;
+use chalkwalk_time::Span;
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+/// What the platform allows and promises.
+#[derive(Default)]
+pub(crate) struct Settings {
+    /// The proxy's own zone.
+    pub zone: usize,
+    /// Servers can be asked for their health.
+    pub health_checks: bool,
+    /// Attempts can be withdrawn.
+    pub cancellation: bool,
+    /// 0: clients are not told when to retry.
+    pub longest_retry_after: Span,
+    /// The share of its keys that a server stands for at its start.
+    pub slow_start_share: f64,
+    /// How long after its start a server is in slow start.
+    pub slow_start_time: Span,
+    /// How many proxies send to the servers, this one included.
+    pub proxies: u64,
+    pub discovery_backoff: Backoff,
+    /// Servers fetch from the origin by themselves.
+    pub servers_fetch: bool,
+    /// The listed sizes are the servers' own, and not their load of the moment.
+    pub fixed_sizes: bool,
+    /// The kind that tells the origin, where misses are fetched by the proxy.
+    pub origin_kind: Option<usize>,
+    /// How long no request with a key is sent after an attempt that may still run, where its requests run in order.
+    pub key_quiet_time: Span,
+    /// The classes of requests, and the classes that limits make of them.
+    pub classes: Vec<Rc<RequestClass>>,
+}
+
+impl Settings {
+    /// Reads all of them; what is missing or makes no sense has its default.
+    pub fn read(values: &BTreeMap<String, String>) -> Settings {
+        let values = Values(values);
+        let shared_budget = RetryBudget::default();
+        let class_count = values.number("namespaces", 0.0) as usize;
+        let classes =
+            (0..class_count).map(|i| Rc::new(RequestClass::read(&values, i, &shared_budget))).collect();
+        let has_origin = !values.text("origin kind").is_empty();
+        Settings {
+            zone: values.number("zone", 0.0) as usize,
+            health_checks: values.flag("probes"),
+            cancellation: values.flag("withdrawals"),
+            longest_retry_after: values.span("longest stay away", 0.0),
+            slow_start_share: values.number("cold share", 1.0),
+            slow_start_time: values.span("cold time", 0.0),
+            proxies: values.number("proxies", 1.0) as u64,
+            discovery_backoff: match values.flag("watched") {
+                true => Backoff::polled(values.span("ask time", 1e5)),
+                false => Backoff::pushed(values.span("drain grace", 1e4)),
+            },
+            servers_fetch: values.flag("through"),
+            fixed_sizes: values.text("size kind") != "live",
+            origin_kind: has_origin.then(|| values.number("origin kind", 0.0) as usize),
+            key_quiet_time: values.span("key quiet", 0.0),
+            classes,
+        }
+    }
+
+    /// The shortest target time of all classes.
+    pub fn shortest_target(&self) -> Option<Span> {
+        self.classes.iter().map(|class| class.target).min()
+    }
+}
