--- a/crates/engine/src/attempt.rs
+++ b/crates/engine/src/attempt.rs
@@ -1,28 +1,20 @@
 //! One attempt, from its connection to its end: a connection is acquired, whether it may still be
 //! sent is asked right before its first byte, the request is written, and the response read. A long
-//! response is passed on part by part while it comes.
+//! response is passed on by `body_transfer` while it comes.
 
-use crate::attempt_handle::AttemptHandle;
+use crate::body_transfer::StreamingResponse;
 use crate::connect;
 use crate::effect_sink::PendingAttempt;
 use crate::engine::Engine;
 use crate::pool::ServerConnection;
-use crate::response::{BodyStream, Response, ResponseBody, ServerResponse};
-use chalkwalk_balancer::admission::{SendRefusal, WrittenAttempt};
-use chalkwalk_balancer::{AttemptOutcome, ServerIndex};
-use chalkwalk_sockets::{wait_until, within};
+use crate::response::{Response, ServerResponse};
+use chalkwalk_balancer::AttemptOutcome;
+use chalkwalk_balancer::admission::{Refusal, Written};
+use chalkwalk_sockets::wait_until;
 use chalkwalk_time::Timestamp;
 use slog::debug;
-use smol::channel::{Sender, bounded};
 use smol::future::FutureExt;
-use std::cell::Cell;
 use std::rc::Rc;
-use std::time::Duration;
-
-/// A streamed response of which nothing more arrives for so long, or of which nobody takes more, is
-/// broken off. The time limit of the request is over by then, and a server that is slow on purpose
-/// writes something each second.
-const STREAM_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How an attempt ended, or how far it has come.
 pub(crate) enum Progress {
@@ -40,14 +32,6 @@
     }
 }
 
-/// A response of which the start is read.
-pub(crate) struct StreamingResponse {
-    outcome: AttemptOutcome,
-    response: Response,
-    connection: Rc<ServerConnection>,
-    body: Box<dyn ResponseBody>,
-}
-
 /// An attempt while it is sent.
 pub(crate) struct Attempt<'a> {
     pub engine: &'a Engine,
@@ -152,66 +136,3 @@
         engine.violations.check(&engine.log, written.violation());
     }
 }
-
-/// What remains of a response to pass on. The fields are dropped in this order, the connection
-/// last.
-pub(crate) struct BodyTransfer {
-    outcome: AttemptOutcome,
-    complete: Rc<Cell<bool>>,
-    parts: Sender<Vec<u8>>,
-    body: Box<dyn ResponseBody>,
-    connection: Rc<ServerConnection>,
-}
-
-impl StreamingResponse {
-    /// The response, from which the rest of its body can be read, and what passes that on.
-    pub fn start(self) -> (Response, BodyTransfer) {
-        let StreamingResponse { outcome, mut response, connection, body } = self;
-        let (sender, parts) = bounded(1);
-        let complete = Rc::new(Cell::new(false));
-        let stream = BodyStream { content_length: body.content_length(), parts, complete: complete.clone() };
-        response.stream = Some(stream);
-        (response, BodyTransfer { outcome, complete, parts: sender, body, connection })
-    }
-}
-
-impl BodyTransfer {
-    /// Passes the parts of the body on until it ends, breaks off, is read no more, or the attempt
-    /// is cancelled. Returns how the attempt ended.
-    pub async fn run(self, engine: &Engine, server: ServerIndex, handle: &AttemptHandle) -> AttemptOutcome {
-        let cancelled = async {
-            handle.cancelled().await;
-            AttemptOutcome::Cancelled
-        };
-        cancelled.or(self.transfer(engine, server, handle)).await
-    }
-
-    async fn transfer(
-        mut self,
-        engine: &Engine,
-        server: ServerIndex,
-        handle: &AttemptHandle,
-    ) -> AttemptOutcome {
-        loop {
-            let part = within(STREAM_STALL_TIMEOUT, self.body.next_part(&self.connection.stream)).await;
-            match part {
-                Some(Ok(Some(part))) => {
-                    let sent = within(STREAM_STALL_TIMEOUT, self.parts.send(part)).await;
-                    if !matches!(sent, Some(Ok(()))) {
-                        return AttemptOutcome::Cancelled;
-                    }
-                }
-                Some(Ok(None)) => break,
-                _ => return AttemptOutcome::ConnectionLost,
-            }
-        }
-        self.complete.set(true);
-        handle.release_connection();
-        if self.body.is_reusable()
-            && let Ok(connection) = Rc::try_unwrap(self.connection)
-        {
-            engine.pool.put(server, connection);
-        }
-        self.outcome
-    }
-}
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -13,7 +13,7 @@
 //!
 //! - `shutdown`, `background` and `api` call the engine from outside;
 //! - `dispatch` calls the request table and spawns the tasks that it wants;
-//! - `attempt`, `health_check` and `connect` are those tasks;
+//! - `attempt` with `body_transfer`, `health_check` and `connect` are those tasks;
 //! - `engine` holds what the others share: `request_table` with `effect_sink`, `pool`, `budget`,
 //!   `lifecycle` and the rest.
 
@@ -21,6 +21,7 @@
 mod attempt;
 mod attempt_handle;
 pub mod background;
+mod body_transfer;
 pub mod budget;
 pub mod classes;
 pub mod clock;
--- /dev/null
+++ b/crates/http-frontend/tests/wire.rs
@@ -0,0 +1,254 @@
+//! The frontend on sockets, with an engine of its own: what clients are answered, and what a server is sent.
+
+use chalkwalk_engine::api;
+use chalkwalk_engine::config::EngineConfig;
+use chalkwalk_engine::engine::Engine;
+use chalkwalk_engine::lifecycle::Phase;
+use chalkwalk_engine::servers::ListedEndpoint;
+use chalkwalk_http_frontend::{AliveCheck, Frontend, accept};
+use chalkwalk_limits::{Account, Namespace, Repeats};
+use chalkwalk_time::{Span, Timestamp};
+use expect_test::expect;
+use smol::Async;
+use std::io::{Read, Write};
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::rc::Rc;
+use std::thread::{JoinHandle, spawn};
+use std::time::Duration;
+
+const LONGEST_BODY: u64 = 100_000;
+
+fn engine() -> Rc<Engine> {
+    let namespace = Namespace {
+        name: "books".into(),
+        time_limit: Span::from_secs(1),
+        target: Span::from_millis(500),
+        repeats: Repeats::Replayable,
+        window: Span::ZERO,
+    };
+    let account = Account {
+        max_attempts: 1,
+        longest_body: LONGEST_BODY,
+        namespaces: vec![namespace],
+        ..Account::default()
+    };
+    let settings =
+        [("namespaces", "1"), ("namespace 0 time limit", "10000"), ("namespace 0 target time", "5000")];
+    let config = EngineConfig {
+        name: "p".into(),
+        seed: 1,
+        settings: settings.map(|(name, value)| (name.to_string(), value.to_string())).into(),
+        zones: vec!["a".into()],
+        kinds: Vec::new(),
+        account,
+        limits: None,
+        connect_timeout: Duration::from_secs(1).into(),
+        idle_timeout: Duration::from_secs(10),
+        drain_grace: Span::ZERO.into(),
+        descriptors: 256,
+        memory: 32_000_000,
+    };
+    Engine::new(config, Box::new(AliveCheck), slog::Logger::root(slog::Discard, slog::o!()), None)
+}
+
+fn endpoint(addr: SocketAddr) -> ListedEndpoint {
+    ListedEndpoint {
+        id: "amber".into(),
+        addr,
+        zone: "a".into(),
+        kind: String::new(),
+        cell: 0,
+        size: 100,
+        status: chalkwalk_balancer::EndpointStatus::Ready,
+        born: Timestamp::ZERO,
+    }
+}
+
+/// A proxy that runs for as long as the client does, which gets its address; in front of a server, if there is one.
+fn run<T: Send + 'static>(
+    server: Option<SocketAddr>,
+    client: impl FnOnce(SocketAddr) -> T + Send + 'static,
+) -> T {
+    let engine = engine();
+    let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap();
+    let addr = listener.get_ref().local_addr().unwrap();
+    let frontend = Frontend::new(engine.clone(), vec!["books".into()]);
+    smol::block_on(engine.executor.run(async {
+        let endpoints: Vec<ListedEndpoint> = server.map(endpoint).into_iter().collect();
+        api::apply_endpoint_list(&engine, &endpoints, true, false);
+        engine.lifecycle.enter(Phase::Serving);
+        engine.executor.spawn(accept(frontend, listener)).detach();
+        smol::unblock(move || client(addr)).await
+    }))
+}
+
+/// Sends bytes on a connection of their own, and returns all that comes back until it closes.
+fn exchange(addr: SocketAddr, request: &str) -> String {
+    let mut stream = TcpStream::connect(addr).unwrap();
+    stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
+    stream.write_all(request.as_bytes()).unwrap();
+    let mut reply = Vec::new();
+    _ = stream.read_to_end(&mut reply);
+    String::from_utf8(reply).unwrap()
+}
+
+/// The status line of a reply, and whether it closes the connection.
+fn status(reply: &str) -> String {
+    let close = if reply.contains("Connection: close") { ", close" } else { "" };
+    format!("{}{close}", reply.lines().next().unwrap_or("nothing"))
+}
+
+fn request(method: &str, fields: &str) -> String {
+    format!("{method} /books/k HTTP/1.1\r\nHost: h\r\n{fields}Connection: close\r\n\r\n")
+}
+
+#[test]
+fn messages_that_are_no_request_are_answered_by_what_is_wrong() {
+    let good = "X-Service-Class: books\r\nX-Correlation-Id: i\r\nX-Time-Left: 0.5\r\n";
+    let long = format!("{good}Content-Length: {}\r\n", LONGEST_BODY + 1);
+    let cases = [
+        ("readiness", "GET /up HTTP/1.1\r\nConnection: close\r\n\r\n".to_string()),
+        ("put to readiness", "PUT /up HTTP/1.1\r\nConnection: close\r\n\r\n".to_string()),
+        ("method", request("DELETE", good)),
+        ("no class", request("GET", "X-Correlation-Id: i\r\nX-Time-Left: 0.5\r\n")),
+        (
+            "unknown class",
+            request("GET", "X-Service-Class: b\r\nX-Correlation-Id: i\r\nX-Time-Left: 0.5\r\n"),
+        ),
+        ("no id", request("GET", "X-Service-Class: books\r\nX-Time-Left: 0.5\r\n")),
+        ("empty id", request("GET", "X-Service-Class: books\r\nX-Correlation-Id:\r\nX-Time-Left: 0.5\r\n")),
+        ("no time", request("GET", "X-Service-Class: books\r\nX-Correlation-Id: i\r\n")),
+        ("odd time", request("GET", "X-Service-Class: books\r\nX-Correlation-Id: i\r\nX-Time-Left: 1e3\r\n")),
+        ("field twice", request("GET", &format!("{good}X-Time-Left: 0.5\r\n"))),
+        ("too long", request("PUT", &long)),
+        ("two at once", request("GET", good).repeat(2)),
+        ("no http", "nonsense\r\n\r\n".to_string()),
+    ];
+    let seen = run(None, move |addr| {
+        cases.map(|(name, bytes)| format!("{name}: {}", status(&exchange(addr, &bytes)))).join("\n")
+    });
+    expect![[r#"
+        readiness: HTTP/1.1 200 OK, close
+        put to readiness: HTTP/1.1 404 Not Found, close
+        method: HTTP/1.1 405 Method Not Allowed, close
+        no class: HTTP/1.1 404 Not Found, close
+        unknown class: HTTP/1.1 400 Bad Request, close
+        no id: HTTP/1.1 400 Bad Request, close
+        empty id: HTTP/1.1 400 Bad Request, close
+        no time: HTTP/1.1 400 Bad Request, close
+        odd time: HTTP/1.1 400 Bad Request, close
+        field twice: HTTP/1.1 400 Bad Request, close
+        too long: HTTP/1.1 413 Content Too Large, close
+        two at once: HTTP/1.1 400 Bad Request, close
+        no http: HTTP/1.1 400 Bad Request, close"#]].assert_eq(&seen);
+}
+
+#[test]
+fn an_id_that_is_open_is_not_accepted_again() {
+    let (addr, server) = server(vec![("", Duration::from_millis(300))]);
+    let seen = run(Some(addr), |addr| {
+        let one = spawn(move || status(&exchange(addr, &get("same"))));
+        std::thread::sleep(Duration::from_millis(100));
+        let other = status(&exchange(addr, &get("same")));
+        format!("{}; {other}", one.join().unwrap())
+    });
+    drop(server);
+    expect!["HTTP/1.1 500 Internal Server Error, close; HTTP/1.1 409 Conflict, close"].assert_eq(&seen);
+}
+
+fn get(id: &str) -> String {
+    request(
+        "GET",
+        &format!(
+            "X-Service-Class: books\r\nX-Correlation-Id: {id}\r\nX-Time-Left: 0.5\r\nX-Facts: tenant=t\r\n"
+        ),
+    )
+}
+
+/// A server that answers one connection after the other with these bytes, each after a time, and closes it. Returns what it was sent.
+fn server(answers: Vec<(&'static str, Duration)>) -> (SocketAddr, JoinHandle<Vec<String>>) {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let addr = listener.local_addr().unwrap();
+    let served = spawn(move || {
+        let serve = |(answer, after): (&str, Duration)| {
+            let (mut stream, _) = listener.accept().unwrap();
+            let mut head = Vec::new();
+            let mut byte = [0];
+            while !head.ends_with(b"\r\n\r\n") && stream.read(&mut byte).unwrap() == 1 {
+                head.push(byte[0]);
+            }
+            std::thread::sleep(after);
+            stream.write_all(answer.as_bytes()).unwrap();
+            _ = stream.shutdown(Shutdown::Write);
+            String::from_utf8(head).unwrap()
+        };
+        answers.into_iter().map(serve).collect()
+    });
+    (addr, served)
+}
+
+/// What a server is sent, with the time left without its decimals, which pass meanwhile.
+fn sent(head: &str) -> String {
+    let lines = head.lines().map(|line| match line.strip_prefix("X-Time-Left: 0.") {
+        Some(decimals) => format!("X-Time-Left: 0.{}", "#".repeat(decimals.len())),
+        None => line.to_string(),
+    });
+    lines.collect::<Vec<_>>().join("\n")
+}
+
+#[test]
+fn a_request_is_written_on_and_its_response_back() {
+    let answer = "HTTP/1.1 200 OK\r\nX-Lookup: hit\r\nX-Other: o\r\nContent-Type: text/plain\r\nContent-Length: 5\r\n\r\nvalue";
+    let (addr, server) = server(vec![(answer, Duration::ZERO)]);
+    let reply = run(Some(addr), |addr| exchange(addr, &get("one")));
+    let sent = sent(&server.join().unwrap()[0]);
+    expect![[r#"
+        GET /books/k HTTP/1.1
+        Host: h
+        X-Correlation-Id: one
+        X-Time-Left: 0.####
+
+        ---
+        HTTP/1.1 200 OK
+        Content-Length: 5
+        Content-Type: text/plain
+        Connection: close
+
+        value"#]].assert_eq(&format!("{sent}\n---\n{}", reply.replace('\r', "")));
+}
+
+#[test]
+fn a_long_body_is_streamed_in_the_framing_that_its_client_knows() {
+    let mut long = String::from("HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n");
+    for _ in 0..10 {
+        long += &format!("2710\r\n{}\r\n", "x".repeat(10_000));
+    }
+    let whole: &'static str = Box::leak(format!("{long}0\r\n\r\n").into_boxed_str());
+    let cut: &'static str = Box::leak(long.into_boxed_str());
+    let (addr, server) =
+        server(vec![(whole, Duration::ZERO), (whole, Duration::ZERO), (cut, Duration::ZERO)]);
+    let seen = run(Some(addr), |addr| {
+        let old = get("two").replace("HTTP/1.1", "HTTP/1.0");
+        [get("one"), old, get("three")].map(|request| {
+            let reply = exchange(addr, &request);
+            let (head, body) = reply.split_once("\r\n\r\n").unwrap();
+            let values = body.matches('x').count();
+            format!("{}\n{values} bytes, ends {:?}", head.replace('\r', ""), body.ends_with("0\r\n\r\n"))
+        })
+    });
+    drop(server);
+    expect![[r#"
+        HTTP/1.1 200 OK
+        Connection: close
+        Transfer-Encoding: chunked
+        100000 bytes, ends true
+        ---
+        HTTP/1.1 200 OK
+        Connection: close
+        100000 bytes, ends false
+        ---
+        HTTP/1.1 200 OK
+        Connection: close
+        Transfer-Encoding: chunked
+        100000 bytes, ends false"#]].assert_eq(&seen.join("\n---\n"));
+}
