--- a/crates/discovery-etcd/src/machine/keys.rs
+++ b/crates/discovery-etcd/src/machine/keys.rs
@@ -41,12 +41,14 @@
 
     /// Whose key it is; those of nobody are ignored.
     pub fn classify(&self, key: &[u8]) -> Option<Key> {
-        let delay = key.strip_prefix(self.prefix.as_slice())?;
-        named(delay, ENDPOINTS).map(Key::Endpoint).or_else(|| named(delay, PROXIES).map(Key::Proxy))
+        let folder_and_name = key.strip_prefix(self.prefix.as_slice())?;
+        named(folder_and_name, ENDPOINTS)
+            .map(Key::Endpoint)
+            .or_else(|| named(folder_and_name, PROXIES).map(Key::Proxy))
     }
 }
 
-fn named(key: &[u8], folder: &[u8]) -> Option<String> {
-    let name = std::str::from_utf8(key.strip_prefix(folder)?).ok()?;
+fn named(folder_and_name: &[u8], folder: &[u8]) -> Option<String> {
+    let name = std::str::from_utf8(folder_and_name.strip_prefix(folder)?).ok()?;
     (!name.is_empty()).then(|| name.to_string())
 }
