--- a/crates/discovery-etcd/src/announcement.rs
+++ b/crates/discovery-etcd/src/announcement.rs
@@ -43,7 +43,7 @@
         };
         smol::future::or(draining, self.keep_alive(connection)).await?;
         if let Some(lease) = self.lease.take() {
-            info!(self.engine.log, "own key given up"; "key" => &self.key);
+            info!(self.engine.log, "own lease revoked"; "key" => &self.key);
             let revoke = api::LeaseRevokeRequest { id: lease };
             // Where it fails, the lease expires by itself.
             _ = connection.call::<api::LeaseRevokeResponse>(path::LEASE_REVOKE, &revoke).await;
@@ -69,7 +69,7 @@
         let response: api::LeaseKeepAliveResponse = connection.call(path::LEASE_KEEP_ALIVE, &renewal).await?;
         let renewed = response.ttl > 0;
         if !renewed {
-            info!(self.engine.log, "own lease had run out"; "key" => &self.key);
+            info!(self.engine.log, "own lease expired"; "key" => &self.key);
             self.lease.set(None);
         }
         Ok(renewed)
--- a/crates/discovery-feed/src/feed.rs
+++ b/crates/discovery-feed/src/feed.rs
@@ -95,7 +95,7 @@
 
     /// What the source reports from now on is of another history.
     pub fn history_changed(&self) {
-        warn!(self.engine.log, "another history, and doubted");
+        warn!(self.engine.log, "list history changed, treated as stale");
         self.reconciler.borrow_mut().history_changed(self.now());
     }
 
@@ -116,20 +116,20 @@
         let rejections = self.rejections.get() + 1;
         self.rejections.set(rejections);
         for line in reason.lines() {
-            warn!(self.engine.log, "list passed over"; "fault" => line, "passed_over" => rejections);
+            warn!(self.engine.log, "list ignored"; "fault" => line, "passed_over" => rejections);
         }
     }
 
     /// The source can't be reached; logged once until it is available again.
     pub fn source_unavailable(&self, reason: &str) {
         if !self.unavailable.replace(true) {
-            warn!(self.engine.log, "list lost"; "fault" => reason);
+            warn!(self.engine.log, "list source unavailable"; "fault" => reason);
         }
     }
 
     fn source_available(&self) {
         if self.unavailable.replace(false) {
-            info!(self.engine.log, "list heard again");
+            info!(self.engine.log, "list source available again");
         }
     }
 
@@ -142,7 +142,7 @@
     fn update_sharing(&self) {
         let proxy_count = self.proxy_count.borrow_mut().effective(self.now());
         if self.sharing_proxies.replace(proxy_count) != proxy_count {
-            info!(self.engine.log, "caches shared by"; "proxies" => proxy_count);
+            info!(self.engine.log, "proxy count changed"; "proxies" => proxy_count);
             api::set_proxy_count(&self.engine, proxy_count);
         }
     }
--- a/crates/discovery-feed/src/file.rs
+++ b/crates/discovery-feed/src/file.rs
@@ -95,7 +95,7 @@
         let revision = self.feed.revision() + 1;
         if self.feed.apply_list(revision, file.entries).is_ok() {
             self.serial.set(file.serial.or(self.serial.get()));
-            info!(self.feed.engine.log, "list file taken"; "caches" => count);
+            info!(self.feed.engine.log, "list file accepted"; "caches" => count);
         }
     }
 
--- a/crates/discovery-feed/src/persistence.rs
+++ b/crates/discovery-feed/src/persistence.rs
@@ -33,7 +33,7 @@
             Ok(list) => self.apply_persisted(list),
             // The first start of all.
             Err(LoadError::Io(_)) if !path.exists() => {}
-            Err(error) => warn!(self.engine.log, "kept list passed over"; "fault" => %error),
+            Err(error) => warn!(self.engine.log, "persisted list ignored"; "fault" => %error),
         }
     }
 
@@ -44,11 +44,11 @@
         let log = &self.engine.log;
         match list.freshness(now) {
             Freshness::Expired => {
-                warn!(log, "kept list passed over"; "fault" => "too old", "minutes" => minutes);
+                warn!(log, "persisted list ignored"; "fault" => "too old", "minutes" => minutes);
                 return;
             }
-            Freshness::Stale => warn!(log, "kept list is old"; "minutes" => minutes, "caches" => count),
-            Freshness::Fresh => info!(log, "kept list taken"; "minutes" => minutes, "caches" => count),
+            Freshness::Stale => warn!(log, "persisted list is old"; "minutes" => minutes, "caches" => count),
+            Freshness::Fresh => info!(log, "persisted list loaded"; "minutes" => minutes, "caches" => count),
         }
         let entries = list.endpoints.into_iter().map(ListEntry::from).collect();
         // An error is in the log; the source's own list follows.
@@ -72,7 +72,7 @@
                 Err(error) => {
                     self.unpersisted.set(true);
                     if !failing {
-                        warn!(self.engine.log, "list not kept"; "fault" => %error);
+                        warn!(self.engine.log, "list not persisted"; "fault" => %error);
                     }
                     failing = true;
                 }
--- a/crates/membership/src/reconcile/update.rs
+++ b/crates/membership/src/reconcile/update.rs
@@ -56,11 +56,11 @@
     /// The event's name in the log.
     pub fn message(&self) -> &'static str {
         match self {
-            ReconcileEvent::StaleListAccepted => "older list taken, and doubted",
-            ReconcileEvent::EndpointLimitReached => "too many caches, one passed over",
-            ReconcileEvent::MassRemovalSuspected => "list suddenly short, missing caches kept for now",
-            ReconcileEvent::DrainRetained { .. } => "listed as in service, and stays drained",
-            ReconcileEvent::FlapDamped { .. } => "comes back again and again, held for a while",
+            ReconcileEvent::StaleListAccepted => "older list accepted, treated as stale",
+            ReconcileEvent::EndpointLimitReached => "too many caches, one ignored",
+            ReconcileEvent::MassRemovalSuspected => "mass removal suspected, missing caches retained",
+            ReconcileEvent::DrainRetained { .. } => "listed as in service but stays drained",
+            ReconcileEvent::FlapDamped { .. } => "flapping, return to service delayed",
         }
     }
 
--- a/crates/membership/tests/reconcile.rs
+++ b/crates/membership/tests/reconcile.rs
@@ -135,7 +135,7 @@
         1 s an old list, 4 after 10
         2 s an old list, 4 after 10
         3 s an old list, 4 after 10
-        4 s (older list taken, and doubted ) (listed as in service, and stays drained b)
+        4 s (older list accepted, treated as stale ) (listed as in service but stays drained b)
         6 s b:Ready@7
         64 s d:Gone@1
     "#]]
@@ -158,7 +158,7 @@
         0 s whole a:Ready@1 b:Draining@1 c:Ready@1 d:Ready@3
         1 s an old list, 8 after 10
         1 s c:Draining@1
-        2 s (listed as in service, and stays drained b)
+        2 s (listed as in service but stays drained b)
         3 s a:Draining@1 b:Ready@2
         62 s d:Gone@3
     "#]]
@@ -178,7 +178,7 @@
     expect![[r#"
           0 s whole a:Ready@1 b:Ready@0
           1 s a:Draining@1 b:Draining@0
-          2 s (listed as in service, and stays drained a) (listed as in service, and stays drained b)
+          2 s (listed as in service but stays drained a) (listed as in service but stays drained b)
           3 s a:Ready@5 b:Ready@0
           4 s a:Gone@5
           5 s a:Ready@5
@@ -206,14 +206,14 @@
     trace.list(201 * S, 11, vec![]);
     expect![[r#"
         0 s whole a:Ready@1 b:Ready@1 c:Ready@1 d:Ready@1
-        1 s d:Draining@1 (list suddenly short, missing caches kept for now )
+        1 s d:Draining@1 (mass removal suspected, missing caches retained )
         2 s
         3 s b:Draining@1
         31 s c:Gone@1
         100 s b:Ready@1 c:Ready@1 d:Ready@1
         110 s a:Gone@1
         111 s b:Gone@1
-        112 s (list suddenly short, missing caches kept for now )
+        112 s (mass removal suspected, missing caches retained )
         120 s a:Ready@1 b:Ready@1
         200 s a:Draining@1 b:Draining@1 c:Draining@1 d:Draining@1
         201 s a:Gone@1 b:Gone@1 c:Gone@1 d:Gone@1
@@ -242,9 +242,9 @@
         6 s a:Draining@3
         7 s a:Ready@4
         8 s a:Draining@4
-        9 s a:Draining@5 (comes back again and again, held for a while a)
+        9 s a:Draining@5 (flapping, return to service delayed a)
         10 s
-        11 s a:Draining@6 (comes back again and again, held for a while a)
+        11 s a:Draining@6 (flapping, return to service delayed a)
         21 s a:Ready@6
         200 s a:Draining@6
         201 s a:Ready@7
--- a/crates/proxy/tests/sources.rs
+++ b/crates/proxy/tests/sources.rs
@@ -146,7 +146,7 @@
         "state is serving or draining, not \"tired\"",
         "it may have been cut short",
         "stays drained",
-        "list file taken",
+        "list file accepted",
     ] {
         assert!(log.contains(said), "no \"{said}\" in\n{log}");
     }
@@ -156,7 +156,7 @@
     std::fs::remove_file(folder.join("list.toml")).unwrap();
     let day = Day::new(&folder);
     day.answered_by("birch");
-    assert!(day.log().contains("kept list taken"));
+    assert!(day.log().contains("persisted list loaded"));
     day.end();
     // Both lives of the process, made again.
     let captures = folder.join("captures").display().to_string();
