--- /dev/null
+++ b/crates/discovery-feed/tests/feed.rs
@@ -0,0 +1,128 @@
+//! A feed on disk, and a watched file as its source.
+
+mod helper;
+
+use chalkwalk_balancer::EndpointStatus;
+use chalkwalk_discovery_feed::{Feed, FileSource};
+use chalkwalk_membership::ListedEndpoint;
+use chalkwalk_membership::persisted::PersistedList;
+use chalkwalk_membership::reconcile::SourceKind;
+use chalkwalk_time::{Span, Timestamp};
+use helper::{engine, wait_until};
+use std::path::PathBuf;
+
+fn folder(name: &str) -> PathBuf {
+    let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
+    std::fs::create_dir_all(&folder).unwrap();
+    folder
+}
+
+fn endpoint(id: &str, port: u16, status: EndpointStatus) -> ListedEndpoint {
+    ListedEndpoint {
+        id: id.into(),
+        addr: ([127, 0, 0, 1], port).into(),
+        zone: "north".into(),
+        kind: String::new(),
+        cell: 0,
+        size: 100,
+        status,
+        born: Timestamp::ZERO,
+    }
+}
+
+/// A file's text with these servers, each with its state.
+fn file(head: &str, servers: &[(&str, &str)]) -> String {
+    let entry = |(i, (id, state)): (usize, &(&str, &str))| {
+        let addr = format!("127.0.0.1:{}", 4000 + i);
+        format!("[[cache]]\nid = \"{id}\"\naddr = \"{addr}\"\nzone = \"north\"\nstate = \"{state}\"\n")
+    };
+    let entries: String = servers.iter().enumerate().map(entry).collect();
+    format!("version = 1\n{head}{entries}[end]\n")
+}
+
+/// The ids of a feed's list with their statuses.
+fn statuses(feed: &Feed) -> String {
+    let status = |endpoint: &ListedEndpoint| format!("{}:{:?}", endpoint.id, endpoint.status);
+    feed.endpoints().iter().map(status).collect::<Vec<_>>().join(" ")
+}
+
+#[test]
+fn a_persisted_list_is_what_the_next_process_begins_with() {
+    let folder = folder("persisted");
+    let path = folder.join("list");
+    let (engine, _) = engine();
+    let feed = Feed::new(&engine, SourceKind::Revisioned, Some(path.clone()));
+    feed.load_persisted();
+    assert_eq!(statuses(&feed), "");
+    let endpoints = [endpoint("a", 1, EndpointStatus::Ready), endpoint("b", 2, EndpointStatus::Draining)];
+    feed.apply_list(7, endpoints.map(Into::into).to_vec()).unwrap();
+    smol::block_on(engine.executor.run(async {
+        engine.executor.spawn(feed.clone().persist_changes()).detach();
+        wait_until("the list is written", || path.exists()).await;
+    }));
+    // No temporary file is left beside it.
+    assert_eq!(std::fs::read_dir(&folder).unwrap().count(), 1);
+
+    let (engine, events) = helper::engine();
+    let next = Feed::new(&engine, SourceKind::Revisioned, Some(path));
+    next.load_persisted();
+    assert_eq!((statuses(&next), next.revision()), ("a:Ready b:Draining".to_string(), 7));
+    assert!(events.contains("persisted list loaded"));
+    std::fs::remove_dir_all(&folder).unwrap();
+}
+
+#[test]
+fn a_persisted_list_that_is_broken_or_too_old_is_ignored() {
+    let folder = folder("ignored");
+    let path = folder.join("list");
+    let (engine, events) = engine();
+    let load = || {
+        let feed = Feed::new(&engine, SourceKind::Revisioned, Some(path.clone()));
+        feed.load_persisted();
+        statuses(&feed)
+    };
+    let hours_old = |hours: u64| PersistedList {
+        at: engine.clock.now() - Span::from_secs(3600 * hours),
+        revision: 7,
+        endpoints: vec![endpoint("a", 1, EndpointStatus::Ready)],
+    };
+    std::fs::write(&path, hours_old(25).to_text()).unwrap();
+    assert_eq!((load().as_str(), events.count("persisted list ignored")), ("", 1));
+    std::fs::write(&path, hours_old(0).to_text().replace("127", "128")).unwrap();
+    assert_eq!((load().as_str(), events.count("persisted list ignored")), ("", 2));
+    std::fs::write(&path, hours_old(2).to_text()).unwrap();
+    assert_eq!((load().as_str(), events.count("persisted list is old")), ("a:Ready", 1));
+    std::fs::remove_dir_all(&folder).unwrap();
+}
+
+#[test]
+fn a_version_of_a_file_is_applied_whole_or_not_at_all() {
+    let folder = folder("file");
+    let path = folder.join("list.toml");
+    let (engine, events) = engine();
+    let feed = Feed::new(&engine, SourceKind::Assembled, None);
+    let source = FileSource::new(feed.clone(), &path);
+    // Renamed into its place: a part of a version would be one more error.
+    let write = |text: String| {
+        std::fs::write(path.with_extension("new"), text).unwrap();
+        std::fs::rename(path.with_extension("new"), &path).unwrap();
+    };
+    smol::block_on(engine.executor.run(async {
+        engine.executor.spawn(source.clone().follow()).detach();
+        wait_until("no file is an unavailable source", || events.contains("list source unavailable")).await;
+        write(file("serial = 5\n", &[("a", "serving"), ("b", "serving")]));
+        wait_until("the first version", || statuses(&feed) == "a:Ready b:Ready").await;
+        assert!(events.contains("list source available again"));
+        // Two errors, each a line; the drain in it is not applied either.
+        write(file("serial = 6\n", &[("a", "draining"), ("b", "tired"), ("c", "tired")]));
+        wait_until("two errors", || events.count("list ignored") == 2).await;
+        assert_eq!(statuses(&feed), "a:Ready b:Ready");
+        // An older version, until an operator reloads it.
+        write(file("serial = 4\n", &[("a", "serving"), ("b", "draining")]));
+        wait_until("an old version", || events.count("list ignored") == 3).await;
+        assert_eq!(statuses(&feed), "a:Ready b:Ready");
+        source.reload();
+        wait_until("the old version", || statuses(&feed) == "a:Ready b:Draining").await;
+    }));
+    std::fs::remove_dir_all(&folder).unwrap();
+}
