--- a/crates/discovery-etcd/src/announcement.rs
+++ b/crates/discovery-etcd/src/announcement.rs
@@ -28,14 +28,15 @@
 }
 
 impl Announcement {
-    /// Announces this proxy below the prefix, under a lease of so many seconds; nothing is sent yet.
+    /// Announces this proxy below the prefix, under a lease of so many seconds; nothing is sent
+    /// yet.
     pub fn new(engine: &Rc<Engine>, prefix: &str, record: ProxyRecord, lease_s: u64) -> Announcement {
         let key = format!("{prefix}proxies/{}", engine.config.name);
         Announcement { engine: engine.clone(), key, record, lease_s, lease: Cell::new(None) }
     }
 
-    /// Keeps the key alive for as long as the connection holds and the proxy serves; then revokes the
-    /// lease. An error ends the connection.
+    /// Keeps the key alive for as long as the connection holds and the proxy serves; then revokes
+    /// the lease. An error ends the connection.
     pub(crate) async fn hold(&self, connection: &Connection) -> Result<(), SessionError> {
         let draining = async {
             self.engine.lifecycle.reached(Phase::Draining).await;
@@ -61,8 +62,8 @@
         }
     }
 
-    /// Renews the lease; false if there is none. One that expired, as the process was stopped or etcd
-    /// down, is gone with its key.
+    /// Renews the lease; false if there is none. One that expired, as the process was stopped or
+    /// etcd down, is gone with its key.
     async fn renew(&self, connection: &Connection) -> Result<bool, SessionError> {
         let Some(lease) = self.lease.get() else { return Ok(false) };
         let renewal = api::LeaseKeepAliveRequest { id: lease };
--- a/crates/discovery-etcd/src/call.rs
+++ b/crates/discovery-etcd/src/call.rs
@@ -17,8 +17,8 @@
 
 /// Until a connection can be used: etcd is near its clients.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Until a whole response is there: a page is small, and two endpoints that hang have to leave time for a
-/// third within the time in which a change must be known.
+/// Until a whole response is there: a page is small, and two endpoints that hang have to leave time
+/// for a third within the time in which a change must be known.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 /// gRPC's own default bound on a message.
 const MAX_MESSAGE_BYTES: usize = 4 << 20;
@@ -125,8 +125,8 @@
         Ok(self.requests.send_data(encode_frame(message), last)?)
     }
 
-    /// The next message; `None` at the end of a call that went well. Dropped while it waits, nothing is
-    /// lost.
+    /// The next message; `None` at the end of a call that went well. Dropped while it waits,
+    /// nothing is lost.
     pub async fn next<R: Message + Default>(&mut self) -> Result<Option<R>, CallError> {
         loop {
             if let Some(message) = self.decoder.next_message()? {
--- a/crates/discovery-etcd/src/machine/reconnect.rs
+++ b/crates/discovery-etcd/src/machine/reconnect.rs
@@ -1,5 +1,5 @@
-//! Which endpoint is tried next and when: in turn, each time after a random delay, so that proxies that
-//! lose etcd together do not come back together.
+//! Which endpoint is tried next and when: in turn, each time after a random delay, so that proxies
+//! that lose etcd together do not come back together.
 
 use super::step::ConnectAttempt;
 use chalkwalk_balancer::discovery::Backoff;
@@ -9,12 +9,13 @@
 const FIRST_SPREAD: Span = Span::from_secs(1);
 /// After a list that was rejected. Three in a row are, so that all is known again within a second.
 const LIST_REJECTED_SPREAD: Span = Span::from_millis(250);
-/// From one endpoint to the next until each was tried: of three endpoints two may hang, two seconds each,
-/// within the time in which a change must be known.
+/// From one endpoint to the next until each was tried: of three endpoints two may hang, two seconds
+/// each, within the time in which a change must be known.
 const NEXT_ENDPOINT_SPREAD: Span = Span::from_millis(500);
 /// No operator states how long a fleet may neither watch nor poll.
 const UNLIMITED: Span = Span::MAX;
-/// Knuth's multiplicative constant, 2^64 over the golden ratio: seeds that are close start far apart.
+/// Knuth's multiplicative constant, 2^64 over the golden ratio: seeds that are close start far
+/// apart.
 const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// The endpoint in use, and the failures since one was last usable.
@@ -39,8 +40,8 @@
         ConnectAttempt { endpoint: self.endpoint, delay: Span::ZERO }
     }
 
-    /// The next endpoint, after a connection that failed after so long. Once each endpoint has failed, the
-    /// delay is that of every source.
+    /// The next endpoint, after a connection that failed after so long. Once each endpoint has
+    /// failed, the delay is that of every source.
     pub fn after_failure(&mut self, took: Span) -> ConnectAttempt {
         let failures_before = self.failures as usize;
         let delay = if failures_before == 0 {
@@ -54,8 +55,8 @@
         self.next_endpoint(delay)
     }
 
-    /// The next endpoint, and soon: this one's list is older than what is known, and nothing is known of
-    /// changes meanwhile.
+    /// The next endpoint, and soon: this one's list is older than what is known, and nothing is
+    /// known of changes meanwhile.
     pub fn after_rejected_list(&mut self) -> ConnectAttempt {
         let delay = self.random_below(LIST_REJECTED_SPREAD);
         self.next_endpoint(delay)
--- a/crates/discovery-etcd/src/machine/state.rs
+++ b/crates/discovery-etcd/src/machine/state.rs
@@ -1,5 +1,5 @@
-//! The machine: the whole list in pages, then a watch, which is resumed after a break and replaced by a
-//! whole list where it can't be.
+//! The machine: the whole list in pages, then a watch, which is resumed after a break and replaced
+//! by a whole list where it can't be.
 
 use super::keys::{KeyRange, KeySpace};
 use super::reconnect::Reconnect;
@@ -8,7 +8,8 @@
 use chalkwalk_membership::MAX_ENDPOINTS;
 use chalkwalk_time::Span;
 
-/// Keys that a whole list, or a response in fragments, may hold: every endpoint, and as many proxies.
+/// Keys that a whole list, or a response in fragments, may hold: every endpoint, and as many
+/// proxies.
 const MAX_KEYS: usize = 2 * MAX_ENDPOINTS;
 /// Keys a page: some 300 kB, well below the 4 MiB that gRPC accepts by default.
 pub const PAGE_KEYS: i64 = 1000;
--- a/crates/discovery-etcd/src/session.rs
+++ b/crates/discovery-etcd/src/session.rs
@@ -11,9 +11,9 @@
 use chalkwalk_sockets::within;
 use std::time::{Duration, Instant};
 
-/// A watch is polled for its progress so often, and lost if nothing came for twice that and a half: with
-/// the polls a second apart it is lost 3 s after its last response, and the next endpoint has 3 s to
-/// report what it missed.
+/// A watch is polled for its progress so often, and lost if nothing came for twice that and a half:
+/// with the polls a second apart it is lost 3 s after its last response, and the next endpoint has
+/// 3 s to report what it missed.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
 
@@ -32,8 +32,9 @@
         Ok(())
     }
 
-    /// Whether it has been silent for too long, and not just because this process stood still: after a
-    /// standstill everything that came meanwhile is read first, and progress requested anew.
+    /// Whether it has been silent for too long, and not just because this process stood still:
+    /// after a standstill everything that came meanwhile is read first, and progress requested
+    /// anew.
     fn is_silent(&self) -> bool {
         let silent = self.last_response + SILENCE_TIMEOUT < Instant::now();
         silent && self.last_progress_request > self.last_response
--- a/crates/discovery-etcd/tests/machine.rs
+++ b/crates/discovery-etcd/tests/machine.rs
@@ -207,7 +207,8 @@
     .assert_eq(&trace.text);
 }
 
-/// Five hundred proxies lose their watches at once, and etcd comes back after some time: how many connect within 100 ms.
+/// Five hundred proxies lose their watches at once, and etcd comes back after some time: how many
+/// connect within 100 ms.
 #[test]
 fn watchers_that_lose_etcd_together_do_not_return_at_once() {
     let peak = |away_ms: u64| {
@@ -228,8 +229,9 @@
     expect!["61 168 168 of 500"].assert_eq(&format!("{} {} {} of 500", peak(0), peak(5_000), peak(30_000)));
 }
 
-/// Etcd is away for 20 s. However its endpoints fail, the next attempt that can be answered begins early enough to be answered
-/// within the time in which a change must be known: an endpoint answers within a second, and an attempt that hangs is given up after two at most.
+/// Etcd is away for 20 s. However its endpoints fail, the next attempt that can be answered begins
+/// early enough to be answered within the time in which a change must be known: an endpoint answers
+/// within a second, and an attempt that hangs is given up after two at most.
 #[test]
 fn after_an_outage_the_next_attempt_is_in_time() {
     let (limit, response) = (60_000, 10_000);
@@ -255,7 +257,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2000, rng_seed: RngSeed::Fixed(1), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever an endpoint responds, there is a next step, and what is known never goes back without a whole list.
+    /// Whatever an endpoint responds, there is a next step, and what is known never goes back
+    /// without a whole list.
     #[test]
     fn any_responses_lead_on(responses in proptest::collection::vec((0u8..8, -3i64..40, any::<bool>()), 0..60)) {
         let mut machine = Machine::new("/c/", 2, 1);
--- a/crates/discovery-feed/src/feed.rs
+++ b/crates/discovery-feed/src/feed.rs
@@ -1,7 +1,7 @@
 //! From what a source reads to what the engine is notified of.
 //!
-//! A source reports lists, changes and proxy counts here; what it can't read it reports as rejected, and
-//! that it can't be reached as unavailable. The decisions are the reconciler's.
+//! A source reports lists, changes and proxy counts here; what it can't read it reports as
+//! rejected, and that it can't be reached as unavailable. The decisions are the reconciler's.
 
 use chalkwalk_engine::api;
 use chalkwalk_engine::engine::Engine;
@@ -76,8 +76,8 @@
         self.reconciler.borrow().endpoints()
     }
 
-    /// Applies the whole list as of a revision. An error is in the log already; nothing was applied then
-    /// but the drains.
+    /// Applies the whole list as of a revision. An error is in the log already; nothing was applied
+    /// then but the drains.
     pub fn apply_list(&self, revision: u64, entries: Vec<ListEntry>) -> Result<(), ListError> {
         let applied = self.reconciler.borrow_mut().apply_list(self.now(), revision, entries);
         match applied {
@@ -111,7 +111,8 @@
         self.source_available();
     }
 
-    /// Something that the source reported can't be used: it is counted, and each line of the reason logged.
+    /// Something that the source reported can't be used: it is counted, and each line of the reason
+    /// logged.
     pub fn reject(&self, reason: &str) {
         let rejections = self.rejections.get() + 1;
         self.rejections.set(rejections);
--- a/crates/discovery-feed/src/file.rs
+++ b/crates/discovery-feed/src/file.rs
@@ -1,4 +1,5 @@
-//! A watched file as a source: a version is accepted whole or not at all, and compared by its content.
+//! A watched file as a source: a version is accepted whole or not at all, and compared by its
+//! content.
 
 use crate::feed::Feed;
 use chalkwalk_membership::format::{AllowedNames, EndpointFile, FileError, parse_file};
@@ -12,9 +13,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// From one poll of the file to the next. A drain is applied well within the second that it may take;
-/// reading some kilobytes ten times a second costs next to nothing. Comparing the content needs no
-/// notifications, which renames and mounts would lose.
+/// From one poll of the file to the next. A drain is applied well within the second that it may
+/// take; reading some kilobytes ten times a second costs next to nothing. Comparing the content
+/// needs no notifications, which renames and mounts would lose.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// 20,000 servers take some 200 bytes each.
 const MAX_FILE_BYTES: u64 = 8 << 20;
@@ -56,8 +57,8 @@
         Rc::new(FileSource { feed, path, last_content: Cell::new(None), serial: Cell::new(None) })
     }
 
-    /// Applies the file anew at the next poll, even with a lower serial number than before: its writer may
-    /// have been restarted.
+    /// Applies the file anew at the next poll, even with a lower serial number than before: its
+    /// writer may have been restarted.
     pub fn reload(&self) {
         self.last_content.set(None);
         self.serial.set(None);
--- a/crates/discovery-feed/src/persistence.rs
+++ b/crates/discovery-feed/src/persistence.rs
@@ -1,4 +1,5 @@
-//! The list on disk: read at the start, before any source responds, and written whenever it changed.
+//! The list on disk: read at the start, before any source responds, and written whenever it
+//! changed.
 
 use crate::feed::Feed;
 use chalkwalk_membership::ListEntry;
@@ -56,7 +57,8 @@
         self.unpersisted.set(false);
     }
 
-    /// Writes the list to disk whenever it has changed; never ends, unless there is nowhere to write to.
+    /// Writes the list to disk whenever it has changed; never ends, unless there is nowhere to
+    /// write to.
     pub async fn persist_changes(self: Rc<Feed>) {
         let Some(path) = self.persistence_path.clone() else { return };
         let mut failing = false;
@@ -90,8 +92,8 @@
     Ok(PersistedList::parse(&text, allowed)?)
 }
 
-/// Whole or not at all, whenever the machine stops: into a file beside it, to the disk, and then in its
-/// place.
+/// Whole or not at all, whenever the machine stops: into a file beside it, to the disk, and then in
+/// its place.
 fn write_atomically(path: &Path, text: &str) -> std::io::Result<()> {
     let mut temporary = path.to_path_buf().into_os_string();
     temporary.push(format!(".{}", std::process::id()));
--- a/crates/membership/src/endpoint.rs
+++ b/crates/membership/src/endpoint.rs
@@ -4,8 +4,8 @@
 use chalkwalk_time::Timestamp;
 use std::net::SocketAddr;
 
-/// The longest list that is accepted: ten thousand servers are the largest fleet in mind, and as many
-/// may be draining.
+/// The longest list that is accepted: ten thousand servers are the largest fleet in mind, and as
+/// many may be draining.
 pub const MAX_ENDPOINTS: usize = 20_000;
 
 /// A server as a source of the list describes it.
--- a/crates/membership/src/format.rs
+++ b/crates/membership/src/format.rs
@@ -1,9 +1,9 @@
-//! How endpoints and proxies are written down outside the platform: as JSON values under keys, and as
-//! a file. Version 1 of both.
+//! How endpoints and proxies are written down outside the platform: as JSON values under keys, and
+//! as a file. Version 1 of both.
 //!
-//! A value is a JSON object; a file is TOML or JSON with the same fields. Unknown fields are ignored in
-//! values, so that a newer writer does not stop older proxies, and rejected in files, where they are a
-//! person's slip. Field names and the forms of both are stored data.
+//! A value is a JSON object; a file is TOML or JSON with the same fields. Unknown fields are
+//! ignored in values, so that a newer writer does not stop older proxies, and rejected in files,
+//! where they are a person's slip. Field names and the forms of both are stored data.
 
 mod file;
 mod record;
--- a/crates/membership/src/format/file.rs
+++ b/crates/membership/src/format/file.rs
@@ -62,7 +62,8 @@
 /// A list file that was read whole.
 #[derive(Debug)]
 pub struct EndpointFile {
-    /// The writer's own number of this version, if it counts: a lower one than before is an old file.
+    /// The writer's own number of this version, if it counts: a lower one than before is an old
+    /// file.
     pub serial: Option<u64>,
     /// The entries, in the file's order.
     pub entries: Vec<ListEntry>,
--- a/crates/membership/src/persisted.rs
+++ b/crates/membership/src/persisted.rs
@@ -1,8 +1,8 @@
-//! The list as it was last known, for a start without any source: written whole with a checksum, and
-//! judged by its age.
+//! The list as it was last known, for a start without any source: written whole with a checksum,
+//! and judged by its age.
 //!
-//! The text is stored data. Its form must not change within version 1: the process before or after an
-//! upgrade reads it.
+//! The text is stored data. Its form must not change within version 1: the process before or after
+//! an upgrade reads it.
 
 use crate::ListedEndpoint;
 use crate::format::{AllowedNames, EndpointValueError, encode_endpoint, parse_endpoint};
@@ -14,8 +14,8 @@
 const HOUR: Span = Span::from_secs(3_600);
 /// Most of a fleet is still where it was an hour ago.
 const FRESH_FOR: Span = HOUR;
-/// After a day a deploy has been over the whole fleet: to send requests there is worse than to report
-/// that nothing is known.
+/// After a day a deploy has been over the whole fleet: to send requests there is worse than to
+/// report that nothing is known.
 const USABLE_FOR: Span = HOUR.times(24);
 
 /// An endpoint list that is persisted.
@@ -73,7 +73,8 @@
 }
 
 impl PersistedList {
-    /// How far the list can be trusted. One from the future is expired: one of the two clocks is wrong.
+    /// How far the list can be trusted. One from the future is expired: one of the two clocks is
+    /// wrong.
     pub fn freshness(&self, now: Timestamp) -> Freshness {
         match now.checked_since(self.at) {
             Some(age) if age <= FRESH_FOR => Freshness::Fresh,
--- a/crates/membership/src/proxy_count.rs
+++ b/crates/membership/src/proxy_count.rs
@@ -1,17 +1,18 @@
 //! How many proxies share the servers, as counted where they can see each other, in place of the
 //! configured number.
 //!
-//! It must be given each observed count with its time. The rule it guards: a rise takes effect at once,
-//! a fall only once it has lasted, and neither strays far from the configured number.
+//! It must be given each observed count with its time. The rule it guards: a rise takes effect at
+//! once, a fall only once it has lasted, and neither strays far from the configured number.
 
 use chalkwalk_time::{Span, Timestamp};
 
-/// A fall takes effect once so many periods, the present one included, have no higher count, which is
-/// a minute at the least: a restart takes seconds, a wave of them half a minute.
+/// A fall takes effect once so many periods, the present one included, have no higher count, which
+/// is a minute at the least: a restart takes seconds, a wave of them half a minute.
 const PERIODS: usize = 7;
 const PERIOD: Span = Span::from_secs(10);
-/// The effective count is never below the configured one divided by this: a proxy that sees few others
-/// may be the one that is cut off, and what it sends to a server in slow start is at most doubled.
+/// The effective count is never below the configured one divided by this: a proxy that sees few
+/// others may be the one that is cut off, and what it sends to a server in slow start is at most
+/// doubled.
 const MAX_REDUCTION: u64 = 2;
 /// Nor above this many times the configured one, which would leave servers in slow start idle.
 const MAX_INCREASE: u64 = 4;
@@ -40,7 +41,8 @@
     }
 
     /// Among how many proxies the balancer divides what the servers can do. A higher count holds at
-    /// once, a lower one after a minute; without any count for a minute it is the configured number.
+    /// once, a lower one after a minute; without any count for a minute it is the configured
+    /// number.
     pub fn effective(&mut self, now: Timestamp) -> u64 {
         self.advance(now);
         let highest = self.highest.iter().copied().max().unwrap_or(0);
--- a/crates/membership/src/reconcile/endpoint_state.rs
+++ b/crates/membership/src/reconcile/endpoint_state.rs
@@ -1,5 +1,5 @@
-//! What is known of one endpoint: what its source lists, what the engine was notified of, and what it
-//! is to be notified of next.
+//! What is known of one endpoint: what its source lists, what the engine was notified of, and what
+//! it is to be notified of next.
 
 use super::flap_damping::{FlapDamper, ReturnDecision};
 use super::mass_removal::Absence;
@@ -8,8 +8,8 @@
 use chalkwalk_balancer::EndpointStatus;
 use chalkwalk_time::{Span, Timestamp};
 
-/// A server that is gone is remembered so long, so that no old list brings it back: ten times as long as
-/// a list is stale.
+/// A server that is gone is remembered so long, so that no old list brings it back: ten times as
+/// long as a list is stale.
 const GONE_REMEMBERED_FOR: Span = Span::from_secs(600);
 
 /// How far the source can be trusted that a server is in service again.
@@ -72,7 +72,8 @@
         self.listed = false;
     }
 
-    /// Applies a drain out of a list that is rejected, unless it is of an earlier process of this server.
+    /// Applies a drain out of a list that is rejected, unless it is of an earlier process of this
+    /// server.
     pub fn drain(&mut self, start: Timestamp) {
         if self.is_in_service() && self.entry.endpoint.born <= start {
             self.entry.endpoint.status = EndpointStatus::Draining;
@@ -115,8 +116,8 @@
         retained.into_iter().chain(self.flap_damper.delayed_until()).min()
     }
 
-    /// Works out its status, and returns it if the engine is to be notified: because it changed, or because
-    /// everything is published anew.
+    /// Works out its status, and returns it if the engine is to be notified: because it changed, or
+    /// because everything is published anew.
     pub fn publish(
         &mut self,
         now: Timestamp,
@@ -149,8 +150,8 @@
         self.listed && self.entry.endpoint.status == EndpointStatus::Ready
     }
 
-    /// Whether it stays out of service though it is listed as in service: it was drained or missing, and
-    /// nothing shows that it is another process by now.
+    /// Whether it stays out of service though it is listed as in service: it was drained or
+    /// missing, and nothing shows that it is another process by now.
     fn stays_drained(&self, trust: SourceTrust) -> bool {
         let same_process =
             |start: Option<Timestamp>| start.is_some_and(|start| self.entry.endpoint.born <= start);
--- a/crates/membership/src/reconcile/flap_damping.rs
+++ b/crates/membership/src/reconcile/flap_damping.rs
@@ -1,5 +1,5 @@
-//! Delays the return of a server that comes back too often: each return would move its keys, and each
-//! time it comes back in slow start.
+//! Delays the return of a server that comes back too often: each return would move its keys, and
+//! each time it comes back in slow start.
 
 use chalkwalk_time::{Span, Timestamp};
 
--- a/crates/membership/src/reconcile/history.rs
+++ b/crates/membership/src/reconcile/history.rs
@@ -1,13 +1,13 @@
-//! The order of a source's revisions, and whether its list is stale: older than one that was known, or
-//! of another history.
+//! The order of a source's revisions, and whether its list is stale: older than one that was known,
+//! or of another history.
 //!
-//! While a list is stale, drains in it are applied, but nothing that is out of service comes back by it,
-//! and nothing goes because it is missing.
+//! While a list is stale, drains in it are applied, but nothing that is out of service comes back
+//! by it, and nothing goes because it is missing.
 
 use chalkwalk_time::{Span, Timestamp};
 
-/// So many older lists in a row are rejected; the next one is the truth: the source has been restarted,
-/// or was restored.
+/// So many older lists in a row are rejected; the next one is the truth: the source has been
+/// restarted, or was restored.
 const REJECTED_OLDER_LISTS: u32 = 3;
 /// After so long a stale list is trusted like any other; longer than a deploy takes.
 const STALE_FOR: Span = Span::from_secs(60);
@@ -41,8 +41,8 @@
         self.stale_since.map(|since| since + STALE_FOR)
     }
 
-    /// Whether a list of this revision is older than the one that is known, and not one of several in a
-    /// row. Counts it if so.
+    /// Whether a list of this revision is older than the one that is known, and not one of several
+    /// in a row. Counts it if so.
     pub fn rejects(&mut self, revision: u64) -> bool {
         let rejected = revision < self.revision && self.older_in_a_row < REJECTED_OLDER_LISTS;
         if rejected {
--- a/crates/membership/src/reconcile/mass_removal.rs
+++ b/crates/membership/src/reconcile/mass_removal.rs
@@ -5,8 +5,8 @@
 use chalkwalk_time::{Span, Timestamp};
 use std::collections::BTreeMap;
 
-/// At least half of the servers gone unannounced within so long is more likely an error of the list, or
-/// of the leases behind it, than of the servers.
+/// At least half of the servers gone unannounced within so long is more likely an error of the
+/// list, or of the leases behind it, than of the servers.
 const WINDOW: Span = Span::from_secs(10);
 /// It is believed after as long as an operator needs to look, or a source to mend itself.
 const RETAINED_FOR: Span = Span::from_secs(30);
@@ -28,8 +28,8 @@
     }
 }
 
-/// Marks servers in service that are no longer listed: they go at once, or are retained while the list is
-/// stale or a mass removal is suspected. Whether new ones make up such a suspicion.
+/// Marks servers in service that are no longer listed: they go at once, or are retained while the
+/// list is stale or a mass removal is suspected. Whether new ones make up such a suspicion.
 pub(super) fn mark_absent(
     endpoints: &mut BTreeMap<String, EndpointState>,
     now: Timestamp,
--- a/crates/membership/src/reconcile/reconciler.rs
+++ b/crates/membership/src/reconcile/reconciler.rs
@@ -40,8 +40,8 @@
         Reconciler { source, endpoints: BTreeMap::new(), has_list: false, history }
     }
 
-    /// The source's history is another from now on, as where a cluster was restored from a backup: its
-    /// revisions can't be compared with the earlier ones, and its list is stale for a while.
+    /// The source's history is another from now on, as where a cluster was restored from a backup:
+    /// its revisions can't be compared with the earlier ones, and its list is stale for a while.
     pub fn history_changed(&mut self, now: Timestamp) {
         if self.has_list {
             self.history.restart(now);
@@ -53,8 +53,8 @@
         self.history.revision()
     }
 
-    /// Applies the whole list as of a revision. On an error nothing of it is applied but drains, which
-    /// `tick` publishes.
+    /// Applies the whole list as of a revision. On an error nothing of it is applied but drains,
+    /// which `tick` publishes.
     pub fn apply_list(
         &mut self,
         now: Timestamp,
@@ -86,7 +86,8 @@
     pub fn apply_changes(&mut self, now: Timestamp, changes: Vec<RevisionedChange>) -> ListUpdate {
         let mut update = ListUpdate::default();
         self.expire(now);
-        // Changes of one revision came about together: compared with the revision before all of them.
+        // Changes of one revision came about together: compared with the revision before all of
+        // them.
         let known = self.history.revision();
         for RevisionedChange { revision, change } in changes {
             if revision <= known {
--- a/crates/membership/tests/format.rs
+++ b/crates/membership/tests/format.rs
@@ -71,7 +71,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2000, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
-    /// Whatever stands under a key or in a file, or whatever a valid one is turned into, nothing panics.
+    /// Whatever stands under a key or in a file, or whatever a valid one is turned into, nothing
+    /// panics.
     #[test]
     fn any_bytes_are_parsed_or_rejected(noise in proptest::collection::vec(any::<u8>(), 0..200), at in 0usize..200, with in any::<u8>()) {
         _ = parse_endpoint("a", &noise, &allowed());
--- a/crates/membership/tests/proxy_count.rs
+++ b/crates/membership/tests/proxy_count.rs
@@ -19,7 +19,8 @@
     assert_eq!(counts, [20, 20, 20, 24]);
     let counts = [at(90, Some(14)), at(104, Some(14)), at(106, Some(14)), at(111, Some(14))];
     assert_eq!(counts, [24, 24, 24, 14]);
-    // Nobody counts any more: the configured number. Then the proxy sees itself alone: half of that, after a minute.
+    // Nobody counts any more: the configured number. Then the proxy sees itself alone: half of
+    // that, after a minute.
     assert_eq!([at(170, None), at(185, None)], [14, 20]);
     assert_eq!([at(190, Some(1)), at(250, Some(1)), at(300, Some(500))], [10, 10, 80]);
 }
--- a/crates/membership/tests/reconcile.rs
+++ b/crates/membership/tests/reconcile.rs
@@ -1,4 +1,5 @@
-//! What a source reports in whatever order and with whatever breaks, and what the engine is notified of.
+//! What a source reports in whatever order and with whatever breaks, and what the engine is
+//! notified of.
 
 use chalkwalk_balancer::EndpointStatus;
 use chalkwalk_membership::reconcile::{
@@ -287,8 +288,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 3000, rng_seed: RngSeed::Fixed(1), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// The same changes in whatever batches, with whatever breaks, old lists and repeats between, end in the source's own
-    /// list, and at no moment is a server in service whose newest known state is a drain.
+    /// The same changes in whatever batches, with whatever breaks, old lists and repeats between,
+    /// end in the source's own list, and at no moment is a server in service whose newest known
+    /// state is a drain.
     #[test]
     fn any_order_ends_in_the_same_list_and_never_serves_a_drained_server(
         events in proptest::collection::vec(event(), 1..40),
