--- a/crates/resp-frontend/src/slot_map_poll.rs
+++ b/crates/resp-frontend/src/slot_map_poll.rs
@@ -48,10 +48,10 @@
             Ok(()) => {
                 loaded = true;
                 let ranges = frontend.slot_map.borrow().assignments().len();
-                info!(engine.log, "slot map known"; "parts" => ranges);
+                info!(engine.log, "slot map loaded"; "parts" => ranges);
             }
             Err(error) => {
-                warn!(engine.log, "slot map call failed"; "node" => %node, "fault" => %error);
+                warn!(engine.log, "slot map poll failed"; "node" => %node, "fault" => %error);
             }
         }
     }
