--- a/crates/resp-frontend/src/connection/backpressure.rs
+++ b/crates/resp-frontend/src/connection/backpressure.rs
@@ -19,7 +19,9 @@
 
 /// A reply, and its permit among those that may wait. The permit is returned once the reply is written.
 pub struct QueuedReply {
+    /// The reply, ready or not.
     pub reply: PendingReply,
+    /// Its permit.
     pub permit: Permit,
 }
 
@@ -61,6 +63,7 @@
 pub struct UnreadBytes(Rc<Cell<usize>>);
 
 impl UnreadBytes {
+    /// Sets how many bytes wait now.
     pub fn set(&self, bytes: usize) {
         self.0.set(bytes);
     }
--- a/crates/resp-frontend/src/connection/command_reader.rs
+++ b/crates/resp-frontend/src/connection/command_reader.rs
@@ -27,6 +27,7 @@
 }
 
 impl<'a> CommandReader<'a> {
+    /// A reader at the start of a connection.
     pub fn new(stream: &'a Async<TcpStream>) -> CommandReader<'a> {
         CommandReader { stream, parser: Reader::new(ReadLimits::default()), buf: Vec::new(), parsed: 0 }
     }
--- a/crates/resp-frontend/src/connection/dispatch.rs
+++ b/crates/resp-frontend/src/connection/dispatch.rs
@@ -53,6 +53,7 @@
 }
 
 impl<'a> Dispatcher<'a> {
+    /// The commands of a new connection from that peer.
     pub fn new(frontend: &'a Rc<Frontend>, peer: String, unread: UnreadBytes) -> Dispatcher<'a> {
         Dispatcher {
             frontend,
--- a/crates/resp-frontend/src/connection/pending_reply.rs
+++ b/crates/resp-frontend/src/connection/pending_reply.rs
@@ -19,14 +19,19 @@
 
 /// The requests of a command that was split by slot.
 pub struct OpenSplit {
+    /// The requests, one a slot.
     pub parts: Vec<OpenPart>,
+    /// How their responses are merged.
     pub rule: MergeRule,
+    /// Whether the command writes.
     pub write: bool,
+    /// Whether the client was answered in RESP3 when it sent the command.
     pub resp3: bool,
 }
 
 /// One request of a command that was split by slot.
 pub struct OpenPart {
+    /// The request.
     pub request: OpenRequest,
     /// The places of its keys among all keys of the command.
     pub key_indices: Vec<usize>,
@@ -34,7 +39,9 @@
 
 /// The bytes of a reply, and whether the connection ends with them.
 pub struct ResolvedReply {
+    /// What is written.
     pub bytes: Vec<u8>,
+    /// Whether the connection ends then.
     pub last: bool,
 }
 
--- a/crates/resp-frontend/src/connection/receive.rs
+++ b/crates/resp-frontend/src/connection/receive.rs
@@ -33,6 +33,7 @@
 }
 
 impl<'a> Receiving<'a> {
+    /// The receiving side of a new connection.
     pub fn new(
         frontend: &'a Rc<Frontend>,
         stream: &'a Async<TcpStream>,
--- a/crates/resp-frontend/src/frontend.rs
+++ b/crates/resp-frontend/src/frontend.rs
@@ -12,9 +12,13 @@
 
 /// The RESP frontend of one process: its settings, and the slot map that its requests are routed by.
 pub struct Frontend {
+    /// Routes the requests.
     pub(crate) engine: Rc<Engine>,
+    /// What the operator has set.
     pub(crate) settings: Settings,
+    /// Which server owns each slot, as far as views and redirections have reported it.
     pub(crate) slot_map: RefCell<SlotMap>,
+    /// When the slot map is polled next.
     pub(crate) refresh: RefCell<RefreshSchedule>,
     /// Wakes the poll for the slot map. One message is enough, however many request it.
     refresh_sender: Sender<()>,
--- a/crates/resp-frontend/src/request.rs
+++ b/crates/resp-frontend/src/request.rs
@@ -49,6 +49,7 @@
 
 /// A request that the engine routes.
 pub struct RespRequest {
+    /// The frontend that accepted it.
     pub(crate) frontend: Rc<Frontend>,
     /// The command as servers accept it.
     command: Vec<u8>,
@@ -58,6 +59,7 @@
     /// The class whose limits apply.
     class: usize,
     write: bool,
+    /// The user that sent it.
     user: String,
     received_at: Timestamp,
     expires: Timestamp,
@@ -70,7 +72,8 @@
     /// A request under the limits of its class.
     pub fn new(frontend: &Rc<Frontend>, new: NewRequest<'_>) -> Result<RespRequest, TooLongForClass> {
         let NewRequest { arguments, key, slot, write, user } = new;
-        let (engine, settings) = (&frontend.engine, &frontend.settings);
+        let engine = &frontend.engine;
+        let settings = &frontend.settings;
         let namespace = settings.class_of(key.as_bytes(), write);
         let ClassLimits { class, time_limit, longest_body } =
             engine.classes.find(attributes(namespace, key, user));
--- a/crates/resp-frontend/src/settings.rs
+++ b/crates/resp-frontend/src/settings.rs
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Whether a name and a secret belong together. The check takes the same time for any name and any secret: every user is compared,
-    /// in constant time.
+    /// Whether a name and a secret belong together. The check takes the same time for any name and any secret: every user is
+    /// compared, in constant time.
     pub fn authenticates(&self, name: &[u8], secret: &[u8]) -> bool {
         let secret_hash = hash_secret(secret);
         let name_hash = hash_secret(name);
--- a/crates/slot-map/tests/migration.rs
+++ b/crates/slot-map/tests/migration.rs
@@ -36,10 +36,14 @@
             2 => self.key_at[0] = new,
             3 => self.key_at[1] = new,
             4 => {
-                (self.owner[new], self.importing) = (true, None);
+                self.owner[new] = true;
+                self.importing = None;
                 self.epoch[new] = self.epoch[old] + 1;
             }
-            _ => (self.owner[old], self.migrating) = (false, None),
+            _ => {
+                self.owner[old] = false;
+                self.migrating = None;
+            }
         }
         self.step += 1;
     }
@@ -53,10 +57,8 @@
                 self.runs[request].push(server);
                 return None;
             }
-            return match self.migrating == Some(server) {
-                true => Some(format!("ASK 5 {other}")),
-                false => panic!("server {server} owns the slot and has no key"),
-            };
+            assert!(self.migrating == Some(server), "server {server} owns the slot and has no key");
+            return Some(format!("ASK 5 {other}"));
         }
         if self.importing == Some(server) && asking {
             assert!(here, "ASKING for a key that has not been copied");
@@ -133,7 +135,10 @@
         attempts: [0; 2],
         refreshed: false,
     };
-    let (mut open, mut seen, mut ends, mut most) = (vec![start], HashSet::new(), 0, 0);
+    let mut open = vec![start];
+    let mut seen = HashSet::new();
+    let mut ends = 0;
+    let mut most = 0;
     while let Some(state) = open.pop() {
         if !seen.insert(state.key()) {
             continue;
