--- a/crates/resp-frontend/src/arguments.rs
+++ b/crates/resp-frontend/src/arguments.rs
@@ -6,7 +6,8 @@
 use chalkwalk_resp::Writer;
 use std::ops::Range;
 
-/// A command as it came: its bytes, and where its arguments stand in them. The first argument is the command's name.
+/// A command as it came: its bytes, and where its arguments stand in them. The first argument is
+/// the command's name.
 #[derive(Debug)]
 pub struct Arguments {
     bytes: Vec<u8>,
@@ -14,7 +15,8 @@
 }
 
 impl Arguments {
-    /// `bytes`: the command as it came, in RESP or inline. `ranges`: where its arguments stand, the name first.
+    /// `bytes`: the command as it came, in RESP or inline. `ranges`: where its arguments stand, the
+    /// name first.
     pub fn new(bytes: Vec<u8>, ranges: Vec<Range<usize>>) -> Arguments {
         Arguments { bytes, ranges }
     }
@@ -44,7 +46,8 @@
         keys.iter().map(|key| String::from_utf8_lossy(self.get(*key)).to_string()).collect()
     }
 
-    /// The command on some of its keys: its name, and each of these keys with the arguments that belong to it, `step` in all.
+    /// The command on some of its keys: its name, and each of these keys with the arguments that
+    /// belong to it, `step` in all.
     pub fn with_keys(&self, keys: &[usize], step: usize) -> Arguments {
         let per_key = |key: &usize| (*key..key + step).map(|index| self.get(index));
         let arguments: Vec<&[u8]> =
--- a/crates/resp-frontend/src/command.rs
+++ b/crates/resp-frontend/src/command.rs
@@ -59,7 +59,8 @@
     pub positions: Vec<usize>,
 }
 
-/// Decides what is to be done with a command. `split`: whether keys in several slots are split into one command a slot.
+/// Decides what is to be done with a command. `split`: whether keys in several slots are split into
+/// one command a slot.
 pub fn classify_command(arguments: &Arguments, split: bool) -> Result<Command, CommandError> {
     let name = arguments.keyword(0);
     if LOCAL_COMMANDS.contains(&name.as_str()) {
--- a/crates/resp-frontend/src/command/error.rs
+++ b/crates/resp-frontend/src/command/error.rs
@@ -5,7 +5,7 @@
 /// Slots that one command may touch: a reading list has some dozens of covers.
 pub const MAX_SLOTS: usize = 64;
 
-/// Why a command is rejected; the text is the error that the client gets, in the dialect's own words.
+/// Why a command is rejected; the text is the error reply, as the dialect defines it.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CommandError {
     /// No command of that name is known.
--- a/crates/resp-frontend/src/command_table.rs
+++ b/crates/resp-frontend/src/command_table.rs
@@ -1,4 +1,5 @@
-//! The commands that clients may send: those for servers with their keys, and those that this frontend answers itself.
+//! The commands that clients may send: those for servers with their keys, and those that this
+//! frontend answers itself.
 
 use crate::merge::MergeRule;
 
@@ -14,7 +15,8 @@
     pub keys: KeyPositions,
     /// From which argument on there are the options of `SET`, which are checked.
     pub options_from: Option<usize>,
-    /// How the replies are merged where keys in several slots are split into one command a slot; none: it can't be split.
+    /// How the replies are merged where keys in several slots are split into one command a slot;
+    /// none: it can't be split.
     pub merge: Option<MergeRule>,
 }
 
--- a/crates/resp-frontend/src/connection.rs
+++ b/crates/resp-frontend/src/connection.rs
@@ -1,5 +1,5 @@
-//! Clients' connections. Commands are accepted as they come, their attempts do not wait for each other, and replies go out in
-//! order.
+//! Clients' connections. Commands are accepted as they come, their attempts do not wait for each
+//! other, and replies go out in order.
 
 mod backpressure;
 mod command_reader;
@@ -25,7 +25,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// After an accept that failed, as it does when no descriptor is left: short compared with any time limit.
+/// After an accept that failed, as it does when no descriptor is left: short compared with any time
+/// limit.
 const ACCEPT_RETRY: Duration = Duration::from_millis(20);
 
 /// Accepts connections until the process finishes.
@@ -56,7 +57,8 @@
     }
 }
 
-/// Serves a connection in a task of its own, once a descriptor is free for it. Where none is, its commands are rejected.
+/// Serves a connection in a task of its own, once a descriptor is free for it. Where none is, its
+/// commands are rejected.
 async fn accept_one(frontend: &Rc<Frontend>, stream: Async<TcpStream>) {
     let engine = &frontend.engine;
     let (permit, admitted) = engine.budget.acquire_for_client().await;
--- a/crates/resp-frontend/src/connection/backpressure.rs
+++ b/crates/resp-frontend/src/connection/backpressure.rs
@@ -1,4 +1,5 @@
-//! The bounds of one connection: how many replies may wait for earlier ones, and how many bytes for the client to read them.
+//! The bounds of one connection: how many replies may wait for earlier ones, and how many bytes for
+//! the client to read them.
 
 use super::pending_reply::PendingReply;
 use chalkwalk_engine::budget::Permit;
@@ -12,12 +13,14 @@
 
 /// Replies of one connection that wait for an earlier one.
 const MAX_QUEUED_REPLIES: usize = 128;
-/// Bytes of replies of one connection that wait for the client to read them; beyond that no further command is accepted.
+/// Bytes of replies of one connection that wait for the client to read them; beyond that no further
+/// command is accepted.
 pub const MAX_UNREAD_BYTES: usize = 256 << 10;
 /// How often it is looked whether the client has read: short compared with any time limit.
 const UNREAD_POLL: Duration = Duration::from_millis(20);
 
-/// A reply, and its permit among those that may wait. The permit is returned once the reply is written.
+/// A reply, and its permit among those that may wait. The permit is returned once the reply is
+/// written.
 pub struct QueuedReply {
     /// The reply, ready or not.
     pub reply: PendingReply,
@@ -31,8 +34,8 @@
     permits: Arc<Semaphore>,
 }
 
-/// Both ends of a new queue. It is bounded by permits, not by the channel: that would hold memory for all replies on every idle
-/// connection.
+/// Both ends of a new queue. It is bounded by permits, not by the channel: that would hold memory
+/// for all replies on every idle connection.
 pub fn reply_queue() -> (ReplyQueue, Receiver<QueuedReply>) {
     let (sender, receiver) = unbounded();
     (ReplyQueue { sender, permits: Arc::new(Semaphore::new(MAX_QUEUED_REPLIES)) }, receiver)
--- a/crates/resp-frontend/src/connection/command_reader.rs
+++ b/crates/resp-frontend/src/connection/command_reader.rs
@@ -22,7 +22,8 @@
     stream: &'a Async<TcpStream>,
     parser: Reader,
     buf: Vec<u8>,
-    /// How much of the buffer is parsed. It is dropped when all whole commands are, so that a pipeline is not moved for each.
+    /// How much of the buffer is parsed. It is dropped when all whole commands are, so that a
+    /// pipeline is not moved for each.
     parsed: usize,
 }
 
--- a/crates/resp-frontend/src/connection/dispatch.rs
+++ b/crates/resp-frontend/src/connection/dispatch.rs
@@ -1,4 +1,5 @@
-//! What happens to each command of a connection: it is answered here, sent to one server, or split by slot.
+//! What happens to each command of a connection: it is answered here, sent to one server, or split
+//! by slot.
 
 use super::backpressure::UnreadBytes;
 use super::key_order::KeyOrder;
@@ -17,11 +18,12 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Requests of one connection that are in flight at once; later commands wait unread. As many as the concurrency limit of a
-/// server that nothing is known of yet, so that a pipeline alone is no reason to reject its commands.
+/// Requests of one connection that are in flight at once; later commands wait unread. As many as
+/// the concurrency limit of a server that nothing is known of yet, so that a pipeline alone is no
+/// reason to reject its commands.
 const MAX_OPEN_REQUESTS: usize = 8;
 
-/// Why a command is not accepted; the text is the error that the client gets, in the dialect's own words.
+/// Why a command is not accepted; the text is the error reply, as the dialect defines it.
 #[derive(Debug, Error)]
 enum DispatchError {
     /// The client has to authenticate first.
@@ -136,7 +138,8 @@
         }
     }
 
-    /// Starts a request once earlier commands on its keys are answered and fewer than the limit are in flight.
+    /// Starts a request once earlier commands on its keys are answered and fewer than the limit are
+    /// in flight.
     async fn start(
         &mut self,
         arguments: Arguments,
--- a/crates/resp-frontend/src/connection/idle.rs
+++ b/crates/resp-frontend/src/connection/idle.rs
@@ -16,7 +16,8 @@
     }
 }
 
-/// Waits, with the connection marked idle, until it has to be closed for others. `used`: whether it has sent a command.
+/// Waits, with the connection marked idle, until it has to be closed for others. `used`: whether it
+/// has sent a command.
 pub async fn evicted_while_idle(engine: &Engine, used: bool) {
     let (close, closed) = bounded(1);
     let ticket = engine.budget.mark_idle(close, used);
--- a/crates/resp-frontend/src/connection/key_order.rs
+++ b/crates/resp-frontend/src/connection/key_order.rs
@@ -20,8 +20,8 @@
 }
 
 impl KeyOrder {
-    /// Waits for earlier commands on the same keys, where one of the two writes: a client that writes and then reads has to
-    /// find what it wrote.
+    /// Waits for earlier commands on the same keys, where one of the two writes: a client that
+    /// writes and then reads has to find what it wrote.
     pub async fn wait_for_earlier(&mut self, keys: &[String], write: bool) {
         self.earlier.retain(|earlier| !earlier.done.is_closed());
         let conflicts = |earlier: &&EarlierCommand| (earlier.write || write) && keys.contains(&earlier.key);
--- a/crates/resp-frontend/src/connection/open_request.rs
+++ b/crates/resp-frontend/src/connection/open_request.rs
@@ -10,7 +10,8 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A request without a reply yet. Dropped when the client disconnects, it cancels attempts that are still to be made.
+/// A request without a reply yet. Dropped when the client disconnects, it cancels attempts that are
+/// still to be made.
 pub struct OpenRequest {
     frontend: Rc<Frontend>,
     request_id: RequestId,
--- a/crates/resp-frontend/src/connection/receive.rs
+++ b/crates/resp-frontend/src/connection/receive.rs
@@ -1,4 +1,5 @@
-//! Receives a connection's commands until the client ends it, breaks the protocol, or the connection has to be closed.
+//! Receives a connection's commands until the client ends it, breaks the protocol, or the
+//! connection has to be closed.
 
 use super::backpressure::{ReplyQueue, UnreadBytes};
 use super::command_reader::{CommandReader, Input};
@@ -17,7 +18,8 @@
 
 /// From its first byte to a whole command.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(3);
-/// Between two commands. Drivers keep pools of connections; idle ones are closed sooner where descriptors are short.
+/// Between two commands. Drivers keep pools of connections; idle ones are closed sooner where
+/// descriptors are short.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(300);
 
 /// The reply to the first command of a connection that no descriptor was free for.
@@ -49,8 +51,8 @@
         }
     }
 
-    /// Receives commands until the connection ends. `admitted`: a descriptor was free for it; else its first command is
-    /// rejected.
+    /// Receives commands until the connection ends. `admitted`: a descriptor was free for it; else
+    /// its first command is rejected.
     pub async fn run(&mut self, admitted: bool, replies: ReplyQueue) {
         loop {
             let more = match self.reader.next_command() {
--- a/crates/resp-frontend/src/frontend.rs
+++ b/crates/resp-frontend/src/frontend.rs
@@ -10,7 +10,8 @@
 /// The name of this frontend in the routes of the operator's file.
 pub const FRONTEND_NAME: &str = "resp";
 
-/// The RESP frontend of one process: its settings, and the slot map that its requests are routed by.
+/// The RESP frontend of one process: its settings, and the slot map that its requests are routed
+/// by.
 pub struct Frontend {
     /// Routes the requests.
     pub(crate) engine: Rc<Engine>,
@@ -30,7 +31,8 @@
 }
 
 impl Frontend {
-    /// `lists_servers`: no other source lists the servers, so those that the cluster reports are the endpoint list.
+    /// `lists_servers`: no other source lists the servers, so those that the cluster reports are
+    /// the endpoint list.
     pub fn new(engine: &Rc<Engine>, settings: Settings, lists_servers: bool) -> Rc<Frontend> {
         let (refresh_sender, refresh_receiver) = bounded(1);
         Rc::new(Frontend {
--- a/crates/resp-frontend/src/health_check.rs
+++ b/crates/resp-frontend/src/health_check.rs
@@ -7,7 +7,8 @@
 use smol::Async;
 use std::net::TcpStream;
 
-/// `PING`, which any server answers at once. A server that is loading answers with an error, and gets no requests.
+/// `PING`, which any server answers at once. A server that is loading answers with an error, and
+/// gets no requests.
 pub struct Ping;
 
 impl HealthCheck for Ping {
--- a/crates/resp-frontend/src/merge.rs
+++ b/crates/resp-frontend/src/merge.rs
@@ -58,8 +58,8 @@
     Ok(out.take())
 }
 
-/// The status of the whole command where it is not served. A write of which a part has run, or may have, is never rejected: a
-/// retry would run that part again.
+/// The status of the whole command where it is not served. A write of which a part has run, or may
+/// have, is never rejected: a retry would run that part again.
 fn merged_status(parts: &[PartResponse], write: bool) -> Result<(), ResponseStatus> {
     let any_served = parts.iter().any(|part| part.status() == ResponseStatus::Served);
     let mut retry_after: Option<Span> = None;
--- a/crates/resp-frontend/src/parse.rs
+++ b/crates/resp-frontend/src/parse.rs
@@ -15,7 +15,8 @@
     pub len: usize,
 }
 
-/// The command at the start of the buffer; none until it is whole. `reader` keeps how far an array has been read.
+/// The command at the start of the buffer; none until it is whole. `reader` keeps how far an array
+/// has been read.
 pub fn parse_command(reader: &mut Reader, buf: &[u8]) -> Result<Option<ParsedCommand>, ProtocolError> {
     match buf.first() {
         None => Ok(None),
@@ -32,14 +33,14 @@
     Ok(Some(parsed(&buf[..len], ranges, len)))
 }
 
-/// A line of words, as a person types it.
+/// A line, as a person types it.
 fn parse_inline(buf: &[u8]) -> Result<Option<ParsedCommand>, ProtocolError> {
     let max_line = ReadLimits::default().max_line;
     let Some(end) = buf.iter().take(max_line).position(|byte| *byte == b'\n') else {
         return if buf.len() >= max_line { Err(ProtocolError::InlineTooLong) } else { Ok(None) };
     };
     let line = buf[..end].strip_suffix(b"\r").unwrap_or(&buf[..end]);
-    Ok(Some(parsed(line, word_ranges(line), end + 1)))
+    Ok(Some(parsed(line, argument_ranges(line), end + 1)))
 }
 
 fn parsed(bytes: &[u8], ranges: Vec<Range<usize>>, len: usize) -> ParsedCommand {
@@ -47,8 +48,8 @@
     ParsedCommand { arguments, len }
 }
 
-/// Where the words of a line stand that white space separates.
-fn word_ranges(line: &[u8]) -> Vec<Range<usize>> {
+/// Where the arguments stand in a line: white space separates them.
+fn argument_ranges(line: &[u8]) -> Vec<Range<usize>> {
     let mut ranges = Vec::new();
     let mut start = None;
     for (index, byte) in line.iter().chain(b" ").enumerate() {
--- a/crates/resp-frontend/src/request.rs
+++ b/crates/resp-frontend/src/request.rs
@@ -1,4 +1,5 @@
-//! A request as this frontend accepted it: how it is written to a server, and what the server's reply means.
+//! A request as this frontend accepted it: how it is written to a server, and what the server's
+//! reply means.
 
 use crate::arguments::Arguments;
 use crate::frontend::{FRONTEND_NAME, Frontend};
@@ -20,8 +21,8 @@
 
 /// Replies up to so many bytes need no memory reservation, as those of an HTTP server.
 const MAX_UNRESERVED: usize = 64 << 10;
-/// Commands up to so many bytes are accepted by every class: a class's limit is on the body of a request, which a short command
-/// does not have.
+/// Commands up to so many bytes are accepted by every class: a class's limit is on the body of a
+/// request, which a short command does not have.
 const MIN_COMMAND_LIMIT: u64 = 64;
 /// Allows the one next command for a slot that the server imports.
 const ASKING: &[u8] = b"*1\r\n$6\r\nASKING\r\n";
@@ -143,7 +144,8 @@
         }
     }
 
-    /// Applies an error to the route and the slot map. Returns how the attempt ended, unless the error is the reply itself.
+    /// Applies an error to the route and the slot map. Returns how the attempt ended, unless the
+    /// error is the reply itself.
     fn apply_error(&self, error: &str, from: SocketAddr) -> Option<AttemptOutcome> {
         let meaning = classify_error(error, from);
         let map_outdated =
@@ -152,7 +154,8 @@
             self.frontend.request_refresh();
         }
         match meaning {
-            // The command has not run, which says nothing of the server's health: it is sent elsewhere.
+            // The command has not run, which says nothing of the server's health: it is sent
+            // elsewhere.
             ErrorMeaning::Moved { .. } | ErrorMeaning::Ask { .. } => Some(AttemptOutcome::CacheMiss),
             ErrorMeaning::RetryLater | ErrorMeaning::MapOutdated => Some(AttemptOutcome::Overloaded),
             ErrorMeaning::Final => None,
@@ -202,7 +205,8 @@
             outcome,
             AttemptOutcome::Unreachable | AttemptOutcome::ConnectionLost | AttemptOutcome::TimedOut
         ) {
-            // After an `ASK` the next attempt goes to the owner again, and another may own the slot by now.
+            // After an `ASK` the next attempt goes to the owner again, and another may own the slot
+            // by now.
             self.route.borrow_mut().on_no_answer();
             self.frontend.request_refresh();
         }
--- a/crates/resp-frontend/src/server_reply.rs
+++ b/crates/resp-frontend/src/server_reply.rs
@@ -10,8 +10,8 @@
     frames: Vec<Frame>,
     /// The reply as it came.
     pub bytes: Vec<u8>,
-    /// Whether the connection may carry another command: nothing follows the reply, of which it would not be known what it
-    /// belongs to.
+    /// Whether the connection may carry another command: nothing follows the reply, of which it
+    /// would not be known what it belongs to.
     pub reusable: bool,
 }
 
@@ -22,8 +22,8 @@
 }
 
 impl ServerReply {
-    /// Reads a reply; none if the connection breaks, or its bytes are no RESP. `skip_first`: the command followed another, the
-    /// reply to which comes first and is not looked at.
+    /// Reads a reply; none if the connection breaks, or its bytes are no RESP. `skip_first`: the
+    /// command followed another, the reply to which comes first and is not looked at.
     pub async fn read(stream: &Async<TcpStream>, skip_first: bool) -> Option<ServerReply> {
         let mut bytes = Vec::new();
         if skip_first {
--- a/crates/resp-frontend/src/session.rs
+++ b/crates/resp-frontend/src/session.rs
@@ -1,5 +1,5 @@
-//! One client's connection as it has been set up, and the commands that are answered without a server. No I/O: arguments in,
-//! bytes out.
+//! One client's connection as it has been set up, and the commands that are answered without a
+//! server. No I/O: arguments in, bytes out.
 
 mod auth;
 mod client_command;
--- a/crates/resp-frontend/src/session/auth.rs
+++ b/crates/resp-frontend/src/session/auth.rs
@@ -11,7 +11,7 @@
 /// The user that `AUTH` with a secret alone means.
 const DEFAULT_USER: &[u8] = b"default";
 
-/// Why a client is not greeted; the text is the error that it gets, in the dialect's own words.
+/// Why a client is not greeted; the text is the error reply, as the dialect defines it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 enum HelloError {
     /// No users are set, so there is nothing to authenticate against.
--- a/crates/resp-frontend/src/session/client_command.rs
+++ b/crates/resp-frontend/src/session/client_command.rs
@@ -5,14 +5,16 @@
 use crate::arguments::Arguments;
 use chalkwalk_resp::Writer;
 
-/// The longest name that a client may give its connection. The dialect sets no limit; a name is held as long as its connection.
+/// The longest name that a client may give its connection. The dialect sets no limit; a name is
+/// held as long as its connection.
 const MAX_NAME: usize = 128;
 
 /// The dialect's error for a name that is too long or has characters that names may not have.
 pub const INVALID_NAME: &str = "ERR Client names cannot contain spaces, newlines or special characters.";
 
 impl Session {
-    /// Sets the connection's name, unless it is too long or has characters that the dialect does not allow.
+    /// Sets the connection's name, unless it is too long or has characters that the dialect does
+    /// not allow.
     pub(super) fn set_name(&mut self, name: &[u8]) -> bool {
         let valid = name.len() <= MAX_NAME && name.iter().all(u8::is_ascii_graphic);
         if valid {
--- a/crates/resp-frontend/src/session/cluster_command.rs
+++ b/crates/resp-frontend/src/session/cluster_command.rs
@@ -1,5 +1,5 @@
-//! `CLUSTER`: the fleet as a cluster whose nodes are the instances, so that drivers send each key to the instance that answers
-//! for its slot.
+//! `CLUSTER`: the fleet as a cluster whose nodes are the instances, so that drivers send each key
+//! to the instance that answers for its slot.
 
 use super::cluster_node::{ClusterNode, cluster_nodes};
 use super::reply_parts::{number_field, text_field, unknown_subcommand};
--- a/crates/resp-frontend/src/session/cluster_node.rs
+++ b/crates/resp-frontend/src/session/cluster_node.rs
@@ -30,8 +30,9 @@
     settings.instances.iter().map(|instance| node(&instance.name, instance.addr, instance.slots)).collect()
 }
 
-/// The node id of an instance: forty hexadecimal digits, as the dialect has them, and the same for a name on every instance. It
-/// is the FNV-1a hash of the name, continued over a counter until there are digits enough.
+/// The node id of an instance: forty hexadecimal digits, as the dialect has them, and the same for
+/// a name on every instance. It is the FNV-1a hash of the name, continued over a counter until
+/// there are digits enough.
 fn node_id(name: &str) -> String {
     const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const FNV_PRIME: u64 = 0x100_0000_01b3;
--- a/crates/resp-frontend/src/session/command_command.rs
+++ b/crates/resp-frontend/src/session/command_command.rs
@@ -1,4 +1,5 @@
-//! `COMMAND`, as drivers send it when they connect: the table of commands, its length, or rows of it.
+//! `COMMAND`, as drivers send it when they connect: the table of commands, its length, or rows of
+//! it.
 
 use super::reply_parts::unknown_subcommand;
 use crate::arguments::Arguments;
--- a/crates/resp-frontend/src/session/reply_parts.rs
+++ b/crates/resp-frontend/src/session/reply_parts.rs
@@ -3,7 +3,8 @@
 use crate::command::shown;
 use chalkwalk_resp::Writer;
 
-/// The server version that clients see: drivers infer features from it, and the dialect has no other name for "at least 7".
+/// The server version that clients see: drivers infer features from it, and the dialect has no
+/// other name for "at least 7".
 pub const VERSION: &str = "7.0.0";
 
 /// The dialect's error for a subcommand that is unknown or has the wrong number of arguments.
--- a/crates/resp-frontend/src/settings.rs
+++ b/crates/resp-frontend/src/settings.rs
@@ -1,4 +1,5 @@
-//! What an operator sets for this frontend: who may connect, how keys map to request classes, and what clients see of the fleet.
+//! What an operator sets for this frontend: who may connect, how keys map to request classes, and
+//! what clients see of the fleet.
 
 use chalkwalk_slot_map::SlotRange;
 use sha2::{Digest, Sha256};
@@ -65,7 +66,8 @@
 }
 
 impl Settings {
-    /// The request class of a command on a key: by the key's prefix, and by whether the command writes.
+    /// The request class of a command on a key: by the key's prefix, and by whether the command
+    /// writes.
     pub fn class_of(&self, key: &[u8], write: bool) -> usize {
         let rule = self.prefixes.iter().find(|rule| key.starts_with(rule.prefix.as_bytes()));
         match (rule, write) {
@@ -76,8 +78,8 @@
         }
     }
 
-    /// Whether a name and a secret belong together. The check takes the same time for any name and any secret: every user is
-    /// compared, in constant time.
+    /// Whether a name and a secret belong together. The check takes the same time for any name and
+    /// any secret: every user is compared, in constant time.
     pub fn authenticates(&self, name: &[u8], secret: &[u8]) -> bool {
         let secret_hash = hash_secret(secret);
         let name_hash = hash_secret(name);
--- a/crates/resp-frontend/src/slot_map_poll.rs
+++ b/crates/resp-frontend/src/slot_map_poll.rs
@@ -21,7 +21,8 @@
 /// The size of every server: the cluster reports none, so all count as equal.
 const DEFAULT_SIZE: u64 = 100;
 
-/// Puts the seeds on the endpoint list until the cluster has reported its nodes, where its report is the list.
+/// Puts the seeds on the endpoint list until the cluster has reported its nodes, where its report
+/// is the list.
 pub fn list_seeds(frontend: &Rc<Frontend>) {
     if frontend.lists_servers {
         apply_list(frontend, frontend.settings.seeds.iter().copied());
--- a/crates/resp-frontend/src/test_support.rs
+++ b/crates/resp-frontend/src/test_support.rs
@@ -6,9 +6,9 @@
 pub fn arguments(line: &str) -> Arguments {
     let mut bytes = Vec::new();
     let mut ranges = Vec::new();
-    for word in line.split(' ').filter(|word| !word.is_empty()) {
-        ranges.push(bytes.len()..bytes.len() + word.len());
-        bytes.extend_from_slice(word.as_bytes());
+    for argument in line.split(' ').filter(|argument| !argument.is_empty()) {
+        ranges.push(bytes.len()..bytes.len() + argument.len());
+        bytes.extend_from_slice(argument.as_bytes());
     }
     Arguments::new(bytes, ranges)
 }
--- a/crates/resp-frontend/tests/settings.rs
+++ b/crates/resp-frontend/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Keys find their request class, users authenticate, and slots find the instance that answers for them.
+//! Keys find their request class, users authenticate, and slots find the instance that answers for
+//! them.
 
 use chalkwalk_resp_frontend::{Instance, PrefixRule, Settings, User, hash_secret};
 use chalkwalk_slot_map::SlotRange;
--- a/crates/slot-map/src/error_meaning.rs
+++ b/crates/slot-map/src/error_meaning.rs
@@ -13,26 +13,26 @@
         /// Its owner.
         to: SocketAddr,
     },
-    /// `ASK`: the slot is in migration, and this key is at its new server already. To be followed once, after `ASKING`. The
-    /// command has not run.
+    /// `ASK`: the slot is in migration, and this key is at its new server already. To be followed
+    /// once, after `ASKING`. The command has not run.
     Ask {
         /// The slot in migration.
         slot: u16,
         /// The server that imports it.
         to: SocketAddr,
     },
-    /// The command has not run, and may succeed later: its keys are split between two servers by a migration, or the server is
-    /// loading or busy.
+    /// The command has not run, and may succeed later: its keys are split between two servers by a
+    /// migration, or the server is loading or busy.
     RetryLater,
-    /// The command has not run, and the slot map is probably outdated: the cluster has lost slots, or a replica was taken for
-    /// the owner.
+    /// The command has not run, and the slot map is probably outdated: the cluster has lost slots,
+    /// or a replica was taken for the owner.
     MapOutdated,
     /// The reply to the client: the command itself is wrong, whichever server gets it.
     Final,
 }
 
-/// Classifies an error reply by the code that it begins with. `from` is the server that sent it. A redirection that can't be
-/// parsed does not say where to go: the map is probably outdated.
+/// Classifies an error reply by the code that it begins with. `from` is the server that sent it. A
+/// redirection that can't be parsed does not say where to go: the map is probably outdated.
 pub fn classify_error(error: &str, from: SocketAddr) -> ErrorMeaning {
     let (code, rest) = error.split_once(' ').unwrap_or((error, ""));
     match code {
--- a/crates/slot-map/src/lib.rs
+++ b/crates/slot-map/src/lib.rs
@@ -1,7 +1,9 @@
-//! Which server holds a hash slot, and what a server's error means for a request, after the public cluster specification.
+//! Which server holds a hash slot, and what a server's error means for a request, after the public
+//! cluster specification.
 //!
-//! No socket, no clock and no wire type enters this crate: nodes are their addresses, and times are passed in. It does not decide
-//! which of the servers that may serve a request gets the attempt, nor whether a request is retried; the balancer does.
+//! No socket, no clock and no wire type enters this crate: nodes are their addresses, and times are
+//! passed in. It does not decide which of the servers that may serve a request gets the attempt,
+//! nor whether a request is retried; the balancer does.
 
 mod error_meaning;
 mod node;
--- a/crates/slot-map/src/node.rs
+++ b/crates/slot-map/src/node.rs
@@ -14,15 +14,17 @@
     pub failed: bool,
     /// The id of the node that it is a replica of; none for an owner of slots.
     pub replica_of: Option<String>,
-    /// The configuration epoch of its claims: of two nodes that claim a slot, the higher epoch is the newer claim.
+    /// The configuration epoch of its claims: of two nodes that claim a slot, the higher epoch is
+    /// the newer claim.
     pub epoch: u64,
     /// The slots that it claims.
     pub slots: Vec<SlotRange>,
 }
 
 impl Node {
-    /// Parses `id addr@bus[,host] flags master ping pong epoch link slot...`. None for a node without an address. An error
-    /// names what the line lacks. `from` is the node that reports the line: it may not know its own address.
+    /// Parses `id addr@bus[,host] flags master ping pong epoch link slot...`. None for a node
+    /// without an address. An error names what the line lacks. `from` is the node that reports the
+    /// line: it may not know its own address.
     pub(crate) fn parse(line: &str, from: SocketAddr) -> Result<Option<Node>, &'static str> {
         let fields: Vec<&str> = line.split(' ').collect();
         let [id, addr, flags, owner_id, _ping, _pong, epoch, _link, slots @ ..] = fields.as_slice() else {
@@ -50,7 +52,8 @@
 }
 
 fn parse_slots(fields: &[&str]) -> Option<Vec<SlotRange>> {
-    // Slots in migration are repeated in brackets: their owner is unchanged until the migration ends.
+    // Slots in migration are repeated in brackets: their owner is unchanged until the migration
+    // ends.
     let settled = fields.iter().filter(|field| !field.starts_with('[') && !field.is_empty());
     settled.map(|field| SlotRange::parse(field)).collect()
 }
--- a/crates/slot-map/src/refresh.rs
+++ b/crates/slot-map/src/refresh.rs
@@ -2,12 +2,12 @@
 
 use chalkwalk_time::{Span, Timestamp};
 
-/// Between two polls while nothing is amiss. Failovers and migrations show by failures and redirections; a node that was removed
-/// and still runs does not, and has to count as gone within the time limit for membership changes, of which two nodes that hang
-/// may take a second each.
+/// Between two polls while nothing is amiss. Failovers and migrations show by failures and
+/// redirections; a node that was removed and still runs does not, and has to count as gone within
+/// the time limit for membership changes, of which two nodes that hang may take a second each.
 const REFRESH_INTERVAL: Span = Span::from_secs(3);
-/// At least between two polls after a redirection or failure: a rebalance redirects thousands of requests, and one view covers
-/// them all.
+/// At least between two polls after a redirection or failure: a rebalance redirects thousands of
+/// requests, and one view covers them all.
 const MIN_INTERVAL: Span = Span::from_millis(250);
 /// After a poll that failed; doubled up to eight times that.
 const BACKOFF: Span = Span::from_millis(250);
@@ -47,7 +47,8 @@
         Some(last + interval)
     }
 
-    /// A poll starts now. Returns which of so many nodes gets it: each in its turn, as any may be cut off from the others.
+    /// A poll starts now. Returns which of so many nodes gets it: each in its turn, as any may be
+    /// cut off from the others.
     pub fn start(&mut self, now: Timestamp, nodes: usize) -> usize {
         self.in_flight = true;
         self.requested = false;
--- a/crates/slot-map/src/route.rs
+++ b/crates/slot-map/src/route.rs
@@ -1,11 +1,12 @@
-//! The route of one request among the servers: which may serve it next, after the redirections so far.
+//! The route of one request among the servers: which may serve it next, after the redirections so
+//! far.
 
 use crate::error_meaning::ErrorMeaning;
 use crate::slot_map::SlotMap;
 use std::net::SocketAddr;
 
-/// Redirections that one request follows: a slot that moves twice between its attempts takes two, and an `ASK` one more. More is
-/// a loop.
+/// Redirections that one request follows: a slot that moves twice between its attempts takes two,
+/// and an `ASK` one more. More is a loop.
 const MAX_REDIRECTIONS: u32 = 5;
 
 /// Which servers may serve one request.
@@ -25,7 +26,8 @@
         RequestRoute { slot, stale_reads, redirections: 0, ask_target: None }
     }
 
-    /// The servers that may serve it now, the preferred one first. Empty if no owner is known or redirections form a loop.
+    /// The servers that may serve it now, the preferred one first. Empty if no owner is known or
+    /// redirections form a loop.
     pub fn candidates(&self, map: &SlotMap) -> Vec<SocketAddr> {
         if self.redirections > MAX_REDIRECTIONS {
             return Vec::new();
@@ -47,7 +49,8 @@
         !self.needs_asking(to) && map.owner(self.slot) != Some(to)
     }
 
-    /// Applies a server's error to the route, and a `MOVED` to the map. Returns whether the map should be refreshed.
+    /// Applies a server's error to the route, and a `MOVED` to the map. Returns whether the map
+    /// should be refreshed.
     pub fn on_error(&mut self, meaning: &ErrorMeaning, map: &mut SlotMap) -> bool {
         // An `ASK` holds for one attempt.
         self.ask_target = None;
--- a/crates/slot-map/src/slot_map.rs
+++ b/crates/slot-map/src/slot_map.rs
@@ -8,7 +8,8 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Redirections that are held until the next view; a cluster that has moved more slots is polled for one anyway.
+/// Redirections that are held until the next view; a cluster that has moved more slots is polled
+/// for one anyway.
 const MAX_MOVED: usize = 1024;
 
 /// A range of slots with one owner.
@@ -24,7 +25,8 @@
     epoch: u64,
 }
 
-/// A view that is older than one that was applied before: the node that sent it was cut off from the others.
+/// A view that is older than one that was applied before: the node that sent it was cut off from
+/// the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("an old view, epoch {epoch} after {applied}")]
 pub struct OutdatedView {
@@ -46,7 +48,8 @@
 }
 
 impl SlotMap {
-    /// The ranges that views have assigned, in order. Redirections since the last view are not among them.
+    /// The ranges that views have assigned, in order. Redirections since the last view are not
+    /// among them.
     pub fn assignments(&self) -> &[SlotAssignment] {
         &self.assignments
     }
@@ -56,7 +59,8 @@
         self.assignments.get(index).filter(|assignment| assignment.slots.contains(slot))
     }
 
-    /// The servers that may serve a slot: its owner, then its replicas, in order. Empty for a slot without an owner.
+    /// The servers that may serve a slot: its owner, then its replicas, in order. Empty for a slot
+    /// without an owner.
     pub fn servers_for(&self, slot: u16) -> impl Iterator<Item = SocketAddr> {
         let assignment = self.assignment(slot);
         let moved = self.moved.get(&slot).copied();
@@ -72,8 +76,8 @@
         self.servers_for(slot).next()
     }
 
-    /// Applies a `MOVED` redirection. The server that sent it knows better: it was the owner, or the request was sent by an
-    /// outdated map. Returns whether the owner was another before.
+    /// Applies a `MOVED` redirection. The server that sent it knows better: it was the owner, or
+    /// the request was sent by an outdated map. Returns whether the owner was another before.
     pub fn apply_moved(&mut self, slot: u16, to: SocketAddr) -> bool {
         if slot >= SLOT_COUNT || self.owner(slot) == Some(to) {
             return false;
@@ -84,8 +88,9 @@
         true
     }
 
-    /// Applies a view, slot by slot. A node that was cut off reports an old view, which is an error and changes nothing. A slot
-    /// that nobody claims keeps its owner while that one is live: the slot may be in migration.
+    /// Applies a view, slot by slot. A node that was cut off reports an old view, which is an error
+    /// and changes nothing. A slot that nobody claims keeps its owner while that one is live: the
+    /// slot may be in migration.
     pub fn apply_view(&mut self, view: &ClusterView) -> Result<(), OutdatedView> {
         let epoch = view.newest_epoch();
         if epoch < self.epoch {
@@ -93,7 +98,8 @@
         }
         self.assignments = self.merge(view);
         self.epoch = epoch;
-        // A view is newer than the redirections before it, except for slots that it leaves without an owner.
+        // A view is newer than the redirections before it, except for slots that it leaves without
+        // an owner.
         let mut moved = std::mem::take(&mut self.moved);
         moved.retain(|slot, to| view.is_live(*to) && self.assignment(*slot).is_none());
         self.moved = moved;
@@ -150,7 +156,8 @@
     claims
 }
 
-/// Of two nodes that claim a slot the higher epoch wins, as among the nodes themselves; of equal ones the lower id.
+/// Of two nodes that claim a slot the higher epoch wins, as among the nodes themselves; of equal
+/// ones the lower id.
 fn outranks(node: &Node, other: &Node) -> bool {
     (Reverse(node.epoch), &node.id) < (Reverse(other.epoch), &other.id)
 }
--- a/crates/slot-map/src/slot_range.rs
+++ b/crates/slot-map/src/slot_range.rs
@@ -1,4 +1,5 @@
-//! Hash slots and ranges of them, as the cluster specification writes them: first and last slot, both included.
+//! Hash slots and ranges of them, as the cluster specification writes them: first and last slot,
+//! both included.
 
 /// How many hash slots a cluster has.
 pub const SLOT_COUNT: u16 = 16384;
@@ -21,7 +22,8 @@
         (self.first..=self.last).contains(&slot)
     }
 
-    /// Reads `first-last`, or a single slot. None if it is neither, is reversed or passes the last slot of a cluster.
+    /// Reads `first-last`, or a single slot. None if it is neither, is reversed or passes the last
+    /// slot of a cluster.
     pub(crate) fn parse(text: &str) -> Option<SlotRange> {
         let (first, last) = text.split_once('-').unwrap_or((text, text));
         let range = SlotRange { first: first.parse().ok()?, last: last.parse().ok()? };
--- a/crates/slot-map/src/view.rs
+++ b/crates/slot-map/src/view.rs
@@ -36,7 +36,8 @@
 }
 
 impl ClusterView {
-    /// Parses the reply to `CLUSTER NODES`. `from` is the node that sent it: it may not know its own address.
+    /// Parses the reply to `CLUSTER NODES`. `from` is the node that sent it: it may not know its
+    /// own address.
     pub fn parse(text: &str, from: SocketAddr) -> Result<ClusterView, ViewError> {
         let mut nodes = Vec::new();
         for line in text.lines().map(str::trim).filter(|line| !line.is_empty()) {
--- a/crates/slot-map/tests/error_meaning.rs
+++ b/crates/slot-map/tests/error_meaning.rs
@@ -9,7 +9,8 @@
     let to = "127.0.0.1:7001".parse().unwrap();
     assert_eq!(classify("MOVED 3999 127.0.0.1:7001"), ErrorMeaning::Moved { slot: 3999, to });
     assert_eq!(classify("ASK 3999 :7001"), ErrorMeaning::Ask { slot: 3999, to });
-    // A slot past the last, a host name instead of an address, a line cut short: only a new map can help.
+    // A slot past the last, a host name instead of an address, a line cut short: only a new map can
+    // help.
     for malformed in
         ["MOVED 16384 127.0.0.1:1", "MOVED 1 host:1", "MOVED 1", "ASK", "CLUSTERDOWN Hash slot not served"]
     {
--- a/crates/slot-map/tests/migration.rs
+++ b/crates/slot-map/tests/migration.rs
@@ -1,5 +1,6 @@
-//! A slot migrates and migrates back while two requests for it are under way, in every order of the steps: no command runs twice,
-//! none runs at a server that does not hold the key, and both requests end.
+//! A slot migrates and migrates back while two requests for it are under way, in every order of the
+//! steps: no command runs twice, none runs at a server that does not hold the key, and both
+//! requests end.
 
 use chalkwalk_slot_map::{ClusterView, ErrorMeaning, RequestRoute, SlotMap, classify_error};
 use std::collections::HashSet;
@@ -24,7 +25,8 @@
     runs: [Vec<usize>; 2],
 }
 
-/// The new owner prepares, then the old one; each key is copied; the new owner takes the slot, the old one learns it; and back.
+/// The new owner prepares, then the old one; each key is copied; the new owner takes the slot, the
+/// old one learns it; and back.
 const STEPS: usize = 12;
 
 impl Cluster {
@@ -48,7 +50,8 @@
         self.step += 1;
     }
 
-    /// How a server answers a request, by the specification: an error, or none where the command runs.
+    /// How a server answers a request, by the specification: an error, or none where the command
+    /// runs.
     fn answer(&mut self, request: usize, server: usize, asking: bool) -> Option<String> {
         let here = self.key_at[request] == server;
         let other = addr(1 - server);
--- a/crates/slot-map/tests/refresh.rs
+++ b/crates/slot-map/tests/refresh.rs
@@ -1,4 +1,5 @@
-//! The slot map is polled by one call at a time: soon after a redirection, seldom otherwise, with backoff after failures.
+//! The slot map is polled by one call at a time: soon after a redirection, seldom otherwise, with
+//! backoff after failures.
 
 use chalkwalk_slot_map::RefreshSchedule;
 use chalkwalk_time::{Span, Timestamp};
--- a/crates/slot-map/tests/slot_map.rs
+++ b/crates/slot-map/tests/slot_map.rs
@@ -26,7 +26,8 @@
     let mut map = SlotMap::default();
     map.apply_view(&parse(THREE_OWNERS).unwrap()).unwrap();
     let first = shown(&map);
-    // b has failed and d took over; c claims a slot of a's too by its higher epoch; a gap stays with its last owner.
+    // b has failed and d took over; c claims a slot of a's too by its higher epoch; a gap stays
+    // with its last owner.
     let after = "a 127.0.0.1:7000@1 master - 0 0 1 connected 0-5000\nb 127.0.0.1:7001@1 master,fail - 0 0 2 connected\n\
         c 127.0.0.1:7002@1 master - 0 0 3 connected 10923-16383 77\nd 127.0.0.1:7003@1 master - 0 0 4 connected 5461-10922";
     map.apply_view(&parse(after).unwrap()).unwrap();
