--- a/crates/engine/src/attempt.rs
+++ b/crates/engine/src/attempt.rs
@@ -9,7 +9,7 @@
 use crate::pool::ServerConnection;
 use crate::response::{Response, ServerResponse};
 use chalkwalk_balancer::AttemptOutcome;
-use chalkwalk_balancer::admission::{Refusal, Written};
+use chalkwalk_balancer::admission::{SendRefusal, WrittenAttempt};
 use chalkwalk_sockets::wait_until;
 use chalkwalk_time::Timestamp;
 use slog::debug;
--- a/crates/http-frontend/tests/wire.rs
+++ b/crates/http-frontend/tests/wire.rs
@@ -6,7 +6,7 @@
 use chalkwalk_engine::lifecycle::Phase;
 use chalkwalk_engine::servers::ListedEndpoint;
 use chalkwalk_http_frontend::{AliveCheck, Frontend, accept};
-use chalkwalk_limits::{Account, Namespace, Repeats};
+use chalkwalk_limits::{Idempotency, Namespace, PlatformLimits};
 use chalkwalk_time::{Span, Timestamp};
 use expect_test::expect;
 use smol::Async;
@@ -22,15 +22,15 @@
     let namespace = Namespace {
         name: "books".into(),
         time_limit: Span::from_secs(1),
-        target: Span::from_millis(500),
-        repeats: Repeats::Replayable,
-        window: Span::ZERO,
+        latency_objective: Span::from_millis(500),
+        idempotency: Idempotency::Replayable,
+        dedup_window: Span::ZERO,
     };
-    let account = Account {
+    let platform_limits = PlatformLimits {
         max_attempts: 1,
-        longest_body: LONGEST_BODY,
+        max_body_bytes: LONGEST_BODY,
         namespaces: vec![namespace],
-        ..Account::default()
+        ..PlatformLimits::default()
     };
     let settings =
         [("namespaces", "1"), ("namespace 0 time limit", "10000"), ("namespace 0 target time", "5000")];
@@ -40,7 +40,7 @@
         settings: settings.map(|(name, value)| (name.to_string(), value.to_string())).into(),
         zones: vec!["a".into()],
         kinds: Vec::new(),
-        account,
+        platform_limits,
         limits: None,
         connect_timeout: Duration::from_secs(1).into(),
         idle_timeout: Duration::from_secs(10),
@@ -140,7 +140,8 @@
         field twice: HTTP/1.1 400 Bad Request, close
         too long: HTTP/1.1 413 Content Too Large, close
         two at once: HTTP/1.1 400 Bad Request, close
-        no http: HTTP/1.1 400 Bad Request, close"#]].assert_eq(&seen);
+        no http: HTTP/1.1 400 Bad Request, close"#]]
+    .assert_eq(&seen);
 }
 
 #[test]
@@ -214,7 +215,8 @@
         Content-Type: text/plain
         Connection: close
 
-        value"#]].assert_eq(&format!("{sent}\n---\n{}", reply.replace('\r', "")));
+        value"#]]
+    .assert_eq(&format!("{sent}\n---\n{}", reply.replace('\r', "")));
 }
 
 #[test]
@@ -250,5 +252,6 @@
         HTTP/1.1 200 OK
         Connection: close
         Transfer-Encoding: chunked
-        100000 bytes, ends false"#]].assert_eq(&seen.join("\n---\n"));
+        100000 bytes, ends false"#]]
+    .assert_eq(&seen.join("\n---\n"));
 }
