--- a/crates/http-frontend/tests/wire.rs
+++ b/crates/http-frontend/tests/wire.rs
@@ -1,5 +1,7 @@
-//! The frontend on sockets, with an engine of its own: what clients are answered, and what a server is sent.
+//! The frontend on sockets, with an engine of its own: what clients are answered, and what a server
+//! is sent.
 
+use chalkwalk_balancer::EndpointStatus;
 use chalkwalk_engine::api;
 use chalkwalk_engine::config::EngineConfig;
 use chalkwalk_engine::engine::Engine;
@@ -59,12 +61,13 @@
         kind: String::new(),
         cell: 0,
         size: 100,
-        status: chalkwalk_balancer::EndpointStatus::Ready,
+        status: EndpointStatus::Ready,
         born: Timestamp::ZERO,
     }
 }
 
-/// A proxy that runs for as long as the client does, which gets its address; in front of a server, if there is one.
+/// A proxy that runs for as long as the client does, which gets its address; in front of a server,
+/// if there is one.
 fn run<T: Send + 'static>(
     server: Option<SocketAddr>,
     client: impl FnOnce(SocketAddr) -> T + Send + 'static,
@@ -166,7 +169,8 @@
     )
 }
 
-/// A server that answers one connection after the other with these bytes, each after a time, and closes it. Returns what it was sent.
+/// A server that answers one connection after the other with these bytes, each after a time, and
+/// closes it. Returns what it was sent.
 fn server(answers: Vec<(&'static str, Duration)>) -> (SocketAddr, JoinHandle<Vec<String>>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
