--- a/crates/config/src/resp.rs
+++ b/crates/config/src/resp.rs
@@ -23,7 +23,7 @@
     pub stale_reads: Vec<usize>,
     /// Whether commands with several keys are split by server.
     pub split: bool,
-    /// The proxies that clients are told of, as the cluster's nodes.
+    /// The proxies that clients see as the cluster's nodes.
     pub instances: Vec<ProxyInstance>,
     /// Who may connect.
     pub users: Vec<RespUser>,
@@ -63,7 +63,7 @@
 /// Hash slots of the protocol, by its public specification.
 const SLOTS: u16 = 16384;
 const ALL_SLOTS: (u16, u16) = (0, SLOTS - 1);
-/// Instances that clients are told of at the most, and seeds: as many as a slot map has nodes.
+/// The most instances that clients may see, and the most seeds: as many as a slot map has nodes.
 const MAX_INSTANCES: usize = 4096;
 
 /// Where it is not as it should be, the errors say so and the result is of no use.
--- a/crates/discovery/src/list.rs
+++ b/crates/discovery/src/list.rs
@@ -1,4 +1,4 @@
-//! What an endpoint list says, read from JSON and applied to the engine.
+//! The content of an endpoint list, read from JSON and applied to the engine.
 
 use crate::address::parse_address;
 use chalkwalk_balancer::EndpointStatus;
--- a/crates/discovery/src/startup.rs
+++ b/crates/discovery/src/startup.rs
@@ -30,7 +30,38 @@
 /// Names the admin address where the configuration has none.
 const ADMIN_ADDRESS_VARIABLE: &str = "ROUTER_CONSOLE";
 
-/// What the configuration file says.
+/// Why the configuration can't be used.
+#[derive(Debug, thiserror::Error)]
+pub enum StartupError {
+    /// The file can't be read.
+    #[error("cannot read {path}: {source}")]
+    Unreadable {
+        /// The file.
+        path: String,
+        /// Why not.
+        source: std::io::Error,
+    },
+    /// The file is not JSON.
+    #[error("{path} is no JSON: {source}")]
+    NotJson {
+        /// The file.
+        path: String,
+        /// Where and why not.
+        source: serde_json::Error,
+    },
+    /// A field is missing or makes no sense.
+    #[error(transparent)]
+    Field(#[from] FieldError),
+}
+
+/// For callers whose own errors are texts for people.
+impl From<StartupError> for String {
+    fn from(error: StartupError) -> String {
+        error.to_string()
+    }
+}
+
+/// The content of the configuration file.
 pub struct StartupConfig {
     /// Where clients connect to.
     pub listen: SocketAddr,
@@ -50,11 +81,12 @@
 
 impl StartupConfig {
     /// Reads the file. The first field that can't be read is the error.
-    pub fn load(path: &str) -> FieldResult<StartupConfig> {
-        let text = std::fs::read_to_string(path).map_err(|error| format!("cannot read {path}: {error}"))?;
-        let json: Value =
-            serde_json::from_str(&text).map_err(|error| format!("{path} is no JSON: {error}"))?;
-        StartupConfig::read(object(&json, "the configuration")?)
+    pub fn load(path: &str) -> Result<StartupConfig, StartupError> {
+        let unreadable = |source| StartupError::Unreadable { path: path.to_string(), source };
+        let not_json = |source| StartupError::NotJson { path: path.to_string(), source };
+        let text = std::fs::read_to_string(path).map_err(unreadable)?;
+        let json: Value = serde_json::from_str(&text).map_err(not_json)?;
+        Ok(StartupConfig::read(object(&json, "the configuration")?)?)
     }
 
     fn read(config: &JsonObject) -> FieldResult<StartupConfig> {
--- a/crates/limits/src/check/class.rs
+++ b/crates/limits/src/check/class.rs
@@ -14,8 +14,8 @@
 }
 
 impl<'a> Broken<'a> {
-    fn new(sources: impl Into<Vec<&'a LimitSource>>, message: String) -> Option<Broken<'a>> {
-        Some(Broken { sources: sources.into(), message })
+    fn new(sources: impl Into<Vec<&'a LimitSource>>, message: String) -> Broken<'a> {
+        Broken { sources: sources.into(), message }
     }
 
     /// The narrowest scope that set one of the limits is the one to change, and it comes last in the file.
@@ -93,7 +93,7 @@
         return None;
     }
     let message = format!("a time limit of {} ms is above the platform's {} ms", ms(*value), ms(allowed));
-    Broken::new([source], message)
+    Some(Broken::new([source], message))
 }
 
 fn objective_within_time_limit<'a>(subject: &Subject<'a>) -> Option<Broken<'a>> {
@@ -106,7 +106,7 @@
         ms(latency_objective.value),
         ms(time_limit.value)
     );
-    Broken::new([&latency_objective.source, &time_limit.source], message)
+    Some(Broken::new([&latency_objective.source, &time_limit.source], message))
 }
 
 fn attempts_within_platforms<'a>(subject: &Subject<'a>) -> Option<Broken<'a>> {
@@ -115,7 +115,10 @@
     if *value <= allowed {
         return None;
     }
-    Broken::new([source], format!("{value} attempts are more than the {allowed} that the platform allows"))
+    Some(Broken::new(
+        [source],
+        format!("{value} attempts are more than the {allowed} that the platform allows"),
+    ))
 }
 
 fn body_within_platforms<'a>(subject: &Subject<'a>) -> Option<Broken<'a>> {
@@ -124,7 +127,7 @@
     if *value <= allowed {
         return None;
     }
-    Broken::new([source], format!("a body of {value} bytes is above the platform's {allowed}"))
+    Some(Broken::new([source], format!("a body of {value} bytes is above the platform's {allowed}")))
 }
 
 fn hedging_only_if_replayable<'a>(subject: &Subject<'a>) -> Option<Broken<'a>> {
@@ -137,7 +140,7 @@
     if !hedging.value {
         return None;
     }
-    Broken::new([&hedging.source], format!("hedging a {kind} request would run it twice"))
+    Some(Broken::new([&hedging.source], format!("hedging a {kind} request would run it twice")))
 }
 
 fn hedging_allowed_by_platform<'a>(subject: &Subject<'a>) -> Option<Broken<'a>> {
@@ -145,7 +148,7 @@
     if !hedging.value || subject.platform.hedging {
         return None;
     }
-    Broken::new([&hedging.source], "the platform allows no hedged requests".into())
+    Some(Broken::new([&hedging.source], "the platform allows no hedged requests".into()))
 }
 
 /// Of requests that must not run twice nothing is reported: there wider scopes may set it for others.
@@ -156,7 +159,7 @@
         return None;
     }
     let message = "copies_after is set, and hedged requests are not allowed".into();
-    Broken::new([&hedge_after.source, &hedging.source], message)
+    Some(Broken::new([&hedge_after.source, &hedging.source], message))
 }
 
 fn hedge_after_needs_two_attempts<'a>(subject: &Subject<'a>) -> Option<Broken<'a>> {
@@ -165,7 +168,7 @@
         return None;
     }
     let message = "a hedged request is a second attempt, and most_shots is 1".into();
-    Broken::new([&hedge_after.source, &max_attempts.source], message)
+    Some(Broken::new([&hedge_after.source, &max_attempts.source], message))
 }
 
 fn retry_budget_within_attempts<'a>(subject: &Subject<'a>) -> Option<Broken<'a>> {
@@ -175,7 +178,7 @@
         return None;
     }
     let message = format!("further_shots is more than the {retries} that most_shots leaves");
-    Broken::new([&retry_budget.source, &max_attempts.source], message)
+    Some(Broken::new([&retry_budget.source, &max_attempts.source], message))
 }
 
 /// Unless an attempt is given up before, the last may start at the end of the time limit.
@@ -190,7 +193,7 @@
         "servers drop repeats for {} ms only, and the last attempt may start later: set shot_wait_ms, a shorter time limit or most_shots = 1",
         ms(window)
     );
-    Broken::new([&max_attempts.source, &time_limit.source], message)
+    Some(Broken::new([&max_attempts.source, &time_limit.source], message))
 }
 
 fn attempt_timeout_within_time_limit<'a>(subject: &Subject<'a>) -> Option<Broken<'a>> {
@@ -201,7 +204,7 @@
         ms(timeout),
         ms(time_limit.value)
     );
-    Broken::new([&attempt_timeout.source, &time_limit.source], message)
+    Some(Broken::new([&attempt_timeout.source, &time_limit.source], message))
 }
 
 /// Where one attempt alone does not, that is reported instead.
@@ -219,7 +222,7 @@
         ms(time_limit.value)
     );
     let [timeout_source, attempts_source] = subject.attempt_sources();
-    Broken::new([timeout_source, attempts_source, &time_limit.source], message)
+    Some(Broken::new([timeout_source, attempts_source, &time_limit.source], message))
 }
 
 fn tagged_retries_within_dedup_window<'a>(subject: &Subject<'a>) -> Option<Broken<'a>> {
@@ -233,5 +236,5 @@
         ms(last_start),
         ms(window)
     );
-    Broken::new(subject.attempt_sources(), message)
+    Some(Broken::new(subject.attempt_sources(), message))
 }
