--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -114,8 +114,8 @@
     }
 }
 
-/// Whether a client's connection between two requests may be closed to make room for others. One that never carried a request may, as
-/// whoever opened it sends again; on one that was just used the next request may be on its way.
+/// Whether a client's connection between two requests may be closed to make room for others. One that never carried a request
+/// may, as whoever opened it sends again; on one that was just used the next request may be on its way.
 pub fn may_close(used: bool, idle_for: Span) -> bool {
     !used || idle_for > JUST_USED
 }
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -1,8 +1,8 @@
 //! One balancer is one proxy's decisions: it owns the state of each decision, and wires the modules that make them.
 //!
-//! Set its clock, give it the list of servers, accept each request and route it, then report what happens to its attempts. What it
-//! wants done leaves by the [`Effects`]. The same calls lead to the same decisions: it reads no clock and draws from its own
-//! random numbers.
+//! Set its clock, hand it the list of servers, accept each request and route it, then report what happens to its attempts. It
+//! calls its [`Effects`] for what is to be done. The same calls lead to the same decisions: it reads no clock and draws from
+//! its own random numbers.
 
 mod attempts;
 mod endpoints;
@@ -31,7 +31,7 @@
 use chalkwalk_time::{Span, Timestamp};
 use std::collections::{BTreeMap, HashMap};
 
-/// The state fades in steps of one second: long enough for some dozens of answers, short enough to see a failure begin and end.
+/// The state decays in steps of one second: long enough for some dozens of answers, short enough to see a failure begin and end.
 const SECOND: Span = Span::from_secs(1);
 /// After a standstill of so long the seconds in between are not made up for.
 const LONGEST_CATCH_UP: Span = Span::from_secs(20);
@@ -48,8 +48,8 @@
 #[derive(Default)]
 pub struct Balancer {
     now: Timestamp,
-    /// Until when the state has faded.
-    faded_until: Timestamp,
+    /// Until when the state has decayed.
+    decayed_until: Timestamp,
     settings: Settings,
     random: Random,
     /// Its own, so that proxies pass a loaded server for different keys.
@@ -85,18 +85,18 @@
     /// Sets the clock, which never goes back. Called before each call that something has happened.
     pub fn advance_clock(&mut self, now: Timestamp) {
         self.now = now;
-        while self.faded_until + SECOND <= now {
-            let behind = now - self.faded_until;
-            self.faded_until = if behind > LONGEST_CATCH_UP { now } else { self.faded_until + SECOND };
-            self.fade();
+        while self.decayed_until + SECOND <= now {
+            let behind = now - self.decayed_until;
+            self.decayed_until = if behind > LONGEST_CATCH_UP { now } else { self.decayed_until + SECOND };
+            self.decay();
         }
     }
 
     /// One second has passed for the state of each decision.
-    fn fade(&mut self) {
+    fn decay(&mut self) {
         self.latencies.decay();
         self.key_order.drop_idle(self.now);
-        self.shedding.recover(self.faded_until.whole_periods(SECOND));
+        self.shedding.recover(self.decayed_until.whole_periods(SECOND));
         self.connections.recover();
         for server in &mut self.servers {
             server.recover(&self.settings);
@@ -114,7 +114,7 @@
         }
     }
 
-    /// How long a server with attempts in flight may say nothing.
+    /// How long a server with attempts in flight may send nothing.
     fn silence_timeout(&self) -> Span {
         crate::liveness::silence_timeout(&self.latencies, self.settings.shortest_target())
     }
--- a/crates/balancer/src/balancer/attempts.rs
+++ b/crates/balancer/src/balancer/attempts.rs
@@ -1,7 +1,7 @@
 //! Starts attempts, and takes what becomes of them: each decision about the server learns from the outcome, one step after the
 //! other, and then the request goes on.
 //!
-//! Must be told of the start of each response and of the end of each attempt, once.
+//! Inputs: the start of each response and the end of each attempt, once.
 
 use super::Balancer;
 use super::retry::RetryCost;
@@ -110,12 +110,12 @@
         let Some(ended) = self.end_attempt(request_id, attempt, outcome.without_source(), took) else {
             return;
         };
-        let no_place = self.record_connection(&ended);
+        let no_connection_left = self.record_connection(&ended);
         self.record_latency(&ended);
         let ended_fetch = self.take_fetch(request_id, &ended);
         self.record_key(&ended);
         let late_alone = ended.outcome == AttemptOutcome::TimedOut && !ended.server_was_silent;
-        if !(ended.is_origin_error() || no_place || late_alone) {
+        if !(ended.is_origin_error() || no_connection_left || late_alone) {
             self.record_outcome(ended.server, ended.outcome, effects);
         }
         self.record_load(&ended);
@@ -144,7 +144,7 @@
         }
         attempt.pending = false;
         attempt.may_have_run = outcome.may_have_run();
-        // A server that alone may serve the request may be asked again across a connection that broke.
+        // A server that alone may serve the request may be tried again across a connection that broke.
         let broke_at_owner = outcome == AttemptOutcome::ConnectionLost && request.allowed_servers.is_some();
         attempt.failed = outcome != AttemptOutcome::CacheMiss && !broke_at_owner;
         let server = &mut self.servers[attempt.server];
@@ -173,7 +173,7 @@
         })
     }
 
-    /// Learns whether servers have places for connections; whether the attempt failed for lack of one.
+    /// Learns whether servers have capacity for connections; whether the attempt failed for lack of it.
     fn record_connection(&mut self, ended: &EndedAttempt) -> bool {
         let refused = ended.outcome == AttemptOutcome::Unreachable;
         let server = &mut self.servers[ended.server];
@@ -182,14 +182,14 @@
         if ended.from_server {
             self.connections.record(refused);
         }
-        let no_place = refused && ended.opened_connection && self.connections.is_scarce();
-        if no_place {
+        let no_connection_left = refused && ended.opened_connection && self.connections.is_scarce();
+        if no_connection_left {
             let connected = self.connected_count(group);
             self.connections.lower(group, connected);
         } else if ended.opened_connection && ended.from_server && ended.outcome.is_success_or_miss() {
             self.connections.raise(group);
         }
-        no_place
+        no_connection_left
     }
 
     /// Learns how fast the server answers, and from that how much it takes.
@@ -202,7 +202,7 @@
         if outcome == AttemptOutcome::Completed && from_server {
             self.latencies.record(took);
         }
-        if from_server && outcome.tells_latency() {
+        if from_server && outcome.shows_latency() {
             server.keys.record_latency(took, target);
         }
         let shortest_target = self.settings.shortest_target().unwrap_or(target);
@@ -228,7 +228,7 @@
 
     /// Learns whether the servers, or the origin, are late.
     fn record_load(&mut self, ended: &EndedAttempt) {
-        if ended.is_origin_error() || ended.outcome.tells_latency() {
+        if ended.is_origin_error() || ended.outcome.shows_latency() {
             let by_server = ended.from_server && !ended.likely_fetch;
             let resource = if by_server { Resource::Servers } else { Resource::Origin };
             self.shedding.record(resource, ended.is_late());
--- a/crates/balancer/src/balancer/queries.rs
+++ b/crates/balancer/src/balancer/queries.rs
@@ -1,4 +1,4 @@
-//! What callers may ask of a balancer, and what they may tell it beside requests and lists. Nothing here decides.
+//! Queries of a balancer's state, and changes of it beside requests and lists. Nothing here decides.
 
 use super::Balancer;
 use crate::hash::mix;
--- a/crates/balancer/src/balancer/repeats.rs
+++ b/crates/balancer/src/balancer/repeats.rs
@@ -37,8 +37,8 @@
             && self.may_repeat(request, Some(server), self.now, None)
     }
 
-    /// Whether a repeat of the request, at that server or (for `None`) anywhere, does no harm until `then`. The attempt itself, where
-    /// there is one already, is not its own repeat.
+    /// Whether a repeat of the request, at that server or (for `None`) anywhere, does no harm until `then`. The attempt itself,
+    /// where there is one already, is not its own repeat.
     pub(super) fn may_repeat(
         &self,
         request: &Request,
--- a/crates/balancer/src/balancer/retry.rs
+++ b/crates/balancer/src/balancer/retry.rs
@@ -1,6 +1,6 @@
 //! Decides what follows an attempt that did not serve its request: a retry or a hedged request, or the final answer.
 //!
-//! Must be told of the end of attempts and of timers. Guards the servers against retry storms by the budget of the class, and the
+//! Inputs: the end of attempts, and timers. Guards the servers against retry storms by the budget of the class, and the
 //! client against a retry that would run its request twice.
 
 use super::{Balancer, SECOND};
@@ -22,7 +22,7 @@
 enum Wait {
     /// Nothing is wrong yet.
     GoesOn,
-    /// Its server has said nothing since it was sent.
+    /// Its server has sent nothing since it was sent.
     Silent,
     /// It was accepted and never answered, or takes so long that its class asks for a hedged request.
     HedgeDue,
--- a/crates/balancer/src/balancer/selection.rs
+++ b/crates/balancer/src/balancer/selection.rs
@@ -1,7 +1,7 @@
 //! Decides which server gets the next attempt of a request: the first that follows the key's point on the ring and may get it.
 //! The own zone comes before the others, and each is sought three times, with fewer conditions each time.
 //!
-//! Must be told nothing of its own: it reads what the other decisions know of each server.
+//! Inputs: what the other decisions know of each server; it has no state of its own.
 
 use super::Balancer;
 use crate::connections::ZoneGroup;
--- a/crates/balancer/src/balancer/snapshot.rs
+++ b/crates/balancer/src/balancer/snapshot.rs
@@ -57,7 +57,7 @@
         self.accepted.store(&mut to);
         self.shedding.accepted_recently().store(&mut to);
         self.salt.store(&mut to);
-        self.faded_until.store(&mut to);
+        self.decayed_until.store(&mut to);
         self.connections.refused_share().store(&mut to);
         self.discovery.store(&mut to);
         self.origin.store(&mut to);
@@ -96,7 +96,7 @@
         balancer.accepted = Stored::load(from)?;
         let accepted_recently = Stored::load(from)?;
         balancer.salt = Stored::load(from)?;
-        balancer.faded_until = Stored::load(from)?;
+        balancer.decayed_until = Stored::load(from)?;
         let refused_share = Stored::load(from)?;
         balancer.discovery = Stored::load(from)?;
         balancer.origin = Stored::load(from)?;
--- a/crates/balancer/src/concurrency_limit.rs
+++ b/crates/balancer/src/concurrency_limit.rs
@@ -1,6 +1,6 @@
 //! Decides how many attempts a server takes at once, by additive increase and multiplicative decrease.
 //!
-//! Must be told how each attempt ended, how long it took and how many were in flight with it. Late is what took over half its
+//! Inputs: how each attempt ended, how long it took and how many were in flight with it. Late is what took over half its
 //! target time, or 3/4 of the shortest: queues stay short enough for the most urgent, which the patient would crowd out; at the
 //! origin, over 3/4 of its own. A sixth of an attempt up and an eighth of the limit down hold eight attempts where one in seven
 //! is late, and one where half are.
@@ -34,7 +34,7 @@
 
 stored! { ConcurrencyLimit { rejections, sparse, limit } }
 
-/// What an attempt tells of the limit of its server.
+/// What an attempt shows of the limit of its server.
 pub(crate) struct Sample {
     pub outcome: AttemptOutcome,
     pub took: Span,
--- a/crates/balancer/src/connections.rs
+++ b/crates/balancer/src/connections.rs
@@ -1,7 +1,8 @@
-//! Decides to how many servers connections are held. Guards servers short of places against hundreds of proxies that each want
-//! one at all: no more are held than were found, one more is tried every four seconds, and two more where that is let in.
+//! Decides to how many servers connections are held. Guards servers short of capacity for connections against hundreds of
+//! proxies that each want one at all: no more are held than were found, one more is tried every four seconds, and two more
+//! where that is let in.
 //!
-//! Must be told which attempts found no connection.
+//! Inputs: which attempts found no connection.
 
 /// Hundredths of a server: limits are kept in these.
 const ONE: u64 = 100;
@@ -62,12 +63,12 @@
         self.refused_share = (self.refused_share * 31 + if refused { 10_000 } else { 0 }) / 32;
     }
 
-    /// Connections are refused for lack of places, and not by a server that died.
+    /// Connections are refused for lack of capacity, and not by a server that died.
     pub fn is_scarce(&self) -> bool {
         self.refused_share > SCARCE
     }
 
-    /// No place was found: no more are held than to so many.
+    /// A server had no capacity for a connection: no more are held than to so many.
     pub fn lower(&mut self, group: ZoneGroup, connected: u64) {
         let limit = &mut self.limits[group as usize];
         *limit = (*limit).min(ONE * connected.max(1));
--- a/crates/balancer/src/discovery.rs
+++ b/crates/balancer/src/discovery.rs
@@ -26,8 +26,8 @@
 pub const LONGEST_QUEUE_WAIT: Span = Span::from_secs(2);
 /// A connection that does not come up is given up after so long. The first SYN is sent again after 1 s.
 pub const CONNECT_TIMEOUT: Span = Span::from_secs(2);
-/// A call for the present list that has no answer is followed by another beside it: a second beyond its wait in the queue, so that no call
-/// is made twice to a service that merely has much to do.
+/// A call for the present list that has no answer is followed by another beside it: a second beyond its wait in the queue, so
+/// that no call is made twice to a service that merely has much to do.
 pub const POLL_SILENT_AFTER: Span = LONGEST_QUEUE_WAIT.plus(SECOND);
 
 /// How long a watch may wait for an event, at the most. What a silent one misses counts as notified 2 s after its wait is over; a
@@ -46,16 +46,17 @@
 const HEADROOM: Span = Span::from_millis(250);
 /// From the beginning of a call that failed to that of the next.
 const LONGEST_RETRY_INTERVAL: Span = LONGEST_CALL_INTERVAL.minus(HEADROOM);
-/// A call that took so long has waited in the queue: half of the longest wait, and well above what a call takes on a busy machine.
+/// A call that took so long has waited in the queue: half of the longest wait, and well above what a call takes on a busy
+/// machine.
 const QUEUED_FROM: Span = Span::from_secs(1);
-/// After a call that has waited in the queue no backoff is shorter, as a service that works on calls which it has refused by then has to get
-/// through a whole fleet's calls from one call of a process to its next: 3.5 s with the wait.
+/// After a call that has waited in the queue no backoff is shorter, as a service that works on calls which it has refused by
+/// then has to get through a whole fleet's calls from one call of a process to its next: 3.5 s with the wait.
 const SHORTEST_BACKOFF_AFTER_QUEUE: Span = Span::from_millis(1_500);
 /// So many calls in a row that failed, the last after waiting, over a minute of nothing else, are taken for a service that the
 /// fleet itself keeps from working.
 const CONGESTED_AFTER: u32 = 20;
-/// The backoff then. It exceeds the term, and is the one exception: a fleet that keeps to the term would go on keeping the service
-/// from answering anybody. Eight seconds in the mean, so that a queue of five seconds runs dry first.
+/// The backoff then. It exceeds the term, and is the one exception: a fleet that keeps to the term would go on keeping the
+/// service from answering anybody. Eight seconds in the mean, so that a queue of five seconds runs dry first.
 const BACKOFF_WHILE_CONGESTED: (Span, Span) = (Span::from_secs(4), Span::from_secs(12));
 
 /// An older call beside a newer one that failed is accepted until so long after the beginning of the newer: the shortest backoff
@@ -69,11 +70,11 @@
 // A silent watch is followed by another call while what it misses does not count as notified yet.
 const _: () = assert!(LONGEST_WATCH_WAIT.plus(WATCH_SILENT_AFTER).fits(NOTIFIED_WITHIN));
 
-/// Whether a call that begins so long after the one before keeps the term; that one could wait for an event for `wait`. The grace of
-/// drains covers the headroom.
+/// Whether a call that begins so long after the one before keeps the term; that one could wait for an event for `wait`. The
+/// grace of drains covers the headroom.
 pub fn call_interval_allowed(apart: Span, wait: Span) -> bool {
-    // A watch may fail just before it is taken for silent, and the shortest backoff follows. What it missed counts as notified a queue wait
-    // after its wait.
+    // A watch may fail just before it is taken for silent, and the shortest backoff follows. What it missed counts as notified
+    // a queue wait after its wait.
     let watched =
         if wait > Span::ZERO { wait + WATCH_SILENT_AFTER + 2 * SHORTEST_BACKOFF } else { Span::ZERO };
     apart <= LONGEST_CALL_INTERVAL.max(watched) + HEADROOM
@@ -132,8 +133,8 @@
         Backoff { shortest: longest / 4, within: LONGEST_RETRY_INTERVAL, longest }
     }
 
-    /// How long to wait after a call that took so long and failed, the last of so many in a row; `below` draws a uniform span below
-    /// another.
+    /// How long to wait after a call that took so long and failed, the last of so many in a row; `below` draws a uniform span
+    /// below another.
     pub fn delay(&self, took: Span, in_a_row: u32, below: impl FnOnce(Span) -> Span) -> Span {
         let queued = took >= QUEUED_FROM;
         let (shortest, longest) = match queued && in_a_row > CONGESTED_AFTER {
--- a/crates/balancer/src/effects.rs
+++ b/crates/balancer/src/effects.rs
@@ -1,4 +1,4 @@
-//! What a balancer wants done: its calls out, each at the moment of the decision. Nothing here decides.
+//! What a balancer does to the world: its calls out, each at the moment of the decision. Nothing here decides.
 
 use crate::types::{RequestId, ServerIndex};
 use chalkwalk_time::{Span, Timestamp};
@@ -35,7 +35,8 @@
         /// The id of the server in the list.
         server: &'a str,
     },
-    /// An ejected server passed its health check or its ejection is over; it gets one attempt at a time until it has answered two.
+    /// An ejected server passed its health check or its ejection is over; it gets one attempt at a time until it has answered
+    /// two.
     ServerReadmitted {
         /// The id of the server in the list.
         server: &'a str,
--- a/crates/balancer/src/fetches.rs
+++ b/crates/balancer/src/fetches.rs
@@ -1,7 +1,7 @@
-//! Decides who fetches a key from the origin: one request a key at a time; others that need it wait for that fetch and then ask
-//! the server again. Guards the origin against a stampede on one key.
+//! Decides who fetches a key from the origin: one request a key at a time; others that need it wait for that fetch and then go
+//! to the server again. Guards the origin against a stampede on one key.
 //!
-//! Must be told when a fetch has ended.
+//! Inputs: the end of each fetch.
 
 use crate::snapshot::stored;
 use crate::types::RequestId;
--- a/crates/balancer/src/hash.rs
+++ b/crates/balancer/src/hash.rs
@@ -1,4 +1,4 @@
-//! Hashes that every proxy of a fleet computes alike: a server's points on the ring, a key's place, and shares of keys.
+//! Hashes that every proxy of a fleet computes alike: a server's points on the ring, a key's point, and shares of keys.
 
 /// FNV-1a with a closing mix, so that names that differ in one letter land far apart on the ring.
 pub(crate) fn point(name: &str, salt: u64) -> u64 {
--- a/crates/balancer/src/histogram.rs
+++ b/crates/balancer/src/histogram.rs
@@ -6,9 +6,9 @@
 const DOUBLINGS: usize = 14;
 /// What one answer adds to its bin: four, so that a single one outlives two halvings.
 const PER_ANSWER: u32 = 4;
-/// Fewer than five answers tell nothing of a ninth decile.
+/// Fewer than five answers say too little about a ninth decile.
 const ENOUGH_FOR_DECILE: u32 = 5 * PER_ANSWER;
-/// Fewer than twenty answers tell nothing of a quantile.
+/// Fewer than twenty answers say too little about a quantile.
 const ENOUGH_FOR_QUANTILE: u64 = 20 * PER_ANSWER as u64;
 /// Forty answers: fewer are kept, as half of them would be too few.
 const ENOUGH_TO_DECAY: u32 = 40 * PER_ANSWER;
--- a/crates/balancer/src/key_order.rs
+++ b/crates/balancer/src/key_order.rs
@@ -1,7 +1,7 @@
 //! Decides whose turn it is among the requests with one key, where their class asks for order: one at a time, as accepted, and
 //! none for the stated time after an attempt that may still run.
 //!
-//! Must be told when a request with a key is over, and of attempts that may still run.
+//! Inputs: the end of each request with a key, and attempts that may still run.
 
 use crate::hash::key_point;
 use crate::snapshot::stored;
--- a/crates/balancer/src/key_share.rs
+++ b/crates/balancer/src/key_share.rs
@@ -1,7 +1,7 @@
 //! Decides which of its keys a server keeps: fewer where it is small, answers late, or is listed as loaded. A hot key so splits
 //! over several servers, as each proxy passes a loaded server for other keys.
 //!
-//! Must be told the listed sizes and how long answers took.
+//! Inputs: the listed sizes, and how long answers took.
 
 use crate::hash::mix;
 use crate::snapshot::stored;
@@ -9,7 +9,7 @@
 
 /// All keys, in thousandths.
 const ALL: u64 = 1000;
-/// The least share: what still tells how the server does, and an eighth of an eighth by the list's load.
+/// The least share: what still shows how the server does, and an eighth of an eighth by the list's load.
 const LEAST: u64 = 30;
 /// Given back by an answer in time: eight give all back.
 const PER_ANSWER_IN_TIME: u64 = 125;
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,7 +1,7 @@
 //! Every decision of chalkwalk about a request: which server gets it, when it is tried again, and when it is given up.
 //!
-//! Pure: no I/O and no clock. A [`Balancer`] is told what happens and when, and what it wants done leaves by its [`Effects`].
-//! Start reading with `balancer.rs`; each module beside it makes one decision, and owns what that decision knows.
+//! Pure: no I/O and no clock. A [`Balancer`] is called with what happens and when, and calls its [`Effects`] for what is to be
+//! done. Start reading with `balancer.rs`; each module beside it makes one decision, and owns what that decision knows.
 
 pub mod admission;
 mod balancer;
--- a/crates/balancer/src/liveness.rs
+++ b/crates/balancer/src/liveness.rs
@@ -1,7 +1,7 @@
 //! Decides whether a server that has attempts in flight is silent: it has answered nothing for so long that something is wrong.
 //! Guards against servers that hang, vanish or pause, and against attempts that are accepted and never answered.
 //!
-//! Must be told of the start, the answer and the end of each attempt.
+//! Inputs: the start, the answer and the end of each attempt.
 
 use crate::histogram::LatencyHistogram;
 use crate::snapshot::stored;
@@ -16,7 +16,7 @@
     (3 * latencies.ninth_decile(shortest / 4)).max(SECOND / 20)
 }
 
-/// How long a server with attempts in flight may say nothing: as long, and 1.5 s at most.
+/// How long a server with attempts in flight may send nothing: as long, and 1.5 s at most.
 pub(crate) fn silence_timeout(latencies: &LatencyHistogram, shortest_target: Option<Span>) -> Span {
     overdue_after(latencies, shortest_target).min(SECOND * 3 / 2)
 }
@@ -73,7 +73,7 @@
         self.last_answered_send = self.last_answered_send.max(sent_at);
     }
 
-    /// Whether it owes an answer, and has said nothing for longer than the timeout, which is computed only then.
+    /// Whether it owes an answer, and has sent nothing for longer than the timeout, which is computed only then.
     pub fn is_silent(&self, now: Timestamp, timeout: impl FnOnce() -> Span) -> bool {
         self.in_flight > self.streaming && now - self.waiting_since > timeout()
     }
--- a/crates/balancer/src/load_shedding.rs
+++ b/crates/balancer/src/load_shedding.rs
@@ -1,9 +1,10 @@
 //! Decides which requests are rejected before they load the servers or the origin, and which keys share one ring of all zones.
 //!
-//! Must be told how answers of the servers, whichever, and of the origin came. Over one in three late, and a part of the requests
-//! is rejected so that the rest is in time; at the least one in twenty is sent. While the origin is short, fewer copies of a key
-//! leave room for more keys, so by and by requests go to the ring of all zones. Guards servers that are late together, as one of
-//! many proxies hears too little of each to find its limit, and an origin that every zone by itself would ask for the same keys.
+//! Inputs: whether answers of the servers, whichever, and of the origin came in time. Over one in three late, and a part of the
+//! requests is rejected so that the rest is in time; at the least one in twenty is sent. While the origin is short, fewer
+//! copies of a key leave room for more keys, so by and by requests go to the ring of all zones. Guards servers that are late
+//! together, as one of many proxies gets too few answers of each to find its limit, and an origin that every zone by itself
+//! would load with the same keys.
 
 use crate::hash::mix;
 use std::collections::HashSet;
@@ -12,7 +13,7 @@
 const ALL: u64 = 1000;
 /// The least that is sent: one in twenty.
 const LEAST: u64 = 50;
-/// Each second, so that all are sent again within 20 s whatever is heard.
+/// Each second, so that all are sent again within 20 s whatever comes.
 const PER_SECOND: u64 = 50;
 /// An answer in time: an eighth down and a seventeenth up hold all requests while up to one in three is late.
 const PER_ANSWER_IN_TIME: u64 = 60;
@@ -23,7 +24,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Resource {
     Servers,
-    /// The origin, asked by this proxy or by a server.
+    /// The origin, loaded by this proxy or by a server.
     Origin,
 }
 
--- a/crates/balancer/src/outlier.rs
+++ b/crates/balancer/src/outlier.rs
@@ -1,6 +1,6 @@
 //! Decides which server is ejected for its failures, for how long, and when it is readmitted.
 //!
-//! Must be told how each attempt ended and what health checks found. A server is ejected where over one in four attempts fails:
+//! Inputs: how each attempt ended, and the results of health checks. A server is ejected where over one in four attempts fails:
 //! after three failures in a row, or one if nothing listens, as a server that fails fast holds little and would keep its keys.
 
 use crate::snapshot::stored;
@@ -60,7 +60,7 @@
                 self.score + FAILURE
             }
         };
-        // Ejected and asked all the same, as none was trusted, it is readmitted for its answers.
+        // Ejected and in use all the same, as none was trusted, it is readmitted for its answers.
         self.score = self.score.min(MOST);
         self.ejected &= self.score >= SUSPECT_FROM;
         self.score >= EJECTED_FROM && !self.ejected
--- a/crates/balancer/src/recent_latency.rs
+++ b/crates/balancer/src/recent_latency.rs
@@ -1,4 +1,4 @@
-//! What the answers of one server took of late, the last counting most: tells whether the origin answers in the time left.
+//! What the answers of one server took of late, the last counting most: shows whether the origin answers in the time left.
 
 use crate::snapshot::stored;
 use chalkwalk_time::Span;
@@ -16,7 +16,7 @@
         self.mean = (self.mean * 7 + took.min(target)) / 8;
     }
 
-    /// A second has passed: fades, so that a server nobody asks is asked again.
+    /// A second has passed: decays, so that a server which gets no attempts is tried again.
     pub fn decay(&mut self) {
         self.mean -= self.mean / 8;
     }
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -15,7 +15,7 @@
     /// It has no outcome yet.
     pub pending: bool,
     pub may_have_run: bool,
-    /// Its server is not asked again for the request.
+    /// Its server is not tried again for the request.
     pub failed: bool,
     /// Its answer is on its way to the client.
     pub streaming: bool,
@@ -36,7 +36,7 @@
     /// Its key's point on the ring.
     pub key: u64,
     pub write: bool,
-    /// The servers that may serve it, in order, where the ring does not tell.
+    /// The servers that may serve it, in order, where the ring does not decide.
     pub allowed_servers: Option<Vec<ServerIndex>>,
     /// By when it must be answered.
     pub expires: Timestamp,
--- a/crates/balancer/src/ring.rs
+++ b/crates/balancer/src/ring.rs
@@ -1,7 +1,7 @@
 //! The consistent-hash ring: which servers follow a key's point, in order. All proxies with the same list build the same ring,
 //! so that a key's copies lie on few servers, and a server that comes or goes moves only its own keys.
 //!
-//! Must be told which servers are ready, and their zones.
+//! Inputs: which servers are ready, and their zones.
 
 use crate::hash::point;
 use crate::types::ServerIndex;
--- a/crates/balancer/src/server.rs
+++ b/crates/balancer/src/server.rs
@@ -21,7 +21,7 @@
     pub started_at: Timestamp,
     pub liveness: Liveness,
     pub failures: FailureScore,
-    /// A connection to it is held, as far as attempts tell.
+    /// A connection to it is held, as far as attempts show.
     pub connected: bool,
     pub ejection: Ejection,
     pub recent_latency: RecentLatency,
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -13,11 +13,11 @@
 pub(crate) struct Settings {
     /// The proxy's own zone.
     pub zone: usize,
-    /// Servers can be asked for their health.
+    /// The health of servers can be checked.
     pub health_checks: bool,
     /// Attempts can be withdrawn.
     pub cancellation: bool,
-    /// 0: clients are not told when to retry.
+    /// 0: rejections do not state when to retry.
     pub longest_retry_after: Span,
     /// The share of its keys that a server stands for at its start.
     pub slow_start_share: f64,
@@ -30,7 +30,7 @@
     pub servers_fetch: bool,
     /// The listed sizes are the servers' own, and not their load of the moment.
     pub fixed_sizes: bool,
-    /// The kind that tells the origin, where misses are fetched by the proxy.
+    /// The kind of the origin, where misses are fetched by the proxy.
     pub origin_kind: Option<usize>,
     /// How long no request with a key is sent after an attempt that may still run, where its requests run in order.
     pub key_quiet_time: Span,
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -1,9 +1,9 @@
 //! Decides what a server may get in its slow start: a share of its keys that grows with its age, the same at every proxy, and
 //! within tokens, one an attempt. Guards a server that comes back, and the origin behind its misses.
 //!
-//! Must be told when the server started and what is answered by it and elsewhere. Tokens are earned by its own answers and misses,
+//! Inputs: when the server started, and the answers of it and of others. Tokens are earned by its own answers and misses,
 //! and by answers of others: as much as the mean server answers, cut by its progress, so that it is not pushed over when far more
-//! is asked for than the fleet can do.
+//! is requested than the fleet can do.
 
 use crate::settings::Settings;
 use crate::snapshot::stored;
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -1,7 +1,8 @@
 //! All that a balancer knows, as numbers and texts: loaded into a balancer with the same settings, it decides as before. Stored
 //! in captures, so the order of the values never changes. What is computed from the rest (rings, settings) is not in it.
 //!
-//! Each part of the state implements [`Stored`], mostly by [`stored!`] beside its struct; `balancer/snapshot.rs` puts them in order.
+//! Each part of the state implements [`Stored`], mostly by [`stored!`] beside its struct; `balancer/snapshot.rs` puts them in
+//! order.
 
 use crate::types::{EndpointStatus, RequestId};
 use chalkwalk_time::{Span, Timestamp};
--- a/crates/balancer/src/types.rs
+++ b/crates/balancer/src/types.rs
@@ -54,8 +54,8 @@
         matches!(self, AttemptOutcome::Completed | AttemptOutcome::CacheMiss)
     }
 
-    /// Whether its latency tells how the server does: an answer, or none in time.
-    pub(crate) fn tells_latency(self) -> bool {
+    /// Whether its latency shows how the server does: an answer, or none in time.
+    pub(crate) fn shows_latency(self) -> bool {
         matches!(self, AttemptOutcome::Completed | AttemptOutcome::CacheMiss | AttemptOutcome::TimedOut)
     }
 
@@ -109,7 +109,7 @@
     pub id: &'a str,
     /// Its availability zone.
     pub zone: usize,
-    /// Its kind: the origin is told by it.
+    /// Its kind: the origin has one of its own.
     pub kind: usize,
     /// Its cell: servers of one cell drop repeats of the same request.
     pub cell: u64,
@@ -126,7 +126,7 @@
 pub struct LearnedServer {
     /// Its id in the list.
     pub id: String,
-    /// When its process started: of another start these figures say nothing.
+    /// When its process started: of another start these figures mean nothing.
     pub born: Timestamp,
     /// The largest weight listed, in hundredths, where weights move with load.
     pub size: u64,
--- a/crates/simulator-adapter/src/actions.rs
+++ b/crates/simulator-adapter/src/actions.rs
@@ -1,4 +1,4 @@
-//! What the balancer wants done, as actions of the wire.
+//! The effects of the balancer, as actions of the wire.
 
 use crate::fields::NANOSECONDS_PER_TICK;
 use crate::names::Names;
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: a balancer, told of each event of the wire in its own types. Decides nothing.
+//! One instance: a balancer, called for each event of the wire with its own types. Decides nothing.
 
 use crate::actions::ActionWriter;
 use crate::fields::{NANOSECONDS_PER_TICK, index_in, outcome, span, status, timestamp, with_source};
