--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -9,13 +9,25 @@
 /// What a field holds, or why it can't be read.
 pub type FieldResult<T> = Result<T, FieldError>;
 
-/// Why a field can't be read. `field` says where it is, as in "field servers" or "setting zones[0].name".
+/// Why a field can't be read. `field` says where it is, as in `field servers` or `setting zones[0].name`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FieldError {
     /// It is not there, and needed.
-    Missing { field: String, expected: &'static str },
+    Missing {
+        /// Where the field is expected.
+        field: String,
+        /// What is expected there.
+        expected: &'static str,
+    },
     /// It is of another type, or out of bounds.
-    Unexpected { field: String, expected: &'static str, found: String },
+    Unexpected {
+        /// Where the field is.
+        field: String,
+        /// What is expected there.
+        expected: &'static str,
+        /// What is there, shortened.
+        found: String,
+    },
     /// A rule of the reader's own does not hold.
     Invalid(String),
 }
--- a/crates/testbed/src/experiment/faults.rs
+++ b/crates/testbed/src/experiment/faults.rs
@@ -120,7 +120,7 @@
     HalfAnswer,
 }
 
-/// One fault. Which fields go with which kind: [`FaultFields`].
+/// One fault. Which fields go with which kind: `FaultFields`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
