--- a/crates/membership/src/format.rs
+++ b/crates/membership/src/format.rs
@@ -10,7 +10,7 @@
 mod value;
 
 pub use file::{EndpointFile, FileError, FileProblem, FileProblems, checksum, parse_file};
-pub use record::{AllowedNames, DRAINING, RecordError, SERVING};
+pub use record::{AllowedNames, DRAINING, FieldRule, RecordError, SERVING};
 pub use value::{
     EndpointValueError, LEAVING, MAX_VALUE_BYTES, ProxyRecord, ValueError, encode_endpoint, encode_proxy,
     parse_endpoint, parse_proxy,
--- a/crates/membership/src/format/file.rs
+++ b/crates/membership/src/format/file.rs
@@ -77,19 +77,29 @@
     Json(#[from] serde_json::Error),
     /// It is not the expected TOML.
     #[error("line {line}: {message}")]
-    Toml { line: usize, message: String },
+    Toml {
+        /// Counted from one on.
+        line: usize,
+        /// What is wrong there.
+        message: String,
+    },
     /// Its last line is missing.
     #[error("it does not end with [end]: it may have been cut short")]
     MissingEnd,
     /// Its version is not a known one.
-    #[error("version {version} is not known; this program reads version {VERSION}")]
-    UnknownVersion { version: u64 },
+    #[error("version {0} is not known; this program reads version {VERSION}")]
+    UnknownVersion(u64),
     /// Its text is not what the checksum is of.
     #[error("its checksum is {computed}, and {stated} is stated")]
-    ChecksumMismatch { computed: String, stated: String },
+    ChecksumMismatch {
+        /// That of the text.
+        computed: String,
+        /// That which the text states.
+        stated: String,
+    },
     /// It is above [`MAX_ENDPOINTS`].
-    #[error("{count} caches are above {MAX_ENDPOINTS}")]
-    TooManyEndpoints { count: usize },
+    #[error("{0} caches are above {MAX_ENDPOINTS}")]
+    TooManyEndpoints(usize),
     /// Some of its entries are invalid.
     #[error("{0}")]
     Entries(FileProblems),
@@ -122,13 +132,28 @@
 pub enum FileProblem {
     /// A field is invalid.
     #[error("cache {position}: {source}")]
-    Record { position: usize, source: RecordError },
+    Record {
+        /// Which entry, counted from one on.
+        position: usize,
+        /// What is wrong with it.
+        source: RecordError,
+    },
     /// An earlier entry has the same id.
     #[error("cache {position}: the id {id} is there twice")]
-    DuplicateId { position: usize, id: String },
+    DuplicateId {
+        /// Which entry, counted from one on.
+        position: usize,
+        /// The id.
+        id: String,
+    },
     /// An earlier entry has the same address.
     #[error("cache {position}: the address {addr} is there twice")]
-    DuplicateAddress { position: usize, addr: SocketAddr },
+    DuplicateAddress {
+        /// Which entry, counted from one on.
+        position: usize,
+        /// The address.
+        addr: SocketAddr,
+    },
 }
 
 /// Reads a file whole, or reports all that is wrong with its entries.
@@ -157,7 +182,7 @@
 
 fn check_body(body: &FileBody, text: &str) -> Result<(), FileError> {
     if body.version != VERSION {
-        return Err(FileError::UnknownVersion { version: body.version });
+        return Err(FileError::UnknownVersion(body.version));
     }
     if let Some(stated) = &body.checksum {
         let computed = checksum(text);
@@ -166,7 +191,7 @@
         }
     }
     if body.entries.len() > MAX_ENDPOINTS {
-        return Err(FileError::TooManyEndpoints { count: body.entries.len() });
+        return Err(FileError::TooManyEndpoints(body.entries.len()));
     }
     Ok(())
 }
--- a/crates/membership/src/format/record.rs
+++ b/crates/membership/src/format/record.rs
@@ -67,24 +67,39 @@
     /// The id is empty, too long, or holds control characters.
     #[error("an id has 1 to {MAX_ID_BYTES} bytes, and no control characters")]
     Id,
-    /// The address can't be read.
-    #[error("{id}: addr is an address and a port, not \"{value}\"")]
-    Address { id: String, value: String },
-    /// The state is not a known one.
-    #[error("{id}: state is serving or draining, not \"{value}\"")]
-    State { id: String, value: String },
-    /// The settings have no such zone.
-    #[error("{id}: the settings have no zone \"{value}\"")]
-    Zone { id: String, value: String },
-    /// The settings have no such kind.
-    #[error("{id}: the settings have no kind \"{value}\"")]
-    Kind { id: String, value: String },
-    /// The start is out of range.
-    #[error("{id}: started_ms is Unix time in milliseconds, not \"{value}\"")]
-    StartedMs { id: String, value: u64 },
-    /// The weight is out of range.
-    #[error("{id}: weight is a number from 0.01 to 10000, not \"{value}\"")]
-    Weight { id: String, value: f64 },
+    /// Another field breaks its rule.
+    #[error("{id}: {rule} \"{value}\"")]
+    Field {
+        /// The endpoint.
+        id: String,
+        /// The rule of the field.
+        rule: FieldRule,
+        /// What the field holds.
+        value: String,
+    },
+}
+
+/// What a field must be; displayed with its name, to be followed by what it holds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum FieldRule {
+    /// The address can be parsed.
+    #[error("addr is an address and a port, not")]
+    Address,
+    /// The state is a known one.
+    #[error("state is serving or draining, not")]
+    State,
+    /// The settings have the zone.
+    #[error("the settings have no zone")]
+    Zone,
+    /// The settings have the kind.
+    #[error("the settings have no kind")]
+    Kind,
+    /// The start is in range.
+    #[error("started_ms is Unix time in milliseconds, not")]
+    StartedMs,
+    /// The weight is in range.
+    #[error("weight is a number from 0.01 to 10000, not")]
+    Weight,
 }
 
 impl EndpointRecord {
@@ -110,10 +125,7 @@
     /// The entry that is written down, if every field is valid.
     pub fn into_entry(self, allowed: &AllowedNames) -> Result<ListEntry, RecordError> {
         self.check_id()?;
-        let addr = self.addr.parse().map_err(|_| {
-            let (id, value) = (self.id.clone(), self.addr.clone());
-            RecordError::Address { id, value }
-        })?;
+        let addr = self.addr.parse().map_err(|_| self.breaks(FieldRule::Address, &self.addr))?;
         let status = self.status()?;
         self.check_names(allowed)?;
         let born = self.born()?;
@@ -134,16 +146,16 @@
         match self.state.as_str() {
             SERVING => Ok(EndpointStatus::Ready),
             DRAINING => Ok(EndpointStatus::Draining),
-            other => Err(RecordError::State { id: self.id.clone(), value: other.into() }),
+            other => Err(self.breaks(FieldRule::State, other)),
         }
     }
 
     fn check_names(&self, allowed: &AllowedNames) -> Result<(), RecordError> {
         if !allowed.zones.is_empty() && !allowed.zones.contains(&self.zone) {
-            return Err(RecordError::Zone { id: self.id.clone(), value: self.zone.clone() });
+            return Err(self.breaks(FieldRule::Zone, &self.zone));
         }
         if !self.kind.is_empty() && !allowed.kinds.is_empty() && !allowed.kinds.contains(&self.kind) {
-            return Err(RecordError::Kind { id: self.id.clone(), value: self.kind.clone() });
+            return Err(self.breaks(FieldRule::Kind, &self.kind));
         }
         Ok(())
     }
@@ -151,14 +163,18 @@
     fn born(&self) -> Result<Timestamp, RecordError> {
         let ticks = self.started_ms.checked_mul(TICKS_PER_MILLISECOND);
         let ticks = ticks.filter(|ticks| *ticks < MAX_BORN_TICKS);
-        let out_of_range = || RecordError::StartedMs { id: self.id.clone(), value: self.started_ms };
+        let out_of_range = || self.breaks(FieldRule::StartedMs, &self.started_ms.to_string());
         ticks.map(Timestamp::from_ticks).ok_or_else(out_of_range)
     }
 
     fn size(&self) -> Result<u64, RecordError> {
         if !(MIN_WEIGHT..=MAX_WEIGHT).contains(&self.weight) {
-            return Err(RecordError::Weight { id: self.id.clone(), value: self.weight });
+            return Err(self.breaks(FieldRule::Weight, &self.weight.to_string()));
         }
         Ok((self.weight * SIZE_PER_WEIGHT).round() as u64)
     }
+
+    fn breaks(&self, rule: FieldRule, value: &str) -> RecordError {
+        RecordError::Field { id: self.id.clone(), rule, value: value.into() }
+    }
 }
--- a/crates/membership/src/format/value.rs
+++ b/crates/membership/src/format/value.rs
@@ -23,14 +23,14 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ValueError {
     /// It is above [`MAX_VALUE_BYTES`].
-    #[error("a value of {bytes} bytes is above {MAX_VALUE_BYTES}")]
-    TooLong { bytes: usize },
+    #[error("a value of {0} bytes is above {MAX_VALUE_BYTES}")]
+    TooLong(usize),
     /// It is not the expected JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// A newer program wrote it.
-    #[error("version {version} is not known, only {VERSION}")]
-    UnknownVersion { version: u64 },
+    #[error("version {0} is not known, only {VERSION}")]
+    UnknownVersion(u64),
 }
 
 /// Why an endpoint's value can't be used.
@@ -38,7 +38,12 @@
 pub enum EndpointValueError {
     /// The value of this endpoint can't be read.
     #[error("{id}: {source}")]
-    Value { id: String, source: ValueError },
+    Value {
+        /// The endpoint.
+        id: String,
+        /// Why it can't.
+        source: ValueError,
+    },
     /// It can be read, and a field of it is invalid.
     #[error(transparent)]
     Record(#[from] RecordError),
@@ -70,7 +75,7 @@
     let in_value = |source| EndpointValueError::Value { id: id.to_string(), source };
     let parsed: Versioned<EndpointRecord> = parse(value).map_err(in_value)?;
     if parsed.v != VERSION {
-        return Err(in_value(ValueError::UnknownVersion { version: parsed.v }));
+        return Err(in_value(ValueError::UnknownVersion(parsed.v)));
     }
     let record = EndpointRecord { id: id.to_string(), ..parsed.record };
     Ok(record.into_entry(allowed)?)
@@ -92,7 +97,7 @@
 
 fn parse<T: DeserializeOwned>(value: &[u8]) -> Result<Versioned<T>, ValueError> {
     if value.len() > MAX_VALUE_BYTES {
-        return Err(ValueError::TooLong { bytes: value.len() });
+        return Err(ValueError::TooLong(value.len()));
     }
     Ok(serde_json::from_slice(value)?)
 }
--- a/crates/membership/src/reconcile/reconciler.rs
+++ b/crates/membership/src/reconcile/reconciler.rs
@@ -16,11 +16,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ListError {
     /// It is above [`MAX_ENDPOINTS`].
-    #[error("a list of {count} caches is above {MAX_ENDPOINTS}")]
-    TooLong { count: usize },
+    #[error("a list of {0} caches is above {MAX_ENDPOINTS}")]
+    TooLong(usize),
     /// A newer one is known.
     #[error("an old list, {revision} after {known}")]
-    Outdated { revision: u64, known: u64 },
+    Outdated {
+        /// That of the rejected list.
+        revision: u64,
+        /// As of which the list is known.
+        known: u64,
+    },
 }
 
 /// The state of one source's list.
@@ -62,7 +67,7 @@
         entries: Vec<ListEntry>,
     ) -> Result<ListUpdate, ListError> {
         if entries.len() > MAX_ENDPOINTS {
-            return Err(ListError::TooLong { count: entries.len() });
+            return Err(ListError::TooLong(entries.len()));
         }
         if self.history.rejects(revision) {
             self.apply_drains(&entries);
