--- a/crates/discovery-etcd/tests/machine.rs
+++ b/crates/discovery-etcd/tests/machine.rs
@@ -255,12 +255,19 @@
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { cases: 2000, rng_seed: RngSeed::Fixed(1), failure_persistence: None, ..ProptestConfig::default() })]
+    #![proptest_config(ProptestConfig {
+        cases: 2000,
+        rng_seed: RngSeed::Fixed(1),
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    })]
 
     /// Whatever an endpoint responds, there is a next step, and what is known never goes back
     /// without a whole list.
     #[test]
-    fn any_responses_lead_on(responses in proptest::collection::vec((0u8..8, -3i64..40, any::<bool>()), 0..60)) {
+    fn any_responses_lead_on(
+        responses in proptest::collection::vec((0u8..8, -3i64..40, any::<bool>()), 0..60),
+    ) {
         let mut machine = Machine::new("/c/", 2, 1);
         let mut step = machine.connected();
         let mut known = 0;
@@ -268,12 +275,24 @@
             let result = match (&step, kind) {
                 (Step::ReadPage { .. }, _) => {
                     let kvs = if flag { vec![kv("/c/caches/a", "v", revision)] } else { vec![] };
-                    machine.page_received(RangeResponse { header: header(revision), kvs, more: kind == 0, count: 1 })
+                    let more = kind == 0;
+                    machine.page_received(RangeResponse { header: header(revision), kvs, more, count: 1 })
                 }
                 (_, 0) => machine.watch_response(created(revision)),
-                (_, 1) => machine.watch_response(WatchResponse { canceled: true, compact_revision: revision, ..watched(3, vec![]) }),
-                (_, 2) => machine.watch_response(WatchResponse { header: None, events: vec![Event::default()], ..WatchResponse::default() }),
-                (_, n) => machine.watch_response(WatchResponse { fragment: flag, ..watched(revision, vec![event(n == 4, "/c/caches/a", revision)]) }),
+                (_, 1) => machine.watch_response(WatchResponse {
+                    canceled: true,
+                    compact_revision: revision,
+                    ..watched(3, vec![])
+                }),
+                (_, 2) => machine.watch_response(WatchResponse {
+                    header: None,
+                    events: vec![Event::default()],
+                    ..WatchResponse::default()
+                }),
+                (_, n) => {
+                    let events = vec![event(n == 4, "/c/caches/a", revision)];
+                    machine.watch_response(WatchResponse { fragment: flag, ..watched(revision, events) })
+                }
             };
             step = match result {
                 Ok(Transition { update, next }) => {
--- a/crates/membership/tests/format.rs
+++ b/crates/membership/tests/format.rs
@@ -10,8 +10,22 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const VALID: &str = "version = 1\nserial = 7\n[[cache]]\nid = \"a\"\naddr = \"127.0.0.1:1\"\nzone = \"n\"\nstate = \"serving\"\n\
-    [[cache]]\nid = \"b\"\naddr = \"127.0.0.1:2\"\nzone = \"s\"\nstate = \"draining\"\nstarted_ms = 5\nback = true\n[end]\n";
+const VALID: &str = r#"version = 1
+serial = 7
+[[cache]]
+id = "a"
+addr = "127.0.0.1:1"
+zone = "n"
+state = "serving"
+[[cache]]
+id = "b"
+addr = "127.0.0.1:2"
+zone = "s"
+state = "draining"
+started_ms = 5
+back = true
+[end]
+"#;
 
 fn allowed() -> AllowedNames {
     AllowedNames { zones: vec!["n".into(), "s".into()], kinds: vec!["cache".into()] }
@@ -59,7 +73,7 @@
 
 #[test]
 fn a_file_that_is_cut_short_anywhere_is_rejected() {
-    let json = "{\"version\":1,\"cache\":[{\"id\":\"a\",\"addr\":\"127.0.0.1:1\",\"zone\":\"n\",\"state\":\"serving\"}]}";
+    let json = r#"{"version":1,"cache":[{"id":"a","addr":"127.0.0.1:1","zone":"n","state":"serving"}]}"#;
     for text in [VALID.trim_end(), json] {
         assert!(parse_file(text, &allowed()).is_ok());
         let accepted: Vec<usize> =
@@ -69,12 +83,20 @@
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { cases: 2000, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
+    #![proptest_config(ProptestConfig {
+        cases: 2000,
+        rng_seed: RngSeed::Fixed(1),
+        ..ProptestConfig::default()
+    })]
 
     /// Whatever stands under a key or in a file, or whatever a valid one is turned into, nothing
     /// panics.
     #[test]
-    fn any_bytes_are_parsed_or_rejected(noise in proptest::collection::vec(any::<u8>(), 0..200), at in 0usize..200, with in any::<u8>()) {
+    fn any_bytes_are_parsed_or_rejected(
+        noise in proptest::collection::vec(any::<u8>(), 0..200),
+        at in 0usize..200,
+        with in any::<u8>(),
+    ) {
         _ = parse_endpoint("a", &noise, &allowed());
         _ = parse_proxy(&noise);
         let mut bytes = VALID.as_bytes().to_vec();
@@ -85,10 +107,25 @@
     }
 
     #[test]
-    fn an_encoded_endpoint_parses_back(port in any::<u16>(), cell in any::<u64>(), size in 1u64..1_000_000, born in 0u64..1 << 50, off in any::<bool>()) {
+    fn an_encoded_endpoint_parses_back(
+        port in any::<u16>(),
+        cell in any::<u64>(),
+        size in 1u64..1_000_000,
+        born in 0u64..1 << 50,
+        off in any::<bool>(),
+    ) {
         let status = if off { EndpointStatus::Draining } else { EndpointStatus::Ready };
         let addr = std::net::SocketAddr::from(([127, 0, 0, 1], port));
-        let endpoint = ListedEndpoint { id: "a/b".into(), addr, zone: "n".into(), kind: "cache".into(), cell, size, status, born: Timestamp::from_ticks(born * 10) };
+        let endpoint = ListedEndpoint {
+            id: "a/b".into(),
+            addr,
+            zone: "n".into(),
+            kind: "cache".into(),
+            cell,
+            size,
+            status,
+            born: Timestamp::from_ticks(born * 10),
+        };
         let parsed = parse_endpoint("a/b", &encode_endpoint(&endpoint), &allowed()).unwrap();
             prop_assert_eq!(parsed, ListEntry { endpoint, reinstated: false });
     }
--- /dev/null
+++ b/crates/membership/tests/reconcile_any_order.rs
@@ -0,0 +1,149 @@
+//! Changes in whatever batches, with whatever breaks, old lists and repeats between.
+
+mod helper;
+
+use chalkwalk_balancer::EndpointStatus;
+use chalkwalk_membership::reconcile::{EndpointChange, ListUpdate, Reconciler, SourceKind};
+use chalkwalk_membership::{ListEntry, ListedEndpoint};
+use chalkwalk_time::Span;
+use helper::{S, at, draining, put, ready, removed};
+use proptest::prelude::*;
+use proptest::test_runner::RngSeed;
+use std::collections::BTreeMap;
+
+#[derive(Clone, Debug)]
+enum Step {
+    /// So many of the source's changes, in one batch.
+    Batch(usize),
+    /// A break: the whole list as of now.
+    List,
+    /// The whole list of so many revisions ago.
+    OldList(u64),
+    /// A resume that delivers so many changes again.
+    Redelivery(usize),
+    /// So many ticks pass.
+    Wait(u64),
+}
+
+fn event() -> impl Strategy<Value = (usize, u8)> {
+    (0usize..5, 0u8..4)
+}
+
+fn step() -> impl Strategy<Value = Step> {
+    prop_oneof![
+        4 => (1usize..5).prop_map(Step::Batch),
+        1 => Just(Step::List),
+        1 => (1u64..6).prop_map(Step::OldList),
+        1 => (1usize..4).prop_map(Step::Redelivery),
+        2 => (1..S).prop_map(Step::Wait),
+    ]
+}
+
+type State = BTreeMap<String, ListedEndpoint>;
+
+proptest! {
+    #![proptest_config(ProptestConfig {
+        cases: 3000,
+        rng_seed: RngSeed::Fixed(1),
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    })]
+
+    /// The same changes in whatever batches, with whatever breaks, old lists and repeats between,
+    /// end in the source's own list, and at no moment is a server in service whose newest known
+    /// state is a drain.
+    #[test]
+    fn any_order_ends_in_the_same_list_and_never_serves_a_drained_server(
+        events in proptest::collection::vec(event(), 1..40),
+        steps in proptest::collection::vec(step(), 1..40),
+    ) {
+        // The source's history: its state after each revision, and the changes between.
+        let mut states = vec![State::new()];
+        let mut changes = Vec::new();
+        for (i, (server, kind)) in events.iter().enumerate() {
+            let id = format!("c{server}");
+            let mut state = states[i].clone();
+            let revision = i as u64 + 1;
+            let born = state.get(&id).map_or(revision, |endpoint| endpoint.born.ticks());
+            let change = match kind {
+                0 => put(revision, draining(&id, born)),
+                1 => put(revision, ready(&id, born)),
+                2 => put(revision, ready(&id, revision)),
+                _ => removed(revision, &id),
+            };
+            match &change.change {
+                EndpointChange::Put(entry) => _ = state.insert(id, entry.endpoint.clone()),
+                EndpointChange::Removed(id) => _ = state.remove(id),
+            }
+            states.push(state);
+            changes.push(change);
+        }
+        let list = |revision: usize| -> Vec<ListEntry> {
+            states[revision].values().map(|endpoint| endpoint.clone().into()).collect()
+        };
+        let mut reconciler = Reconciler::new(SourceKind::Revisioned);
+        let mut now = at(S);
+        // The revision that was delivered last, and the highest so far.
+        let mut delivered = 0;
+        let mut highest = 0;
+        let mut view = State::new();
+        let mut apply = |update: &ListUpdate| {
+            if update.replaces_all {
+                view.clear();
+            }
+            for endpoint in &update.endpoints {
+                view.insert(endpoint.id.clone(), endpoint.clone());
+            }
+            view.clone()
+        };
+        apply(&reconciler.apply_list(now, 0, list(0)).unwrap());
+        for step in steps {
+            let update = match step {
+                Step::Batch(count) => {
+                    let to = (delivered + count).min(changes.len());
+                    let batch = changes[delivered..to].to_vec();
+                    delivered = to;
+                    reconciler.apply_changes(now, batch)
+                }
+                Step::List => {
+                    reconciler.apply_list(now, delivered as u64, list(delivered)).unwrap_or_default()
+                }
+                Step::OldList(by) => {
+                    let old = delivered.saturating_sub(by as usize);
+                    let update = reconciler.apply_list(now, old as u64, list(old));
+                    // Once it is accepted, the source goes on from there.
+                    delivered = if update.is_ok() { old } else { delivered };
+                    update.unwrap_or_default()
+                }
+                Step::Redelivery(count) => {
+                    let from = delivered.saturating_sub(count);
+                    reconciler.apply_changes(now, changes[from..delivered].to_vec())
+                }
+                Step::Wait(by) => {
+                    now += Span::from_ticks(by);
+                    reconciler.tick(now)
+                }
+            };
+            highest = highest.max(delivered);
+            let view = apply(&update);
+            for (id, endpoint) in &states[highest] {
+                let in_service = view.get(id).is_some_and(|seen| seen.status == EndpointStatus::Ready);
+                prop_assert!(
+                    endpoint.status == EndpointStatus::Ready || !in_service,
+                    "{id} is drained at revision {highest}, and in service"
+                );
+            }
+        }
+        // Everything is delivered in the end, and time passes.
+        let last = changes.len();
+        let mut view = apply(&reconciler.apply_list(now, last as u64, list(last)).unwrap());
+        for _ in 0..200 {
+            let Some(deadline) = reconciler.next_deadline() else { break };
+            now = now.max(deadline);
+            view = apply(&reconciler.tick(now));
+        }
+        view.retain(|_, endpoint| endpoint.status != EndpointStatus::Gone);
+        prop_assert_eq!(&view, &states[last]);
+        prop_assert_eq!(reconciler.endpoints(), view.into_values().collect::<Vec<_>>());
+    }
+}
