--- a/crates/balancer/tests/decisions/admission.rs
+++ b/crates/balancer/tests/decisions/admission.rs
@@ -1,6 +1,6 @@
 //! What may have gone wrong between a decision and its first byte, and that it is seen there.
 
-use crate::helper::{Harness, harness};
+use crate::helper::Harness;
 use chalkwalk_balancer::admission::{
     SendRefusal, UnsentAttempt, Violation, WrittenAttempt, may_close, may_start,
 };
@@ -21,7 +21,7 @@
 
 /// One server, and a request whose attempt there was decided.
 fn decided(class: usize) -> (Harness, RequestId) {
-    let mut harness = harness(&[]);
+    let mut harness = Harness::new(&[]);
     harness.ready(&["amber"]);
     let request = harness.send(class, "k");
     (harness, request)
--- a/crates/balancer/tests/decisions/concurrency_limit.rs
+++ b/crates/balancer/tests/decisions/concurrency_limit.rs
@@ -1,6 +1,6 @@
 //! How many attempts a server takes at once.
 
-use crate::helper::harness;
+use crate::helper::Harness;
 use crate::{FOUR, key_of};
 use chalkwalk_balancer::AttemptOutcome;
 use chalkwalk_time::Span;
@@ -8,19 +8,26 @@
 
 #[test]
 fn late_answers_lower_a_limit_until_it_is_less_than_one_attempt() {
-    let mut h = harness(&[]);
-    h.ready(&["amber"]);
+    let mut harness = Harness::new(&[]);
+    harness.ready(&["amber"]);
     for _ in 0..30 {
-        let a = h.send(0, "slow");
-        h.balancer.attempt_ended(a, 0, AttemptOutcome::Completed, Span::from_ticks(9000), true, &mut h.trace);
+        let a = harness.send(0, "slow");
+        harness.balancer.attempt_ended(
+            a,
+            0,
+            AttemptOutcome::Completed,
+            Span::from_ticks(9000),
+            true,
+            &mut harness.trace,
+        );
     }
-    h.take_trace();
+    harness.take_trace();
     for _ in 0..20 {
-        let a = h.send(0, "slow");
-        h.end(a, 0, AttemptOutcome::CacheMiss);
-        h.client_leaves(a);
+        let a = harness.send(0, "slow");
+        harness.end(a, 0, AttemptOutcome::CacheMiss);
+        harness.client_leaves(a);
     }
-    let values = h.take_trace();
+    let values = harness.take_trace();
     let line =
         format!("{} sent, {} rejected", values.matches("->").count(), values.matches("rejected").count());
     expect!["2 sent, 19 rejected"].assert_eq(&line);
@@ -32,23 +39,23 @@
 fn a_late_answer_lowers_the_limit_to_what_was_in_flight_at_a_server_that_seldom_answers() {
     let apart = [(0, 0), (0, 1), (6, 1), (7, 1), (20, 1), (20, 2), (0, 5)].map(|(n, late)| (n, late, 10_000));
     let limits = apart.into_iter().chain([(0, 5, 100)]).map(|(in_time, late, gap)| {
-        let mut h = harness(&[]);
-        h.ready(&["amber"]);
+        let mut harness = Harness::new(&[]);
+        harness.ready(&["amber"]);
         for took in std::iter::repeat_n(100, in_time).chain(std::iter::repeat_n(9000, late)) {
-            h.pass(gap);
-            let a = h.send(0, "slow");
-            h.balancer.attempt_ended(
+            harness.pass(gap);
+            let a = harness.send(0, "slow");
+            harness.balancer.attempt_ended(
                 a,
                 0,
                 AttemptOutcome::Completed,
                 Span::from_ticks(took),
                 true,
-                &mut h.trace,
+                &mut harness.trace,
             );
         }
-        h.take_trace();
-        (0..12).for_each(|_| _ = h.send(0, "slow"));
-        format!("{in_time} in time, {late} late: {}", h.take_trace().matches("->").count())
+        harness.take_trace();
+        (0..12).for_each(|_| _ = harness.send(0, "slow"));
+        format!("{in_time} in time, {late} late: {}", harness.take_trace().matches("->").count())
     });
     let limits: Vec<String> = limits.collect();
     expect![[r#"
@@ -65,21 +72,21 @@
 
 /// What goes to each of four servers after the first three had 30 requests, of which they rejected some.
 fn sent_after(rejected: fn(usize) -> bool) -> String {
-    let mut h = harness(&[("most shots", "1")]);
-    h.ready(&FOUR);
-    let keys = FOUR.map(|id| key_of(&mut h, id));
+    let mut harness = Harness::new(&[("most shots", "1")]);
+    harness.ready(&FOUR);
+    let keys = FOUR.map(|id| key_of(&mut harness, id));
     for (i, key) in keys[..3].iter().cycle().take(30).enumerate() {
-        let request_id = h.send(0, key);
-        h.end(
+        let request_id = harness.send(0, key);
+        harness.end(
             request_id,
             0,
             if rejected(i) { AttemptOutcome::Overloaded } else { AttemptOutcome::Completed },
         );
     }
-    h.take_trace();
-    keys[..3].iter().for_each(|key| _ = h.send(0, key));
-    (0..8).for_each(|_| _ = h.send(0, &keys[3]));
-    let values = h.take_trace();
+    harness.take_trace();
+    keys[..3].iter().for_each(|key| _ = harness.send(0, key));
+    (0..8).for_each(|_| _ = harness.send(0, &keys[3]));
+    let values = harness.take_trace();
     let sent = [0, 1, 2, 3].map(|server| values.matches(&format!("-> server {server}")).count());
     format!("{sent:?} sent, {} rejected", values.matches("rejected").count())
 }
--- a/crates/balancer/tests/decisions/endpoints.rs
+++ b/crates/balancer/tests/decisions/endpoints.rs
@@ -1,6 +1,6 @@
 //! Lists of servers, calls of operators, and what one process leaves to the next.
 
-use crate::helper::{SERVER, WATCH, harness};
+use crate::helper::{Harness, SERVER, WATCH};
 use crate::{FOUR, key_of, of_birch};
 use chalkwalk_balancer::{AttemptOutcome, Endpoint, EndpointStatus, LearnedServer};
 use chalkwalk_time::{Span, Timestamp};
@@ -8,13 +8,13 @@
 
 #[test]
 fn a_lost_watch_is_renewed_and_spread_out() {
-    let mut h = harness(&[("watched", "1")]);
-    h.ready(&FOUR);
+    let mut harness = Harness::new(&[("watched", "1")]);
+    harness.ready(&FOUR);
     for _ in 0..3 {
-        h.balancer.discovery_call_failed(Span::ZERO, &mut h.trace);
-        h.fire_timer(WATCH);
+        harness.balancer.discovery_call_failed(Span::ZERO, &mut harness.trace);
+        harness.fire_timer(WATCH);
     }
-    h.ready(&FOUR);
+    harness.ready(&FOUR);
     expect![[r#"
         timer in 1319 ms
         log: discovery lost
@@ -26,7 +26,7 @@
         watch endpoints
         log: discovery recovered
     "#]]
-    .assert_eq(&h.take_trace());
+    .assert_eq(&harness.take_trace());
 }
 
 /// Where the list is pushed, what is missed counts as notified at once; where it is polled, after a stated time. No figure makes
@@ -36,9 +36,9 @@
     let settings =
         [("0", "10000", ""), ("0", "0", ""), ("1", "", "20000"), ("1", "", "100000"), ("1", "", "0")];
     let waits = settings.map(|(watched, grace, time)| {
-        let mut h = harness(&[("watched", watched), ("drain grace", grace), ("ask time", time)]);
-        (0..40).for_each(|_| h.balancer.discovery_call_failed(Span::ZERO, &mut h.trace));
-        let waits = h.take_trace();
+        let mut harness = Harness::new(&[("watched", watched), ("drain grace", grace), ("ask time", time)]);
+        (0..40).for_each(|_| harness.balancer.discovery_call_failed(Span::ZERO, &mut harness.trace));
+        let waits = harness.take_trace();
         let waits =
             waits.lines().filter_map(|l| l.strip_prefix("timer in ")?.strip_suffix(" ms")?.parse().ok());
         let waits: Vec<u64> = waits.collect();
@@ -55,20 +55,20 @@
 
 #[test]
 fn an_index_is_free_once_nothing_can_name_its_server_and_the_next_one_there_starts_anew() {
-    let mut h = harness(&[]);
-    h.ready(&["amber", "birch"]);
-    let key = key_of(&mut h, "birch");
-    let (a, b) = (h.send(2, &key), h.send(2, &key));
+    let mut harness = Harness::new(&[]);
+    harness.ready(&["amber", "birch"]);
+    let key = key_of(&mut harness, "birch");
+    let (a, b) = (harness.send(2, &key), harness.send(2, &key));
     let mut values = Vec::new();
-    h.ready(&["amber"]);
-    values.push(h.balancer.index_is_free(1));
-    h.end(a, 0, AttemptOutcome::Unreachable);
-    h.end(b, 0, AttemptOutcome::Completed);
+    harness.ready(&["amber"]);
+    values.push(harness.balancer.index_is_free(1));
+    harness.end(a, 0, AttemptOutcome::Unreachable);
+    harness.end(b, 0, AttemptOutcome::Completed);
     // It was ejected, and the request that met it is still open.
-    h.fire_timer(SERVER + 1);
-    values.push(h.balancer.index_is_free(1));
-    h.end(a, 1, AttemptOutcome::Completed);
-    values.push(h.balancer.index_is_free(1));
+    harness.fire_timer(SERVER + 1);
+    values.push(harness.balancer.index_is_free(1));
+    harness.end(a, 1, AttemptOutcome::Completed);
+    values.push(harness.balancer.index_is_free(1));
     expect!["[false, false, true]"].assert_eq(&format!("{values:?}"));
 }
 
@@ -76,54 +76,54 @@
 /// says; put back it is in slow start like one that starts then, and gets attempts within seconds.
 #[test]
 fn a_server_that_operators_take_out_gets_nothing_until_they_put_it_back_in_slow_start() {
-    let mut h = harness(&[("proxies", "4")]);
-    h.pass(1_000_000);
-    h.ready(&FOUR);
-    let before = of_birch(&mut h);
-    h.balancer.set_disabled("birch", true, Timestamp::from_ticks(h.now));
-    h.balancer.set_disabled("birch", true, Timestamp::from_ticks(h.now));
-    let disabled = of_birch(&mut h);
-    h.ready(&["amber", "cedar", "delta"]);
-    h.ready(&FOUR);
-    let listed_again = of_birch(&mut h);
-    h.balancer.set_disabled("birch", false, Timestamp::from_ticks(h.now));
-    h.ready(&FOUR);
-    let back = of_birch(&mut h);
-    h.pass(110_000);
-    let later = of_birch(&mut h);
+    let mut harness = Harness::new(&[("proxies", "4")]);
+    harness.pass(1_000_000);
+    harness.ready(&FOUR);
+    let before = of_birch(&mut harness);
+    harness.balancer.set_disabled("birch", true, Timestamp::from_ticks(harness.now));
+    harness.balancer.set_disabled("birch", true, Timestamp::from_ticks(harness.now));
+    let disabled = of_birch(&mut harness);
+    harness.ready(&["amber", "cedar", "delta"]);
+    harness.ready(&FOUR);
+    let listed_again = of_birch(&mut harness);
+    harness.balancer.set_disabled("birch", false, Timestamp::from_ticks(harness.now));
+    harness.ready(&FOUR);
+    let back = of_birch(&mut harness);
+    harness.pass(110_000);
+    let later = of_birch(&mut harness);
     expect!["53 before, 0 disabled, 0 listed again, 13 back, 53 later"].assert_eq(&format!(
         "{before} before, {disabled} disabled, {listed_again} listed again, {back} back, {later} later"
     ));
     // All of them out: nothing is sent, and nobody meant by an id that none has.
-    FOUR.iter().for_each(|id| h.balancer.set_disabled(id, true, Timestamp::from_ticks(h.now)));
-    h.trace = Default::default();
-    h.send(0, "book/1");
+    FOUR.iter().for_each(|id| harness.balancer.set_disabled(id, true, Timestamp::from_ticks(harness.now)));
+    harness.trace = Default::default();
+    harness.send(0, "book/1");
     expect!["request 1000 rejected true false"].assert_eq(&format!(
         "{} {} {}",
-        h.take_trace().trim(),
-        h.balancer.knows_server("birch"),
-        h.balancer.knows_server("ember")
+        harness.take_trace().trim(),
+        harness.balancer.knows_server("birch"),
+        harness.balancer.knows_server("ember")
     ));
 }
 
 /// One that leaves the list while it is out, and comes back at another index, is put back there.
 #[test]
 fn a_server_that_came_back_at_another_index_while_it_was_disabled_is_put_back() {
-    let mut h = harness(&[]);
-    h.pass(1_000_000);
-    h.ready(&FOUR);
-    h.balancer.set_disabled("birch", true, Timestamp::from_ticks(h.now));
-    h.ready(&["amber", "cedar", "delta"]);
+    let mut harness = Harness::new(&[]);
+    harness.pass(1_000_000);
+    harness.ready(&FOUR);
+    harness.balancer.set_disabled("birch", true, Timestamp::from_ticks(harness.now));
+    harness.ready(&["amber", "cedar", "delta"]);
     let (id, status) = ("birch", EndpointStatus::Ready);
     let back =
         Endpoint { server: 4, id, zone: 0, kind: 0, cell: 0, size: 100, status, born: Timestamp::ZERO };
-    h.balancer.update_endpoints(&[back], &mut h.trace);
+    harness.balancer.update_endpoints(&[back], &mut harness.trace);
     let mut sent = Vec::new();
     for out in [true, false] {
-        h.balancer.set_disabled("birch", out, Timestamp::from_ticks(h.now));
-        h.trace = Default::default();
-        (0..200).for_each(|i| _ = h.send(0, &format!("book/{i}")));
-        sent.push(h.take_trace().contains("-> server 4"));
+        harness.balancer.set_disabled("birch", out, Timestamp::from_ticks(harness.now));
+        harness.trace = Default::default();
+        (0..200).for_each(|i| _ = harness.send(0, &format!("book/{i}")));
+        sent.push(harness.take_trace().contains("-> server 4"));
     }
     expect!["[false, true]"].assert_eq(&format!("{sent:?}"));
 }
@@ -132,7 +132,7 @@
 /// since; figures beyond all that could be learned are cut to it. Nothing else is restored: cedar gets attempts though it was ejected.
 #[test]
 fn the_first_requests_after_a_switch_go_by_what_was_learned_before() {
-    let mut old = harness(&[]);
+    let mut old = Harness::new(&[]);
     old.ready(&FOUR);
     for i in 0..60 {
         old.pass(2_000);
@@ -162,7 +162,7 @@
     });
     let days = [(Vec::new(), 0), (learned.clone(), 0), (learned.clone(), 5), (excessive.collect(), 0)];
     let first = days.map(|(learned_before, born)| {
-        let mut new = harness(&[("cold time", "0")]);
+        let mut new = Harness::new(&[("cold time", "0")]);
         new.balancer.restore_learned(learned_before);
         let rows = FOUR.map(|id| (id, 0, EndpointStatus::Ready, if id == "birch" { born } else { 0 }));
         new.list(&rows);
--- a/crates/balancer/tests/decisions/helper.rs
+++ b/crates/balancer/tests/decisions/helper.rs
@@ -61,32 +61,39 @@
     pub trace: Trace,
     pub now: u64,
     pub values: BTreeMap<String, String>,
-    pub birch: (usize, u64), // its kind, and its size in hundredths
+    pub birch: (usize, u64), // the kind and the size, in hundredths, of the server birch
     ids: Vec<String>,
 }
 
-/// Settings with one replayable, one tagged and one single-use namespace, 0 to 2, each with a target of 1 s.
-pub fn harness(more: &[(&str, &str)]) -> Harness {
-    let mut values: BTreeMap<String, String> = BTreeMap::new();
-    let mut set = |name: &str, value: &str| values.insert(name.into(), value.into());
-    for (i, repeats) in ["replayable", "tagged", "single-use"].iter().enumerate() {
-        set(&format!("namespace {i} repeats"), repeats);
-        set(&format!("namespace {i} target time"), "10000");
-        set(&format!("namespace {i} group"), "all");
-        set(&format!("namespace {i} window"), "5000");
-    }
-    let usual = [("namespaces", "3"), ("most shots", "4"), ("second copies", "1"), ("withdrawals", "1")];
-    let rest =
-        [("probes", "1"), ("longest stay away", "20000"), ("cold share", "0.2"), ("cold time", "100000")];
-    usual.iter().chain(&rest).chain(more).for_each(|(name, value)| {
-        set(name, value);
-    });
-    let mut trace = Trace::default();
-    let balancer = Balancer::new(7, &values, &mut trace);
-    Harness { balancer, trace, now: 0, values, birch: (0, 100), ids: Vec::new() }
-}
-
 impl Harness {
+    /// A fleet with one replayable, one tagged and one single-use class, 0 to 2, each with a target of 1 s, and `more` settings.
+    pub fn new(more: &[(&str, &str)]) -> Harness {
+        let mut values: BTreeMap<String, String> = BTreeMap::new();
+        let mut set = |name: &str, value: &str| values.insert(name.into(), value.into());
+        for (class, idempotency) in ["replayable", "tagged", "single-use"].iter().enumerate() {
+            set(&format!("namespace {class} repeats"), idempotency);
+            set(&format!("namespace {class} target time"), "10000");
+            set(&format!("namespace {class} group"), "all");
+            set(&format!("namespace {class} window"), "5000");
+        }
+        let usual = [
+            ("namespaces", "3"),
+            ("most shots", "4"),
+            ("second copies", "1"),
+            ("withdrawals", "1"),
+            ("probes", "1"),
+            ("longest stay away", "20000"),
+            ("cold share", "0.2"),
+            ("cold time", "100000"),
+        ];
+        for (name, value) in usual.iter().chain(more) {
+            set(name, value);
+        }
+        let mut trace = Trace::default();
+        let balancer = Balancer::new(7, &values, &mut trace);
+        Harness { balancer, trace, now: 0, values, birch: (0, 100), ids: Vec::new() }
+    }
+
     /// Hands over the whole list: (id, zone, status, born); kind 9 for an id "origin", else 0.
     pub fn list(&mut self, rows: &[(&str, usize, EndpointStatus, u64)]) {
         for (id, ..) in rows {
--- a/crates/balancer/tests/decisions/key_order.rs
+++ b/crates/balancer/tests/decisions/key_order.rs
@@ -1,7 +1,7 @@
 //! Whose turn it is among the requests with one key.
 
 use crate::FOUR;
-use crate::helper::harness;
+use crate::helper::Harness;
 use chalkwalk_balancer::{AttemptOutcome, RequestId};
 use expect_test::expect;
 
@@ -11,35 +11,35 @@
 #[test]
 fn requests_with_one_key_run_in_turn_where_their_class_asks_for_it() {
     let order = [("namespace 1 in order", "1"), ("namespace 2 in order", "1"), ("key quiet", "2000")];
-    let mut h = harness(&order);
-    h.ready(&FOUR);
-    let first = h.send(2, "hot");
-    let second = h.send(1, "hot");
-    let third = h.send(2, "hot");
-    h.send(2, "hot");
-    h.send(0, "hot"); // its class asks for no order
-    h.send(1, "other");
-    h.send(1, ""); // without a key
-    h.send(1, "");
-    h.trace.mark("the first has its answer, the third's client leaves");
-    h.end(first, 0, AttemptOutcome::Completed);
-    h.client_leaves(third);
-    h.trace.mark("the second times out, and has its last attempt");
-    h.pass(2_000);
-    h.end(second, 0, AttemptOutcome::TimedOut);
-    h.end(second, 1, AttemptOutcome::ServerError);
-    h.client_leaves(second);
-    h.pass(5_000);
-    h.fire_timer(3);
-    h.trace.mark("its last attempt has ended too");
-    h.end(second, 2, AttemptOutcome::Cancelled);
-    h.pass(1_999);
-    h.fire_timer(3);
-    h.trace.mark("the key has been quiet");
-    h.pass(1);
-    h.fire_timer(3);
-    h.trace.mark("a hundred wait, and two more come");
-    let waiting: Vec<_> = (0..102).map(|_| h.send(1, "hot")).collect();
+    let mut harness = Harness::new(&order);
+    harness.ready(&FOUR);
+    let first = harness.send(2, "hot");
+    let second = harness.send(1, "hot");
+    let third = harness.send(2, "hot");
+    harness.send(2, "hot");
+    harness.send(0, "hot"); // its class asks for no order
+    harness.send(1, "other");
+    harness.send(1, ""); // without a key
+    harness.send(1, "");
+    harness.trace.mark("the first has its answer, the third's client leaves");
+    harness.end(first, 0, AttemptOutcome::Completed);
+    harness.client_leaves(third);
+    harness.trace.mark("the second times out, and has its last attempt");
+    harness.pass(2_000);
+    harness.end(second, 0, AttemptOutcome::TimedOut);
+    harness.end(second, 1, AttemptOutcome::ServerError);
+    harness.client_leaves(second);
+    harness.pass(5_000);
+    harness.fire_timer(3);
+    harness.trace.mark("its last attempt has ended too");
+    harness.end(second, 2, AttemptOutcome::Cancelled);
+    harness.pass(1_999);
+    harness.fire_timer(3);
+    harness.trace.mark("the key has been quiet");
+    harness.pass(1);
+    harness.fire_timer(3);
+    harness.trace.mark("a hundred wait, and two more come");
+    let waiting: Vec<_> = (0..102).map(|_| harness.send(1, "hot")).collect();
     expect![[r#"
         request 0 -> server 2
         request 4 -> server 2
@@ -59,26 +59,26 @@
         request 108 rejected
         request 109 rejected
     "#]]
-    .assert_eq(&h.take_trace());
+    .assert_eq(&harness.take_trace());
     // An attempt in flight still counts, though its request is over.
-    h.client_leaves(RequestId(3));
-    h.trace.mark("its attempt has ended");
-    h.end(RequestId(3), 0, AttemptOutcome::Cancelled);
-    h.pass(2_000);
-    h.fire_timer(waiting[0].0);
+    harness.client_leaves(RequestId(3));
+    harness.trace.mark("its attempt has ended");
+    harness.end(RequestId(3), 0, AttemptOutcome::Cancelled);
+    harness.pass(2_000);
+    harness.fire_timer(waiting[0].0);
     expect![[r#"
         request 3 cancels attempt 0
         --- its attempt has ended
         request 8 -> server 1
     "#]]
-    .assert_eq(&h.take_trace());
+    .assert_eq(&harness.take_trace());
 }
 
 /// Whatever happens to them, no two requests of a key are in flight at once, none overtakes, and the queue ends.
 #[test]
 fn no_order_is_broken_by_what_becomes_of_requests() {
-    let mut h = harness(&[("namespace 1 in order", "1"), ("key quiet", "3000")]);
-    h.ready(&FOUR);
+    let mut harness = Harness::new(&[("namespace 1 in order", "1"), ("key quiet", "3000")]);
+    harness.ready(&FOUR);
     let (mut seed, mut out, mut started, mut over) = (11u64, Vec::new(), Vec::new(), 0);
     let mut keys: Vec<usize> = Vec::new();
     let mut pick = |n: u64| {
@@ -89,23 +89,23 @@
     for step in 0..4000 {
         if step < 2000 && pick(2) == 0 {
             let key = pick(2) as usize;
-            let request_id = h.send(1, ["a", "b"][key]);
+            let request_id = harness.send(1, ["a", "b"][key]);
             assert_eq!(request_id.0 as usize, keys.len());
             keys.push(key);
-            wakes.push((h.now + 10_000, request_id.0));
+            wakes.push((harness.now + 10_000, request_id.0));
         }
-        h.pass(500);
-        let now = h.now;
+        harness.pass(500);
+        let now = harness.now;
         let due: Vec<u64> = wakes.iter().filter(|w| w.0 <= now).map(|w| w.1).collect();
         wakes.retain(|w| w.0 > now);
         // Quiet queues set a timer for their first; here all timers fire now and then.
-        due.into_iter().for_each(|token| h.fire_timer(token));
-        (0..h.balancer.open_requests() as u64).for_each(|_| {
+        due.into_iter().for_each(|token| harness.fire_timer(token));
+        (0..harness.balancer.open_requests() as u64).for_each(|_| {
             if let Some(w) = wakes.first() {
-                h.fire_timer(w.1);
+                harness.fire_timer(w.1);
             }
         });
-        for line in h.take_trace().lines() {
+        for line in harness.take_trace().lines() {
             let word = |i: usize| line.split(' ').nth(i).unwrap_or("");
             let request_id: u64 = word(1).parse().unwrap_or(0);
             match word(2) {
@@ -133,7 +133,7 @@
                 AttemptOutcome::ServerError,
                 AttemptOutcome::Unreachable,
             ];
-            h.end(RequestId(request_id), attempt, outcomes[pick(5) as usize]);
+            harness.end(RequestId(request_id), attempt, outcomes[pick(5) as usize]);
         }
     }
     let distinct = |list: &[u64]| {
@@ -144,6 +144,6 @@
     expect!["543 started, 895 rejected, 0 still open"].assert_eq(&format!(
         "{} started, {over} rejected, {} still open",
         distinct(&started).len(),
-        h.balancer.open_requests()
+        harness.balancer.open_requests()
     ));
 }
--- a/crates/balancer/tests/decisions/key_share.rs
+++ b/crates/balancer/tests/decisions/key_share.rs
@@ -1,6 +1,6 @@
 //! Which of its keys a server keeps where it is small, late or loaded.
 
-use crate::helper::harness;
+use crate::helper::Harness;
 use crate::{FOUR, owners};
 use chalkwalk_balancer::{AttemptOutcome, EndpointStatus};
 use chalkwalk_time::Span;
@@ -9,28 +9,28 @@
 /// The keys that a late zone's servers give up go to the other zone, and come back when answers are in time again.
 #[test]
 fn a_late_zone_gives_keys_to_the_others_until_it_is_in_time() {
-    let mut h = harness(&[]);
-    h.list(&[("amber", 0, EndpointStatus::Ready, 0), ("birch", 1, EndpointStatus::Ready, 0)]);
+    let mut harness = Harness::new(&[]);
+    harness.list(&[("amber", 0, EndpointStatus::Ready, 0), ("birch", 1, EndpointStatus::Ready, 0)]);
     let mut away = Vec::new();
     for late in ["", "amber", ""] {
-        h.take_trace();
+        harness.take_trace();
         for i in 0..60 {
-            h.pass(2_000);
-            let a = h.send(0, &format!("page/{i}"));
-            let took = if h.last_server().is_some_and(|id| late.contains(&id)) { 10_000 } else { 1000 };
-            h.balancer.attempt_ended(
+            harness.pass(2_000);
+            let a = harness.send(0, &format!("page/{i}"));
+            let took = if harness.last_server().is_some_and(|id| late.contains(&id)) { 10_000 } else { 1000 };
+            harness.balancer.attempt_ended(
                 a,
                 0,
                 AttemptOutcome::Completed,
                 Span::from_ticks(took),
                 true,
-                &mut h.trace,
+                &mut harness.trace,
             );
             if i == 29 {
-                h.take_trace();
+                harness.take_trace();
             }
         }
-        away.push(h.take_trace().matches("> server 1").count().to_string());
+        away.push(harness.take_trace().matches("> server 1").count().to_string());
     }
     expect!["0, then 30, then 4 of 30 away"].assert_eq(&format!("{} of 30 away", away.join(", then ")));
 }
@@ -40,10 +40,10 @@
 #[test]
 fn a_smaller_server_keeps_a_part_of_its_keys() {
     let day = |size: u64, kind: &str, fleet: &[&str]| {
-        let mut h = harness(&[("size kind", kind)]);
-        h.birch.1 = size;
-        h.ready(fleet);
-        owners(&mut h)
+        let mut harness = Harness::new(&[("size kind", kind)]);
+        harness.birch.1 = size;
+        harness.ready(fleet);
+        owners(&mut harness)
     };
     let (whole, half) = (day(100, "nominal", &FOUR), day(50, "nominal", &FOUR));
     let others_kept = whole.iter().zip(&half).all(|(was, is)| was == is || was == "birch");
@@ -56,28 +56,28 @@
 /// One in four of birch's answers past its target: it keeps fewer of its keys, and gets them back by and by.
 #[test]
 fn a_server_that_is_late_keeps_fewer_of_its_keys_until_it_is_in_time() {
-    let mut h = harness(&[]);
-    h.ready(&FOUR);
+    let mut harness = Harness::new(&[]);
+    harness.ready(&FOUR);
     let counts = [100, 10_000, 100].map(|slow| {
-        h.take_trace();
+        harness.take_trace();
         for i in 0..400 {
-            h.pass(2_000);
-            let request_id = h.send(0, &format!("page/{i}"));
-            let late = i % 4 == 0 && h.last_server().is_some_and(|id| id == "birch");
+            harness.pass(2_000);
+            let request_id = harness.send(0, &format!("page/{i}"));
+            let late = i % 4 == 0 && harness.last_server().is_some_and(|id| id == "birch");
             let took = if late { slow } else { 100 };
-            h.balancer.attempt_ended(
+            harness.balancer.attempt_ended(
                 request_id,
                 0,
                 AttemptOutcome::Completed,
                 Span::from_ticks(took),
                 true,
-                &mut h.trace,
+                &mut harness.trace,
             );
             if i == 199 {
-                h.take_trace();
+                harness.take_trace();
             }
         }
-        h.take_trace().matches("> server 1").count()
+        harness.take_trace().matches("> server 1").count()
     });
     expect!["[46, 10, 46] of 200"].assert_eq(&format!("{counts:?} of 200"));
 }
@@ -86,19 +86,19 @@
 /// back; what is absurd, or listed of all alike, moves none for long.
 #[test]
 fn a_server_that_is_listed_as_loaded_keeps_fewer_of_its_keys() {
-    let mut h = harness(&[("size kind", "live")]);
+    let mut harness = Harness::new(&[("size kind", "live")]);
     let mut day = |weights: &[u64]| {
         weights.iter().for_each(|w| {
-            h.birch.1 = *w;
-            h.ready(&FOUR);
+            harness.birch.1 = *w;
+            harness.ready(&FOUR);
         });
-        h.take_trace();
+        harness.take_trace();
         (0..200).for_each(|i| {
-            let request_id = h.send(0, &format!("page/{i}"));
-            h.client_leaves(request_id);
-            h.end(request_id, 0, AttemptOutcome::Cancelled);
+            let request_id = harness.send(0, &format!("page/{i}"));
+            harness.client_leaves(request_id);
+            harness.end(request_id, 0, AttemptOutcome::Cancelled);
         });
-        h.take_trace().matches("> server 1").count()
+        harness.take_trace().matches("> server 1").count()
     };
     let values = [day(&[100]), day(&[10; 6]), day(&[100; 70]), day(&[0]), day(&[100; 9])];
     let absurd = [day(&[u64::MAX / 1000]), day(&[100; 200]), day(&[100; 4000])];
