--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -7,6 +7,7 @@
 mod attempts;
 mod endpoints;
 mod health;
+mod learning;
 mod origin;
 mod queries;
 mod repeats;
--- a/crates/balancer/src/balancer/attempts.rs
+++ b/crates/balancer/src/balancer/attempts.rs
@@ -1,47 +1,17 @@
-//! Starts attempts, and takes what becomes of them: each decision about the server learns from the outcome, one step after the
-//! other, and then the request goes on.
+//! Starts attempts, and takes what becomes of them: each decision about the server learns from the outcome (`learning.rs`), one
+//! step after the other, and then the request goes on.
 //!
 //! Inputs: the start of each response and the end of each attempt, once.
 
 use super::Balancer;
+use super::learning::EndedAttempt;
 use super::retry::RetryCost;
-use crate::concurrency_limit::Sample;
 use crate::effects::Effects;
-use crate::load_shedding::Resource;
 use crate::request::Attempt;
 use crate::request_class::Idempotency;
-use crate::slow_start::token_floor;
 use crate::types::{AttemptOutcome, RequestId, ServerIndex};
 use chalkwalk_time::Span;
 
-/// An attempt that has ended, as the decisions learn from it.
-#[derive(Clone, Copy)]
-struct EndedAttempt {
-    key: u64,
-    server: ServerIndex,
-    outcome: AttemptOutcome,
-    took: Span,
-    target: Span,
-    in_flight: u64,
-    likely_fetch: bool,
-    opened_connection: bool,
-    /// It was at a server, and not at the origin.
-    from_server: bool,
-    /// Nothing had come from the server since it was sent.
-    server_was_silent: bool,
-}
-
-impl EndedAttempt {
-    /// An error on a fetch may be the origin's, and says nothing of the server.
-    fn is_origin_error(&self) -> bool {
-        self.likely_fetch && self.outcome == AttemptOutcome::ServerError
-    }
-
-    fn is_late(&self) -> bool {
-        self.took >= self.target || self.is_origin_error() || self.outcome == AttemptOutcome::TimedOut
-    }
-}
-
 impl Balancer {
     pub(super) fn start_attempt(
         &mut self,
@@ -155,10 +125,8 @@
             server.liveness.record_answer(attempt.sent_at, self.now);
         }
         // Guards servers against being taken for late over attempts that they lost, while they answer later ones.
-        let lost = outcome == AttemptOutcome::TimedOut
-            && !server_was_silent
-            && server.liveness.answered_one_sent_after(attempt.sent_at)
-            && took > overdue_after;
+        let overtaken = !server_was_silent && server.liveness.answered_one_sent_after(attempt.sent_at);
+        let lost = outcome == AttemptOutcome::TimedOut && overtaken && took > overdue_after;
         Some(EndedAttempt {
             key: request.key,
             server: attempt.server,
@@ -173,42 +141,6 @@
         })
     }
 
-    /// Learns whether servers have capacity for connections; whether the attempt failed for lack of it.
-    fn record_connection(&mut self, ended: &EndedAttempt) -> bool {
-        let refused = ended.outcome == AttemptOutcome::Unreachable;
-        let server = &mut self.servers[ended.server];
-        server.connected &= !refused && ended.outcome != AttemptOutcome::ConnectionLost;
-        let group = self.zone_group(&self.servers[ended.server]);
-        if ended.from_server {
-            self.connections.record(refused);
-        }
-        let no_connection_left = refused && ended.opened_connection && self.connections.is_scarce();
-        if no_connection_left {
-            let connected = self.connected_count(group);
-            self.connections.lower(group, connected);
-        } else if ended.opened_connection && ended.from_server && ended.outcome.is_success_or_miss() {
-            self.connections.raise(group);
-        }
-        no_connection_left
-    }
-
-    /// Learns how fast the server answers, and from that how much it takes.
-    fn record_latency(&mut self, ended: &EndedAttempt) {
-        let EndedAttempt { outcome, took, target, from_server, in_flight, .. } = *ended;
-        let server = &mut self.servers[ended.server];
-        if matches!(outcome, AttemptOutcome::Completed | AttemptOutcome::TimedOut) {
-            server.recent_latency.record(took, target);
-        }
-        if outcome == AttemptOutcome::Completed && from_server {
-            self.latencies.record(took);
-        }
-        if from_server && outcome.shows_latency() {
-            server.keys.record_latency(took, target);
-        }
-        let shortest_target = self.settings.shortest_target().unwrap_or(target);
-        server.concurrency.adjust(&Sample { outcome, took, in_flight, target, shortest_target, from_server });
-    }
-
     /// Whether the attempt was the fetch that others wait for; the request leads it no longer.
     fn take_fetch(&mut self, request_id: RequestId, ended: &EndedAttempt) -> bool {
         match self.requests.get_mut(&request_id.0) {
@@ -217,36 +149,6 @@
         }
     }
 
-    /// Learns whether servers hold the key by now.
-    fn record_key(&mut self, ended: &EndedAttempt) {
-        if self.settings.servers_fetch && ended.outcome == AttemptOutcome::Completed {
-            self.shedding.record_resolved(ended.key);
-        } else if ended.outcome == AttemptOutcome::ServerError {
-            self.shedding.forget_resolved(ended.key);
-        }
-    }
-
-    /// Learns whether the servers, or the origin, are late.
-    fn record_load(&mut self, ended: &EndedAttempt) {
-        if ended.is_origin_error() || ended.outcome.shows_latency() {
-            let by_server = ended.from_server && !ended.likely_fetch;
-            let resource = if by_server { Resource::Servers } else { Resource::Origin };
-            self.shedding.record(resource, ended.is_late());
-        }
-    }
-
-    /// An answer earns tokens for its server and for all others in slow start.
-    fn earn_slow_start_tokens(&mut self, answered: ServerIndex) {
-        let ready = self.ring.server_count();
-        let floor = token_floor(&self.settings);
-        for index in 0..self.servers.len() {
-            let progress = self.servers[index].slow_start_progress(&self.settings, self.now);
-            if !progress.is_done() && self.is_ready(index) {
-                self.servers[index].slow_start.earn(index == answered, progress, ready, floor);
-            }
-        }
-    }
-
     /// Closes the request, retries it or answers it, as the attempt ended.
     fn continue_request(
         &mut self,
--- a/crates/balancer/tests/decisions/concurrency_limit.rs
+++ b/crates/balancer/tests/decisions/concurrency_limit.rs
@@ -3,7 +3,6 @@
 use crate::helper::Harness;
 use crate::{FOUR, key_of};
 use chalkwalk_balancer::AttemptOutcome;
-use chalkwalk_time::Span;
 use expect_test::expect;
 
 #[test]
@@ -12,14 +11,7 @@
     harness.ready(&["amber"]);
     for _ in 0..30 {
         let a = harness.send(0, "slow");
-        harness.balancer.attempt_ended(
-            a,
-            0,
-            AttemptOutcome::Completed,
-            Span::from_ticks(9000),
-            true,
-            &mut harness.trace,
-        );
+        harness.complete(a, 9000);
     }
     harness.take_trace();
     for _ in 0..20 {
@@ -44,14 +36,7 @@
         for took in std::iter::repeat_n(100, in_time).chain(std::iter::repeat_n(9000, late)) {
             harness.pass(gap);
             let a = harness.send(0, "slow");
-            harness.balancer.attempt_ended(
-                a,
-                0,
-                AttemptOutcome::Completed,
-                Span::from_ticks(took),
-                true,
-                &mut harness.trace,
-            );
+            harness.complete(a, took);
         }
         harness.take_trace();
         (0..12).for_each(|_| _ = harness.send(0, "slow"));
--- a/crates/balancer/tests/decisions/helper.rs
+++ b/crates/balancer/tests/decisions/helper.rs
@@ -157,6 +157,12 @@
         );
     }
 
+    /// The first attempt of a request is answered with success after so long.
+    pub fn complete(&mut self, request_id: RequestId, took: u64) {
+        let took = Span::from_ticks(took);
+        self.balancer.attempt_ended(request_id, 0, AttemptOutcome::Completed, took, true, &mut self.trace);
+    }
+
     pub fn client_leaves(&mut self, request_id: RequestId) {
         self.balancer.client_left(request_id, &mut self.trace);
     }
--- a/crates/balancer/tests/decisions/key_share.rs
+++ b/crates/balancer/tests/decisions/key_share.rs
@@ -3,7 +3,6 @@
 use crate::helper::Harness;
 use crate::{FOUR, owners};
 use chalkwalk_balancer::{AttemptOutcome, EndpointStatus};
-use chalkwalk_time::Span;
 use expect_test::expect;
 
 /// The keys that a late zone's servers give up go to the other zone, and come back when answers are in time again.
@@ -18,14 +17,7 @@
             harness.pass(2_000);
             let a = harness.send(0, &format!("page/{i}"));
             let took = if harness.last_server().is_some_and(|id| late.contains(&id)) { 10_000 } else { 1000 };
-            harness.balancer.attempt_ended(
-                a,
-                0,
-                AttemptOutcome::Completed,
-                Span::from_ticks(took),
-                true,
-                &mut harness.trace,
-            );
+            harness.complete(a, took);
             if i == 29 {
                 harness.take_trace();
             }
@@ -65,14 +57,7 @@
             let request_id = harness.send(0, &format!("page/{i}"));
             let late = i % 4 == 0 && harness.last_server().is_some_and(|id| id == "birch");
             let took = if late { slow } else { 100 };
-            harness.balancer.attempt_ended(
-                request_id,
-                0,
-                AttemptOutcome::Completed,
-                Span::from_ticks(took),
-                true,
-                &mut harness.trace,
-            );
+            harness.complete(request_id, took);
             if i == 199 {
                 harness.take_trace();
             }
--- a/crates/balancer/tests/decisions/liveness.rs
+++ b/crates/balancer/tests/decisions/liveness.rs
@@ -3,7 +3,6 @@
 use crate::helper::Harness;
 use crate::{FOUR, key_of};
 use chalkwalk_balancer::AttemptOutcome;
-use chalkwalk_time::Span;
 use expect_test::expect;
 
 #[test]
@@ -14,14 +13,7 @@
         let key = key_of(&mut harness, "amber");
         for _ in 0..20 {
             let request_id = harness.send(0, &key);
-            harness.balancer.attempt_ended(
-                request_id,
-                0,
-                AttemptOutcome::Completed,
-                Span::from_ticks(usual),
-                true,
-                &mut harness.trace,
-            );
+            harness.complete(request_id, usual);
         }
         let slow = harness.send(0, &key);
         // One sent later is answered: a longer one is overtaken, and 1.5 s is no time where most take 0.6 s.
@@ -78,14 +70,7 @@
         harness.pass(4_000);
         harness.fire_timer(request_id.0);
         passed += harness.take_trace().lines().count() - 1;
-        harness.balancer.attempt_ended(
-            request_id,
-            0,
-            AttemptOutcome::Completed,
-            Span::from_ticks(4_000),
-            true,
-            &mut harness.trace,
-        );
+        harness.complete(request_id, 4_000);
     }
     expect!["0"].assert_eq(&passed.to_string());
 }
--- a/crates/balancer/tests/decisions/slow_start.rs
+++ b/crates/balancer/tests/decisions/slow_start.rs
@@ -3,7 +3,6 @@
 use crate::helper::Harness;
 use crate::{FOUR, of_birch};
 use chalkwalk_balancer::{AttemptOutcome, EndpointStatus};
-use chalkwalk_time::Span;
 use expect_test::expect;
 
 #[test]
@@ -70,14 +69,7 @@
             harness.pass(200);
             let request_id = harness.send(0, &format!("page/{i}"));
             let took = if late && i % 2 == 0 { 10_000 } else { 100 };
-            harness.balancer.attempt_ended(
-                request_id,
-                0,
-                AttemptOutcome::Completed,
-                Span::from_ticks(took),
-                true,
-                &mut harness.trace,
-            );
+            harness.complete(request_id, took);
             harness.client_leaves(request_id);
         }
         let now = harness.now;
@@ -88,14 +80,7 @@
             let request_id = harness.send(0, &format!("page/{i}"));
             let in_slow_start = harness.last_server().is_some_and(|id| id == "birch");
             let took = if late && !in_slow_start && i % 2 == 0 { 10_000 } else { 100 };
-            harness.balancer.attempt_ended(
-                request_id,
-                0,
-                AttemptOutcome::Completed,
-                Span::from_ticks(took),
-                true,
-                &mut harness.trace,
-            );
+            harness.complete(request_id, took);
             harness.client_leaves(request_id);
         }
         harness.take_trace().matches("> server 1").count()
