--- a/crates/proxy/tests/sockets.rs
+++ b/crates/proxy/tests/sockets.rs
@@ -1071,10 +1071,10 @@
     expect![[r#"
         serving of "p": at_ms event level listen proxy
         discovery call failed of "p": at_ms call event fault level proxy took_ms unheard_ms version
-        leaving of "p": at_ms event level open proxy succeeded
-        ended of "p": at_ms event left_waiting level proxy violations withheld
+        draining of "p": at_ms event level open proxy succeeded
+        stopped of "p": at_ms event left_waiting level proxy violations withheld
     "#]]
-    .assert_eq(&["serving", "discovery call failed", "leaving", "ended"].map(seen).concat());
+    .assert_eq(&["serving", "discovery call failed", "draining", "stopped"].map(seen).concat());
 }
 
 #[test]
