--- a/crates/testbed/src/cli/mod.rs
+++ b/crates/testbed/src/cli/mod.rs
@@ -10,12 +10,12 @@
 use std::process::ExitCode;
 
 const USAGE: &str = "\
-usage: chalkwalk-testbed try [--proxy COMMAND]                      a small fleet with a trouble, 20 s, live
+usage: chalkwalk-testbed try [--proxy COMMAND]                      a small fleet with faults, 20 s, live
        chalkwalk-testbed run FILE [--proxy COMMAND] [--json FILE] [--report DIR] [--logs DIR]
        chalkwalk-testbed compare FILE --proxy A --proxy B [...] [--rounds N]
        chalkwalk-testbed soak [--seed N] [--seeds K] [--seconds S] [--proxies P] [--proxy COMMAND] [--logs DIR] [--show]
                                                                 random overlapping faults; fails where a rule breaks
-       chalkwalk-testbed check FILE...                              reads experiments and says what is wrong
+       chalkwalk-testbed check FILE...                              reads experiments and shows what is wrong
        chalkwalk-testbed fleet [--proxies N] [--caches M] [--proxy COMMAND]    stays up until a signal
        chalkwalk-testbed proxy relay|random|ring [--break RULE]     a proxy to measure beside
        chalkwalk-testbed version
--- a/crates/testbed/src/cli/play.rs
+++ b/crates/testbed/src/cli/play.rs
@@ -120,8 +120,8 @@
     let command: Option<String> = args.opt_value_from_str("--proxy")?;
     expect_no_more(args)?;
     println!(
-        "Three proxies, nine caches in three zones and an origin on loopback. At 6 s a cache hangs, at 10 s a third of\n\
-         what another does fails, and from 13 s on caches are deployed one after the other."
+        "Three proxies, nine servers in three zones and an origin on loopback. At 6 s a server hangs, at 10 s a third of\n\
+         what another does fails, and from 13 s on servers are deployed one after the other."
     );
     let experiment = Experiment::read(TRY).map_err(CliError::BuiltIn)?;
     Ok(print_verdict(&play(experiment, Path::new(""), command, None)?))
--- a/crates/testbed/src/experiment/check.rs
+++ b/crates/testbed/src/experiment/check.rs
@@ -83,7 +83,7 @@
     }
     if world.zones.is_empty() || world.zones.len() > world.servers {
         let line = check.line("world", "zones");
-        check.report(line, "there has to be a zone, and a cache in each");
+        check.report(line, "there has to be a zone, and a server in each");
     }
 }
 
@@ -115,7 +115,7 @@
     let most = load.load_steps.iter().map(|step| step.factor).fold(1.0, f64::max);
     if load.rate * seconds * most > MAX_REQUESTS {
         let line = check.line("load", "rate");
-        check.report(line, format!("rate × seconds comes to more than {MAX_REQUESTS} lookups"));
+        check.report(line, format!("rate × seconds comes to more than {MAX_REQUESTS} requests"));
     }
     for hot in &load.hot_keys {
         check.within("load.hot", "share", hot.share, 0.0, 1.0);
--- a/crates/testbed/src/experiment/check_faults.rs
+++ b/crates/testbed/src/experiment/check_faults.rs
@@ -42,7 +42,7 @@
         self.check_targets(fault, line, check);
         if !(0.0..=self.seconds).contains(&fault.at) {
             let text =
-                format!("it begins at {} s, and lookups arrive from 0 to {} s", fault.at, self.seconds);
+                format!("it begins at {} s, and requests arrive from 0 to {} s", fault.at, self.seconds);
             check.report(line, text);
         }
     }
@@ -54,11 +54,11 @@
         let of_etcd = kind.to_string().starts_with("etcd-");
         let of_file = kind == FaultKind::FileRewrites;
         if (of_etcd && source != ListSource::Etcd) || (of_file && source != ListSource::File) {
-            check.report(line, format!("{kind} is no trouble where the source is \"{}\"", self.fleet.source));
+            check.report(line, format!("{kind} is no fault where the source is \"{}\"", self.fleet.source));
         }
         let of_slots = matches!(kind, FaultKind::SlotsMove | FaultKind::Failover | FaultKind::OldMap);
         if of_slots && self.fleet.protocol() != Protocol::Resp {
-            check.report(line, format!("{kind} is no trouble where the door is \"{}\"", self.fleet.protocol));
+            check.report(line, format!("{kind} is no fault where the door is \"{}\"", self.fleet.protocol));
         }
         if kind == FaultKind::Reload && self.fleet.operator.is_empty() {
             check.report(line, "reload needs operator's files in [fleet] operator");
@@ -74,7 +74,7 @@
             check.report(line, format!("zone \"{zone}\" is none of the world's"));
         }
         let numbered =
-            [("cache", &fault.servers, self.world.servers), ("proxy", &fault.proxies, self.fleet.proxies)];
+            [("server", &fault.servers, self.world.servers), ("proxy", &fault.proxies, self.fleet.proxies)];
         for (what, named, count) in numbered {
             if let Some(odd) = named.iter().flatten().find(|i| **i >= count) {
                 let last = count - 1;
--- a/crates/testbed/src/load/clients.rs
+++ b/crates/testbed/src/load/clients.rs
@@ -100,7 +100,7 @@
         let [served, rejected, other] =
             [&self.served, &self.rejected, &self.other].map(|count| count.load(Ordering::Relaxed));
         let open = self.open.load(Ordering::Relaxed);
-        format!("resolved {served}  deferred {rejected}  other {other}  open {open}")
+        format!("served {served}  rejected {rejected}  other {other}  open {open}")
     }
 
     /// Closes every connection that is idle.
--- a/crates/testbed/src/oracle/attempts.rs
+++ b/crates/testbed/src/oracle/attempts.rs
@@ -36,7 +36,7 @@
             findings.extend(self.may_run_twice(record, before, next));
         }
         if let [_, again, ..] = record.effects[..] {
-            let seen = format!("its effect came about again at cache {}", again.server);
+            let seen = format!("its effect came about again at server {}", again.server);
             findings.push(Finding::new(Rule::RunsOnce, again.at, seen));
         }
         findings
@@ -45,7 +45,7 @@
     fn too_many(&self, record: &RequestRecord) -> Option<Finding> {
         let allowed = self.experiment.fleet.max_attempts;
         let first_over = record.attempts.get(allowed)?;
-        let seen = format!("{} shots, {allowed} allowed", record.attempts.len());
+        let seen = format!("{} attempts, {allowed} allowed", record.attempts.len());
         Some(Finding::new(Rule::AttemptLimit, first_over.started, seen))
     }
 
@@ -57,7 +57,7 @@
         let overlap = micros(self.experiment.rules.overlap_ms / 1e3);
         let in_flight = |other: &&Attempt| other.end().is_none_or(|end| end > next.started + overlap);
         let other = before.iter().find(in_flight)?;
-        let seen = format!("cache {} while one was out at cache {}", next.server, other.server);
+        let seen = format!("server {} while one was in flight at server {}", next.server, other.server);
         Some(Finding::new(Rule::OneAttemptAtOnce, next.started, seen))
     }
 
@@ -67,7 +67,7 @@
         let mut unsafe_ones =
             candidates.filter_map(|first| Some((first, self.unsafe_retry(class, first, next)?)));
         let (first, why) = unsafe_ones.next()?;
-        let seen = format!("cache {} after cache {}: {why}", next.server, first.server);
+        let seen = format!("server {} after server {}: {why}", next.server, first.server);
         Some(Finding::new(Rule::RunsOnce, next.started, seen))
     }
 
@@ -110,13 +110,13 @@
 ) -> Option<String> {
     let first = attempts.iter().find(|attempt| attempt.may_have_run(at))?;
     let sent = first.sent();
-    let may_have_run = |kind: &str| format!("{kind}, and cache {} may have run it", first.server);
+    let may_have_run = |kind: &str| format!("{kind}, and server {} may have run it", first.server);
     match class.repeats() {
         Repeats::Replayable => None,
         Repeats::SingleUse => Some(may_have_run("single-use")),
         Repeats::Tagged if class.dedup_group() != DedupGroup::All => Some(may_have_run("tagged")),
         Repeats::Tagged => (retry_at > sent + dedup_window(class)).then(|| {
-            format!("tagged, and told to return {:.3} s after the first shot", seconds(retry_at - sent))
+            format!("tagged, and to be retried {:.3} s after the first attempt", seconds(retry_at - sent))
         }),
     }
 }
--- a/crates/testbed/src/oracle/drains.rs
+++ b/crates/testbed/src/oracle/drains.rs
@@ -59,14 +59,16 @@
         if let Some(since) = self.presumed.get(&view).filter(|since| at > **since + grace) {
             let after = seconds(at - since);
             return Some(format!(
-                "cache {server} was sent a shot {after:.3} s after its proxy counts as notified that it is off, told or not"
+                "server {server} was sent an attempt {after:.3} s after its proxy counts as notified that it is off, whatever was written"
             ));
         }
         let drain = &mut self.drains[*self.written.get(&view)?];
         drain.last = at;
         let after = seconds(at - drain.notified);
         (at > drain.notified + grace).then(|| {
-            format!("cache {server} was sent a shot {after:.3} s after its proxy was told that it is off")
+            format!(
+                "server {server} was sent an attempt {after:.3} s after its proxy was notified that it is off"
+            )
         })
     }
 }
--- a/crates/testbed/src/oracle/mod.rs
+++ b/crates/testbed/src/oracle/mod.rs
@@ -60,14 +60,14 @@
             Rule::InTimeLimit => "answered after its time limit",
             Rule::OwnAnswer => "not the answer made for it",
             Rule::RunsOnce => "may run twice",
-            Rule::SafeDeferral => "deferred though it may have run",
-            Rule::OneAttemptAtOnce => "two shots at once",
-            Rule::AttemptLimit => "too many shots",
-            Rule::NothingToDrained => "sent to a drained cache",
-            Rule::NoServerCollapsed => "a cache was pushed over",
+            Rule::SafeDeferral => "rejected though it may have run",
+            Rule::OneAttemptAtOnce => "two attempts at once",
+            Rule::AttemptLimit => "too many attempts",
+            Rule::NothingToDrained => "sent to a drained server",
+            Rule::NoServerCollapsed => "a server collapsed",
             Rule::PromptRefusal => "a refusal was held back",
-            Rule::KnownRequest => "a shot for no lookup",
-            Rule::NothingAfterCancel => "sent on after its client left",
+            Rule::KnownRequest => "an attempt for no request",
+            Rule::NothingAfterCancel => "sent on after its client cancelled",
             Rule::KeepsRunning => "a proxy ended by itself",
         }
     }
@@ -91,7 +91,7 @@
 impl fmt::Display for Breach {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (rule, at) = (self.rule.breach(), seconds(self.at));
-        write!(f, "{rule}: {at:.3} s, lookup {:016x}, proxy {}: {}", self.id, self.proxy, self.seen)
+        write!(f, "{rule}: {at:.3} s, request {:016x}, proxy {}: {}", self.id, self.proxy, self.seen)
     }
 }
 
@@ -200,15 +200,15 @@
             match &event.kind {
                 EventKind::ServerCollapsed { server } => {
                     self.verdict.collapsed += 1;
-                    let seen = format!("cache {server} was sent more than it bears while cold");
+                    let seen = format!("server {server} was sent more than it bears in slow start");
                     self.report(Rule::NoServerCollapsed, event, seen);
                 }
                 EventKind::UnknownRequest { server } => {
-                    let seen = format!("cache {server} was sent an id that no client sent");
+                    let seen = format!("server {server} was sent an id that no client sent");
                     self.report(Rule::KnownRequest, event, seen);
                 }
                 EventKind::UnexpectedBytes => {
-                    self.report(Rule::AnsweredOnce, event, "more came than was asked for".into());
+                    self.report(Rule::AnsweredOnce, event, "more came than was requested".into());
                 }
                 _ => {}
             }
--- a/crates/testbed/src/oracle/requests.rs
+++ b/crates/testbed/src/oracle/requests.rs
@@ -65,7 +65,7 @@
         let latest = cancelled + micros(self.experiment.rules.cancel_delay_ms / 1e3);
         let attempt = record.attempts.iter().find(|attempt| attempt.started > latest)?;
         let after = seconds(attempt.started - cancelled);
-        let seen = format!("{after:.3} s after, to cache {}", attempt.server);
+        let seen = format!("{after:.3} s after, to server {}", attempt.server);
         Some(Finding::new(Rule::NothingAfterCancel, attempt.started, seen))
     }
 
@@ -109,7 +109,7 @@
             return None;
         }
         let gap = spans.longest_gap(record.proxy, record.request.key, last, at);
-        let after = if record.attempts.is_empty() { "it was asked" } else { "the end of its last shot" };
+        let after = if record.attempts.is_empty() { "it was sent" } else { "the end of its last attempt" };
         (gap > tolerated).then(|| format!("{:.3} s after {after}", seconds(at - last)))
     }
 
@@ -152,5 +152,5 @@
         None => (record.sent.unwrap_or(record.request.due), "nothing had come when the run ended"),
     };
     let attempts = record.attempts.len();
-    Some(Finding::new(Rule::FinalAnswer, at, format!("{seen}, {attempts} shots were sent for it")))
+    Some(Finding::new(Rule::FinalAnswer, at, format!("{seen}, {attempts} attempts were sent for it")))
 }
--- a/crates/testbed/src/report/comparison.rs
+++ b/crates/testbed/src/report/comparison.rs
@@ -12,23 +12,23 @@
 const ROWS: [Row; 9] = [
     Row { name: "in time", pick: |figures| figures.in_time },
     Row { name: "worst 5 s", pick: |figures| figures.worst_window },
-    Row { name: "deferred", pick: |figures| share(figures.rejected, figures.requests) },
-    Row { name: "abandoned", pick: |figures| share(figures.failed, figures.requests) },
-    Row { name: "shots a lookup", pick: |figures| figures.attempts_per_request },
-    Row { name: "CPU us a lookup", pick: |figures| figures.cpu_us_per_request },
+    Row { name: "rejected", pick: |figures| share(figures.rejected, figures.requests) },
+    Row { name: "failed", pick: |figures| share(figures.failed, figures.requests) },
+    Row { name: "attempts/request", pick: |figures| figures.attempts_per_request },
+    Row { name: "CPU us/request", pick: |figures| figures.cpu_us_per_request },
     Row { name: "memory MB", pick: |figures| figures.memory_mb_peak },
-    Row { name: "caches fallen", pick: |figures| figures.collapsed as f64 },
+    Row { name: "collapsed", pick: |figures| figures.collapsed as f64 },
     Row { name: "rules broken", pick: |figures| figures.breaches_in_all as f64 },
 ];
 
 /// Shown where faults have an end in all runs.
 const FAULT_ROWS: [Row; 5] = [
-    Row { name: "in time, trouble", pick: |figures| during(figures, |during| during.in_time) },
-    Row { name: "lookups to first", pick: |figures| during(figures, |during| during.requests_per_first) },
-    Row { name: "at caches", pick: |figures| during(figures, |during| during.server_attempts_per_first) },
+    Row { name: "in time, faults", pick: |figures| during(figures, |during| during.in_time) },
+    Row { name: "requests/first", pick: |figures| during(figures, |during| during.requests_per_first) },
+    Row { name: "at servers", pick: |figures| during(figures, |during| during.server_attempts_per_first) },
     Row { name: "at the origin", pick: |figures| during(figures, |during| during.origin_attempts_per_first) },
     Row {
-        name: "as before, s",
+        name: "recovered, s",
         pick: |figures| during(figures, |during| during.recovered_s.unwrap_or(f64::INFINITY)),
     },
 ];
--- a/crates/testbed/src/report/page.rs
+++ b/crates/testbed/src/report/page.rs
@@ -68,7 +68,7 @@
 }
 
 fn table_of_bands(bands: &[Band]) -> String {
-    let mut html = "<p>Troubles, as bands in the charts:</p><table>".to_string();
+    let mut html = "<p>Faults, as bands in the charts:</p><table>".to_string();
     for Band { from, to, name } in bands {
         // Writing to a string does not fail.
         _ = write!(html, "<tr><td>{from:.1} s</td><td>to {to:.1} s</td><td>{name}</td></tr>");
@@ -82,18 +82,21 @@
     let attempts_per_request =
         |step: &TimeStep| step.attempts as f64 / (step.served + step.rejected + step.failed).max(1) as f64;
     vec![
-        Chart { title: "Lookups a second", lines: rates(steps) },
+        Chart { title: "Requests a second", lines: rates(steps) },
         Chart {
-            title: "Time to the answer from when it was due, ms, of what was resolved",
+            title: "Time to the answer from when it was due, ms, of what was served",
             lines: vec![
                 Line::new(steps, "p99", DEEPORANGE_600, |step| step.p99_ms),
                 Line::new(steps, "p50", BLUE_700, |step| step.p50_ms),
             ],
         },
-        Chart { title: "Shots a lookup", lines: vec![Line::new(steps, "", TEAL_600, attempts_per_request)] },
         Chart {
-            title: "In flight by cache (the last is the origin)",
-            lines: line_for_each(steps, "cache", servers, |step, i| step.in_flight[i] as f64),
+            title: "Attempts a request",
+            lines: vec![Line::new(steps, "", TEAL_600, attempts_per_request)],
+        },
+        Chart {
+            title: "In flight by server",
+            lines: line_for_each(steps, "server", servers, |step, i| step.in_flight[i] as f64),
         },
         Chart {
             title: "CPU of each proxy, part of a core",
@@ -109,9 +112,9 @@
 fn rates(steps: &[TimeStep]) -> Vec<Line> {
     let per_second = |count: usize| count as f64 / seconds(TIME_STEP);
     vec![
-        Line::new(steps, "first lookups due", GREY_600, |step| per_second(step.first)),
+        Line::new(steps, "first requests due", GREY_600, |step| per_second(step.first)),
         Line::new(steps, "of these in time", GREEN_700, |step| per_second(step.in_time)),
-        Line::new(steps, "deferred", PURPLE_400, |step| per_second(step.rejected)),
+        Line::new(steps, "rejected", PURPLE_400, |step| per_second(step.rejected)),
         Line::new(steps, "failed", DEEPORANGE_600, |step| per_second(step.failed)),
     ]
 }
--- a/crates/testbed/src/report/verdict.rs
+++ b/crates/testbed/src/report/verdict.rs
@@ -20,10 +20,10 @@
     figures(&mut out, &result.figures);
     let verdict = &result.verdict;
     if verdict.breaches.is_empty() {
-        line!(out, "  rules kept; {} caches pushed over", verdict.collapsed);
+        line!(out, "  rules kept; {} servers collapsed", verdict.collapsed);
     } else {
         let breaches = verdict.breaches.len() + verdict.further_breaches;
-        line!(out, "  RULES BROKEN, {breaches} times; {} caches pushed over", verdict.collapsed);
+        line!(out, "  RULES BROKEN, {breaches} times; {} servers collapsed", verdict.collapsed);
     }
     for breach in verdict.breaches.iter().take(SHOWN_BREACHES) {
         line!(out, "    {breach}");
@@ -43,7 +43,7 @@
     }
     drains(out, figures);
     sources(out, figures);
-    table(out, "namespace", &figures.by_class);
+    table(out, "request class", &figures.by_class);
     table(out, "tenant", &figures.by_tenant);
 }
 
@@ -51,14 +51,14 @@
     let percent = |count: usize| 100.0 * share(count, figures.requests);
     line!(
         out,
-        "  in time {:.2}% of {} first lookups, {:.2}% in the worst 5 s",
+        "  in time {:.2}% of {} first requests, {:.2}% in the worst 5 s",
         100.0 * figures.in_time,
         figures.first_requests,
         100.0 * figures.worst_window
     );
     line!(
         out,
-        "  {} lookups: resolved {:.2}%, deferred {:.2}%, abandoned {:.2}%",
+        "  {} requests: served {:.2}%, rejected {:.2}%, failed {:.2}%",
         figures.requests,
         percent(figures.served),
         percent(figures.rejected),
@@ -66,7 +66,7 @@
     );
     line!(
         out,
-        "  turned down {}, left {}, killed {}, not taken {}, unanswered {}",
+        "  invalid {}, cancelled {}, killed {}, not accepted {}, unanswered {}",
         figures.invalid,
         figures.cancelled,
         figures.killed,
@@ -78,7 +78,7 @@
 fn costs(out: &mut String, figures: &Figures) {
     line!(
         out,
-        "  {:.3} shots a lookup, {:.1}% of them at the origin, {:.1}% across zones; busiest cache {:.1}%",
+        "  {:.3} attempts a request, {:.1}% of them at the origin, {:.1}% across zones; busiest server {:.1}%",
         figures.attempts_per_request,
         100.0 * share(figures.origin_attempts, figures.attempts),
         100.0 * share(figures.cross_zone_attempts, figures.attempts),
@@ -86,7 +86,7 @@
     );
     line!(
         out,
-        "  {:.1} us of CPU a lookup, {:.1} MB at most; the lab was {:.2} ms late at its 99th percentile",
+        "  {:.1} us of CPU a request, {:.1} MB at most; the testbed was {:.2} ms late at its 99th percentile",
         figures.cpu_us_per_request,
         figures.memory_mb_peak,
         figures.send_delay_p99_ms
@@ -97,7 +97,7 @@
     let recovered = during.recovered_s.map_or("not by the end".to_string(), |s| format!("after {s:.0} s"));
     line!(
         out,
-        "  while in trouble {:.2}% in time; to a first lookup {:.3} lookups, {:.3} shots at caches, {:.3} at the origin; as before {recovered}",
+        "  during faults {:.2}% in time; for a first request {:.3} requests, {:.3} attempts at servers, {:.3} at the origin; recovered {recovered}",
         100.0 * during.in_time,
         during.requests_per_first,
         during.server_attempts_per_first,
@@ -110,7 +110,7 @@
     if drains.notified > 0 {
         line!(
             out,
-            "  {} times a proxy was told that a cache is off; its last shot there came after {:.1} ms (p50), {:.1} ms (p99), {:.1} ms (longest)",
+            "  {} times a proxy was notified that a server is off; its last attempt there came after {:.1} ms (p50), {:.1} ms (p99), {:.1} ms (longest)",
             drains.notified,
             drains.p50_ms,
             drains.p99_ms,
@@ -124,7 +124,7 @@
     if let Some(redirections) = &figures.redirections {
         line!(
             out,
-            "  {:.4} redirections a lookup, {:.5} for the {} that came once the map had settled",
+            "  {:.4} redirections a request, {:.5} for the {} that came once the map had settled",
             redirections.per_request,
             redirections.settled_per_request,
             redirections.settled_requests
@@ -133,7 +133,7 @@
     if let Some(etcd) = &figures.etcd {
         line!(
             out,
-            "  etcd was asked {:.1} times a second; {} watches were lost, and back after {:.0} ms (p50), {:.0} ms (p99), {:.0} ms (longest)",
+            "  etcd was called {:.1} times a second; {} watches were lost, and back after {:.0} ms (p50), {:.0} ms (p99), {:.0} ms (longest)",
             etcd.calls_per_second,
             etcd.watches_lost,
             etcd.recovery_p50_ms,
--- a/crates/testbed/src/run.rs
+++ b/crates/testbed/src/run.rs
@@ -42,7 +42,7 @@
     #[error(transparent)]
     Fleet(#[from] FleetError),
     /// No signals can be received.
-    #[error("cannot hear signals: {0}")]
+    #[error("cannot receive signals: {0}")]
     Signals(io::Error),
 }
 
@@ -233,7 +233,7 @@
         let class = &self.experiment.classes[0].name;
         println!(
             "curl -H 'X-Correlation-Id: 1' -H 'X-Service-Class: {class}' -H 'X-Time-Left: 1' http://{}/api/k1\n\
-             A new id (hexadecimal) with each lookup. Logs: {}. Ctrl-C ends it.",
+             A new id (hexadecimal) with each request. Logs: {}. Ctrl-C ends it.",
             net.proxy(0),
             logs.display()
         );
--- a/crates/testbed/tests/judge.rs
+++ b/crates/testbed/tests/judge.rs
@@ -5,7 +5,7 @@
 
 const TESTBED: &str = env!("CARGO_BIN_EXE_chalkwalk-testbed");
 
-/// The rules that a proxy was found to break, and whether the testbed says by its exit that all is well.
+/// The rules that a proxy was found to break, and whether the testbed's exit status means that all is well.
 fn broken(experiment: &str, proxy: &str) -> String {
     let name = proxy.replace([' ', '-'], "_");
     let json = format!("{}/{}_{name}.json", env!("CARGO_TARGET_TMPDIR"), std::process::id());
@@ -15,9 +15,9 @@
         .args(["run", &file, "--proxy", &command, "--json", &json])
         .output()
         .unwrap_or_else(|e| panic!("{TESTBED}: {e}"));
-    let said = std::fs::read_to_string(&json)
+    let json = std::fs::read_to_string(&json)
         .unwrap_or_else(|e| panic!("{e}: {}", String::from_utf8_lossy(&out.stderr)));
-    let figures: serde_json::Value = serde_json::from_str(&said).expect("the figures are JSON");
+    let figures: serde_json::Value = serde_json::from_str(&json).expect("the figures are JSON");
     let mut rules: Vec<&str> = figures["breaches"]
         .as_array()
         .expect("a list of breaches")
@@ -41,7 +41,7 @@
         ("broken", "ring --break drained"),
         ("broken", "ring --break swap"),
         ("broken", "ring --break hold"),
-        // It takes no notice of clients that leave.
+        // It takes no notice of clients that cancel.
         ("leaving", "ring"),
     ];
     let seen: Vec<_> = runs.map(|(file, proxy)| std::thread::spawn(move || broken(file, proxy))).into();
@@ -53,10 +53,10 @@
         ring --break lose: [no final answer], exit 1
         ring --break twice: [answered twice], exit 1
         ring --break resend: [may run twice], exit 1
-        ring --break drained: [sent to a drained cache], exit 1
+        ring --break drained: [sent to a drained server], exit 1
         ring --break swap: [not the answer made for it], exit 1
         ring --break hold: [a refusal was held back], exit 1
-        ring: [sent on after its client left], exit 1
+        ring: [sent on after its client cancelled], exit 1
     "#]]
     .assert_eq(&seen);
 }
@@ -106,10 +106,10 @@
         FILE: line 11: namespace page: the target time is over the time limit
         FILE: line 14: repeats is "often", and has to be "replayable", "tagged" or "single-use"
         FILE: line 15: fails needs "share"
-        FILE: line 19: it begins at 20 s, and lookups arrive from 0 to 10 s
+        FILE: line 19: it begins at 20 s, and requests arrive from 0 to 10 s
         FILE: line 19: zone "south" is none of the world's
         FILE: line 19: zone-lost has no "share"
-        FILE: line 25: there is no cache 2; they are numbered from 0 to 1
+        FILE: line 25: there is no server 2; they are numbered from 0 to 1
         exit status: 2
         chalkwalk-testbed: FILE: line 3: unknown field `whatever`, expected one of `title`, `seed`, `seconds`, `world`, `fleet`, `load`, `rules`, `bounds`, `namespace`, `trouble`
     "#]].assert_eq(&(check(bad) + &check(odd)));
