--- a/crates/testbed/src/fleet/actions.rs
+++ b/crates/testbed/src/fleet/actions.rs
@@ -5,7 +5,7 @@
 use crate::experiment::{Experiment, Fault, FaultKind};
 use crate::load::clients::Clients;
 use crate::load::front::Front;
-use crate::stand::file::WriteMode;
+use crate::stand_ins::file::WriteMode;
 use crate::sync::lock;
 use rustix::process::Signal;
 use smol::Timer;
--- a/crates/testbed/src/fleet/config.rs
+++ b/crates/testbed/src/fleet/config.rs
@@ -5,8 +5,8 @@
 use crate::experiment::{ListSource, Protocol, Repeats, RequestClass};
 use crate::model::etcd::ENDPOINTS;
 use crate::model::server_list::FIRST_VERSION;
-use crate::stand::Site;
-use crate::stand::etcd::PREFIX;
+use crate::stand_ins::Site;
+use crate::stand_ins::etcd::PREFIX;
 use serde_json::{Value, json};
 use std::path::Path;
 
--- a/crates/testbed/src/fleet/process.rs
+++ b/crates/testbed/src/fleet/process.rs
@@ -1,7 +1,7 @@
 //! One proxy's process and its files.
 
 use super::{StartSettings, config};
-use crate::stand::Site;
+use crate::stand_ins::Site;
 use std::fs::{File, OpenOptions};
 use std::io;
 use std::path::PathBuf;
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -3,7 +3,7 @@
 //! For: trying the program by hand, rehearsing fleets and failures, and tests of the whole. It may use sockets, processes and
 //! files of its own folder. It never uses a crate of the proxy (but for etcd's public wire format): what it knows of a proxy is
 //! the platform's protocol, so that a bug in the proxy's own reading of it cannot hide. Arrows point down: `model`,
-//! `experiment`, `evidence` and `wire` know nobody above them; `stand`, `load` and `fleet` play them; `oracle` judges what was
+//! `experiment`, `evidence` and `wire` know nobody above them; `stand_ins`, `load` and `fleet` play them; `oracle` judges what was
 //! seen; `run` plays one experiment from its first start to its verdict, and `report` shows it.
 
 pub mod baseline;
@@ -20,6 +20,6 @@
 pub mod resp;
 pub mod run;
 pub mod soak;
-pub mod stand;
+pub mod stand_ins;
 mod sync;
 pub mod wire;
--- a/crates/testbed/src/load/clients.rs
+++ b/crates/testbed/src/load/clients.rs
@@ -8,7 +8,7 @@
 use crate::experiment::{DedupGroup, Experiment, Repeats, RequestClass};
 use crate::load::front::Front;
 use crate::load::plan::{Arrival, ArrivalPlan, request_id};
-use crate::stand::Net;
+use crate::stand_ins::Net;
 use crate::sync::lock;
 use hdrhistogram::Histogram;
 use smol::{Executor, Timer};
--- a/crates/testbed/src/load/connection.rs
+++ b/crates/testbed/src/load/connection.rs
@@ -5,7 +5,7 @@
 use crate::experiment::{Experiment, Protocol, Repeats};
 use crate::load::plan::Arrival;
 use crate::resp::{self, RespAnswer};
-use crate::stand::body::is_for;
+use crate::stand_ins::body::is_for;
 use crate::wire::{Connection, ReadError};
 use std::io;
 
--- a/crates/testbed/src/measure/sources.rs
+++ b/crates/testbed/src/measure/sources.rs
@@ -5,7 +5,7 @@
 use crate::experiment::{Experiment, ListSource, Protocol};
 use crate::model::server::Reply;
 use crate::oracle::{Attempt, Outcome, RequestRecord, Verdict};
-use crate::stand::etcd::EtcdLoad;
+use crate::stand_ins::etcd::EtcdLoad;
 use serde::Serialize;
 
 /// After the last fault slot maps settle within so much.
--- a/crates/testbed/src/run.rs
+++ b/crates/testbed/src/run.rs
@@ -6,7 +6,7 @@
 use crate::load::clients::Clients;
 use crate::measure::{ClientCounts, EtcdFigures, Figures};
 use crate::oracle::{self, Breach, Rule, Verdict};
-use crate::stand::{Net, Site};
+use crate::stand_ins::{Net, Site};
 use crate::sync::lock;
 use async_signal::{Signal, Signals};
 use indicatif::{ProgressBar, ProgressStyle};
--- a/crates/testbed/src/stand/etcd/call.rs
+++ b/crates/testbed/src/stand_ins/etcd/call.rs
@@ -6,7 +6,7 @@
 use crate::clock::Micros;
 use crate::model::store::{Item, Store};
 use crate::model::timeline::Reachability;
-use crate::stand::Site;
+use crate::stand_ins::Site;
 use crate::sync::lock;
 use bytes::Bytes;
 use chalkwalk_etcd_wire::{CONTENT_TYPE, api, path};
--- a/crates/testbed/src/stand/etcd/writer.rs
+++ b/crates/testbed/src/stand_ins/etcd/writer.rs
@@ -6,7 +6,7 @@
 use crate::model::server_list::{FIRST_VERSION, ListedServer};
 use crate::model::store::Write;
 use crate::model::timeline::{EndpointStatus, ListUpdate};
-use crate::stand::Site;
+use crate::stand_ins::Site;
 use crate::sync::lock;
 use serde_json::json;
 use std::sync::Arc;
--- a/crates/testbed/tests/response_bodies.rs
+++ b/crates/testbed/tests/response_bodies.rs
@@ -1,6 +1,6 @@
 //! Bodies that are made for one request, and recognised as such.
 
-use chalkwalk_testbed::stand::body::{body, is_for};
+use chalkwalk_testbed::stand_ins::body::{body, is_for};
 
 #[test]
 fn a_body_matches_its_request_only_if_it_is_whole() {
