--- a/crates/testbed/src/experiment/check.rs
+++ b/crates/testbed/src/experiment/check.rs
@@ -6,7 +6,7 @@
 use super::{Experiment, Fleet, Load, RequestClass, World, line_of};
 use toml::Spanned;
 
-/// The recorded events are kept in memory to the end: a million requests take some hundred megabytes.
+/// The recorded events stay in memory to the end: a million requests take some hundred megabytes.
 const MAX_REQUESTS: f64 = 2e6;
 /// The addresses of a run are 127.x.proxy.server: a byte for each, with room for those with fixed ones.
 const MAX_PROXIES: usize = 200;
--- a/crates/testbed/src/model/server.rs
+++ b/crates/testbed/src/model/server.rs
@@ -118,6 +118,18 @@
     fn is_unanswered(&self) -> bool {
         self.has(Misbehavior::Hangs) || self.has(Misbehavior::Loses)
     }
+
+    /// The reply to an attempt whose work is done, where a misbehavior changes it.
+    fn after_work(&self, done: Micros) -> Option<(Reply, Micros)> {
+        if self.is_unanswered() {
+            // Whether it ran will never be known to anybody: it did.
+            return Some((Reply::Silence, Micros::MAX));
+        }
+        if self.has(Misbehavior::Half) {
+            return Some((Reply::Truncated, done));
+        }
+        self.has(Misbehavior::Spoils).then_some((Reply::Garbage, done))
+    }
 }
 
 impl ServerModel {
@@ -229,15 +241,8 @@
             return PlannedReply::plain(reply, at);
         }
         let ran = |reply, at| PlannedReply { takes_effect: true, ..PlannedReply::plain(reply, at) };
-        if affecting.is_unanswered() {
-            // Whether it ran will never be known to anybody: it did.
-            return ran(Reply::Silence, Micros::MAX);
-        }
-        if affecting.has(Misbehavior::Half) {
-            return ran(Reply::Truncated, done);
-        }
-        if affecting.has(Misbehavior::Spoils) {
-            return ran(Reply::Garbage, done);
+        if let Some((reply, at)) = affecting.after_work(done) {
+            return ran(reply, at);
         }
         if cached && !attempt.write {
             return ran(Reply::Hit, done);
