--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,7 +1,9 @@
-//! The operator's file: what an installation sets beside the platform's settings. TOML, read whole with the line of every value;
-//! the limits in it are checked by `chalkwalk_limits` before any of it is used, and all errors are reported at once.
+//! The operator's file: what an installation sets beside the platform's settings. TOML, read whole
+//! with the line of every value; the limits in it are checked by `chalkwalk_limits` before any of
+//! it is used, and all errors are reported at once.
 //!
-//! - `schema` is the file's tables and keys, `lines` finds the lines of its values, `read` reads it whole.
+//! - `schema` is the file's tables and keys, `lines` finds the lines of its values, `read` reads it
+//!   whole.
 //! - `limits`, `membership`, `resp` and `capture` read one part each.
 //! - `explain` writes which limits apply to a request, and which line set each.
 //!
--- a/crates/config/src/membership.rs
+++ b/crates/config/src/membership.rs
@@ -48,7 +48,8 @@
 /// Where it is not as it should be, the errors say so and the result is of no use.
 pub(crate) fn read(section: &Spanned<MembershipFields>, errors: &mut Errors) -> MembershipConfig {
     let fields = section.get_ref();
-    // What concerns etcd is checked for other sources as well: it may be misspelt before it is misplaced.
+    // What concerns etcd is checked for other sources as well: it may be misspelt before it is
+    // misplaced.
     let etcd = EtcdConfig {
         endpoints: endpoints(fields, errors),
         prefix: prefix(section, errors),
--- a/crates/config/src/read.rs
+++ b/crates/config/src/read.rs
@@ -21,7 +21,8 @@
     pub capture: Option<CaptureConfig>,
 }
 
-/// Reads a file's text and checks it against the platform's limits. Errors come all at once, by line.
+/// Reads a file's text and checks it against the platform's limits. Errors come all at once, by
+/// line.
 pub fn read(text: &str, platform_limits: &PlatformLimits) -> Result<OperatorConfig, Vec<ConfigError>> {
     let lines = Lines(text);
     let file = parse(lines).map_err(|error| vec![error])?;
@@ -61,7 +62,8 @@
     Ok(file)
 }
 
-/// Much of a file that is still being written is good TOML, so a whole one ends with a line that says so.
+/// Much of a file that is still being written is good TOML, so a whole one ends with a line that
+/// says so.
 fn check_end(text: &str) -> Result<(), ConfigError> {
     let has_content = |line: &str| !line.trim().is_empty() && !line.trim().starts_with('#');
     let content = text.lines().enumerate().filter(|(_, line)| has_content(line));
--- a/crates/config/src/resp.rs
+++ b/crates/config/src/resp.rs
@@ -113,7 +113,8 @@
     }
 }
 
-/// Reads values. In place of one that can't be read it returns a default, so that the errors of all others are found as well.
+/// Reads values. In place of one that can't be read it returns a default, so that the errors of all
+/// others are found as well.
 struct Reader<'a, 'text> {
     platform_limits: &'a PlatformLimits,
     errors: &'a mut Errors<'text>,
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -1,5 +1,5 @@
-//! The file's tables and keys, as they are written. Keys are the operators' own and stay as they are: where the code's name is
-//! another one, a rename pins the key.
+//! The file's tables and keys, as they are written. Keys are the operators' own and stay as they
+//! are: where the code's name is another one, a rename pins the key.
 
 use serde::Deserialize;
 use std::path::PathBuf;
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -1,4 +1,5 @@
-//! Files as operators write them: bad ones are refused at load with every error, its line, and the rule that it breaks.
+//! Files as operators write them: bad ones are refused at load with every error, its line, and the
+//! rule that it breaks.
 
 use chalkwalk_config::{explain, format_errors, read};
 use chalkwalk_limits::{Idempotency, Namespace, PlatformLimits, RequestAttributes};
@@ -28,7 +29,8 @@
     }
 }
 
-/// The errors of each file, one after the other; `version = 1` goes ahead of all, and `[end]` after.
+/// The errors of each file, one after the other; `version = 1` goes ahead of all, and `[end]`
+/// after.
 fn refused(files: &[&str]) -> String {
     let output = files.iter().map(|file| {
         let text = format!("version = 1\n{file}\n[end]\n");
--- a/crates/discovery/src/address.rs
+++ b/crates/discovery/src/address.rs
@@ -25,7 +25,8 @@
 impl DiscoveryAddress {
     /// A service at this address.
     pub fn new(address: SocketAddr) -> Rc<DiscoveryAddress> {
-        // One pending move is as good as many: what counts is the address by the time it is noticed.
+        // One pending move is as good as many: what counts is the address by the time it is
+        // noticed.
         let (moves, moved) = bounded(1);
         Rc::new(DiscoveryAddress { current: Cell::new(address), moves, moved })
     }
--- a/crates/discovery/src/call.rs
+++ b/crates/discovery/src/call.rs
@@ -89,7 +89,8 @@
     }
 }
 
-/// One call on the reusable connection, or on a new one where the service has closed that meanwhile.
+/// One call on the reusable connection, or on a new one where the service has closed that
+/// meanwhile.
 async fn get(address: &DiscoveryAddress, connection: &ReusableConnection, target: &str) -> CallResult {
     if let Some(open) = connection.take().filter(is_idle) {
         match get_on(address, open, connection, target).await {
@@ -97,7 +98,8 @@
             result => return result,
         }
     }
-    // A machine that is cut off never answers; one that is there does so sooner than it lets a call wait.
+    // A machine that is cut off never answers; one that is there does so sooner than it lets a call
+    // wait.
     let connecting = Async::<TcpStream>::connect(address.address());
     let stream = within(Duration::from(CONNECT_TIMEOUT), connecting).await;
     let stream = stream.unwrap_or_else(|| Err(std::io::ErrorKind::TimedOut.into()));
--- a/crates/discovery/src/field_paths.rs
+++ b/crates/discovery/src/field_paths.rs
@@ -1,5 +1,5 @@
-//! Which fields a configuration has, whatever their values: a later one that lacks any of them counts as damaged, as no list of
-//! required fields can know what its writer meant to write.
+//! Which fields a configuration has, whatever their values: a later one that lacks any of them
+//! counts as damaged, as no list of required fields can know what its writer meant to write.
 
 use chalkwalk_settings::fields::JsonObject;
 use serde_json::Value;
--- a/crates/discovery/src/list.rs
+++ b/crates/discovery/src/list.rs
@@ -45,7 +45,8 @@
         integer(self.fields()?, "version")
     }
 
-    /// Applies the whole list, or the changes since the version that was requested. A doubted one brings no server back.
+    /// Applies the whole list, or the changes since the version that was requested. A doubted one
+    /// brings no server back.
     pub fn apply(&self, engine: &Rc<Engine>, doubted: bool) -> FieldResult<()> {
         let fields = self.fields()?;
         let coverage = if flag(fields, "full")? { Coverage::Whole } else { Coverage::Changes };
@@ -67,7 +68,8 @@
     Changes,
 }
 
-/// Applies the list that this proxy had last, from its configuration. Returns its version, if it names any server.
+/// Applies the list that this proxy had last, from its configuration. Returns its version, if it
+/// names any server.
 pub fn apply_last_known_list(engine: &Rc<Engine>, last_known: &Value) -> Option<u64> {
     let fields = last_known.as_object()?;
     let applied = apply(engine, fields, Coverage::Whole, false);
@@ -83,7 +85,8 @@
     }
 }
 
-/// Applies a list. Of one with an entry that can't be read, only which servers are draining or gone.
+/// Applies a list. Of one with an entry that can't be read, only which servers are draining or
+/// gone.
 fn apply(engine: &Rc<Engine>, fields: &JsonObject, coverage: Coverage, doubted: bool) -> FieldResult<()> {
     let entries: Vec<FieldResult<ListedEndpoint>> = list(fields, "servers")?.iter().map(endpoint).collect();
     if entries.iter().any(Result::is_err) {
@@ -97,8 +100,9 @@
     Ok(())
 }
 
-/// Applies of a list that is not believed otherwise which servers are draining or gone, where that is new: it was notified, and
-/// the next list that is believed decides. Not of a server that has started since.
+/// Applies of a list that is not believed otherwise which servers are draining or gone, where that
+/// is new: it was notified, and the next list that is believed decides. Not of a server that has
+/// started since.
 fn apply_unavailable<'a>(engine: &Rc<Engine>, endpoints: impl Iterator<Item = &'a ListedEndpoint>) {
     let is_new = |endpoint: &&ListedEndpoint| {
         endpoint.status != EndpointStatus::Ready && engine.requests.borrow().servers.is_ready(endpoint)
--- a/crates/discovery/src/list_state.rs
+++ b/crates/discovery/src/list_state.rs
@@ -1,14 +1,17 @@
-//! Which version of the endpoint list a proxy has, and how far it trusts one that is lower. Decides without I/O or a clock.
+//! Which version of the endpoint list a proxy has, and how far it trusts one that is lower. Decides
+//! without I/O or a clock.
 //!
-//! Versions only grow as long as the list lives. A lower one comes from an outdated answer, or from a list that has started
-//! again, which may have begun from an old state: it then knows servers as ready that are draining.
+//! Versions only grow as long as the list lives. A lower one comes from an outdated answer, or from
+//! a list that has started again, which may have begun from an old state: it then knows servers as
+//! ready that are draining.
 
 use chalkwalk_time::{Span, Timestamp};
 
 /// So many outdated answers in a row are not outdated: the list has started again.
 const OUTDATED_ANSWERS: u32 = 3;
-/// A list that has started again is applied, but for so long it brings no server back that was notified as draining or gone.
-/// Longer than a deploy takes; after it the list is believed in that as well.
+/// A list that has started again is applied, but for so long it brings no server back that was
+/// notified as draining or gone. Longer than a deploy takes; after it the list is believed in that
+/// as well.
 const DOUBTED: Span = Span::from_secs(60);
 
 /// The version that a proxy has.
@@ -54,8 +57,8 @@
         self.outdated_answers = 0;
     }
 
-    /// The list is elsewhere from now on and may have another history: whatever version it has is not outdated, though it is
-    /// doubted where that is below the highest.
+    /// The list is elsewhere from now on and may have another history: whatever version it has is
+    /// not outdated, though it is doubted where that is below the highest.
     pub fn move_elsewhere(&mut self) {
         self.version = 0;
         self.outdated_answers = 0;
--- a/crates/discovery/src/startup.rs
+++ b/crates/discovery/src/startup.rs
@@ -1,4 +1,5 @@
-//! The configuration that the platform hands a proxy at its start: where it listens, and the settings for the engine.
+//! The configuration that the platform hands a proxy at its start: where it listens, and the
+//! settings for the engine.
 
 use crate::address::parse_address;
 use crate::field_paths::FieldPaths;
@@ -19,7 +20,8 @@
 const LONGEST_TIME_TICKS: f64 = 3.6e7;
 /// One second, in ticks: where the platform states no target time, nor one for connecting.
 const DEFAULT_TIME_TICKS: f64 = 1e4;
-/// Ten seconds, in ticks: after which servers close idle connections where the platform does not state it.
+/// Ten seconds, in ticks: after which servers close idle connections where the platform does not
+/// state it.
 const DEFAULT_IDLE_TICKS: f64 = 1e5;
 /// What a process may hold by default.
 const DEFAULT_DESCRIPTORS: usize = 1024;
--- a/crates/discovery/src/timing/tests.rs
+++ b/crates/discovery/src/timing/tests.rs
@@ -4,8 +4,9 @@
 use chalkwalk_balancer::discovery::{LONGEST_QUEUE_WAIT, NOTIFIED_WITHIN, WATCH_SILENT_AFTER};
 use std::time::Duration;
 
-/// A call is made beside a silent one by the time at which a change counts as notified, and, answered at the end of its turn,
-/// brings it within half a second of when what the silent one missed does. No call is silent before its wait is over.
+/// A call is made beside a silent one by the time at which a change counts as notified, and,
+/// answered at the end of its turn, brings it within half a second of when what the silent one
+/// missed does. No call is silent before its wait is over.
 #[test]
 fn a_silent_call_is_followed_by_one_that_is_in_time() {
     let mut random = fastrand::Rng::with_seed(7);
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -1,4 +1,5 @@
-//! The endpoint list, kept up to date: it starts from the list that was last known, then reads the whole list and watches it.
+//! The endpoint list, kept up to date: it starts from the list that was last known, then reads the
+//! whole list and watches it.
 
 use crate::address::DiscoveryAddress;
 use crate::call::{Call, CallError, CallResult, ReusableConnection};
@@ -17,10 +18,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Watches whenever the balancer wants it to, until a call fails; the balancer is notified of that and wants it again.
+/// Watches whenever the balancer wants it to, until a call fails; the balancer is notified of that
+/// and wants it again.
 ///
-/// `last_known` is the version of the list that was known at the start, from which the first call goes on. With `immediate` that
-/// call does not wait for a change: a process that takes over serves once it knows that there is none.
+/// `last_known` is the version of the list that was known at the start, from which the first call
+/// goes on. With `immediate` that call does not wait for a change: a process that takes over serves
+/// once it knows that there is none.
 pub async fn watch_endpoint_list(
     engine: Rc<Engine>,
     address: Rc<DiscoveryAddress>,
@@ -87,7 +90,8 @@
 }
 
 impl<'a> Caller<'a> {
-    /// Makes the next call, and counts it as a violation where that is later than the term for changes allows.
+    /// Makes the next call, and counts it as a violation where that is later than the term for
+    /// changes allows.
     fn begin(&mut self) -> Call<'a> {
         self.state.calls += 1;
         let request = self.state.next_request(self.random);
@@ -117,13 +121,14 @@
 
 /// Calls made one after the other.
 ///
-/// The next call is made at once after each answer. A watch goes on for 200 ms after an answer, and changes in that time count as
-/// notified: a proxy that paused would send to servers that it was notified are draining. So it is after an answer that can't be
-/// used as well, once in a row: then the whole list is requested.
+/// The next call is made at once after each answer. A watch goes on for 200 ms after an answer, and
+/// changes in that time count as notified: a proxy that paused would send to servers that it was
+/// notified are draining. So it is after an answer that can't be used as well, once in a row: then
+/// the whole list is requested.
 ///
-/// A call that seems silent is made anew, and waited for until the new one is answered: it may have been slow. So is the one to
-/// the former address where discovery has moved: what was about to be written there counts as notified. A list that has moved is
-/// requested whole, and at once.
+/// A call that seems silent is made anew, and waited for until the new one is answered: it may have
+/// been slow. So is the one to the former address where discovery has moved: what was about to be
+/// written there counts as notified. A list that has moved is requested whole, and at once.
 struct Watch<'a> {
     caller: Caller<'a>,
     current: Call<'a>,
@@ -204,8 +209,8 @@
         if matches!(error, CallError::CutShort) {
             return self.repeat(error.to_string()).await;
         }
-        // Only a service that has too much to do is surely the one that notified this version; after any other error the whole
-        // list is requested.
+        // Only a service that has too much to do is surely the one that notified this version;
+        // after any other error the whole list is requested.
         self.caller.state.incremental &= matches!(error, CallError::Busy);
         if self.older_answers_instead().await {
             self.current = self.caller.begin();
@@ -214,7 +219,8 @@
         Err(LostDiscovery::by(&self.current, error.to_string()))
     }
 
-    /// The older call may still bring what the newer did not; the backoff after it is that much shorter.
+    /// The older call may still bring what the newer did not; the backoff after it is that much
+    /// shorter.
     async fn older_answers_instead(&mut self) -> bool {
         let Some(OlderCall { call, former_address }) = self.older.take() else { return false };
         let until = self.current.begun + Duration::from(OLDER_CALL_TIMEOUT);
@@ -222,7 +228,8 @@
         self.caller.state.accept_older(self.caller.engine, &body, former_address)
     }
 
-    /// Calls for the whole list soon after an answer that can't be used, unless the one before could not be used either.
+    /// Calls for the whole list soon after an answer that can't be used, unless the one before
+    /// could not be used either.
     async fn repeat(&mut self, error: String) -> Result<(), LostDiscovery> {
         self.older = None;
         let state = &mut *self.caller.state;
--- a/crates/discovery/src/watch_state.rs
+++ b/crates/discovery/src/watch_state.rs
@@ -1,4 +1,5 @@
-//! What a proxy knows from its calls to discovery so far: what to request next, and how far an answer is applied.
+//! What a proxy knows from its calls to discovery so far: what to request next, and how far an
+//! answer is applied.
 
 use crate::call::ListRequest;
 use crate::list::{AnswerError, ListAnswer};
@@ -13,8 +14,9 @@
 /// What is known from the calls so far.
 pub(crate) struct WatchState {
     pub list: ListState,
-    /// The list is as it was notified at its version, and only what changed since is requested: a whole list costs the service
-    /// several times as much, and after an outage all proxies call at once.
+    /// The list is as it was notified at its version, and only what changed since is requested: a
+    /// whole list costs the service several times as much, and after an outage all proxies call at
+    /// once.
     pub incremental: bool,
     /// The next call is answered at once, though nothing is newer.
     immediate: bool,
@@ -77,7 +79,8 @@
         answer.apply(engine, self.list.is_doubted(version, now))?;
         engine.list_received();
         self.list.accept(version, now);
-        // A whole list after an unusable answer does not make up for it: only one that was requested as a change does.
+        // A whole list after an unusable answer does not make up for it: only one that was
+        // requested as a change does.
         self.last_answer_unusable &= !self.incremental;
         self.incremental = true;
         self.immediate = false;
@@ -85,8 +88,9 @@
         Ok(())
     }
 
-    /// Applies the answer to a call beside which another was made; whether all of it was applied. The service at the former
-    /// address may have another history: only which servers are draining or gone counts.
+    /// Applies the answer to a call beside which another was made; whether all of it was applied.
+    /// The service at the former address may have another history: only which servers are draining
+    /// or gone counts.
     pub fn accept_older(&mut self, engine: &Rc<Engine>, body: &[u8], former_address: bool) -> bool {
         let applied = if former_address {
             ListAnswer::parse(body).and_then(|answer| Ok(answer.apply_unavailable(engine)?))
--- a/crates/limits/src/budget.rs
+++ b/crates/limits/src/budget.rs
@@ -1,4 +1,5 @@
-//! The budget of retries that the requests of a class have: their own, or the one that all classes without their own share.
+//! The budget of retries that the requests of a class have: their own, or the one that all classes
+//! without their own share.
 
 use crate::sliding_window::SlidingWindow;
 use crate::token_bucket::TokenBucket;
@@ -52,7 +53,8 @@
         }
     }
 
-    /// What was counted: the shared budget's tokens, or the five counters of a class's own. Stored in snapshots by position.
+    /// What was counted: the shared budget's tokens, or the five counters of a class's own. Stored
+    /// in snapshots by position.
     pub fn counters(&self) -> [u64; 5] {
         match &self.0 {
             Budget::Shared(bucket) => [bucket.tokens(), 0, 0, 0, 0],
--- a/crates/limits/src/check.rs
+++ b/crates/limits/src/check.rs
@@ -1,5 +1,5 @@
-//! An operator's limits, checked against the platform's. All errors are found at once, each with the line to change and the rule
-//! that it breaks.
+//! An operator's limits, checked against the platform's. All errors are found at once, each with
+//! the line to change and the rule that it breaks.
 
 mod class;
 mod clients;
--- a/crates/limits/src/check/class.rs
+++ b/crates/limits/src/check/class.rs
@@ -1,5 +1,5 @@
-//! The limits of one class against the platform's, one rule a function. Each rule names the line to change; where the platform
-//! alone would break it, there is none and nothing is reported.
+//! The limits of one class against the platform's, one rule a function. Each rule names the line to
+//! change; where the platform alone would break it, there is none and nothing is reported.
 
 use crate::effective::{Effective, LimitSource, Limits};
 use crate::error::ErrorList;
@@ -18,7 +18,8 @@
         Broken { sources: sources.into(), message }
     }
 
-    /// The narrowest scope that set one of the limits is the one to change, and it comes last in the file.
+    /// The narrowest scope that set one of the limits is the one to change, and it comes last in
+    /// the file.
     fn line(&self) -> Option<usize> {
         self.sources.iter().filter_map(|source| source.line()).max()
     }
@@ -66,7 +67,8 @@
 }
 
 impl<'a> Subject<'a> {
-    /// How long each attempt may take, its connection included. `None` where an attempt is waited for up to the time limit.
+    /// How long each attempt may take, its connection included. `None` where an attempt is waited
+    /// for up to the time limit.
     fn time_of_attempt(&self) -> Option<Span> {
         self.limits.attempt_timeout.value.map(|timeout| timeout + self.platform.connect_time)
     }
@@ -151,7 +153,8 @@
     Some(Broken::new([&hedging.source], "the platform allows no hedged requests".into()))
 }
 
-/// Of requests that must not run twice nothing is reported: there wider scopes may set it for others.
+/// Of requests that must not run twice nothing is reported: there wider scopes may set it for
+/// others.
 fn hedge_after_needs_hedging<'a>(subject: &Subject<'a>) -> Option<Broken<'a>> {
     let Limits { hedge_after, hedging, .. } = subject.limits;
     let replayable = subject.namespace.idempotency == Idempotency::Replayable;
--- a/crates/limits/src/check/clients.rs
+++ b/crates/limits/src/check/clients.rs
@@ -1,4 +1,5 @@
-//! Retries that clients make by themselves: they multiply the attempts that are made for each of their requests.
+//! Retries that clients make by themselves: they multiply the attempts that are made for each of
+//! their requests.
 
 use crate::effective::Limits;
 use crate::error::ErrorList;
--- a/crates/limits/src/check/values.rs
+++ b/crates/limits/src/check/values.rs
@@ -7,7 +7,8 @@
 
 /// The shortest time that may be set: below it no response comes over any network.
 const SHORTEST: Span = Span::from_millis(1);
-/// Thousandths of responses after which a request may be hedged. Below half, most requests would be hedged; all is never reached.
+/// Thousandths of responses after which a request may be hedged. Below half, most requests would be
+/// hedged; all is never reached.
 const HEDGE_AFTER: Range<u64> = 500..1000;
 /// The highest share of retries, in thousandths of first attempts. More is a slip in writing.
 const MAX_RETRY_BUDGET: u64 = 5000;
--- a/crates/limits/src/effective.rs
+++ b/crates/limits/src/effective.rs
@@ -63,9 +63,11 @@
     pub attempt_timeout: Effective<Option<Span>>,
     /// Whether requests may be hedged.
     pub hedging: Effective<bool>,
-    /// After what share of responses, in thousandths, a request is hedged. `None`: only where a server is silent or an attempt lost.
+    /// After what share of responses, in thousandths, a request is hedged. `None`: only where a
+    /// server is silent or an attempt lost.
     pub hedge_after: Effective<Option<u64>>,
-    /// Retries, in thousandths of first attempts. `None`: the balancer's own budget for all classes.
+    /// Retries, in thousandths of first attempts. `None`: the balancer's own budget for all
+    /// classes.
     pub retry_budget: Effective<Option<u64>>,
     /// Requests in flight at once. `None`: as many as come.
     pub max_in_flight: Effective<Option<u64>>,
@@ -123,7 +125,8 @@
     }
 }
 
-/// The limit of the narrowest scope that sets it, or the platform's. `scopes` go from the widest to the narrowest.
+/// The limit of the narrowest scope that sets it, or the platform's. `scopes` go from the widest to
+/// the narrowest.
 fn effective<T: Copy>(
     scopes: &[Scope],
     platform: T,
--- a/crates/limits/src/operator.rs
+++ b/crates/limits/src/operator.rs
@@ -36,7 +36,8 @@
     pub attempt_timeout: Option<Located<Span>>,
     /// Whether requests may be hedged.
     pub hedging: Option<Located<bool>>,
-    /// A hedged request is sent once an attempt takes longer than so many thousandths of all responses did.
+    /// A hedged request is sent once an attempt takes longer than so many thousandths of all
+    /// responses did.
     pub hedge_after: Option<Located<u64>>,
     /// Retries, in thousandths of first attempts, over a sliding time.
     pub retry_budget: Option<Located<u64>>,
--- a/crates/limits/src/sliding_window.rs
+++ b/crates/limits/src/sliding_window.rs
@@ -1,14 +1,15 @@
 //! A class's own retry budget: a share of first attempts within a sliding window.
 //!
-//! Two halves of the window are counted, and the older one counts for the part of it that is still within: no list of events, and
-//! the same memory whatever the load.
+//! Two halves of the window are counted, and the older one counts for the part of it that is still
+//! within: no list of events, and the same memory whatever the load.
 
 use chalkwalk_time::{Span, Timestamp};
 
-/// Half of the window: ten seconds in all are some hundred requests at a quiet proxy, and an outage that ends is forgotten within
-/// them.
+/// Half of the window: ten seconds in all are some hundred requests at a quiet proxy, and an outage
+/// that ends is forgotten within them.
 const HALF: Span = Span::from_secs(5);
-/// Retries that may always be sent within the window, or a proxy with little traffic could not retry at all.
+/// Retries that may always be sent within the window, or a proxy with little traffic could not
+/// retry at all.
 const MIN_RETRIES: u64 = 3;
 
 /// First attempts and retries of one class.
@@ -35,7 +36,8 @@
         self.present = 0;
     }
 
-    /// All of the present half, and of the one before the part that is still within: the count times half a window.
+    /// All of the present half, and of the one before the part that is still within: the count
+    /// times half a window.
     fn within(&self, now: Timestamp) -> Span {
         self.present * HALF + self.previous * (HALF - now.into_period(HALF))
     }
--- a/crates/limits/src/sliding_window/tests.rs
+++ b/crates/limits/src/sliding_window/tests.rs
@@ -5,8 +5,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Plays so many requests a second, each with as many retries as allowed while `failing`, and returns how many
-/// retries there were in each span of ten seconds.
+/// Plays so many requests a second, each with as many retries as allowed while `failing`, and
+/// returns how many retries there were in each span of ten seconds.
 fn retries_by_span(share: u64, a_second: u64, seconds: u64, failing: impl Fn(u64) -> bool) -> Vec<u64> {
     let mut budget = SlidingWindow::new(share);
     let mut retries = vec![0; (seconds / 10) as usize];
@@ -27,7 +27,8 @@
 fn when_all_fails_retries_stay_at_their_share_and_the_budget_refills() {
     let all = retries_by_span(200, 100, 60, |_| true);
     assert!(all.iter().all(|n| (180..=240).contains(n)), "{all:?}");
-    // Nothing fails from 20 to 40 s: the first ten seconds after that may have as many again, and no more.
+    // Nothing fails from 20 to 40 s: the first ten seconds after that may have as many again, and
+    // no more.
     let twice = retries_by_span(200, 100, 60, |s| !(20..40).contains(&s));
     assert!(twice[2] == 0 && twice[3] == 0 && (180..=300).contains(&twice[4]), "{twice:?}");
 }
@@ -41,8 +42,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
-    /// Whatever comes when, the retries of any ten seconds stay within the share of the first ones of twice
-    /// that time, and the floor.
+    /// Whatever comes when, the retries of any ten seconds stay within the share of the first ones
+    /// of twice that time, and the floor.
     #[test]
     fn no_span_has_more_than_its_share(
         share in 0u64..1000,
--- a/crates/limits/src/table.rs
+++ b/crates/limits/src/table.rs
@@ -28,8 +28,8 @@
     pub frontend: &'a str,
 }
 
-/// All classes. Those of the namespaces alone come first, in the namespaces' order, so that a class without a route has the
-/// number of its namespace.
+/// All classes. Those of the namespaces alone come first, in the namespaces' order, so that a class
+/// without a route has the number of its namespace.
 #[derive(Clone, Debug, Default)]
 pub struct LimitTable {
     classes: Vec<RequestClass>,
--- a/crates/limits/src/token_bucket.rs
+++ b/crates/limits/src/token_bucket.rs
@@ -1,11 +1,12 @@
-//! The retry budget that all classes without one of their own share: first attempts earn tokens, retries cost them.
+//! The retry budget that all classes without one of their own share: first attempts earn tokens,
+//! retries cost them.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A fifth of all requests may be sent once more, and a few dozen in a row: enough for a server that fails until it is ejected,
-/// too little for a retry storm. A token is a tenth of an attempt: what a first attempt earns, what a retry costs, how many there
-/// are at first, and the most.
+/// A fifth of all requests may be sent once more, and a few dozen in a row: enough for a server
+/// that fails until it is ejected, too little for a retry storm. A token is a tenth of an attempt:
+/// what a first attempt earns, what a retry costs, how many there are at first, and the most.
 const EARNED_BY_FIRST_ATTEMPT: u64 = 2;
 const COST_OF_RETRY: u64 = 10;
 const INITIAL_TOKENS: u64 = 50;
--- a/crates/settings/src/convert.rs
+++ b/crates/settings/src/convert.rs
@@ -1,4 +1,5 @@
-//! One value of the wire in the notation of the settings map: numbers and ticks in decimal digits, flags as 0 or 1.
+//! One value of the wire in the notation of the settings map: numbers and ticks in decimal digits,
+//! flags as 0 or 1.
 
 use crate::fields::{FieldError, FieldResult};
 use crate::table::{Kind, WEIGHT_KINDS};
@@ -7,7 +8,8 @@
 /// A tick of the balancer's clock, a tenth of a millisecond.
 const NANOSECONDS_PER_TICK: f64 = 1e5;
 
-/// The longest time, in nanoseconds: half a year, so that none added to a clock is beyond what it can represent.
+/// The longest time, in nanoseconds: half a year, so that none added to a clock is beyond what it
+/// can represent.
 const LONGEST: f64 = 1.5e16;
 
 /// The name in the map of a kind of idempotency; other texts stay as they are.
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -1,4 +1,5 @@
-//! Reading fields out of JSON objects, with an error that says what was expected and what was found.
+//! Reading fields out of JSON objects, with an error that says what was expected and what was
+//! found.
 
 use serde_json::{Map, Value};
 use std::fmt;
@@ -9,7 +10,8 @@
 /// What a field holds, or why it can't be read.
 pub type FieldResult<T> = Result<T, FieldError>;
 
-/// Why a field can't be read. `field` says where it is, as in `field servers` or `setting zones[0].name`.
+/// Why a field can't be read. `field` says where it is, as in `field servers` or `setting
+/// zones[0].name`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FieldError {
     /// It is not there, and needed.
@@ -65,7 +67,8 @@
     }
 }
 
-/// How much of a value an error shows, in characters: enough to find it in a file, and no whole list on one line of the log.
+/// How much of a value an error shows, in characters: enough to find it in a file, and no whole
+/// list on one line of the log.
 const SHOWN: usize = 60;
 
 fn shortened(value: &Value) -> String {
@@ -119,8 +122,8 @@
 /// Bounds of a relative size, wider than any fleet's machines differ.
 const SIZES: std::ops::RangeInclusive<f64> = 0.01..=10_000.0;
 
-/// A server's relative size in hundredths, one where the field is missing. What is beyond the bounds is taken as the bound, as
-/// no list is to be lost over a strange one.
+/// A server's relative size in hundredths, one where the field is missing. What is beyond the
+/// bounds is taken as the bound, as no list is to be lost over a strange one.
 pub fn size_hundredths(object: &JsonObject, name: &str) -> FieldResult<u64> {
     let size = optional(object, name, "a number", Value::as_f64)?.unwrap_or(1.0);
     Ok((size.clamp(*SIZES.start(), *SIZES.end()) * 100.0).round() as u64)
--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -6,7 +6,8 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// The balancer's settings map, and the names that later events are looked up by, in the platform's order.
+/// The balancer's settings map, and the names that later events are looked up by, in the platform's
+/// order.
 pub struct PlatformSettings {
     /// The settings map.
     pub values: BTreeMap<String, String>,
@@ -158,7 +159,8 @@
         Ok(())
     }
 
-    /// How the servers are with their origin: whether requests go to it through them, and where they don't, its kind.
+    /// How the servers are with their origin: whether requests go to it through them, and where
+    /// they don't, its kind.
     fn set_origin(&mut self, options: &JsonObject) -> FieldResult<()> {
         let Some(info) = present(options, "familyInfo") else { return Ok(()) };
         let info = object(info, "setting familyInfo")?;
--- a/crates/settings/src/table.rs
+++ b/crates/settings/src/table.rs
@@ -1,4 +1,5 @@
-//! The settings that are read: each one's path on the wire, its name in the settings map, and its kind.
+//! The settings that are read: each one's path on the wire, its name in the settings map, and its
+//! kind.
 //!
 //! Paths are the platform's and names are stored in captures: neither may change.
 
@@ -8,9 +9,11 @@
     Number,
     /// A number from 0 on: nothing sensible is meant by one below.
     NonNegativeNumber,
-    /// Nanoseconds, in the map as whole ticks rounded down: what may be done for so long must not last longer.
+    /// Nanoseconds, in the map as whole ticks rounded down: what may be done for so long must not
+    /// last longer.
     Duration,
-    /// A time by which clients are answered: rounded down as well, but one tick at the least where it is above 0, as 0 is none.
+    /// A time by which clients are answered: rounded down as well, but one tick at the least where
+    /// it is above 0, as 0 is none.
     TimeLimit,
     /// A time that has to be waited: rounded up, so that the wait is never shorter.
     Wait,
--- a/crates/settings/tests/read.rs
+++ b/crates/settings/tests/read.rs
@@ -3,7 +3,8 @@
 use chalkwalk_settings::read;
 use serde_json::{Value, json};
 
-/// A window or a grace period lasts no longer for being rounded, a slow start is no shorter, and no limit above 0 becomes none.
+/// A window or a grace period lasts no longer for being rounded, a slow start is no shorter, and no
+/// limit above 0 becomes none.
 #[test]
 fn times_between_two_ticks_are_rounded_to_the_safe_side() {
     let settings = |ns: f64| {
@@ -33,7 +34,8 @@
     .assert_eq(&read_back.join("\n"));
 }
 
-/// Settings of order by key reach the map, nothing changes without them, and what makes no sense is refused.
+/// Settings of order by key reach the map, nothing changes without them, and what makes no sense is
+/// refused.
 #[test]
 fn order_by_key_is_read_and_checked() {
     let settings = |more: Value| {
