--- a/crates/proxy/tests/sockets.rs
+++ b/crates/proxy/tests/sockets.rs
@@ -20,24 +20,27 @@
 use std::time::{Duration, Instant};
 
 /// What a stand-in writes to its nth request, and whether it closes then. Empty and open: it hangs.
-type Script = fn(usize) -> (&'static str, bool);
+type ServerScript = fn(usize) -> (&'static str, bool);
 
-const HELD: &str = "HTTP/1.1 200 OK\r\nX-Lookup: hit\r\nContent-Length: 5\r\n\r\nvalue";
+const HIT_RESPONSE: &str = "HTTP/1.1 200 OK\r\nX-Lookup: hit\r\nContent-Length: 5\r\n\r\nvalue";
 const MISS: &str = "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n";
 const CHUNKED: &str =
     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nval\r\n8;x=y\r\nues in 2\r\n0\r\nT: t\r\n\r\n";
 
-fn held(_: usize) -> (&'static str, bool) {
-    (HELD, false)
+fn hit(_: usize) -> (&'static str, bool) {
+    (HIT_RESPONSE, false)
 }
 
-/// What was seen, and which stand-ins saw a connection end that they had left hanging.
+/// What was seen, and which stand-ins saw a connection end that they had left unanswered.
 #[derive(Clone, Default)]
-struct Told(Arc<Mutex<Vec<String>>>, Arc<Mutex<Vec<&'static str>>>);
+struct Observed {
+    lines: Arc<Mutex<Vec<String>>>,
+    closed: Arc<Mutex<Vec<&'static str>>>,
+}
 
-impl Told {
-    fn say(&self, line: String) {
-        self.0.lock().unwrap().push(line);
+impl Observed {
+    fn record(&self, line: String) {
+        self.lines.lock().unwrap().push(line);
     }
 }
 
@@ -59,21 +62,21 @@
     }
 }
 
-fn stand_in(listener: TcpListener, told: Told, name: &'static str, script: Script) {
+fn stand_in_server(listener: TcpListener, observed: Observed, name: &'static str, script: ServerScript) {
     let count = Arc::new(AtomicUsize::new(0));
     spawn(move || {
         for mut stream in listener.incoming().flatten() {
-            let (told, count) = (told.clone(), count.clone());
+            let (observed, count) = (observed.clone(), count.clone());
             spawn(move || {
                 while let Some((head, body)) = message(&mut stream) {
                     let line = head.lines().next().unwrap().trim_end_matches(" HTTP/1.1");
-                    told.say(format!("{name}: {line} {body}").trim_end().to_string());
+                    observed.record(format!("{name}: {line} {body}").trim_end().to_string());
                     let (answer, close) = script(count.fetch_add(1, Ordering::SeqCst));
                     if stream.write_all(answer.as_bytes()).is_err() || close {
                         return;
                     }
                     if answer.is_empty() && message(&mut stream).is_none() {
-                        return told.1.lock().unwrap().push(name);
+                        return observed.closed.lock().unwrap().push(name);
                     }
                 }
             });
@@ -81,7 +84,7 @@
     });
 }
 
-/// The list, which answers its nth call as said (not at all, where that is empty), the last for ever and after a
+/// The list, which answers its nth call as given (not at all, where that is empty), the last for ever and after a
 /// moment, as a watch would.
 fn list(listener: TcpListener, answers: Vec<String>, count: Arc<AtomicUsize>) {
     spawn(move || {
@@ -119,8 +122,8 @@
     format!("127.{}.{}.{}:3000", 1 + pid % 250, pid / 250 % 250, 1 + nth % 250).parse().unwrap()
 }
 
-struct Day {
-    told: Told,
+struct ProxySetup {
+    observed: Observed,
     addr: SocketAddr,
     lines: Vec<Value>,
     path: String, // of the configuration
@@ -180,24 +183,24 @@
     }
 }
 
-impl Day {
-    fn new(fleet: &[(&'static str, Script)]) -> Day {
-        Day::with(fleet, 1024, "", |lines| vec![whole(2, lines)])
+impl ProxySetup {
+    fn new(servers: &[(&'static str, ServerScript)]) -> ProxySetup {
+        ProxySetup::with(servers, 1024, "", |lines| vec![whole(2, lines)])
     }
 
     fn with(
-        fleet: &[(&'static str, Script)],
+        servers: &[(&'static str, ServerScript)],
         sockets: usize,
         before: &str,
         listed: impl Fn(&[Value]) -> Vec<String>,
-    ) -> Day {
-        let (told, mut lines) = (Told::default(), Vec::new());
-        for (name, script) in fleet {
+    ) -> ProxySetup {
+        let (observed, mut lines) = (Observed::default(), Vec::new());
+        for (name, script) in servers {
             let (listener, addr) = a_listener();
             lines.push(line(name, addr, "SERVING"));
             // The one named nobody is on the list, and nothing listens there.
             if *name != "nobody" {
-                stand_in(listener, told.clone(), name, *script);
+                stand_in_server(listener, observed.clone(), name, *script);
             }
         }
         let (listener, list_addr) = a_listener();
@@ -206,14 +209,14 @@
         let addr = own_address();
         let path = a_file();
         let proxy = run_from(&path, &configuration(addr, list_addr, &lines, sockets), before);
-        let day = Day { told, addr, lines, path, proxy, calls };
-        wait_for(|| day.up() == Some(200));
-        assert_eq!(day.up(), Some(200), "not up");
+        let setup = ProxySetup { observed, addr, lines, path, proxy, calls };
+        wait_for(|| setup.up() == Some(200));
+        assert_eq!(setup.up(), Some(200), "not up");
         // Proxies that start together call by and by.
-        wait_for(|| day.calls.load(Ordering::SeqCst) > 0);
+        wait_for(|| setup.calls.load(Ordering::SeqCst) > 0);
         // The first whole list has come by then, or will before anything depends on it.
         sleep(Duration::from_millis(50));
-        day
+        setup
     }
 
     fn up(&self) -> Option<u16> {
@@ -226,8 +229,8 @@
         TcpStream::connect(self.addr).unwrap()
     }
 
-    /// Says what came back: the status, what matters of the head, and the body.
-    fn hear(&self, stream: &mut TcpStream) {
+    /// Records the response: the status, what matters of the head, and the body.
+    fn record_response(&self, stream: &mut TcpStream) {
         let line = match message(stream) {
             None => "client: closed on".to_string(),
             Some((head, body)) => {
@@ -237,12 +240,12 @@
                 format!("client: {} {} {body}", &head[9..12], marks.trim()).trim_end().replace("  ", " ")
             }
         };
-        self.told.say(line);
+        self.observed.record(line);
     }
 
     fn ask(&self, stream: &mut TcpStream, method: &str, ns: &str, key: &str) {
         self.write(stream, method, ns, key);
-        self.hear(stream);
+        self.record_response(stream);
     }
 
     fn write(&self, stream: &mut TcpStream, method: &str, ns: &str, key: &str) {
@@ -260,20 +263,20 @@
         Command::new("kill").args([name, &self.proxy.id().to_string()]).status().unwrap();
     }
 
-    /// Waits until so many hanging connections have ended, and says whose they were.
-    fn hear_closings(&self, count: usize) {
-        wait_for(|| self.told.1.lock().unwrap().len() >= count);
-        self.told.say(format!("closed on: {}", self.told.1.lock().unwrap().join(" ")));
+    /// Waits until so many unanswered connections have ended, and records whose they were.
+    fn record_closings(&self, count: usize) {
+        wait_for(|| self.observed.closed.lock().unwrap().len() >= count);
+        self.observed.record(format!("closed on: {}", self.observed.closed.lock().unwrap().join(" ")));
     }
 
-    fn told(self, expected: Expect) {
-        let mut text = self.told.0.lock().unwrap().join("\n");
+    fn assert_observed(self, expected: Expect) {
+        let mut text = self.observed.lines.lock().unwrap().join("\n");
         text.push('\n');
         expected.assert_eq(&text);
     }
 }
 
-impl Drop for Day {
+impl Drop for ProxySetup {
     fn drop(&mut self) {
         _ = self.proxy.kill();
         _ = self.proxy.wait();
@@ -281,12 +284,12 @@
 }
 
 #[test]
-fn what_a_server_holds_comes_back_unchanged_on_one_kept_connection() {
-    let day = Day::new(&[("a", |n| (if n == 0 { HELD } else { CHUNKED }, false))]);
-    let mut client = day.client();
-    day.ask(&mut client, "GET", "page", "k");
-    day.ask(&mut client, "GET", "page", "k");
-    day.told(expect![[r#"
+fn a_hit_comes_back_unchanged_on_one_reused_connection() {
+    let setup = ProxySetup::new(&[("a", |n| (if n == 0 { HIT_RESPONSE } else { CHUNKED }, false))]);
+    let mut client = setup.client();
+    setup.ask(&mut client, "GET", "page", "k");
+    setup.ask(&mut client, "GET", "page", "k");
+    setup.assert_observed(expect![[r#"
         a: GET /api/k?part=1
         client: 200 value
         a: GET /api/k?part=1
@@ -296,19 +299,19 @@
 
 #[test]
 fn a_value_longer_than_the_protocol_has_it_is_passed_on_whole() {
-    let long: Script = |n| {
+    let long: ServerScript = |n| {
         let length = if n == 0 { 300_000 } else { 2_000_000 };
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{}", "v".repeat(length));
         (answer.leak(), false)
     };
-    let day = Day::new(&[("a", long)]);
-    let mut client = day.client();
+    let setup = ProxySetup::new(&[("a", long)]);
+    let mut client = setup.client();
     for _ in 0..2 {
-        day.write(&mut client, "GET", "once", "k");
+        setup.write(&mut client, "GET", "once", "k");
         let (head, body) = message(&mut client).unwrap();
-        day.told.say(format!("client: {} {}", &head[9..12], body.len()));
+        setup.observed.record(format!("client: {} {}", &head[9..12], body.len()));
     }
-    day.told(expect![[r#"
+    setup.assert_observed(expect![[r#"
         a: GET /api/k?part=1
         client: 200 300000
         a: GET /api/k?part=1
@@ -318,13 +321,13 @@
 
 #[test]
 fn interim_answers_ahead_of_one_are_passed_over() {
-    let hints: Script = |_| {
+    let hints: ServerScript = |_| {
         let interim = "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n";
-        (format!("{interim}{HELD}").leak(), false)
+        (format!("{interim}{HIT_RESPONSE}").leak(), false)
     };
-    let day = Day::new(&[("a", hints)]);
-    day.ask(&mut day.client(), "GET", "once", "k");
-    day.told(expect![[r#"
+    let setup = ProxySetup::new(&[("a", hints)]);
+    setup.ask(&mut setup.client(), "GET", "once", "k");
+    setup.assert_observed(expect![[r#"
         a: GET /api/k?part=1
         client: 200 value
     "#]]);
@@ -332,11 +335,11 @@
 
 #[test]
 fn a_miss_goes_to_the_origin_and_so_does_a_write() {
-    let day = Day::new(&[("a", |_| (MISS, false)), ("origin", held)]);
-    let mut client = day.client();
-    day.ask(&mut client, "GET", "page", "k");
-    day.ask(&mut client, "PUT", "once", "k");
-    day.told(expect![[r#"
+    let setup = ProxySetup::new(&[("a", |_| (MISS, false)), ("origin", hit)]);
+    let mut client = setup.client();
+    setup.ask(&mut client, "GET", "page", "k");
+    setup.ask(&mut client, "PUT", "once", "k");
+    setup.assert_observed(expect![[r#"
         a: GET /api/k?part=1
         origin: GET /api/k?part=1
         client: 200 value
@@ -347,13 +350,13 @@
 
 #[test]
 fn a_connection_closed_while_idle_is_not_used_again() {
-    let day = Day::new(&[("a", |_| (HELD, true))]);
-    let mut client = day.client();
+    let setup = ProxySetup::new(&[("a", |_| (HIT_RESPONSE, true))]);
+    let mut client = setup.client();
     for _ in 0..3 {
-        day.ask(&mut client, "GET", "page", "k");
+        setup.ask(&mut client, "GET", "page", "k");
         sleep(Duration::from_millis(20));
     }
-    day.told(expect![[r#"
+    setup.assert_observed(expect![[r#"
         a: GET /api/k?part=1
         client: 200 value
         a: GET /api/k?part=1
@@ -365,12 +368,12 @@
 
 #[test]
 fn where_nothing_listens_nothing_has_run_and_a_single_use_request_goes_on() {
-    let day = Day::new(&[("nobody", held), ("a", held)]);
-    let mut client = day.client();
+    let setup = ProxySetup::new(&[("nobody", hit), ("a", hit)]);
+    let mut client = setup.client();
     for key in ["k1", "k2", "k3", "k4", "k5", "k6"] {
-        day.ask(&mut client, "GET", "once", key);
+        setup.ask(&mut client, "GET", "once", key);
     }
-    day.told(expect![[r#"
+    setup.assert_observed(expect![[r#"
         a: GET /api/k1?part=1
         client: 200 value
         a: GET /api/k2?part=1
@@ -388,10 +391,10 @@
 
 #[test]
 fn a_reset_after_the_last_byte_may_have_run() {
-    let day = Day::new(&[("a", |_| ("", true)), ("b", |_| ("", true))]);
-    let mut client = day.client();
-    day.ask(&mut client, "GET", "once", "k");
-    day.told(expect![[r#"
+    let setup = ProxySetup::new(&[("a", |_| ("", true)), ("b", |_| ("", true))]);
+    let mut client = setup.client();
+    setup.ask(&mut client, "GET", "once", "k");
+    setup.assert_observed(expect![[r#"
         a: GET /api/k?part=1
         client: 500
     "#]]);
@@ -399,27 +402,27 @@
 
 #[test]
 fn answers_that_break_off_or_make_no_sense_are_failed_attempts() {
-    let broken: Script = |n| match n {
+    let broken: ServerScript = |n| match n {
         0 => ("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", true),
         1 => ("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", false),
         _ => ("SPEAK FRIEND AND ENTER\r\n\r\n", false),
     };
     for key in ["k1", "k2", "k3"] {
-        let day = Day::new(&[("a", broken), ("b", held)]);
-        day.ask(&mut day.client(), "GET", "page", key);
-        assert!(day.told.0.lock().unwrap().contains(&"client: 200 value".to_string()));
+        let setup = ProxySetup::new(&[("a", broken), ("b", hit)]);
+        setup.ask(&mut setup.client(), "GET", "page", key);
+        assert!(setup.observed.lines.lock().unwrap().contains(&"client: 200 value".to_string()));
     }
-    let endless = Day::new(&[("a", |_| ("HTTP/1.1 200 OK\r\n\r\nhalf", true))]);
+    let endless = ProxySetup::new(&[("a", |_| ("HTTP/1.1 200 OK\r\n\r\nhalf", true))]);
     endless.ask(&mut endless.client(), "GET", "once", "k");
-    endless.told(expect![[r#"
+    endless.assert_observed(expect![[r#"
         a: GET /api/k?part=1
         client: 500
     "#]]);
-    let day = Day::new(&[("a", broken)]);
+    let setup = ProxySetup::new(&[("a", broken)]);
     for _ in 0..3 {
-        day.ask(&mut day.client(), "GET", "page", "k");
+        setup.ask(&mut setup.client(), "GET", "page", "k");
     }
-    day.told(expect![[r#"
+    setup.assert_observed(expect![[r#"
         a: GET /api/k?part=1
         client: 503 Retry-After
         a: GET /api/k?part=1
@@ -431,13 +434,13 @@
 
 #[test]
 fn a_silent_server_is_passed_and_its_connection_closed_after_the_answer() {
-    let day = Day::new(&[("a", |_| ("", false)), ("b", held)]);
-    let mut client = day.client();
+    let setup = ProxySetup::new(&[("a", |_| ("", false)), ("b", hit)]);
+    let mut client = setup.client();
     for key in ["k1", "k2", "k3"] {
-        day.ask(&mut client, "GET", "page", key);
+        setup.ask(&mut client, "GET", "page", key);
     }
-    day.hear_closings(1);
-    day.told(expect![[r#"
+    setup.record_closings(1);
+    setup.assert_observed(expect![[r#"
         b: GET /api/k1?part=1
         client: 200 value
         b: GET /api/k2?part=1
@@ -450,13 +453,13 @@
 }
 
 #[test]
-fn a_server_that_was_left_is_probed_and_taken_back() {
-    let day = Day::new(&[("a", |n| if n < 3 { ("", true) } else { (HELD, false) })]);
-    let mut client = day.client();
-    (0..3).for_each(|_| day.ask(&mut client, "GET", "once", "k"));
-    wait_for(|| day.told.0.lock().unwrap().iter().any(|line| line == "a: GET /alive"));
-    day.ask(&mut client, "GET", "once", "k");
-    day.told(expect![[r#"
+fn an_ejected_server_is_health_checked_and_readmitted() {
+    let setup = ProxySetup::new(&[("a", |n| if n < 3 { ("", true) } else { (HIT_RESPONSE, false) })]);
+    let mut client = setup.client();
+    (0..3).for_each(|_| setup.ask(&mut client, "GET", "once", "k"));
+    wait_for(|| setup.observed.lines.lock().unwrap().iter().any(|line| line == "a: GET /alive"));
+    setup.ask(&mut client, "GET", "once", "k");
+    setup.assert_observed(expect![[r#"
         a: GET /api/k?part=1
         client: 500
         a: GET /api/k?part=1
@@ -470,24 +473,24 @@
 }
 
 #[test]
-fn without_a_server_a_request_is_deferred_at_once() {
+fn without_a_server_a_request_is_rejected_at_once() {
     let gone = |lines: &[Value]| vec![whole(2, &lines[..0])];
-    let day = Day::with(&[("a", held)], 1024, "", gone);
-    day.ask(&mut day.client(), "GET", "page", "k");
-    day.told(expect![[r#"
+    let setup = ProxySetup::with(&[("a", hit)], 1024, "", gone);
+    setup.ask(&mut setup.client(), "GET", "page", "k");
+    setup.assert_observed(expect![[r#"
         client: 503 Retry-After
     "#]]);
 }
 
 #[test]
 fn a_client_that_goes_away_takes_its_attempt_along() {
-    let day = Day::new(&[("a", |_| ("", false))]);
-    let mut client = day.client();
-    day.write(&mut client, "GET", "page", "k");
+    let setup = ProxySetup::new(&[("a", |_| ("", false))]);
+    let mut client = setup.client();
+    setup.write(&mut client, "GET", "page", "k");
     sleep(Duration::from_millis(50));
     drop(client);
-    day.hear_closings(1);
-    day.told(expect![[r#"
+    setup.record_closings(1);
+    setup.assert_observed(expect![[r#"
         a: GET /api/k?part=1
         closed on: a
     "#]]);
@@ -508,16 +511,16 @@
             whole(12, &[at(0)]),
         ]
     };
-    let day = Day::with(&[("a", held), ("b", held)], 1024, "", moved);
-    let mut client = day.client();
-    let at_a = || day.told.0.lock().unwrap().iter().any(|line| line.starts_with("a:"));
+    let setup = ProxySetup::with(&[("a", hit), ("b", hit)], 1024, "", moved);
+    let mut client = setup.client();
+    let at_a = || setup.observed.lines.lock().unwrap().iter().any(|line| line.starts_with("a:"));
     // Five calls with rests of up to 3.25 s: some 10 s in all, twice that at the most.
     let end = Instant::now() + Duration::from_secs(60);
     while !at_a() && Instant::now() < end {
-        day.ask(&mut client, "GET", "page", "k");
+        setup.ask(&mut client, "GET", "page", "k");
         sleep(Duration::from_millis(100));
     }
-    let mut seen = day.told.0.lock().unwrap().clone();
+    let mut seen = setup.observed.lines.lock().unwrap().clone();
     seen.retain(|line| !line.starts_with("client: 200"));
     seen.dedup();
     expect![[r#"
@@ -529,35 +532,36 @@
 /// What an answer says is off is off, though it has a wrong line, a state that nobody knows, or an older version than before.
 #[test]
 fn no_drain_is_lost_by_an_answer_that_makes_no_sense() {
-    let told = [("WRONG", 10), ("RESTING", 10), ("DRAINING", 3)].map(|(state, version)| {
+    let observed = [("WRONG", 10), ("RESTING", 10), ("DRAINING", 3)].map(|(state, version)| {
         let listed = |lines: &[Value]| {
             let mut bad = lines.to_vec();
             bad[0]["state"] = json!(if state == "WRONG" { "DRAINING" } else { state });
             bad[1]["addr"] = if state == "WRONG" { json!("nowhere") } else { bad[1]["addr"].clone() };
             vec![whole(9, lines), whole(version, &bad), String::new()]
         };
-        let day = Day::with(&[("a", held), ("b", held)], 1024, "", listed);
-        wait_for(|| day.calls.load(Ordering::SeqCst) >= 3);
-        let mut client = day.client();
-        (0..20).for_each(|i| day.ask(&mut client, "GET", "page", &format!("k{i}")));
-        let of = |name| day.told.0.lock().unwrap().iter().filter(|line| line.starts_with(name)).count();
+        let setup = ProxySetup::with(&[("a", hit), ("b", hit)], 1024, "", listed);
+        wait_for(|| setup.calls.load(Ordering::SeqCst) >= 3);
+        let mut client = setup.client();
+        (0..20).for_each(|i| setup.ask(&mut client, "GET", "page", &format!("k{i}")));
+        let of =
+            |name| setup.observed.lines.lock().unwrap().iter().filter(|line| line.starts_with(name)).count();
         format!("{state}: {} to a, {} to b", of("a:"), of("b:"))
     });
     expect![[r#"
         WRONG: 0 to a, 20 to b
         RESTING: 0 to a, 20 to b
         DRAINING: 0 to a, 20 to b"#]]
-    .assert_eq(&told.join("\n"));
+    .assert_eq(&observed.join("\n"));
 }
 
-/// One of a hundred proxies asks a busy service for no more than it needs, and hears out a call that was let in; what broke
+/// One of a hundred proxies polls a busy service for no more than it needs, and reads out a call that was admitted; what broke
 /// may be another service by now. After an answer, whatever it is and whatever failed before, it calls within the 200 ms for
-/// which a watch goes on, as what changes in them counts as told; and a silent call is made anew within the grace of its wait.
+/// which a watch goes on, as changes in that time count as notified; and a silent call is made anew within the grace of its wait.
 #[test]
 fn a_busy_list_is_asked_for_changes_and_waited_for_and_a_broken_one_for_all() {
     let (listener, list_addr) = a_listener();
-    let told = Told::default();
-    let (calls, asked) = (Arc::new(AtomicUsize::new(0)), told.clone());
+    let observed = Observed::default();
+    let (calls, asked) = (Arc::new(AtomicUsize::new(0)), observed.clone());
     let next = Arc::new(Mutex::new(None::<(Instant, Duration, &str)>)); // from when on, for how long, the next call is so
     spawn(move || {
         for mut stream in listener.incoming().flatten() {
@@ -570,7 +574,7 @@
                     let call = head.lines().next().unwrap().trim_end_matches(" HTTP/1.1");
                     // How long a watch waits is by chance.
                     let (call, wait) = call.split_once("&wait=").unwrap_or((call, "0"));
-                    asked.say(format!("{call}{}", comes.map_or("", |(.., word)| word)));
+                    asked.record(format!("{call}{}", comes.map_or("", |(.., word)| word)));
                     let body =
                         |version| json!({"version": version, "full": false, "servers": []}).to_string();
                     let (status, body, short, after_ms) = match calls.fetch_add(1, Ordering::SeqCst) {
@@ -595,7 +599,7 @@
     let (_, addr) = a_listener();
     let configuration = configuration(own_address(), list_addr, &[line("a", addr, "SERVING")], 1024);
     let mut proxy = run(&configuration, "");
-    wait_for(|| told.0.lock().unwrap().len() >= 5);
+    wait_for(|| observed.lines.lock().unwrap().len() >= 5);
     proxy.kill().unwrap();
     proxy.wait().unwrap();
     expect![[r#"
@@ -604,26 +608,26 @@
         GET /discovery/hosts, going on
         GET /discovery/hosts?index=7, going on
         GET /discovery/hosts?index=7, anew in time"#]]
-    .assert_eq(&told.0.lock().unwrap()[..].join("\n"));
+    .assert_eq(&observed.lines.lock().unwrap()[..].join("\n"));
 }
 
 #[test]
 fn a_new_configuration_moves_the_list_and_a_bad_one_changes_nothing() {
-    let day = Day::with(&[("a", held), ("b", held)], 1024, "", |lines| vec![whole(2, &lines[..1])]);
-    let mut client = day.client();
-    std::fs::write(&day.path, "{\"discovery\": ").unwrap();
-    day.signal("-HUP");
-    day.ask(&mut client, "GET", "page", "k");
+    let setup = ProxySetup::with(&[("a", hit), ("b", hit)], 1024, "", |lines| vec![whole(2, &lines[..1])]);
+    let mut client = setup.client();
+    std::fs::write(&setup.path, "{\"discovery\": ").unwrap();
+    setup.signal("-HUP");
+    setup.ask(&mut client, "GET", "page", "k");
     let (listener, addr) = a_listener();
     let calls = Arc::new(AtomicUsize::new(0));
-    list(listener, vec![whole(3, &day.lines[1..])], calls.clone());
-    // What it says is known is older than what was told.
-    let moved = configuration(day.addr, addr, &day.lines[..1], 1024);
-    std::fs::write(&day.path, moved.to_string()).unwrap();
-    day.signal("-HUP");
+    list(listener, vec![whole(3, &setup.lines[1..])], calls.clone());
+    // The list that the configuration has is older than the one that was delivered.
+    let moved = configuration(setup.addr, addr, &setup.lines[..1], 1024);
+    std::fs::write(&setup.path, moved.to_string()).unwrap();
+    setup.signal("-HUP");
     wait_for(|| calls.load(Ordering::SeqCst) >= 2);
-    day.ask(&mut client, "GET", "page", "k");
-    day.told(expect![[r#"
+    setup.ask(&mut client, "GET", "page", "k");
+    setup.assert_observed(expect![[r#"
         a: GET /api/k?part=1
         client: 200 value
         b: GET /api/k?part=1
@@ -639,47 +643,48 @@
         let mut born = lines.to_vec();
         born[0]["started_ms"] = json!(1_800_000_000_000u64);
         // Drained, then five answers of before that, and at last one in which it has started since.
-        let mut said = vec![whole(9, &off)];
-        said.extend([4, 4, 4, 4, 4].map(|version| whole(version, lines)));
-        said.extend([whole(5, lines), whole(6, &born)]);
-        said
+        let mut output = vec![whole(9, &off)];
+        output.extend([4, 4, 4, 4, 4].map(|version| whole(version, lines)));
+        output.extend([whole(5, lines), whole(6, &born)]);
+        output
     };
-    let day = Day::with(&[("a", held), ("b", held)], 1024, "", again);
-    let ask = |client: &mut TcpStream| (0..20).for_each(|i| day.ask(client, "GET", "page", &format!("k{i}")));
-    wait_for(|| day.calls.load(Ordering::SeqCst) >= 7);
-    let mut client = day.client();
+    let setup = ProxySetup::with(&[("a", hit), ("b", hit)], 1024, "", again);
+    let ask =
+        |client: &mut TcpStream| (0..20).for_each(|i| setup.ask(client, "GET", "page", &format!("k{i}")));
+    wait_for(|| setup.calls.load(Ordering::SeqCst) >= 7);
+    let mut client = setup.client();
     ask(&mut client);
-    let of_a = || day.told.0.lock().unwrap().iter().filter(|line| line.starts_with("a:")).count();
+    let of_a = || setup.observed.lines.lock().unwrap().iter().filter(|line| line.starts_with("a:")).count();
     let drained = of_a();
-    wait_for(|| day.calls.load(Ordering::SeqCst) >= 9);
+    wait_for(|| setup.calls.load(Ordering::SeqCst) >= 9);
     sleep(Duration::from_millis(50));
     ask(&mut client);
-    expect!["0 shots while off, 8 after its start"]
-        .assert_eq(&format!("{drained} shots while off, {} after its start", of_a()));
+    expect!["0 attempts while off, 8 after its start"]
+        .assert_eq(&format!("{drained} attempts while off, {} after its start", of_a()));
 }
 
 #[test]
-fn told_to_end_it_takes_what_still_comes_answers_all_and_exits() {
-    let slow: Script = |_| {
+fn after_a_signal_to_end_it_serves_what_still_comes_answers_all_and_exits() {
+    let slow: ServerScript = |_| {
         sleep(Duration::from_millis(700));
-        (HELD, false)
+        (HIT_RESPONSE, false)
     };
-    let mut day = Day::new(&[("a", slow)]);
-    let (mut idle, mut early, mut late) = (day.client(), day.client(), day.client());
-    day.write(&mut early, "GET", "page", "k");
+    let mut setup = ProxySetup::new(&[("a", slow)]);
+    let (mut idle, mut early, mut late) = (setup.client(), setup.client(), setup.client());
+    setup.write(&mut early, "GET", "page", "k");
     sleep(Duration::from_millis(100));
-    day.signal("-TERM");
+    setup.signal("-TERM");
     sleep(Duration::from_millis(100));
-    day.told.say(format!("up: {:?}", day.up()));
-    day.write(&mut late, "GET", "page", "k");
-    [&mut early, &mut late].into_iter().for_each(|client| day.hear(client));
+    setup.observed.record(format!("up: {:?}", setup.up()));
+    setup.write(&mut late, "GET", "page", "k");
+    [&mut early, &mut late].into_iter().for_each(|client| setup.record_response(client));
     // The door is closed, and who has a connection is served on until its turn has come.
-    wait_for(|| TcpStream::connect(day.addr).is_err());
-    day.ask(&mut early, "GET", "page", "k");
-    [&mut early, &mut late, &mut idle].into_iter().for_each(|client| day.hear(client));
-    let exit = day.proxy.wait().unwrap();
-    day.told.say(format!("{exit}, listening: {}", TcpStream::connect(day.addr).is_ok()));
-    day.told(expect![[r#"
+    wait_for(|| TcpStream::connect(setup.addr).is_err());
+    setup.ask(&mut early, "GET", "page", "k");
+    [&mut early, &mut late, &mut idle].into_iter().for_each(|client| setup.record_response(client));
+    let exit = setup.proxy.wait().unwrap();
+    setup.observed.record(format!("{exit}, listening: {}", TcpStream::connect(setup.addr).is_ok()));
+    setup.assert_observed(expect![[r#"
         a: GET /api/k?part=1
         up: Some(503)
         a: GET /api/k?part=1
@@ -696,20 +701,20 @@
 
 /// Has many clients ask, one after the other, that all keep their connections; says how often what came back.
 fn crowd(sockets: usize, before: &str, expected: Expect) {
-    let day = Day::with(&[("a", held)], sockets, before, |lines| vec![whole(2, lines)]);
+    let setup = ProxySetup::with(&[("a", hit)], sockets, before, |lines| vec![whole(2, lines)]);
     let mut clients = Vec::new();
     for _ in 0..60 {
-        let mut client = day.client();
+        let mut client = setup.client();
         client.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
-        day.ask(&mut client, "GET", "page", "k");
+        setup.ask(&mut client, "GET", "page", "k");
         clients.push(client);
         sleep(Duration::from_millis(10));
     }
-    let mut seen = day.told.0.lock().unwrap().clone();
+    let mut seen = setup.observed.lines.lock().unwrap().clone();
     seen.sort();
     let mut counts: Vec<String> = Vec::new();
-    for said in seen.chunk_by(|a, b| a == b) {
-        counts.push(format!("{} x {}", said.len(), said[0]));
+    for output in seen.chunk_by(|a, b| a == b) {
+        counts.push(format!("{} x {}", output.len(), output[0]));
     }
     expected.assert_eq(&counts.join("\n"));
 }
@@ -727,39 +732,39 @@
 
 #[test]
 fn a_connection_is_not_closed_before_its_first_request() {
-    let day = Day::with(&[("a", held)], 46, "", |lines| vec![whole(2, lines)]);
-    let mut clients: Vec<TcpStream> = (0..60).map(|_| day.client()).collect();
+    let setup = ProxySetup::with(&[("a", hit)], 46, "", |lines| vec![whole(2, lines)]);
+    let mut clients: Vec<TcpStream> = (0..60).map(|_| setup.client()).collect();
     sleep(Duration::from_millis(50));
     for client in &mut clients {
-        day.write(client, "GET", "page", "k");
+        setup.write(client, "GET", "page", "k");
     }
-    clients.iter_mut().for_each(|client| day.hear(client));
-    let seen = day.told.0.lock().unwrap().clone();
+    clients.iter_mut().for_each(|client| setup.record_response(client));
+    let seen = setup.observed.lines.lock().unwrap().clone();
     let answered =
         seen.iter().filter(|line| line.starts_with("client: 200") || line.starts_with("client: 503"));
     expect!["60"].assert_eq(&answered.count().to_string());
 }
 
 #[test]
-fn more_requests_than_the_budget_holds_are_turned_away_at_once() {
-    let hang: Script = |_| ("", false);
-    let fleet = [("a", hang), ("b", hang), ("c", hang)];
-    let day = Day::with(&fleet, 46, "", |lines| vec![whole(2, lines)]);
+fn more_requests_than_the_budget_holds_are_rejected_at_once() {
+    let hang: ServerScript = |_| ("", false);
+    let servers = [("a", hang), ("b", hang), ("c", hang)];
+    let setup = ProxySetup::with(&servers, 46, "", |lines| vec![whole(2, lines)]);
     let mut clients = Vec::new();
     for i in 0..24 {
-        let mut client = day.client();
-        day.write(&mut client, "GET", "once", &format!("k{i}"));
+        let mut client = setup.client();
+        setup.write(&mut client, "GET", "once", &format!("k{i}"));
         // Each of the thirteen that there is room for is out at a server before the next one comes; a fourteenth
         // has a place, and its attempt has none.
-        wait_for(|| i >= 13 || day.told.0.lock().unwrap().len() > i);
+        wait_for(|| i >= 13 || setup.observed.lines.lock().unwrap().len() > i);
         clients.push(client);
     }
     // The last to come are answered while the first still wait.
     clients.rotate_left(14);
-    clients.iter_mut().for_each(|client| day.hear(client));
-    day.told.0.lock().unwrap().retain(|line| line.starts_with("client"));
-    day.told.0.lock().unwrap().dedup();
-    day.told(expect![[r#"
+    clients.iter_mut().for_each(|client| setup.record_response(client));
+    setup.observed.lines.lock().unwrap().retain(|line| line.starts_with("client"));
+    setup.observed.lines.lock().unwrap().dedup();
+    setup.assert_observed(expect![[r#"
         client: 503 Connection: close
         client: 500
     "#]]);
@@ -767,11 +772,11 @@
 
 #[test]
 fn clients_that_ask_once_and_stay_hold_a_sixth_of_the_descriptors_at_most() {
-    let day = Day::with(&[("a", held)], 195, "", |lines| vec![whole(2, lines)]);
+    let setup = ProxySetup::with(&[("a", hit)], 195, "", |lines| vec![whole(2, lines)]);
     let mut clients = Vec::new();
     for _ in 0..45 {
-        clients.push(day.client());
-        day.ask(clients.last_mut().unwrap(), "GET", "page", "k");
+        clients.push(setup.client());
+        setup.ask(clients.last_mut().unwrap(), "GET", "page", "k");
         sleep(Duration::from_millis(10));
     }
     sleep(Duration::from_millis(100));
@@ -792,59 +797,59 @@
 }
 
 #[test]
-fn a_drain_told_in_a_standstill_counts_from_then() {
+fn a_drain_notified_while_the_process_is_stopped_counts_from_then() {
     let drained = |lines: &[Value]| {
         let mut a = lines[0].clone();
         a["state"] = json!("DRAINING");
         let changed = |lines: &[Value]| json!({"version": 3, "full": false, "servers": lines}).to_string();
         vec![whole(2, lines), changed(&[]), changed(&[a])]
     };
-    let day = Day::with(&[("a", held), ("b", held)], 1024, "", drained);
-    let mut clients: Vec<TcpStream> = (0..9).map(|_| day.client()).collect();
+    let setup = ProxySetup::with(&[("a", hit), ("b", hit)], 1024, "", drained);
+    let mut clients: Vec<TcpStream> = (0..9).map(|_| setup.client()).collect();
     // The drain is the answer to the third call.
-    wait_for(|| day.calls.load(Ordering::SeqCst) >= 3);
-    day.signal("-STOP");
+    wait_for(|| setup.calls.load(Ordering::SeqCst) >= 3);
+    setup.signal("-STOP");
     for (i, client) in clients.iter_mut().enumerate() {
-        day.write(client, "GET", "page", &format!("k{i}"));
+        setup.write(client, "GET", "page", &format!("k{i}"));
     }
     sleep(Duration::from_millis(1300));
-    day.signal("-CONT");
+    setup.signal("-CONT");
     for client in &mut clients {
-        day.hear(client);
+        setup.record_response(client);
     }
-    let mut seen = day.told.0.lock().unwrap().clone();
+    let mut seen = setup.observed.lines.lock().unwrap().clone();
     seen.retain(|line| line.starts_with("a:"));
     expect![[r#""#]].assert_eq(&seen.join("\n"));
 }
 
 #[test]
-fn what_waited_through_a_standstill_has_that_much_less_time_left() {
-    let day = Day::new(&[("a", held)]);
-    let mut client = day.client();
-    day.signal("-STOP");
-    day.write(&mut client, "GET", "page", "k");
+fn time_stopped_counts_against_a_waiting_request() {
+    let setup = ProxySetup::new(&[("a", hit)]);
+    let mut client = setup.client();
+    setup.signal("-STOP");
+    setup.write(&mut client, "GET", "page", "k");
     sleep(Duration::from_millis(1700));
-    day.signal("-CONT");
-    day.hear(&mut client);
-    day.told(expect![[r#"
+    setup.signal("-CONT");
+    setup.record_response(&mut client);
+    setup.assert_observed(expect![[r#"
         client: 408 Connection: close
     "#]]);
 }
 
 #[test]
 fn a_head_that_never_ends_is_not_waited_for() {
-    let day = Day::new(&[("a", held)]);
-    let mut client = day.client();
+    let setup = ProxySetup::new(&[("a", hit)]);
+    let mut client = setup.client();
     client.write_all(b"GET /k HTTP/1.1\r\nX-Correlation").unwrap();
-    day.hear(&mut client);
-    day.told(expect![[r#"
+    setup.record_response(&mut client);
+    setup.assert_observed(expect![[r#"
         client: 408 Connection: close
     "#]]);
 }
 
 #[test]
-fn bad_input_is_turned_down_and_the_connection_closed() {
-    let day = Day::new(&[("a", held), ("origin", held)]);
+fn bad_input_is_rejected_and_the_connection_closed() {
+    let setup = ProxySetup::new(&[("a", hit), ("origin", hit)]);
     let id = "X-Correlation-Id: c\r\nX-Time-Left: 1\r\nX-Service-Class: page\r\n";
     let long = format!("GET /{} HTTP/1.1\r\n\r\n", "k".repeat(20_000));
     let cases = [
@@ -889,12 +894,12 @@
         ("nothing wrong", format!("GET /k HTTP/1.1\r\n{id}\r\n")),
     ];
     for (what, text) in cases {
-        day.told.say(format!("{what}:"));
-        let mut client = day.client();
+        setup.observed.record(format!("{what}:"));
+        let mut client = setup.client();
         client.write_all(text.as_bytes()).unwrap();
-        day.hear(&mut client);
+        setup.record_response(&mut client);
     }
-    day.told(expect![[r#"
+    setup.assert_observed(expect![[r#"
         garbage:
         client: 400 Connection: close
         a long head:
@@ -945,30 +950,30 @@
 }
 
 #[test]
-fn an_id_that_is_open_elsewhere_and_a_second_request_ahead_of_the_answer_are_turned_down() {
-    let slow: Script = |_| {
+fn a_request_id_in_use_and_a_second_request_before_the_response_are_rejected() {
+    let slow: ServerScript = |_| {
         sleep(Duration::from_millis(300));
-        (HELD, false)
+        (HIT_RESPONSE, false)
     };
-    let day = Day::new(&[("a", slow)]);
+    let setup = ProxySetup::new(&[("a", slow)]);
     let text = |id: &str| {
         format!(
             "GET /k HTTP/1.1\r\nX-Correlation-Id: {id}\r\nX-Time-Left: 1\r\nX-Service-Class: page\r\n\r\n"
         )
     };
-    let [mut owner, mut other, mut hasty] = [(); 3].map(|()| day.client());
+    let [mut owner, mut other, mut hasty] = [(); 3].map(|()| setup.client());
     owner.write_all(text("c").as_bytes()).unwrap();
     hasty.write_all(text("d").as_bytes()).unwrap();
     sleep(Duration::from_millis(100));
     other.write_all(text("c").as_bytes()).unwrap();
-    day.hear(&mut other);
+    setup.record_response(&mut other);
     hasty.write_all(text("e").as_bytes()).unwrap();
-    day.hear(&mut hasty);
-    day.hear(&mut owner);
-    other = day.client();
+    setup.record_response(&mut hasty);
+    setup.record_response(&mut owner);
+    other = setup.client();
     other.write_all(text("c").as_bytes()).unwrap();
-    day.hear(&mut other);
-    day.told(expect![[r#"
+    setup.record_response(&mut other);
+    setup.assert_observed(expect![[r#"
         a: GET /k
         a: GET /k
         client: 409 Connection: close
@@ -981,18 +986,18 @@
 
 #[test]
 fn silent_clients_are_closed_within_three_seconds_and_make_way_for_others() {
-    let day = Day::with(&[("a", held)], 46, "", |lines| vec![whole(2, lines)]);
+    let setup = ProxySetup::with(&[("a", hit)], 46, "", |lines| vec![whole(2, lines)]);
     let begun = Instant::now();
-    let mut used = day.client();
-    day.ask(&mut used, "GET", "page", "k");
-    let mut silent: Vec<TcpStream> = (0..10).map(|_| day.client()).collect();
+    let mut used = setup.client();
+    setup.ask(&mut used, "GET", "page", "k");
+    let mut silent: Vec<TcpStream> = (0..10).map(|_| setup.client()).collect();
     sleep(Duration::from_millis(500));
-    let mut fresh: Vec<TcpStream> = (0..3).map(|_| day.client()).collect();
-    fresh.iter_mut().for_each(|client| day.ask(client, "GET", "page", "k"));
+    let mut fresh: Vec<TcpStream> = (0..3).map(|_| setup.client()).collect();
+    fresh.iter_mut().for_each(|client| setup.ask(client, "GET", "page", "k"));
     silent.iter_mut().for_each(|client| assert!(message(client).is_none()));
-    day.told.say(format!("silent ones closed in 3 s: {}", begun.elapsed() < Duration::from_secs(3)));
-    day.ask(&mut used, "GET", "page", "k");
-    day.told(expect![[r#"
+    setup.observed.record(format!("silent ones closed in 3 s: {}", begun.elapsed() < Duration::from_secs(3)));
+    setup.ask(&mut used, "GET", "page", "k");
+    setup.assert_observed(expect![[r#"
         a: GET /api/k?part=1
         client: 200 value
         a: GET /api/k?part=1
@@ -1013,32 +1018,36 @@
 fn a_reload_that_tightens_a_class_holds_for_what_is_open_and_a_bad_one_changes_nothing() {
     let operator = a_file();
     std::fs::write(&operator, "version = 1\n[end]").unwrap();
-    let hang: Script = |_| ("", false);
+    let hang: ServerScript = |_| ("", false);
     let before = format!("MORE='--operator {operator}';");
-    let day = Day::with(&[("a", hang)], 1024, &before, |lines| vec![whole(2, lines)]);
-    let mut client = day.client();
+    let setup = ProxySetup::with(&[("a", hang)], 1024, &before, |lines| vec![whole(2, lines)]);
+    let mut client = setup.client();
     let begun = Instant::now();
-    day.write(&mut client, "GET", "once", "k");
-    let mut other = day.client();
-    day.write(&mut other, "GET", "page", "k");
+    setup.write(&mut client, "GET", "once", "k");
+    let mut other = setup.client();
+    setup.write(&mut other, "GET", "page", "k");
     sleep(Duration::from_millis(100));
     std::fs::write(&operator, SHORTER).unwrap();
-    day.signal("-HUP");
-    day.hear(&mut other);
-    day.told
-        .say(format!("the tightened class within 0.9 s: {}", begun.elapsed() < Duration::from_millis(900)));
+    setup.signal("-HUP");
+    setup.record_response(&mut other);
+    setup.observed.record(format!(
+        "the tightened class within 0.9 s: {}",
+        begun.elapsed() < Duration::from_millis(900)
+    ));
     // Written in halves, and against the platform's settings: the one before holds.
     for bad in [&SHORTER[..40], "version = 1\n[defaults]\nmost_shots = 50\n[end]"] {
         std::fs::write(&operator, bad).unwrap();
-        day.signal("-HUP");
+        setup.signal("-HUP");
         sleep(Duration::from_millis(50));
     }
     let again = Instant::now();
-    day.ask(&mut other, "GET", "page", "k");
-    day.told.say(format!("and so it stays: {}", again.elapsed() < Duration::from_millis(900)));
-    day.hear(&mut client);
-    day.told.say(format!("the other as promised: {}", begun.elapsed() > Duration::from_millis(1300)));
-    day.told(expect![[r#"
+    setup.ask(&mut other, "GET", "page", "k");
+    setup.observed.record(format!("and so it stays: {}", again.elapsed() < Duration::from_millis(900)));
+    setup.record_response(&mut client);
+    setup
+        .observed
+        .record(format!("the other as promised: {}", begun.elapsed() > Duration::from_millis(1300)));
+    setup.assert_observed(expect![[r#"
         a: GET /api/k?part=1
         a: GET /api/k?part=1
         client: 503 Retry-After
@@ -1059,9 +1068,9 @@
     sleep(Duration::from_millis(300));
     Command::new("kill").args(["-TERM", &child.id().to_string()]).status().unwrap();
     child.wait().unwrap();
-    let mut said = String::new();
-    child.stderr.take().unwrap().read_to_string(&mut said).unwrap();
-    let lines: Vec<Value> = said.lines().map(|l| serde_json::from_str(l).expect(l)).collect();
+    let mut output = String::new();
+    child.stderr.take().unwrap().read_to_string(&mut output).unwrap();
+    let lines: Vec<Value> = output.lines().map(|l| serde_json::from_str(l).expect(l)).collect();
     let seen = |event: &str| {
         let line = lines.iter().find(|l| l["event"] == event).expect(event);
         let mut names: Vec<&str> = line.as_object().unwrap().keys().map(String::as_str).collect();
@@ -1082,18 +1091,18 @@
     let (config, operator) = (a_file(), a_file());
     let addr = own_address();
     std::fs::write(&config, configuration(addr, addr, &[], 64).to_string()).unwrap();
-    let mut said = String::new();
-    let mut tell = |file: &str, args: &[&str]| {
+    let mut output = String::new();
+    let mut run_command = |file: &str, args: &[&str]| {
         std::fs::write(&operator, file).unwrap();
         let args = [args, &["--config", &config, "--operator", &operator]].concat();
         let out = command(&args);
         let text = [out.stdout, out.stderr].map(|o| String::from_utf8_lossy(&o).to_string()).concat();
-        said += &format!("{}\n{}", out.status, text.replace(&operator, "FILE"));
+        output += &format!("{}\n{}", out.status, text.replace(&operator, "FILE"));
     };
-    tell(SHORTER, &["check"]);
-    tell("version = 1\n[defaults]\nmost_shots = 50\nopen = 0\n[end]", &["check"]);
-    tell(SHORTER, &["explain", "--namespace", "page", "--route", "/api/k"]);
-    tell(SHORTER, &["explain", "--namespace", "pages"]);
+    run_command(SHORTER, &["check"]);
+    run_command("version = 1\n[defaults]\nmost_shots = 50\nopen = 0\n[end]", &["check"]);
+    run_command(SHORTER, &["explain", "--namespace", "page", "--route", "/api/k"]);
+    run_command(SHORTER, &["explain", "--namespace", "pages"]);
     expect![[r#"
         exit status: 0
         p: fine
@@ -1115,14 +1124,14 @@
         exit status: 2
         chalkwalk: no namespace "pages"; there are page, once
     "#]]
-    .assert_eq(&said);
+    .assert_eq(&output);
 }
 
 /// How a start ends that is wrong, and what it says.
 fn outcome(mut child: Child) -> String {
-    let mut said = String::new();
-    child.stderr.take().unwrap().read_to_string(&mut said).unwrap();
-    format!("{} {said}", child.wait().unwrap())
+    let mut output = String::new();
+    child.stderr.take().unwrap().read_to_string(&mut output).unwrap();
+    format!("{} {output}", child.wait().unwrap())
 }
 
 fn command(args: &[&str]) -> Output {
--- a/crates/proxy/tests/sockets/endings.rs
+++ b/crates/proxy/tests/sockets/endings.rs
@@ -4,7 +4,7 @@
 use std::sync::mpsc::{Receiver, channel};
 
 /// A proxy with settings of the test's own, its list, and what its stand-ins are asked.
-pub struct Fleet {
+pub struct ManualProxy {
     pub proxy: Child,
     pub addr: SocketAddr,
     came: Receiver<Attempt>,
@@ -48,7 +48,7 @@
     }
 
     /// Lets the connections in that wait, and returns the proxy's first.
-    fn let_in(&self) -> TcpStream {
+    fn accept_waiting(&self) -> TcpStream {
         _ = self.0.accept().unwrap();
         self.0.accept().unwrap().0
     }
@@ -60,11 +60,11 @@
     }
 }
 
-impl Fleet {
+impl ManualProxy {
     /// `playing`: those that answer as the test says. `known`: what the list has, unless it is one of the test's own.
-    pub fn new(playing: Vec<StandInServer>, known: &[Value], set: impl FnOnce(&mut Value)) -> Fleet {
+    pub fn new(playing: Vec<StandInServer>, known: &[Value], set: impl FnOnce(&mut Value)) -> ManualProxy {
         let listed = whole(2, known);
-        Fleet::with(playing, known, |listener, calls| list(listener, vec![listed], calls), set)
+        ManualProxy::with(playing, known, |listener, calls| list(listener, vec![listed], calls), set)
     }
 
     pub fn with(
@@ -72,19 +72,19 @@
         known: &[Value],
         listing: impl FnOnce(TcpListener, Arc<AtomicUsize>),
         set: impl FnOnce(&mut Value),
-    ) -> Fleet {
-        let (tell, came) = channel();
+    ) -> ManualProxy {
+        let (sender, came) = channel();
         for StandInServer(listener, line) in playing {
-            let (tell, name) = (tell.clone(), line["id"].as_str().unwrap().to_string());
+            let (sender, name) = (sender.clone(), line["id"].as_str().unwrap().to_string());
             spawn(move || {
                 for mut stream in listener.incoming().flatten() {
-                    let (tell, name) = (tell.clone(), name.clone());
+                    let (sender, name) = (sender.clone(), name.clone());
                     spawn(move || {
                         while let Some((head, _)) = message(&mut stream) {
                             let key = head.split(['/', '?', ' ']).nth(3).unwrap_or("").to_string();
                             let what = format!("{name} {key}");
                             let stream = stream.try_clone().unwrap();
-                            _ = tell.send(Attempt { what, stream });
+                            _ = sender.send(Attempt { what, stream });
                         }
                     });
                 }
@@ -97,15 +97,15 @@
         let mut configuration = configuration(addr, at, known, 1024);
         set(&mut configuration);
         let proxy = run(&configuration, "");
-        let fleet = Fleet { proxy, addr, came, calls };
+        let manual = ManualProxy { proxy, addr, came, calls };
         wait_for(|| TcpStream::connect(addr).is_ok());
-        wait_for(|| fleet.calls.load(Ordering::SeqCst) > 0);
-        fleet
+        wait_for(|| manual.calls.load(Ordering::SeqCst) > 0);
+        manual
     }
 
-    pub fn of(playing: Vec<StandInServer>, set: impl FnOnce(&mut Value)) -> Fleet {
+    pub fn of(playing: Vec<StandInServer>, set: impl FnOnce(&mut Value)) -> ManualProxy {
         let lines: Vec<Value> = playing.iter().map(|c| c.1.clone()).collect();
-        Fleet::new(playing, &lines, set)
+        ManualProxy::new(playing, &lines, set)
     }
 
     pub fn write(&self, ns: &str, key: &str) -> TcpStream {
@@ -143,7 +143,7 @@
     }
 }
 
-impl Drop for Fleet {
+impl Drop for ManualProxy {
     fn drop(&mut self) {
         _ = self.proxy.kill();
         _ = self.proxy.wait();
@@ -151,7 +151,7 @@
 }
 
 /// The status, or how the connection ended.
-pub fn heard(stream: &mut TcpStream) -> String {
+pub fn read_response(stream: &mut TcpStream) -> String {
     match message(stream) {
         Some((head, body)) => format!("{} {body}", &head[9..12]).trim_end().to_string(),
         None => "closed".into(),
@@ -164,41 +164,41 @@
     message(&mut stream).map_or("nothing".into(), |(head, _)| head.lines().next().unwrap().to_string())
 }
 
-fn may_not_withdraw(said: &mut Value) {
-    said["settings"]["ceilings"]["cancelling"] = json!(false);
+fn may_not_withdraw(config: &mut Value) {
+    config["settings"]["ceilings"]["cancelling"] = json!(false);
 }
 
-fn patient(said: &mut Value) {
-    said["settings"]["ceilings"]["connectTimeoutNs"] = json!(5_000_000_000u64);
-    said["settings"]["namespaces"][0] = namespace("page", "free", 6000);
+fn patient(config: &mut Value) {
+    config["settings"]["ceilings"]["connectTimeoutNs"] = json!(5_000_000_000u64);
+    config["settings"]["namespaces"][0] = namespace("page", "free", 6000);
 }
 
 /// A second answer that comes some milliseconds late, on a connection that is back in the pool by then, is nobody's.
 #[test]
 fn a_second_answer_some_milliseconds_late_is_nobodys() {
     // Where the test itself was held up, the round tells nothing.
-    let told = std::iter::repeat_with(second_answer).flatten().next();
-    assert_eq!(told.as_deref(), Some("200 value"));
+    let observed = std::iter::repeat_with(second_answer).flatten().next();
+    assert_eq!(observed.as_deref(), Some("200 value"));
 }
 
 /// What the request after it gets.
 fn second_answer() -> Option<String> {
-    let fleet = Fleet::of(vec![server("a")], |_| ());
-    let mut client = fleet.write("page", "k0");
-    let mut attempt = fleet.attempt();
+    let manual = ManualProxy::of(vec![server("a")], |_| ());
+    let mut client = manual.write("page", "k0");
+    let mut attempt = manual.attempt();
     let begun = Instant::now();
-    attempt.answer(HELD);
-    assert_eq!(heard(&mut client), "200 value");
+    attempt.answer(HIT_RESPONSE);
+    assert_eq!(read_response(&mut client), "200 value");
     // The next request is on its way before the second answer is.
-    fleet.write_on(&mut client, "page", "k1");
+    manual.write_on(&mut client, "page", "k1");
     sleep(Duration::from_millis(3));
     attempt.answer("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray");
     if begun.elapsed() > Duration::from_millis(9) {
         return None;
     }
     // Where it was taken for the next one's, no attempt is answered here.
-    _ = fleet.attempt().stream.write_all(HELD.as_bytes());
-    Some(heard(&mut client))
+    _ = manual.attempt().stream.write_all(HIT_RESPONSE.as_bytes());
+    Some(read_response(&mut client))
 }
 
 /// Nothing is written for a request whose client left while it waited for its connection, though the connection came up in the
@@ -208,15 +208,15 @@
     for cancelling in [true, false] {
         let (server, _filler) = shut_server("a");
         let lines = vec![server.1.clone()];
-        let fleet = Fleet::new(vec![], &lines, |said| {
-            patient(said);
-            said["settings"]["ceilings"]["cancelling"] = json!(cancelling);
+        let manual = ManualProxy::new(vec![], &lines, |config| {
+            patient(config);
+            config["settings"]["ceilings"]["cancelling"] = json!(cancelling);
         });
-        let client = fleet.write("page", "k");
+        let client = manual.write("page", "k");
         server.wait_connecting();
-        let attempt = fleet.status(|| {
+        let attempt = manual.status(|| {
             drop(client);
-            server.let_in()
+            server.accept_waiting()
         });
         assert_eq!(written(attempt), "nothing", "cancelling: {cancelling}");
     }
@@ -225,30 +225,30 @@
 /// The same for a place for its connection: all are taken by requests that hang, and one becomes free as the client leaves.
 #[test]
 fn who_leaves_while_it_waits_for_a_place_is_not_sent_on() {
-    let fleet = Fleet::of(vec![server("a"), server("b"), server("c")], |said| {
-        may_not_withdraw(said);
-        said["limits"]["sockets"] = json!(46);
-        said["settings"]["namespaces"][1] = namespace("once", "single_shot", 9000);
+    let manual = ManualProxy::of(vec![server("a"), server("b"), server("c")], |config| {
+        may_not_withdraw(config);
+        config["limits"]["sockets"] = json!(46);
+        config["settings"]["namespaces"][1] = namespace("once", "single_shot", 9000);
     });
     let mut clients = Vec::new();
     let mut attempts: Vec<Attempt> = Vec::new();
     for i in 0..13 {
-        clients.push(fleet.write("once", &format!("k{i}")));
-        attempts.push(fleet.attempt());
+        clients.push(manual.write("once", &format!("k{i}")));
+        attempts.push(manual.attempt());
     }
     // It has a client's place, and its attempt has none. Its answer to a message says that it was read.
-    let waits = fleet.write("once", "waits");
-    let taken = format!("/proc/{}/fd", fleet.proxy.id());
+    let waits = manual.write("once", "waits");
+    let taken = format!("/proc/{}/fd", manual.proxy.id());
     let open = || std::fs::read_dir(&taken).map_or(0, |fds| fds.count());
     let before = open();
     wait_for(|| open() >= before);
-    fleet.status(|| {
+    manual.status(|| {
         drop(waits);
-        attempts[0].answer(&HELD.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
+        attempts[0].answer(&HIT_RESPONSE.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
     });
-    assert_eq!(heard(&mut clients[0]), "200 value");
-    fleet.write_on(&mut clients[0], "once", "last");
-    assert_eq!(fleet.attempt().what.split(' ').nth(1), Some("last"));
+    assert_eq!(read_response(&mut clients[0]), "200 value");
+    manual.write_on(&mut clients[0], "once", "last");
+    assert_eq!(manual.attempt().what.split(' ').nth(1), Some("last"));
 }
 
 /// The same for its key's turn, and for another's fetch of its key.
@@ -259,53 +259,53 @@
         if origin {
             servers.push(server("origin"));
         }
-        let fleet = Fleet::of(servers, |said| {
-            may_not_withdraw(said);
-            said["settings"]["namespaces"][0]["keepOrder"] = json!(!origin);
+        let manual = ManualProxy::of(servers, |config| {
+            may_not_withdraw(config);
+            config["settings"]["namespaces"][0]["keepOrder"] = json!(!origin);
         });
-        let mut first = fleet.write("page", "k");
-        let mut attempt = fleet.attempt();
+        let mut first = manual.write("page", "k");
+        let mut attempt = manual.attempt();
         if origin {
             attempt.answer(MISS);
-            attempt = fleet.attempt();
+            attempt = manual.attempt();
         }
-        let mut second = fleet.write("page", "k");
+        let mut second = manual.write("page", "k");
         if origin {
-            fleet.attempt().answer(MISS);
+            manual.attempt().answer(MISS);
             // By the next request's attempt the miss of the second has been heard.
         }
-        let mut third = fleet.write("page", "other");
-        let mut other = fleet.attempt();
-        other.answer(HELD);
-        assert_eq!((other.what.as_str(), heard(&mut third).as_str()), ("a other", "200 value"));
-        fleet.status(|| {
+        let mut third = manual.write("page", "other");
+        let mut other = manual.attempt();
+        other.answer(HIT_RESPONSE);
+        assert_eq!((other.what.as_str(), read_response(&mut third).as_str()), ("a other", "200 value"));
+        manual.status(|| {
             // Reset, not closed in order.
             socket2::SockRef::from(&second).set_linger(Some(Duration::ZERO)).unwrap();
-            drop(std::mem::replace(&mut second, TcpStream::connect(fleet.addr).unwrap()));
-            attempt.answer(HELD);
+            drop(std::mem::replace(&mut second, TcpStream::connect(manual.addr).unwrap()));
+            attempt.answer(HIT_RESPONSE);
         });
-        assert_eq!(heard(&mut first), "200 value", "{kind}");
-        fleet.write_on(&mut third, "page", "last");
-        assert_eq!(fleet.attempt().what, "a last", "{kind}");
+        assert_eq!(read_response(&mut first), "200 value", "{kind}");
+        manual.write_on(&mut third, "page", "last");
+        assert_eq!(manual.attempt().what, "a last", "{kind}");
     }
 }
 
 /// The same for the moment in which a silent server is given up for the next.
 #[test]
 fn who_leaves_as_a_silent_server_is_given_up_is_not_sent_on() {
-    let fleet = Fleet::of(vec![server("a"), server("b")], |_| ());
-    let client = fleet.write("page", "k");
-    let silent = fleet.attempt();
-    fleet.status(|| {
+    let manual = ManualProxy::of(vec![server("a"), server("b")], |_| ());
+    let client = manual.write("page", "k");
+    let silent = manual.attempt();
+    manual.status(|| {
         // Past what a server may be silent for, here a time limit's half at the most.
         sleep(Duration::from_millis(1600));
         drop(client);
     });
-    let mut other = fleet.write("page", "last");
-    let mut attempt = fleet.attempt();
+    let mut other = manual.write("page", "last");
+    let mut attempt = manual.attempt();
     assert_eq!(attempt.what.split(' ').nth(1), Some("last"), "{}", silent.what);
-    attempt.answer(HELD);
-    assert_eq!(heard(&mut other), "200 value");
+    attempt.answer(HIT_RESPONSE);
+    assert_eq!(read_response(&mut other), "200 value");
 }
 
 /// A connection that comes up in the turn in which the time limit is over, or in which a tagged request's window is, carries
@@ -315,41 +315,41 @@
     // The time limit.
     let (shut, _filler) = shut_server("a");
     let lines = vec![shut.1.clone()];
-    let fleet = Fleet::new(vec![], &lines, |said| {
-        patient(said);
-        said["settings"]["namespaces"][0] = namespace("page", "free", 900);
+    let manual = ManualProxy::new(vec![], &lines, |config| {
+        patient(config);
+        config["settings"]["namespaces"][0] = namespace("page", "free", 900);
     });
-    let mut client = fleet.write("page", "k");
+    let mut client = manual.write("page", "k");
     shut.wait_connecting();
-    let attempt = fleet.status(|| {
-        let attempt = shut.let_in();
+    let attempt = manual.status(|| {
+        let attempt = shut.accept_waiting();
         sleep(Duration::from_millis(1000));
         attempt
     });
     assert_eq!(written(attempt), "nothing");
-    assert!(heard(&mut client).starts_with("50"));
+    assert!(read_response(&mut client).starts_with("50"));
     // The window: the first attempt breaks after it was read, the second waits for its connection.
     for _ in 0..20 {
         let (shut, _filler) = shut_server("b");
         let open = server("a");
         let lines = vec![open.1.clone(), shut.1.clone()];
-        let fleet = Fleet::new(vec![open], &lines, |said| {
-            patient(said);
-            said["settings"]["namespaces"][1] = namespace("once", "guarded", 6000);
-            said["settings"]["namespaces"][1]["dedupWindowNs"] = json!(700_000_000u64);
+        let manual = ManualProxy::new(vec![open], &lines, |config| {
+            patient(config);
+            config["settings"]["namespaces"][1] = namespace("once", "guarded", 6000);
+            config["settings"]["namespaces"][1]["dedupWindowNs"] = json!(700_000_000u64);
         });
-        let mut client = fleet.write("once", "k");
+        let mut client = manual.write("once", "k");
         // The key may be the other's: then that one waits, and another key is tried.
-        let Ok(first) = fleet.came.recv_timeout(Duration::from_millis(300)) else { continue };
+        let Ok(first) = manual.came.recv_timeout(Duration::from_millis(300)) else { continue };
         first.stream.shutdown(std::net::Shutdown::Both).unwrap();
         shut.wait_connecting();
-        let attempt = fleet.status(|| {
-            let attempt = shut.let_in();
+        let attempt = manual.status(|| {
+            let attempt = shut.accept_waiting();
             sleep(Duration::from_millis(750));
             attempt
         });
         assert_eq!(written(attempt), "nothing");
-        assert_eq!(heard(&mut client), "500");
+        assert_eq!(read_response(&mut client), "500");
         return;
     }
     panic!("no key was the open cache's");
@@ -358,7 +358,7 @@
 /// A drain that is told while an attempt waits for its connection to that server: the attempt goes elsewhere. So it does where both come
 /// in a standstill that outlasts the grace, and are read in one turn.
 #[test]
-fn a_drain_told_while_a_connection_comes_up_takes_the_attempt_elsewhere() {
+fn a_drain_notified_while_a_connection_comes_up_moves_the_attempt() {
     drained_meanwhile(false);
     drained_meanwhile(true);
 }
@@ -369,7 +369,7 @@
     let (known, both) = (vec![shut.1.clone()], [shut.1.clone(), open.1.clone()]);
     let drained = line("a", shut.addr(), "DRAINING");
     // The drain and the other server are the answer to the second call, which is held until the attempt waits.
-    let (go, told) = channel::<()>();
+    let (go, observed) = channel::<()>();
     let answers = [whole(2, &known), whole(3, &[drained, both[1].clone()])];
     let written_to = Arc::new(AtomicUsize::new(0));
     let counts = written_to.clone();
@@ -378,7 +378,7 @@
             for mut stream in listener.incoming().flatten() {
                 while message(&mut stream).is_some() {
                     let nth = calls.fetch_add(1, Ordering::SeqCst);
-                    if nth > 0 && told.recv().is_err() {
+                    if nth > 0 && observed.recv().is_err() {
                         return;
                     }
                     let body = &answers[nth.min(1)];
@@ -391,16 +391,16 @@
             }
         });
     };
-    let fleet = Fleet::with(vec![open], &known, listing, patient);
-    let mut client = fleet.write("page", "k");
+    let manual = ManualProxy::with(vec![open], &known, listing, patient);
+    let mut client = manual.write("page", "k");
     shut.wait_connecting();
     if !in_a_standstill {
         go.send(()).unwrap();
         // It has read the answer as it calls again.
-        wait_for(|| fleet.calls.load(Ordering::SeqCst) > 2);
+        wait_for(|| manual.calls.load(Ordering::SeqCst) > 2);
     }
-    let attempt = fleet.status(|| {
-        let attempt = shut.let_in();
+    let attempt = manual.status(|| {
+        let attempt = shut.accept_waiting();
         if in_a_standstill {
             // After the connection, as the system tells of what came in that order.
             go.send(()).unwrap();
@@ -411,10 +411,10 @@
         attempt
     });
     assert_eq!(written(attempt), "nothing");
-    let mut elsewhere = fleet.attempt();
+    let mut elsewhere = manual.attempt();
     assert_eq!(elsewhere.what, "b k");
-    elsewhere.answer(HELD);
-    assert_eq!(heard(&mut client), "200 value");
+    elsewhere.answer(HIT_RESPONSE);
+    assert_eq!(read_response(&mut client), "200 value");
 }
 
 /// A server that resets in the middle of a long body has surely not run it, and a single-use request goes on to the next.
@@ -423,16 +423,16 @@
     const BODY: usize = 20 << 20;
     let (cuts, whole_of) = (server("a"), server("b"));
     let lines = vec![cuts.1.clone(), whole_of.1.clone()];
-    let fleet = Fleet::new(vec![], &lines, |said| {
-        said["limits"]["memory_mb"] = json!(256);
-        said["settings"]["familyInfo"] = json!({"mode": "through"});
-        said["settings"]["namespaces"][1] = namespace("once", "single_shot", 9000);
+    let manual = ManualProxy::new(vec![], &lines, |config| {
+        config["limits"]["memory_mb"] = json!(256);
+        config["settings"]["familyInfo"] = json!({"mode": "through"});
+        config["settings"]["namespaces"][1] = namespace("once", "single_shot", 9000);
     });
     // Whichever is asked first resets after its first byte, the other takes all.
     let first = Arc::new(AtomicUsize::new(0));
-    let (tell, told) = channel();
+    let (sender, observed) = channel();
     for StandInServer(listener, _) in [cuts, whole_of] {
-        let (first, tell) = (first.clone(), tell.clone());
+        let (first, sender) = (first.clone(), sender.clone());
         spawn(move || {
             for mut stream in listener.incoming().flatten() {
                 stream.read_exact(&mut [0]).unwrap();
@@ -445,28 +445,28 @@
                 while taken < BODY {
                     taken += stream.read(&mut buf).unwrap();
                 }
-                stream.write_all(HELD.as_bytes()).unwrap();
-                _ = tell.send(());
+                stream.write_all(HIT_RESPONSE.as_bytes()).unwrap();
+                _ = sender.send(());
             }
         });
     }
-    let mut client = TcpStream::connect(fleet.addr).unwrap();
+    let mut client = TcpStream::connect(manual.addr).unwrap();
     let head = format!(
         "PUT /api/k HTTP/1.1\r\nX-Correlation-Id: b\r\nX-Service-Class: once\r\nX-Time-Left: 9\r\nContent-Length: {BODY}\r\n\r\n"
     );
     client.write_all(head.as_bytes()).unwrap();
     client.write_all(&vec![b'v'; BODY]).unwrap();
-    assert_eq!(heard(&mut client), "200 value");
-    told.recv_timeout(Duration::from_secs(20)).unwrap();
+    assert_eq!(read_response(&mut client), "200 value");
+    observed.recv_timeout(Duration::from_secs(20)).unwrap();
     assert_eq!(first.load(Ordering::SeqCst), 2);
 }
 
 /// A client that goes while a long answer flows to it takes the attempt along: its server is not read on for nobody.
 #[test]
 fn who_leaves_while_an_answer_flows_takes_its_attempt_along() {
-    let fleet = Fleet::of(vec![server("a")], |_| ());
-    let mut client = fleet.write("page", "k");
-    let mut attempt = fleet.attempt();
+    let manual = ManualProxy::of(vec![server("a")], |_| ());
+    let mut client = manual.write("page", "k");
+    let mut attempt = manual.attempt();
     attempt.answer("HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n");
     attempt.answer(&"v".repeat(100_000));
     client.read_exact(&mut [0; 50_000]).unwrap();
--- a/crates/proxy/tests/sockets/large.rs
+++ b/crates/proxy/tests/sockets/large.rs
@@ -47,8 +47,8 @@
     format!("{} {}: {values} bytes{ended}, {end}", &head[9..12], framed.unwrap_or("-"))
 }
 
-fn question(day: &Day, method: &str, id: &str, body: &str) -> TcpStream {
-    let mut stream = day.client();
+fn question(setup: &ProxySetup, method: &str, id: &str, body: &str) -> TcpStream {
+    let mut stream = setup.client();
     let ns = "page";
     let head = format!("{method} /api/{id} HTTP/1.1\r\nX-Correlation-Id: {id}\r\nX-Service-Class: {ns}\r\n");
     stream.write_all(format!("{head}X-Time-Left: 1.0\r\n{body}").as_bytes()).unwrap();
@@ -58,12 +58,12 @@
 /// A long answer goes on as it comes, and one that breaks off looks broken: nothing is asked again.
 #[test]
 fn a_long_answer_flows_and_one_that_breaks_off_looks_broken() {
-    let day = Day::new(&[("amber", long)]);
+    let setup = ProxySetup::new(&[("amber", long)]);
     for i in 0..4 {
-        let mut client = question(&day, "GET", &format!("l{i}"), "\r\n");
-        day.told.say(outcome(&mut client));
+        let mut client = question(&setup, "GET", &format!("l{i}"), "\r\n");
+        setup.observed.record(outcome(&mut client));
     }
-    day.told(expect![[r#"
+    setup.assert_observed(expect![[r#"
         amber: GET /api/l0
         200 Content-Length: 300000: 300000 bytes, kept
         amber: GET /api/l1
@@ -86,14 +86,14 @@
 /// connection is closed too.
 #[test]
 fn the_first_bytes_of_a_long_answer_do_not_wait_for_the_rest() {
-    let day = Day::new(&[("amber", halting)]);
-    let mut client = question(&day, "GET", "h", "\r\n");
-    day.told.say(outcome(&mut client));
+    let setup = ProxySetup::new(&[("amber", halting)]);
+    let mut client = question(&setup, "GET", "h", "\r\n");
+    setup.observed.record(outcome(&mut client));
     sleep(Duration::from_millis(900)); // beyond the request's second
     client.set_read_timeout(Some(Duration::from_millis(100))).unwrap();
     let open = matches!(client.read(&mut [0; 8]), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock);
-    day.told.say(format!("open past its time: {open}"));
-    day.told(expect![[r#"
+    setup.observed.record(format!("open past its time: {open}"));
+    setup.assert_observed(expect![[r#"
         amber: GET /api/h
         200 Content-Length: 300000: 1000 bytes, kept
         open past its time: true
@@ -103,7 +103,7 @@
 /// A body of 200 kB, in chunks or with a length, reaches the origin whole; one beyond all bounds is turned down at once.
 #[test]
 fn long_bodies_are_taken_whole() {
-    let day = Day::new(&[("origin", held)]);
+    let setup = ProxySetup::new(&[("origin", hit)]);
     let body = "v".repeat(200_000);
     let bodies = [
         format!("Content-Length: 200000\r\n\r\n{body}"),
@@ -111,11 +111,11 @@
         "Content-Length: 99000000000\r\n\r\n".to_string(),
     ];
     for (i, body) in bodies.iter().enumerate() {
-        let mut client = question(&day, "PUT", &format!("b{i}"), body);
+        let mut client = question(&setup, "PUT", &format!("b{i}"), body);
         let answer = message(&mut client).map_or("none".into(), |(head, _)| head[9..12].to_string());
-        day.told.say(format!("client: {answer}"));
+        setup.observed.record(format!("client: {answer}"));
     }
-    let mut lines = day.told.0.lock().unwrap();
+    let mut lines = setup.observed.lines.lock().unwrap();
     lines.iter_mut().for_each(|line| {
         let values = line.matches('v').count();
         if values > 1000 {
@@ -123,7 +123,7 @@
         }
     });
     drop(lines);
-    day.told(expect![[r#"
+    setup.assert_observed(expect![[r#"
         origin: PUT /api/b0 and 200000 bytes
         client: 200
         origin: PUT /api/b1 and 200000 bytes
@@ -135,8 +135,8 @@
 /// A request's time begins with its last byte, however slowly its head came.
 #[test]
 fn a_slow_head_takes_no_time_from_its_request() {
-    let day = Day::new(&[("amber", held)]);
-    let mut client = day.client();
+    let setup = ProxySetup::new(&[("amber", hit)]);
+    let mut client = setup.client();
     let (first, last) = (
         "GET /api/s HTTP/1.1\r\nX-Correlation-Id: s\r\nX-Ser",
         "vice-Class: page\r\nX-Time-Left: 0.5\r\n\r\n",
@@ -144,8 +144,8 @@
     client.write_all(first.as_bytes()).unwrap();
     sleep(Duration::from_millis(2000));
     client.write_all(last.as_bytes()).unwrap();
-    day.hear(&mut client);
-    day.told(expect![[r#"
+    setup.record_response(&mut client);
+    setup.assert_observed(expect![[r#"
         amber: GET /api/s
         client: 200 value
     "#]]);
--- a/crates/proxy/tests/sockets/leaving.rs
+++ b/crates/proxy/tests/sockets/leaving.rs
@@ -1,6 +1,6 @@
 //! The end of a process, and its start: what is owed when it is told to end at an odd moment.
 
-use super::outcomes::{Fleet, heard, server, shut_server};
+use super::outcomes::{ManualProxy, read_response, server, shut_server};
 use super::*;
 use rustix::process::{Pid, Signal, kill_process};
 use std::collections::HashSet;
@@ -33,7 +33,7 @@
         };
         term(&proxy);
         client.write_all(request("page", "k").as_bytes()).unwrap();
-        let answer = heard(&mut client);
+        let answer = read_response(&mut client);
         drop(client);
         let exit = proxy.wait().unwrap();
         assert_eq!((answer.as_str(), exit.code()), ("503", Some(0)), "round {round}");
@@ -44,20 +44,20 @@
 /// was asked for is without an answer, whatever its server does.
 #[test]
 fn clients_that_send_up_to_the_end_lose_nothing_where_limits_are_short() {
-    let by_turns: Script = |n| (if n % 3 == 0 { "" } else { HELD }, false);
-    let (told, mut lines) = (Told::default(), Vec::new());
+    let by_turns: ServerScript = |n| (if n % 3 == 0 { "" } else { HIT_RESPONSE }, false);
+    let (observed, mut lines) = (Observed::default(), Vec::new());
     for name in ["a", "b"] {
         let (listener, addr) = a_listener();
         lines.push(line(name, addr, "SERVING"));
-        stand_in(listener, told.clone(), name, by_turns);
+        stand_in_server(listener, observed.clone(), name, by_turns);
     }
     let (listener, at) = a_listener();
     list(listener, vec![whole(2, &lines)], Default::default());
     let addr = own_address();
-    let mut said = configuration(addr, at, &lines, 256);
-    said["settings"]["namespaces"] =
+    let mut config = configuration(addr, at, &lines, 256);
+    config["settings"]["namespaces"] =
         json!([namespace("page", "free", 100), namespace("once", "single_shot", 60)]);
-    let mut proxy = run(&said, "");
+    let mut proxy = run(&config, "");
     wait_for(|| TcpStream::connect(addr).is_ok());
     let clients: Vec<_> = (0..12)
         .map(|c| {
@@ -75,13 +75,13 @@
             })
         })
         .collect();
-    let asked = || told.0.lock().unwrap().len();
+    let asked = || observed.lines.lock().unwrap().len();
     wait_for(|| asked() > 100);
     term(&proxy);
     let last: HashSet<String> = clients.into_iter().map(|c| c.join().unwrap()).collect();
     assert_eq!(proxy.wait().unwrap().code(), Some(0));
-    let lost: Vec<String> = told
-        .0
+    let lost: Vec<String> = observed
+        .lines
         .lock()
         .unwrap()
         .iter()
@@ -98,46 +98,46 @@
     let (shut, _filler) = shut_server("a");
     let open = server("b");
     let lines = vec![shut.1.clone(), open.1.clone()];
-    let mut fleet = Fleet::new(vec![open], &lines, |said| {
-        said["settings"]["ceilings"]["connectTimeoutNs"] = json!(5_000_000_000u64);
-        said["settings"]["ceilings"]["mostShots"] = json!(1);
-        said["settings"]["namespaces"] =
+    let mut manual = ManualProxy::new(vec![open], &lines, |config| {
+        config["settings"]["ceilings"]["connectTimeoutNs"] = json!(5_000_000_000u64);
+        config["settings"]["ceilings"]["mostShots"] = json!(1);
+        config["settings"]["namespaces"] =
             json!([namespace("page", "free", 1500), namespace("once", "single_shot", 8000)]);
-        said["settings"]["namespaces"][0]["keepOrder"] = json!(true);
+        config["settings"]["namespaces"][0]["keepOrder"] = json!(true);
     });
     // Keys of both servers, each twice: the second waits for its turn.
-    let mut clients: Vec<TcpStream> = (0..16).map(|i| fleet.write("page", &format!("k{}", i / 2))).collect();
+    let mut clients: Vec<TcpStream> = (0..16).map(|i| manual.write("page", &format!("k{}", i / 2))).collect();
     // Beyond what is left to it: SIGKILL comes 3.7 s after the word.
-    clients.extend((0..4).map(|i| fleet.write("once", &format!("o{i}"))));
-    let mut half = TcpStream::connect(fleet.addr).unwrap();
+    clients.extend((0..4).map(|i| manual.write("once", &format!("o{i}"))));
+    let mut half = TcpStream::connect(manual.addr).unwrap();
     half.write_all(b"PUT /api/h HTTP/1.1\r\nX-Correlation-Id: h\r\nX-Service-Class: once\r\nX-Time-Left: 1\r\nContent-Length: 6\r\n\r\nhal").unwrap();
     shut.wait_connecting();
-    _ = fleet.attempt();
+    _ = manual.attempt();
     for name in ["-TERM", "-HUP", "-TERM", "-INT"] {
-        fleet.signal(name);
+        manual.signal(name);
     }
     half.write_all(b"ves").unwrap();
     clients.push(half);
     for client in &mut clients {
-        let answer = heard(client);
+        let answer = read_response(client);
         assert!(answer.starts_with("50"), "{answer}");
     }
-    assert_eq!(fleet.proxy.wait().unwrap().code(), Some(0));
+    assert_eq!(manual.proxy.wait().unwrap().code(), Some(0));
 }
 
 /// An answer that is written and unread when the process ends is the client's all the same.
 #[test]
 fn an_answer_unread_at_the_end_is_not_lost() {
-    let long: Script = |_| {
+    let long: ServerScript = |_| {
         let body = "v".repeat(60_000);
         (format!("HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n{body}").leak(), false)
     };
-    let mut day = Day::new(&[("a", long)]);
-    let mut client = day.client();
-    day.write(&mut client, "GET", "page", "k");
+    let mut setup = ProxySetup::new(&[("a", long)]);
+    let mut client = setup.client();
+    setup.write(&mut client, "GET", "page", "k");
     client.peek(&mut [0]).unwrap();
-    day.signal("-TERM");
-    assert_eq!(day.proxy.wait().unwrap().code(), Some(0));
+    setup.signal("-TERM");
+    assert_eq!(setup.proxy.wait().unwrap().code(), Some(0));
     assert_eq!(message(&mut client).map(|(_, body)| body.len()), Some(60_000));
 }
 
@@ -148,7 +148,7 @@
     let (a, b) = (server("a"), server("b"));
     let known = vec![a.1.clone(), b.1.clone()];
     let drained = [line("a", a.addr(), "DRAINING"), b.1.clone()];
-    let (go, told) = std::sync::mpsc::channel::<()>();
+    let (go, observed) = std::sync::mpsc::channel::<()>();
     let body = whole(9, &drained);
     let listing = move |listener: TcpListener, calls: Arc<AtomicUsize>| {
         spawn(move || {
@@ -158,30 +158,30 @@
                         sleep(Duration::from_secs(30));
                     }
                     // Asked first by the test whether the process is up.
-                    told.recv().unwrap();
+                    observed.recv().unwrap();
                     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
                     stream.write_all((head + &body).as_bytes()).unwrap();
                 }
             }
         });
     };
-    let fleet = Fleet::with(vec![a, b], &known, listing, |said| {
-        said["settings"]["discovery"] = json!("automatic");
+    let manual = ManualProxy::with(vec![a, b], &known, listing, |config| {
+        config["settings"]["discovery"] = json!("automatic");
     });
     let up = || {
-        let mut stream = TcpStream::connect(fleet.addr).unwrap();
+        let mut stream = TcpStream::connect(manual.addr).unwrap();
         stream.write_all(b"GET /up HTTP/1.1\r\nConnection: close\r\n\r\n").unwrap();
-        heard(&mut stream)
+        read_response(&mut stream)
     };
     let before = up();
     go.send(()).unwrap();
     wait_for(|| up() == "200");
     for i in 0..12 {
-        let mut client = fleet.write("page", &format!("k{i}"));
-        let mut attempt = fleet.attempt();
+        let mut client = manual.write("page", &format!("k{i}"));
+        let mut attempt = manual.attempt();
         assert_eq!(attempt.what, format!("b k{i}"));
-        attempt.answer(HELD);
-        assert_eq!(heard(&mut client), "200 value");
+        attempt.answer(HIT_RESPONSE);
+        assert_eq!(read_response(&mut client), "200 value");
     }
     assert_eq!(before, "503");
 }
@@ -189,9 +189,9 @@
 /// An answer without a length that never ends is broken off where any other would be too long.
 #[test]
 fn an_answer_that_never_ends_is_broken_off() {
-    let fleet = Fleet::of(vec![server("a")], |_| ());
-    let mut client = fleet.write("page", "k");
-    let mut attempt = fleet.attempt();
+    let manual = ManualProxy::of(vec![server("a")], |_| ());
+    let mut client = manual.write("page", "k");
+    let mut attempt = manual.attempt();
     let writing = spawn(move || {
         attempt.answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         let chunk = format!("4000\r\n{}\r\n", "v".repeat(0x4000));
--- a/crates/proxy/tests/sockets/operators.rs
+++ b/crates/proxy/tests/sockets/operators.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 
 /// A proxy whose clients' listener is held by the test, as the platform holds it.
-struct Held {
+struct SharedListener {
     listener: TcpListener,
     folder: PathBuf,
     configuration: Value,
@@ -17,12 +17,12 @@
     console: SocketAddr,
 }
 
-impl Held {
-    fn new(name: &str, servers: &[Value]) -> Held {
-        Held::with(name, servers, vec![whole(2, servers)])
+impl SharedListener {
+    fn new(name: &str, servers: &[Value]) -> SharedListener {
+        SharedListener::with(name, servers, vec![whole(2, servers)])
     }
 
-    fn with(name: &str, servers: &[Value], listed: Vec<String>) -> Held {
+    fn with(name: &str, servers: &[Value], listed: Vec<String>) -> SharedListener {
         let folder =
             PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
@@ -30,7 +30,7 @@
         let (of_list, at) = a_listener();
         list(of_list, listed, Default::default());
         let configuration = configuration(listener.local_addr().unwrap(), at, servers, 256);
-        Held { listener, folder, configuration }
+        SharedListener { listener, folder, configuration }
     }
 
     fn start(&self) -> Process {
@@ -94,14 +94,14 @@
     format!("{}{}", &head[9..12], if head.contains("Connection: close") { " and closes" } else { "" })
 }
 
-fn servers(names: &[&'static str]) -> (Told, Vec<Value>) {
-    let (told, mut lines) = (Told::default(), Vec::new());
+fn servers(names: &[&'static str]) -> (Observed, Vec<Value>) {
+    let (observed, mut lines) = (Observed::default(), Vec::new());
     for name in names {
         let (listener, addr) = a_listener();
         lines.push(line(name, addr, "SERVING"));
-        stand_in(listener, told.clone(), name, held);
+        stand_in_server(listener, observed.clone(), name, hit);
     }
-    (told, lines)
+    (observed, lines)
 }
 
 /// A second process takes over the listener; the first tells its clients to close with their answers, and no one meets a
@@ -109,20 +109,20 @@
 #[test]
 fn a_new_version_takes_over_under_load() {
     let (_told, lines) = servers(&["amber", "birch"]);
-    let held = Held::new("upgrade", &lines);
-    std::fs::write(held.folder.join("chalkwalk.p.1.handover"), "half a").unwrap();
-    let mut old = held.start();
+    let shared = SharedListener::new("upgrade", &lines);
+    std::fs::write(shared.folder.join("chalkwalk.p.1.handover"), "half a").unwrap();
+    let mut old = shared.start();
     old.wait_ready();
-    let mut client = held.connect();
+    let mut client = shared.connect();
     let mut seen = vec![ask(&mut client, "k1")];
-    let new = held.start();
+    let new = shared.start();
     new.wait_ready();
     seen.push(ask(&mut client, "k2"));
     old.signal("-TERM");
     // Within the second, whatever its place.
     sleep(Duration::from_millis(1100));
     seen.push(ask(&mut client, "k3"));
-    let mut other = held.connect();
+    let mut other = shared.connect();
     seen.push(ask(&mut other, "k4"));
     seen.push(format!("old: {}", old.child.wait().unwrap()));
     seen.push(format!("{} {}", ask(&mut other, "k5"), new.call("GET", "/control/ready")));
@@ -140,26 +140,26 @@
 #[test]
 fn a_successor_that_is_gone_again_leaves_the_old_process_as_it_was() {
     let (_told, lines) = servers(&["amber"]);
-    let held = Held::new("gone", &lines);
-    let old = held.start();
+    let shared = SharedListener::new("gone", &lines);
+    let old = shared.start();
     old.wait_ready();
-    let new = held.start();
+    let new = shared.start();
     new.wait_ready();
     sleep(Duration::from_millis(300)); // the old one has read of it
     drop(new);
     old.signal("-TERM");
     sleep(Duration::from_millis(100));
-    expect!["200"].assert_eq(&ask(&mut held.connect(), "k"));
+    expect!["200"].assert_eq(&ask(&mut shared.connect(), "k"));
 }
 
 /// Emptied and then told to end, idle connections are closed by whichever comes first.
 #[test]
 fn an_emptied_proxy_that_is_told_to_end_holds_no_connection_longer() {
     let (_told, lines) = servers(&["amber"]);
-    let held = Held::new("both", &lines);
-    let process = held.start();
+    let shared = SharedListener::new("both", &lines);
+    let process = shared.start();
     process.wait_ready();
-    let mut idle = held.connect();
+    let mut idle = shared.connect();
     ask(&mut idle, "k");
     process.call("POST", "/control/out-of-service");
     let emptied = Instant::now();
@@ -171,10 +171,10 @@
 
 /// Calls that are none get their own no, and the silent ones make way.
 #[test]
-fn the_operators_door_says_no_to_what_is_no_call() {
+fn the_admin_listener_rejects_what_is_no_call() {
     let (_told, lines) = servers(&["amber"]);
-    let held = Held::new("door", &lines);
-    let process = held.start();
+    let shared = SharedListener::new("door", &lines);
+    let process = shared.start();
     process.wait_ready();
     let silent: Vec<TcpStream> = (0..20).map(|_| TcpStream::connect(process.console).unwrap()).collect();
     let mut half = TcpStream::connect(process.console).unwrap();
@@ -200,31 +200,31 @@
 /// Out of service the proxy says so, serves on the connections it has, closes them with their answers or idle, and is
 /// back at once. A server out and the service out hold over an upgrade; ids that nobody has are no ids.
 #[test]
-fn a_drain_empties_the_proxy_and_what_operators_said_holds_over_an_upgrade() {
-    let (told, lines) = servers(&["amber", "birch"]);
-    let held = Held::new("drain", &lines);
-    let mut old = held.start();
+fn a_drain_empties_the_proxy_and_overrides_hold_over_an_upgrade() {
+    let (observed, lines) = servers(&["amber", "birch"]);
+    let shared = SharedListener::new("drain", &lines);
+    let mut old = shared.start();
     old.wait_ready();
     let mut seen = Vec::new();
     let out =
         ["ember", "birch", "birch"].map(|id| old.call("POST", &format!("/control/cache-nodes/{id}/offline")));
     seen.push(format!("out {}", out.join(" ")));
-    let (mut busy, mut idle) = (held.connect(), held.connect());
+    let (mut busy, mut idle) = (shared.connect(), shared.connect());
     seen.push(format!("{} {}", ask(&mut busy, "a1"), ask(&mut idle, "a2")));
-    seen.push(format!("up {}", up(&held)));
+    seen.push(format!("up {}", up(&shared)));
     seen.push(old.call("POST", "/control/out-of-service"));
-    seen.push(format!("up {}", up(&held)));
+    seen.push(format!("up {}", up(&shared)));
     sleep(Duration::from_millis(1050));
     seen.push(ask(&mut busy, "a3"));
     seen.push(format!("idle: {}", message(&mut idle).map_or("closed", |_| "an answer")));
-    let new = held.start();
+    let new = shared.start();
     new.wait_ready();
     old.signal("-TERM");
-    seen.push(format!("old: {}, up {}", old.child.wait().unwrap(), up(&held)));
-    seen.push(format!("{} up {}", new.call("POST", "/control/in-service"), up(&held)));
-    let mut client = held.connect();
+    seen.push(format!("old: {}, up {}", old.child.wait().unwrap(), up(&shared)));
+    seen.push(format!("{} up {}", new.call("POST", "/control/in-service"), up(&shared)));
+    let mut client = shared.connect();
     (0..30).for_each(|i| _ = ask(&mut client, &format!("b{i}")));
-    let of = |name: &str| told.0.lock().unwrap().iter().filter(|l| l.starts_with(name)).count();
+    let of = |name: &str| observed.lines.lock().unwrap().iter().filter(|l| l.starts_with(name)).count();
     seen.push(format!("to birch: {}", of("birch")));
     seen.push(new.call("POST", "/control/cache-nodes/birch/online"));
     (0..30).for_each(|i| _ = ask(&mut client, &format!("c{i}")));
@@ -245,8 +245,8 @@
     .assert_eq(&seen.join("\n"));
 }
 
-fn up(held: &Held) -> String {
-    let mut stream = held.connect();
+fn up(shared: &SharedListener) -> String {
+    let mut stream = shared.connect();
     stream.write_all(b"GET /up HTTP/1.1\r\nConnection: close\r\n\r\n").unwrap();
     message(&mut stream).map_or("none".into(), |(head, _)| head[9..12].to_string())
 }
@@ -259,18 +259,18 @@
 
 /// Classes come and go at SIGHUP, and what is open keeps its own; of a file that is wrong anywhere nothing is taken.
 #[test]
-fn new_settings_are_taken_whole_or_not_at_all() {
-    let mut day = Day::new(&[("amber", slow)]);
-    let read = || serde_json::from_str::<Value>(&std::fs::read_to_string(&day.path).unwrap()).unwrap();
-    let classes = |day: &Day| {
+fn new_settings_are_applied_whole_or_not_at_all() {
+    let mut setup = ProxySetup::new(&[("amber", slow)]);
+    let read = || serde_json::from_str::<Value>(&std::fs::read_to_string(&setup.path).unwrap()).unwrap();
+    let classes = |setup: &ProxySetup| {
         let of = ["page", "once", "fresh"].map(|ns| {
-            let mut client = day.client();
-            day.write(&mut client, "GET", ns, "k");
+            let mut client = setup.client();
+            setup.write(&mut client, "GET", ns, "k");
             message(&mut client).map_or("none".into(), |(head, _)| head[9..12].to_string())
         });
         of.join(" ")
     };
-    day.told.say(format!("before: {}", classes(&day)));
+    setup.observed.record(format!("before: {}", classes(&setup)));
     let good = read();
     let with = |path: &str, value: Value| {
         let mut settings = good.clone();
@@ -299,33 +299,33 @@
         with("/settings/namespaces/1/name", json!("page")),
     ];
     for text in bad {
-        std::fs::write(&day.path, text).unwrap();
-        day.signal("-HUP");
+        std::fs::write(&setup.path, text).unwrap();
+        setup.signal("-HUP");
         sleep(Duration::from_millis(100));
     }
-    day.told.say(format!("after bad ones: {}", classes(&day)));
-    let mut open = day.client();
-    day.write(&mut open, "GET", "once", "open");
+    setup.observed.record(format!("after bad ones: {}", classes(&setup)));
+    let mut open = setup.client();
+    setup.write(&mut open, "GET", "once", "open");
     let mut fresh = good.clone();
     fresh["settings"]["namespaces"][1]["name"] = json!("fresh");
     fresh["settings"]["ceilings"]["mostShots"] = json!(1);
-    std::fs::write(&day.path, fresh.to_string()).unwrap();
+    std::fs::write(&setup.path, fresh.to_string()).unwrap();
     sleep(Duration::from_millis(100));
-    day.signal("-HUP");
-    day.hear(&mut open);
-    day.told.say(format!("after a good one: {}", classes(&day)));
-    day.told.0.lock().unwrap().retain(|line| !line.starts_with("amber"));
-    day.signal("-KILL");
+    setup.signal("-HUP");
+    setup.record_response(&mut open);
+    setup.observed.record(format!("after a good one: {}", classes(&setup)));
+    setup.observed.lines.lock().unwrap().retain(|line| !line.starts_with("amber"));
+    setup.signal("-KILL");
     let mut log = String::new();
-    day.proxy.stderr.take().unwrap().read_to_string(&mut log).unwrap();
+    setup.proxy.stderr.take().unwrap().read_to_string(&mut log).unwrap();
     for line in log.lines() {
         if let Some((_, fault)) = line.split_once("rejected, fault: ") {
             // Where in the file depends on the ports in it.
             let fault = fault.split(" at line").next().unwrap().trim_end_matches(", proxy: p");
-            day.told.say(fault.replace(&day.path, "FILE"));
+            setup.observed.record(fault.replace(&setup.path, "FILE"));
         }
     }
-    day.told(expect![[r#"
+    setup.assert_observed(expect![[r#"
         before: 200 200 400
         after bad ones: 200 200 400
         client: 200 slow
@@ -349,8 +349,8 @@
 /// Lists of a thousand servers, for one of a thousand proxies: a start, a drain of a third, calls of operators for another
 /// third, an upgrade. Each third of them stands at one address; memory stays well under the least that a proxy is given.
 #[test]
-fn a_thousand_servers_are_listed_drained_taken_out_and_handed_over() {
-    let (told, at) = servers(&["a", "b", "c"]);
+fn a_thousand_servers_are_listed_drained_disabled_and_handed_over() {
+    let (observed, at) = servers(&["a", "b", "c"]);
     let lines = |of_a: &str| -> Vec<Value> {
         let line = |i: usize| {
             let mut line = at[i % 3].clone();
@@ -361,23 +361,25 @@
         (0..1024).map(line).collect()
     };
     let changes = json!({"version": 3, "full": false, "servers": lines("DRAINING")}).to_string();
-    let mut held = Held::with("many", &lines("SERVING"), vec![whole(2, &lines("SERVING")), changes]);
-    held.configuration["settings"]["balancers"] = json!(1024);
-    let (mut old, mut seen) = (held.start(), Vec::new());
+    let mut shared =
+        SharedListener::with("many", &lines("SERVING"), vec![whole(2, &lines("SERVING")), changes]);
+    shared.configuration["settings"]["balancers"] = json!(1024);
+    let (mut old, mut seen) = (shared.start(), Vec::new());
     old.wait_ready();
     sleep(Duration::from_millis(500)); // the drain has come
     let mut asked = |what: &str| {
-        told.0.lock().unwrap().clear();
-        let mut client = held.connect();
+        observed.lines.lock().unwrap().clear();
+        let mut client = shared.connect();
         let resolved = (0..300).filter(|i| ask(&mut client, &format!("{what}-{i}")) == "200").count();
-        let of = ["a:", "b:", "c:"].map(|name| told.0.lock().unwrap().iter().any(|l| l.starts_with(name)));
+        let of =
+            ["a:", "b:", "c:"].map(|name| observed.lines.lock().unwrap().iter().any(|l| l.starts_with(name)));
         seen.push(format!("{what}: {resolved} of 300 resolved; some of each third: {of:?}"));
     };
     asked("drained");
     let out = |i: usize| old.call("POST", &format!("/control/cache-nodes/cache-{i:04}/offline"));
     assert!((1..1024).step_by(3).all(|i| out(i) == "200") && out(1024) == "404");
     asked("taken-out");
-    let new = held.start();
+    let new = shared.start();
     new.wait_ready();
     old.signal("-TERM");
     assert!(old.child.wait().unwrap().success());
@@ -395,24 +397,24 @@
 /// A disk that holds up whoever writes to it holds up no request and no answer to operators, and what they said is in force.
 #[test]
 fn a_disk_that_stands_still_holds_up_nobody() {
-    let (told, lines) = servers(&["amber", "birch"]);
-    let held = Held::new("slow-disk", &lines);
-    let process = held.start();
+    let (observed, lines) = servers(&["amber", "birch"]);
+    let shared = SharedListener::new("slow-disk", &lines);
+    let process = shared.start();
     process.wait_ready();
     // Whoever opens a pipe to write waits for a reader, and there is none.
-    let pipe = held.folder.join(format!("chalkwalk.p.{}.new", process.child.id()));
+    let pipe = shared.folder.join(format!("chalkwalk.p.{}.new", process.child.id()));
     assert!(Command::new("mkfifo").arg(&pipe).status().unwrap().success());
     assert_eq!(process.call("POST", "/control/cache-nodes/amber/offline"), "200");
-    let mut client = held.connect();
+    let mut client = shared.connect();
     let answers: Vec<String> = (0..8).map(|i| ask(&mut client, &format!("d{i}"))).collect();
     assert_eq!(answers, ["200"; 8]);
-    let seen = told.0.lock().unwrap().clone();
+    let seen = observed.lines.lock().unwrap().clone();
     assert!(seen.iter().all(|line| line.starts_with("birch")), "{seen:?}");
     // Others wait for the same disk; what was said last holds, kept or not.
     assert_eq!(process.call("POST", "/control/cache-nodes/amber/online"), "200");
     assert_eq!(process.call("POST", "/control/cache-nodes/birch/offline"), "200");
     assert_eq!(ask(&mut client, "back"), "200");
-    assert_eq!(told.0.lock().unwrap().last().unwrap(), "amber: GET /api/back");
+    assert_eq!(observed.lines.lock().unwrap().last().unwrap(), "amber: GET /api/back");
     std::fs::read(&pipe).unwrap();
     assert_eq!(process.call("GET", "/control/ready"), "200");
 }
@@ -423,34 +425,39 @@
 fn the_first_seconds_after_a_switch_keep_every_rule_with_learned_figures_or_without() {
     const FULL: &str = "HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
     let names = ["amber", "birch", "cedar", "delta"];
-    let (told, mut lines) = (Told::default(), Vec::new());
+    let (observed, mut lines) = (Observed::default(), Vec::new());
     for name in names {
         let (listener, addr) = a_listener();
         lines.push(line(name, addr, if name == "cedar" { "DRAINING" } else { "SERVING" }));
-        stand_in(listener, told.clone(), name, if name == "birch" { |_| (FULL, false) } else { held });
+        stand_in_server(
+            listener,
+            observed.clone(),
+            name,
+            if name == "birch" { |_| (FULL, false) } else { hit },
+        );
     }
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
     lines[3]["started_ms"] = json!(now.as_millis() as u64);
-    let mut held = Held::new("switch", &lines);
-    held.configuration["settings"]["rules"] =
+    let mut shared = SharedListener::new("switch", &lines);
+    shared.configuration["settings"]["rules"] =
         json!({"drainGraceNs": 1_000_000_000, "coldNs": 60_000_000_000u64, "startCapacity": 0.12});
-    let day = |process: &Process, first: usize| {
+    let setup = |process: &Process, first: usize| {
         process.wait_ready();
-        told.0.lock().unwrap().clear();
-        let mut client = held.connect();
+        observed.lines.lock().unwrap().clear();
+        let mut client = shared.connect();
         let answers: Vec<String> = (first..first + 40).map(|i| ask(&mut client, &format!("k{i}"))).collect();
-        let seen = told.0.lock().unwrap().join("\n");
+        let seen = observed.lines.lock().unwrap().join("\n");
         // An answer is 200, or 503 where the budget of retries is spent.
         let lost = answers.iter().filter(|a| !["200", "503"].contains(&a.as_str())).count();
         assert!(answers.iter().filter(|a| *a == "200").count() >= 30, "{answers:?}");
         (lost, names.map(|name| seen.matches(&format!("{name}: GET")).count()))
     };
     let files = || {
-        let all = std::fs::read_dir(&held.folder).unwrap().flatten().map(|f| f.path());
+        let all = std::fs::read_dir(&shared.folder).unwrap().flatten().map(|f| f.path());
         all.filter(|f| f.extension().is_some_and(|e| e == "handover")).collect::<Vec<_>>()
     };
-    let mut old = held.start();
-    let before = day(&old, 0);
+    let mut old = shared.start();
+    let before = setup(&old, 0);
     old.signal("-TERM");
     old.child.wait().unwrap();
     let kept: Vec<(PathBuf, String)> =
@@ -461,7 +468,7 @@
             let text = if how == "spoilt" { text.replace("birch", "bixch") } else { text.clone() };
             std::fs::write(file, text).unwrap();
         }
-        day(&held.start(), 0)
+        setup(&shared.start(), 0)
     });
     let [carried, spoilt, none] = days;
     for (lost, [_, _, draining, cold]) in [before, carried, spoilt, none] {
