--- a/crates/proxy/tests/discovery_outage.rs
+++ b/crates/proxy/tests/discovery_outage.rs
@@ -1,7 +1,7 @@
 //! A fleet of proxy processes whose discovery service fails and returns, with a server that begins to drain in the very
 //! moment of the return.
 //!
-//! Whatever was allowed after the failed calls, the drain counts as told to every process 6 s after discovery had it and
+//! Whatever was allowed after the failed calls, the drain counts as notified to every process 6 s after discovery had it and
 //! could be reached; from then on the grace runs, and after it nothing new may reach the draining server.
 
 use serde_json::{Value, json};
@@ -16,8 +16,8 @@
 const PROCESSES: usize = 16;
 /// Long enough for a rest that doubles with each failure to be at its longest.
 const OUTAGE: Duration = Duration::from_secs(21);
-/// A change counts as told so long after discovery had it and could be reached.
-const TOLD_BY: Duration = Duration::from_secs(6);
+/// A change counts as notified so long after discovery had it and could be reached.
+const NOTIFIED_BY: Duration = Duration::from_secs(6);
 const GRACE: Duration = Duration::from_secs(1);
 /// What a loaded machine may add between a proxy's write and the stand-in's read.
 const SLACK: Duration = Duration::from_millis(200);
@@ -263,7 +263,7 @@
 }
 
 /// Plays one outage, and requires that no process sends to the draining server after the grace.
-fn play(outage: Outage) {
+fn run_outage(outage: Outage) {
     let discovery = Arc::new(Discovery {
         outage,
         down: AtomicBool::new(false),
@@ -289,55 +289,58 @@
     let returned = Instant::now();
     *discovery.returned.lock().unwrap() = Some(returned);
     discovery.down.store(false, Ordering::SeqCst);
-    sleep(TOLD_BY + GRACE + SLACK + Duration::from_secs(2));
+    sleep(NOTIFIED_BY + GRACE + SLACK + Duration::from_secs(2));
     stop.store(true, Ordering::SeqCst);
     let after = |times: &Mutex<Vec<Option<Instant>>>| -> Vec<Option<Duration>> {
         times.lock().unwrap().iter().map(|at| at.map(|at| at.duration_since(returned))).collect()
     };
-    let (told, sent) = (after(&discovery.answered), after(&last));
+    let (notified, sent) = (after(&discovery.answered), after(&last));
     assert!(sent.iter().any(Option::is_some), "nobody ever sent to the draining server: nothing is shown");
-    let late_told: Vec<_> =
-        told.iter().enumerate().filter(|(_, after)| after.is_none_or(|after| after > TOLD_BY)).collect();
+    let late_notified: Vec<_> = notified
+        .iter()
+        .enumerate()
+        .filter(|(_, after)| after.is_none_or(|after| after > NOTIFIED_BY))
+        .collect();
     let late_sent: Vec<_> = sent
         .iter()
         .enumerate()
-        .filter(|(_, after)| after.is_some_and(|after| after > TOLD_BY + GRACE + SLACK))
+        .filter(|(_, after)| after.is_some_and(|after| after > NOTIFIED_BY + GRACE + SLACK))
         .collect();
     assert!(
-        late_told.is_empty() && late_sent.is_empty(),
-        "{outage:?}: after the return, told late: {late_told:?}, sent to the draining server late: {late_sent:?}"
+        late_notified.is_empty() && late_sent.is_empty(),
+        "{outage:?}: after the return, notified late: {late_notified:?}, sent to the draining server late: {late_sent:?}"
     );
 }
 
 #[test]
 fn after_refused_connections_a_drain_is_known_in_time() {
-    play(Outage::Refuses);
+    run_outage(Outage::Refuses);
 }
 
 #[test]
 fn after_reset_connections_a_drain_is_known_in_time() {
-    play(Outage::Resets);
+    run_outage(Outage::Resets);
 }
 
 #[test]
 fn after_answers_that_refuse_a_drain_is_known_in_time() {
-    play(Outage::Unavailable);
+    run_outage(Outage::Unavailable);
 }
 
 #[test]
 fn after_calls_without_an_answer_a_drain_is_known_in_time() {
-    play(Outage::Silent);
+    run_outage(Outage::Silent);
 }
 
 #[test]
 fn after_half_answers_a_drain_is_known_in_time() {
-    play(Outage::HalfAnswer);
+    run_outage(Outage::HalfAnswer);
 }
 
 /// Discovery is moved by a new configuration while a call waits at the old address, and the new one refuses calls. What the old one
-/// writes just after that counts as told.
+/// writes just after that counts as notified.
 #[test]
-fn what_a_call_at_the_old_address_brings_after_a_move_is_taken() {
+fn what_a_call_at_the_old_address_brings_after_a_move_is_applied() {
     let discovery = Arc::new(Discovery {
         outage: Outage::Unavailable,
         down: AtomicBool::new(false),
--- a/crates/proxy/tests/resp.rs
+++ b/crates/proxy/tests/resp.rs
@@ -105,7 +105,7 @@
     }) % 16384
 }
 
-struct Day {
+struct ProxySetup {
     proxy: Child,
     door: SocketAddr,
     seen: Seen,
@@ -116,8 +116,8 @@
     format!("127.{}.{}.{}:3100", 1 + pid % 250, pid / 250 % 250, 1 + nth % 250).parse().unwrap()
 }
 
-impl Day {
-    fn new(more: &str) -> Day {
+impl ProxySetup {
+    fn new(more: &str) -> ProxySetup {
         static NTH: AtomicUsize = AtomicUsize::new(0);
         let nth = NTH.fetch_add(2, Ordering::SeqCst);
         let seen = Seen::default();
@@ -154,14 +154,14 @@
             .stderr(std::process::Stdio::null())
             .spawn()
             .unwrap();
-        let day = Day { proxy, door, seen };
+        let setup = ProxySetup { proxy, door, seen };
         let end = Instant::now() + Duration::from_secs(20);
         // Until the map is known: before, everything is deferred.
-        while !day.ask("AUTH lib s3\r\nGET ready\r\n").contains("\r\n$5\r\n") && Instant::now() < end {
+        while !setup.ask("AUTH lib s3\r\nGET ready\r\n").contains("\r\n$5\r\n") && Instant::now() < end {
             sleep(Duration::from_millis(10));
         }
-        day.seen.lock().unwrap().clear();
-        day
+        setup.seen.lock().unwrap().clear();
+        setup
     }
 
     fn connect(&self) -> Option<TcpStream> {
@@ -175,9 +175,9 @@
         let Some(mut stream) = self.connect() else { return String::new() };
         stream.write_all(text.as_bytes()).unwrap();
         stream.shutdown(std::net::Shutdown::Write).unwrap();
-        let mut said = Vec::new();
-        _ = stream.read_to_end(&mut said);
-        String::from_utf8_lossy(&said).to_string()
+        let mut output = Vec::new();
+        _ = stream.read_to_end(&mut output);
+        String::from_utf8_lossy(&output).to_string()
     }
 
     fn seen(&self) -> String {
@@ -185,7 +185,7 @@
     }
 }
 
-impl Drop for Day {
+impl Drop for ProxySetup {
     fn drop(&mut self) {
         _ = self.proxy.kill();
         _ = self.proxy.wait();
@@ -203,8 +203,8 @@
 
 /// Each line asked of a new day, with what was seen of it.
 fn redirected() -> String {
-    let day = Day::new("");
-    let mut told = String::new();
+    let setup = ProxySetup::new("");
+    let mut observed = String::new();
     for line in [
         "SET a 1",
         "GET a",
@@ -218,21 +218,21 @@
         "MGET {x}a {y}b",
         "FLUSHALL",
     ] {
-        told += &format!("> {line}\n{}{}", plain(&day.ask(&format!("{line}\r\n"))), day.seen());
+        observed += &format!("> {line}\n{}{}", plain(&setup.ask(&format!("{line}\r\n"))), setup.seen());
     }
-    told
+    observed
 }
 
 #[test]
 fn redirections_are_followed_and_the_dialects_own_errors_passed_on() {
     // A stand-in that a busy machine holds up for 50 ms is given up like any silent server, and its request deferred: then
     // the day is played again. One deferral belongs to it.
-    let mut told = redirected();
+    let mut observed = redirected();
     for _ in 0..5 {
-        if told.matches("deferred").count() == 1 {
+        if observed.matches("deferred").count() == 1 {
             break;
         }
-        told = redirected();
+        observed = redirected();
     }
     expect![[r#"
         > SET a 1
@@ -279,18 +279,18 @@
         -ERR unknown command 'flushall'
 
     "#]]
-    .assert_eq(&told);
+    .assert_eq(&observed);
 }
 
 #[test]
 fn a_circle_of_redirections_ends_and_what_may_have_run_is_not_sent_again() {
-    let day = Day::new("");
-    let circle = plain(&day.ask("GET circle:1\r\n"));
-    let attempts = day.seen().lines().count();
-    let broken = day.ask("SET breaks:once:1 x\r\n") + &day.ask("GET breaks:1\r\n");
+    let setup = ProxySetup::new("");
+    let circle = plain(&setup.ask("GET circle:1\r\n"));
+    let attempts = setup.seen().lines().count();
+    let broken = setup.ask("SET breaks:once:1 x\r\n") + &setup.ask("GET breaks:1\r\n");
     expect![[r#"
         -TRYAGAIN deferred, come back later
-        6 shots
+        6 attempts
         -ERR abandoned: it may have run
         -TRYAGAIN deferred, come back later
         a: SET breaks:once:1 x
@@ -299,15 +299,15 @@
         a: GET breaks:1
         a: GET breaks:1
     "#]]
-    .assert_eq(&format!("{circle}{attempts} shots\n{}{}", plain(&broken), day.seen()));
+    .assert_eq(&format!("{circle}{attempts} attempts\n{}{}", plain(&broken), setup.seen()));
 }
 
 #[test]
-fn a_command_over_several_slots_is_taken_in_parts_where_the_operator_says_so() {
-    let day = Day::new("split = true\n");
-    let mut told = String::new();
+fn a_command_over_several_slots_is_split_where_the_operator_allows_it() {
+    let setup = ProxySetup::new("split = true\n");
+    let mut observed = String::new();
     for line in ["MGET a {a}b c", "MGET a again:1", "MSET {q}a 1 breaks:once:1 2"] {
-        told += &format!("> {line}\n{}", plain(&day.ask(&format!("{line}\r\n"))));
+        observed += &format!("> {line}\n{}", plain(&setup.ask(&format!("{line}\r\n"))));
     }
     expect![[r#"
         > MGET a {a}b c
@@ -323,14 +323,14 @@
         > MSET {q}a 1 breaks:once:1 2
         -ERR abandoned: it may have run
     "#]]
-    .assert_eq(&told);
+    .assert_eq(&observed);
 }
 
 #[test]
 fn a_pipeline_is_answered_in_order_and_a_slow_one_holds_up_no_attempt() {
-    let day = Day::new("");
+    let setup = ProxySetup::new("");
     let begun = Instant::now();
-    let said = day.ask("GET slow:1\r\nGET b\r\nGET slow:2\r\nSET c 1\r\nGET c\r\nPING\r\nGET slow:3\r\n");
+    let output = setup.ask("GET slow:1\r\nGET b\r\nGET slow:2\r\nSET c 1\r\nGET c\r\nPING\r\nGET slow:3\r\n");
     let took = begun.elapsed();
     assert!(took < Duration::from_millis(400), "three slow ones took {took:?}");
     expect![[r#"
@@ -344,29 +344,29 @@
         +PONG
         +slow
     "#]]
-    .assert_eq(&plain(&said));
+    .assert_eq(&plain(&output));
     // A thousand, and all of their answers.
     let many: String = (0..1000).map(|i| format!("GET k{i}\r\n")).collect();
-    let said = day.ask(&many);
+    let output = setup.ask(&many);
     let want: String = (0..1000).map(|i| format!("${}\r\nk{i}\r\n", format!("k{i}").len())).collect();
-    assert!(said == want, "{} bytes of {}", said.len(), want.len());
+    assert!(output == want, "{} bytes of {}", output.len(), want.len());
 }
 
 #[test]
-fn who_leaves_or_never_reads_holds_nothing_up() {
-    let day = Day::new("");
+fn a_client_that_leaves_or_never_reads_blocks_no_other() {
+    let setup = ProxySetup::new("");
     // A thousand commands whose server hangs (the other one), and their client gone; and one that reads nothing of what it asks for.
-    let mut gone = day.connect().unwrap();
+    let mut gone = setup.connect().unwrap();
     gone.write_all("GET moved:hangs\r\n".repeat(1000).as_bytes()).unwrap();
-    let mut stalled = day.connect().unwrap();
+    let mut stalled = setup.connect().unwrap();
     stalled.set_write_timeout(Some(Duration::from_millis(300))).unwrap();
     let long = format!("GET {}\r\n", "x".repeat(4000));
     while stalled.write_all(long.as_bytes()).is_ok() {}
     drop(gone);
     let begun = Instant::now();
-    assert_eq!(day.ask("GET a\r\n"), "$1\r\na\r\n");
+    assert_eq!(setup.ask("GET a\r\n"), "$1\r\na\r\n");
     assert!(begun.elapsed() < Duration::from_millis(300));
-    let status = std::fs::read_to_string(format!("/proc/{}/status", day.proxy.id())).unwrap();
+    let status = std::fs::read_to_string(format!("/proc/{}/status", setup.proxy.id())).unwrap();
     let kb: usize = status
         .lines()
         .find_map(|l| l.strip_prefix("VmRSS:"))
@@ -380,10 +380,10 @@
 
 #[test]
 fn nonsense_gets_an_error_and_a_close_and_users_have_to_be_known() {
-    let day = Day::new(
+    let setup = ProxySetup::new(
         "[[resp.user]]\nname = \"lib\"\nsecret = \"sha256:41242b9fae56fad4e6e77dfe33cb18d1c3fc583f988cf25ef9f2d9be0d440bbb\"\n",
     );
-    let mut told = String::new();
+    let mut observed = String::new();
     for text in [
         "GET a\r\n",
         "AUTH lib wrong\r\nGET a\r\n",
@@ -394,9 +394,9 @@
         "*99999\r\n",
         "*1\r\n$1\r\nxyz\r\n",
     ] {
-        told += &format!("> {}\n{}", text.replace("\r\n", " "), plain(&day.ask(text)));
+        observed += &format!("> {}\n{}", text.replace("\r\n", " "), plain(&setup.ask(text)));
     }
-    assert!(day.ask(&"x".repeat(10_000)).starts_with("-ERR Protocol error"));
+    assert!(setup.ask(&"x".repeat(10_000)).starts_with("-ERR Protocol error"));
     expect![[r#"
         > GET a 
         -NOAUTH Authentication required.
@@ -420,5 +420,5 @@
         > *1 $1 xyz 
         -ERR Protocol error: a bulk string of another length
     "#]]
-    .assert_eq(&told);
+    .assert_eq(&observed);
 }
--- a/crates/proxy/tests/sources.rs
+++ b/crates/proxy/tests/sources.rs
@@ -32,14 +32,14 @@
     addr
 }
 
-struct Day {
+struct ProxySetup {
     proxy: Child,
     addr: SocketAddr,
     folder: PathBuf,
 }
 
-impl Day {
-    fn new(folder: &Path) -> Day {
+impl ProxySetup {
+    fn new(folder: &Path) -> ProxySetup {
         static NTH: AtomicUsize = AtomicUsize::new(0);
         let (nth, pid) = (NTH.fetch_add(1, Ordering::SeqCst), std::process::id() as usize);
         let addr: SocketAddr =
@@ -66,7 +66,7 @@
             .stderr(Stdio::from(log))
             .spawn()
             .unwrap();
-        Day { proxy, addr, folder: folder.to_path_buf() }
+        ProxySetup { proxy, addr, folder: folder.to_path_buf() }
     }
 
     /// Who answers a request, if anybody does.
@@ -77,9 +77,9 @@
             "GET /api/k{id} HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: {id}\r\nX-Service-Class: page\r\nX-Time-Left: 0.9\r\nConnection: close\r\n\r\n"
         );
         stream.write_all(text.as_bytes()).ok()?;
-        let mut said = String::new();
-        stream.read_to_string(&mut said).ok()?;
-        let (head, body) = said.split_once("\r\n\r\n")?;
+        let mut output = String::new();
+        stream.read_to_string(&mut output).ok()?;
+        let (head, body) = output.split_once("\r\n\r\n")?;
         head.starts_with("HTTP/1.1 200").then(|| body.to_string())
     }
 
@@ -103,7 +103,7 @@
     }
 }
 
-impl Drop for Day {
+impl Drop for ProxySetup {
     fn drop(&mut self) {
         _ = self.proxy.kill();
         _ = self.proxy.wait();
@@ -117,15 +117,15 @@
 }
 
 #[test]
-fn a_file_is_taken_whole_kept_on_disk_and_what_was_decided_is_decided_again() {
+fn a_list_file_is_applied_whole_persisted_and_its_capture_replays_the_same() {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("sources-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let (a, b) = (server("amber"), server("birch"));
     let write = |text: String| std::fs::write(folder.join("list.toml"), text).unwrap();
     let list = |a_is, b_is| format!("version = 1\n{}{}[end]\n", line("a", a, a_is), line("b", b, b_is));
     write(list("serving", "draining"));
-    let day = Day::new(&folder);
-    day.answered_by("amber");
+    let setup = ProxySetup::new(&folder);
+    setup.answered_by("amber");
     // A broken version and one without its end change nothing, and say so; a drained server that is listed again stays off.
     write(list("serving", "tired"));
     sleep(Duration::from_millis(250));
@@ -133,31 +133,31 @@
     sleep(Duration::from_millis(250));
     write(list("serving", "serving"));
     sleep(Duration::from_millis(250));
-    day.answered_by("amber");
+    setup.answered_by("amber");
     // A new start of b's process, and a drain.
     write(format!(
         "version = 1\n{}{}started_ms = 7\n[end]\n",
         line("a", a, "draining"),
         line("b", b, "serving")
     ));
-    day.answered_by("birch");
-    let log = day.log();
-    for said in [
+    setup.answered_by("birch");
+    let log = setup.log();
+    for output in [
         "state is serving or draining, not \"tired\"",
         "it may have been cut short",
         "stays drained",
         "list file accepted",
     ] {
-        assert!(log.contains(said), "no \"{said}\" in\n{log}");
+        assert!(log.contains(output), "no \"{output}\" in\n{log}");
     }
     sleep(Duration::from_millis(1500));
-    day.end();
+    setup.end();
     // No file any more: the list as it was last kept, drains included.
     std::fs::remove_file(folder.join("list.toml")).unwrap();
-    let day = Day::new(&folder);
-    day.answered_by("birch");
-    assert!(day.log().contains("persisted list loaded"));
-    day.end();
+    let setup = ProxySetup::new(&folder);
+    setup.answered_by("birch");
+    assert!(setup.log().contains("persisted list loaded"));
+    setup.end();
     // Both lives of the process, made again.
     let captures = folder.join("captures").display().to_string();
     let run = |args: &[&str]| {
@@ -169,12 +169,12 @@
             .unwrap();
         (out.status.code(), String::from_utf8_lossy(&out.stdout).to_string())
     };
-    let (code, said) = run(&["replay"]);
+    let (code, output) = run(&["replay"]);
     assert!(
         code == Some(0)
-            && said.contains("from 2 starts")
-            && said.contains("0 differ, 0 calls skipped, 0 gaps"),
-        "{code:?} {said}"
+            && output.contains("from 2 starts")
+            && output.contains("0 differ, 0 calls skipped, 0 gaps"),
+        "{code:?} {output}"
     );
     let (_, shown) = run(&["show", "--lookup", "0"]);
     assert!(
--- a/crates/proxy/tests/stored_data.rs
+++ b/crates/proxy/tests/stored_data.rs
@@ -57,10 +57,10 @@
         ("snapshot", vec![vec![200, 145, 0, 1, 0, 0, 0, 0]]),
     ];
     for (name, expected) in folders {
-        let said = printed(&["capture", "replay", &format!("captures/{name}")]);
+        let output = printed(&["capture", "replay", &format!("captures/{name}")]);
         let found: Vec<Vec<u64>> =
-            said.lines().map(|line| numbers(line.split_once(": ").unwrap().1)).collect();
-        assert_eq!(found, expected, "{name}: {said}");
+            output.lines().map(|line| numbers(line.split_once(": ").unwrap().1)).collect();
+        assert_eq!(found, expected, "{name}: {output}");
     }
 }
 
@@ -80,10 +80,10 @@
 /// What captures hold is summed up as before: bytes, calls, requests, gaps, and the times of the first and last call.
 #[test]
 fn captures_are_summed_up_with_the_same_numbers() {
-    let said = printed(&["capture", "info", "captures/discovery", "captures/snapshot"]);
-    let found: Vec<Vec<u64>> = said.lines().map(|line| numbers(line.split_once(": ").unwrap().1)).collect();
+    let output = printed(&["capture", "info", "captures/discovery", "captures/snapshot"]);
+    let found: Vec<Vec<u64>> = output.lines().map(|line| numbers(line.split_once(": ").unwrap().1)).collect();
     let expected: Vec<Vec<u64>> = text_of("info.txt").lines().map(numbers).collect();
-    assert_eq!(found, expected, "{said}");
+    assert_eq!(found, expected, "{output}");
 }
 
 /// All that concerns one request has as many lines as before, for each of the first 60 requests of three captures; how a line
@@ -116,7 +116,7 @@
         BTreeMap::from([("a".to_string(), value.to_string()), ("b".to_string(), "2".to_string())])
     }
 
-    fn line(standing: u8) -> RecordedEndpoint {
+    fn line(status: u8) -> RecordedEndpoint {
         let (id, zone, kind, cell) = ("amber".to_string(), 301, 302, 303);
         RecordedEndpoint {
             server: 304,
@@ -125,7 +125,7 @@
             kind,
             cell,
             size: 305,
-            status: standing,
+            status,
             born: Timestamp::from_ticks(306),
         }
     }
@@ -230,9 +230,9 @@
 
     /// How an attempt ended and the state of a server have the same numbers in a capture.
     #[test]
-    fn endings_and_states_have_the_same_numbers() {
+    fn outcomes_and_states_have_the_same_numbers() {
         use chalkwalk_balancer::{AttemptOutcome::*, Endpoint, EndpointStatus};
-        let endings = [
+        let outcomes = [
             Completed,
             CompletedFromCache,
             CompletedByFetch,
@@ -252,11 +252,11 @@
             into.borrow_mut().extend(block);
             true
         };
-        let mut tape = Recorder::new(Box::new(sink), true);
-        endings
-            .into_iter()
-            .for_each(|ending| tape.attempt_ended(Timestamp::ZERO, 0, 0, ending, Span::ZERO, true, None));
-        for standing in [EndpointStatus::Ready, EndpointStatus::Draining, EndpointStatus::Gone] {
+        let mut recorder = Recorder::new(Box::new(sink), true);
+        outcomes.into_iter().for_each(|outcome| {
+            recorder.attempt_ended(Timestamp::ZERO, 0, 0, outcome, Span::ZERO, true, None)
+        });
+        for status in [EndpointStatus::Ready, EndpointStatus::Draining, EndpointStatus::Gone] {
             let (id, zone, kind, cell) = ("amber", 301, 302, 303);
             let entry = Endpoint {
                 server: 304,
@@ -265,22 +265,22 @@
                 kind,
                 cell,
                 size: 305,
-                status: standing,
+                status,
                 born: Timestamp::from_ticks(306),
             };
-            tape.endpoints_listed(Timestamp::ZERO, true, &[entry]);
+            recorder.endpoints_listed(Timestamp::ZERO, true, &[entry]);
         }
-        tape.flush();
+        recorder.flush();
         let after = |event: Event| RecordedCall { after: Span::ZERO, event, decisions: Vec::new() };
-        let ended = |ending: u8| Event::AttemptEnded {
+        let ended = |outcome: u8| Event::AttemptEnded {
             request_id: 0,
             attempt: 0,
-            outcome: ending,
+            outcome,
             took: Span::ZERO,
             finished: true,
             order: None,
         };
-        let listed = |standing: u8| Event::EndpointsListed { whole: true, endpoints: vec![line(standing)] };
+        let listed = |status: u8| Event::EndpointsListed { whole: true, endpoints: vec![line(status)] };
         let calls = (0..12).map(ended).chain((0..3).map(listed)).map(after).collect();
         assert_eq!(
             read(&bytes.borrow()).unwrap().items,
@@ -335,14 +335,14 @@
 /// Which limits hold for a request, and which line said so, by class, route, tenant and defaults: the text as it was.
 #[test]
 fn limits_are_explained_with_the_same_text() {
-    let mut said = String::new();
+    let mut output = String::new();
     for line in text_of("explain.txt").lines().filter_map(|line| line.strip_prefix("-- ")) {
         let words: Vec<&str> = line.split(' ').collect();
         let files = ["explain", "--config", "configuration.json", "--operator", "operator-etcd.toml"];
         let of = ["--namespace", words[0], "--route", words[1], "--tenant", words[2]];
-        said += &format!("-- {line}\n{}", printed(&[&files[..], &of[..]].concat()));
+        output += &format!("-- {line}\n{}", printed(&[&files[..], &of[..]].concat()));
     }
-    assert_eq!(said, text_of("explain.txt"));
+    assert_eq!(output, text_of("explain.txt"));
 }
 
 /// The value at a path of keys and places.
