--- a/crates/proxy/tests/discovery_outage.rs
+++ b/crates/proxy/tests/discovery_outage.rs
@@ -227,7 +227,7 @@
     (start(&path, &configuration(process, listen, discovery, servers)), listen)
 }
 
-/// Sends requests one after the other, each with a key of its own, until told to stop.
+/// Sends requests one after the other, each with a key of its own, until it is stopped.
 fn send_requests(process: usize, addr: SocketAddr, stop: Arc<AtomicBool>) {
     spawn(move || {
         let mut connection: Option<TcpStream> = None;
--- a/crates/proxy/tests/sockets/endings.rs
+++ b/crates/proxy/tests/sockets/endings.rs
@@ -1,4 +1,4 @@
-//! What ends while something else is owed: crossings that are forced, by marks of the stand-ins and standstills of the proxy.
+//! Events that coincide: the tests force the order by the answers of the stand-ins and by stopping the proxy.
 
 use super::*;
 use std::sync::mpsc::{Receiver, channel};
@@ -125,7 +125,7 @@
     }
 
     pub fn attempt(&self) -> Attempt {
-        self.came.recv_timeout(Duration::from_secs(20)).expect("a shot")
+        self.came.recv_timeout(Duration::from_secs(20)).expect("an attempt")
     }
 
     pub fn signal(&self, name: &str) {
@@ -272,7 +272,7 @@
         let mut second = manual.write("page", "k");
         if origin {
             manual.attempt().answer(MISS);
-            // By the next request's attempt the miss of the second has been heard.
+            // By the next request's attempt the miss of the second has been read.
         }
         let mut third = manual.write("page", "other");
         let mut other = manual.attempt();
@@ -355,7 +355,7 @@
     panic!("no key was the open cache's");
 }
 
-/// A drain that is told while an attempt waits for its connection to that server: the attempt goes elsewhere. So it does where both come
+/// A drain that is notified while an attempt waits for its connection to that server: the attempt goes elsewhere. So it does where both come
 /// in a standstill that outlasts the grace, and are read in one turn.
 #[test]
 fn a_drain_notified_while_a_connection_comes_up_moves_the_attempt() {
--- a/crates/proxy/tests/sockets/leaving.rs
+++ b/crates/proxy/tests/sockets/leaving.rs
@@ -1,4 +1,4 @@
-//! The end of a process, and its start: what is owed when it is told to end at an odd moment.
+//! The end of a process, and its start: what clients are answered when it is signalled to end at any moment.
 
 use super::outcomes::{ManualProxy, read_response, server, shut_server};
 use super::*;
@@ -16,9 +16,9 @@
     )
 }
 
-/// Told to end in the moment in which the system takes the first connection for it, a process answers what came on it.
+/// Signalled to end in the moment in which the system takes the first connection for it, a process answers what came on it.
 #[test]
-fn told_to_end_as_it_begins_to_listen_it_answers_what_came() {
+fn signalled_to_end_as_it_begins_to_listen_it_answers_what_came() {
     let (listener, at) = a_listener();
     list(listener, vec![whole(2, &[])], Default::default());
     for round in 0..12 {
@@ -91,10 +91,10 @@
     assert!(lost.is_empty(), "{lost:?}");
 }
 
-/// Told to end while requests wait for a connection, for an answer that never comes, for their key's turn, and with a body half
+/// Signalled to end while requests wait for a connection, for an answer that never comes, for their key's turn, and with a body half
 /// read: each has its one answer before the process ends, and a second word to end, or to read anew, changes nothing.
 #[test]
-fn told_to_end_it_answers_what_waits_for_whatever() {
+fn signalled_to_end_it_answers_every_waiting_request() {
     let (shut, _filler) = shut_server("a");
     let open = server("b");
     let lines = vec![shut.1.clone(), open.1.clone()];
@@ -141,7 +141,7 @@
     assert_eq!(message(&mut client).map(|(_, body)| body.len()), Some(60_000));
 }
 
-/// Where lists are pushed, a new process is up once its own agent has told it what it has: a drain among it binds from the
+/// Where lists are pushed, a new process is up once its own agent has answered with its list: a drain among it binds from the
 /// first moment, whatever the configuration knows.
 #[test]
 fn where_lists_are_pushed_it_is_up_once_its_agent_has_spoken() {
--- a/crates/proxy/tests/sockets/operators.rs
+++ b/crates/proxy/tests/sockets/operators.rs
@@ -108,7 +108,7 @@
 /// connection that is gone. What is spoilt in the folder is passed over.
 #[test]
 fn a_new_version_takes_over_under_load() {
-    let (_told, lines) = servers(&["amber", "birch"]);
+    let (_observed, lines) = servers(&["amber", "birch"]);
     let shared = SharedListener::new("upgrade", &lines);
     std::fs::write(shared.folder.join("chalkwalk.p.1.handover"), "half a").unwrap();
     let mut old = shared.start();
@@ -136,10 +136,10 @@
     .assert_eq(&seen.join("\n"));
 }
 
-/// A successor that is gone again has taken nothing over: the old process, told to end, still takes who comes.
+/// A successor that is gone again took nothing over: the old process, signalled to end, still accepts clients.
 #[test]
 fn a_successor_that_is_gone_again_leaves_the_old_process_as_it_was() {
-    let (_told, lines) = servers(&["amber"]);
+    let (_observed, lines) = servers(&["amber"]);
     let shared = SharedListener::new("gone", &lines);
     let old = shared.start();
     old.wait_ready();
@@ -152,10 +152,10 @@
     expect!["200"].assert_eq(&ask(&mut shared.connect(), "k"));
 }
 
-/// Emptied and then told to end, idle connections are closed by whichever comes first.
+/// Emptied and then signalled to end: idle connections are closed by whichever comes first.
 #[test]
-fn an_emptied_proxy_that_is_told_to_end_holds_no_connection_longer() {
-    let (_told, lines) = servers(&["amber"]);
+fn an_emptied_proxy_that_is_signalled_to_end_holds_no_connection_longer() {
+    let (_observed, lines) = servers(&["amber"]);
     let shared = SharedListener::new("both", &lines);
     let process = shared.start();
     process.wait_ready();
@@ -172,7 +172,7 @@
 /// Calls that are none get their own no, and the silent ones make way.
 #[test]
 fn the_admin_listener_rejects_what_is_no_call() {
-    let (_told, lines) = servers(&["amber"]);
+    let (_observed, lines) = servers(&["amber"]);
     let shared = SharedListener::new("door", &lines);
     let process = shared.start();
     process.wait_ready();
@@ -394,7 +394,7 @@
     .assert_eq(&seen.join("\n"));
 }
 
-/// A disk that holds up whoever writes to it holds up no request and no answer to operators, and what they said is in force.
+/// A disk that holds up whoever writes to it holds up no request and no answer to operators, and what they set is in force.
 #[test]
 fn a_disk_that_stands_still_holds_up_nobody() {
     let (observed, lines) = servers(&["amber", "birch"]);
@@ -410,7 +410,7 @@
     assert_eq!(answers, ["200"; 8]);
     let seen = observed.lines.lock().unwrap().clone();
     assert!(seen.iter().all(|line| line.starts_with("birch")), "{seen:?}");
-    // Others wait for the same disk; what was said last holds, kept or not.
+    // Others wait for the same disk; the last override holds, written or not.
     assert_eq!(process.call("POST", "/control/cache-nodes/amber/online"), "200");
     assert_eq!(process.call("POST", "/control/cache-nodes/birch/offline"), "200");
     assert_eq!(ask(&mut client, "back"), "200");
--- a/crates/proxy/tests/stored_data.rs
+++ b/crates/proxy/tests/stored_data.rs
@@ -43,7 +43,7 @@
     line.split(|c: char| !c.is_ascii_digit()).filter_map(|word| word.parse().ok()).collect()
 }
 
-/// Captures of each source of the endpoint list, of operators' words over a restart, and of RESP are decided again as they
+/// Captures of each source of the endpoint list, of operators' overrides over a restart, and of RESP are decided again as they
 /// were: so many calls, decisions, starts, snapshots to begin from, and snapshots compared; none differ, are passed over, or
 /// missing.
 #[test]
@@ -332,7 +332,7 @@
     assert_eq!(out.status.code(), Some(2));
 }
 
-/// Which limits hold for a request, and which line said so, by class, route, tenant and defaults: the text as it was.
+/// Which limits hold for a request, and which line sets them, by class, route, tenant and defaults: the text as it was.
 #[test]
 fn limits_are_explained_with_the_same_text() {
     let mut output = String::new();
@@ -571,7 +571,7 @@
     }
 }
 
-/// A process takes over from one of the program before: what operators said of servers and of the proxy, and what was learned of
+/// A process takes over from one of the program before: what operators set for servers and the proxy, and what was learned of
 /// the servers, on the same terms. What it writes itself as it ends is the same text, but for its own number and times.
 #[test]
 fn a_process_takes_over_from_one_before() {
