--- a/crates/testbed/src/resp/tests.rs
+++ b/crates/testbed/src/resp/tests.rs
@@ -1,4 +1,6 @@
-use super::*;
+//! The codec against itself, and slots against the public specification.
+
+use super::{encode_command, parse_answer, parse_command, slot};
 
 #[test]
 fn commands_round_trip_and_slots_follow_the_cluster_specification() {
--- a/crates/testbed/tests/models/cluster.rs
+++ b/crates/testbed/tests/models/cluster.rs
@@ -1,3 +1,5 @@
+//! Hash slots that migrate, replicas that take over, and stale maps.
+
 use chalkwalk_testbed::clock::micros;
 use chalkwalk_testbed::experiment::Experiment;
 use chalkwalk_testbed::model::cluster::{Cluster, Command, CommandOutcome};
--- a/crates/testbed/tests/models/etcd.rs
+++ b/crates/testbed/tests/models/etcd.rs
@@ -1,3 +1,5 @@
+//! What happens to the cluster of etcd.
+
 use chalkwalk_testbed::clock::SECOND;
 use chalkwalk_testbed::experiment::Experiment;
 use chalkwalk_testbed::model::etcd::{EtcdTimeline, StoreAction, TimedAction};
--- a/crates/testbed/tests/models/server.rs
+++ b/crates/testbed/tests/models/server.rs
@@ -1,3 +1,5 @@
+//! What becomes of an attempt at a server.
+
 use chalkwalk_testbed::clock::{MILLI, Micros, SECOND};
 use chalkwalk_testbed::model::server::{AttemptInput, Reply, ServerModel, ServerSpec};
 use chalkwalk_testbed::model::timeline::{Incarnation, Reachability, ServerTimeline};
--- a/crates/testbed/tests/models/server_list.rs
+++ b/crates/testbed/tests/models/server_list.rs
@@ -1,3 +1,5 @@
+//! The endpoint list by snapshots and by changes.
+
 use chalkwalk_testbed::model::server_list::{ListedServer, ServerList};
 use chalkwalk_testbed::model::timeline::{EndpointStatus, ListUpdate};
 
--- a/crates/testbed/tests/models/speed.rs
+++ b/crates/testbed/tests/models/speed.rs
@@ -1,3 +1,5 @@
+//! Speed over time, cores with a queue, and recent work.
+
 use chalkwalk_testbed::clock::{Micros, SECOND};
 use chalkwalk_testbed::model::speed::{Cores, RecentWork, SpeedProfile};
 
--- a/crates/testbed/tests/models/store.rs
+++ b/crates/testbed/tests/models/store.rs
@@ -1,3 +1,5 @@
+//! The store of keys with revisions and leases.
+
 use chalkwalk_testbed::clock::SECOND;
 use chalkwalk_testbed::model::store::{Condition, Item, Store, StoreError, Write};
 
--- a/crates/testbed/tests/models/timeline.rs
+++ b/crates/testbed/tests/models/timeline.rs
@@ -1,3 +1,5 @@
+//! What happens to servers, links and the list.
+
 use chalkwalk_testbed::clock::SECOND;
 use chalkwalk_testbed::experiment::Experiment;
 use chalkwalk_testbed::model::timeline::{EndpointStatus, Reachability, Timelines};
