--- a/experiments/upgrade-from.sh
+++ b/experiments/upgrade-from.sh
@@ -4,7 +4,7 @@
 #
 #     experiments/upgrade-from.sh OLD_BINARY NEW_BINARY
 #
-# The lab (LAB, or chalkwalk-lab beside the new program) plays 22 s on loopback, and is ended after 55 s. It starts this script
+# The testbed (LAB, or chalkwalk-testbed beside the new program) plays 22 s on loopback, and is ended after 55 s. It starts this script
 # instead of a proxy, which holds the listener (perl opens it, as bash can't) and starts and ends the two programs on it.
 set -euo pipefail
 
@@ -98,7 +98,7 @@
 fi
 OLD=$(realpath "$1")
 NEW=$(realpath "$2")
-LAB=${LAB:-$(dirname "$NEW")/chalkwalk-lab}
+LAB=${LAB:-$(dirname "$NEW")/chalkwalk-testbed}
 WORK=$(mktemp -d)
 export OLD NEW WORK
 # Nothing stays behind, whatever ended the shells that hold the listeners.
@@ -156,7 +156,7 @@
     --proxy "bash '$(realpath "$0")' --hold" || failed=1
 for lost in unanswered killed not_taken; do
     if ! grep -qs "^  \"$lost\": 0,\?$" "$WORK/figures.json"; then
-        echo "lost: $(grep -s "\"$lost\"" "$WORK/figures.json" || echo "the lab does not say \"$lost\"")" >&2
+        echo "lost: $(grep -s "\"$lost\"" "$WORK/figures.json" || echo "the testbed does not say \"$lost\"")" >&2
         failed=1
     fi
 done
