--- a/crates/discovery/src/address.rs
+++ b/crates/discovery/src/address.rs
@@ -1,4 +1,4 @@
-//! Addresses: how they are read, and the one of the discovery service, which may move.
+//! Parsing of addresses, and the address of the discovery service, which may change at run time.
 
 use chalkwalk_settings::fields::{FieldError, FieldResult};
 use smol::channel::{Receiver, Sender, bounded};
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Reads an address with a port; `field` names it in the error.
+/// Parses an address with a port; `field` names the field in the error.
 pub(crate) fn parse_address(text: &str, field: &str) -> FieldResult<SocketAddr> {
     text.parse().map_err(|_| FieldError::Unexpected {
         field: field.to_string(),
@@ -15,36 +15,37 @@
     })
 }
 
-/// Where the endpoint list is read from. It may move while the proxy serves.
+/// The address of the discovery service. It may change while the proxy serves.
 pub struct DiscoveryAddress {
     current: Cell<SocketAddr>,
-    moves: Sender<()>,
-    moved: Receiver<()>,
+    move_sender: Sender<()>,
+    move_receiver: Receiver<()>,
 }
 
 impl DiscoveryAddress {
-    /// A service at this address.
+    /// Creates the address, with its initial value.
     pub fn new(address: SocketAddr) -> Rc<DiscoveryAddress> {
-        // One pending move is as good as many: what counts is the address by the time it is
-        // noticed.
-        let (moves, moved) = bounded(1);
-        Rc::new(DiscoveryAddress { current: Cell::new(address), moves, moved })
+        // One pending notification is enough for several changes: the receiver reads the address
+        // that is current by then.
+        let (move_sender, move_receiver) = bounded(1);
+        Rc::new(DiscoveryAddress { current: Cell::new(address), move_sender, move_receiver })
     }
 
-    /// Where the service is now.
+    /// The current address of the service.
     pub fn address(&self) -> SocketAddr {
         self.current.get()
     }
 
-    /// The service is elsewhere from now on, and the list is read from there at once.
+    /// Changes the address of the service. The list is requested from there immediately.
     pub fn move_to(&self, address: SocketAddr) {
         if self.current.replace(address) != address {
-            _ = self.moves.try_send(());
+            _ = self.move_sender.try_send(());
         }
     }
 
-    /// Waits for the next move. `false` where there will be none, as nobody can move it any more.
+    /// Waits for the next change of the address. Returns `false` if there can be none, because no
+    /// sender is left.
     pub(crate) async fn wait_for_move(&self) -> bool {
-        self.moved.recv().await.is_ok()
+        self.move_receiver.recv().await.is_ok()
     }
 }
--- a/crates/discovery/src/call.rs
+++ b/crates/discovery/src/call.rs
@@ -1,4 +1,4 @@
-//! One call to the discovery service, from its connection to the whole answer.
+//! A single call to the discovery service, from connecting to the complete response.
 
 use crate::address::DiscoveryAddress;
 use crate::timing;
@@ -12,131 +12,132 @@
 use std::pin::Pin;
 use std::time::{Duration, Instant};
 
-/// The longest answer, in bytes: 400 bytes a server hold ten thousand servers.
-const MAX_ANSWER_BYTES: usize = 4 << 20;
+/// The maximum length of a response: ten thousand servers at 400 bytes each fit in.
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// A connection that is reused from one call to the next.
+/// A connection that is kept for reuse by the next call.
 pub(crate) type ReusableConnection = Cell<Option<Async<TcpStream>>>;
 
-/// Why a call brought no answer that could be read.
+/// Why a call did not return a readable response.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CallError {
-    /// The service has too much to do.
-    #[error("answered 503")]
+    /// The service is overloaded.
+    #[error("the service responded with status 503")]
     Busy,
-    /// It answered, and broke off: which changes it had notified by then is not known.
-    #[error("an answer cut short")]
-    CutShort,
-    #[error("no answer in time")]
+    /// The response ended early, so it is unknown which changes the service had notified by then.
+    #[error("the response was truncated")]
+    Truncated,
+    #[error("the call timed out")]
     TimedOut,
-    #[error("no connection: {0}")]
+    #[error("cannot connect: {0}")]
     NotConnected(std::io::Error),
-    #[error("not written: {0}")]
+    #[error("cannot send the request: {0}")]
     NotWritten(std::io::Error),
-    #[error("no answer")]
-    NoAnswer,
-    #[error("answered {0}")]
+    #[error("the connection ended before a response")]
+    NoResponse,
+    #[error("unexpected status {0}")]
     Status(u16),
-    #[error("a list of over {MAX_ANSWER_BYTES} bytes")]
+    #[error("the response is longer than {MAX_RESPONSE_BYTES} bytes")]
     TooLong,
 }
 
-/// An answer's body, or why there is none.
+/// The body of a response, or why there is none.
 pub(crate) type CallResult = Result<Vec<u8>, CallError>;
 
-/// What a call requests, and how long it may wait at the service for a change.
+/// The target of a call, and how long the service may hold the call to wait for a change.
 pub(crate) struct ListRequest {
     pub target: String,
     pub wait: Duration,
 }
 
-/// A call under way, until the answer's body is there.
-type PendingAnswer<'a> = Pin<Box<dyn Future<Output = CallResult> + 'a>>;
+/// The future of a call in progress, which resolves to the body of the response.
+type PendingResponse<'a> = Pin<Box<dyn Future<Output = CallResult> + 'a>>;
 
-/// A call under way.
+/// A call in progress.
 pub(crate) struct Call<'a> {
-    /// Its number in the log.
+    /// The number of the call in log lines.
     pub number: u64,
-    pub begun: Instant,
-    /// How long it may wait at the service for a change.
+    pub started_at: Instant,
+    /// How long the service may hold the call to wait for a change.
     pub wait: Duration,
-    pub answer: PendingAnswer<'a>,
+    pub response: PendingResponse<'a>,
 }
 
 impl<'a> Call<'a> {
-    pub fn begin(
+    pub fn start(
         address: &'a DiscoveryAddress,
         connection: &'a ReusableConnection,
         number: u64,
         request: ListRequest,
     ) -> Call<'a> {
         let ListRequest { target, wait } = request;
-        let answer = async move {
-            let answer = within(timing::give_up_after(wait), get(address, connection, &target)).await;
-            answer.unwrap_or(Err(CallError::TimedOut))
+        let response = async move {
+            let response = within(timing::call_timeout(wait), get(address, connection, &target)).await;
+            response.unwrap_or(Err(CallError::TimedOut))
         };
-        Call { number, begun: Instant::now(), wait, answer: Box::pin(answer) }
+        Call { number, started_at: Instant::now(), wait, response: Box::pin(response) }
     }
 
-    /// From when on it counts as silent.
+    /// When the call counts as silent if it has no response by then.
     pub fn silent_at(&self) -> Instant {
-        self.begun + timing::silent_after(self.wait)
+        self.started_at + timing::silent_after(self.wait)
     }
 
-    /// How long it has taken by now.
+    /// The time since the call was started.
     pub fn took(&self) -> Span {
-        Span::from(self.begun.elapsed())
+        Span::from(self.started_at.elapsed())
     }
 }
 
-/// One call on the reusable connection, or on a new one where the service has closed that
-/// meanwhile.
+/// Makes one call on the reusable connection, or on a new one if there is none or the service has
+/// closed it.
 async fn get(address: &DiscoveryAddress, connection: &ReusableConnection, target: &str) -> CallResult {
-    if let Some(open) = connection.take().filter(is_idle) {
-        match get_on(address, open, connection, target).await {
-            Err(CallError::NotWritten(_) | CallError::NoAnswer) => {}
+    if let Some(stream) = connection.take().filter(is_idle) {
+        match get_on_stream(address, stream, connection, target).await {
+            Err(CallError::NotWritten(_) | CallError::NoResponse) => {}
             result => return result,
         }
     }
-    // A machine that is cut off never answers; one that is there does so sooner than it lets a call
-    // wait.
+    // An unreachable machine never accepts the connection; a reachable one accepts it sooner than
+    // the longest time for which it lets a call wait.
     let connecting = Async::<TcpStream>::connect(address.address());
     let stream = within(Duration::from(CONNECT_TIMEOUT), connecting).await;
     let stream = stream.unwrap_or_else(|| Err(std::io::ErrorKind::TimedOut.into()));
     let stream = stream.map_err(CallError::NotConnected)?;
-    get_on(address, stream, connection, target).await
+    get_on_stream(address, stream, connection, target).await
 }
 
-/// One call on this connection, which is reusable after an answer that was read whole.
-async fn get_on(
+/// Makes one call on this connection, and keeps the connection for reuse if the response was read
+/// completely.
+async fn get_on_stream(
     address: &DiscoveryAddress,
-    open: Async<TcpStream>,
+    stream: Async<TcpStream>,
     connection: &ReusableConnection,
     target: &str,
 ) -> CallResult {
-    let written = http1::send_get(&open, address.address(), target).await;
+    let written = http1::send_get(&stream, address.address(), target).await;
     written.map_err(CallError::NotWritten)?;
-    let mut answer = ResponseReader::start(&open).await.map_err(|_| CallError::NoAnswer)?;
-    match answer.message.status {
+    let mut response = ResponseReader::start(&stream).await.map_err(|_| CallError::NoResponse)?;
+    match response.message.status {
         200 => {}
         503 => return Err(CallError::Busy),
         other => return Err(CallError::Status(other)),
     }
-    let body = read_body(&mut answer, &open).await?;
-    if answer.is_reusable() {
-        connection.set(Some(open));
+    let body = read_body(&mut response, &stream).await?;
+    if response.is_reusable() {
+        connection.set(Some(stream));
     }
     Ok(body)
 }
 
-async fn read_body(answer: &mut ResponseReader, open: &Async<TcpStream>) -> CallResult {
+async fn read_body(response: &mut ResponseReader, stream: &Async<TcpStream>) -> CallResult {
     let mut body = Vec::new();
     loop {
-        match answer.next_part(open).await {
-            Ok(Some(part)) if body.len() + part.len() <= MAX_ANSWER_BYTES => body.extend(part),
+        match response.next_part(stream).await {
+            Ok(Some(part)) if body.len() + part.len() <= MAX_RESPONSE_BYTES => body.extend(part),
             Ok(Some(_)) => return Err(CallError::TooLong),
             Ok(None) => return Ok(body),
-            Err(_) => return Err(CallError::CutShort),
+            Err(_) => return Err(CallError::Truncated),
         }
     }
 }
--- a/crates/discovery/src/field_paths.rs
+++ b/crates/discovery/src/field_paths.rs
@@ -1,19 +1,22 @@
-//! Which fields a configuration has, whatever their values: a later one that lacks any of them
-//! counts as damaged, as no list of required fields can know what its writer meant to write.
+//! The set of fields that a configuration has, regardless of their values. A later configuration
+//! that lacks any of them counts as damaged. A fixed list of required fields can't replace this
+//! check, because it does not tell which optional fields the writer intended to write.
 
 use chalkwalk_settings::fields::JsonObject;
 use serde_json::Value;
 use std::collections::BTreeSet;
 
-/// The paths of a configuration's fields; in a list of objects, of those that all of them have.
+/// The paths of a configuration's fields. For a list of objects, only the fields that all of its
+/// objects have are included.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FieldPaths(BTreeSet<String>);
 
-/// The list that was known at a start, which may be empty: its fields don't count.
+/// The field with the last known endpoint list. Its own fields are left out, because the list may
+/// be empty.
 const LAST_KNOWN_LIST: &str = "known";
 
 impl FieldPaths {
-    /// Of this configuration.
+    /// Collects the field paths of a configuration.
     pub fn of(config: &JsonObject) -> FieldPaths {
         let mut paths = BTreeSet::new();
         for (name, value) in config.iter().filter(|(name, _)| *name != LAST_KNOWN_LIST) {
@@ -22,7 +25,7 @@
         FieldPaths(paths)
     }
 
-    /// The first field that this one has and the other lacks.
+    /// Returns the first field that is in `self` and missing in `other`.
     pub fn first_missing_in<'a>(&'a self, other: &FieldPaths) -> Option<&'a str> {
         self.0.iter().find(|path| !other.0.contains(*path)).map(String::as_str)
     }
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,16 +1,17 @@
-//! The platform's side of a proxy: the configuration file that the platform writes, and its
-//! endpoint list, polled and watched over HTTP.
+//! The proxy's interface to the platform: the configuration file that the platform writes, and the
+//! platform's endpoint list, which is polled and watched over HTTP.
 //!
-//! - `startup` reads the configuration file, `field_paths` notices a later one that lacks fields of
-//!   the first.
-//! - `watch` keeps the endpoint list up to date, call after call; `watch_state` holds what is known
-//!   from the calls so far.
-//! - `call` is a single HTTP call, `timing` how long one may take.
-//! - `list` is the content of an answer, `list_state` which version a proxy has and how far it
-//!   trusts a lower one.
+//! - `startup` reads the configuration file; `field_paths` detects a later file that lacks fields
+//!   of the first.
+//! - `watch` keeps the endpoint list up to date with one call after the other; `watch_state` holds
+//!   what is known from the calls so far.
+//! - `call` makes a single HTTP call; `timing` defines how long a call may take.
+//! - `list` parses and applies a response; `list_state` tracks the version of the list and decides
+//!   whether a lower version is trusted.
 //!
-//! It may use the engine, the settings, the limits, `http1` and `sockets`. No frontend and no other
-//! source of the endpoint list may use it, nor it them.
+//! This crate may depend on the engine, the settings, the limits, `http1` and `sockets`. There must
+//! be no dependency in either direction between it and a frontend or another source of the endpoint
+//! list.
 
 mod address;
 mod call;
--- a/crates/discovery/src/list.rs
+++ b/crates/discovery/src/list.rs
@@ -1,4 +1,4 @@
-//! The content of an endpoint list, read from JSON and applied to the engine.
+//! Parses an endpoint list from JSON and applies it to the engine.
 
 use crate::address::parse_address;
 use chalkwalk_balancer::EndpointStatus;
@@ -14,27 +14,27 @@
 use slog::warn;
 use std::rc::Rc;
 
-/// Why an answer was not applied.
+/// Why a response was not applied.
 #[derive(Debug, thiserror::Error)]
-pub(crate) enum AnswerError {
-    #[error("no JSON: {0}")]
+pub(crate) enum ListResponseError {
+    #[error("the response is not valid JSON: {0}")]
     NotJson(#[from] serde_json::Error),
     #[error(transparent)]
     Field(#[from] FieldError),
-    #[error("an old list, {version} after {present}")]
-    Outdated { version: u64, present: u64 },
+    #[error("outdated list: version {version} is older than the current version {current}")]
+    Outdated { version: u64, current: u64 },
 }
 
-/// An answer of the discovery service, read as JSON.
-pub(crate) struct ListAnswer {
+/// A response of the discovery service, parsed as JSON.
+pub(crate) struct ListResponse {
     json: Value,
 }
 
-impl ListAnswer {
-    pub fn parse(body: &[u8]) -> Result<ListAnswer, AnswerError> {
-        let answer = ListAnswer { json: serde_json::from_slice(body)? };
-        answer.fields()?;
-        Ok(answer)
+impl ListResponse {
+    pub fn parse(body: &[u8]) -> Result<ListResponse, ListResponseError> {
+        let response = ListResponse { json: serde_json::from_slice(body)? };
+        response.fields()?;
+        Ok(response)
     }
 
     fn fields(&self) -> FieldResult<&JsonObject> {
@@ -45,18 +45,18 @@
         integer(self.fields()?, "version")
     }
 
-    /// Applies the whole list, or the changes since the version that was requested. A doubted one
-    /// brings no server back.
-    pub fn apply(&self, engine: &Rc<Engine>, doubted: bool) -> FieldResult<()> {
+    /// Applies the full list, or the changes since the requested version. If it is untrusted, it
+    /// does not return servers to service.
+    pub fn apply(&self, engine: &Rc<Engine>, untrusted: bool) -> FieldResult<()> {
         let fields = self.fields()?;
-        let coverage = if flag(fields, "full")? { Coverage::Whole } else { Coverage::Changes };
-        apply(engine, fields, coverage, doubted)
+        let coverage = if flag(fields, "full")? { Coverage::Full } else { Coverage::Incremental };
+        apply(engine, fields, coverage, untrusted)
     }
 
-    /// Applies of the answer only which servers are draining or gone.
+    /// Applies only the servers in the response that are draining or gone.
     pub fn apply_unavailable(&self, engine: &Rc<Engine>) -> FieldResult<()> {
         let entries = list(self.fields()?, "servers")?;
-        let endpoints: Vec<ListedEndpoint> = entries.iter().flat_map(endpoint).collect();
+        let endpoints: Vec<ListedEndpoint> = entries.iter().flat_map(parse_endpoint).collect();
         apply_unavailable(engine, endpoints.iter());
         Ok(())
     }
@@ -64,15 +64,15 @@
 
 #[derive(Clone, Copy, PartialEq)]
 enum Coverage {
-    Whole,
-    Changes,
+    Full,
+    Incremental,
 }
 
-/// Applies the list that this proxy had last, from its configuration. Returns its version, if it
-/// names any server.
+/// Applies the last known list from the proxy's configuration. Returns the version of the list if
+/// it names any server.
 pub fn apply_last_known_list(engine: &Rc<Engine>, last_known: &Value) -> Option<u64> {
     let fields = last_known.as_object()?;
-    let applied = apply(engine, fields, Coverage::Whole, false);
+    let applied = apply(engine, fields, Coverage::Full, false);
     match applied.and_then(|()| integer(fields, "version")) {
         Ok(version) => {
             let names_servers = list(fields, "servers").is_ok_and(|entries| !entries.is_empty());
@@ -85,24 +85,25 @@
     }
 }
 
-/// Applies a list. Of one with an entry that can't be read, only which servers are draining or
-/// gone.
-fn apply(engine: &Rc<Engine>, fields: &JsonObject, coverage: Coverage, doubted: bool) -> FieldResult<()> {
-    let entries: Vec<FieldResult<ListedEndpoint>> = list(fields, "servers")?.iter().map(endpoint).collect();
+/// Applies a list. If any entry is invalid, only the servers that are draining or gone are applied,
+/// and the error is returned.
+fn apply(engine: &Rc<Engine>, fields: &JsonObject, coverage: Coverage, untrusted: bool) -> FieldResult<()> {
+    let entries: Vec<FieldResult<ListedEndpoint>> =
+        list(fields, "servers")?.iter().map(parse_endpoint).collect();
     if entries.iter().any(Result::is_err) {
         apply_unavailable(engine, entries.iter().flatten());
     }
     let endpoints = entries.into_iter().collect::<FieldResult<Vec<_>>>()?;
-    api::apply_endpoint_list(engine, &endpoints, coverage == Coverage::Whole, doubted);
+    api::apply_endpoint_list(engine, &endpoints, coverage == Coverage::Full, untrusted);
     if engine.requests.borrow().no_server_ready() {
         warn!(engine.log, "no server ready in the endpoint list"; "lines" => endpoints.len());
     }
     Ok(())
 }
 
-/// Applies of a list that is not believed otherwise which servers are draining or gone, where that
-/// is new: it was notified, and the next list that is believed decides. Not of a server that has
-/// started since.
+/// Applies, from a list that is otherwise not trusted, the servers that are draining or gone and
+/// were in service so far. These changes were notified, so they count until the next trusted list
+/// decides. A server that has been restarted since is left out.
 fn apply_unavailable<'a>(engine: &Rc<Engine>, endpoints: impl Iterator<Item = &'a ListedEndpoint>) {
     let is_new = |endpoint: &&ListedEndpoint| {
         endpoint.status != EndpointStatus::Ready && engine.requests.borrow().servers.is_ready(endpoint)
@@ -113,7 +114,7 @@
     }
 }
 
-fn endpoint(entry: &Value) -> FieldResult<ListedEndpoint> {
+fn parse_endpoint(entry: &Value) -> FieldResult<ListedEndpoint> {
     let fields = object(entry, "field servers")?;
     let owned_text = |name: &str| text(fields, name).map(str::to_string);
     Ok(ListedEndpoint {
@@ -123,13 +124,13 @@
         kind: text_or(fields, "kind", "")?.to_string(),
         cell: integer_or(fields, "cell", 0)?,
         size: size_hundredths(fields, "weight")?,
-        status: status(text(fields, "state")?),
+        status: parse_status(text(fields, "state")?),
         born: Timestamp::ZERO + Span::from_millis(integer_or(fields, "started_ms", 0)?),
     })
 }
 
-/// In a state that this proxy does not know a server gets no requests.
-fn status(state: &str) -> EndpointStatus {
+/// A server in an unknown state counts as draining and gets no requests.
+fn parse_status(state: &str) -> EndpointStatus {
     match state {
         "SERVING" => EndpointStatus::Ready,
         "DELETED" => EndpointStatus::Gone,
--- a/crates/discovery/src/list_state.rs
+++ b/crates/discovery/src/list_state.rs
@@ -1,73 +1,75 @@
-//! Which version of the endpoint list a proxy has, and how far it trusts one that is lower. Decides
-//! without I/O or a clock.
+//! Tracks the version of the endpoint list that a proxy has, and decides whether a list of a lower
+//! version is accepted and trusted. It performs no I/O and reads no clock.
 //!
-//! Versions only grow as long as the list lives. A lower one comes from an outdated answer, or from
-//! a list that has started again, which may have begun from an old state: it then knows servers as
-//! ready that are draining.
+//! Versions only increase during the lifetime of a list. A lower version comes from an outdated
+//! response, or from a list that was restarted, possibly from an old state. Such a list may name
+//! servers as ready that are draining.
 
 use chalkwalk_time::{Span, Timestamp};
 
-/// So many outdated answers in a row are not outdated: the list has started again.
-const OUTDATED_ANSWERS: u32 = 3;
-/// A list that has started again is applied, but for so long it brings no server back that was
-/// notified as draining or gone. Longer than a deploy takes; after it the list is believed in that
-/// as well.
-const DOUBTED: Span = Span::from_secs(60);
+/// The number of consecutive responses that are rejected as outdated. After them, a lower version
+/// means that the list was restarted.
+const MAX_OUTDATED_RESPONSES: u32 = 3;
+/// How long a list that was restarted is untrusted: it is applied, but does not return servers to
+/// service that were notified as draining or gone. This is longer than a deploy takes; after it the
+/// list is fully trusted.
+const UNTRUSTED_DURATION: Span = Span::from_secs(60);
 
-/// The version that a proxy has.
+/// The version of the list that a proxy has.
 #[derive(Default)]
 pub(crate) struct ListState {
     version: u64,
-    /// The highest that the list has had, as far as it is believed.
-    highest: u64,
-    /// How many outdated answers came in a row.
-    outdated_answers: u32,
-    /// Since when its versions are below the highest.
-    doubted_since: Option<Timestamp>,
+    /// The highest version of the list that was trusted.
+    max_version: u64,
+    /// The number of consecutive outdated responses.
+    outdated_responses: u32,
+    /// Since when the versions are below the highest one.
+    untrusted_since: Option<Timestamp>,
 }
 
 impl ListState {
     pub fn new(version: u64) -> ListState {
-        ListState { version, highest: version, ..ListState::default() }
+        ListState { version, max_version: version, ..ListState::default() }
     }
 
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Whether an answer of this version is outdated; it is counted as such.
+    /// Returns whether a response of this version is outdated, and counts it if so.
     pub fn is_outdated(&mut self, version: u64) -> bool {
-        let outdated = version < self.version && self.outdated_answers < OUTDATED_ANSWERS;
-        self.outdated_answers += u32::from(outdated);
+        let outdated = version < self.version && self.outdated_responses < MAX_OUTDATED_RESPONSES;
+        self.outdated_responses += u32::from(outdated);
         outdated
     }
 
-    /// Whether a list of this version must bring no server back.
-    pub fn is_doubted(&self, version: u64, now: Timestamp) -> bool {
-        self.doubted_since(version, now).is_some()
+    /// Whether a list of this version is untrusted and must not return servers to service.
+    pub fn is_untrusted(&self, version: u64, now: Timestamp) -> bool {
+        self.untrusted_since(version, now).is_some()
     }
 
-    /// A list of this version was applied.
+    /// Records that a list of this version was applied.
     pub fn accept(&mut self, version: u64, now: Timestamp) {
-        let doubted_since = self.doubted_since(version, now);
-        let believed_though_lower = version < self.highest && doubted_since.is_none();
-        self.highest = if believed_though_lower { version } else { self.highest.max(version) };
+        let untrusted_since = self.untrusted_since(version, now);
+        let trusted_though_lower = version < self.max_version && untrusted_since.is_none();
+        self.max_version = if trusted_though_lower { version } else { self.max_version.max(version) };
         self.version = version;
-        self.doubted_since = doubted_since;
-        self.outdated_answers = 0;
+        self.untrusted_since = untrusted_since;
+        self.outdated_responses = 0;
     }
 
-    /// The list is elsewhere from now on and may have another history: whatever version it has is
-    /// not outdated, though it is doubted where that is below the highest.
-    pub fn move_elsewhere(&mut self) {
+    /// Records that the address of the discovery service changed, so the list may have another
+    /// history. No version counts as outdated then, but one below the highest is untrusted.
+    pub fn reset_for_new_address(&mut self) {
         self.version = 0;
-        self.outdated_answers = 0;
+        self.outdated_responses = 0;
     }
 
-    /// Since when versions are below the highest, if this one is and the time of doubt is not over.
-    fn doubted_since(&self, version: u64, now: Timestamp) -> Option<Timestamp> {
-        let since = (version < self.highest).then(|| self.doubted_since.unwrap_or(now))?;
-        (now < since + DOUBTED).then_some(since)
+    /// Since when versions are below the highest one, if this version is and [`UNTRUSTED_DURATION`]
+    /// has not passed.
+    fn untrusted_since(&self, version: u64, now: Timestamp) -> Option<Timestamp> {
+        let since = (version < self.max_version).then(|| self.untrusted_since.unwrap_or(now))?;
+        (now < since + UNTRUSTED_DURATION).then_some(since)
     }
 }
 
--- a/crates/discovery/src/list_state/tests.rs
+++ b/crates/discovery/src/list_state/tests.rs
@@ -1,6 +1,6 @@
-//! Which versions are applied, and which of them bring servers back.
+//! Which versions are applied, and which of them may return servers to service.
 
-use super::{DOUBTED, ListState, OUTDATED_ANSWERS};
+use super::{ListState, MAX_OUTDATED_RESPONSES, UNTRUSTED_DURATION};
 use chalkwalk_time::{Span, Timestamp};
 
 fn at(seconds: u64) -> Timestamp {
@@ -8,9 +8,9 @@
 }
 
 #[test]
-fn a_lower_version_is_outdated_until_it_has_come_several_times_in_a_row() {
+fn a_lower_version_is_outdated_until_it_is_received_several_times_in_a_row() {
     let mut state = ListState::new(10);
-    for _ in 0..OUTDATED_ANSWERS {
+    for _ in 0..MAX_OUTDATED_RESPONSES {
         assert!(state.is_outdated(4));
     }
     assert!(!state.is_outdated(4));
@@ -20,14 +20,14 @@
 }
 
 #[test]
-fn a_list_that_has_started_again_is_doubted_for_a_time() {
+fn a_restarted_list_is_untrusted_for_a_limited_time() {
     let mut state = ListState::new(10);
-    state.move_elsewhere();
-    assert!(!state.is_outdated(4) && state.is_doubted(4, at(100)));
+    state.reset_for_new_address();
+    assert!(!state.is_outdated(4) && state.is_untrusted(4, at(100)));
     state.accept(4, at(100));
-    assert!(state.is_doubted(5, at(100) + DOUBTED - Span::from_secs(1)));
-    assert!(!state.is_doubted(5, at(100) + DOUBTED));
-    assert!(!state.is_doubted(10, at(100)), "no lower than the highest");
-    state.accept(5, at(100) + DOUBTED);
-    assert!(!state.is_doubted(6, at(1000)), "believed from then on");
+    assert!(state.is_untrusted(5, at(100) + UNTRUSTED_DURATION - Span::from_secs(1)));
+    assert!(!state.is_untrusted(5, at(100) + UNTRUSTED_DURATION));
+    assert!(!state.is_untrusted(10, at(100)), "a version that is not below the highest is trusted");
+    state.accept(5, at(100) + UNTRUSTED_DURATION);
+    assert!(!state.is_untrusted(6, at(1000)), "the list is trusted from then on");
 }
--- a/crates/discovery/src/startup.rs
+++ b/crates/discovery/src/startup.rs
@@ -1,5 +1,5 @@
-//! The configuration that the platform hands a proxy at its start: where it listens, and the
-//! settings for the engine.
+//! The configuration that the platform gives a proxy at its start: the listening addresses, and the
+//! settings of the engine.
 
 use crate::address::parse_address;
 use crate::field_paths::FieldPaths;
@@ -14,49 +14,49 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// No platform allows more attempts: what is above is a slip in writing.
+/// The maximum number of attempts. No platform allows more, so a higher value is a typo.
 const MAX_ATTEMPTS: f64 = 1000.0;
-/// An hour, in ticks: no client waits for longer, and it bounds every wait of a request.
-const LONGEST_TIME_TICKS: f64 = 3.6e7;
-/// One second, in ticks: where the platform states no target time, nor one for connecting.
+/// The maximum of a configured time: one hour, in ticks. No client waits for longer, and the
+/// maximum bounds every wait of a request.
+const MAX_TIME_TICKS: f64 = 3.6e7;
+/// The default of the target time and of the connect timeout: one second, in ticks.
 const DEFAULT_TIME_TICKS: f64 = 1e4;
-/// Ten seconds, in ticks: after which servers close idle connections where the platform does not
-/// state it.
+/// The default of the time after which servers close idle connections: ten seconds, in ticks.
 const DEFAULT_IDLE_TICKS: f64 = 1e5;
-/// What a process may hold by default.
+/// The default limit of open file descriptors of a process.
 const DEFAULT_DESCRIPTORS: usize = 1024;
-/// The least memory that a proxy is given.
+/// The default memory limit: the least memory that a proxy is given.
 const DEFAULT_MEMORY_MB: u64 = 32;
 const MEGABYTE: usize = 1_000_000;
 
-/// Names the admin address where the configuration has none.
+/// The environment variable with the admin address, used if the configuration has none.
 const ADMIN_ADDRESS_VARIABLE: &str = "ROUTER_CONSOLE";
 
-/// Why the configuration can't be used.
+/// Why the configuration is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum StartupError {
     /// The file can't be read.
     #[error("cannot read {path}: {source}")]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// Why not.
+        /// The I/O error.
         source: std::io::Error,
     },
     /// The file is not JSON.
     #[error("{path} is no JSON: {source}")]
     NotJson {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// Where and why not.
+        /// The parse error with its position.
         source: serde_json::Error,
     },
-    /// A field is missing or makes no sense.
+    /// A field is missing or has an invalid value.
     #[error(transparent)]
     Field(#[from] FieldError),
 }
 
-/// For callers whose own errors are texts for people.
+/// For callers that report errors as text.
 impl From<StartupError> for String {
     fn from(error: StartupError) -> String {
         error.to_string()
@@ -65,24 +65,24 @@
 
 /// The content of the configuration file.
 pub struct StartupConfig {
-    /// Where clients connect to.
+    /// The address on which the proxy accepts clients.
     pub listen: SocketAddr,
-    /// Where operators call, if they do.
+    /// The address of the admin interface, if it is enabled.
     pub admin_address: Option<SocketAddr>,
-    /// Where the discovery service is, if there is one.
+    /// The address of the discovery service, if there is one.
     pub list_address: Option<SocketAddr>,
-    /// The endpoint list as this proxy last had it.
+    /// The last known endpoint list of this proxy.
     pub last_known_list: Value,
-    /// Names of the namespaces, in the platform's order.
+    /// The names of the namespaces, in the platform's order.
     pub namespaces: Vec<String>,
-    /// What the engine starts with.
+    /// The initial configuration of the engine.
     pub engine: EngineConfig,
-    /// Which fields the file has at all.
+    /// The paths of the fields that the file has.
     pub fields: FieldPaths,
 }
 
 impl StartupConfig {
-    /// Reads the file. The first field that can't be read is the error.
+    /// Reads the file. The error names the first invalid field.
     pub fn load(path: &str) -> Result<StartupConfig, StartupError> {
         let unreadable = |source| StartupError::Unreadable { path: path.to_string(), source };
         let not_json = |source| StartupError::NotJson { path: path.to_string(), source };
@@ -106,12 +106,12 @@
     }
 }
 
-/// The settings, with what the settings map can't hold checked as well.
+/// Reads the settings, and also checks what the settings map can't represent.
 fn read_settings(config: &JsonObject) -> FieldResult<PlatformSettings> {
     let missing = || FieldError::Missing { field: "field settings".to_string(), expected: "an object" };
     let settings = config.get("settings").ok_or_else(missing)?;
     let settings = chalkwalk_settings::read(object(settings, "field settings")?)?;
-    let values = Values(&settings.values);
+    let values = SettingsMap(&settings.values);
     for (index, name) in settings.namespaces.iter().enumerate() {
         check_namespace(index, name, &settings.namespaces[..index], values)?;
     }
@@ -119,13 +119,18 @@
     Ok(settings)
 }
 
-fn check_namespace(index: usize, name: &str, before: &[String], values: Values) -> FieldResult<()> {
-    if before.iter().any(|other| other == name) {
+fn check_namespace(
+    index: usize,
+    name: &str,
+    earlier_names: &[String],
+    values: SettingsMap,
+) -> FieldResult<()> {
+    if earlier_names.iter().any(|other| other == name) {
         return Err(format!("setting namespaces[{index}].name: \"{name}\" is there twice").into());
     }
     for (setting, field) in [("time limit", "timeLimitNs"), ("target time", "targetTimeNs")] {
         let ticks = values.number(&namespace_setting(index, setting), DEFAULT_TIME_TICKS);
-        if !(1.0..=LONGEST_TIME_TICKS).contains(&ticks) {
+        if !(1.0..=MAX_TIME_TICKS).contains(&ticks) {
             return Err(format!(
                 "setting namespaces[{index}].{field}: expected a time above 0 and up to an hour"
             )
@@ -150,7 +155,7 @@
     let empty = JsonObject::new();
     let limits = config.get("limits").map_or(Ok(&empty), |limits| object(limits, "field limits"))?;
     let seed = text_or(config, "seed", "0")?;
-    let values = Values(&settings.values);
+    let values = SettingsMap(&settings.values);
     Ok(EngineConfig {
         name: text_or(config, "name", "")?.to_string(),
         seed: parse_seed(seed)?,
@@ -179,21 +184,21 @@
     })
 }
 
-fn platform_limits(values: Values, namespaces: &[String], tenants: Vec<String>) -> PlatformLimits {
+fn platform_limits(values: SettingsMap, namespaces: &[String], tenants: Vec<String>) -> PlatformLimits {
     PlatformLimits {
         max_attempts: values.max_attempts() as u64,
         hedging: values.number("second copies", 0.0) > 0.0,
         connect_time: values.span("connect time", DEFAULT_TIME_TICKS),
         max_body_bytes: http1::MAX_BODY as u64,
-        namespaces: namespaces.iter().enumerate().map(|(i, name)| namespace(values, i, name)).collect(),
+        namespaces: namespaces.iter().enumerate().map(|(i, name)| read_namespace(values, i, name)).collect(),
         tenants,
         frontends: Vec::new(),
     }
 }
 
-fn namespace(values: Values, index: usize, name: &str) -> Namespace {
+fn read_namespace(values: SettingsMap, index: usize, name: &str) -> Namespace {
     let setting = |name: &str| namespace_setting(index, name);
-    let time_limit = values.number(&setting("time limit"), 0.0).min(LONGEST_TIME_TICKS);
+    let time_limit = values.number(&setting("time limit"), 0.0).min(MAX_TIME_TICKS);
     Namespace {
         name: name.to_string(),
         time_limit: Span::from_ticks(time_limit as u64),
@@ -207,7 +212,7 @@
     }
 }
 
-/// The name in the settings map of a namespace's setting.
+/// The key of a namespace's setting in the settings map.
 fn namespace_setting(index: usize, name: &str) -> String {
     format!("namespace {index} {name}")
 }
@@ -228,11 +233,11 @@
     }
 }
 
-/// The settings map, with defaults where it has no value or one that is no number.
+/// Reads the settings map. A default applies if a value is missing or is not a number.
 #[derive(Clone, Copy)]
-struct Values<'a>(&'a BTreeMap<String, String>);
+struct SettingsMap<'a>(&'a BTreeMap<String, String>);
 
-impl<'a> Values<'a> {
+impl<'a> SettingsMap<'a> {
     fn number(self, name: &str, default: f64) -> f64 {
         self.0.get(name).and_then(|value| value.parse().ok()).unwrap_or(default)
     }
--- a/crates/discovery/src/startup/tests.rs
+++ b/crates/discovery/src/startup/tests.rs
@@ -1,4 +1,4 @@
-//! Configurations as the platform writes them, and the errors for those that can't be read.
+//! Configurations in the platform's format, and the errors for invalid ones.
 
 use super::StartupConfig;
 use chalkwalk_time::Span;
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_configuration_becomes_the_engines() {
+fn a_configuration_is_converted_to_the_engine_configuration() {
     let startup = read(&config()).expect("a good configuration");
     assert_eq!(startup.listen.port(), 8080);
     assert_eq!(startup.list_address.map(|address| address.port()), Some(9090));
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn the_first_field_that_makes_no_sense_is_named() {
+fn the_first_invalid_field_is_named_in_the_error() {
     let with = |pointer: &str, value: Value| {
         let mut changed = config();
         *changed.pointer_mut(pointer).expect("a field") = value;
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -1,5 +1,5 @@
-//! The endpoint list, kept up to date: it starts from the list that was last known, then reads the
-//! whole list and watches it.
+//! Keeps the endpoint list up to date. It continues from the last known list if there is one,
+//! requests the full list otherwise, and watches for changes.
 
 use crate::address::DiscoveryAddress;
 use crate::call::{Call, CallError, CallResult, ReusableConnection};
@@ -18,12 +18,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Watches whenever the balancer wants it to, until a call fails; the balancer is notified of that
-/// and wants it again.
+/// Watches the list whenever the balancer requests it, until a call fails. The balancer is then
+/// notified of the failure and requests the watch again.
 ///
-/// `last_known` is the version of the list that was known at the start, from which the first call
-/// goes on. With `immediate` that call does not wait for a change: a process that takes over serves
-/// once it knows that there is none.
+/// `last_known` is the version of the list known at the start, from which the first call continues.
+/// With `immediate`, this call does not wait for a change: a process that takes over from another
+/// starts to serve once it knows that there is no change.
 pub async fn watch_endpoint_list(
     engine: Rc<Engine>,
     address: Rc<DiscoveryAddress>,
@@ -32,51 +32,52 @@
 ) {
     let mut state = WatchState::new(last_known, immediate);
     let mut random = Rng::with_seed(engine.config.seed);
-    // Without any list there is nothing to serve from, nor to wait for.
-    let mut call_at_once = last_known.is_none();
+    // Without any list the proxy can't serve, so the first call is made without waiting for a
+    // request.
+    let mut call_immediately = last_known.is_none();
     loop {
-        if !call_at_once && wait_for_reason(&engine, &address).await == Reason::Moved {
-            state.move_elsewhere();
+        if !call_immediately && wait_for_call_reason(&engine, &address).await == CallReason::Moved {
+            state.reset_for_new_address();
         }
-        call_at_once = false;
-        let lost = Watch::run(&engine, &address, &mut state, &mut random).await;
+        call_immediately = false;
+        let failure = Watch::run(&engine, &address, &mut state, &mut random).await;
         engine.clear_watch_request();
-        api::discovery_call_failed(&engine, lost.took);
+        api::discovery_call_failed(&engine, failure.took);
         let since_accepted = state.accepted_at.map(|at| at.elapsed().as_millis() as u64);
         warn!(engine.log, "discovery call failed";
-            "call" => state.calls, "fault" => lost.error, "took_ms" => lost.took.as_millis(),
+            "call" => state.call_count, "fault" => failure.error, "took_ms" => failure.took.as_millis(),
             "version" => state.list.version(), "unheard_ms" => since_accepted);
     }
 }
 
-/// Why the list is called for.
+/// Why a call for the list is made.
 #[derive(PartialEq)]
-enum Reason {
+enum CallReason {
     Requested,
     Moved,
 }
 
-async fn wait_for_reason(engine: &Engine, address: &DiscoveryAddress) -> Reason {
+async fn wait_for_call_reason(engine: &Engine, address: &DiscoveryAddress) -> CallReason {
     let requested = async {
         engine.watch_requested().await;
-        Reason::Requested
+        CallReason::Requested
     };
     let moved = async {
-        // Where nobody can move it any more, the list is called for as if it were requested.
-        if address.wait_for_move().await { Reason::Moved } else { Reason::Requested }
+        // If the address can't change any more, the call counts as requested.
+        if address.wait_for_move().await { CallReason::Moved } else { CallReason::Requested }
     };
     requested.or(moved).await
 }
 
-/// Why calls are not made one after the other any more.
-struct LostDiscovery {
+/// The failure of a call that ended the watch.
+struct WatchFailure {
     error: String,
     took: Span,
 }
 
-impl LostDiscovery {
-    fn by(call: &Call, error: String) -> LostDiscovery {
-        LostDiscovery { error, took: call.took() }
+impl WatchFailure {
+    fn from_call(call: &Call, error: String) -> WatchFailure {
+        WatchFailure { error, took: call.took() }
     }
 }
 
@@ -90,45 +91,46 @@
 }
 
 impl<'a> Caller<'a> {
-    /// Makes the next call, and counts it as a violation where that is later than the term for
-    /// changes allows.
-    fn begin(&mut self) -> Call<'a> {
-        self.state.calls += 1;
+    /// Starts the next call. It counts as a violation if the call starts later than the
+    /// notification deadline allows.
+    fn start(&mut self) -> Call<'a> {
+        self.state.call_count += 1;
         let request = self.state.next_request(self.random);
-        let call = Call::begin(self.address, self.connection, self.state.calls, request);
-        let last = self.state.last_call.replace(LastCall { begun: call.begun, wait: call.wait });
+        let call = Call::start(self.address, self.connection, self.state.call_count, request);
+        let last = self.state.last_call.replace(LastCall { started_at: call.started_at, wait: call.wait });
         let in_time = last.is_none_or(|last| {
-            call_interval_allowed(Span::from(call.begun - last.begun), Span::from(last.wait))
+            call_interval_allowed(Span::from(call.started_at - last.started_at), Span::from(last.wait))
         });
         self.engine.violations.check(&self.engine.log, (!in_time).then_some(Violation::DiscoveryNotCalled));
         call
     }
 }
 
-/// A call beside which another was made, still waited for.
+/// A call that is still waited for although a newer one was started in parallel.
 struct OlderCall<'a> {
     call: Call<'a>,
-    /// It went to the address where discovery was before.
+    /// Whether the call went to the former address of the discovery service.
     former_address: bool,
 }
 
-enum Event {
-    Answer(CallResult),
-    OlderAnswer(CallResult),
+enum WatchEvent {
+    Response(CallResult),
+    OlderResponse(CallResult),
     Silent,
     Moved,
 }
 
-/// Calls made one after the other.
+/// A sequence of calls to the discovery service.
 ///
-/// The next call is made at once after each answer. A watch goes on for 200 ms after an answer, and
-/// changes in that time count as notified: a proxy that paused would send to servers that it was
-/// notified are draining. So it is after an answer that can't be used as well, once in a row: then
-/// the whole list is requested.
+/// The next call is made immediately after each response. The service continues a watch for 200 ms
+/// after a response, and changes in this time count as notified: a proxy that paused would send
+/// requests to servers that it was notified are draining. For the same reason, the first of several
+/// consecutive unusable responses is also followed by a call, which requests the full list.
 ///
-/// A call that seems silent is made anew, and waited for until the new one is answered: it may have
-/// been slow. So is the one to the former address where discovery has moved: what was about to be
-/// written there counts as notified. A list that has moved is requested whole, and at once.
+/// If a call is silent, a parallel call is started. The silent call is still waited for until the
+/// new one has its response, because it may only be slow. If the address of the service changes,
+/// the call to the former address is waited for in the same way, because changes that were about to
+/// be written there count as notified. The new address is called immediately, for the full list.
 struct Watch<'a> {
     caller: Caller<'a>,
     current: Call<'a>,
@@ -136,138 +138,139 @@
 }
 
 impl<'a> Watch<'a> {
-    /// Watches until a call fails.
+    /// Watches the list until a call fails.
     async fn run(
         engine: &'a Rc<Engine>,
         address: &'a DiscoveryAddress,
         state: &'a mut WatchState,
         random: &'a mut Rng,
-    ) -> LostDiscovery {
+    ) -> WatchFailure {
         let connection = ReusableConnection::default();
         let mut caller = Caller { engine, address, connection: &connection, state, random };
-        let current = caller.begin();
+        let current = caller.start();
         let mut watch = Watch { caller, current, older: None };
         loop {
             let handled = match watch.next_event().await {
-                Event::Answer(Ok(body)) => watch.answered(&body).await,
-                Event::Answer(Err(error)) => watch.failed(error).await,
-                Event::OlderAnswer(result) => {
-                    watch.older_answered(result);
+                WatchEvent::Response(Ok(body)) => watch.on_response(&body).await,
+                WatchEvent::Response(Err(error)) => watch.on_failure(error).await,
+                WatchEvent::OlderResponse(result) => {
+                    watch.on_older_response(result);
                     Ok(())
                 }
-                Event::Silent => {
-                    watch.silent();
+                WatchEvent::Silent => {
+                    watch.on_silent();
                     Ok(())
                 }
-                Event::Moved => {
-                    watch.moved();
+                WatchEvent::Moved => {
+                    watch.on_move();
                     Ok(())
                 }
             };
-            if let Err(lost) = handled {
-                return lost;
+            if let Err(failure) = handled {
+                return failure;
             }
         }
     }
 
-    async fn next_event(&mut self) -> Event {
+    async fn next_event(&mut self) -> WatchEvent {
         let silent_at = self.current.silent_at();
         let address = self.caller.address;
         let older = &mut self.older;
-        let answer = async { Event::Answer((&mut self.current.answer).await) };
-        let older_answer = async {
+        let response = async { WatchEvent::Response((&mut self.current.response).await) };
+        let older_response = async {
             match older {
-                Some(older) => Event::OlderAnswer((&mut older.call.answer).await),
+                Some(older) => WatchEvent::OlderResponse((&mut older.call.response).await),
                 None => pending().await,
             }
         };
         let moved = async {
             match address.wait_for_move().await {
-                true => Event::Moved,
+                true => WatchEvent::Moved,
                 false => pending().await,
             }
         };
         let silent = async {
             Timer::at(silent_at).await;
-            Event::Silent
+            WatchEvent::Silent
         };
-        answer.or(older_answer).or(moved).or(silent).await
+        response.or(older_response).or(moved).or(silent).await
     }
 
-    async fn answered(&mut self, body: &[u8]) -> Result<(), LostDiscovery> {
+    async fn on_response(&mut self, body: &[u8]) -> Result<(), WatchFailure> {
         match self.caller.state.accept(self.caller.engine, body) {
             Ok(()) => {
                 self.older = None;
-                self.current = self.caller.begin();
+                self.current = self.caller.start();
                 Ok(())
             }
             Err(error) => self.repeat(error.to_string()).await,
         }
     }
 
-    async fn failed(&mut self, error: CallError) -> Result<(), LostDiscovery> {
-        if matches!(error, CallError::CutShort) {
+    async fn on_failure(&mut self, error: CallError) -> Result<(), WatchFailure> {
+        if matches!(error, CallError::Truncated) {
             return self.repeat(error.to_string()).await;
         }
-        // Only a service that has too much to do is surely the one that notified this version;
-        // after any other error the whole list is requested.
+        // Only a service that reports overload is certainly the one that notified the current
+        // version. After any other error the full list is requested.
         self.caller.state.incremental &= matches!(error, CallError::Busy);
-        if self.older_answers_instead().await {
-            self.current = self.caller.begin();
+        if self.wait_for_older_response().await {
+            self.current = self.caller.start();
             return Ok(());
         }
-        Err(LostDiscovery::by(&self.current, error.to_string()))
+        Err(WatchFailure::from_call(&self.current, error.to_string()))
     }
 
-    /// The older call may still bring what the newer did not; the backoff after it is that much
-    /// shorter.
-    async fn older_answers_instead(&mut self) -> bool {
+    /// Waits for the response of the older call, which may still deliver what the newer call did
+    /// not. The backoff that follows is shorter by the time of this wait.
+    async fn wait_for_older_response(&mut self) -> bool {
         let Some(OlderCall { call, former_address }) = self.older.take() else { return false };
-        let until = self.current.begun + Duration::from(OLDER_CALL_TIMEOUT);
-        let Some(Ok(body)) = wait_until(until, call.answer).await else { return false };
+        let until = self.current.started_at + Duration::from(OLDER_CALL_TIMEOUT);
+        let Some(Ok(body)) = wait_until(until, call.response).await else { return false };
         self.caller.state.accept_older(self.caller.engine, &body, former_address)
     }
 
-    /// Calls for the whole list soon after an answer that can't be used, unless the one before
-    /// could not be used either.
-    async fn repeat(&mut self, error: String) -> Result<(), LostDiscovery> {
+    /// Requests the full list shortly after an unusable response, unless the response before it was
+    /// unusable too.
+    async fn repeat(&mut self, error: String) -> Result<(), WatchFailure> {
         self.older = None;
         let state = &mut *self.caller.state;
-        let repeats = state.incremental && !state.last_answer_unusable;
+        let repeats = state.incremental && !state.last_response_unusable;
         state.incremental = false;
-        state.last_answer_unusable = true;
+        state.last_response_unusable = true;
         if !repeats {
-            return Err(LostDiscovery::by(&self.current, error));
+            return Err(WatchFailure::from_call(&self.current, error));
         }
         warn!(self.caller.engine.log, "list answer ignored"; "call" => self.current.number, "fault" => error);
         Timer::after(timing::repeat_delay(self.caller.random)).await;
-        self.current = self.caller.begin();
+        self.current = self.caller.start();
         Ok(())
     }
 
-    /// Where the older call failed, the current one is still there.
-    fn older_answered(&mut self, result: CallResult) {
+    /// Applies the response of the older call. A failure of it is ignored, because the current call
+    /// is still in progress.
+    fn on_older_response(&mut self, result: CallResult) {
         let former_address = self.older.take().is_some_and(|older| older.former_address);
         if let Ok(body) = result {
             self.caller.state.accept_older(self.caller.engine, &body, former_address);
         }
     }
 
-    fn silent(&mut self) {
+    fn on_silent(&mut self) {
         info!(self.caller.engine.log, "discovery call silent, another started"; "call" => self.current.number);
-        self.call_beside(false);
+        self.start_parallel_call(false);
     }
 
-    fn moved(&mut self) {
+    fn on_move(&mut self) {
         info!(self.caller.engine.log, "discovery moved"; "address" => %self.caller.address.address());
-        self.caller.state.move_elsewhere();
+        self.caller.state.reset_for_new_address();
         self.caller.connection.take();
-        self.call_beside(true);
+        self.start_parallel_call(true);
     }
 
-    /// Makes another call; the current one is the older from now on.
-    fn call_beside(&mut self, former_address: bool) {
-        let next = self.caller.begin();
+    /// Starts another call; the current one becomes the older call.
+    fn start_parallel_call(&mut self, former_address: bool) {
+        let next = self.caller.start();
         let call = std::mem::replace(&mut self.current, next);
         self.older = Some(OlderCall { call, former_address });
     }
--- a/crates/discovery/src/watch_state.rs
+++ b/crates/discovery/src/watch_state.rs
@@ -1,8 +1,8 @@
-//! What a proxy knows from its calls to discovery so far: what to request next, and how far an
-//! answer is applied.
+//! The state that a proxy keeps between its calls to the discovery service. It decides what to
+//! request next, and which parts of a response are applied.
 
 use crate::call::ListRequest;
-use crate::list::{AnswerError, ListAnswer};
+use crate::list::{ListResponse, ListResponseError};
 use crate::list_state::ListState;
 use crate::timing;
 use chalkwalk_engine::engine::Engine;
@@ -11,28 +11,28 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// What is known from the calls so far.
+/// The state after the calls made so far.
 pub(crate) struct WatchState {
     pub list: ListState,
-    /// The list is as it was notified at its version, and only what changed since is requested: a
-    /// whole list costs the service several times as much, and after an outage all proxies call at
-    /// once.
+    /// Whether the list matches what was notified for its version, so that only later changes have
+    /// to be requested. A full list costs the service several times as much, and after an outage
+    /// all proxies call at once.
     pub incremental: bool,
-    /// The next call is answered at once, though nothing is newer.
+    /// Whether the service responds to the next call immediately, even if nothing changed.
     immediate: bool,
-    /// The last answer could not be used.
-    pub last_answer_unusable: bool,
-    /// Calls so far; each has its number in the log.
-    pub calls: u64,
+    /// Whether the last response was unusable.
+    pub last_response_unusable: bool,
+    /// The number of calls made so far, which numbers the calls in the log.
+    pub call_count: u64,
     pub last_call: Option<LastCall>,
-    /// When an answer was last accepted.
+    /// When a response was last accepted.
     pub accepted_at: Option<Instant>,
 }
 
 #[derive(Clone, Copy)]
 pub(crate) struct LastCall {
-    pub begun: Instant,
-    /// How long it could wait for a change.
+    pub started_at: Instant,
+    /// How long the call could wait for a change.
     pub wait: Duration,
 }
 
@@ -42,21 +42,23 @@
             list: ListState::new(last_known.unwrap_or(0)),
             incremental: last_known.is_some(),
             immediate,
-            last_answer_unusable: false,
-            calls: 0,
+            last_response_unusable: false,
+            call_count: 0,
             last_call: None,
             accepted_at: None,
         }
     }
 
-    /// The list is elsewhere from now on, where all of it is requested.
-    pub fn move_elsewhere(&mut self) {
+    /// Records that the address of the discovery service changed, so the full list is requested
+    /// next.
+    pub fn reset_for_new_address(&mut self) {
         self.incremental = false;
-        self.list.move_elsewhere();
+        self.list.reset_for_new_address();
     }
 
     pub fn next_request(&self, random: &mut Rng) -> ListRequest {
-        // Drawn for a whole list as well: the order of draws is part of what a seed stands for.
+        // The wait is drawn for a full list too: the order of random draws must stay reproducible
+        // for a given seed.
         let wait = if self.immediate { Duration::ZERO } else { timing::watch_wait(random) };
         if self.incremental {
             let (index, wait_ms) = (self.list.version(), wait.as_millis());
@@ -66,34 +68,34 @@
         }
     }
 
-    /// Applies an answer, unless it is outdated.
-    pub fn accept(&mut self, engine: &Rc<Engine>, body: &[u8]) -> Result<(), AnswerError> {
-        let answer = ListAnswer::parse(body)?;
-        let version = answer.version()?;
-        let present = self.list.version();
+    /// Applies a response. If it is outdated, only its draining and gone servers are applied.
+    pub fn accept(&mut self, engine: &Rc<Engine>, body: &[u8]) -> Result<(), ListResponseError> {
+        let response = ListResponse::parse(body)?;
+        let version = response.version()?;
+        let current = self.list.version();
         if self.list.is_outdated(version) {
-            answer.apply_unavailable(engine)?;
-            return Err(AnswerError::Outdated { version, present });
+            response.apply_unavailable(engine)?;
+            return Err(ListResponseError::Outdated { version, current });
         }
         let now = engine.clock.now();
-        answer.apply(engine, self.list.is_doubted(version, now))?;
+        response.apply(engine, self.list.is_untrusted(version, now))?;
         engine.list_received();
         self.list.accept(version, now);
-        // A whole list after an unusable answer does not make up for it: only one that was
-        // requested as a change does.
-        self.last_answer_unusable &= !self.incremental;
+        // A full list does not reset the flag after an unusable response; only the response to an
+        // incremental request does.
+        self.last_response_unusable &= !self.incremental;
         self.incremental = true;
         self.immediate = false;
         self.accepted_at = Some(Instant::now());
         Ok(())
     }
 
-    /// Applies the answer to a call beside which another was made; whether all of it was applied.
-    /// The service at the former address may have another history: only which servers are draining
-    /// or gone counts.
+    /// Applies the response to a call that a newer call was started in parallel to. Returns whether
+    /// all of it was applied. The service at the former address may have another history, so only
+    /// draining and gone servers are applied from its response.
     pub fn accept_older(&mut self, engine: &Rc<Engine>, body: &[u8], former_address: bool) -> bool {
         let applied = if former_address {
-            ListAnswer::parse(body).and_then(|answer| Ok(answer.apply_unavailable(engine)?))
+            ListResponse::parse(body).and_then(|response| Ok(response.apply_unavailable(engine)?))
         } else {
             self.accept(engine, body)
         };
--- a/crates/discovery/tests/field_paths.rs
+++ b/crates/discovery/tests/field_paths.rs
@@ -1,4 +1,4 @@
-//! A later configuration that lacks fields of the first is noticed.
+//! Detects a later configuration that lacks fields of the first one.
 
 use chalkwalk_discovery::FieldPaths;
 use serde_json::{Value, json};
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn the_first_field_that_is_gone_is_named() {
+fn the_first_missing_field_is_named() {
     let first = paths(
         json!({"a": {"b": 1, "c": null}, "list": [{"x": 1, "y": 2}, {"x": 3}], "known": {"version": 1}}),
     );
--- a/crates/membership/src/endpoint.rs
+++ b/crates/membership/src/endpoint.rs
@@ -1,45 +1,47 @@
-//! One endpoint of a list, whatever source the list has.
+//! One endpoint of an endpoint list, independent of the list's source.
 
 use chalkwalk_balancer::EndpointStatus;
 use chalkwalk_time::Timestamp;
 use std::net::SocketAddr;
 
-/// The longest list that is accepted: ten thousand servers are the largest fleet in mind, and as
-/// many may be draining.
+/// The maximum number of endpoints in an accepted list. The design limit is a fleet of ten thousand
+/// servers, and as many more may be draining.
 pub const MAX_ENDPOINTS: usize = 20_000;
 
-/// A server as a source of the list describes it.
+/// A server as described by a source of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedEndpoint {
-    /// Names the server over all its incarnations.
+    /// Identifies the server across restarts of its process.
     pub id: String,
-    /// Where it listens.
+    /// The address on which the server listens.
     pub addr: SocketAddr,
-    /// The zone it stands in.
+    /// The zone that the server runs in.
     pub zone: String,
-    /// What kind of server it is; empty where the source has no kinds.
+    /// The kind of server; empty if the source does not distinguish kinds.
     pub kind: String,
-    /// The cell it belongs to.
+    /// The cell that the server belongs to.
     pub cell: u64,
-    /// Its stated weight, in hundredths; 100 where none is stated.
+    /// The configured weight in hundredths; 100 if the source gives no weight.
     pub size: u64,
-    /// Whether it is in service.
+    /// Whether the server is in service, draining or gone.
     pub status: EndpointStatus,
-    /// When its process started, Unix time: it identifies the incarnation. 0: long ago.
+    /// When the server's process started (Unix time). This identifies the incarnation; 0 means that
+    /// the start is unknown and long ago.
     pub born: Timestamp,
 }
 
-/// An endpoint in a source's list, with what the source wants done with it.
+/// An entry of a source's list: an endpoint and the source's instruction for it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListEntry {
-    /// The endpoint.
+    /// The listed endpoint.
     pub endpoint: ListedEndpoint,
-    /// In service again on purpose, though it was drained and has not been restarted since.
+    /// The server is deliberately back in service although it was drained and has not been
+    /// restarted since.
     pub reinstated: bool,
 }
 
 impl From<ListedEndpoint> for ListEntry {
-    /// An entry that is not reinstated.
+    /// Creates an entry with `reinstated` unset.
     fn from(endpoint: ListedEndpoint) -> ListEntry {
         ListEntry { endpoint, reinstated: false }
     }
--- a/crates/membership/src/format.rs
+++ b/crates/membership/src/format.rs
@@ -1,9 +1,10 @@
-//! How endpoints and proxies are written down outside the platform: as JSON values under keys, and
-//! as a file. Version 1 of both.
+//! Version 1 of the formats in which endpoints and proxies are stored outside the platform: as JSON
+//! values under the keys of a key-value store, and as a list file.
 //!
 //! A value is a JSON object; a file is TOML or JSON with the same fields. Unknown fields are
-//! ignored in values, so that a newer writer does not stop older proxies, and rejected in files,
-//! where they are a person's slip. Field names and the forms of both are stored data.
+//! ignored in values, so that a newer writer does not break older proxies. They are rejected in
+//! files, where they are likely a person's typo. The field names and formats of both are stored
+//! data and must not change.
 
 mod file;
 mod record;
--- a/crates/membership/src/format/file.rs
+++ b/crates/membership/src/format/file.rs
@@ -1,4 +1,4 @@
-//! A list as a file, in TOML or JSON. A file is accepted whole or not at all.
+//! Parses an endpoint list file, in TOML or JSON. A file is accepted as a whole or not at all.
 
 use super::VERSION;
 use super::record::{AllowedNames, EndpointRecord, RecordError, default_weight};
@@ -8,12 +8,12 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Problems that are reported of one file; the rest is counted.
+/// The maximum number of problems that are reported for one file; further ones are only counted.
 const MAX_REPORTED_PROBLEMS: usize = 20;
-/// The last line of a TOML file.
+/// The required last line of a TOML file.
 const END_MARKER: &str = "[end]";
 
-/// The file's own form; key names are stored data.
+/// The content of the file; the key names are stored data.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct FileBody {
@@ -32,7 +32,7 @@
 #[serde(deny_unknown_fields)]
 struct End {}
 
-/// [`EndpointRecord`] with its id, where an unknown field is an error.
+/// An [`EndpointRecord`] in a file, with a required id. Unknown fields are errors.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct FileEntry {
@@ -59,11 +59,11 @@
     }
 }
 
-/// A list file that was read whole.
+/// The content of a valid list file.
 #[derive(Debug)]
 pub struct EndpointFile {
-    /// The writer's own number of this version, if it counts: a lower one than before is an old
-    /// file.
+    /// The writer's number for this version of the file, if the writer numbers its versions. A
+    /// lower number than before means that the file is old.
     pub serial: Option<u64>,
     /// The entries, in the file's order.
     pub entries: Vec<ListEntry>,
@@ -72,45 +72,45 @@
 /// Why a list file is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum FileError {
-    /// It is not the expected JSON.
+    /// The file is not valid JSON of the expected structure.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// It is not the expected TOML.
+    /// The file is not valid TOML of the expected structure.
     #[error("line {line}: {message}")]
     Toml {
-        /// Counted from one on.
+        /// The line number, counted from one.
         line: usize,
-        /// What is wrong there.
+        /// What is wrong in that line.
         message: String,
     },
-    /// Its last line is missing.
+    /// The required last line is missing.
     #[error("it does not end with [end]: it may have been cut short")]
     MissingEnd,
-    /// Its version is not a known one.
+    /// The file has an unknown format version.
     #[error("version {0} is not known; this program reads version {VERSION}")]
     UnknownVersion(u64),
-    /// Its text is not what the checksum is of.
-    #[error("its checksum is {computed}, and {stated} is stated")]
+    /// The file does not match the checksum that it states.
+    #[error("checksum mismatch: the file states {stated}, but its content has {computed}")]
     ChecksumMismatch {
-        /// That of the text.
+        /// The checksum of the file's text.
         computed: String,
-        /// That which the text states.
+        /// The checksum that the file states.
         stated: String,
     },
-    /// It is above [`MAX_ENDPOINTS`].
-    #[error("{0} caches are above {MAX_ENDPOINTS}")]
+    /// The number of entries is above [`MAX_ENDPOINTS`].
+    #[error("the file lists {0} caches, and at most {MAX_ENDPOINTS} are allowed")]
     TooManyEndpoints(usize),
-    /// Some of its entries are invalid.
+    /// Some entries of the file are invalid.
     #[error("{0}")]
     Entries(FileProblems),
 }
 
-/// All that is wrong with a file's entries; displayed one a line.
+/// All problems in the entries of a file; displayed one per line.
 #[derive(Debug)]
 pub struct FileProblems {
-    /// The first of them.
+    /// The first problems, in the file's order.
     pub reported: Vec<FileProblem>,
-    /// How many more there are.
+    /// The number of further problems.
     pub omitted: usize,
 }
 
@@ -127,36 +127,36 @@
     }
 }
 
-/// What is wrong with the entry at a position of the file, counted from one on.
+/// A problem in one entry of the file.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum FileProblem {
-    /// A field is invalid.
+    /// A field of the entry is invalid.
     #[error("cache {position}: {source}")]
     Record {
-        /// Which entry, counted from one on.
+        /// The position of the entry in the file, counted from one.
         position: usize,
-        /// What is wrong with it.
+        /// What is wrong with the field.
         source: RecordError,
     },
     /// An earlier entry has the same id.
-    #[error("cache {position}: the id {id} is there twice")]
+    #[error("cache {position}: the id {id} is already used by an earlier entry")]
     DuplicateId {
-        /// Which entry, counted from one on.
+        /// The position of the entry in the file, counted from one.
         position: usize,
-        /// The id.
+        /// The duplicate id.
         id: String,
     },
     /// An earlier entry has the same address.
-    #[error("cache {position}: the address {addr} is there twice")]
+    #[error("cache {position}: the address {addr} is already used by an earlier entry")]
     DuplicateAddress {
-        /// Which entry, counted from one on.
+        /// The position of the entry in the file, counted from one.
         position: usize,
-        /// The address.
+        /// The duplicate address.
         addr: SocketAddr,
     },
 }
 
-/// Reads a file whole, or reports all that is wrong with its entries.
+/// Parses a list file. If entries are invalid, the error reports the problems of all of them.
 pub fn parse_file(text: &str, allowed: &AllowedNames) -> Result<EndpointFile, FileError> {
     let body =
         if text.trim_start().starts_with('{') { serde_json::from_str(text)? } else { parse_toml(text)? };
@@ -172,7 +172,8 @@
         let line = error.span().map_or(1, |span| newlines_before(span.start) + 1);
         FileError::Toml { line, message: error.message().replace('\n', " ") }
     })?;
-    // Much of a TOML file that is still being written parses well; JSON does not.
+    // A truncated TOML file, such as one that is still being written, is often valid TOML; a
+    // truncated JSON file is never valid JSON.
     let last = text.lines().map(str::trim).rfind(|line| !line.is_empty() && !line.starts_with('#'));
     if last != Some(END_MARKER) {
         return Err(FileError::MissingEnd);
@@ -225,7 +226,8 @@
     Err(FileProblems { reported: problems, omitted })
 }
 
-/// The checksum of a file's text after the line that states it, or of all of it.
+/// Returns the checksum of the file's text after the line that states the checksum, or of the whole
+/// text if no line does.
 pub fn checksum(text: &str) -> String {
     let covered = after_checksum_line(text).unwrap_or(text);
     format!("crc32:{:08x}", crc32fast::hash(covered.as_bytes()))
@@ -236,7 +238,7 @@
     for line in text.lines() {
         let start = end;
         end += line.len() + 1;
-        // Counted as if every line ended with a bare newline, as writers of checksums do.
+        // Offsets assume that every line ends with a bare newline, as the writers of checksums do.
         let line = text.get(start..end.saturating_sub(1)).unwrap_or("").trim_start();
         if line.starts_with("checksum") || line.starts_with("\"checksum\"") {
             return text.get(end..).or(Some(""));
--- a/crates/membership/src/format/value.rs
+++ b/crates/membership/src/format/value.rs
@@ -1,4 +1,5 @@
-//! Values under keys: an endpoint's, and what a proxy publishes of itself.
+//! The values stored under the keys of a key-value store: one for each endpoint, and one that each
+//! proxy publishes about itself.
 
 use super::VERSION;
 use super::record::{AllowedNames, EndpointRecord, RecordError};
@@ -6,12 +7,12 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// The longest value: some ten times what an endpoint needs.
+/// The maximum length of a value: about ten times what an endpoint needs.
 pub const MAX_VALUE_BYTES: usize = 4096;
-/// The phase of a proxy that drains.
+/// The phase of a proxy that is draining.
 pub const LEAVING: &str = "leaving";
 
-/// A value with its version beside its fields.
+/// A value that has its format version as a field next to those of the record.
 #[derive(Deserialize, Serialize)]
 struct Versioned<T> {
     v: u64,
@@ -19,74 +20,76 @@
     record: T,
 }
 
-/// Why a value can't be read.
+/// Why a value can't be parsed.
 #[derive(Debug, thiserror::Error)]
 pub enum ValueError {
-    /// It is above [`MAX_VALUE_BYTES`].
-    #[error("a value of {0} bytes is above {MAX_VALUE_BYTES}")]
+    /// The value is longer than [`MAX_VALUE_BYTES`].
+    #[error("the value has {0} bytes, and at most {MAX_VALUE_BYTES} are allowed")]
     TooLong(usize),
-    /// It is not the expected JSON.
+    /// The value is not valid JSON of the expected structure.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A newer program wrote it.
-    #[error("version {0} is not known, only {VERSION}")]
+    /// The value has an unknown format version, as a newer program writes it.
+    #[error("version {0} is not known; this program reads version {VERSION}")]
     UnknownVersion(u64),
 }
 
-/// Why an endpoint's value can't be used.
+/// Why the value of an endpoint is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum EndpointValueError {
-    /// The value of this endpoint can't be read.
+    /// The value can't be parsed.
     #[error("{id}: {source}")]
     Value {
-        /// The endpoint.
+        /// The id of the endpoint.
         id: String,
-        /// Why it can't.
+        /// Why the value can't be parsed.
         source: ValueError,
     },
-    /// It can be read, and a field of it is invalid.
+    /// The value can be parsed, but one of its fields is invalid.
     #[error(transparent)]
     Record(#[from] RecordError),
 }
 
-/// What a proxy publishes of itself under its own key. The field names are stored data.
+/// The record that a proxy publishes about itself under its own key. The field names are stored
+/// data.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ProxyRecord {
-    /// The zone it runs in.
+    /// The zone that the proxy runs in.
     pub zone: String,
-    /// [`SERVING`](super::SERVING), or [`LEAVING`] once it drains.
+    /// [`SERVING`](super::SERVING), or [`LEAVING`] once the proxy is draining.
     pub phase: String,
-    /// Where it listens.
+    /// The address on which the proxy listens.
     pub listen: String,
 }
 
-/// The value of an endpoint's key, which holds the id.
+/// Encodes an endpoint as the value of its key. The value leaves out the id, which the key holds.
 pub fn encode_endpoint(endpoint: &ListedEndpoint) -> Vec<u8> {
     let record = EndpointRecord { id: String::new(), ..EndpointRecord::new(endpoint) };
     encode(record)
 }
 
-/// Reads the value of the key of the endpoint with this id.
+/// Parses the value stored under the key of the endpoint with this id.
 pub fn parse_endpoint(
     id: &str,
     value: &[u8],
     allowed: &AllowedNames,
 ) -> Result<ListEntry, EndpointValueError> {
-    let in_value = |source| EndpointValueError::Value { id: id.to_string(), source };
-    let parsed: Versioned<EndpointRecord> = parse(value).map_err(in_value)?;
+    let value_error = |source| EndpointValueError::Value { id: id.to_string(), source };
+    let parsed: Versioned<EndpointRecord> = parse(value).map_err(value_error)?;
     if parsed.v != VERSION {
-        return Err(in_value(ValueError::UnknownVersion(parsed.v)));
+        return Err(value_error(ValueError::UnknownVersion(parsed.v)));
     }
     let record = EndpointRecord { id: id.to_string(), ..parsed.record };
     Ok(record.into_entry(allowed)?)
 }
 
-/// The value of a proxy's own key.
+/// Encodes a proxy's record as the value of its key.
 pub fn encode_proxy(proxy: &ProxyRecord) -> Vec<u8> {
     encode(proxy)
 }
 
-/// Reads the value of a proxy's key, of whatever version: what is used of it is in all of them.
+/// Parses the value of a proxy's key. Any version is accepted, because the fields that are used
+/// exist in all versions.
 pub fn parse_proxy(value: &[u8]) -> Result<ProxyRecord, ValueError> {
     Ok(parse::<ProxyRecord>(value)?.record)
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,9 +1,10 @@
-//! Membership: which servers there are, reconciled from what a source of the endpoint list reports,
-//! and how many proxies share them.
+//! Membership: reconciles the reports of an endpoint list source into the set of servers, and
+//! determines how many proxies share these servers.
 //!
-//! No socket, file or clock enters this crate: times are passed in, texts and bytes go in and come
-//! out. It may use the balancer's plain types, serde with its formats, and crc32fast. It decides
-//! what the engine is notified of; which server a request goes to is the balancer's decision.
+//! This crate performs no I/O and reads no clock: times are passed in, and it only reads and
+//! returns text and bytes. It may depend on the balancer's plain types, serde with its formats, and
+//! crc32fast. It decides which endpoint changes the engine is notified of; the balancer decides
+//! which server a request goes to.
 
 mod endpoint;
 pub mod format;
--- a/crates/membership/src/persisted.rs
+++ b/crates/membership/src/persisted.rs
@@ -1,89 +1,89 @@
-//! The list as it was last known, for a start without any source: written whole with a checksum,
-//! and judged by its age.
+//! The last known endpoint list in its stored form, which lets a proxy start while no source is
+//! available. It carries a checksum, and its age decides whether it is used.
 //!
-//! The text is stored data. Its form must not change within version 1: the process before or after
-//! an upgrade reads it.
+//! The text is stored data. Its format must not change within version 1, because the process before
+//! or after an upgrade reads it.
 
 use crate::ListedEndpoint;
 use crate::format::{AllowedNames, EndpointValueError, encode_endpoint, parse_endpoint};
 use chalkwalk_time::{Span, Timestamp};
 use serde::{Deserialize, Serialize};
 
-/// What the text begins with; the checksum of the body follows.
+/// The start of the text; the checksum of the body follows it.
 const HEADER: &str = "chalkwalk list 1 ";
 const HOUR: Span = Span::from_secs(3_600);
-/// Most of a fleet is still where it was an hour ago.
-const FRESH_FOR: Span = HOUR;
-/// After a day a deploy has been over the whole fleet: to send requests there is worse than to
-/// report that nothing is known.
-const USABLE_FOR: Span = HOUR.times(24);
+/// Up to this age a list is fresh: most of a fleet does not change its addresses within an hour.
+const MAX_FRESH_AGE: Span = HOUR;
+/// Up to this age a list is usable. After a day, a deploy has replaced the whole fleet: sending
+/// requests to the old addresses is worse than reporting that no list is known.
+const MAX_USABLE_AGE: Span = HOUR.times(24);
 
-/// An endpoint list that is persisted.
+/// An endpoint list as it is persisted.
 #[derive(Debug, PartialEq)]
 pub struct PersistedList {
-    /// When it was written, Unix time.
+    /// When the list was written (Unix time).
     pub at: Timestamp,
-    /// The source's revision of it.
+    /// The source's revision of the list.
     pub revision: u64,
-    /// The endpoints, without those that are gone.
+    /// The endpoints, except those that are gone.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
-/// The stored form: field names and order are pinned.
+/// The stored form; the field names and their order must not change.
 #[derive(Deserialize, Serialize)]
 struct Body {
     at: Timestamp,
     revision: u64,
-    /// Each endpoint's id and its value, as under a key.
+    /// The id of each endpoint, and its value as [`encode_endpoint`] writes it.
     lines: Vec<(String, String)>,
 }
 
-/// What a persisted list is still good for.
+/// How a persisted list may be used, given its age.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// Used like any other list.
+    /// The list is used like any other list.
     Fresh,
-    /// Used until a source responds, with a warning.
+    /// The list is used until a source responds, with a warning.
     Stale,
-    /// Not used.
+    /// The list is not used.
     Expired,
 }
 
-/// Why a text is not a persisted list that can be used.
+/// Why a text can't be used as a persisted list.
 #[derive(Debug, thiserror::Error)]
 pub enum PersistedListError {
-    /// There is no first line.
-    #[error("no list, or cut short")]
+    /// The text has no complete first line.
+    #[error("the header line is missing or truncated")]
     NoHeader,
-    /// The first line is not that of a known version.
-    #[error("no list of a form that is known")]
+    /// The first line is not the header of a known version.
+    #[error("the header line is not that of a known list format")]
     UnknownFormat,
     /// The end of the body is missing.
-    #[error("cut short")]
+    #[error("the list is truncated")]
     Truncated,
-    /// The body is not what was written.
-    #[error("its checksum is another")]
+    /// The body does not match the checksum in the header.
+    #[error("the checksum does not match the list")]
     ChecksumMismatch,
     /// The body is not the expected JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// One of the endpoints can't be read.
+    /// The value of an endpoint is invalid.
     #[error(transparent)]
     Endpoint(#[from] EndpointValueError),
 }
 
 impl PersistedList {
-    /// How far the list can be trusted. One from the future is expired: one of the two clocks is
-    /// wrong.
+    /// Returns how the list may be used at this time. A list written in the future counts as
+    /// expired, because one of the two clocks must be wrong.
     pub fn freshness(&self, now: Timestamp) -> Freshness {
         match now.checked_since(self.at) {
-            Some(age) if age <= FRESH_FOR => Freshness::Fresh,
-            Some(age) if age <= USABLE_FOR => Freshness::Stale,
+            Some(age) if age <= MAX_FRESH_AGE => Freshness::Fresh,
+            Some(age) if age <= MAX_USABLE_AGE => Freshness::Stale,
             _ => Freshness::Expired,
         }
     }
 
-    /// The text to store.
+    /// Returns the text to store.
     pub fn to_text(&self) -> String {
         let line = |endpoint: &ListedEndpoint| {
             let value = String::from_utf8(encode_endpoint(endpoint)).unwrap_or_default();
@@ -95,7 +95,7 @@
         format!("{HEADER}{}\n{body}\n", checksum(&body))
     }
 
-    /// Reads a stored text; any byte that is missing or altered makes it an error.
+    /// Parses a stored text. A missing or altered byte anywhere in it is an error.
     pub fn parse(text: &str, allowed: &AllowedNames) -> Result<PersistedList, PersistedListError> {
         let (header, body) = text.split_once('\n').ok_or(PersistedListError::NoHeader)?;
         let stated = header.strip_prefix(HEADER).ok_or(PersistedListError::UnknownFormat)?;
--- a/crates/membership/src/proxy_count.rs
+++ b/crates/membership/src/proxy_count.rs
@@ -1,65 +1,68 @@
-//! How many proxies share the servers, as counted where they can see each other, in place of the
-//! configured number.
+//! The number of proxies that share the servers. Where the proxies can see each other, the observed
+//! count replaces the configured number.
 //!
-//! It must be given each observed count with its time. The rule it guards: a rise takes effect at
-//! once, a fall only once it has lasted, and neither strays far from the configured number.
+//! Every observed count must be passed in with its time. An increase takes effect immediately, a
+//! decrease only once it has lasted for a minute, and the result stays within fixed factors of the
+//! configured number.
 
 use chalkwalk_time::{Span, Timestamp};
 
-/// A fall takes effect once so many periods, the present one included, have no higher count, which
-/// is a minute at the least: a restart takes seconds, a wave of them half a minute.
-const PERIODS: usize = 7;
-const PERIOD: Span = Span::from_secs(10);
-/// The effective count is never below the configured one divided by this: a proxy that sees few
-/// others may be the one that is cut off, and what it sends to a server in slow start is at most
-/// doubled.
-const MAX_REDUCTION: u64 = 2;
-/// Nor above this many times the configured one, which would leave servers in slow start idle.
-const MAX_INCREASE: u64 = 4;
+/// A decrease takes effect once this many periods, including the current one, have no higher count.
+/// That is at least one minute: a proxy restart takes seconds, a rolling restart half a minute.
+const WINDOW_PERIODS: usize = 7;
+const PERIOD_LENGTH: Span = Span::from_secs(10);
+/// The effective count is never below the configured one divided by this factor. A proxy that sees
+/// few others may itself be partitioned from the rest; the limit ensures that it sends at most
+/// twice its share to a server in slow start.
+const MAX_REDUCTION_FACTOR: u64 = 2;
+/// The effective count is never above the configured one times this factor. A higher count would
+/// leave servers in slow start idle.
+const MAX_INCREASE_FACTOR: u64 = 4;
 
-/// The highest counts of the last minute, by periods of ten seconds.
+/// The highest counts of live proxies in the last minute, by periods of ten seconds.
 #[derive(Clone, Debug)]
 pub struct ProxyCount {
     configured: u64,
-    /// By period, the present one first; 0 where nothing was counted.
-    highest: [u64; PERIODS],
-    /// Number of the present period; 0 before the first observation.
-    period: u64,
+    /// The highest count of each period, the current one first; 0 if nothing was counted in it.
+    max_live: [u64; WINDOW_PERIODS],
+    /// Number of the current period; 0 before the first observation.
+    current_period: u64,
 }
 
 impl ProxyCount {
-    /// Starts as if the configured number had just been counted.
+    /// Creates a count as if the configured number of proxies had just been observed.
     pub fn new(configured: u64) -> ProxyCount {
         let configured = configured.max(1);
-        ProxyCount { configured, highest: [configured; PERIODS], period: 0 }
+        ProxyCount { configured, max_live: [configured; WINDOW_PERIODS], current_period: 0 }
     }
 
-    /// Records that so many proxies are live, this one included.
+    /// Records the number of live proxies, including this one.
     pub fn observe(&mut self, now: Timestamp, live: u64) {
         self.advance(now);
-        self.highest[0] = self.highest[0].max(live);
+        self.max_live[0] = self.max_live[0].max(live);
     }
 
-    /// Among how many proxies the balancer divides what the servers can do. A higher count holds at
-    /// once, a lower one after a minute; without any count for a minute it is the configured
-    /// number.
+    /// Returns the number of proxies among which the balancer divides the servers' capacity. A
+    /// higher count takes effect immediately, a lower one after a minute. If nothing was counted
+    /// for a minute, it is the configured number.
     pub fn effective(&mut self, now: Timestamp) -> u64 {
         self.advance(now);
-        let highest = self.highest.iter().copied().max().unwrap_or(0);
-        let counted = if highest == 0 { self.configured } else { highest };
-        counted.clamp(self.configured.div_ceil(MAX_REDUCTION), self.configured * MAX_INCREASE)
+        let max_live = self.max_live.iter().copied().max().unwrap_or(0);
+        let counted = if max_live == 0 { self.configured } else { max_live };
+        counted.clamp(self.configured.div_ceil(MAX_REDUCTION_FACTOR), self.configured * MAX_INCREASE_FACTOR)
     }
 
     fn advance(&mut self, now: Timestamp) {
-        let period = now.whole_periods(PERIOD);
-        let passed = period.saturating_sub(self.period).min(PERIODS as u64) as usize;
-        let first = self.period == 0;
-        self.period = period;
-        if first && passed == PERIODS {
-            // The first observation: the configured number holds for a minute more.
+        let current_period = now.whole_periods(PERIOD_LENGTH);
+        let elapsed_periods =
+            current_period.saturating_sub(self.current_period).min(WINDOW_PERIODS as u64) as usize;
+        let is_first_observation = self.current_period == 0;
+        self.current_period = current_period;
+        if is_first_observation && elapsed_periods == WINDOW_PERIODS {
+            // At the first observation the configured number stays in effect for another minute.
             return;
         }
-        self.highest.rotate_right(passed);
-        self.highest[..passed].fill(0);
+        self.max_live.rotate_right(elapsed_periods);
+        self.max_live[..elapsed_periods].fill(0);
     }
 }
--- a/crates/membership/src/reconcile.rs
+++ b/crates/membership/src/reconcile.rs
@@ -1,11 +1,12 @@
-//! What a source reports, reconciled with what it reported before. A state machine without I/O:
-//! each call returns what the engine is to be notified of and what the log is to have, and
-//! `next_deadline` when to call `tick`.
+//! Reconciles what a source reports with what it reported before. This is a state machine without
+//! I/O: each call returns the endpoint changes for the engine and the events for the log, and
+//! `next_deadline` returns when to call `tick`.
 //!
-//! Drains are always applied at once. What would take servers away unannounced, or bring drained
-//! ones back, is applied only where the source can be trusted in it: `history` decides whether a
-//! list is stale, `mass_removal` whether too much of the fleet goes at once, `flap_damping` how
-//! soon a server may return again. `endpoint_state` combines them for one endpoint.
+//! Drains are always applied immediately. Changes that would remove servers without a drain, or
+//! return drained servers to service, are applied only if the source can be trusted: `history`
+//! decides whether a list is stale, `mass_removal` whether too much of the fleet is removed at
+//! once, and `flap_damping` how soon a server may return to service again. `endpoint_state`
+//! combines these decisions for one endpoint.
 
 mod endpoint_state;
 mod flap_damping;
@@ -17,12 +18,13 @@
 pub use reconciler::{ListError, Reconciler};
 pub use update::{EndpointChange, ListUpdate, ReconcileEvent, RevisionedChange};
 
-/// Whether what a source reports last is newest.
+/// Whether the latest report of a source is also its newest state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SourceKind {
-    /// Revisions order it, so what comes later may take a drain back.
+    /// The source orders its changes by revisions, so a later change may revoke a drain.
     Revisioned,
-    /// Somebody puts it together (a file): a writer that still lists a drained server may not know
-    /// of the drain. The server is back with a new start, or where it is listed as reinstated.
+    /// A writer assembles the list (a file), and may still list a drained server as in service
+    /// because it does not know of the drain. The server returns to service only with a new process
+    /// start, or if it is listed as reinstated.
     Assembled,
 }
--- a/crates/membership/src/reconcile/endpoint_state.rs
+++ b/crates/membership/src/reconcile/endpoint_state.rs
@@ -1,5 +1,5 @@
-//! What is known of one endpoint: what its source lists, what the engine was notified of, and what
-//! it is to be notified of next.
+//! The state of one endpoint: what the source lists, what the engine was last notified of, and what
+//! the engine has to be notified of next.
 
 use super::flap_damping::{FlapDamper, ReturnDecision};
 use super::mass_removal::Absence;
@@ -8,41 +8,42 @@
 use chalkwalk_balancer::EndpointStatus;
 use chalkwalk_time::{Span, Timestamp};
 
-/// A server that is gone is remembered so long, so that no old list brings it back: ten times as
-/// long as a list is stale.
-const GONE_REMEMBERED_FOR: Span = Span::from_secs(600);
+/// How long a server that is gone is remembered, so that no old list returns it to service: ten
+/// times as long as a list counts as stale.
+const GONE_RETENTION: Span = Span::from_secs(600);
 
-/// How far the source can be trusted that a server is in service again.
+/// Determines whether the source can be trusted when it lists a server as in service again.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SourceTrust {
     pub kind: SourceKind,
-    /// Whether its list is stale: see `history`.
+    /// Whether the source's list is stale (see `history`).
     pub stale: bool,
 }
 
 /// The state of one endpoint.
 #[derive(Debug)]
 pub(super) struct EndpointState {
-    /// As the source lists it, or listed it last.
+    /// The entry in the source's list, or the last one if the endpoint is no longer listed.
     entry: ListEntry,
-    /// Whether the source lists it now.
+    /// Whether the source currently lists the endpoint.
     listed: bool,
-    /// As the engine was last notified of it.
+    /// The endpoint as the engine was last notified of it.
     published: Option<ListedEndpoint>,
-    /// The newest start that was announced to be draining.
+    /// The newest process start that was listed as draining.
     drained_start: Option<Timestamp>,
-    /// The newest start with which it was out of service, announced or missing.
+    /// The newest process start with which the server was out of service, whether it was drained or
+    /// missing from the list.
     out_of_service_start: Option<Timestamp>,
-    /// Set while it is not listed though it was in service.
+    /// Set while the endpoint is not listed although it was in service.
     pub absence: Option<Absence>,
     gone_since: Timestamp,
     flap_damper: FlapDamper,
-    /// Whether it was reported that it stays drained.
+    /// Whether the log event for a drain that is retained has been emitted.
     drain_retained: bool,
 }
 
 impl EndpointState {
-    /// An endpoint that is listed for the first time.
+    /// Creates the state of an endpoint that is listed for the first time.
     pub fn new(entry: ListEntry) -> EndpointState {
         let drained = entry.endpoint.status != EndpointStatus::Ready;
         EndpointState {
@@ -58,7 +59,7 @@
         }
     }
 
-    /// The source lists it like this.
+    /// Records the entry with which the source now lists the endpoint.
     pub fn put(&mut self, entry: ListEntry) {
         self.listed = true;
         if entry.endpoint.status != EndpointStatus::Ready {
@@ -67,13 +68,13 @@
         self.entry = entry;
     }
 
-    /// The source does not list it, at least not yet.
-    pub fn unlist(&mut self) {
+    /// Records that the source does not list the endpoint. A list that is being applied may still
+    /// contain it.
+    pub fn mark_unlisted(&mut self) {
         self.listed = false;
     }
 
-    /// Applies a drain out of a list that is rejected, unless it is of an earlier process of this
-    /// server.
+    /// Applies a drain from a rejected list, unless it refers to an earlier process of this server.
     pub fn drain(&mut self, start: Timestamp) {
         if self.is_in_service() && self.entry.endpoint.born <= start {
             self.entry.endpoint.status = EndpointStatus::Draining;
@@ -81,43 +82,43 @@
         }
     }
 
-    /// As the engine was notified of it, unless it is gone.
+    /// Returns the endpoint as the engine was last notified of it, unless it is gone.
     pub fn published(&self) -> Option<&ListedEndpoint> {
         self.published.as_ref().filter(|endpoint| endpoint.status != EndpointStatus::Gone)
     }
 
-    /// Whether the engine takes it to be in service.
+    /// Whether the engine was last notified that the endpoint is in service.
     pub fn is_in_service(&self) -> bool {
         self.published_status() == Some(EndpointStatus::Ready)
     }
 
-    /// Whether it has to be remembered.
+    /// Whether this state still has to be kept.
     pub fn is_remembered(&self, now: Timestamp) -> bool {
         let gone = self.published_status() == Some(EndpointStatus::Gone);
-        self.listed || !gone || now < self.gone_since + GONE_REMEMBERED_FOR
+        self.listed || !gone || now < self.gone_since + GONE_RETENTION
     }
 
-    /// Whether it is in service and not listed, and that is not known yet.
+    /// Whether the endpoint is in service and not listed, and no absence is recorded yet.
     pub fn is_newly_absent(&self) -> bool {
         !self.listed && self.is_in_service() && self.absence.is_none()
     }
 
-    /// An absence ends with a new entry, or with a drain.
+    /// Clears the absence if the endpoint is listed again or is draining.
     pub fn clear_ended_absence(&mut self) {
         if self.listed || self.entry.endpoint.status != EndpointStatus::Ready {
             self.absence = None;
         }
     }
 
-    /// When time alone changes its status.
+    /// When the status next changes through the passage of time alone.
     pub fn next_deadline(&self) -> Option<Timestamp> {
         let retained = self.absence.map(|absence| absence.retained_until);
         let retained = retained.filter(|_| self.is_in_service());
         retained.into_iter().chain(self.flap_damper.delayed_until()).min()
     }
 
-    /// Works out its status, and returns it if the engine is to be notified: because it changed, or
-    /// because everything is published anew.
+    /// Determines the status, and returns the endpoint if the engine has to be notified of it,
+    /// because it changed or because all endpoints are published anew.
     pub fn publish(
         &mut self,
         now: Timestamp,
@@ -150,15 +151,16 @@
         self.listed && self.entry.endpoint.status == EndpointStatus::Ready
     }
 
-    /// Whether it stays out of service though it is listed as in service: it was drained or
-    /// missing, and nothing shows that it is another process by now.
+    /// Whether the server stays out of service although it is listed as in service: it was drained
+    /// or missing, and nothing shows that it has been restarted since.
     fn stays_drained(&self, trust: SourceTrust) -> bool {
-        let same_process =
+        let is_same_process =
             |start: Option<Timestamp>| start.is_some_and(|start| self.entry.endpoint.born <= start);
-        let drain_holds =
-            trust.kind == SourceKind::Assembled && !self.entry.reinstated && same_process(self.drained_start);
-        let distrusted = trust.stale && same_process(self.out_of_service_start);
-        self.is_listed_as_ready() && (drain_holds || distrusted)
+        let drain_applies = trust.kind == SourceKind::Assembled
+            && !self.entry.reinstated
+            && is_same_process(self.drained_start);
+        let stale_list_applies = trust.stale && is_same_process(self.out_of_service_start);
+        self.is_listed_as_ready() && (drain_applies || stale_list_applies)
     }
 
     fn next_status(
@@ -185,7 +187,8 @@
         }
     }
 
-    /// Listed as in service: it is so at once, unless it comes back too often.
+    /// Returns the status of a server that is listed as in service. It enters service immediately,
+    /// unless it has returned too often.
     fn return_to_service(&mut self, now: Timestamp, events: &mut Vec<ReconcileEvent>) -> EndpointStatus {
         if self.published.is_none() || self.is_in_service() {
             return EndpointStatus::Ready;
--- a/crates/membership/src/reconcile/flap_damping.rs
+++ b/crates/membership/src/reconcile/flap_damping.rs
@@ -1,23 +1,24 @@
-//! Delays the return of a server that comes back too often: each return would move its keys, and
-//! each time it comes back in slow start.
+//! Delays a server's return to service if it returns too often. Each return moves the server's keys
+//! and puts it into slow start again.
 
 use chalkwalk_time::{Span, Timestamp};
 
-/// Returns within the window that are admitted at once; further ones wait, longer each time.
-const UNDELAYED_RETURNS: u32 = 3;
+/// The number of returns within the window that are admitted immediately. Further ones are delayed,
+/// longer each time.
+const MAX_UNDELAYED_RETURNS: u32 = 3;
 const WINDOW: Span = Span::from_secs(60);
 const FIRST_DELAY: Span = Span::from_secs(5);
-/// Five seconds doubled so often are 80.
+/// Limits the delay to 80 s: 5 s, doubled four times.
 const MAX_DOUBLINGS: u32 = 4;
 
 /// Whether a server may return to service now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReturnDecision {
-    /// It is in service.
+    /// The server returns to service now.
     Admitted,
-    /// It is listed as in service too often, and waits from now on.
+    /// The server has returned too often; its return is delayed from now on.
     NewlyDelayed,
-    /// It waits still.
+    /// The return is still delayed.
     Delayed,
 }
 
@@ -30,7 +31,7 @@
 }
 
 impl FlapDamper {
-    /// Decides on a server that was out of service and is listed as in service.
+    /// Decides whether a server that was out of service and is now listed as in service may return.
     pub fn try_return(&mut self, now: Timestamp) -> ReturnDecision {
         let newly_delayed = self.delayed_until.is_none() && self.count_return(now);
         if self.delayed_until.is_some_and(|until| now < until) {
@@ -40,30 +41,32 @@
         ReturnDecision::Admitted
     }
 
-    /// The server is no longer listed as in service: the next return is a new one.
+    /// Cancels a delayed return, because the server is no longer listed as in service. The next
+    /// return is counted anew.
     pub fn cancel_delay(&mut self) {
         self.delayed_until = None;
     }
 
-    /// When a delayed return is due.
+    /// When the delayed return is due, if there is one.
     pub fn delayed_until(&self) -> Option<Timestamp> {
         self.delayed_until
     }
 
-    /// Counts a return, and says whether it is one too many and delayed.
+    /// Counts a return, and returns whether it exceeds the limit and is delayed.
     fn count_return(&mut self, now: Timestamp) -> bool {
         if now >= self.window_start + WINDOW {
             self.returns = 0;
             self.window_start = now;
         }
         self.returns += 1;
-        if self.returns <= UNDELAYED_RETURNS {
+        if self.returns <= MAX_UNDELAYED_RETURNS {
             return false;
         }
-        let doublings = (self.returns - UNDELAYED_RETURNS - 1).min(MAX_DOUBLINGS);
+        let doublings = (self.returns - MAX_UNDELAYED_RETURNS - 1).min(MAX_DOUBLINGS);
         let until = now + FIRST_DELAY * (1 << doublings);
         self.delayed_until = Some(until);
-        // It counts as flapping until it was steady for a while after that.
+        // The window restarts after the delay: the server counts as flapping until it has been
+        // stable for a full window after its return.
         self.window_start = until;
         true
     }
--- a/crates/membership/src/reconcile/history.rs
+++ b/crates/membership/src/reconcile/history.rs
@@ -1,32 +1,32 @@
-//! The order of a source's revisions, and whether its list is stale: older than one that was known,
-//! or of another history.
+//! Tracks a source's revisions and decides whether its list is stale, which means that it is older
+//! than an earlier list or belongs to another history.
 //!
-//! While a list is stale, drains in it are applied, but nothing that is out of service comes back
-//! by it, and nothing goes because it is missing.
+//! While the list is stale, its drains are applied, but it neither returns servers to service nor
+//! removes servers that are missing from it.
 
 use chalkwalk_time::{Span, Timestamp};
 
-/// So many older lists in a row are rejected; the next one is the truth: the source has been
-/// restarted, or was restored.
-const REJECTED_OLDER_LISTS: u32 = 3;
-/// After so long a stale list is trusted like any other; longer than a deploy takes.
-const STALE_FOR: Span = Span::from_secs(60);
+/// The number of consecutive older lists that are rejected. The next one is accepted: the source
+/// has been restarted, or restored from a backup.
+const MAX_REJECTED_LISTS: u32 = 3;
+/// After this time a stale list is trusted like any other. It is longer than a deploy takes.
+const STALE_DURATION: Span = Span::from_secs(60);
 
-/// What is known of a source's revisions.
+/// The state of a source's revisions.
 #[derive(Debug, Default)]
 pub(super) struct SourceHistory {
     revision: u64,
-    /// The highest revision that was ever known of this history.
-    highest: u64,
-    older_in_a_row: u32,
-    /// Since when its revisions are below the highest, or of another history.
+    /// The highest revision seen in this history.
+    max_revision: u64,
+    consecutive_older_lists: u32,
+    /// Since when the source's revisions are below the highest, or belong to another history.
     stale_since: Option<Timestamp>,
-    /// The history is another than before: no revision ends the staleness, only time.
+    /// The source has a new history, so only time ends the staleness, and no revision does.
     history_changed: bool,
 }
 
 impl SourceHistory {
-    /// As of which revision the list is known.
+    /// The revision of the current list.
     pub fn revision(&self) -> u64 {
         self.revision
     }
@@ -36,27 +36,27 @@
         self.stale_since.is_some()
     }
 
-    /// When the list is trusted again.
+    /// When the list is trusted again, if it is stale.
     pub fn stale_until(&self) -> Option<Timestamp> {
-        self.stale_since.map(|since| since + STALE_FOR)
+        self.stale_since.map(|since| since + STALE_DURATION)
     }
 
-    /// Whether a list of this revision is older than the one that is known, and not one of several
-    /// in a row. Counts it if so.
-    pub fn rejects(&mut self, revision: u64) -> bool {
-        let rejected = revision < self.revision && self.older_in_a_row < REJECTED_OLDER_LISTS;
+    /// Returns whether to reject a list of this revision, because it is older than the current one
+    /// and not too many lists in a row were rejected before. Counts the rejection.
+    pub fn reject_if_older(&mut self, revision: u64) -> bool {
+        let rejected = revision < self.revision && self.consecutive_older_lists < MAX_REJECTED_LISTS;
         if rejected {
-            self.older_in_a_row += 1;
+            self.consecutive_older_lists += 1;
         }
         rejected
     }
 
-    /// A list of this revision is accepted. Whether it makes the state stale from now on.
+    /// Accepts a list of this revision. Returns whether the state becomes stale by it.
     pub fn accept_list(&mut self, now: Timestamp, revision: u64) -> bool {
-        self.older_in_a_row = 0;
+        self.consecutive_older_lists = 0;
         self.revision = revision;
-        if revision >= self.highest {
-            self.caught_up();
+        if revision >= self.max_revision {
+            self.mark_caught_up();
             return false;
         }
         let newly_stale = self.stale_since.is_none();
@@ -66,45 +66,45 @@
         newly_stale
     }
 
-    /// A change of this revision is accepted.
+    /// Accepts a change of this revision.
     pub fn accept_change(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
-        self.older_in_a_row = 0;
+        self.consecutive_older_lists = 0;
     }
 
-    /// All changes of a batch are accepted.
-    pub fn changes_accepted(&mut self) {
-        if self.revision >= self.highest {
-            self.caught_up();
+    /// Updates the staleness after all changes of a batch were accepted.
+    pub fn finish_changes(&mut self) {
+        if self.revision >= self.max_revision {
+            self.mark_caught_up();
         }
     }
 
-    /// Nothing changed up to this revision.
+    /// Records that there were no further changes up to this revision.
     pub fn advance_to(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
-        self.highest = self.highest.max(revision);
+        self.max_revision = self.max_revision.max(revision);
     }
 
-    /// The revisions to come are of another history.
-    pub fn restart(&mut self, now: Timestamp) {
+    /// Starts a new history, whose revisions can't be compared with earlier ones.
+    pub fn start_new_history(&mut self, now: Timestamp) {
         self.revision = 0;
-        self.highest = 0;
-        self.older_in_a_row = 0;
+        self.max_revision = 0;
+        self.consecutive_older_lists = 0;
         self.stale_since = Some(now);
         self.history_changed = true;
     }
 
-    /// Ends the staleness once its time is over.
+    /// Ends the staleness once [`STALE_DURATION`] has passed.
     pub fn tick(&mut self, now: Timestamp) {
         if self.stale_until().is_some_and(|until| now >= until) {
             self.stale_since = None;
             self.history_changed = false;
-            self.highest = self.revision;
+            self.max_revision = self.revision;
         }
     }
 
-    fn caught_up(&mut self) {
-        self.highest = self.revision;
+    fn mark_caught_up(&mut self) {
+        self.max_revision = self.revision;
         if !self.history_changed {
             self.stale_since = None;
         }
--- a/crates/membership/src/reconcile/mass_removal.rs
+++ b/crates/membership/src/reconcile/mass_removal.rs
@@ -1,35 +1,37 @@
-//! Retains servers that are missing from the list without a drain, where too much of the fleet is
+//! Retains servers that are missing from the list without a drain, if too much of the fleet is
 //! missing at once.
 
 use super::endpoint_state::EndpointState;
 use chalkwalk_time::{Span, Timestamp};
 use std::collections::BTreeMap;
 
-/// At least half of the servers gone unannounced within so long is more likely an error of the
-/// list, or of the leases behind it, than of the servers.
+/// If more than half of the servers disappear without a drain within this time, the cause is more
+/// likely a fault of the list, or of the leases behind it, than of the servers.
 const WINDOW: Span = Span::from_secs(10);
-/// It is believed after as long as an operator needs to look, or a source to mend itself.
-const RETAINED_FOR: Span = Span::from_secs(30);
-/// Of fewer servers than these no half means anything.
-const MIN_FLEET: usize = 3;
+/// After this time the removal takes effect all the same. It is long enough for an operator to
+/// investigate or for a source to recover.
+const RETENTION: Span = Span::from_secs(30);
+/// In a smaller fleet the share of missing servers says nothing.
+const MIN_FLEET_SIZE: usize = 3;
 
-/// That a server in service is no longer listed.
+/// Records that a server in service is no longer listed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Absence {
     since: Timestamp,
-    /// Until then it stays in service all the same.
+    /// The server stays in service until then.
     pub retained_until: Timestamp,
 }
 
 impl Absence {
-    /// Whether it counts for whether too many are missing at once.
+    /// Whether this absence counts towards a mass removal.
     fn is_recent(&self, now: Timestamp) -> bool {
         now < (self.since + WINDOW).max(self.retained_until)
     }
 }
 
-/// Marks servers in service that are no longer listed: they go at once, or are retained while the
-/// list is stale or a mass removal is suspected. Whether new ones make up such a suspicion.
+/// Marks servers in service that are no longer listed. They are removed immediately, or retained
+/// while the list is stale or a mass removal is suspected. Returns whether newly absent servers
+/// raise such a suspicion.
 pub(super) fn mark_absent(
     endpoints: &mut BTreeMap<String, EndpointState>,
     now: Timestamp,
@@ -42,7 +44,7 @@
     let suspected = is_mass_removal(endpoints, now, newly_absent);
     let retained_until = match stale_until {
         Some(until) => until,
-        None if suspected => now + RETAINED_FOR,
+        None if suspected => now + RETENTION,
         None => now,
     };
     for endpoint in endpoints.values_mut().filter(|endpoint| endpoint.is_newly_absent()) {
@@ -59,5 +61,5 @@
     let recently_gone =
         endpoints.values().filter(is_recent).filter(|endpoint| !endpoint.is_in_service()).count();
     let fleet = in_service + recently_gone;
-    fleet >= MIN_FLEET && (newly_absent + recently_absent) * 2 > fleet
+    fleet >= MIN_FLEET_SIZE && (newly_absent + recently_absent) * 2 > fleet
 }
--- a/crates/membership/src/reconcile/reconciler.rs
+++ b/crates/membership/src/reconcile/reconciler.rs
@@ -9,57 +9,58 @@
 use chalkwalk_time::Timestamp;
 use std::collections::BTreeMap;
 
-/// Endpoints that are remembered at most: a full list, and as many that are gone.
+/// The maximum number of endpoints that are remembered: a full list, and as many that are gone.
 const MAX_REMEMBERED: usize = 2 * MAX_ENDPOINTS;
 
 /// Why a list is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ListError {
-    /// It is above [`MAX_ENDPOINTS`].
-    #[error("a list of {0} caches is above {MAX_ENDPOINTS}")]
+    /// The list has more than [`MAX_ENDPOINTS`] entries.
+    #[error("the list has {0} caches, and at most {MAX_ENDPOINTS} are allowed")]
     TooLong(usize),
-    /// A newer one is known.
-    #[error("an old list, {revision} after {known}")]
+    /// The list is older than the current one.
+    #[error("outdated list: revision {revision} is older than the current revision {current_revision}")]
     Outdated {
-        /// That of the rejected list.
+        /// The revision of the rejected list.
         revision: u64,
-        /// As of which the list is known.
-        known: u64,
+        /// The revision of the current list.
+        current_revision: u64,
     },
 }
 
-/// The state of one source's list.
+/// Reconciles the lists and changes that one source reports.
 #[derive(Debug)]
 pub struct Reconciler {
-    source: SourceKind,
+    source_kind: SourceKind,
     endpoints: BTreeMap<String, EndpointState>,
-    /// Whether a list was accepted.
+    /// Whether a list has been accepted.
     has_list: bool,
     history: SourceHistory,
 }
 
 impl Reconciler {
-    /// A source that has not reported anything yet.
-    pub fn new(source: SourceKind) -> Reconciler {
+    /// Creates a reconciler for a source that has not reported anything yet.
+    pub fn new(source_kind: SourceKind) -> Reconciler {
         let history = SourceHistory::default();
-        Reconciler { source, endpoints: BTreeMap::new(), has_list: false, history }
+        Reconciler { source_kind, endpoints: BTreeMap::new(), has_list: false, history }
     }
 
-    /// The source's history is another from now on, as where a cluster was restored from a backup:
-    /// its revisions can't be compared with the earlier ones, and its list is stale for a while.
+    /// Records that the source has a new history, for example after a cluster was restored from a
+    /// backup. Its revisions can't be compared with the earlier ones, and its list counts as stale
+    /// for a while.
     pub fn history_changed(&mut self, now: Timestamp) {
         if self.has_list {
-            self.history.restart(now);
+            self.history.start_new_history(now);
         }
     }
 
-    /// As of which revision it has the list.
+    /// The revision of the current list.
     pub fn revision(&self) -> u64 {
         self.history.revision()
     }
 
-    /// Applies the whole list as of a revision. On an error nothing of it is applied but drains,
-    /// which `tick` publishes.
+    /// Applies a full list of the given revision. If the list is outdated, only its drains are
+    /// applied, and the next `tick` publishes them.
     pub fn apply_list(
         &mut self,
         now: Timestamp,
@@ -69,9 +70,9 @@
         if entries.len() > MAX_ENDPOINTS {
             return Err(ListError::TooLong(entries.len()));
         }
-        if self.history.rejects(revision) {
+        if self.history.reject_if_older(revision) {
             self.apply_drains(&entries);
-            return Err(ListError::Outdated { revision, known: self.history.revision() });
+            return Err(ListError::Outdated { revision, current_revision: self.history.revision() });
         }
         let mut update = ListUpdate { replaces_all: !self.has_list, ..ListUpdate::default() };
         self.has_list = true;
@@ -79,7 +80,7 @@
             update.events.push(ReconcileEvent::StaleListAccepted);
         }
         self.expire(now);
-        self.endpoints.values_mut().for_each(EndpointState::unlist);
+        self.endpoints.values_mut().for_each(EndpointState::mark_unlisted);
         for entry in entries {
             self.put(entry);
         }
@@ -87,15 +88,15 @@
         Ok(update)
     }
 
-    /// Applies changes in order; what is not newer than what is known is ignored.
+    /// Applies changes in order; those that are not newer than the current revision are ignored.
     pub fn apply_changes(&mut self, now: Timestamp, changes: Vec<RevisionedChange>) -> ListUpdate {
         let mut update = ListUpdate::default();
         self.expire(now);
-        // Changes of one revision came about together: compared with the revision before all of
-        // them.
-        let known = self.history.revision();
+        // Several changes may share a revision, so each is compared with the revision before the
+        // batch.
+        let current_revision = self.history.revision();
         for RevisionedChange { revision, change } in changes {
-            if revision <= known {
+            if revision <= current_revision {
                 continue;
             }
             self.history.accept_change(revision);
@@ -104,28 +105,29 @@
                 EndpointChange::Put(_) => update.events.push(ReconcileEvent::EndpointLimitReached),
                 EndpointChange::Removed(id) => {
                     if let Some(endpoint) = self.endpoints.get_mut(&id) {
-                        endpoint.unlist();
+                        endpoint.mark_unlisted();
                     }
                 }
             }
         }
-        self.history.changes_accepted();
+        self.history.finish_changes();
         self.publish(now, &mut update);
         update
     }
 
-    /// There are no further changes up to this revision, as a progress notification says.
+    /// Records that there are no further changes up to this revision, as a progress notification
+    /// reports.
     pub fn advance_to(&mut self, revision: u64) {
         self.history.advance_to(revision);
     }
 
-    /// When `tick` has something to do.
+    /// When `tick` next has to be called, if at all.
     pub fn next_deadline(&self) -> Option<Timestamp> {
-        let of_endpoints = self.endpoints.values().filter_map(EndpointState::next_deadline);
-        of_endpoints.chain(self.history.stale_until()).min()
+        let endpoint_deadlines = self.endpoints.values().filter_map(EndpointState::next_deadline);
+        endpoint_deadlines.chain(self.history.stale_until()).min()
     }
 
-    /// What time alone changes.
+    /// Applies the changes that are due through the passage of time alone.
     pub fn tick(&mut self, now: Timestamp) -> ListUpdate {
         let mut update = ListUpdate::default();
         self.expire(now);
@@ -133,18 +135,18 @@
         update
     }
 
-    /// The list as the engine was notified of it, without what is gone.
+    /// Returns the endpoints as the engine was last notified of them, except those that are gone.
     pub fn endpoints(&self) -> Vec<ListedEndpoint> {
         self.endpoints.values().filter_map(EndpointState::published).cloned().collect()
     }
 
-    /// A stale list is trusted in the end, and what is long gone is forgotten.
+    /// Ends the list's staleness and forgets endpoints that are gone, once their time is over.
     fn expire(&mut self, now: Timestamp) {
         self.history.tick(now);
         self.endpoints.retain(|_, endpoint| endpoint.is_remembered(now));
     }
 
-    /// Drains hold out of whatever list.
+    /// Applies the drains of a rejected list: a drain is valid whichever list it is in.
     fn apply_drains(&mut self, entries: &[ListEntry]) {
         let drained = entries.iter().map(|entry| &entry.endpoint);
         for drained in drained.filter(|endpoint| endpoint.status == EndpointStatus::Draining) {
@@ -165,7 +167,7 @@
         if mark_absent(&mut self.endpoints, now, self.history.stale_until()) {
             update.events.push(ReconcileEvent::MassRemovalSuspected);
         }
-        let trust = SourceTrust { kind: self.source, stale: self.history.is_stale() };
+        let trust = SourceTrust { kind: self.source_kind, stale: self.history.is_stale() };
         for endpoint in self.endpoints.values_mut() {
             let published = endpoint.publish(now, trust, update.replaces_all, &mut update.events);
             update.endpoints.extend(published);
--- a/crates/membership/src/reconcile/update.rs
+++ b/crates/membership/src/reconcile/update.rs
@@ -1,59 +1,61 @@
-//! What goes into the reconciler and what comes out of it.
+//! The input and output types of the reconciler.
 
 use crate::{ListEntry, ListedEndpoint};
 
-/// A change of one endpoint.
+/// A change to one endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointChange {
-    /// It is listed, anew or in another state.
+    /// The endpoint is newly listed, or listed in another state.
     Put(ListEntry),
     /// The endpoint with this id is no longer listed.
     Removed(String),
 }
 
-/// A change with the revision of the source that it made.
+/// A change with the source's revision that it created.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RevisionedChange {
-    /// Several changes of one revision came about together.
+    /// The revision. Several changes may share one, because the source made them together.
     pub revision: u64,
     /// What changed.
     pub change: EndpointChange,
 }
 
-/// What the engine is to be notified of.
+/// The changes that the engine has to be notified of.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ListUpdate {
-    /// Endpoints that are new or in another state.
+    /// Endpoints that are new or whose state changed.
     pub endpoints: Vec<ListedEndpoint>,
-    /// The first list of this source: whatever else was known is void.
+    /// Whether this is the first list of the source, which replaces all endpoints known before.
     pub replaces_all: bool,
-    /// What the log is to have.
+    /// The events to log.
     pub events: Vec<ReconcileEvent>,
 }
 
-/// What an operator may want to know of a decision.
+/// A decision of the reconciler that is logged for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReconcileEvent {
-    /// Several lists in a row were older than the one before: they are accepted, as stale.
+    /// Several consecutive lists were older than the current one, so the last of them is accepted
+    /// and treated as stale.
     StaleListAccepted,
-    /// There are too many endpoints to take in another one.
+    /// A new endpoint was ignored because the maximum number of endpoints is reached.
     EndpointLimitReached,
-    /// Too much of the fleet is missing at once; it is retained for a while.
+    /// Too much of the fleet is missing at once; the missing servers are retained for a while.
     MassRemovalSuspected,
-    /// A drained server is listed as in service again, without a new start.
+    /// A drained server is listed as in service again without a new process start, and stays
+    /// drained.
     DrainRetained {
-        /// The server.
+        /// The id of the server.
         id: String,
     },
-    /// A server returned to service too often.
+    /// A server returned to service too often, and its return is delayed.
     FlapDamped {
-        /// The server.
+        /// The id of the server.
         id: String,
     },
 }
 
 impl ReconcileEvent {
-    /// The event's name in the log.
+    /// The message of the log event.
     pub fn message(&self) -> &'static str {
         match self {
             ReconcileEvent::StaleListAccepted => "older list accepted, treated as stale",
@@ -64,7 +66,7 @@
         }
     }
 
-    /// The endpoint that it is about, if it is about a single one.
+    /// The id of the endpoint that the event refers to, if it refers to a single one.
     pub fn endpoint_id(&self) -> Option<&str> {
         match self {
             ReconcileEvent::DrainRetained { id } | ReconcileEvent::FlapDamped { id } => Some(id),
--- a/crates/membership/tests/format.rs
+++ b/crates/membership/tests/format.rs
@@ -1,4 +1,5 @@
-//! Values under keys and files: what is rejected and why, and that what is written parses back.
+//! The formats of stored values and list files: what is rejected with which error, and that encoded
+//! endpoints round-trip.
 
 use chalkwalk_balancer::EndpointStatus;
 use chalkwalk_membership::format::{
@@ -32,18 +33,18 @@
 }
 
 #[test]
-fn everything_wrong_with_a_file_is_reported_at_once() {
-    let with = |from: &str, to: &str| VALID.replace(from, to);
+fn all_problems_of_a_file_are_reported_together() {
+    let replaced = |from: &str, to: &str| VALID.replace(from, to);
     let files = [
         VALID.to_string(),
-        with("version = 1", "version = 2"),
-        with("zone = \"s\"", "zone = \"moon\"\nkind = \"kettle\""),
-        with("\"b\"", "\"a\"").replace("127.0.0.1:2", "127.0.0.1:1"),
-        with("draining", "tired").replace("127.0.0.1:1\"", "nowhere\""),
-        with("state = \"serving\"", "staet = \"serving\""),
-        with("[end]\n", ""),
-        with("serial = 7", "checksum = \"crc32:00000000\""),
-        with("id = \"a\"", "id = \"\""),
+        replaced("version = 1", "version = 2"),
+        replaced("zone = \"s\"", "zone = \"moon\"\nkind = \"kettle\""),
+        replaced("\"b\"", "\"a\"").replace("127.0.0.1:2", "127.0.0.1:1"),
+        replaced("draining", "tired").replace("127.0.0.1:1\"", "nowhere\""),
+        replaced("state = \"serving\"", "staet = \"serving\""),
+        replaced("[end]\n", ""),
+        replaced("serial = 7", "checksum = \"crc32:00000000\""),
+        replaced("id = \"a\"", "id = \"\""),
         "{\"version\": 1, \"cache\": [{\"id\": \"a\"".into(),
     ];
     let reports = files.map(|text| match parse_file(&text, &allowed()) {
@@ -54,25 +55,26 @@
         Some(7), 2 caches
         version 2 is not known; this program reads version 1
         cache 2: b: the settings have no zone "moon"
-        cache 2: the id a is there twice
-        cache 2: the address 127.0.0.1:1 is there twice
+        cache 2: the id a is already used by an earlier entry
+        cache 2: the address 127.0.0.1:1 is already used by an earlier entry
         cache 1: a: addr is an address and a port, not "nowhere"
         cache 2: b: state is serving or draining, not "tired"
         line 7: unknown field `staet`, expected one of `id`, `addr`, `zone`, `kind`, `cell`, `weight`, `state`, `started_ms`, `back`
         it does not end with [end]: it may have been cut short
-        its checksum is crc32:9dcfd43f, and crc32:00000000 is stated
-        cache 1: an id has 1 to 256 bytes, and no control characters
+        checksum mismatch: the file states crc32:00000000, but its content has crc32:9dcfd43f
+        cache 1: an id must have 1 to 256 bytes and no control characters
         EOF while parsing an object at line 1 column 35
     "#]]
     .assert_eq(&reports.concat());
-    let sealed = VALID.replace("serial = 7", "checksum = \"\"");
-    let sealed = sealed.replace("checksum = \"\"", &format!("checksum = \"{}\"", checksum(&sealed)));
-    assert!(parse_file(&sealed, &allowed()).is_ok());
-    assert!(parse_file(&sealed.replace("127.0.0.1:2", "127.0.0.1:3"), &allowed()).is_err());
+    let with_checksum = VALID.replace("serial = 7", "checksum = \"\"");
+    let with_checksum =
+        with_checksum.replace("checksum = \"\"", &format!("checksum = \"{}\"", checksum(&with_checksum)));
+    assert!(parse_file(&with_checksum, &allowed()).is_ok());
+    assert!(parse_file(&with_checksum.replace("127.0.0.1:2", "127.0.0.1:3"), &allowed()).is_err());
 }
 
 #[test]
-fn a_file_that_is_cut_short_anywhere_is_rejected() {
+fn a_file_truncated_at_any_byte_is_rejected() {
     let json = r#"{"version":1,"cache":[{"id":"a","addr":"127.0.0.1:1","zone":"n","state":"serving"}]}"#;
     for text in [VALID.trim_end(), json] {
         assert!(parse_file(text, &allowed()).is_ok());
@@ -89,32 +91,31 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever stands under a key or in a file, or whatever a valid one is turned into, nothing
-    /// panics.
+    /// Parsing arbitrary bytes, or a valid file with one altered byte, never panics.
     #[test]
     fn any_bytes_are_parsed_or_rejected(
         noise in proptest::collection::vec(any::<u8>(), 0..200),
-        at in 0usize..200,
-        with in any::<u8>(),
+        position in 0usize..200,
+        replacement in any::<u8>(),
     ) {
         _ = parse_endpoint("a", &noise, &allowed());
         _ = parse_proxy(&noise);
         let mut bytes = VALID.as_bytes().to_vec();
-        bytes[at % VALID.len()] = with;
+        bytes[position % VALID.len()] = replacement;
         for text in [String::from_utf8_lossy(&noise), String::from_utf8_lossy(&bytes)] {
             _ = parse_file(&text, &allowed());
         }
     }
 
     #[test]
-    fn an_encoded_endpoint_parses_back(
+    fn an_encoded_endpoint_round_trips(
         port in any::<u16>(),
         cell in any::<u64>(),
         size in 1u64..1_000_000,
         born in 0u64..1 << 50,
-        off in any::<bool>(),
+        draining in any::<bool>(),
     ) {
-        let status = if off { EndpointStatus::Draining } else { EndpointStatus::Ready };
+        let status = if draining { EndpointStatus::Draining } else { EndpointStatus::Ready };
         let addr = std::net::SocketAddr::from(([127, 0, 0, 1], port));
         let endpoint = ListedEndpoint {
             id: "a/b".into(),
--- a/crates/membership/tests/helper/mod.rs
+++ b/crates/membership/tests/helper/mod.rs
@@ -1,19 +1,19 @@
-//! Lists and changes in few words.
+//! Short constructors for list entries and changes.
 
 use chalkwalk_balancer::EndpointStatus;
 use chalkwalk_membership::reconcile::{EndpointChange, RevisionedChange};
 use chalkwalk_membership::{ListEntry, ListedEndpoint};
 use chalkwalk_time::Timestamp;
 
-/// A second, in ticks: the tests count in them.
+/// One second in ticks, the unit of the times in these tests.
 pub const S: u64 = 10_000;
 
-/// So many ticks after the beginning.
+/// The timestamp this many ticks after zero.
 pub fn at(ticks: u64) -> Timestamp {
     Timestamp::from_ticks(ticks)
 }
 
-/// An endpoint of the process that started then.
+/// An endpoint whose process started at `born` ticks.
 pub fn endpoint(id: &str, status: EndpointStatus, born: u64) -> ListedEndpoint {
     let addr = "127.0.0.1:3000".parse().unwrap();
     ListedEndpoint {
@@ -28,22 +28,22 @@
     }
 }
 
-/// An entry in service.
+/// An entry of a server in service.
 pub fn ready(id: &str, born: u64) -> ListEntry {
     endpoint(id, EndpointStatus::Ready, born).into()
 }
 
-/// An entry that drains.
+/// An entry of a draining server.
 pub fn draining(id: &str, born: u64) -> ListEntry {
     endpoint(id, EndpointStatus::Draining, born).into()
 }
 
-/// An endpoint is listed as of a revision.
+/// A change that lists an endpoint as of a revision.
 pub fn put(revision: u64, entry: ListEntry) -> RevisionedChange {
     RevisionedChange { revision, change: EndpointChange::Put(entry) }
 }
 
-/// An endpoint is no longer listed as of a revision.
+/// A change that removes an endpoint as of a revision.
 pub fn removed(revision: u64, id: &str) -> RevisionedChange {
     RevisionedChange { revision, change: EndpointChange::Removed(id.into()) }
 }
--- a/crates/membership/tests/persisted.rs
+++ b/crates/membership/tests/persisted.rs
@@ -1,4 +1,4 @@
-//! The persisted list's stored form and its age.
+//! The stored form of a persisted list, and its freshness by age.
 
 use chalkwalk_balancer::EndpointStatus;
 use chalkwalk_membership::ListedEndpoint;
@@ -9,7 +9,7 @@
 const HOUR: Span = Span::from_secs(3_600);
 
 #[test]
-fn a_list_parses_back_unless_any_byte_is_missing_or_altered() {
+fn a_list_round_trips_and_any_missing_or_altered_byte_is_rejected() {
     let endpoint = |id: &str, status| ListedEndpoint {
         id: id.into(),
         addr: "127.0.0.1:3000".parse().unwrap(),
--- a/crates/membership/tests/proxy_count.rs
+++ b/crates/membership/tests/proxy_count.rs
@@ -1,10 +1,10 @@
-//! Counts of live proxies over time, and what is made of them.
+//! The effective proxy count that results from counts of live proxies over time.
 
 use chalkwalk_membership::proxy_count::ProxyCount;
 use chalkwalk_time::{Span, Timestamp};
 
 #[test]
-fn a_rise_takes_effect_at_once_a_fall_after_a_minute_and_without_counts_the_configured_number() {
+fn an_increase_takes_effect_immediately_a_decrease_after_a_minute_and_no_count_means_the_configured_number() {
     let mut count = ProxyCount::new(20);
     let start = Timestamp::from_ticks(17_000_000_000_000);
     let mut at = |seconds: u64, live: Option<u64>| {
@@ -14,13 +14,13 @@
         }
         count.effective(now)
     };
-    // Half of the fleet is gone for a moment, then for good.
+    // Half of the fleet is missing for a moment, then permanently.
     let counts = [at(0, Some(20)), at(5, Some(10)), at(40, Some(14)), at(45, Some(24))];
     assert_eq!(counts, [20, 20, 20, 24]);
     let counts = [at(90, Some(14)), at(104, Some(14)), at(106, Some(14)), at(111, Some(14))];
     assert_eq!(counts, [24, 24, 24, 14]);
-    // Nobody counts any more: the configured number. Then the proxy sees itself alone: half of
-    // that, after a minute.
+    // Without further counts, the configured number takes effect. Then the proxy sees only itself,
+    // and half of the configured number takes effect after a minute.
     assert_eq!([at(170, None), at(185, None)], [14, 20]);
     assert_eq!([at(190, Some(1)), at(250, Some(1)), at(300, Some(500))], [10, 10, 80]);
 }
--- a/crates/membership/tests/reconcile.rs
+++ b/crates/membership/tests/reconcile.rs
@@ -1,4 +1,4 @@
-//! What a source reports in whatever order, and what the engine is notified of.
+//! What the engine is notified of, for sequences of lists and changes that a source reports.
 
 mod helper;
 
@@ -7,7 +7,7 @@
 use expect_test::expect;
 use helper::{S, at, draining, put, ready, removed};
 
-/// A reconciler, and a trace of its updates.
+/// A reconciler with a textual trace of its updates.
 struct Trace {
     reconciler: Reconciler,
     text: String,
@@ -46,7 +46,7 @@
         self.record(now, update);
     }
 
-    /// Lets time pass until the next deadline, and returns it.
+    /// Advances the time to the next deadline, and returns this deadline.
     fn tick_when_due(&mut self) -> u64 {
         let due = self.reconciler.next_deadline().expect("something is due").ticks();
         self.tick(due);
@@ -55,10 +55,11 @@
 }
 
 #[test]
-fn a_drain_in_one_batch_with_returns_is_taken_in_order() {
+fn drains_and_returns_in_one_batch_are_applied_in_order() {
     let mut trace = Trace::new(SourceKind::Revisioned);
     trace.list(0, 5, vec![ready("a", 1), draining("b", 1), ready("c", 1), ready("d", 1)]);
-    // a drains while b returns; c drains and is back as another process; d is gone and back.
+    // a is drained while b returns; c is drained and returns as a new process; d is removed and
+    // listed again.
     trace.changes(
         S,
         vec![
@@ -70,7 +71,7 @@
             put(9, ready("d", 1)),
         ],
     );
-    // Delivered again after a resume: nothing new.
+    // Changes that are delivered again after a resumed watch have no effect.
     trace.changes(2 * S, vec![put(6, ready("a", 1)), put(9, ready("c", 9))]);
     expect![[r#"
           0 s whole a:Ready@1 b:Draining@1 c:Ready@1 d:Ready@1
@@ -81,19 +82,19 @@
 }
 
 #[test]
-fn an_old_list_brings_nothing_back_and_takes_nothing_away() {
+fn an_old_list_neither_returns_nor_removes_servers() {
     let mut trace = Trace::new(SourceKind::Revisioned);
     trace.list(0, 10, vec![ready("a", 1), draining("b", 1), ready("c", 1), ready("d", 1)]);
-    // A state of before b's drain and d's start; b as another process is another matter.
+    // The old list is of the time before b's drain and d's start. A new process of b does return.
     let old = || vec![ready("a", 1), ready("b", 1), ready("c", 1)];
     (1..5).for_each(|i| trace.list(i * S, 4, old()));
     trace.changes(6 * S, vec![put(5, ready("b", 7))]);
     assert_eq!(trace.tick_when_due(), 64 * S);
     expect![[r#"
         0 s whole a:Ready@1 b:Draining@1 c:Ready@1 d:Ready@1
-        1 s an old list, 4 after 10
-        2 s an old list, 4 after 10
-        3 s an old list, 4 after 10
+        1 s outdated list: revision 4 is older than the current revision 10
+        2 s outdated list: revision 4 is older than the current revision 10
+        3 s outdated list: revision 4 is older than the current revision 10
         4 s (older list accepted, treated as stale ) (listed as in service but stays drained b)
         6 s b:Ready@7
         64 s d:Gone@1
@@ -102,20 +103,21 @@
 }
 
 #[test]
-fn another_history_is_stale_whatever_its_revisions_and_drains_of_a_rejected_list_hold() {
+fn a_new_history_is_stale_at_any_revision_and_drains_of_a_rejected_list_apply() {
     let mut trace = Trace::new(SourceKind::Revisioned);
     trace.list(0, 10, vec![ready("a", 1), draining("b", 1), ready("c", 1), ready("d", 3)]);
-    // Rejected as old, and yet a drain is a drain; but not that of d's process before.
+    // The list is rejected as outdated, but its drain of c applies; that of d is of an earlier
+    // process of d, and does not.
     trace.list(S, 8, vec![ready("a", 1), ready("b", 1), draining("c", 1), draining("d", 2)]);
     trace.tick(S);
-    // Restored from a backup, and by now past the revision that was known.
+    // The source was restored from a backup, and its revision is already above the known one.
     trace.reconciler.history_changed(at(2 * S));
     trace.list(2 * S, 30, vec![ready("a", 1), ready("b", 1), draining("c", 1)]);
     trace.changes(3 * S, vec![put(31, draining("a", 1)), put(32, ready("b", 2))]);
     assert_eq!(trace.tick_when_due(), 62 * S);
     expect![[r#"
         0 s whole a:Ready@1 b:Draining@1 c:Ready@1 d:Ready@3
-        1 s an old list, 8 after 10
+        1 s outdated list: revision 8 is older than the current revision 10
         1 s c:Draining@1
         2 s (listed as in service but stays drained b)
         3 s a:Draining@1 b:Ready@2
@@ -125,13 +127,13 @@
 }
 
 #[test]
-fn a_file_that_still_lists_a_drained_server_does_not_bring_it_back() {
+fn a_file_that_still_lists_a_drained_server_does_not_return_it_to_service() {
     let mut trace = Trace::new(SourceKind::Assembled);
     trace.list(0, 1, vec![ready("a", 1), ready("b", 0)]);
     trace.list(S, 2, vec![draining("a", 1), draining("b", 0)]);
     trace.list(2 * S, 3, vec![ready("a", 1), ready("b", 0)]);
     trace.list(3 * S, 4, vec![ready("a", 5), ListEntry { reinstated: true, ..ready("b", 0) }]);
-    // Gone by the file and back without a drain: that is what its writer wants.
+    // The file removes a and lists it again without a drain: this is what its writer intends.
     trace.list(4 * S, 5, vec![ready("b", 0)]);
     trace.list(5 * S, 6, vec![ready("a", 5), ready("b", 0)]);
     expect![[r#"
@@ -146,7 +148,7 @@
 }
 
 #[test]
-fn a_mass_removal_is_held_back_for_a_while_and_drains_in_it_hold() {
+fn a_mass_removal_is_delayed_and_drains_during_it_apply() {
     let all = || ["a", "b", "c", "d"].map(|id| ready(id, 1)).to_vec();
     let mut trace = Trace::new(SourceKind::Revisioned);
     trace.list(0, 1, all());
@@ -154,13 +156,14 @@
     trace.changes(2 * S, vec![put(3, ready("a", 1))]);
     trace.changes(3 * S, vec![put(4, draining("b", 1))]);
     assert_eq!(trace.tick_when_due(), 31 * S);
-    // One at a time, as leases run out: the third within ten seconds is one too many.
+    // Servers disappear one at a time, as when leases expire: the third within ten seconds raises
+    // the suspicion.
     trace.list(100 * S, 5, all());
     for (i, id) in ["a", "b", "c"].iter().enumerate() {
         trace.changes((110 + i as u64) * S, vec![removed(6 + i as u64, id)]);
     }
     trace.list(120 * S, 9, all());
-    // Drained before, all may go at once.
+    // Servers that were drained first may all be removed at once.
     trace.list(200 * S, 10, ["a", "b", "c", "d"].map(|id| draining(id, 1)).to_vec());
     trace.list(201 * S, 11, vec![]);
     expect![[r#"
@@ -181,7 +184,7 @@
 }
 
 #[test]
-fn a_flapping_server_returns_later_each_time_and_goes_at_once() {
+fn a_flapping_server_returns_with_growing_delays_and_drains_immediately() {
     let mut trace = Trace::new(SourceKind::Revisioned);
     trace.list(0, 1, vec![ready("a", 1), ready("b", 1)]);
     for i in 1..=5 {
@@ -189,7 +192,7 @@
         trace.changes((2 * i + 1) * S, vec![put(10 * i + 1, ready("a", i + 1))]);
     }
     assert_eq!(trace.tick_when_due(), 21 * S);
-    // Steady for long: it is as any other.
+    // After being stable for long, the server is treated like any other.
     trace.changes(200 * S, vec![put(100, draining("a", 6))]);
     trace.changes(201 * S, vec![put(101, ready("a", 7))]);
     expect![[r#"
--- a/crates/membership/tests/reconcile_any_order.rs
+++ b/crates/membership/tests/reconcile_any_order.rs
@@ -1,4 +1,5 @@
-//! Changes in whatever batches, with whatever breaks, old lists and repeats between.
+//! Property test: changes in arbitrary batches, interleaved with full lists, old lists and
+//! redeliveries.
 
 mod helper;
 
@@ -13,15 +14,15 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// So many of the source's changes, in one batch.
+    /// The next changes of the source in one batch of this size.
     Batch(usize),
-    /// A break: the whole list as of now.
+    /// The current full list, as after a lost connection.
     List,
-    /// The whole list of so many revisions ago.
+    /// The full list of this many revisions ago.
     OldList(u64),
-    /// A resume that delivers so many changes again.
+    /// A resumed watch that delivers this many changes again.
     Redelivery(usize),
-    /// So many ticks pass.
+    /// This many ticks pass.
     Wait(u64),
 }
 
@@ -49,15 +50,15 @@
         ..ProptestConfig::default()
     })]
 
-    /// The same changes in whatever batches, with whatever breaks, old lists and repeats between,
-    /// end in the source's own list, and at no moment is a server in service whose newest known
-    /// state is a drain.
+    /// Whatever the order and batches in which changes, full lists, old lists and redeliveries
+    /// arrive, the result is the source's own list, and a server whose newest known state is a
+    /// drain is never in service.
     #[test]
-    fn any_order_ends_in_the_same_list_and_never_serves_a_drained_server(
+    fn any_order_converges_to_the_source_list_and_never_serves_a_drained_server(
         events in proptest::collection::vec(event(), 1..40),
         steps in proptest::collection::vec(step(), 1..40),
     ) {
-        // The source's history: its state after each revision, and the changes between.
+        // The source's history: its state after each revision, and the changes between the states.
         let mut states = vec![State::new()];
         let mut changes = Vec::new();
         for (i, (server, kind)) in events.iter().enumerate() {
@@ -83,9 +84,9 @@
         };
         let mut reconciler = Reconciler::new(SourceKind::Revisioned);
         let mut now = at(S);
-        // The revision that was delivered last, and the highest so far.
+        // The last delivered revision, and the highest one so far.
         let mut delivered = 0;
-        let mut highest = 0;
+        let mut max_delivered = 0;
         let mut view = State::new();
         let mut apply = |update: &ListUpdate| {
             if update.replaces_all {
@@ -111,7 +112,7 @@
                 Step::OldList(by) => {
                     let old = delivered.saturating_sub(by as usize);
                     let update = reconciler.apply_list(now, old as u64, list(old));
-                    // Once it is accepted, the source goes on from there.
+                    // If the old list is accepted, the source continues from its revision.
                     delivered = if update.is_ok() { old } else { delivered };
                     update.unwrap_or_default()
                 }
@@ -124,17 +125,17 @@
                     reconciler.tick(now)
                 }
             };
-            highest = highest.max(delivered);
+            max_delivered = max_delivered.max(delivered);
             let view = apply(&update);
-            for (id, endpoint) in &states[highest] {
+            for (id, endpoint) in &states[max_delivered] {
                 let in_service = view.get(id).is_some_and(|seen| seen.status == EndpointStatus::Ready);
                 prop_assert!(
                     endpoint.status == EndpointStatus::Ready || !in_service,
-                    "{id} is drained at revision {highest}, and in service"
+                    "{id} is drained at revision {max_delivered}, but in service"
                 );
             }
         }
-        // Everything is delivered in the end, and time passes.
+        // Finally everything is delivered, and time passes until nothing is due.
         let last = changes.len();
         let mut view = apply(&reconciler.apply_list(now, last as u64, list(last)).unwrap());
         for _ in 0..200 {
