--- a/crates/discovery/src/call.rs
+++ b/crates/discovery/src/call.rs
@@ -33,7 +33,7 @@
     NotConnected(std::io::Error),
     #[error("cannot send the request: {0}")]
     NotWritten(std::io::Error),
-    #[error("the connection ended before a response")]
+    #[error("no response could be read")]
     NoResponse,
     #[error("unexpected status {0}")]
     Status(u16),
@@ -84,7 +84,7 @@
     }
 
     /// The time since the call was started.
-    pub fn took(&self) -> Span {
+    pub fn elapsed(&self) -> Span {
         Span::from(self.started_at.elapsed())
     }
 }
@@ -98,8 +98,8 @@
             result => return result,
         }
     }
-    // An unreachable machine never accepts the connection; a reachable one accepts it sooner than
-    // the longest time for which it lets a call wait.
+    // Connecting has a timeout of its own: an unreachable machine never accepts the connection, and
+    // a reachable one accepts it sooner than the longest time for which a call waits in its queue.
     let connecting = Async::<TcpStream>::connect(address.address());
     let stream = within(Duration::from(CONNECT_TIMEOUT), connecting).await;
     let stream = stream.unwrap_or_else(|| Err(std::io::ErrorKind::TimedOut.into()));
--- a/crates/discovery/src/list.rs
+++ b/crates/discovery/src/list.rs
@@ -75,8 +75,8 @@
     let applied = apply(engine, fields, Coverage::Full, false);
     match applied.and_then(|()| integer(fields, "version")) {
         Ok(version) => {
-            let names_servers = list(fields, "servers").is_ok_and(|entries| !entries.is_empty());
-            names_servers.then_some(version)
+            let has_servers = list(fields, "servers").is_ok_and(|entries| !entries.is_empty());
+            has_servers.then_some(version)
         }
         Err(error) => {
             warn!(engine.log, "last known list ignored"; "fault" => %error);
--- a/crates/discovery/src/list_state.rs
+++ b/crates/discovery/src/list_state.rs
@@ -68,8 +68,8 @@
     /// Since when versions are below the highest one, if this version is and [`UNTRUSTED_DURATION`]
     /// has not passed.
     fn untrusted_since(&self, version: u64, now: Timestamp) -> Option<Timestamp> {
-        let since = (version < self.max_version).then(|| self.untrusted_since.unwrap_or(now))?;
-        (now < since + UNTRUSTED_DURATION).then_some(since)
+        let untrusted_since = (version < self.max_version).then(|| self.untrusted_since.unwrap_or(now))?;
+        (now < untrusted_since + UNTRUSTED_DURATION).then_some(untrusted_since)
     }
 }
 
--- a/crates/discovery/src/startup/tests.rs
+++ b/crates/discovery/src/startup/tests.rs
@@ -35,24 +35,24 @@
 
 #[test]
 fn the_first_invalid_field_is_named_in_the_error() {
-    let with = |pointer: &str, value: Value| {
+    let error_with = |pointer: &str, value: Value| {
         let mut changed = config();
         *changed.pointer_mut(pointer).expect("a field") = value;
         read(&changed).map_or_else(|error| error, |_| "accepted".to_string())
     };
     let namespace = "/settings/namespaces/0";
     let errors = [
-        with("/settings", json!(3)),
-        with("/settings/ceilings/mostShots", json!(0)),
-        with("/settings/ceilings/mostShots", json!(1.5)),
-        with("/settings/ceilings/mostShots", json!(1001)),
-        with(&format!("{namespace}/timeLimitNs"), json!(0)),
-        with(&format!("{namespace}/targetTimeNs"), json!(3.7e12)),
-        with("/settings/namespaces", json!([{"name": "page", "timeLimitNs": 1e9}, "page"])),
-        with("/seed", json!("xyz")),
-        with("/limits/sockets", json!("many")),
-        with("/listen", json!("localhost")),
-        with("/discovery", json!("9090")),
+        error_with("/settings", json!(3)),
+        error_with("/settings/ceilings/mostShots", json!(0)),
+        error_with("/settings/ceilings/mostShots", json!(1.5)),
+        error_with("/settings/ceilings/mostShots", json!(1001)),
+        error_with(&format!("{namespace}/timeLimitNs"), json!(0)),
+        error_with(&format!("{namespace}/targetTimeNs"), json!(3.7e12)),
+        error_with("/settings/namespaces", json!([{"name": "page", "timeLimitNs": 1e9}, "page"])),
+        error_with("/seed", json!("xyz")),
+        error_with("/limits/sockets", json!("many")),
+        error_with("/listen", json!("localhost")),
+        error_with("/discovery", json!("9090")),
     ];
     expect_test::expect![[r#"
         field settings: expected an object, got 3
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -42,10 +42,10 @@
         call_immediately = false;
         let failure = Watch::run(&engine, &address, &mut state, &mut random).await;
         engine.clear_watch_request();
-        api::discovery_call_failed(&engine, failure.took);
+        api::discovery_call_failed(&engine, failure.elapsed);
         let since_accepted = state.accepted_at.map(|at| at.elapsed().as_millis() as u64);
         warn!(engine.log, "discovery call failed";
-            "call" => state.call_count, "fault" => failure.error, "took_ms" => failure.took.as_millis(),
+            "call" => state.call_count, "fault" => failure.error, "took_ms" => failure.elapsed.as_millis(),
             "version" => state.list.version(), "unheard_ms" => since_accepted);
     }
 }
@@ -72,12 +72,12 @@
 /// The failure of a call that ended the watch.
 struct WatchFailure {
     error: String,
-    took: Span,
+    elapsed: Span,
 }
 
 impl WatchFailure {
     fn from_call(call: &Call, error: String) -> WatchFailure {
-        WatchFailure { error, took: call.took() }
+        WatchFailure { error, elapsed: call.elapsed() }
     }
 }
 
@@ -203,13 +203,13 @@
                 self.current = self.caller.start();
                 Ok(())
             }
-            Err(error) => self.repeat(error.to_string()).await,
+            Err(error) => self.repeat_call(error.to_string()).await,
         }
     }
 
     async fn on_failure(&mut self, error: CallError) -> Result<(), WatchFailure> {
         if matches!(error, CallError::Truncated) {
-            return self.repeat(error.to_string()).await;
+            return self.repeat_call(error.to_string()).await;
         }
         // Only a service that reports overload is certainly the one that notified the current
         // version. After any other error the full list is requested.
@@ -225,20 +225,20 @@
     /// not. The backoff that follows is shorter by the time of this wait.
     async fn wait_for_older_response(&mut self) -> bool {
         let Some(OlderCall { call, former_address }) = self.older.take() else { return false };
-        let until = self.current.started_at + Duration::from(OLDER_CALL_TIMEOUT);
-        let Some(Ok(body)) = wait_until(until, call.response).await else { return false };
+        let deadline = self.current.started_at + Duration::from(OLDER_CALL_TIMEOUT);
+        let Some(Ok(body)) = wait_until(deadline, call.response).await else { return false };
         self.caller.state.accept_older(self.caller.engine, &body, former_address)
     }
 
     /// Requests the full list shortly after an unusable response, unless the response before it was
     /// unusable too.
-    async fn repeat(&mut self, error: String) -> Result<(), WatchFailure> {
+    async fn repeat_call(&mut self, error: String) -> Result<(), WatchFailure> {
         self.older = None;
         let state = &mut *self.caller.state;
-        let repeats = state.incremental && !state.last_response_unusable;
+        let may_repeat = state.incremental && !state.last_response_unusable;
         state.incremental = false;
         state.last_response_unusable = true;
-        if !repeats {
+        if !may_repeat {
             return Err(WatchFailure::from_call(&self.current, error));
         }
         warn!(self.caller.engine.log, "list answer ignored"; "call" => self.current.number, "fault" => error);
--- a/crates/membership/src/format/file.rs
+++ b/crates/membership/src/format/file.rs
@@ -168,7 +168,8 @@
 
 fn parse_toml(text: &str) -> Result<FileBody, FileError> {
     let body = toml::from_str(text).map_err(|error| {
-        let newlines_before = |at: usize| text.as_bytes()[..at].iter().filter(|byte| **byte == b'\n').count();
+        let newlines_before =
+            |offset: usize| text.as_bytes()[..offset].iter().filter(|byte| **byte == b'\n').count();
         let line = error.span().map_or(1, |span| newlines_before(span.start) + 1);
         FileError::Toml { line, message: error.message().replace('\n', " ") }
     })?;
--- a/crates/membership/src/reconcile/endpoint_state.rs
+++ b/crates/membership/src/reconcile/endpoint_state.rs
@@ -112,9 +112,9 @@
 
     /// When the status next changes through the passage of time alone.
     pub fn next_deadline(&self) -> Option<Timestamp> {
-        let retained = self.absence.map(|absence| absence.retained_until);
-        let retained = retained.filter(|_| self.is_in_service());
-        retained.into_iter().chain(self.flap_damper.delayed_until()).min()
+        let retained_until = self.absence.map(|absence| absence.retained_until);
+        let retained_until = retained_until.filter(|_| self.is_in_service());
+        retained_until.into_iter().chain(self.flap_damper.delayed_until()).min()
     }
 
     /// Determines the status, and returns the endpoint if the engine has to be notified of it,
--- a/crates/membership/src/reconcile/flap_damping.rs
+++ b/crates/membership/src/reconcile/flap_damping.rs
@@ -34,7 +34,7 @@
     /// Decides whether a server that was out of service and is now listed as in service may return.
     pub fn try_return(&mut self, now: Timestamp) -> ReturnDecision {
         let newly_delayed = self.delayed_until.is_none() && self.count_return(now);
-        if self.delayed_until.is_some_and(|until| now < until) {
+        if self.delayed_until.is_some_and(|return_due| now < return_due) {
             return if newly_delayed { ReturnDecision::NewlyDelayed } else { ReturnDecision::Delayed };
         }
         self.delayed_until = None;
@@ -63,11 +63,11 @@
             return false;
         }
         let doublings = (self.returns - MAX_UNDELAYED_RETURNS - 1).min(MAX_DOUBLINGS);
-        let until = now + FIRST_DELAY * (1 << doublings);
-        self.delayed_until = Some(until);
+        let return_due = now + FIRST_DELAY * (1 << doublings);
+        self.delayed_until = Some(return_due);
         // The window restarts after the delay: the server counts as flapping until it has been
         // stable for a full window after its return.
-        self.window_start = until;
+        self.window_start = return_due;
         true
     }
 }
--- a/crates/membership/src/reconcile/history.rs
+++ b/crates/membership/src/reconcile/history.rs
@@ -21,7 +21,7 @@
     consecutive_older_lists: u32,
     /// Since when the source's revisions are below the highest, or belong to another history.
     stale_since: Option<Timestamp>,
-    /// The source has a new history, so only time ends the staleness, and no revision does.
+    /// Whether the source has a new history. Then only time ends the staleness; no revision does.
     history_changed: bool,
 }
 
@@ -38,7 +38,7 @@
 
     /// When the list is trusted again, if it is stale.
     pub fn stale_until(&self) -> Option<Timestamp> {
-        self.stale_since.map(|since| since + STALE_DURATION)
+        self.stale_since.map(|stale_since| stale_since + STALE_DURATION)
     }
 
     /// Returns whether to reject a list of this revision, because it is older than the current one
@@ -96,7 +96,7 @@
 
     /// Ends the staleness once [`STALE_DURATION`] has passed.
     pub fn tick(&mut self, now: Timestamp) {
-        if self.stale_until().is_some_and(|until| now >= until) {
+        if self.stale_until().is_some_and(|stale_until| now >= stale_until) {
             self.stale_since = None;
             self.history_changed = false;
             self.max_revision = self.revision;
--- a/crates/membership/src/reconcile/mass_removal.rs
+++ b/crates/membership/src/reconcile/mass_removal.rs
@@ -17,7 +17,7 @@
 /// Records that a server in service is no longer listed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Absence {
-    since: Timestamp,
+    absent_since: Timestamp,
     /// The server stays in service until then.
     pub retained_until: Timestamp,
 }
@@ -25,7 +25,7 @@
 impl Absence {
     /// Whether this absence counts towards a mass removal.
     fn is_recent(&self, now: Timestamp) -> bool {
-        now < (self.since + WINDOW).max(self.retained_until)
+        now < (self.absent_since + WINDOW).max(self.retained_until)
     }
 }
 
@@ -43,12 +43,12 @@
     let newly_absent = endpoints.values().filter(|endpoint| endpoint.is_newly_absent()).count();
     let suspected = is_mass_removal(endpoints, now, newly_absent);
     let retained_until = match stale_until {
-        Some(until) => until,
+        Some(stale_until) => stale_until,
         None if suspected => now + RETENTION,
         None => now,
     };
     for endpoint in endpoints.values_mut().filter(|endpoint| endpoint.is_newly_absent()) {
-        endpoint.absence = Some(Absence { since: now, retained_until });
+        endpoint.absence = Some(Absence { absent_since: now, retained_until });
     }
     newly_absent > 0 && suspected
 }
--- a/crates/membership/src/reconcile/update.rs
+++ b/crates/membership/src/reconcile/update.rs
@@ -11,7 +11,7 @@
     Removed(String),
 }
 
-/// A change with the source's revision that it created.
+/// A change, with the revision that the source gave it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RevisionedChange {
     /// The revision. Several changes may share one, because the source made them together.
--- a/crates/membership/tests/helper/mod.rs
+++ b/crates/membership/tests/helper/mod.rs
@@ -6,10 +6,10 @@
 use chalkwalk_time::Timestamp;
 
 /// One second in ticks, the unit of the times in these tests.
-pub const S: u64 = 10_000;
+pub const SECOND: u64 = 10_000;
 
 /// The timestamp this many ticks after zero.
-pub fn at(ticks: u64) -> Timestamp {
+pub fn at_ticks(ticks: u64) -> Timestamp {
     Timestamp::from_ticks(ticks)
 }
 
@@ -24,7 +24,7 @@
         cell: 0,
         size: 100,
         status,
-        born: at(born),
+        born: at_ticks(born),
     }
 }
 
--- a/crates/membership/tests/persisted.rs
+++ b/crates/membership/tests/persisted.rs
@@ -25,13 +25,13 @@
     let (text, allowed) = (list.to_text(), AllowedNames::default());
     assert_eq!(PersistedList::parse(&text, &allowed).unwrap(), list);
     assert_eq!(PersistedList::parse(&text, &allowed).unwrap().to_text(), text);
-    for at in 0..text.len() {
-        assert!(PersistedList::parse(&text[..at], &allowed).is_err());
+    for index in 0..text.len() {
+        assert!(PersistedList::parse(&text[..index], &allowed).is_err());
         let mut altered = text.clone().into_bytes();
-        altered[at] ^= 1;
-        assert!(PersistedList::parse(&String::from_utf8(altered).unwrap(), &allowed).is_err(), "{at}");
+        altered[index] ^= 1;
+        assert!(PersistedList::parse(&String::from_utf8(altered).unwrap(), &allowed).is_err(), "{index}");
     }
-    let freshness = [99, 100, 101, 102, 124, 125].map(|h| list.freshness(Timestamp::ZERO + h * HOUR));
+    let freshness = [99, 100, 101, 102, 124, 125].map(|hour| list.freshness(Timestamp::ZERO + hour * HOUR));
     assert_eq!(
         freshness,
         [
--- a/crates/membership/tests/reconcile.rs
+++ b/crates/membership/tests/reconcile.rs
@@ -5,7 +5,7 @@
 use chalkwalk_membership::reconcile::{ListUpdate, ReconcileEvent, Reconciler, RevisionedChange, SourceKind};
 use chalkwalk_membership::{ListEntry, ListedEndpoint};
 use expect_test::expect;
-use helper::{S, at, draining, put, ready, removed};
+use helper::{SECOND, at_ticks, draining, put, ready, removed};
 
 /// A reconciler with a textual trace of its updates.
 struct Trace {
@@ -24,25 +24,25 @@
         let event = |e: &ReconcileEvent| format!(" ({} {})", e.message(), e.endpoint_id().unwrap_or(""));
         let events: String = update.events.iter().map(event).collect();
         let whole = if update.replaces_all { " whole" } else { "" };
-        let text = format!("{} s{whole}{endpoints}{events}", now / S);
+        let text = format!("{} s{whole}{endpoints}{events}", now / SECOND);
         self.text += text.trim_end();
         self.text += "\n";
     }
 
     fn list(&mut self, now: u64, revision: u64, entries: Vec<ListEntry>) {
-        match self.reconciler.apply_list(at(now), revision, entries) {
+        match self.reconciler.apply_list(at_ticks(now), revision, entries) {
             Ok(update) => self.record(now, update),
-            Err(error) => self.text += &format!("{} s {error}\n", now / S),
+            Err(error) => self.text += &format!("{} s {error}\n", now / SECOND),
         }
     }
 
     fn changes(&mut self, now: u64, changes: Vec<RevisionedChange>) {
-        let update = self.reconciler.apply_changes(at(now), changes);
+        let update = self.reconciler.apply_changes(at_ticks(now), changes);
         self.record(now, update);
     }
 
     fn tick(&mut self, now: u64) {
-        let update = self.reconciler.tick(at(now));
+        let update = self.reconciler.tick(at_ticks(now));
         self.record(now, update);
     }
 
@@ -61,7 +61,7 @@
     // a is drained while b returns; c is drained and returns as a new process; d is removed and
     // listed again.
     trace.changes(
-        S,
+        SECOND,
         vec![
             put(6, draining("a", 1)),
             put(7, ready("b", 9)),
@@ -72,7 +72,7 @@
         ],
     );
     // Changes that are delivered again after a resumed watch have no effect.
-    trace.changes(2 * S, vec![put(6, ready("a", 1)), put(9, ready("c", 9))]);
+    trace.changes(2 * SECOND, vec![put(6, ready("a", 1)), put(9, ready("c", 9))]);
     expect![[r#"
           0 s whole a:Ready@1 b:Draining@1 c:Ready@1 d:Ready@1
           1 s a:Draining@1 b:Ready@9 c:Ready@9
@@ -87,9 +87,9 @@
     trace.list(0, 10, vec![ready("a", 1), draining("b", 1), ready("c", 1), ready("d", 1)]);
     // The old list is of the time before b's drain and d's start. A new process of b does return.
     let old = || vec![ready("a", 1), ready("b", 1), ready("c", 1)];
-    (1..5).for_each(|i| trace.list(i * S, 4, old()));
-    trace.changes(6 * S, vec![put(5, ready("b", 7))]);
-    assert_eq!(trace.tick_when_due(), 64 * S);
+    (1..5).for_each(|i| trace.list(i * SECOND, 4, old()));
+    trace.changes(6 * SECOND, vec![put(5, ready("b", 7))]);
+    assert_eq!(trace.tick_when_due(), 64 * SECOND);
     expect![[r#"
         0 s whole a:Ready@1 b:Draining@1 c:Ready@1 d:Ready@1
         1 s outdated list: revision 4 is older than the current revision 10
@@ -108,13 +108,13 @@
     trace.list(0, 10, vec![ready("a", 1), draining("b", 1), ready("c", 1), ready("d", 3)]);
     // The list is rejected as outdated, but its drain of c applies; that of d is of an earlier
     // process of d, and does not.
-    trace.list(S, 8, vec![ready("a", 1), ready("b", 1), draining("c", 1), draining("d", 2)]);
-    trace.tick(S);
+    trace.list(SECOND, 8, vec![ready("a", 1), ready("b", 1), draining("c", 1), draining("d", 2)]);
+    trace.tick(SECOND);
     // The source was restored from a backup, and its revision is already above the known one.
-    trace.reconciler.history_changed(at(2 * S));
-    trace.list(2 * S, 30, vec![ready("a", 1), ready("b", 1), draining("c", 1)]);
-    trace.changes(3 * S, vec![put(31, draining("a", 1)), put(32, ready("b", 2))]);
-    assert_eq!(trace.tick_when_due(), 62 * S);
+    trace.reconciler.history_changed(at_ticks(2 * SECOND));
+    trace.list(2 * SECOND, 30, vec![ready("a", 1), ready("b", 1), draining("c", 1)]);
+    trace.changes(3 * SECOND, vec![put(31, draining("a", 1)), put(32, ready("b", 2))]);
+    assert_eq!(trace.tick_when_due(), 62 * SECOND);
     expect![[r#"
         0 s whole a:Ready@1 b:Draining@1 c:Ready@1 d:Ready@3
         1 s outdated list: revision 8 is older than the current revision 10
@@ -130,12 +130,12 @@
 fn a_file_that_still_lists_a_drained_server_does_not_return_it_to_service() {
     let mut trace = Trace::new(SourceKind::Assembled);
     trace.list(0, 1, vec![ready("a", 1), ready("b", 0)]);
-    trace.list(S, 2, vec![draining("a", 1), draining("b", 0)]);
-    trace.list(2 * S, 3, vec![ready("a", 1), ready("b", 0)]);
-    trace.list(3 * S, 4, vec![ready("a", 5), ListEntry { reinstated: true, ..ready("b", 0) }]);
+    trace.list(SECOND, 2, vec![draining("a", 1), draining("b", 0)]);
+    trace.list(2 * SECOND, 3, vec![ready("a", 1), ready("b", 0)]);
+    trace.list(3 * SECOND, 4, vec![ready("a", 5), ListEntry { reinstated: true, ..ready("b", 0) }]);
     // The file removes a and lists it again without a drain: this is what its writer intends.
-    trace.list(4 * S, 5, vec![ready("b", 0)]);
-    trace.list(5 * S, 6, vec![ready("a", 5), ready("b", 0)]);
+    trace.list(4 * SECOND, 5, vec![ready("b", 0)]);
+    trace.list(5 * SECOND, 6, vec![ready("a", 5), ready("b", 0)]);
     expect![[r#"
           0 s whole a:Ready@1 b:Ready@0
           1 s a:Draining@1 b:Draining@0
@@ -152,20 +152,20 @@
     let all = || ["a", "b", "c", "d"].map(|id| ready(id, 1)).to_vec();
     let mut trace = Trace::new(SourceKind::Revisioned);
     trace.list(0, 1, all());
-    trace.list(S, 2, vec![draining("d", 1)]);
-    trace.changes(2 * S, vec![put(3, ready("a", 1))]);
-    trace.changes(3 * S, vec![put(4, draining("b", 1))]);
-    assert_eq!(trace.tick_when_due(), 31 * S);
+    trace.list(SECOND, 2, vec![draining("d", 1)]);
+    trace.changes(2 * SECOND, vec![put(3, ready("a", 1))]);
+    trace.changes(3 * SECOND, vec![put(4, draining("b", 1))]);
+    assert_eq!(trace.tick_when_due(), 31 * SECOND);
     // Servers disappear one at a time, as when leases expire: the third within ten seconds raises
     // the suspicion.
-    trace.list(100 * S, 5, all());
+    trace.list(100 * SECOND, 5, all());
     for (i, id) in ["a", "b", "c"].iter().enumerate() {
-        trace.changes((110 + i as u64) * S, vec![removed(6 + i as u64, id)]);
+        trace.changes((110 + i as u64) * SECOND, vec![removed(6 + i as u64, id)]);
     }
-    trace.list(120 * S, 9, all());
+    trace.list(120 * SECOND, 9, all());
     // Servers that were drained first may all be removed at once.
-    trace.list(200 * S, 10, ["a", "b", "c", "d"].map(|id| draining(id, 1)).to_vec());
-    trace.list(201 * S, 11, vec![]);
+    trace.list(200 * SECOND, 10, ["a", "b", "c", "d"].map(|id| draining(id, 1)).to_vec());
+    trace.list(201 * SECOND, 11, vec![]);
     expect![[r#"
         0 s whole a:Ready@1 b:Ready@1 c:Ready@1 d:Ready@1
         1 s d:Draining@1 (mass removal suspected, missing caches retained )
@@ -188,13 +188,13 @@
     let mut trace = Trace::new(SourceKind::Revisioned);
     trace.list(0, 1, vec![ready("a", 1), ready("b", 1)]);
     for i in 1..=5 {
-        trace.changes(2 * i * S, vec![put(10 * i, draining("a", i))]);
-        trace.changes((2 * i + 1) * S, vec![put(10 * i + 1, ready("a", i + 1))]);
+        trace.changes(2 * i * SECOND, vec![put(10 * i, draining("a", i))]);
+        trace.changes((2 * i + 1) * SECOND, vec![put(10 * i + 1, ready("a", i + 1))]);
     }
-    assert_eq!(trace.tick_when_due(), 21 * S);
+    assert_eq!(trace.tick_when_due(), 21 * SECOND);
     // After being stable for long, the server is treated like any other.
-    trace.changes(200 * S, vec![put(100, draining("a", 6))]);
-    trace.changes(201 * S, vec![put(101, ready("a", 7))]);
+    trace.changes(200 * SECOND, vec![put(100, draining("a", 6))]);
+    trace.changes(201 * SECOND, vec![put(101, ready("a", 7))]);
     expect![[r#"
         0 s whole a:Ready@1 b:Ready@1
         2 s a:Draining@1
--- a/crates/membership/tests/reconcile_any_order.rs
+++ b/crates/membership/tests/reconcile_any_order.rs
@@ -7,7 +7,7 @@
 use chalkwalk_membership::reconcile::{EndpointChange, ListUpdate, Reconciler, SourceKind};
 use chalkwalk_membership::{ListEntry, ListedEndpoint};
 use chalkwalk_time::Span;
-use helper::{S, at, draining, put, ready, removed};
+use helper::{SECOND, at_ticks, draining, put, ready, removed};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
@@ -36,7 +36,7 @@
         1 => Just(Step::List),
         1 => (1u64..6).prop_map(Step::OldList),
         1 => (1usize..4).prop_map(Step::Redelivery),
-        2 => (1..S).prop_map(Step::Wait),
+        2 => (1..SECOND).prop_map(Step::Wait),
     ]
 }
 
@@ -83,7 +83,7 @@
             states[revision].values().map(|endpoint| endpoint.clone().into()).collect()
         };
         let mut reconciler = Reconciler::new(SourceKind::Revisioned);
-        let mut now = at(S);
+        let mut now = at_ticks(SECOND);
         // The last delivered revision, and the highest one so far.
         let mut delivered = 0;
         let mut max_delivered = 0;
@@ -109,8 +109,8 @@
                 Step::List => {
                     reconciler.apply_list(now, delivered as u64, list(delivered)).unwrap_or_default()
                 }
-                Step::OldList(by) => {
-                    let old = delivered.saturating_sub(by as usize);
+                Step::OldList(revisions_back) => {
+                    let old = delivered.saturating_sub(revisions_back as usize);
                     let update = reconciler.apply_list(now, old as u64, list(old));
                     // If the old list is accepted, the source continues from its revision.
                     delivered = if update.is_ok() { old } else { delivered };
@@ -120,8 +120,8 @@
                     let from = delivered.saturating_sub(count);
                     reconciler.apply_changes(now, changes[from..delivered].to_vec())
                 }
-                Step::Wait(by) => {
-                    now += Span::from_ticks(by);
+                Step::Wait(ticks) => {
+                    now += Span::from_ticks(ticks);
                     reconciler.tick(now)
                 }
             };
