--- a/crates/discovery/src/startup/tests.rs
+++ b/crates/discovery/src/startup/tests.rs
@@ -1,4 +1,4 @@
-//! Configurations as the platform writes them, and the errors for those that can't be read.
+//! Configurations in the platform's format, and the errors for invalid ones.
 
 use super::StartupConfig;
 use chalkwalk_time::Span;
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_configuration_becomes_the_engines() {
+fn a_configuration_is_converted_to_the_engine_configuration() {
     let startup = read(&config()).expect("a good configuration");
     assert_eq!(startup.listen.port(), 8080);
     assert_eq!(startup.list_address.map(|address| address.port()), Some(9090));
@@ -34,25 +34,25 @@
 }
 
 #[test]
-fn the_first_field_that_makes_no_sense_is_named() {
-    let with = |pointer: &str, value: Value| {
+fn the_first_invalid_field_is_named_in_the_error() {
+    let error_with = |pointer: &str, value: Value| {
         let mut changed = config();
         *changed.pointer_mut(pointer).expect("a field") = value;
         read(&changed).map_or_else(|error| error, |_| "accepted".to_string())
     };
     let namespace = "/settings/namespaces/0";
     let errors = [
-        with("/settings", json!(3)),
-        with("/settings/ceilings/mostShots", json!(0)),
-        with("/settings/ceilings/mostShots", json!(1.5)),
-        with("/settings/ceilings/mostShots", json!(1001)),
-        with(&format!("{namespace}/timeLimitNs"), json!(0)),
-        with(&format!("{namespace}/targetTimeNs"), json!(3.7e12)),
-        with("/settings/namespaces", json!([{"name": "page", "timeLimitNs": 1e9}, "page"])),
-        with("/seed", json!("xyz")),
-        with("/limits/sockets", json!("many")),
-        with("/listen", json!("localhost")),
-        with("/discovery", json!("9090")),
+        error_with("/settings", json!(3)),
+        error_with("/settings/ceilings/mostShots", json!(0)),
+        error_with("/settings/ceilings/mostShots", json!(1.5)),
+        error_with("/settings/ceilings/mostShots", json!(1001)),
+        error_with(&format!("{namespace}/timeLimitNs"), json!(0)),
+        error_with(&format!("{namespace}/targetTimeNs"), json!(3.7e12)),
+        error_with("/settings/namespaces", json!([{"name": "page", "timeLimitNs": 1e9}, "page"])),
+        error_with("/seed", json!("xyz")),
+        error_with("/limits/sockets", json!("many")),
+        error_with("/listen", json!("localhost")),
+        error_with("/discovery", json!("9090")),
     ];
     expect_test::expect![[r#"
         field settings: expected an object, got 3
--- a/crates/membership/tests/reconcile_any_order.rs
+++ b/crates/membership/tests/reconcile_any_order.rs
@@ -1,4 +1,5 @@
-//! Changes in whatever batches, with whatever breaks, old lists and repeats between.
+//! Property test: changes in arbitrary batches, interleaved with full lists, old lists and
+//! redeliveries.
 
 mod helper;
 
@@ -6,22 +7,22 @@
 use chalkwalk_membership::reconcile::{EndpointChange, ListUpdate, Reconciler, SourceKind};
 use chalkwalk_membership::{ListEntry, ListedEndpoint};
 use chalkwalk_time::Span;
-use helper::{S, at, draining, put, ready, removed};
+use helper::{SECOND, at_ticks, draining, put, ready, removed};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// So many of the source's changes, in one batch.
+    /// The next changes of the source in one batch of this size.
     Batch(usize),
-    /// A break: the whole list as of now.
+    /// The current full list, as after a lost connection.
     List,
-    /// The whole list of so many revisions ago.
+    /// The full list of this many revisions ago.
     OldList(u64),
-    /// A resume that delivers so many changes again.
+    /// A resumed watch that delivers this many changes again.
     Redelivery(usize),
-    /// So many ticks pass.
+    /// This many ticks pass.
     Wait(u64),
 }
 
@@ -35,7 +36,7 @@
         1 => Just(Step::List),
         1 => (1u64..6).prop_map(Step::OldList),
         1 => (1usize..4).prop_map(Step::Redelivery),
-        2 => (1..S).prop_map(Step::Wait),
+        2 => (1..SECOND).prop_map(Step::Wait),
     ]
 }
 
@@ -49,15 +50,15 @@
         ..ProptestConfig::default()
     })]
 
-    /// The same changes in whatever batches, with whatever breaks, old lists and repeats between,
-    /// end in the source's own list, and at no moment is a server in service whose newest known
-    /// state is a drain.
+    /// Whatever the order and batches in which changes, full lists, old lists and redeliveries
+    /// arrive, the result is the source's own list, and a server whose newest known state is a
+    /// drain is never in service.
     #[test]
-    fn any_order_ends_in_the_same_list_and_never_serves_a_drained_server(
+    fn any_order_converges_to_the_source_list_and_never_serves_a_drained_server(
         events in proptest::collection::vec(event(), 1..40),
         steps in proptest::collection::vec(step(), 1..40),
     ) {
-        // The source's history: its state after each revision, and the changes between.
+        // The source's history: its state after each revision, and the changes between the states.
         let mut states = vec![State::new()];
         let mut changes = Vec::new();
         for (i, (server, kind)) in events.iter().enumerate() {
@@ -82,10 +83,10 @@
             states[revision].values().map(|endpoint| endpoint.clone().into()).collect()
         };
         let mut reconciler = Reconciler::new(SourceKind::Revisioned);
-        let mut now = at(S);
-        // The revision that was delivered last, and the highest so far.
+        let mut now = at_ticks(SECOND);
+        // The last delivered revision, and the highest one so far.
         let mut delivered = 0;
-        let mut highest = 0;
+        let mut max_delivered = 0;
         let mut view = State::new();
         let mut apply = |update: &ListUpdate| {
             if update.replaces_all {
@@ -108,10 +109,10 @@
                 Step::List => {
                     reconciler.apply_list(now, delivered as u64, list(delivered)).unwrap_or_default()
                 }
-                Step::OldList(by) => {
-                    let old = delivered.saturating_sub(by as usize);
+                Step::OldList(revisions_back) => {
+                    let old = delivered.saturating_sub(revisions_back as usize);
                     let update = reconciler.apply_list(now, old as u64, list(old));
-                    // Once it is accepted, the source goes on from there.
+                    // If the old list is accepted, the source continues from its revision.
                     delivered = if update.is_ok() { old } else { delivered };
                     update.unwrap_or_default()
                 }
@@ -119,22 +120,22 @@
                     let from = delivered.saturating_sub(count);
                     reconciler.apply_changes(now, changes[from..delivered].to_vec())
                 }
-                Step::Wait(by) => {
-                    now += Span::from_ticks(by);
+                Step::Wait(ticks) => {
+                    now += Span::from_ticks(ticks);
                     reconciler.tick(now)
                 }
             };
-            highest = highest.max(delivered);
+            max_delivered = max_delivered.max(delivered);
             let view = apply(&update);
-            for (id, endpoint) in &states[highest] {
+            for (id, endpoint) in &states[max_delivered] {
                 let in_service = view.get(id).is_some_and(|seen| seen.status == EndpointStatus::Ready);
                 prop_assert!(
                     endpoint.status == EndpointStatus::Ready || !in_service,
-                    "{id} is drained at revision {highest}, and in service"
+                    "{id} is drained at revision {max_delivered}, but in service"
                 );
             }
         }
-        // Everything is delivered in the end, and time passes.
+        // Finally everything is delivered, and time passes until nothing is due.
         let last = changes.len();
         let mut view = apply(&reconciler.apply_list(now, last as u64, list(last)).unwrap());
         for _ in 0..200 {
