--- a/crates/discovery-etcd/src/announcement.rs
+++ b/crates/discovery-etcd/src/announcement.rs
@@ -1,4 +1,4 @@
-//! This proxy's own key, under a lease that ends with the process.
+//! This proxy's own key in etcd, bound to a lease that expires soon after the process ends.
 
 use crate::call::Connection;
 use crate::error::SessionError;
@@ -12,13 +12,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Keep-alives within the length of a lease: two in a row may be lost.
+/// Keep-alives per lease duration. With 3, two in a row may be lost.
 const KEEP_ALIVES_PER_LEASE: u32 = 3;
 
-/// A lease's id, which etcd draws; never 0.
+/// A lease's id, which etcd assigns; never 0.
 type LeaseId = i64;
 
-/// What a proxy publishes of itself, and its lease where it holds one.
+/// The record that a proxy publishes about itself, and its lease if it holds one.
 pub struct Announcement {
     engine: Rc<Engine>,
     key: String,
@@ -28,16 +28,16 @@
 }
 
 impl Announcement {
-    /// Announces this proxy below the prefix, under a lease of so many seconds; nothing is sent
-    /// yet.
+    /// Announces this proxy below the prefix, with a lease of `lease_s` seconds. It does not send
+    /// anything yet.
     pub fn new(engine: &Rc<Engine>, prefix: &str, record: ProxyRecord, lease_s: u64) -> Announcement {
         let key = format!("{prefix}proxies/{}", engine.config.name);
         Announcement { engine: engine.clone(), key, record, lease_s, lease: Cell::new(None) }
     }
 
-    /// Keeps the key alive for as long as the connection holds and the proxy serves; then revokes
-    /// the lease. An error ends the connection.
-    pub(crate) async fn hold(&self, connection: &Connection) -> Result<(), SessionError> {
+    /// Keeps the key alive until the proxy drains, and then revokes the lease. An error ends the
+    /// session on this connection.
+    pub(crate) async fn maintain(&self, connection: &Connection) -> Result<(), SessionError> {
         let draining = async {
             self.engine.lifecycle.reached(Phase::Draining).await;
             Ok(())
@@ -46,7 +46,7 @@
         if let Some(lease) = self.lease.take() {
             info!(self.engine.log, "own lease revoked"; "key" => &self.key);
             let revoke = api::LeaseRevokeRequest { id: lease };
-            // Where it fails, the lease expires by itself.
+            // If the call fails, the lease expires by itself.
             _ = connection.call::<api::LeaseRevokeResponse>(path::LEASE_REVOKE, &revoke).await;
         }
         Ok(())
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Renews the lease; false if there is none. One that expired, as the process was stopped or
-    /// etcd down, is gone with its key.
+    /// Renews the lease; false if there is none to renew. A lease expires, and etcd deletes its key,
+    /// if the process was suspended or etcd was unavailable for too long.
     async fn renew(&self, connection: &Connection) -> Result<bool, SessionError> {
         let Some(lease) = self.lease.get() else { return Ok(false) };
         let renewal = api::LeaseKeepAliveRequest { id: lease };
@@ -76,7 +76,7 @@
         Ok(renewed)
     }
 
-    /// Takes a new lease, and writes the key under it.
+    /// Requests a new lease and writes the key bound to it.
     async fn grant(&self, connection: &Connection) -> Result<(), SessionError> {
         let grant = api::LeaseGrantRequest { ttl: self.lease_s as i64, id: 0 };
         let granted: api::LeaseGrantResponse = connection.call(path::LEASE_GRANT, &grant).await?;
--- a/crates/discovery-etcd/src/call.rs
+++ b/crates/discovery-etcd/src/call.rs
@@ -1,4 +1,4 @@
-//! One connection to an endpoint, and calls on it.
+//! One connection to an endpoint of etcd, and the gRPC calls on it.
 
 use bytes::Bytes;
 use chalkwalk_etcd_wire::{
@@ -15,28 +15,28 @@
 use std::time::Duration;
 use tokio_util::compat::FuturesAsyncReadCompatExt;
 
-/// Until a connection can be used: etcd is near its clients.
+/// Time limit for opening a connection. It is short, as etcd is near its clients.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Until a whole response is there: a page is small, and two endpoints that hang have to leave time
-/// for a third within the time in which a change must be known.
+/// Time limit for the whole response of a call. A page is small, and two endpoints that hang must
+/// leave time for a third within the time in which a change must be known.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
-/// gRPC's own default bound on a message.
+/// gRPC's default limit on the size of a received message.
 const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
-/// Why a connection or a call on it fails.
+/// Why a connection or a call on it failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CallError {
-    #[error("no connection: {0}")]
+    #[error("can't connect: {0}")]
     Connect(std::io::Error),
-    #[error("no HTTP/2: {0}")]
+    #[error("HTTP/2 handshake failed: {0}")]
     Handshake(h2::Error),
-    #[error("no connection in time")]
+    #[error("connecting timed out")]
     ConnectTimeout,
-    #[error("no stream for a call in time")]
+    #[error("timed out waiting for a free HTTP/2 stream")]
     StreamTimeout,
-    #[error("no answer in time")]
+    #[error("the call timed out without a whole response")]
     ResponseTimeout,
-    #[error("no answer")]
+    #[error("the call succeeded without a response message")]
     NoResponse,
     #[error(transparent)]
     Request(#[from] http::Error),
@@ -44,15 +44,15 @@
     Http2(#[from] h2::Error),
     #[error(transparent)]
     Frame(#[from] FrameError),
-    #[error("answered {0}")]
+    #[error("HTTP status {0} instead of 200")]
     HttpStatus(StatusCode),
-    #[error("it ended within a message")]
+    #[error("the response ended in the middle of a message")]
     EndedMidMessage,
-    #[error("refused, code {code}: {message}")]
+    #[error("the call failed with gRPC status {code}: {message}")]
     Grpc { code: String, message: String },
 }
 
-/// A connection; it is closed when this is dropped.
+/// A connection, which is closed when this value is dropped.
 pub(crate) struct Connection {
     sender: SendRequest<Bytes>,
     authority: Rc<str>,
@@ -60,25 +60,26 @@
 }
 
 impl Connection {
-    /// Connects, with HTTP/2.
+    /// Connects to an endpoint and performs the HTTP/2 handshake.
     pub async fn open(
         executor: &smol::LocalExecutor<'static>,
         addr: SocketAddr,
     ) -> Result<Connection, CallError> {
         let opening = async {
             let stream = Async::<TcpStream>::connect(addr).await.map_err(CallError::Connect)?;
-            // Without it small requests may wait; the connection works all the same.
+            // An error is ignored: with Nagle's algorithm small requests may be delayed, but the
+            // connection works.
             _ = stream.get_ref().set_nodelay(true);
             handshake(stream.compat()).await.map_err(CallError::Handshake)
         };
         let (sender, connection) =
             within(CONNECT_TIMEOUT, opening).await.ok_or(CallError::ConnectTimeout)??;
-        // What ends the connection ends its calls too, and they report it.
+        // An error that ends the connection also ends its calls, and they report it.
         let driver = executor.spawn(async move { _ = connection.await });
         Ok(Connection { sender, authority: addr.to_string().into(), _driver: driver })
     }
 
-    /// A call with several requests and responses.
+    /// Starts a call with a stream of requests and a stream of responses.
     pub async fn open_stream(&self, path: &str) -> Result<CallStream, CallError> {
         let head = Request::post(format!("http://{}{path}", self.authority))
             .version(http::Version::HTTP_2)
@@ -92,7 +93,7 @@
         Ok(CallStream { requests, response: Response::Head(response), decoder })
     }
 
-    /// A call of one request and one response.
+    /// Makes a call with one request and one response.
     pub async fn call<R: Message + Default>(
         &self,
         path: &str,
@@ -107,12 +108,13 @@
     }
 }
 
+/// How much of the response was received.
 enum Response {
     Head(h2::client::ResponseFuture),
     Body(RecvStream),
 }
 
-/// An open call.
+/// A call in progress, with a stream of requests and a stream of responses.
 pub(crate) struct CallStream {
     requests: SendStream<Bytes>,
     response: Response,
@@ -120,13 +122,13 @@
 }
 
 impl CallStream {
-    /// Sends a message of the request.
-    pub fn send(&mut self, message: &impl Message, last: bool) -> Result<(), CallError> {
-        Ok(self.requests.send_data(encode_frame(message), last)?)
+    /// Sends one request message; `end_of_stream` closes the request stream after it.
+    pub fn send(&mut self, message: &impl Message, end_of_stream: bool) -> Result<(), CallError> {
+        Ok(self.requests.send_data(encode_frame(message), end_of_stream)?)
     }
 
-    /// The next message; `None` at the end of a call that went well. Dropped while it waits,
-    /// nothing is lost.
+    /// The next response message; `None` at the end of a successful call. The future can be dropped
+    /// while it waits without losing a message.
     pub async fn next<R: Message + Default>(&mut self) -> Result<Option<R>, CallError> {
         loop {
             if let Some(message) = self.decoder.next_message()? {
@@ -140,7 +142,7 @@
                 Response::Body(body) => {
                     let Some(bytes) = body.data().await else { break };
                     let bytes = bytes?;
-                    // It fails only where more is released than was received.
+                    // Fails only if more capacity is released than bytes were received.
                     _ = body.flow_control().release_capacity(bytes.len());
                     self.decoder.push(&bytes);
                 }
@@ -150,7 +152,8 @@
         Ok(None)
     }
 
-    /// The body is over: whether it is complete, and what the trailers say of the call.
+    /// Checks, after the end of the body, that the last message is complete and that the trailers
+    /// report success.
     async fn finish(&mut self) -> Result<(), CallError> {
         if self.decoder.is_mid_frame() {
             return Err(CallError::EndedMidMessage);
@@ -168,7 +171,7 @@
     if head.status != StatusCode::OK {
         return Err(CallError::HttpStatus(head.status));
     }
-    // Where a call fails at once, its head is all there is.
+    // A call that fails at once has its status in the headers, without a body or trailers.
     if head.headers.contains_key(GRPC_STATUS) {
         check_status(&head.headers)?;
     }
@@ -176,13 +179,13 @@
 }
 
 fn check_status(headers: &HeaderMap) -> Result<(), CallError> {
-    let field = |name: &str| {
+    let header_value = |name: &str| {
         let value = headers.get(name).and_then(|value| value.to_str().ok());
         value.unwrap_or("").to_string()
     };
-    let code = field(GRPC_STATUS);
+    let code = header_value(GRPC_STATUS);
     if code == code::OK {
         return Ok(());
     }
-    Err(CallError::Grpc { code, message: field(GRPC_MESSAGE) })
+    Err(CallError::Grpc { code, message: header_value(GRPC_MESSAGE) })
 }
--- a/crates/discovery-etcd/src/error.rs
+++ b/crates/discovery-etcd/src/error.rs
@@ -1,26 +1,26 @@
-//! Why a session with an endpoint ends.
+//! The errors that end a session with an endpoint.
 
 use crate::call::CallError;
 use crate::machine::ProtocolError;
 use chalkwalk_membership::reconcile::ListError;
 
-/// Each ends the connection. The text is an operator's.
+/// Why a session ended. Each error closes the connection, and operators see its text.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum SessionError {
     #[error(transparent)]
     Call(#[from] CallError),
     #[error(transparent)]
     Protocol(#[from] ProtocolError),
-    /// The whole list of this endpoint is rejected: another endpoint may have a newer one.
+    /// The whole list of this endpoint was rejected; another endpoint may have a newer one.
     #[error(transparent)]
     ListRejected(#[from] ListError),
-    #[error("the watch ended")]
+    #[error("the endpoint ended the watch")]
     WatchEnded,
-    #[error("the watch is silent")]
+    #[error("no response on the watch in spite of progress requests")]
     WatchSilent,
-    /// The machine awaits a response on a watch that was never opened.
-    #[error("no watch")]
+    /// The machine waits for a response on a watch that was never opened.
+    #[error("a watch response is awaited, but no watch is open")]
     NoWatch,
-    #[error("no lease: {reason}")]
+    #[error("etcd granted no lease: {reason}")]
     NoLease { reason: String },
 }
--- a/crates/discovery-etcd/src/lib.rs
+++ b/crates/discovery-etcd/src/lib.rs
@@ -1,11 +1,11 @@
-//! etcd as a source of the endpoint list: the whole list at a revision, a watch from the next one
-//! on, and this proxy's own key under a lease, by etcd's public v3 API (gRPC over HTTP/2 without
-//! TLS).
+//! etcd as a source of the endpoint list, by its public v3 API (gRPC over HTTP/2 without TLS). The
+//! source reads the whole list at one revision, watches for changes from the next revision on, and
+//! publishes this proxy's own key bound to a lease.
 //!
-//! This crate may use `discovery-feed`, `membership`, `engine`, `etcd-wire`, h2 and smol. No
-//! frontend enters it. What to request next, and what a response means, is decided by `machine`,
-//! which does no I/O; `call` is one call on a connection, `session` runs the machine on one
-//! connection, `source` opens one connection after the other, `announcement` keeps the lease.
+//! This crate may use `discovery-feed`, `membership`, `engine`, `etcd-wire`, h2 and smol, but no
+//! frontend. `machine` decides what to request next and what a response means, without I/O. `call`
+//! makes single calls on a connection, `session` runs the machine on one connection, `source` opens
+//! one connection after the other, and `announcement` maintains the lease.
 
 mod announcement;
 mod call;
--- a/crates/discovery-etcd/src/machine.rs
+++ b/crates/discovery-etcd/src/machine.rs
@@ -1,10 +1,10 @@
-//! What to request from etcd next and what its responses mean, without I/O: one state machine from
-//! the first connection on.
+//! A state machine that decides what to request from etcd next and what the responses mean. It does
+//! no I/O, and one instance serves all connections of a source.
 //!
-//! It must be notified of each connection that opens or fails, each response, and each list that
-//! was accepted or rejected. The rule it guards: what is known never goes back without a whole
-//! list, and proxies that lose etcd together come back spread out, each within the time in which a
-//! change must be known.
+//! The caller must notify it of each connection that opens or fails, of each response, and of each
+//! list that was accepted or rejected. It guarantees two things. The known revision never decreases
+//! unless the whole list is read again. Proxies that lose etcd at the same time reconnect at
+//! different times, yet each early enough to learn of a change within the permitted time.
 
 mod keys;
 mod reconnect;
--- a/crates/discovery-etcd/src/machine/keys.rs
+++ b/crates/discovery-etcd/src/machine/keys.rs
@@ -1,16 +1,16 @@
-//! Whose keys there are below the prefix.
+//! The kinds of keys below the prefix.
 
 use chalkwalk_etcd_wire::prefix_end;
 
-const ENDPOINTS: &[u8] = b"caches/";
-const PROXIES: &[u8] = b"proxies/";
+const ENDPOINT_SUBPREFIX: &[u8] = b"caches/";
+const PROXY_SUBPREFIX: &[u8] = b"proxies/";
 
-/// Whose key it is.
+/// The owner of a key.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Key {
-    /// That of the endpoint with this id.
+    /// The key of the endpoint with this id.
     Endpoint(String),
-    /// That of the proxy with this name.
+    /// The key of the proxy with this name.
     Proxy(String),
 }
 
@@ -34,21 +34,22 @@
         KeySpace { prefix: prefix.as_bytes().to_vec() }
     }
 
-    /// The range of all of them.
+    /// The range of all keys with the prefix.
     pub fn range(&self) -> KeyRange {
         KeyRange { start: self.prefix.clone(), end: prefix_end(&self.prefix) }
     }
 
-    /// Whose key it is; those of nobody are ignored.
+    /// The owner of a key; `None` for a key that belongs to neither an endpoint nor a proxy, which
+    /// callers ignore.
     pub fn classify(&self, key: &[u8]) -> Option<Key> {
-        let folder_and_name = key.strip_prefix(self.prefix.as_slice())?;
-        named(folder_and_name, ENDPOINTS)
+        let relative_key = key.strip_prefix(self.prefix.as_slice())?;
+        strip_subprefix(relative_key, ENDPOINT_SUBPREFIX)
             .map(Key::Endpoint)
-            .or_else(|| named(folder_and_name, PROXIES).map(Key::Proxy))
+            .or_else(|| strip_subprefix(relative_key, PROXY_SUBPREFIX).map(Key::Proxy))
     }
 }
 
-fn named(folder_and_name: &[u8], folder: &[u8]) -> Option<String> {
-    let name = std::str::from_utf8(folder_and_name.strip_prefix(folder)?).ok()?;
+fn strip_subprefix(relative_key: &[u8], subprefix: &[u8]) -> Option<String> {
+    let name = std::str::from_utf8(relative_key.strip_prefix(subprefix)?).ok()?;
     (!name.is_empty()).then(|| name.to_string())
 }
--- a/crates/discovery-etcd/src/machine/step.rs
+++ b/crates/discovery-etcd/src/machine/step.rs
@@ -1,4 +1,4 @@
-//! The machine's steps, and what becomes known by them.
+//! The steps that the machine requests, and the updates that it reports.
 
 use super::keys::Key;
 use chalkwalk_time::Span;
@@ -6,9 +6,9 @@
 /// The next connection to open.
 #[derive(Debug, PartialEq)]
 pub struct ConnectAttempt {
-    /// Its place in the list of endpoints.
-    pub endpoint: usize,
-    /// How long to wait before.
+    /// Its index in the list of endpoints.
+    pub endpoint_index: usize,
+    /// How long to wait before connecting.
     pub delay: Span,
 }
 
@@ -18,14 +18,14 @@
     /// Read a page of the whole list.
     ReadPage {
         /// The first key of the page.
-        from: Vec<u8>,
-        /// As of which revision; 0 is the present one.
+        start_key: Vec<u8>,
+        /// The revision to read at; 0 reads at the current one.
         revision: i64,
     },
     /// Open a watch.
     OpenWatch {
         /// The first revision that it reports.
-        from: i64,
+        start_revision: i64,
     },
     /// Wait for a response on the open watch.
     AwaitResponse,
@@ -34,38 +34,38 @@
 /// A key and its value.
 #[derive(Debug, PartialEq)]
 pub struct KeyValuePair {
-    /// Whose key it is.
+    /// The owner of the key.
     pub key: Key,
-    /// As it is written.
+    /// The value as stored in etcd, not parsed yet.
     pub value: Vec<u8>,
 }
 
 /// A change of a key.
 #[derive(Debug, PartialEq)]
 pub struct KeyChange {
-    /// The revision that it made.
+    /// The revision that the change created.
     pub revision: u64,
-    /// Whose key it is.
+    /// The owner of the key.
     pub key: Key,
-    /// None where the key is gone.
+    /// The new value; `None` if the key was deleted.
     pub value: Option<Vec<u8>>,
 }
 
 /// The whole list.
 #[derive(Debug, PartialEq)]
 pub struct ListSnapshot {
-    /// As of which revision it is.
+    /// The revision that the list was read at.
     pub revision: u64,
-    /// It is of another cluster than what came before.
+    /// Whether the list comes from another cluster than the previous list.
     pub cluster_changed: bool,
-    /// All keys, in order.
+    /// All keys that belong to an endpoint or a proxy, in key order.
     pub pairs: Vec<KeyValuePair>,
 }
 
-/// What became known by a response.
+/// What a response reports.
 #[derive(Debug, PartialEq)]
 pub enum Update {
-    /// Nothing yet.
+    /// Nothing new, or not all of it yet.
     Nothing,
     /// The whole list.
     List(ListSnapshot),
@@ -81,15 +81,15 @@
 /// What a response leads to.
 #[derive(Debug, PartialEq)]
 pub struct Transition {
-    /// What became known.
+    /// What the response reports.
     pub update: Update,
-    /// What to do next.
+    /// The next step.
     pub next: Step,
 }
 
 impl Transition {
-    /// Nothing became known.
-    pub(super) fn to(next: Step) -> Transition {
+    /// A transition to `next` for a response that reports nothing new.
+    pub(super) fn without_update(next: Step) -> Transition {
         Transition { update: Update::Nothing, next }
     }
 }
--- a/crates/discovery-etcd/src/session.rs
+++ b/crates/discovery-etcd/src/session.rs
@@ -1,4 +1,4 @@
-//! A session: runs the machine on one connection, and hands what becomes known to the feed.
+//! A session, which runs the machine on one connection and passes each update to the feed.
 
 use crate::call::{CallStream, Connection};
 use crate::error::SessionError;
@@ -11,9 +11,9 @@
 use chalkwalk_sockets::within;
 use std::time::{Duration, Instant};
 
-/// A watch is polled for its progress so often, and lost if nothing came for twice that and a half:
-/// with the polls a second apart it is lost 3 s after its last response, and the next endpoint has
-/// 3 s to report what it missed.
+/// Interval of the progress requests on a watch. The watch is lost if nothing arrived on it for two
+/// and a half times that. With requests a second apart it is lost 3 s after its last response, and
+/// the next endpoint has 3 s to report the changes that were missed.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
 
@@ -32,9 +32,9 @@
         Ok(())
     }
 
-    /// Whether it has been silent for too long, and not just because this process stood still:
-    /// after a standstill everything that came meanwhile is read first, and progress requested
-    /// anew.
+    /// Whether no response came for too long although progress was requested since the last one.
+    /// The second condition excludes a suspension of this process: after one, all responses that
+    /// arrived meanwhile are read first, and progress is requested again.
     fn is_silent(&self) -> bool {
         let silent = self.last_response + SILENCE_TIMEOUT < Instant::now();
         silent && self.last_progress_request > self.last_response
@@ -42,17 +42,17 @@
 }
 
 impl EtcdSource {
-    /// All that happens on one connection, until it is lost; returns why.
+    /// Runs a session on a connection until the session fails, and returns the error.
     pub(crate) async fn run_session(&self, connection: &Connection) -> SessionError {
-        let announcing = async {
+        let maintain_announcement = async {
             if let Some(announcement) = &self.announcement
-                && let Err(error) = announcement.hold(connection).await
+                && let Err(error) = announcement.maintain(connection).await
             {
                 return error;
             }
             std::future::pending().await
         };
-        smol::future::or(self.follow_list(connection), announcing).await
+        smol::future::or(self.follow_list(connection), maintain_announcement).await
     }
 
     async fn follow_list(&self, connection: &Connection) -> SessionError {
@@ -73,9 +73,9 @@
         watch: &mut Option<Watch>,
     ) -> Result<Step, SessionError> {
         match step {
-            Step::ReadPage { from, revision } => self.read_page(connection, from, revision).await,
-            Step::OpenWatch { from } => {
-                *watch = Some(self.open_watch(connection, from).await?);
+            Step::ReadPage { start_key, revision } => self.read_page(connection, start_key, revision).await,
+            Step::OpenWatch { start_revision } => {
+                *watch = Some(self.open_watch(connection, start_revision).await?);
                 Ok(Step::AwaitResponse)
             }
             Step::AwaitResponse => self.await_response(watch.as_mut().ok_or(SessionError::NoWatch)?).await,
@@ -85,16 +85,17 @@
     async fn read_page(
         &self,
         connection: &Connection,
-        from: Vec<u8>,
+        start_key: Vec<u8>,
         revision: i64,
     ) -> Result<Step, SessionError> {
         let range = self.machine.borrow().range();
         let request = api::RangeRequest {
-            key: from.into(),
+            key: start_key.into(),
             range_end: range.end.into(),
             limit: PAGE_KEYS,
             revision,
-            // By a majority: an endpoint that is behind does not answer out of its own state.
+            // A linearizable read, confirmed by a majority: an endpoint that lags behind does not
+            // answer from its own state.
             serializable: false,
         };
         let page = connection.call(path::RANGE, &request).await?;
@@ -102,12 +103,12 @@
         self.apply(transition)
     }
 
-    async fn open_watch(&self, connection: &Connection, from: i64) -> Result<Watch, SessionError> {
+    async fn open_watch(&self, connection: &Connection, first_revision: i64) -> Result<Watch, SessionError> {
         let range = self.machine.borrow().range();
         let create = api::WatchCreateRequest {
             key: range.start.into(),
             range_end: range.end.into(),
-            start_revision: from,
+            start_revision: first_revision,
             progress_notify: true,
             watch_id: 0,
             fragment: true,
@@ -135,7 +136,7 @@
         Ok(Step::AwaitResponse)
     }
 
-    /// Hands what became known to the feed, and returns the next step.
+    /// Passes the update to the feed, and returns the next step.
     fn apply(&self, transition: Transition) -> Result<Step, SessionError> {
         match transition.update {
             Update::Nothing => {}
@@ -154,15 +155,15 @@
             self.feed.history_changed();
         }
         self.live_proxies.borrow_mut().clear();
-        let entries = self.read_entries(list.pairs);
+        let entries = self.parse_entries(list.pairs);
         self.feed.apply_list(list.revision, entries)?;
         self.machine.borrow_mut().list_accepted(list.revision);
         self.report_proxy_count();
         Ok(())
     }
 
-    fn read_entries(&self, pairs: Vec<KeyValuePair>) -> Vec<ListEntry> {
-        let known = self.feed.endpoints();
+    fn parse_entries(&self, pairs: Vec<KeyValuePair>) -> Vec<ListEntry> {
+        let known_endpoints = self.feed.endpoints();
         let mut entries = Vec::new();
         for KeyValuePair { key, value } in pairs {
             match key {
@@ -170,9 +171,9 @@
                     Ok(entry) => entries.push(entry),
                     Err(error) => {
                         self.feed.reject(&error.to_string());
-                        // A value that can't be read changes nothing: the endpoint stays as it was.
-                        let as_before = known.iter().find(|endpoint| endpoint.id == id);
-                        entries.extend(as_before.cloned().map(ListEntry::from));
+                        // A value that can't be parsed changes nothing: the endpoint stays as it was.
+                        let previous_entry = known_endpoints.iter().find(|endpoint| endpoint.id == id);
+                        entries.extend(previous_entry.cloned().map(ListEntry::from));
                     }
                 },
                 Key::Proxy(name) => self.update_proxy(name, Some(&value)),
@@ -183,15 +184,16 @@
 
     fn apply_changes(&self, changes: Vec<KeyChange>) {
         let changes: Vec<RevisionedChange> =
-            changes.into_iter().filter_map(|change| self.read_change(change)).collect();
+            changes.into_iter().filter_map(|change| self.parse_change(change)).collect();
         if !changes.is_empty() {
             self.feed.apply_changes(changes);
         }
         self.report_proxy_count();
     }
 
-    /// The change of an endpoint, if it is one and can be read.
-    fn read_change(&self, KeyChange { revision, key, value }: KeyChange) -> Option<RevisionedChange> {
+    /// The change to an endpoint. `None` if the value can't be parsed, or if the key is a proxy's,
+    /// which is then updated.
+    fn parse_change(&self, KeyChange { revision, key, value }: KeyChange) -> Option<RevisionedChange> {
         let id = match key {
             Key::Endpoint(id) => id,
             Key::Proxy(name) => {
@@ -211,7 +213,7 @@
         }
     }
 
-    /// A proxy's key was written, or is gone.
+    /// Records that a proxy's key was written, or deleted if `value` is `None`.
     fn update_proxy(&self, name: String, value: Option<&[u8]>) {
         if let Err(error) = self.live_proxies.borrow_mut().update(name.clone(), value) {
             self.feed.reject(&format!("proxy {name}: {error}"));
@@ -220,7 +222,7 @@
 
     fn report_proxy_count(&self) {
         if self.announcement.is_some() {
-            // This one counts whether its key is there yet or not.
+            // This proxy counts even if its key is not written yet.
             self.feed.observe_proxies(self.live_proxies.borrow().count().max(1));
         }
     }
--- a/crates/discovery-etcd/src/source.rs
+++ b/crates/discovery-etcd/src/source.rs
@@ -1,4 +1,5 @@
-//! The source: connects to one endpoint after the other, and runs a session on each until it ends.
+//! The source, which connects to one endpoint after the other and runs a session on each until it
+//! ends.
 
 use crate::announcement::Announcement;
 use crate::call::Connection;
@@ -15,18 +16,18 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// etcd as the source of a feed.
+/// An etcd cluster as the source of a feed.
 pub struct EtcdSource {
     pub(crate) feed: Rc<Feed>,
     endpoints: Vec<SocketAddr>,
     pub(crate) machine: RefCell<Machine>,
-    /// Where proxies count each other.
+    /// This proxy's own key, if the proxies count each other through etcd.
     pub(crate) announcement: Option<Announcement>,
     pub(crate) live_proxies: RefCell<LiveProxies>,
 }
 
 impl EtcdSource {
-    /// A source that reads all keys with the prefix; no connection is opened yet.
+    /// A source that reads all keys with the prefix. It does not open a connection yet.
     pub fn new(
         engine: &Rc<Engine>,
         feed: Rc<Feed>,
@@ -38,38 +39,38 @@
         Rc::new(EtcdSource { feed, endpoints, machine, announcement, live_proxies: RefCell::default() })
     }
 
-    /// Never ends.
+    /// Keeps the feed up to date; never returns.
     pub async fn follow(self: Rc<EtcdSource>) {
         let mut attempt = self.machine.borrow().first_attempt();
         loop {
             Timer::after(Duration::from(attempt.delay)).await;
-            attempt = self.try_endpoint(attempt.endpoint).await;
+            attempt = self.try_endpoint(attempt.endpoint_index).await;
         }
     }
 
-    /// Uses an endpoint for as long as it can be used; returns the next attempt.
-    async fn try_endpoint(&self, endpoint: usize) -> ConnectAttempt {
+    /// Connects to an endpoint and runs a session until it fails; returns the next attempt.
+    async fn try_endpoint(&self, endpoint_index: usize) -> ConnectAttempt {
         let engine = &self.feed.engine;
-        let addr = self.endpoints[endpoint];
-        let began = engine.clock.now();
+        let addr = self.endpoints[endpoint_index];
+        let started_at = engine.clock.now();
         let error = match Connection::open(&engine.executor, addr).await {
             Ok(connection) => self.run_session(&connection).await,
             Err(error) => error.into(),
         };
         self.feed.source_unavailable(&format!("{addr}: {error}"));
-        let took = engine.clock.now() - began;
-        let next = self.next_attempt(&error, took);
+        let elapsed = engine.clock.now() - started_at;
+        let next = self.next_attempt(&error, elapsed);
         info!(engine.log, "etcd call failed"; "endpoint" => %addr, "fault" => %error,
-            "took_ms" => took.as_millis(), "next" => %self.endpoints[next.endpoint],
+            "took_ms" => elapsed.as_millis(), "next" => %self.endpoints[next.endpoint_index],
             "rest_ms" => next.delay.as_millis());
         next
     }
 
-    fn next_attempt(&self, error: &SessionError, took: Span) -> ConnectAttempt {
+    fn next_attempt(&self, error: &SessionError, elapsed: Span) -> ConnectAttempt {
         let mut machine = self.machine.borrow_mut();
         match error {
             SessionError::ListRejected(_) => machine.list_rejected(),
-            _ => machine.connection_failed(took),
+            _ => machine.connection_failed(elapsed),
         }
     }
 }
--- a/crates/discovery-etcd/tests/fake_etcd/mod.rs
+++ b/crates/discovery-etcd/tests/fake_etcd/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in for one endpoint of etcd: keys, one watch, one lease.
+//! A fake etcd endpoint with a set of keys, one watch and one lease.
 
 use chalkwalk_etcd_wire::api::watch_request::RequestUnion;
 use chalkwalk_etcd_wire::{FrameDecoder, GRPC_STATUS, Message, api, code, encode_frame, path};
@@ -11,8 +11,8 @@
 use std::rc::Rc;
 use tokio_util::compat::FuturesAsyncReadCompatExt;
 
-/// What the calls' headers say of the cluster.
-const CLUSTER: u64 = 1;
+/// The cluster id in the headers of the responses.
+const CLUSTER_ID: u64 = 1;
 
 pub struct FakeEtcd<'a> {
     executor: &'a LocalExecutor<'static>,
@@ -25,7 +25,7 @@
 struct State {
     revision: Cell<i64>,
     pairs: RefCell<Vec<api::KeyValue>>,
-    /// The calls so far, a line each.
+    /// A line for each call so far.
     calls: RefCell<Vec<String>>,
     watch: RefCell<Option<SendStream<bytes::Bytes>>>,
     connection: RefCell<Option<smol::Task<()>>>,
@@ -34,7 +34,7 @@
 impl State {
     fn header(&self) -> Option<api::ResponseHeader> {
         let revision = self.revision.get();
-        Some(api::ResponseHeader { cluster_id: CLUSTER, revision, ..api::ResponseHeader::default() })
+        Some(api::ResponseHeader { cluster_id: CLUSTER_ID, revision, ..api::ResponseHeader::default() })
     }
 
     fn record_call(&self, call: String) {
@@ -49,7 +49,7 @@
         FakeEtcd { executor, listener, addr, state: Rc::default() }
     }
 
-    /// Accepts one connection after the other; never ends.
+    /// Accepts connections; never returns. A new connection replaces the previous one.
     pub async fn serve(&self) {
         loop {
             let (stream, _) = self.listener.accept().await.unwrap();
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Writes a key, or deletes it, and notifies the watch.
+    /// Writes a key, or deletes it if `value` is `None`, and notifies the watch.
     pub fn write(&self, key: &str, value: Option<&str>) {
         let revision = self.state.revision.get() + 1;
         self.state.revision.set(revision);
@@ -92,13 +92,13 @@
         }
     }
 
-    /// Breaks the connection.
+    /// Closes the watch and the connection.
     pub fn break_connection(&self) {
         self.state.watch.take();
         self.state.connection.take();
     }
 
-    /// The calls so far, a line each.
+    /// A line for each call so far.
     pub fn calls(&self) -> Vec<String> {
         self.state.calls.borrow().clone()
     }
@@ -111,14 +111,14 @@
     let mut responses = respond.send_response(head, false).unwrap();
     match call.as_str() {
         path::RANGE => {
-            let range: api::RangeRequest = read(&mut body).await;
+            let range: api::RangeRequest = read_message(&mut body).await;
             state.record_call(format!("range at {}", range.revision));
             let kvs = state.pairs.borrow().clone();
             let page = api::RangeResponse { header: state.header(), kvs, more: false, count: 0 };
-            finish(responses, &page);
+            send_last_message(responses, &page);
         }
         path::WATCH => {
-            let request: api::WatchRequest = read(&mut body).await;
+            let request: api::WatchRequest = read_message(&mut body).await;
             let Some(RequestUnion::CreateRequest(create)) = request.request_union else { return };
             state.record_call(format!("watch from {}", create.start_revision));
             let created =
@@ -128,32 +128,35 @@
         }
         path::LEASE_GRANT => {
             state.record_call("grant".into());
-            finish(responses, &api::LeaseGrantResponse { id: 42, ..api::LeaseGrantResponse::default() });
+            send_last_message(
+                responses,
+                &api::LeaseGrantResponse { id: 42, ..api::LeaseGrantResponse::default() },
+            );
         }
         path::PUT => {
-            let put: api::PutRequest = read(&mut body).await;
+            let put: api::PutRequest = read_message(&mut body).await;
             let key = String::from_utf8_lossy(&put.key).into_owned();
             state.record_call(format!("put {key} {} {}", String::from_utf8_lossy(&put.value), put.lease));
-            finish(responses, &api::PutResponse::default());
+            send_last_message(responses, &api::PutResponse::default());
         }
         path::LEASE_KEEP_ALIVE => {
-            let renewal: api::LeaseKeepAliveRequest = read(&mut body).await;
+            let renewal: api::LeaseKeepAliveRequest = read_message(&mut body).await;
             state.record_call(format!("keep alive {}", renewal.id));
-            finish(
+            send_last_message(
                 responses,
                 &api::LeaseKeepAliveResponse { ttl: 1, ..api::LeaseKeepAliveResponse::default() },
             );
         }
         path::LEASE_REVOKE => {
-            let revoke: api::LeaseRevokeRequest = read(&mut body).await;
+            let revoke: api::LeaseRevokeRequest = read_message(&mut body).await;
             state.record_call(format!("revoke {}", revoke.id));
-            finish(responses, &api::LeaseRevokeResponse::default());
+            send_last_message(responses, &api::LeaseRevokeResponse::default());
         }
-        other => panic!("{other}"),
+        other => panic!("unexpected call {other}"),
     }
 }
 
-async fn read<M: Message + Default>(body: &mut RecvStream) -> M {
+async fn read_message<M: Message + Default>(body: &mut RecvStream) -> M {
     let mut decoder = FrameDecoder::new(1 << 20);
     loop {
         if let Some(message) = decoder.next_message().unwrap() {
@@ -163,7 +166,7 @@
     }
 }
 
-fn finish(mut responses: SendStream<bytes::Bytes>, message: &impl Message) {
+fn send_last_message(mut responses: SendStream<bytes::Bytes>, message: &impl Message) {
     responses.send_data(encode_frame(message), false).unwrap();
     let mut trailers = HeaderMap::new();
     trailers.insert(GRPC_STATUS, HeaderValue::from_static(code::OK));
--- a/crates/discovery-etcd/tests/machine.rs
+++ b/crates/discovery-etcd/tests/machine.rs
@@ -1,4 +1,4 @@
-//! The machine by itself: what it requests, whatever the responses.
+//! The state machine alone: which requests and connection attempts follow from which responses.
 
 use chalkwalk_discovery_etcd::machine::{
     ConnectAttempt, Key, KeyChange, KeyValuePair, Machine, ProtocolError, Step, Transition, Update,
@@ -18,19 +18,19 @@
     KeyValue { key, value, mod_revision: revision, ..KeyValue::default() }
 }
 
-fn event(gone: bool, key: &str, revision: i64) -> Event {
-    Event { r#type: i32::from(gone), kv: Some(kv(key, "v", revision)) }
+fn event(deleted: bool, key: &str, revision: i64) -> Event {
+    Event { r#type: i32::from(deleted), kv: Some(kv(key, "v", revision)) }
 }
 
-fn watched(revision: i64, events: Vec<Event>) -> WatchResponse {
+fn watch_response(revision: i64, events: Vec<Event>) -> WatchResponse {
     WatchResponse { header: header(revision), events, ..WatchResponse::default() }
 }
 
-fn created(revision: i64) -> WatchResponse {
-    WatchResponse { created: true, ..watched(revision, vec![]) }
+fn watch_created(revision: i64) -> WatchResponse {
+    WatchResponse { created: true, ..watch_response(revision, vec![]) }
 }
 
-/// What becomes known and what is done next, a line each.
+/// Records the updates and the next steps of a machine, a line for each response.
 struct Trace {
     machine: Machine,
     text: String,
@@ -41,16 +41,16 @@
         Trace { machine: Machine::new("/c/", 3, 7), text: String::new() }
     }
 
-    fn attempt(&mut self, ConnectAttempt { endpoint, delay }: ConnectAttempt) {
-        self.text += &format!("connect to {endpoint} after {} ms\n", delay / 10);
+    fn attempt(&mut self, ConnectAttempt { endpoint_index, delay }: ConnectAttempt) {
+        self.text += &format!("connect to {endpoint_index} after {} ms\n", delay / 10);
     }
 
     fn step(&mut self, step: Step) {
         let line = match step {
-            Step::ReadPage { from, revision } => {
-                format!("range from {:?} at {revision}", String::from_utf8_lossy(&from))
+            Step::ReadPage { start_key, revision } => {
+                format!("range from {:?} at {revision}", String::from_utf8_lossy(&start_key))
             }
-            Step::OpenWatch { from } => format!("watch from {from}"),
+            Step::OpenWatch { start_revision } => format!("watch from {start_revision}"),
             Step::AwaitResponse => "listen".into(),
         };
         self.text += &format!("{line}\n");
@@ -62,7 +62,7 @@
                 self.update(transition.update);
                 self.step(transition.next);
             }
-            Err(error) => self.failed(&error.to_string()),
+            Err(error) => self.fail(&error.to_string()),
         }
     }
 
@@ -75,8 +75,8 @@
             Update::Nothing => {}
             Update::List(list) => {
                 let names: Vec<_> = list.pairs.iter().map(|KeyValuePair { key, .. }| name(key)).collect();
-                let of = if list.cluster_changed { " of another cluster" } else { "" };
-                self.text += &format!("whole at {}{of}: {}; ", list.revision, names.join(", "));
+                let suffix = if list.cluster_changed { " of another cluster" } else { "" };
+                self.text += &format!("whole list at {}{suffix}: {}; ", list.revision, names.join(", "));
                 self.machine.list_accepted(list.revision);
             }
             Update::Changes(changes) => {
@@ -89,7 +89,7 @@
         }
     }
 
-    fn failed(&mut self, error: &str) {
+    fn fail(&mut self, error: &str) {
         self.text += &format!("{error}; ");
         let attempt = self.machine.connection_failed(Span::ZERO);
         self.attempt(attempt);
@@ -114,37 +114,43 @@
 }
 
 #[test]
-fn pages_then_a_watch_which_is_resumed_after_a_break_and_replaced_by_a_list_after_compaction() {
+fn the_watch_is_resumed_after_a_lost_connection_and_replaced_by_a_list_after_compaction() {
     let mut trace = Trace::new();
     let first = trace.machine.first_attempt();
     trace.attempt(first);
     trace.connected();
     trace.page(9, &["/c/caches/a", "/c/caches/b"], true);
-    // A later page at a later revision is still of the first one's.
+    // All pages count as read at the revision of the first page.
     trace.page(11, &["/c/proxies/p", "/c/other", "/c/caches/"], false);
-    trace.watch(created(12));
-    let half = WatchResponse { fragment: true, ..watched(12, vec![event(false, "/c/caches/a", 10)]) };
-    trace.watch(half);
-    trace.watch(watched(12, vec![event(true, "/c/caches/b", 10), event(true, "/c/proxies/p", 12)]));
-    trace.watch(watched(20, vec![]));
-    trace.failed("it broke");
+    trace.watch(watch_created(12));
+    let first_fragment =
+        WatchResponse { fragment: true, ..watch_response(12, vec![event(false, "/c/caches/a", 10)]) };
+    trace.watch(first_fragment);
+    trace.watch(watch_response(12, vec![event(true, "/c/caches/b", 10), event(true, "/c/proxies/p", 12)]));
+    trace.watch(watch_response(20, vec![]));
+    trace.fail("connection lost");
     trace.connected();
-    trace.watch(created(25));
-    trace.watch(watched(25, vec![event(false, "/c/caches/z", 23)]));
-    trace.failed("it broke");
+    trace.watch(watch_created(25));
+    trace.watch(watch_response(25, vec![event(false, "/c/caches/z", 23)]));
+    trace.fail("connection lost");
     trace.connected();
-    trace.watch(WatchResponse { canceled: true, compact_revision: 40, ..watched(50, vec![]) });
+    trace.watch(WatchResponse { canceled: true, compact_revision: 40, ..watch_response(50, vec![]) });
     trace.page(50, &["/c/caches/a"], false);
-    trace.watch(WatchResponse { canceled: true, cancel_reason: "moved".into(), ..watched(50, vec![]) });
-    // Restored from an older state: only its whole list shows which.
+    trace.watch(WatchResponse {
+        canceled: true,
+        cancel_reason: "moved".into(),
+        ..watch_response(50, vec![])
+    });
+    // An endpoint that was restored from an older state: its whole list is read again.
     trace.connected();
-    trace.watch(created(30));
+    trace.watch(watch_created(30));
     trace.page(30, &["/c/caches/a"], false);
-    // Restored, and past the revision that is known: another cluster all the same.
+    // An endpoint that was restored and is past the known revision: its cluster id differs, so its
+    // whole list is read again.
     trace.connected();
     trace.watch(WatchResponse {
         header: Some(ResponseHeader { cluster_id: 9, revision: 60, ..ResponseHeader::default() }),
-        ..created(60)
+        ..watch_created(60)
     });
     let header = Some(ResponseHeader { cluster_id: 9, revision: 60, ..ResponseHeader::default() });
     let result = trace.machine.page_received(RangeResponse { header, ..RangeResponse::default() });
@@ -153,47 +159,47 @@
         connect to 1 after 0 ms
         range from "/c/" at 0
         range from "/c/caches/b\0" at 9
-        whole at 9: a, b, proxy p; watch from 10
+        whole list at 9: a, b, proxy p; watch from 10
         listen
         listen
         a@10 -b@10 -proxy p@12; listen
         reached 20; listen
-        it broke; connect to 2 after 444 ms
+        connection lost; connect to 2 after 444 ms
         watch from 21
         listen
         z@23; listen
-        it broke; connect to 0 after 460 ms
+        connection lost; connect to 0 after 460 ms
         watch from 24
         range from "/c/" at 0
-        whole at 50: a; watch from 51
+        whole list at 50: a; watch from 51
         watch canceled: moved; connect to 1 after 456 ms
         watch from 51
         range from "/c/" at 0
-        whole at 30: a; watch from 31
+        whole list at 30: a; watch from 31
         watch from 31
         range from "/c/" at 0
-        whole at 60 of another cluster: ; watch from 61
+        whole list at 60 of another cluster: ; watch from 61
     "#]]
     .assert_eq(&trace.text);
 }
 
 #[test]
-fn an_endpoint_that_is_behind_is_given_up_and_delays_grow() {
+fn an_endpoint_that_lags_behind_is_left_and_delays_grow() {
     let mut trace = Trace::new();
     trace.connected();
     trace.page(9, &["/c/caches/a"], false);
-    trace.watch(created(9));
-    trace.watch(watched(7, vec![]));
-    (0..6).for_each(|_| trace.failed("refused"));
-    // Only an endpoint that responds makes delays short again.
+    trace.watch(watch_created(9));
+    trace.watch(watch_response(7, vec![]));
+    (0..6).for_each(|_| trace.fail("refused"));
+    // Only an endpoint that responds resets the delays.
     trace.connected();
-    trace.watch(created(9));
-    trace.failed("it broke");
+    trace.watch(watch_created(9));
+    trace.fail("connection lost");
     expect![[r#"
         range from "/c/" at 0
-        whole at 9: a; watch from 10
+        whole list at 9: a; watch from 10
         listen
-        an endpoint behind, at 7 after 9; connect to 2 after 444 ms
+        the endpoint is at revision 7, behind the known revision 9; connect to 2 after 444 ms
         refused; connect to 0 after 460 ms
         refused; connect to 1 after 456 ms
         refused; connect to 2 after 1453 ms
@@ -202,53 +208,60 @@
         refused; connect to 2 after 3480 ms
         watch from 10
         listen
-        it broke; connect to 0 after 162 ms
+        connection lost; connect to 0 after 162 ms
     "#]]
     .assert_eq(&trace.text);
 }
 
-/// Five hundred proxies lose their watches at once, and etcd comes back after some time: how many
-/// connect within 100 ms.
+/// Guards against all proxies reconnecting at once. Five hundred proxies lose their watches at the
+/// same time, and etcd is available again after an outage: counts the highest number of connection
+/// attempts within 100 ms.
 #[test]
-fn watchers_that_lose_etcd_together_do_not_return_at_once() {
-    let peak = |away_ms: u64| {
-        let mut within = vec![0; 800];
+fn watchers_that_lose_etcd_together_do_not_reconnect_at_once() {
+    let max_attempts = |outage_ms: u64| {
+        let mut attempts_per_100_ms = vec![0; 800];
         for seed in 0..500 {
             let mut machine = Machine::new("/c/", 3, 1000 + seed);
-            let mut at = 0;
+            let mut elapsed_ms = 0;
             loop {
-                at += machine.connection_failed(Span::ZERO).delay.as_millis();
-                within[(at / 100) as usize] += 1;
-                if at >= away_ms {
+                elapsed_ms += machine.connection_failed(Span::ZERO).delay.as_millis();
+                attempts_per_100_ms[(elapsed_ms / 100) as usize] += 1;
+                if elapsed_ms >= outage_ms {
                     break;
                 }
             }
         }
-        within.iter().copied().max().unwrap_or(0)
+        attempts_per_100_ms.iter().copied().max().unwrap_or(0)
     };
-    expect!["61 168 168 of 500"].assert_eq(&format!("{} {} {} of 500", peak(0), peak(5_000), peak(30_000)));
+    expect!["61 168 168 of 500"].assert_eq(&format!(
+        "{} {} {} of 500",
+        max_attempts(0),
+        max_attempts(5_000),
+        max_attempts(30_000)
+    ));
 }
 
-/// Etcd is away for 20 s. However its endpoints fail, the next attempt that can be answered begins
-/// early enough to be answered within the time in which a change must be known: an endpoint answers
-/// within a second, and an attempt that hangs is given up after two at most.
+/// Etcd is unavailable for 20 s. However its endpoints fail, the first attempt after the outage must
+/// start early enough to be answered within the time in which a change must be known. An endpoint
+/// answers within a second, and an attempt that hangs is given up after at most two seconds. Times
+/// are in ticks of 0.1 ms.
 #[test]
-fn after_an_outage_the_next_attempt_is_in_time() {
-    let (limit, response) = (60_000, 10_000);
-    for attempt_takes in [0, 10_000, 20_000] {
+fn the_first_attempt_after_an_outage_starts_in_time() {
+    let (max_change_delay, response_time) = (60_000, 10_000);
+    for attempt_duration in [0, 10_000, 20_000] {
         for seed in 0..500 {
             let mut machine = Machine::new("/c/", 3, 1000 + seed);
-            let (mut at, mut starts) = (0, Vec::new());
-            while at < 300_000 {
-                starts.push(at);
-                let next = machine.connection_failed(Span::from_ticks(attempt_takes));
-                at += attempt_takes + next.delay.ticks();
+            let (mut elapsed, mut attempt_starts) = (0, Vec::new());
+            while elapsed < 300_000 {
+                attempt_starts.push(elapsed);
+                let next = machine.connection_failed(Span::from_ticks(attempt_duration));
+                elapsed += attempt_duration + next.delay.ticks();
             }
-            // Etcd returns just after an attempt began that is doomed by then.
-            let longest = starts.windows(2).map(|pair| pair[1] - pair[0]).max().unwrap_or(0);
+            // In the worst case etcd is available again just after an attempt started that will fail.
+            let max_gap = attempt_starts.windows(2).map(|pair| pair[1] - pair[0]).max().unwrap_or(0);
             assert!(
-                longest + response <= limit,
-                "seed {seed}, attempts take {attempt_takes}: {longest} from one attempt to the next"
+                max_gap + response_time <= max_change_delay,
+                "seed {seed}, attempts of {attempt_duration} ticks: {max_gap} ticks between two attempts"
             );
         }
     }
@@ -262,15 +275,15 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever an endpoint responds, there is a next step, and what is known never goes back
+    /// Whatever an endpoint responds, there is a next step, and the known revision never decreases
     /// without a whole list.
     #[test]
-    fn any_responses_lead_on(
+    fn any_response_has_a_next_step(
         responses in proptest::collection::vec((0u8..8, -3i64..40, any::<bool>()), 0..60),
     ) {
         let mut machine = Machine::new("/c/", 2, 1);
         let mut step = machine.connected();
-        let mut known = 0;
+        let mut known_revision = 0;
         for (kind, revision, flag) in responses {
             let result = match (&step, kind) {
                 (Step::ReadPage { .. }, _) => {
@@ -278,11 +291,11 @@
                     let more = kind == 0;
                     machine.page_received(RangeResponse { header: header(revision), kvs, more, count: 1 })
                 }
-                (_, 0) => machine.watch_response(created(revision)),
+                (_, 0) => machine.watch_response(watch_created(revision)),
                 (_, 1) => machine.watch_response(WatchResponse {
                     canceled: true,
                     compact_revision: revision,
-                    ..watched(3, vec![])
+                    ..watch_response(3, vec![])
                 }),
                 (_, 2) => machine.watch_response(WatchResponse {
                     header: None,
@@ -291,23 +304,26 @@
                 }),
                 (_, n) => {
                     let events = vec![event(n == 4, "/c/caches/a", revision)];
-                    machine.watch_response(WatchResponse { fragment: flag, ..watched(revision, events) })
+                    machine.watch_response(WatchResponse {
+                        fragment: flag,
+                        ..watch_response(revision, events)
+                    })
                 }
             };
             step = match result {
                 Ok(Transition { update, next }) => {
                     if let Update::List(list) = update {
                         machine.list_accepted(list.revision);
-                        known = list.revision;
+                        known_revision = list.revision;
                     }
-                    if let Step::OpenWatch { from } = next {
-                        prop_assert!(from as u64 > known || known == 0);
+                    if let Step::OpenWatch { start_revision } = next {
+                        prop_assert!(start_revision as u64 > known_revision || known_revision == 0);
                     }
                     next
                 }
                 Err(_) => {
                     let next = machine.connection_failed(Span::ZERO);
-                    prop_assert!(next.endpoint < 2, "{:?}", next);
+                    prop_assert!(next.endpoint_index < 2, "{:?}", next);
                     machine.connected()
                 }
             };
--- a/crates/discovery-feed/src/feed.rs
+++ b/crates/discovery-feed/src/feed.rs
@@ -1,7 +1,8 @@
-//! From what a source reads to what the engine is notified of.
+//! The feed, which passes what a source reads on to the engine.
 //!
-//! A source reports lists, changes and proxy counts here; what it can't read it reports as
-//! rejected, and that it can't be reached as unavailable. The decisions are the reconciler's.
+//! A source reports lists, changes and proxy counts to the feed. It also reports values that it
+//! can't parse, as rejected, and that its server or file can't be reached, as unavailable. The
+//! reconciler decides what to apply.
 
 use chalkwalk_engine::api;
 use chalkwalk_engine::engine::Engine;
@@ -20,53 +21,55 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Counts of proxies fall by themselves; they are looked at once in so long.
-const COUNT_INTERVAL: Duration = Duration::from_secs(5);
+/// Interval at which the proxy count is evaluated: it can fall by the passage of time alone, without
+/// a report from the source.
+const PROXY_COUNT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The one list of a process, fed by one source.
+/// The endpoint list of a process, updated by one source.
 pub struct Feed {
-    /// What is notified, with its clock and its log.
+    /// The engine that is notified, with its clock and its log.
     pub engine: Rc<Engine>,
     /// The zones and kinds that the source may name.
     pub allowed_names: AllowedNames,
     reconciler: RefCell<Reconciler>,
     proxy_count: RefCell<ProxyCount>,
-    /// By how many proxies the balancer divides now.
-    sharing_proxies: Cell<u64>,
-    /// Where the list is persisted, if the operator configures it.
+    /// The number of proxies that the engine was last notified of, among which the balancer divides
+    /// the servers' capacity.
+    effective_proxy_count: Cell<u64>,
+    /// The file that the list is persisted in, if the operator configures one.
     pub(crate) persistence_path: Option<PathBuf>,
     /// Whether the list has changed since it was last written to disk.
-    pub(crate) unpersisted: Cell<bool>,
-    rejections: Cell<u64>,
+    pub(crate) has_unpersisted_changes: Cell<bool>,
+    rejection_count: Cell<u64>,
     unavailable: Cell<bool>,
-    /// Wakes the timers: the next deadline may be sooner than the one that is waited for.
+    /// Wakes `run_timers`, as the next deadline may be earlier than the one that it waits for.
     wake_timers: Sender<()>,
     timers_woken: Receiver<()>,
 }
 
 impl Feed {
-    /// A feed of the engine, without any list yet.
+    /// A feed that notifies this engine. It has no list yet.
     pub fn new(engine: &Rc<Engine>, source: SourceKind, persistence_path: Option<PathBuf>) -> Rc<Feed> {
         let (wake_timers, timers_woken) = bounded(1);
-        let configured = engine.classes.proxy_count();
+        let configured_proxy_count = engine.classes.proxy_count();
         let allowed_names =
             AllowedNames { zones: engine.config.zones.clone(), kinds: engine.config.kinds.clone() };
         Rc::new(Feed {
             engine: engine.clone(),
             allowed_names,
             reconciler: RefCell::new(Reconciler::new(source)),
-            proxy_count: RefCell::new(ProxyCount::new(configured)),
-            sharing_proxies: Cell::new(configured),
+            proxy_count: RefCell::new(ProxyCount::new(configured_proxy_count)),
+            effective_proxy_count: Cell::new(configured_proxy_count),
             persistence_path,
-            unpersisted: Cell::new(false),
-            rejections: Cell::new(0),
+            has_unpersisted_changes: Cell::new(false),
+            rejection_count: Cell::new(0),
             unavailable: Cell::new(false),
             wake_timers,
             timers_woken,
         })
     }
 
-    /// As of which revision the list is known.
+    /// The revision up to which the list is known.
     pub fn revision(&self) -> u64 {
         self.reconciler.borrow().revision()
     }
@@ -76,8 +79,8 @@
         self.reconciler.borrow().endpoints()
     }
 
-    /// Applies the whole list as of a revision. An error is in the log already; nothing was applied
-    /// then but the drains.
+    /// Applies the whole list at a revision. If the list is rejected, only its drains are applied; the
+    /// error is returned and has been logged.
     pub fn apply_list(&self, revision: u64, entries: Vec<ListEntry>) -> Result<(), ListError> {
         let applied = self.reconciler.borrow_mut().apply_list(self.now(), revision, entries);
         match applied {
@@ -93,7 +96,8 @@
         }
     }
 
-    /// What the source reports from now on is of another history.
+    /// Records that the source's reports belong to another history from now on, so their revisions
+    /// can't be compared with the earlier ones.
     pub fn history_changed(&self) {
         warn!(self.engine.log, "list history changed, treated as stale");
         self.reconciler.borrow_mut().history_changed(self.now());
@@ -105,23 +109,23 @@
         self.publish(update);
     }
 
-    /// Nothing changed up to this revision.
+    /// Records that there are no further changes up to this revision.
     pub fn advance_to(&self, revision: u64) {
         self.reconciler.borrow_mut().advance_to(revision);
         self.source_available();
     }
 
-    /// Something that the source reported can't be used: it is counted, and each line of the reason
-    /// logged.
+    /// Counts a report of the source that can't be used, and logs each line of the reason.
     pub fn reject(&self, reason: &str) {
-        let rejections = self.rejections.get() + 1;
-        self.rejections.set(rejections);
+        let rejection_count = self.rejection_count.get() + 1;
+        self.rejection_count.set(rejection_count);
         for line in reason.lines() {
-            warn!(self.engine.log, "list ignored"; "fault" => line, "passed_over" => rejections);
+            warn!(self.engine.log, "list ignored"; "fault" => line, "passed_over" => rejection_count);
         }
     }
 
-    /// The source can't be reached; logged once until it is available again.
+    /// Records that the source can't be reached. It is logged once until the source is available
+    /// again.
     pub fn source_unavailable(&self, reason: &str) {
         if !self.unavailable.replace(true) {
             warn!(self.engine.log, "list source unavailable"; "fault" => reason);
@@ -134,15 +138,15 @@
         }
     }
 
-    /// So many proxies are live as the source has it, this one included.
+    /// Records the number of live proxies that the source reports, this one included.
     pub fn observe_proxies(&self, live: u64) {
         self.proxy_count.borrow_mut().observe(self.now(), live);
-        self.update_sharing();
+        self.update_proxy_count();
     }
 
-    fn update_sharing(&self) {
+    fn update_proxy_count(&self) {
         let proxy_count = self.proxy_count.borrow_mut().effective(self.now());
-        if self.sharing_proxies.replace(proxy_count) != proxy_count {
+        if self.effective_proxy_count.replace(proxy_count) != proxy_count {
             info!(self.engine.log, "proxy count changed"; "proxies" => proxy_count);
             api::set_proxy_count(&self.engine, proxy_count);
         }
@@ -152,8 +156,8 @@
         self.source_available();
         update.events.iter().for_each(|event| self.log(event));
         if update.replaces_all || !update.endpoints.is_empty() {
-            self.unpersisted.set(true);
-            // Staleness is the reconciler's concern: the engine takes what it decided.
+            self.has_unpersisted_changes.set(true);
+            // The reconciler has already handled staleness: the engine applies its decision as it is.
             let doubted = false;
             api::apply_endpoint_list(&self.engine, &update.endpoints, update.replaces_all, doubted);
         }
@@ -176,20 +180,20 @@
         self.publish(update);
     }
 
-    /// Applies what time alone changes; never ends.
+    /// Applies the changes that are due by time alone, such as deadlines; never returns.
     pub async fn run_timers(self: Rc<Feed>) {
         loop {
             self.wait_for_deadline().await;
             if self.next_deadline().is_some_and(|deadline| deadline <= self.now()) {
                 self.tick();
             }
-            self.update_sharing();
+            self.update_proxy_count();
         }
     }
 
     async fn wait_for_deadline(&self) {
         let wait = self.next_deadline().map(|deadline| deadline.saturating_since(self.now()));
-        let wait = wait.map_or(COUNT_INTERVAL, |wait| Duration::from(wait).min(COUNT_INTERVAL));
+        let wait = wait.map_or(PROXY_COUNT_INTERVAL, |wait| Duration::from(wait).min(PROXY_COUNT_INTERVAL));
         let elapsed = async { _ = Timer::after(wait).await };
         let woken = async { _ = self.timers_woken.recv().await };
         smol::future::or(elapsed, woken).await;
--- a/crates/discovery-feed/src/file.rs
+++ b/crates/discovery-feed/src/file.rs
@@ -1,5 +1,5 @@
-//! A watched file as a source: a version is accepted whole or not at all, and compared by its
-//! content.
+//! A watched file as a source of the endpoint list. Changes are detected by comparing the content,
+//! and each version of the file is accepted whole or not at all.
 
 use crate::feed::Feed;
 use chalkwalk_membership::format::{AllowedNames, EndpointFile, FileError, parse_file};
@@ -13,11 +13,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// From one poll of the file to the next. A drain is applied well within the second that it may
-/// take; reading some kilobytes ten times a second costs next to nothing. Comparing the content
-/// needs no notifications, which renames and mounts would lose.
+/// Interval between two polls of the file. It applies a drain well within the permitted second, and
+/// the cost of reading some kilobytes ten times a second is negligible. The file is polled because
+/// renames and mounts lose change notifications.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// 20,000 servers take some 200 bytes each.
+/// Maximum size of the file. 20,000 servers take some 200 bytes each, about half of it.
 const MAX_FILE_BYTES: u64 = 8 << 20;
 
 /// Why the file can't be read.
@@ -25,54 +25,55 @@
 enum ReadError {
     #[error("{}: {source}", path.display())]
     Io { path: PathBuf, source: std::io::Error },
-    #[error("{}: above {MAX_FILE_BYTES} bytes", path.display())]
+    #[error("{}: the file is larger than {MAX_FILE_BYTES} bytes", path.display())]
     TooLarge { path: PathBuf },
 }
 
 /// Why a version of the file is rejected.
 #[derive(Debug, thiserror::Error)]
 enum VersionError {
-    #[error("no text: {0}")]
-    NotText(#[from] std::str::Utf8Error),
+    #[error("the file is not UTF-8 text: {0}")]
+    NotUtf8(#[from] std::str::Utf8Error),
     #[error(transparent)]
     File(#[from] FileError),
-    #[error("an old file, serial {serial} after {known}")]
-    OldSerial { serial: u64, known: u64 },
+    #[error("the serial number {serial} is lower than {last_serial}, that of the last accepted version")]
+    OldSerial { serial: u64, last_serial: u64 },
 }
 
-/// A watched list file.
+/// Polls a list file and reports its versions to the feed.
 pub struct FileSource {
     feed: Rc<Feed>,
     path: PathBuf,
-    /// Hash of the content that was polled last.
-    last_content: Cell<Option<u64>>,
+    /// Hash of the content at the last poll; `None` if the file could not be read or has to be applied
+    /// again.
+    last_content_hash: Cell<Option<u64>>,
     /// The serial number of the last version that was accepted and had one.
     serial: Cell<Option<u64>>,
 }
 
 impl FileSource {
-    /// A source of the feed; nothing is read yet.
+    /// A source for this feed. It does not read the file yet.
     pub fn new(feed: Rc<Feed>, path: &Path) -> Rc<FileSource> {
         let path = path.to_path_buf();
-        Rc::new(FileSource { feed, path, last_content: Cell::new(None), serial: Cell::new(None) })
+        Rc::new(FileSource { feed, path, last_content_hash: Cell::new(None), serial: Cell::new(None) })
     }
 
-    /// Applies the file anew at the next poll, even with a lower serial number than before: its
+    /// Applies the file again at the next poll, even if its serial number is lower than before, as its
     /// writer may have been restarted.
     pub fn reload(&self) {
-        self.last_content.set(None);
+        self.last_content_hash.set(None);
         self.serial.set(None);
     }
 
-    /// Polls the file; never ends.
+    /// Polls the file; never returns.
     pub async fn follow(self: Rc<FileSource>) {
         loop {
             let path = self.path.clone();
-            match smol::unblock(move || read(&path)).await {
+            match smol::unblock(move || read_file(&path)).await {
                 Ok(bytes) => self.apply_if_changed(&bytes),
                 Err(error) => {
                     self.feed.source_unavailable(&error.to_string());
-                    self.last_content.set(None);
+                    self.last_content_hash.set(None);
                 }
             }
             Timer::after(POLL_INTERVAL).await;
@@ -80,8 +81,8 @@
     }
 
     fn apply_if_changed(&self, bytes: &[u8]) {
-        let content = content_hash(bytes);
-        if self.last_content.replace(Some(content)) == Some(content) {
+        let hash = content_hash(bytes);
+        if self.last_content_hash.replace(Some(hash)) == Some(hash) {
             return;
         }
         match parse_version(bytes, self.serial.get(), &self.feed.allowed_names) {
@@ -92,7 +93,7 @@
 
     fn apply(&self, file: EndpointFile) {
         let count = file.entries.len();
-        // Files bear no order of their own: the one read last is the newest.
+        // Files have no revisions: the version that was read last counts as the newest.
         let revision = self.feed.revision() + 1;
         if self.feed.apply_list(revision, file.entries).is_ok() {
             self.serial.set(file.serial.or(self.serial.get()));
@@ -115,21 +116,23 @@
 
 fn parse_version(
     bytes: &[u8],
-    known: Option<u64>,
+    last_serial: Option<u64>,
     allowed: &AllowedNames,
 ) -> Result<EndpointFile, VersionError> {
     let file = parse_file(std::str::from_utf8(bytes)?, allowed)?;
-    match (known, file.serial) {
-        (Some(known), Some(serial)) if serial < known => Err(VersionError::OldSerial { serial, known }),
+    match (last_serial, file.serial) {
+        (Some(last_serial), Some(serial)) if serial < last_serial => {
+            Err(VersionError::OldSerial { serial, last_serial })
+        }
         _ => Ok(file),
     }
 }
 
-fn read(path: &Path) -> Result<Vec<u8>, ReadError> {
-    let in_file = |source| ReadError::Io { path: path.to_path_buf(), source };
-    let file = std::fs::File::open(path).map_err(in_file)?;
+fn read_file(path: &Path) -> Result<Vec<u8>, ReadError> {
+    let io_error = |source| ReadError::Io { path: path.to_path_buf(), source };
+    let file = std::fs::File::open(path).map_err(io_error)?;
     let mut bytes = Vec::new();
-    file.take(MAX_FILE_BYTES + 1).read_to_end(&mut bytes).map_err(in_file)?;
+    file.take(MAX_FILE_BYTES + 1).read_to_end(&mut bytes).map_err(io_error)?;
     if bytes.len() as u64 > MAX_FILE_BYTES {
         return Err(ReadError::TooLarge { path: path.to_path_buf() });
     }
--- a/crates/discovery-feed/src/lib.rs
+++ b/crates/discovery-feed/src/lib.rs
@@ -1,9 +1,9 @@
-//! Sources of the endpoint list beside the platform's own. [`Feed`] is what they share: they hand
-//! it what they read; it has it reconciled, notifies the engine, logs, persists the list and counts
-//! proxies. [`FileSource`] is one of them, a watched file.
+//! The common part of the endpoint list sources other than the platform's own discovery. Each of
+//! them reports what it reads to a [`Feed`], which has the reports reconciled, notifies the engine,
+//! logs, persists the list and counts proxies. [`FileSource`] is a source that watches a file.
 //!
-//! This crate may use `engine`, `membership`, smol and slog. No frontend enters it, nor the
-//! protocol of a source that speaks one: such a source is a crate of its own that ends in a feed.
+//! This crate may use `engine`, `membership`, smol and slog, but no frontend and no network protocol.
+//! A source with a protocol is a crate of its own that reports to a feed.
 
 mod feed;
 mod file;
--- a/crates/discovery-feed/src/persistence.rs
+++ b/crates/discovery-feed/src/persistence.rs
@@ -1,5 +1,5 @@
-//! The list on disk: read at the start, before any source responds, and written whenever it
-//! changed.
+//! The endpoint list on disk. It is loaded at the start, before any source responds, and written
+//! whenever the list has changed.
 
 use crate::feed::Feed;
 use chalkwalk_membership::ListEntry;
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Between two writes to disk: a deploy changes the list several times a second.
+/// Minimum interval between two writes to disk, as a deploy changes the list several times a second.
 const WRITE_INTERVAL: Duration = Duration::from_secs(1);
 const MINUTE: Span = Span::from_secs(60);
 
@@ -27,12 +27,13 @@
 }
 
 impl Feed {
-    /// Notifies the engine of the list as it was last persisted, before any source responds.
+    /// Loads the list that was last persisted and notifies the engine of it. To be called before any
+    /// source responds.
     pub fn load_persisted(&self) {
         let Some(path) = &self.persistence_path else { return };
         match load(path, &self.allowed_names) {
             Ok(list) => self.apply_persisted(list),
-            // The first start of all.
+            // Nothing has been persisted yet: this is the first start.
             Err(LoadError::Io(_)) if !path.exists() => {}
             Err(error) => warn!(self.engine.log, "persisted list ignored"; "fault" => %error),
         }
@@ -52,19 +53,19 @@
             Freshness::Fresh => info!(log, "persisted list loaded"; "minutes" => minutes, "caches" => count),
         }
         let entries = list.endpoints.into_iter().map(ListEntry::from).collect();
-        // An error is in the log; the source's own list follows.
+        // `apply_list` has logged an error; the source's own list follows.
         _ = self.apply_list(list.revision, entries);
-        self.unpersisted.set(false);
+        self.has_unpersisted_changes.set(false);
     }
 
-    /// Writes the list to disk whenever it has changed; never ends, unless there is nowhere to
-    /// write to.
+    /// Writes the list to disk whenever it has changed. Returns only if the operator configures no
+    /// file to persist it in.
     pub async fn persist_changes(self: Rc<Feed>) {
         let Some(path) = self.persistence_path.clone() else { return };
         let mut failing = false;
         loop {
             Timer::after(WRITE_INTERVAL).await;
-            if !self.unpersisted.replace(false) {
+            if !self.has_unpersisted_changes.replace(false) {
                 continue;
             }
             let target = path.clone();
@@ -72,7 +73,7 @@
             match smol::unblock(move || write_atomically(&target, &text)).await {
                 Ok(()) => failing = false,
                 Err(error) => {
-                    self.unpersisted.set(true);
+                    self.has_unpersisted_changes.set(true);
                     if !failing {
                         warn!(self.engine.log, "list not persisted"; "fault" => %error);
                     }
@@ -92,8 +93,8 @@
     Ok(PersistedList::parse(&text, allowed)?)
 }
 
-/// Whole or not at all, whenever the machine stops: into a file beside it, to the disk, and then in
-/// its place.
+/// Replaces the file such that it has either the old or the new content even after a crash of the
+/// machine: writes a temporary file beside it, syncs that file to disk, and renames it.
 fn write_atomically(path: &Path, text: &str) -> std::io::Result<()> {
     let mut temporary = path.to_path_buf().into_os_string();
     temporary.push(format!(".{}", std::process::id()));
--- a/crates/discovery-feed/tests/feed.rs
+++ b/crates/discovery-feed/tests/feed.rs
@@ -1,4 +1,4 @@
-//! A feed on disk, and a watched file as its source.
+//! Persistence of a feed's list, and a watched file as its source.
 
 mod helper;
 
@@ -11,10 +11,10 @@
 use helper::{engine, wait_until};
 use std::path::PathBuf;
 
-fn folder(name: &str) -> PathBuf {
-    let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).unwrap();
-    folder
+fn directory(name: &str) -> PathBuf {
+    let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
+    std::fs::create_dir_all(&directory).unwrap();
+    directory
 }
 
 fn endpoint(id: &str, port: u16, status: EndpointStatus) -> ListedEndpoint {
@@ -30,26 +30,26 @@
     }
 }
 
-/// A file's text with these servers, each with its state.
-fn file(head: &str, servers: &[(&str, &str)]) -> String {
+/// The text of a list file with these servers, each given by its id and state.
+fn list_file(header: &str, servers: &[(&str, &str)]) -> String {
     let entry = |(i, (id, state)): (usize, &(&str, &str))| {
         let addr = format!("127.0.0.1:{}", 4000 + i);
         format!("[[cache]]\nid = \"{id}\"\naddr = \"{addr}\"\nzone = \"north\"\nstate = \"{state}\"\n")
     };
     let entries: String = servers.iter().enumerate().map(entry).collect();
-    format!("version = 1\n{head}{entries}[end]\n")
+    format!("version = 1\n{header}{entries}[end]\n")
 }
 
-/// The ids of a feed's list with their statuses.
+/// The ids of the endpoints in a feed's list, each with its status.
 fn statuses(feed: &Feed) -> String {
     let status = |endpoint: &ListedEndpoint| format!("{}:{:?}", endpoint.id, endpoint.status);
     feed.endpoints().iter().map(status).collect::<Vec<_>>().join(" ")
 }
 
 #[test]
-fn a_persisted_list_is_what_the_next_process_begins_with() {
-    let folder = folder("persisted");
-    let path = folder.join("list");
+fn the_next_process_starts_with_the_persisted_list() {
+    let directory = directory("persisted");
+    let path = directory.join("list");
     let (engine, _) = engine();
     let feed = Feed::new(&engine, SourceKind::Revisioned, Some(path.clone()));
     feed.load_persisted();
@@ -60,21 +60,21 @@
         engine.executor.spawn(feed.clone().persist_changes()).detach();
         wait_until("the list is written", || path.exists()).await;
     }));
-    // No temporary file is left beside it.
-    assert_eq!(std::fs::read_dir(&folder).unwrap().count(), 1);
+    // No temporary file is left beside the list.
+    assert_eq!(std::fs::read_dir(&directory).unwrap().count(), 1);
 
     let (engine, events) = helper::engine();
-    let next = Feed::new(&engine, SourceKind::Revisioned, Some(path));
-    next.load_persisted();
-    assert_eq!((statuses(&next), next.revision()), ("a:Ready b:Draining".to_string(), 7));
+    let restored_feed = Feed::new(&engine, SourceKind::Revisioned, Some(path));
+    restored_feed.load_persisted();
+    assert_eq!((statuses(&restored_feed), restored_feed.revision()), ("a:Ready b:Draining".to_string(), 7));
     assert!(events.contains("persisted list loaded"));
-    std::fs::remove_dir_all(&folder).unwrap();
+    std::fs::remove_dir_all(&directory).unwrap();
 }
 
 #[test]
 fn a_persisted_list_that_is_broken_or_too_old_is_ignored() {
-    let folder = folder("ignored");
-    let path = folder.join("list");
+    let directory = directory("ignored");
+    let path = directory.join("list");
     let (engine, events) = engine();
     let load = || {
         let feed = Feed::new(&engine, SourceKind::Revisioned, Some(path.clone()));
@@ -92,37 +92,40 @@
     assert_eq!((load().as_str(), events.count("persisted list ignored")), ("", 2));
     std::fs::write(&path, hours_old(2).to_text()).unwrap();
     assert_eq!((load().as_str(), events.count("persisted list is old")), ("a:Ready", 1));
-    std::fs::remove_dir_all(&folder).unwrap();
+    std::fs::remove_dir_all(&directory).unwrap();
 }
 
 #[test]
 fn a_version_of_a_file_is_applied_whole_or_not_at_all() {
-    let folder = folder("file");
-    let path = folder.join("list.toml");
+    let directory = directory("file");
+    let path = directory.join("list.toml");
     let (engine, events) = engine();
     let feed = Feed::new(&engine, SourceKind::Assembled, None);
     let source = FileSource::new(feed.clone(), &path);
-    // Renamed into its place: a part of a version would be one more error.
+    // Each version is renamed into place, as the source would report a partly written one as a further
+    // error.
     let write = |text: String| {
         std::fs::write(path.with_extension("new"), text).unwrap();
         std::fs::rename(path.with_extension("new"), &path).unwrap();
     };
     smol::block_on(engine.executor.run(async {
         engine.executor.spawn(source.clone().follow()).detach();
-        wait_until("no file is an unavailable source", || events.contains("list source unavailable")).await;
-        write(file("serial = 5\n", &[("a", "serving"), ("b", "serving")]));
-        wait_until("the first version", || statuses(&feed) == "a:Ready b:Ready").await;
+        wait_until("the missing file is reported", || events.contains("list source unavailable")).await;
+        write(list_file("serial = 5\n", &[("a", "serving"), ("b", "serving")]));
+        wait_until("the first version is applied", || statuses(&feed) == "a:Ready b:Ready").await;
         assert!(events.contains("list source available again"));
-        // Two errors, each a line; the drain in it is not applied either.
-        write(file("serial = 6\n", &[("a", "draining"), ("b", "tired"), ("c", "tired")]));
-        wait_until("two errors", || events.count("list ignored") == 2).await;
+        // A version with two errors: each is logged on a line of its own, and the drain in that version is
+        // not applied either.
+        write(list_file("serial = 6\n", &[("a", "draining"), ("b", "tired"), ("c", "tired")]));
+        wait_until("two errors are logged", || events.count("list ignored") == 2).await;
         assert_eq!(statuses(&feed), "a:Ready b:Ready");
-        // An older version, until an operator reloads it.
-        write(file("serial = 4\n", &[("a", "serving"), ("b", "draining")]));
-        wait_until("an old version", || events.count("list ignored") == 3).await;
+        // A version with a lower serial number is rejected until an operator reloads the file.
+        write(list_file("serial = 4\n", &[("a", "serving"), ("b", "draining")]));
+        wait_until("the old version is rejected", || events.count("list ignored") == 3).await;
         assert_eq!(statuses(&feed), "a:Ready b:Ready");
         source.reload();
-        wait_until("the old version", || statuses(&feed) == "a:Ready b:Draining").await;
+        wait_until("the old version is applied after a reload", || statuses(&feed) == "a:Ready b:Draining")
+            .await;
     }));
-    std::fs::remove_dir_all(&folder).unwrap();
+    std::fs::remove_dir_all(&directory).unwrap();
 }
--- a/crates/discovery-feed/tests/helper/mod.rs
+++ b/crates/discovery-feed/tests/helper/mod.rs
@@ -1,4 +1,4 @@
-//! An engine without frontends, its log in memory, and waiting.
+//! An engine without frontends that logs to memory, and a function that waits for a condition.
 
 use chalkwalk_engine::config::EngineConfig;
 use chalkwalk_engine::engine::Engine;
@@ -14,7 +14,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// The events that were logged, by their names.
+/// The messages of the events that were logged.
 #[derive(Clone, Default)]
 pub struct Events(Arc<Mutex<Vec<String>>>);
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// An engine with the zone north, and what it logs.
+/// An engine with the zone `north`, and the events that it logs.
 pub fn engine() -> (Rc<Engine>, Events) {
     let config = EngineConfig {
         name: "p".into(),
@@ -67,10 +67,10 @@
     (Engine::new(config, Box::new(NoHealthCheck), log, None), events)
 }
 
-/// Waits until it is so, for ten seconds at the most.
-pub async fn wait_until(what: &str, is_so: impl Fn() -> bool) {
+/// Waits until the condition holds, and panics after ten seconds.
+pub async fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let deadline = Instant::now() + Duration::from_secs(10);
-    while !is_so() {
+    while !condition() {
         assert!(Instant::now() < deadline, "not within ten seconds: {what}");
         Timer::after(Duration::from_millis(10)).await;
     }
--- a/crates/etcd-wire/build.rs
+++ b/crates/etcd-wire/build.rs
@@ -1,5 +1,5 @@
-//! Generates the messages from `proto/etcd.proto`. The compiler is a library: nothing has to be
-//! installed for it.
+//! Generates the messages from `proto/etcd.proto`. The protobuf compiler is a library (protox), so
+//! no `protoc` has to be installed.
 
 use std::error::Error;
 
--- a/crates/etcd-wire/src/frames.rs
+++ b/crates/etcd-wire/src/frames.rs
@@ -1,62 +1,64 @@
-//! gRPC's frames: a byte that says whether the message is compressed, four bytes of its length, and
-//! the message.
+//! gRPC's frames: one byte that tells whether the message is compressed, the message's length in
+//! four bytes, and the message.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use prost::Message;
 
-/// The length of what stands before a message: the flag and the length.
+/// Length of the prefix before a message, in bytes: the compression flag and the message's length.
 const PREFIX_LEN: usize = 5;
-/// The flag of a message that is not compressed.
+/// The compression flag of an uncompressed message.
 const NOT_COMPRESSED: u8 = 0;
 
-/// A message with its prefix, ready to send.
+/// Encodes a message with its prefix, ready to send.
 pub fn encode_frame(message: &impl Message) -> Bytes {
     let len = message.encoded_len();
-    let mut out = BytesMut::with_capacity(PREFIX_LEN + len);
-    out.put_u8(NOT_COMPRESSED);
-    out.put_u32(len as u32);
-    // The one error is too little space, and a BytesMut grows.
-    _ = message.encode(&mut out);
-    out.freeze()
+    let mut frame = BytesMut::with_capacity(PREFIX_LEN + len);
+    frame.put_u8(NOT_COMPRESSED);
+    frame.put_u32(len as u32);
+    // `encode` fails only if the buffer lacks space, and a BytesMut grows.
+    _ = message.encode(&mut frame);
+    frame.freeze()
 }
 
-/// Why no message can be read. Nothing more can be read after it.
+/// Why a message can't be read. No further message can be read after the error.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum FrameError {
     /// Compression was not negotiated, so no message may be compressed.
-    #[error("a compressed message, and compression was not negotiated")]
+    #[error("the message is compressed, but compression was not negotiated")]
     Compressed,
     /// The message exceeds the decoder's limit.
-    #[error("a message of {len} bytes is above {max}")]
+    #[error("the message has {len} bytes, more than the limit of {max_len} bytes")]
     TooLong {
         /// The message's length, in bytes.
         len: usize,
         /// The limit, in bytes.
-        max: usize,
+        max_len: usize,
     },
-    /// The bytes are no message of the requested type.
-    #[error("no such message: {0}")]
+    /// The bytes are not a message of the requested type.
+    #[error("not a message of the expected type: {0}")]
     Decode(#[from] prost::DecodeError),
 }
 
-/// Splits bytes as they come into messages, none longer than its limit.
+/// Decodes messages from a stream of bytes that arrives in arbitrary pieces. It rejects messages
+/// above a maximum length.
 pub struct FrameDecoder {
     buf: BytesMut,
     max_len: usize,
 }
 
 impl FrameDecoder {
-    /// A decoder of messages of at most so many bytes.
+    /// A decoder of messages of at most `max_len` bytes.
     pub fn new(max_len: usize) -> FrameDecoder {
         FrameDecoder { buf: BytesMut::new(), max_len }
     }
 
-    /// Appends bytes that have come.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buf.extend_from_slice(bytes);
     }
 
-    /// The next whole message, `None` until it is here. After an error nothing more can be read.
+    /// The next message, `None` until it has been received whole. After an error no further message
+    /// can be read.
     pub fn next_message<M: Message + Default>(&mut self) -> Result<Option<M>, FrameError> {
         let [flag, len @ ..] = match self.buf.first_chunk::<PREFIX_LEN>() {
             Some(prefix) => *prefix,
@@ -67,7 +69,7 @@
         }
         let len = u32::from_be_bytes(len) as usize;
         if len > self.max_len {
-            return Err(FrameError::TooLong { len, max: self.max_len });
+            return Err(FrameError::TooLong { len, max_len: self.max_len });
         }
         if self.buf.len() < PREFIX_LEN + len {
             return Ok(None);
@@ -77,7 +79,7 @@
         Ok(Some(M::decode(message)?))
     }
 
-    /// Whether bytes of a message that is not whole are here: the stream must not end now.
+    /// Whether part of a message has been received, in which case the stream must not end yet.
     pub fn is_mid_frame(&self) -> bool {
         !self.buf.is_empty()
     }
--- a/crates/etcd-wire/src/lib.rs
+++ b/crates/etcd-wire/src/lib.rs
@@ -1,10 +1,10 @@
-//! The part of etcd's v3 API that chalkwalk speaks: its messages (`proto/etcd.proto`, after the
-//! public API definition), the paths of its calls, and gRPC's frames around messages (the public
+//! The part of etcd's v3 API that chalkwalk uses: its messages (`proto/etcd.proto`, after the public
+//! API definition), the paths of its calls, and the gRPC frames around messages (after the public
 //! "gRPC over HTTP2" description).
 //!
-//! It depends on prost and bytes. No connection, runtime or clock enters it, nor what keys and
-//! values mean to chalkwalk: the discovery source and the testbed's stand-in for etcd have only
-//! this in common.
+//! The crate depends on prost and bytes. It has no connections, runtime or clock, and does not
+//! know what keys and values mean to chalkwalk: it is the only code that the discovery source and the
+//! testbed's etcd stand-in share.
 
 mod frames;
 mod keys;
@@ -19,7 +19,7 @@
     include!(concat!(env!("OUT_DIR"), "/etcdserverpb.rs"));
 }
 
-/// The calls, as HTTP/2 paths.
+/// The HTTP/2 paths of the calls.
 pub mod path {
     /// Reads a range of keys.
     pub const RANGE: &str = "/etcdserverpb.KV/Range";
@@ -48,16 +48,16 @@
 /// The trailer with the error message.
 pub const GRPC_MESSAGE: &str = "grpc-message";
 
-/// The status codes that chalkwalk or its testbed distinguishes, as the trailer has them.
+/// The gRPC status codes that chalkwalk or its testbed distinguishes, as written in the trailer.
 pub mod code {
-    /// The call went well.
+    /// The call succeeded.
     pub const OK: &str = "0";
-    /// A revision that is compacted, or not reached yet.
+    /// The requested revision is compacted, or not reached yet.
     pub const OUT_OF_RANGE: &str = "11";
-    /// A call that the server does not know.
+    /// The server does not know the call.
     pub const UNIMPLEMENTED: &str = "12";
     /// The server cannot serve the call now.
     pub const UNAVAILABLE: &str = "14";
-    /// What the call names does not exist.
+    /// The object that the call refers to, such as a lease, does not exist.
     pub const NOT_FOUND: &str = "5";
 }
--- a/crates/etcd-wire/tests/frames.rs
+++ b/crates/etcd-wire/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames out of any split of the bytes, and out of bytes that are none.
+//! Decoding of frames from arbitrarily split bytes, and of bytes that are not valid frames.
 
 use chalkwalk_etcd_wire::api::{RangeResponse, WatchResponse};
 use chalkwalk_etcd_wire::{FrameDecoder, encode_frame};
@@ -7,15 +7,17 @@
 use proptest::test_runner::RngSeed;
 
 #[test]
-fn what_is_no_message_is_refused_with_its_reason() {
-    let refused = |bytes: &[u8]| {
-        let mut frames = FrameDecoder::new(50);
-        frames.push(bytes);
-        frames.next_message::<RangeResponse>().map_err(|error| error.to_string()).unwrap_err()
+fn invalid_bytes_are_rejected_with_the_reason() {
+    let decode_error = |bytes: &[u8]| {
+        let mut decoder = FrameDecoder::new(50);
+        decoder.push(bytes);
+        decoder.next_message::<RangeResponse>().map_err(|error| error.to_string()).unwrap_err()
     };
-    expect!["a compressed message, and compression was not negotiated"].assert_eq(&refused(&[1, 0, 0, 0, 0]));
-    expect!["a message of 51 bytes is above 50"].assert_eq(&refused(&[0, 0, 0, 0, 51]));
-    assert!(refused(&[0, 0, 0, 0, 1, 0xff]).starts_with("no such message: "));
+    expect!["the message is compressed, but compression was not negotiated"]
+        .assert_eq(&decode_error(&[1, 0, 0, 0, 0]));
+    expect!["the message has 51 bytes, more than the limit of 50 bytes"]
+        .assert_eq(&decode_error(&[0, 0, 0, 0, 51]));
+    assert!(decode_error(&[0, 0, 0, 0, 1, 0xff]).starts_with("not a message of the expected type: "));
 }
 
 proptest! {
@@ -27,40 +29,43 @@
     })]
 
     #[test]
-    fn any_split_gives_the_same_messages(
+    fn the_messages_do_not_depend_on_how_the_bytes_are_split(
         revisions in proptest::collection::vec(any::<i64>(), 0..6),
-        cuts in proptest::collection::vec(1usize..20, 0..20),
+        piece_lens in proptest::collection::vec(1usize..20, 0..20),
     ) {
-        let message = |r: &i64| WatchResponse { compact_revision: *r, ..WatchResponse::default() };
-        let all: Vec<u8> = revisions.iter().flat_map(|r| encode_frame(&message(r)).to_vec()).collect();
-        let mut frames = FrameDecoder::new(100);
-        let mut seen = Vec::new();
-        let mut rest = &all[..];
-        for cut in cuts.into_iter().chain([usize::MAX]) {
-            let (now, later) = rest.split_at(cut.min(rest.len()));
-            rest = later;
-            frames.push(now);
-            while let Some(message) = frames.next_message::<WatchResponse>().unwrap() {
-                seen.push(message.compact_revision);
+        let message =
+            |revision: &i64| WatchResponse { compact_revision: *revision, ..WatchResponse::default() };
+        let encoded: Vec<u8> =
+            revisions.iter().flat_map(|revision| encode_frame(&message(revision)).to_vec()).collect();
+        let mut decoder = FrameDecoder::new(100);
+        let mut decoded = Vec::new();
+        let mut remaining = &encoded[..];
+        for piece_len in piece_lens.into_iter().chain([usize::MAX]) {
+            let (piece, after_piece) = remaining.split_at(piece_len.min(remaining.len()));
+            remaining = after_piece;
+            decoder.push(piece);
+            while let Some(message) = decoder.next_message::<WatchResponse>().unwrap() {
+                decoded.push(message.compact_revision);
             }
         }
-        prop_assert_eq!(seen, revisions);
-        prop_assert!(!frames.is_mid_frame());
+        prop_assert_eq!(decoded, revisions);
+        prop_assert!(!decoder.is_mid_frame());
     }
 
-    /// Any bytes are read or refused; no more is kept than came, and no panic.
+    /// The decoder decodes or rejects arbitrary bytes. It buffers no more than it received, and does
+    /// not panic.
     #[test]
-    fn any_bytes_are_read_or_refused(
-        noise in proptest::collection::vec(any::<u8>(), 0..400),
-        small in any::<bool>(),
+    fn arbitrary_bytes_are_decoded_or_rejected(
+        random_bytes in proptest::collection::vec(any::<u8>(), 0..400),
+        small_limit in any::<bool>(),
     ) {
-        let mut frames = FrameDecoder::new(if small { 50 } else { 1 << 20 });
-        let mut bytes = noise.clone();
-        if small && bytes.len() > 5 {
+        let mut decoder = FrameDecoder::new(if small_limit { 50 } else { 1 << 20 });
+        let mut bytes = random_bytes.clone();
+        if small_limit && bytes.len() > 5 {
             bytes[..4].fill(0);
-            bytes[4] = (noise.len() - 5).min(50) as u8;
+            bytes[4] = (random_bytes.len() - 5).min(50) as u8;
         }
-        frames.push(&bytes);
-        while let Ok(Some(_)) = frames.next_message::<RangeResponse>() {}
+        decoder.push(&bytes);
+        while let Ok(Some(_)) = decoder.next_message::<RangeResponse>() {}
     }
 }
