--- a/crates/discovery-etcd/src/call.rs
+++ b/crates/discovery-etcd/src/call.rs
@@ -90,7 +90,7 @@
         let mut sender = ready.await.ok_or(CallError::StreamTimeout)??;
         let (response, requests) = sender.send_request(head, false)?;
         let decoder = FrameDecoder::new(MAX_MESSAGE_BYTES);
-        Ok(CallStream { requests, response: Response::Head(response), decoder })
+        Ok(CallStream { requests, response: ResponseState::Head(response), decoder })
     }
 
     /// Makes a call with one request and one response.
@@ -109,7 +109,7 @@
 }
 
 /// How much of the response was received.
-enum Response {
+enum ResponseState {
     Head(h2::client::ResponseFuture),
     Body(RecvStream),
 }
@@ -117,7 +117,7 @@
 /// A call in progress, with a stream of requests and a stream of responses.
 pub(crate) struct CallStream {
     requests: SendStream<Bytes>,
-    response: Response,
+    response: ResponseState,
     decoder: FrameDecoder,
 }
 
@@ -135,11 +135,11 @@
                 return Ok(Some(message));
             }
             match &mut self.response {
-                Response::Head(head) => {
+                ResponseState::Head(head) => {
                     let body = read_head(head).await?;
-                    self.response = Response::Body(body);
+                    self.response = ResponseState::Body(body);
                 }
-                Response::Body(body) => {
+                ResponseState::Body(body) => {
                     let Some(bytes) = body.data().await else { break };
                     let bytes = bytes?;
                     // Fails only if more capacity is released than bytes were received.
@@ -158,7 +158,7 @@
         if self.decoder.is_mid_frame() {
             return Err(CallError::EndedMidMessage);
         }
-        let Response::Body(body) = &mut self.response else { return Ok(()) };
+        let ResponseState::Body(body) = &mut self.response else { return Ok(()) };
         match body.trailers().await? {
             Some(trailers) => check_status(&trailers),
             None => Ok(()),
--- a/crates/discovery-etcd/src/machine/state.rs
+++ b/crates/discovery-etcd/src/machine/state.rs
@@ -33,8 +33,8 @@
         /// The reason that the endpoint gives.
         reason: String,
     },
-    /// A fragmented response has too many events.
-    #[error("a watch response has more than {MAX_KEYS} changes")]
+    /// A watch response, with all its fragments, has too many events.
+    #[error("a watch response has more than {MAX_KEYS} events")]
     TooManyChanges,
     /// The endpoint's revision is older than the known one.
     #[error("the endpoint is at revision {revision}, behind the known revision {known_revision}")]
@@ -175,11 +175,11 @@
     fn list_complete(&mut self, cluster_id: u64) -> Result<Transition, ProtocolError> {
         let revision = u64::try_from(self.list_revision).map_err(|_| ProtocolError::NegativeRevision)?;
         let list_pairs = std::mem::take(&mut self.list_pairs);
-        let pair = |pair: KeyValue| {
+        let classify_pair = |pair: KeyValue| {
             let key = self.key_space.classify(&pair.key)?;
             Some(KeyValuePair { key, value: pair.value.to_vec() })
         };
-        let pairs = list_pairs.into_iter().filter_map(pair).collect();
+        let pairs = list_pairs.into_iter().filter_map(classify_pair).collect();
         let previous_cluster_id = self.cluster_id.replace(cluster_id);
         let cluster_changed = previous_cluster_id.is_some_and(|previous| previous != cluster_id);
         Ok(Transition {
--- a/crates/discovery-etcd/src/machine/step.rs
+++ b/crates/discovery-etcd/src/machine/step.rs
@@ -6,7 +6,7 @@
 /// The next connection to open.
 #[derive(Debug, PartialEq)]
 pub struct ConnectAttempt {
-    /// Its index in the list of endpoints.
+    /// The endpoint's index in the list of endpoints.
     pub endpoint_index: usize,
     /// How long to wait before connecting.
     pub delay: Span,
--- a/crates/discovery-etcd/tests/machine.rs
+++ b/crates/discovery-etcd/tests/machine.rs
@@ -284,11 +284,11 @@
         let mut machine = Machine::new("/c/", 2, 1);
         let mut step = machine.connected();
         let mut known_revision = 0;
-        for (kind, revision, flag) in responses {
-            let result = match (&step, kind) {
+        for (response_kind, revision, flag) in responses {
+            let result = match (&step, response_kind) {
                 (Step::ReadPage { .. }, _) => {
                     let kvs = if flag { vec![kv("/c/caches/a", "v", revision)] } else { vec![] };
-                    let more = kind == 0;
+                    let more = response_kind == 0;
                     machine.page_received(RangeResponse { header: header(revision), kvs, more, count: 1 })
                 }
                 (_, 0) => machine.watch_response(watch_created(revision)),
@@ -302,8 +302,8 @@
                     events: vec![Event::default()],
                     ..WatchResponse::default()
                 }),
-                (_, n) => {
-                    let events = vec![event(n == 4, "/c/caches/a", revision)];
+                (_, other_kind) => {
+                    let events = vec![event(other_kind == 4, "/c/caches/a", revision)];
                     machine.watch_response(WatchResponse {
                         fragment: flag,
                         ..watch_response(revision, events)
--- a/crates/discovery-feed/src/feed.rs
+++ b/crates/discovery-feed/src/feed.rs
@@ -43,14 +43,14 @@
     rejection_count: Cell<u64>,
     unavailable: Cell<bool>,
     /// Wakes `run_timers`, as the next deadline may be earlier than the one that it waits for.
-    wake_timers: Sender<()>,
-    timers_woken: Receiver<()>,
+    wake_sender: Sender<()>,
+    wake_receiver: Receiver<()>,
 }
 
 impl Feed {
     /// A feed that notifies this engine. It has no list yet.
     pub fn new(engine: &Rc<Engine>, source: SourceKind, persistence_path: Option<PathBuf>) -> Rc<Feed> {
-        let (wake_timers, timers_woken) = bounded(1);
+        let (wake_sender, wake_receiver) = bounded(1);
         let configured_proxy_count = engine.classes.proxy_count();
         let allowed_names =
             AllowedNames { zones: engine.config.zones.clone(), kinds: engine.config.kinds.clone() };
@@ -64,8 +64,8 @@
             has_unpersisted_changes: Cell::new(false),
             rejection_count: Cell::new(0),
             unavailable: Cell::new(false),
-            wake_timers,
-            timers_woken,
+            wake_sender,
+            wake_receiver,
         })
     }
 
@@ -139,8 +139,8 @@
     }
 
     /// Records the number of live proxies that the source reports, this one included.
-    pub fn observe_proxies(&self, live: u64) {
-        self.proxy_count.borrow_mut().observe(self.now(), live);
+    pub fn observe_proxies(&self, live_proxies: u64) {
+        self.proxy_count.borrow_mut().observe(self.now(), live_proxies);
         self.update_proxy_count();
     }
 
@@ -161,7 +161,7 @@
             let doubted = false;
             api::apply_endpoint_list(&self.engine, &update.endpoints, update.replaces_all, doubted);
         }
-        _ = self.wake_timers.try_send(());
+        _ = self.wake_sender.try_send(());
     }
 
     fn log(&self, event: &ReconcileEvent) {
@@ -195,7 +195,7 @@
         let wait = self.next_deadline().map(|deadline| deadline.saturating_since(self.now()));
         let wait = wait.map_or(PROXY_COUNT_INTERVAL, |wait| Duration::from(wait).min(PROXY_COUNT_INTERVAL));
         let elapsed = async { _ = Timer::after(wait).await };
-        let woken = async { _ = self.timers_woken.recv().await };
+        let woken = async { _ = self.wake_receiver.recv().await };
         smol::future::or(elapsed, woken).await;
     }
 
--- a/crates/discovery-feed/src/file.rs
+++ b/crates/discovery-feed/src/file.rs
@@ -48,21 +48,21 @@
     /// again.
     last_content_hash: Cell<Option<u64>>,
     /// The serial number of the last version that was accepted and had one.
-    serial: Cell<Option<u64>>,
+    last_serial: Cell<Option<u64>>,
 }
 
 impl FileSource {
     /// A source for this feed. It does not read the file yet.
     pub fn new(feed: Rc<Feed>, path: &Path) -> Rc<FileSource> {
         let path = path.to_path_buf();
-        Rc::new(FileSource { feed, path, last_content_hash: Cell::new(None), serial: Cell::new(None) })
+        Rc::new(FileSource { feed, path, last_content_hash: Cell::new(None), last_serial: Cell::new(None) })
     }
 
     /// Applies the file again at the next poll, even if its serial number is lower than before, as its
     /// writer may have been restarted.
     pub fn reload(&self) {
         self.last_content_hash.set(None);
-        self.serial.set(None);
+        self.last_serial.set(None);
     }
 
     /// Polls the file; never returns.
@@ -85,7 +85,7 @@
         if self.last_content_hash.replace(Some(hash)) == Some(hash) {
             return;
         }
-        match parse_version(bytes, self.serial.get(), &self.feed.allowed_names) {
+        match parse_version(bytes, self.last_serial.get(), &self.feed.allowed_names) {
             Ok(file) => self.apply(file),
             Err(error) => self.reject(&error),
         }
@@ -96,7 +96,7 @@
         // Files have no revisions: the version that was read last counts as the newest.
         let revision = self.feed.revision() + 1;
         if self.feed.apply_list(revision, file.entries).is_ok() {
-            self.serial.set(file.serial.or(self.serial.get()));
+            self.last_serial.set(file.serial.or(self.last_serial.get()));
             info!(self.feed.engine.log, "list file accepted"; "caches" => count);
         }
     }
--- a/crates/discovery-feed/src/persistence.rs
+++ b/crates/discovery-feed/src/persistence.rs
@@ -62,22 +62,22 @@
     /// file to persist it in.
     pub async fn persist_changes(self: Rc<Feed>) {
         let Some(path) = self.persistence_path.clone() else { return };
-        let mut failing = false;
+        let mut write_failed = false;
         loop {
             Timer::after(WRITE_INTERVAL).await;
             if !self.has_unpersisted_changes.replace(false) {
                 continue;
             }
-            let target = path.clone();
+            let target_path = path.clone();
             let text = self.persisted_list().to_text();
-            match smol::unblock(move || write_atomically(&target, &text)).await {
-                Ok(()) => failing = false,
+            match smol::unblock(move || write_atomically(&target_path, &text)).await {
+                Ok(()) => write_failed = false,
                 Err(error) => {
                     self.has_unpersisted_changes.set(true);
-                    if !failing {
+                    if !write_failed {
                         warn!(self.engine.log, "list not persisted"; "fault" => %error);
                     }
-                    failing = true;
+                    write_failed = true;
                 }
             }
         }
@@ -96,10 +96,10 @@
 /// Replaces the file such that it has either the old or the new content even after a crash of the
 /// machine: writes a temporary file beside it, syncs that file to disk, and renames it.
 fn write_atomically(path: &Path, text: &str) -> std::io::Result<()> {
-    let mut temporary = path.to_path_buf().into_os_string();
-    temporary.push(format!(".{}", std::process::id()));
-    let mut file = std::fs::File::create(&temporary)?;
+    let mut temporary_path = path.to_path_buf().into_os_string();
+    temporary_path.push(format!(".{}", std::process::id()));
+    let mut file = std::fs::File::create(&temporary_path)?;
     file.write_all(text.as_bytes())?;
     file.sync_all()?;
-    std::fs::rename(&temporary, path)
+    std::fs::rename(&temporary_path, path)
 }
