--- a/crates/engine/src/api.rs
+++ b/crates/engine/src/api.rs
@@ -13,7 +13,7 @@
 use smol::channel::Receiver;
 use std::rc::Rc;
 
-/// Accepts a request; its one final response comes by the channel.
+/// Accepts a request. Its one final response is sent on the returned channel.
 pub fn accept_request(
     engine: &Rc<Engine>,
     request: Rc<dyn ClientRequest>,
@@ -21,7 +21,8 @@
     call(engine, |requests, now| requests.accept_request(now, request))
 }
 
-/// The client of a request has gone, or given it up: nothing more is sent for it.
+/// Reports that the client of a request has disconnected or cancelled it. No further attempt is
+/// sent for it.
 pub fn client_left(engine: &Rc<Engine>, request_id: RequestId) {
     call(engine, |requests, now| requests.client_left(now, request_id));
 }
@@ -31,9 +32,9 @@
     call(engine, |requests, now| requests.fail_all(now));
 }
 
-/// A source of the endpoint list has read it: the whole list, or what changed. A `doubted` one,
-/// which may be older than what was known before, brings no server back that was notified to be off
-/// and has not started since.
+/// Applies an endpoint list that a source has read: the full list, or only the changed endpoints.
+/// If the list may be stale, that is, older than the list known before, it does not return a server
+/// to service that was reported draining or gone, unless the server's process has restarted since.
 pub fn apply_endpoint_list(
     engine: &Rc<Engine>,
     endpoints: &[ListedEndpoint],
@@ -51,7 +52,8 @@
     }
 }
 
-/// So many ids are named in a line of the log; of the first list of a large fleet all are new.
+/// Maximum number of server ids in one log line. In the first list of a large fleet every server is
+/// new.
 const MAX_LOGGED_IDS: usize = 8;
 
 fn ids_to_log(ids: &[String]) -> String {
@@ -60,8 +62,9 @@
     if more > 0 { format!("{named} and {more} more") } else { named }
 }
 
-/// Operators disable a server at that moment, or enable it again. Idle connections to it are
-/// closed: it restarts meanwhile.
+/// Disables a server at the given time, or enables it again, by an operator's command. Idle
+/// connections to the server are closed in either case, because the server restarts while it is
+/// disabled.
 pub fn set_server_disabled(engine: &Rc<Engine>, id: &str, disabled: bool, at: Timestamp) {
     let server = call(engine, |requests, now| requests.set_server_disabled(now, id, disabled, at));
     if let Some(server) = server {
@@ -69,19 +72,20 @@
     }
 }
 
-/// A call to discovery failed after so long; the balancer will want another.
+/// Reports a discovery call that failed after the given time. The balancer then requests another
+/// call.
 pub fn discovery_call_failed(engine: &Rc<Engine>, took: Span) {
     call(engine, |requests, now| requests.discovery_call_failed(now, took));
 }
 
-/// So many proxies share the servers, this one included, as a source of the endpoint list counts
-/// them.
+/// Sets the number of proxies that share the servers, including this one, as counted by a source of
+/// the endpoint list.
 pub fn set_proxy_count(engine: &Rc<Engine>, proxies: u64) {
     engine.requests.borrow_mut().set_proxy_count(proxies);
 }
 
-/// Other limits of the operator apply from now on: the balancer reads them, and each open request
-/// has its class and its time limit anew, where it can still be found by its attributes.
+/// Replaces the operator's limits. The balancer reads the new limits, and the class and time limit
+/// of each open request are looked up again, unless its attributes are no longer valid.
 pub fn set_limits(engine: &Rc<Engine>, limits: Option<LimitTable>) {
     engine.classes.set_limits(limits);
     let settings = engine.classes.balancer_settings();
@@ -92,8 +96,8 @@
     call(engine, |requests, now| requests.apply_settings(now, &settings, renewed));
 }
 
-/// Other settings of the platform apply from now on, with an operator's limits on them. Open
-/// requests keep the limits that they were accepted with.
+/// Replaces the platform's settings, and the operator's limits along with them. Open requests keep
+/// the limits under which they were accepted.
 pub fn apply_settings(engine: &Rc<Engine>, mut config: EngineConfig) {
     let limits = config.limits.take();
     engine.config.connect_timeout.set(config.connect_timeout.get());
--- a/crates/engine/src/attempt.rs
+++ b/crates/engine/src/attempt.rs
@@ -1,6 +1,6 @@
-//! One attempt, from its connection to its end: a connection is acquired, whether it may still be
-//! sent is asked right before its first byte, the request is written, and the response read. A long
-//! response is passed on by `body_transfer` while it comes.
+//! Runs one attempt from start to end: acquires a connection, checks right before the first byte
+//! whether the attempt may still be sent, writes the request and reads the response. A long
+//! response is forwarded by `body_transfer` while it is still being received.
 
 use crate::body_transfer::StreamingResponse;
 use crate::connect;
@@ -16,13 +16,13 @@
 use smol::future::FutureExt;
 use std::rc::Rc;
 
-/// How an attempt ended, or how far it has come.
+/// How an attempt ended, or that its response is being streamed.
 pub(crate) enum Progress {
     Ended {
         outcome: AttemptOutcome,
         response: Option<Response>,
     },
-    /// The response has started, and goes on.
+    /// The start of the response has been read; the rest is still to come.
     Streaming(StreamingResponse),
 }
 
@@ -32,17 +32,17 @@
     }
 }
 
-/// An attempt while it is sent.
+/// An attempt that is being sent.
 pub(crate) struct Attempt<'a> {
     pub engine: &'a Engine,
     pub pending: &'a PendingAttempt,
-    /// Called where the client turns out to have left, before the attempt ends by that.
+    /// Called if the client is found to have disconnected, before the attempt ends for that reason.
     pub on_client_left: &'a dyn Fn(),
 }
 
 impl Attempt<'_> {
-    /// Sends the attempt, and reads its response or the start of it, until it is cancelled or times
-    /// out.
+    /// Sends the attempt and reads its response, or the start of it, until the attempt is cancelled
+    /// or times out.
     pub async fn run(&self) -> Progress {
         let cancelled = async {
             self.pending.handle.cancelled().await;
@@ -53,7 +53,8 @@
         wait_until(deadline, progress).await.unwrap_or_else(|| self.cut_short(AttemptOutcome::TimedOut))
     }
 
-    /// A request that is not written to its last byte has surely not run.
+    /// Ends an attempt before its response. A request whose last byte was not written has certainly
+    /// not run on the server.
     fn cut_short(&self, outcome: AttemptOutcome) -> Progress {
         Progress::ended(if self.pending.handle.is_written() { outcome } else { AttemptOutcome::NotSent })
     }
@@ -87,12 +88,13 @@
         Progress::Ended { outcome, response }
     }
 
-    /// Writes the request to a connection; nothing is written of which a part may come too late.
+    /// Acquires a connection and writes the request to it. Nothing is written if a part of it might
+    /// be sent after the deadline.
     async fn connect_and_write(&self) -> Result<Rc<ServerConnection>, AttemptOutcome> {
         let Attempt { engine, pending, .. } = self;
         let connection = Rc::new(connect::pooled_or_new_connection(engine, pending.server).await?);
-        // After a standstill what arrived during it is read first: a drain, an operator's call, a
-        // client's end.
+        // If the process was stalled, first reads the input that arrived meanwhile: a drain notice,
+        // an operator's command or a client's disconnect.
         engine.clock.catch_up().await;
         let allowed_at = engine.clock.now();
         self.check_still_allowed(allowed_at)?;
@@ -105,10 +107,11 @@
         Ok(connection)
     }
 
-    /// Whether the attempt may be sent after all that it waited for. On a busy process the
-    /// connection and the end of the time are seen in one turn of the executor, and the client's
-    /// end lies unread while a connection, a permit, a key's turn or a quiet time is waited for. An
-    /// attempt that is refused here has surely not run, and goes elsewhere.
+    /// Checks whether the attempt may still be sent after all its waits. On a busy process the
+    /// executor may see a new connection and the expiry of the request in the same iteration, and a
+    /// client's disconnect may stay unread while the attempt waits for a connection, a permit, its
+    /// key's turn or a connection's quiet time. An attempt that is refused here has certainly not
+    /// run, so the balancer can route the request to another server.
     fn check_still_allowed(&self, now: Timestamp) -> Result<(), AttemptOutcome> {
         let Attempt { engine, pending, .. } = self;
         let client_connected = pending.request.client_is_waiting();
@@ -122,7 +125,7 @@
         Err(AttemptOutcome::NotSent)
     }
 
-    /// Checks that an attempt that was just written did not break a rule.
+    /// Checks that sending the attempt broke no rule; a violation is counted.
     fn check_written(&self, allowed_at: Timestamp) {
         let Attempt { engine, pending, .. } = self;
         let written = WrittenAttempt {
--- a/crates/engine/src/attempt_handle.rs
+++ b/crates/engine/src/attempt_handle.rs
@@ -1,4 +1,4 @@
-//! One attempt as seen from outside its task: how it is cancelled, and what is known of its
+//! A handle on an attempt for code outside of its task: cancels the attempt and tracks its
 //! progress.
 
 use crate::pool::ServerConnection;
@@ -9,9 +9,10 @@
 
 /// Shared by the request table, which may cancel the attempt, and the task that runs it.
 pub struct AttemptHandle {
-    /// The connection that the attempt is written to, while it is.
+    /// The connection that the attempt uses, from right before the write until the connection is
+    /// released.
     connection: RefCell<Option<Rc<ServerConnection>>>,
-    /// Whether the request is written, to the last byte.
+    /// Whether the request has been written up to its last byte.
     written: Cell<bool>,
     cancel: Sender<()>,
     cancelled: Receiver<()>,
@@ -23,8 +24,8 @@
         AttemptHandle { connection: RefCell::default(), written: Cell::new(false), cancel, cancelled }
     }
 
-    /// Ends the attempt. Its connection is shut down at once, so that whatever is written next, to
-    /// whomever, is written after it.
+    /// Cancels the attempt. Its connection is shut down immediately, so that the shutdown precedes
+    /// any later write to any peer.
     pub(crate) fn cancel(&self) {
         if let Some(connection) = self.connection.borrow().as_ref() {
             _ = connection.stream.get_ref().shutdown(Shutdown::Both);
@@ -37,22 +38,23 @@
         _ = self.cancelled.recv().await;
     }
 
-    /// The attempt is about to be written to this connection.
+    /// Records the connection to which the attempt is about to be written.
     pub(crate) fn set_connection(&self, connection: Rc<ServerConnection>) {
         *self.connection.borrow_mut() = Some(connection);
     }
 
-    /// The attempt has no connection any more.
+    /// Drops the reference to the attempt's connection.
     pub(crate) fn release_connection(&self) {
         *self.connection.borrow_mut() = None;
     }
 
-    /// The request is written, to the last byte.
+    /// Records that the request has been written up to its last byte.
     pub(crate) fn set_written(&self) {
         self.written.set(true);
     }
 
-    /// Whether the request is written, to the last byte. While it is not, it has surely not run.
+    /// Whether the request has been written up to its last byte. Until then it has certainly not
+    /// run.
     pub(crate) fn is_written(&self) -> bool {
         self.written.get()
     }
--- a/crates/engine/src/background.rs
+++ b/crates/engine/src/background.rs
@@ -1,4 +1,4 @@
-//! Tasks that run for as long as the proxy does: the balancer's timers, and the upkeep of the
+//! Tasks that run for the lifetime of the proxy: the balancer's timers and the maintenance of the
 //! connection pool.
 
 use crate::dispatch::call;
@@ -9,15 +9,16 @@
 use smol::Timer;
 use std::rc::Rc;
 
-/// Spare connections are looked for twice in the time that they may be idle.
+/// Number of sweeps for spare connections within [`SPARE_IDLE_TIME`].
 const CLOSE_SPARE_PER_IDLE_TIME: u32 = 2;
-/// Stale connections are closed with each eighth round of those, about once a second, as that looks
-/// at each connection.
+/// Stale connections are closed in every eighth sweep for spare ones, about once a second, because
+/// that sweep examines each connection.
 const SPARE_ROUNDS_PER_STALE_ROUND: u32 = 8;
-/// The counters are logged at most once in so many rounds, which is once a minute.
+/// The counters are logged at most once per this many sweeps for stale connections, that is, once a
+/// minute.
 const STALE_ROUNDS_PER_REPORT: u32 = 60;
 
-/// Fires the balancer's timers; never ends.
+/// Fires the balancer's timers when they are due. Never returns.
 pub async fn run_timers(engine: Rc<Engine>) {
     loop {
         let due = engine.requests.borrow().next_timer();
@@ -31,8 +32,8 @@
     }
 }
 
-/// Closes spare and stale connections of the pool, and logs the counters where more clients have
-/// left; never ends.
+/// Closes spare and stale connections of the pool, and logs the counters if more clients have
+/// disconnected while waiting. Never returns.
 pub async fn run_pool_sweeps(engine: Rc<Engine>) {
     let mut logged = 0;
     let mut rounds = 0u32;
@@ -51,8 +52,8 @@
     }
 }
 
-/// Logs how many requests so far were left by their clients while they waited, how many attempts
-/// were withheld as their request was over, and how often what must not happen has happened.
+/// Logs the totals since the start: requests whose client disconnected while they waited, attempts
+/// withheld because their request was already over, and violations.
 pub(crate) fn log_counters(engine: &Engine, event: &'static str) {
     let left = engine.requests.borrow().left_waiting();
     let violations = engine.violations.total();
--- a/crates/engine/src/body_transfer.rs
+++ b/crates/engine/src/body_transfer.rs
@@ -1,5 +1,5 @@
-//! A long response, passed on part by part while it comes. One part waits at most, so that a client
-//! that reads slowly slows the server.
+//! Forwards a long response part by part while it is being received. At most one part is buffered,
+//! so a client that reads slowly applies backpressure to the server.
 
 use crate::attempt_handle::AttemptHandle;
 use crate::engine::Engine;
@@ -13,24 +13,25 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A streamed response of which nothing more arrives for so long, or of which nobody takes more, is
-/// broken off. The time limit of the request is over by then, and a server that is slow on purpose
-/// writes something each second.
+/// A streamed response is aborted if the server sends nothing, or the client takes nothing, for
+/// this long. The time limit of the request is over by then, and a server that is slow on purpose
+/// writes something every second.
 const STREAM_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A response of which the start is read.
+/// A response of which the start has been read.
 pub(crate) struct StreamingResponse {
-    /// How the attempt ends if the rest of the body comes.
+    /// How the attempt ends if the rest of the body arrives.
     pub outcome: AttemptOutcome,
     /// The response, with the start of its body.
     pub response: Response,
     pub connection: Rc<ServerConnection>,
-    /// What of it is still to come.
+    /// The part of the body that is still to come.
     pub body: Box<dyn ResponseBody>,
 }
 
 impl StreamingResponse {
-    /// The response, from which the rest of its body can be read, and what passes that on.
+    /// Returns the response, whose body stream yields the rest of the body, and the transfer that
+    /// feeds the stream.
     pub fn start(self) -> (Response, BodyTransfer) {
         let StreamingResponse { outcome, mut response, connection, body } = self;
         let (sender, parts) = bounded(1);
@@ -41,8 +42,8 @@
     }
 }
 
-/// What remains of a response to pass on. The fields are dropped in this order, the connection
-/// last.
+/// The rest of a response body that is still to be forwarded. Fields are dropped in declaration
+/// order, so the connection is dropped last.
 pub(crate) struct BodyTransfer {
     outcome: AttemptOutcome,
     complete: Rc<Cell<bool>>,
@@ -52,8 +53,8 @@
 }
 
 impl BodyTransfer {
-    /// Passes the parts of the body on until it ends, breaks off, is read no more, or the attempt
-    /// is cancelled. Returns how the attempt ended.
+    /// Forwards the parts of the body until it ends, the connection breaks, the reader is gone, or
+    /// the attempt is cancelled. Returns how the attempt ended.
     pub async fn run(self, engine: &Engine, server: ServerIndex, handle: &AttemptHandle) -> AttemptOutcome {
         let cancelled = async {
             handle.cancelled().await;
--- a/crates/engine/src/budget.rs
+++ b/crates/engine/src/budget.rs
@@ -1,5 +1,5 @@
-//! One budget of descriptors for client connections, connections to servers and the pool. When it
-//! runs short, idle connections are closed first.
+//! One budget of file descriptors for client connections and server connections, pooled ones
+//! included. When it is exhausted, idle connections are closed first.
 
 #[cfg(test)]
 mod tests;
@@ -13,35 +13,37 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Idle connections are closed one by one, and each is given this long to be gone.
+/// How long to wait for a permit after an idle connection was asked to close, before the next one
+/// is closed.
 const CLOSE_TIME: Duration = Duration::from_millis(5);
 
-/// Descriptors that are open besides: standard streams, epoll, its timer and event, the signals'
-/// pair, the listener, 11 in all as counted; the two connections of the endpoint list, which wait
-/// for no permit; one that waits for its permit, and one to spare.
+/// Descriptors outside the budget: standard streams, epoll with its timer and event descriptors,
+/// the pair of the signal handler and the listener, 11 in all as counted; the two connections for
+/// the endpoint list, which need no permit; one connection that waits for its permit; and one
+/// spare.
 const OTHER_DESCRIPTORS: usize = 15;
 
-/// How long a request that arrived while all connections were busy waits for a permit: most
-/// responses take less, and the connection that had one is idle a moment later.
+/// How long a request that arrives while all connections are busy waits for a permit. Most
+/// responses take less, and a connection becomes idle right after its response.
 const PERMIT_SOON: Duration = Duration::from_millis(60);
 
-/// One descriptor of the budget, given back on drop.
+/// A permit for one descriptor, returned to the budget on drop.
 pub type Permit = SemaphoreGuardArc;
 
-/// The descriptors of the process, in shares.
+/// The descriptors of the process, divided into shares.
 pub struct DescriptorBudget {
-    /// Connections to servers.
+    /// For connections to servers.
     servers: Arc<Semaphore>,
     clients: Arc<Semaphore>,
-    /// For clients and servers alike, as they come.
+    /// For clients and servers alike, first come, first served.
     shared: Arc<Semaphore>,
-    /// Clients that came when all other permits were busy; they are only rejected.
+    /// For clients that arrive when all other permits are taken; their requests are only rejected.
     rejecting: Arc<Semaphore>,
     idle_clients: IdleClients,
     half: HalfShares,
 }
 
-/// Half of each share: what another process of the proxy gets.
+/// Half of each share, which is lent to another process of this proxy.
 struct HalfShares {
     servers: usize,
     clients: usize,
@@ -49,15 +51,16 @@
 }
 
 impl DescriptorBudget {
-    /// Divides so many descriptors.
+    /// Divides the given number of descriptors into shares.
     pub fn new(descriptors: usize) -> DescriptorBudget {
         let all = descriptors.saturating_sub(OTHER_DESCRIPTORS).max(16);
-        // A third each, and a third for either: each client that waits for a response needs at
-        // least one attempt in flight, and one that writes or reads slowly needs none.
+        // One third for servers, one third for clients, and one third for either: each client that
+        // waits for a response needs at least one attempt in flight, and a client that writes or
+        // reads slowly needs none.
         let servers = all / 3;
         let shared = all / 3;
-        // Held for a moment each, the time that a rejection takes; with fewer than four, others
-        // wait unseen for it.
+        // These permits are held only while a rejection is written. With fewer than four of them,
+        // further clients wait for one unnoticed.
         let rejecting = (all / 16).max(4);
         let clients = all - servers - shared - rejecting;
         DescriptorBudget {
@@ -65,17 +68,17 @@
             clients: Arc::new(Semaphore::new(clients)),
             shared: Arc::new(Semaphore::new(shared)),
             rejecting: Arc::new(Semaphore::new(rejecting)),
-            // Guards clients against others that ask once and keep their connection: a load
-            // balancer in front may let only so many be open at once, a third of our descriptors,
-            // and half of that is for those that ask.
+            // Keeps clients that send one request and then hold their connection from shutting out
+            // others. A load balancer in front may limit the open connections to a third of the
+            // proxy's descriptors; half of those are for clients that send requests.
             idle_clients: IdleClients::new(all / 6),
             half: HalfShares { servers: servers / 2, clients: clients / 2, shared: shared / 2 },
         }
     }
 
-    /// Takes half of all permits as they become free, for another process of this proxy: the two
-    /// together may hold no more than one. `close_idle_server` closes an idle connection to a
-    /// server.
+    /// Acquires half of all permits as they become free, for another process of this proxy: the two
+    /// processes together may hold no more than one process alone. `close_idle_server` closes an
+    /// idle connection to a server.
     pub async fn lend_half(&self, close_idle_server: impl Fn()) -> Vec<Permit> {
         let close_idle_client = || _ = self.close_idle();
         let mut lent = acquire_many(&self.servers, self.half.servers, close_idle_server).await;
@@ -84,16 +87,17 @@
         lent
     }
 
-    /// Waits for a permit for a connection to a server; `close_idle_server` closes one that is
-    /// idle.
+    /// Waits for a permit for a connection to a server. `close_idle_server` closes an idle
+    /// connection to a server.
     pub async fn acquire_for_server(&self, close_idle_server: impl Fn()) -> Permit {
         loop {
             if let Some(permit) = self.servers.try_acquire_arc().or_else(|| self.shared.try_acquire_arc()) {
                 return permit;
             }
             close_idle_server();
-            // Clients beyond their own share may have to give one back; while that share has some
-            // left, no idle client is in the way.
+            // If the clients' share is used up, clients may hold shared permits, and closing an
+            // idle one may return a permit. While the share has free permits, closing an idle
+            // client does not help.
             if self.clients.try_acquire_arc().is_none() {
                 self.close_idle();
             }
@@ -103,15 +107,15 @@
         }
     }
 
-    /// Waits for a permit for a client, and returns with it whether its requests are admitted: they
-    /// are not where no other client is idle.
+    /// Waits for a permit for a client. Returns it along with whether the client's requests are
+    /// admitted; they are not if all permits are taken and no other client is idle.
     pub async fn acquire_for_client(&self) -> (Permit, bool) {
         loop {
             if let Some(permit) = self.try_acquire_for_client() {
                 return (permit, true);
             }
-            // Guards requests against waiting unseen, before they are accepted, until their time is
-            // over.
+            // Rejects requests rather than let them wait unread, before they are accepted, until
+            // their time limit is over.
             if !self.close_idle()
                 && let Some(permit) = self.rejecting.try_acquire_arc()
             {
@@ -123,7 +127,8 @@
         }
     }
 
-    /// A client's permit, if there is one now, or one is given back or becomes idle soon.
+    /// Waits up to `CLIENT_PERMIT_TIMEOUT` for a client's permit to be returned, or for a client to
+    /// become idle.
     pub async fn acquire_for_client_soon(&self) -> Option<Permit> {
         let deadline = Instant::now() + PERMIT_SOON;
         loop {
@@ -143,30 +148,30 @@
         self.clients.try_acquire_arc().or_else(|| self.shared.try_acquire_arc())
     }
 
-    /// A permit that is given back soon. The caller looks again after that, which guards against
-    /// waiting forever for a connection that became idle only meanwhile.
+    /// Waits up to `IDLE_CLOSE_WAIT` for a permit. The caller then looks for an idle connection
+    /// again; a longer wait could block forever on a connection that became idle in the meantime.
     async fn acquire_soon(&self, share: &Arc<Semaphore>) -> Option<Permit> {
         within(CLOSE_TIME, share.acquire_arc().or(self.shared.acquire_arc())).await
     }
 
-    /// Marks a client's connection as idle: it may be asked to close through `close`. `used`:
-    /// whether it has carried a request.
+    /// Marks a client's connection as idle, so that it may be asked to close through `close`.
+    /// `used` is whether it has carried a request.
     pub fn mark_idle(&self, close: Sender<()>, used: bool) -> IdleTicket {
         self.idle_clients.add(close, used)
     }
 
-    /// Marks a client's connection as in use again, or closed.
+    /// Marks a client's connection as no longer idle: it is in use again, or closed.
     pub fn mark_busy(&self, ticket: IdleTicket) {
         self.idle_clients.remove(ticket);
     }
 
-    /// Asks an idle client connection to close; whether there was one.
+    /// Asks an idle client connection to close. Returns whether there was one.
     pub fn close_idle(&self) -> bool {
         self.idle_clients.close_first()
     }
 }
 
-/// Acquires so many permits of a share, closing idle connections one by one while there are too
+/// Acquires `count` permits of a share, closing idle connections one by one while there are too
 /// few.
 async fn acquire_many(share: &Arc<Semaphore>, count: usize, close_idle: impl Fn()) -> Vec<Permit> {
     let mut permits = Vec::new();
--- a/crates/engine/src/budget/tests.rs
+++ b/crates/engine/src/budget/tests.rs
@@ -1,16 +1,17 @@
-//! Of the budget's shares; in the crate, as they read how many permits each share has.
+//! Tests of the shares of the budget. They are unit tests because they count the permits of each
+//! share.
 
 use super::*;
 
-/// How many permits there are for servers, and then for clients.
+/// The number of permits available to servers, and then of those left to clients.
 fn free_permits(budget: &DescriptorBudget) -> (usize, usize) {
     let servers: Vec<Permit> = std::iter::from_fn(|| budget.servers.try_acquire_arc()).collect();
     let clients: Vec<Permit> = std::iter::from_fn(|| budget.try_acquire_for_client()).collect();
     (servers.len(), clients.len())
 }
 
-/// Clients that write slowly get the permits that no server connection needs, and two processes of
-/// a proxy have half each.
+/// Clients that write slowly get the permits that server connections do not use, and each of two
+/// processes of a proxy has half of all permits.
 #[test]
 fn shared_permits_go_to_either_side_and_half_of_all_to_another_process() {
     let budget = DescriptorBudget::new(192);
@@ -22,7 +23,7 @@
         .assert_eq(&format!("{alone:?} {together:?} {:?}", free_permits(&budget)));
 }
 
-/// While clients have permits of their own left, no idle one is closed for an attempt that waits.
+/// No idle client is closed for a waiting attempt while the clients' own share has free permits.
 #[test]
 fn an_attempt_that_waits_closes_no_idle_client_while_clients_have_permits_left() {
     let budget = DescriptorBudget::new(192);
--- a/crates/engine/src/classes.rs
+++ b/crates/engine/src/classes.rs
@@ -1,4 +1,4 @@
-//! The classes of requests and their limits as they apply now, and the same as settings that the
+//! The request classes and their limits that apply now, and their form as settings that the
 //! balancer reads.
 
 use chalkwalk_limits::{LimitTable, Limits, PlatformLimits, RequestAttributes};
@@ -7,12 +7,12 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// The names of the platform's settings that are read here.
+/// Names of the platform's settings that this module reads.
 const PROXIES_SETTING: &str = "proxies";
 const ZONE_SETTING: &str = "zone";
 const NAMESPACES_SETTING: &str = "namespaces";
 
-/// The classes by the settings and limits that apply now.
+/// The request classes under the active settings and limits.
 pub struct RequestClasses {
     active: RefCell<ActiveSettings>,
     generation: Cell<u64>,
@@ -22,25 +22,25 @@
     settings: BTreeMap<String, String>,
     platform_limits: PlatformLimits,
     from_settings: Rc<LimitTable>,
-    /// What an operator has set.
+    /// The operator's limits, if there are any.
     limits: Option<Rc<LimitTable>>,
-    /// Of the time limits now and before.
+    /// The maximum of all time limits since the start.
     longest_time_limit: Span,
 }
 
-/// The class of a request, and what a frontend needs of its limits to accept it.
+/// The class of a request, and the limits that a frontend needs to accept it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClassLimits {
-    /// The number of the class.
+    /// The index of the class.
     pub class: usize,
-    /// Of the request, from its arrival to its final response.
+    /// Time limit from the arrival of the request to its final response.
     pub time_limit: Span,
-    /// Of a request's body, in bytes.
+    /// Maximum length of a request's body, in bytes.
     pub longest_body: u64,
 }
 
 impl RequestClasses {
-    /// The classes by the platform's settings, and what an operator has set.
+    /// Builds the classes from the platform's settings and the operator's limits.
     pub fn new(
         settings: BTreeMap<String, String>,
         platform_limits: PlatformLimits,
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Other settings apply from now on. Classes are numbered anew: a request that was accepted
-    /// before knows by its generation that its number may be another class's.
+    /// Replaces the settings. Class indices are assigned anew: a request accepted before detects by
+    /// its generation that its index may now denote another class.
     pub fn apply_settings(
         &self,
         settings: BTreeMap<String, String>,
@@ -65,27 +65,27 @@
         self.generation.set(self.generation.get() + 1);
     }
 
-    /// Other limits of the operator apply from now on, for the same classes of the platform.
+    /// Replaces the operator's limits; the platform's settings stay.
     pub fn set_limits(&self, limits: Option<LimitTable>) {
         self.active.borrow_mut().limits = limits.map(Rc::new);
     }
 
-    /// Counts the settings that have applied.
+    /// How many times the settings have been replaced.
     pub fn generation(&self) -> u64 {
         self.generation.get()
     }
 
-    /// Of a request's body in bytes, whatever its class.
+    /// Maximum length of a request's body in any class, in bytes.
     pub fn longest_body(&self) -> u64 {
         self.active.borrow().platform_limits.max_body_bytes
     }
 
-    /// Of the time limits of all requests that may be open.
+    /// An upper bound of the time limits of all open requests.
     pub fn longest_time_limit(&self) -> Span {
         self.active.borrow().longest_time_limit
     }
 
-    /// The names of the platform's namespaces, by number.
+    /// The names of the platform's namespaces, in the order of their indices.
     pub fn namespace_names(&self) -> Vec<String> {
         self.active
             .borrow()
@@ -96,7 +96,7 @@
             .collect()
     }
 
-    /// The platform's settings by its names, without what an operator has set.
+    /// The platform's settings under their own names, without the operator's limits.
     pub fn platform_settings(&self) -> BTreeMap<String, String> {
         self.active.borrow().settings.clone()
     }
@@ -114,18 +114,18 @@
         active.limits.clone().unwrap_or_else(|| active.from_settings.clone())
     }
 
-    /// By how many proxies the servers are shared, as the settings say.
+    /// The number of proxies that share the servers, according to the settings.
     pub fn proxy_count(&self) -> u64 {
         self.active.borrow().number(PROXIES_SETTING).map_or(1, |proxies| proxies as u64).max(1)
     }
 
-    /// The zone that the proxy is in, by its number among the platform's.
+    /// The index of the proxy's zone in the platform's list of zones.
     pub fn zone(&self) -> usize {
         self.active.borrow().number(ZONE_SETTING).unwrap_or(0.0) as usize
     }
 
-    /// The settings that the balancer reads: the platform's as they are where no operator has set
-    /// anything, and otherwise with a namespace for each class.
+    /// The settings that the balancer reads: the platform's settings unchanged if there are no
+    /// operator's limits, and otherwise with one namespace per class.
     pub fn balancer_settings(&self) -> BTreeMap<String, String> {
         let active = self.active.borrow();
         let mut settings = active.settings.clone();
@@ -157,7 +157,7 @@
         self.settings.get(name)?.parse().ok()
     }
 
-    /// The settings of a namespace, as those of a class in it.
+    /// Copies the settings of a namespace under the name of a class in it.
     fn settings_of_class(&self, class: usize, namespace: usize) -> Vec<(String, String)> {
         let prefix = format!("namespace {namespace} ");
         let of_namespace = self.settings.iter().filter_map(|(name, value)| {
@@ -168,7 +168,7 @@
     }
 }
 
-/// The limits of a class by the names of the platform's settings.
+/// The limits of a class under the names of the platform's settings.
 fn limits_as_settings(class: usize, limits: &Limits) -> Vec<(String, String)> {
     let values = [
         ("target time", Some(limits.latency_objective.value.ticks())),
--- a/crates/engine/src/close_schedule.rs
+++ b/crates/engine/src/close_schedule.rs
@@ -1,25 +1,26 @@
-//! When client connections are closed once the proxy shuts down or is taken out of service: one
-//! after the other, so that they do not all come to the other proxies at once.
+//! Schedules when client connections are closed after the proxy starts to shut down or is taken out
+//! of service. The closes are spread over time, so that the clients do not all reconnect to the
+//! other proxies at once.
 
 #[cfg(test)]
 mod tests;
 
 use chalkwalk_time::{Span, Timestamp};
 
-/// The time from the request to shut down to the last response.
+/// The time from the shutdown request to the last response.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DrainWindow {
     pub started: Timestamp,
-    /// When every response must be sent.
+    /// When every response must have been sent.
     pub response_deadline: Timestamp,
 }
 
 /// When one connection is closed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CloseTimes {
-    /// From then on the next response says so.
+    /// From this time on, the next response announces the close.
     pub with_response: Timestamp,
-    /// From then on it is closed though it is idle.
+    /// From this time on, the connection is closed even if it is idle.
     pub when_idle: Timestamp,
 }
 
@@ -32,24 +33,24 @@
     }
 }
 
-/// The position of a connection among those that are closed one after the other, in thousandths.
+/// The position of a connection in the order of closing, in thousandths.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ClosePosition(u64);
 
 impl ClosePosition {
-    /// The position of the connection that was accepted with this number, counted from the start.
+    /// The position of the `number`-th connection accepted since the start.
     pub fn of_connection(number: u64) -> ClosePosition {
-        // Steps of the golden section lie evenly spread, however many there are.
+        // Steps by the golden ratio are spread evenly, however many there are.
         ClosePosition(number * 618 % 1000)
     }
 
-    /// So long after the first of all connections is closed, where the last is closed after a
-    /// thousand of these.
+    /// The delay of this connection's close after the first one, where the last connection closes a
+    /// thousand steps after the first.
     fn after(self, step: Span) -> Span {
         step * self.0
     }
 
-    /// When a connection is closed, if it is. Where both reasons apply, the earlier times count.
+    /// When the connection is closed, if at all. If both reasons apply, the earlier times are used.
     pub fn close_times(
         self,
         drain: Option<DrainWindow>,
@@ -64,12 +65,13 @@
         }
     }
 
-    /// Shutting down, not before two thirds of the time that is left to the proxy, as a proxy that
-    /// was restarted before may not be known as back yet, and not after five sixths, so that what
-    /// is accepted until then is answered; in between one by one, not to flood the others. Where
-    /// another process of this proxy has taken over, with responses within the first second: a
-    /// client that connects again comes to that one, and a connection that is asked to close meets
-    /// no request.
+    /// The close times during shutdown. Closing starts after two thirds of the drain window,
+    /// because a proxy that was restarted before this one may not be known as available again
+    /// earlier, and ends after five sixths, so that requests accepted until then are still
+    /// answered. Between the two, connections are closed one by one to avoid a surge of reconnects
+    /// at the other proxies. If another process of this proxy has taken over, responses announce
+    /// the close within the first second: a client that reconnects reaches that process, and a
+    /// client that is told to close sends no request into the closing connection.
     fn close_times_of_drain(self, window: DrainWindow, superseded: bool) -> CloseTimes {
         let DrainWindow { started, response_deadline } = window;
         let late = started + (response_deadline - started) * (4000 + self.0) / 6000;
@@ -77,9 +79,10 @@
         CloseTimes { with_response: if superseded { soon } else { late }, when_idle: late }
     }
 
-    /// Out of service, with responses within the first second, and idle within two: the load
-    /// balancer in front has learned of it by then, and at four seconds none may be open that had a
-    /// request in the last two.
+    /// The close times out of service: responses announce the close within the first second, and
+    /// idle connections are closed within two. The load balancer in front has detected the change
+    /// by then, and after four seconds no connection may be open that had a request in the last
+    /// two.
     fn close_times_out_of_service(self, since: Timestamp) -> CloseTimes {
         let spread = self.after(Span::from_ticks(8));
         CloseTimes {
--- a/crates/engine/src/close_schedule/tests.rs
+++ b/crates/engine/src/close_schedule/tests.rs
@@ -1,4 +1,4 @@
-//! Of the moments; in the crate, as the schedule is not public.
+//! Tests of the close times. They are unit tests because the schedule is not public.
 
 use super::*;
 
@@ -8,8 +8,8 @@
     Timestamp::ZERO + Span::from_ticks(ticks)
 }
 
-/// When the first and the last connection in order are closed, with a response and idle, in ms
-/// after the start.
+/// When the first and the last connection in order are closed, with a response and while idle, in
+/// ms after the start.
 fn closed(drain_ms: Option<u64>, superseded: bool, out_of_service: bool) -> String {
     let drain = drain_ms.map(|window| DrainWindow {
         started: at(START),
--- a/crates/engine/src/config.rs
+++ b/crates/engine/src/config.rs
@@ -1,4 +1,4 @@
-//! What the engine must be given at its start.
+//! The configuration that the engine is started with.
 
 use chalkwalk_limits::{LimitTable, PlatformLimits};
 use chalkwalk_time::Span;
@@ -6,30 +6,30 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The configuration of one proxy. The fields in cells change when the settings are read again.
+/// The configuration of one proxy. Fields in cells change when the settings are reloaded.
 pub struct EngineConfig {
-    /// The proxy instance.
+    /// The name of the proxy instance.
     pub name: String,
-    /// Of the balancer's random draws.
+    /// Seed of the balancer's random numbers.
     pub seed: u64,
-    /// The balancer's settings, by the platform's names.
+    /// The balancer's settings, under the platform's names.
     pub settings: BTreeMap<String, String>,
-    /// The zones, in the order by which the balancer numbers them.
+    /// The zones, in the order of the indices that the balancer uses.
     pub zones: Vec<String>,
-    /// The kinds of server, in the order by which the balancer numbers them.
+    /// The kinds of server, in the order of the indices that the balancer uses.
     pub kinds: Vec<String>,
-    /// Which limits an operator may set.
+    /// The limits of the platform, which bound those that an operator may set.
     pub platform_limits: PlatformLimits,
-    /// What an operator has set, if one has.
+    /// The operator's limits, if there are any.
     pub limits: Option<LimitTable>,
-    /// For connecting to a server.
+    /// Timeout for connecting to a server.
     pub connect_timeout: Cell<Duration>,
-    /// After which a server closes a connection that is idle.
+    /// Time after which a server closes an idle connection.
     pub idle_timeout: Duration,
-    /// How long after the notice of its drain a server still takes attempts.
+    /// How long a server still takes attempts after it was reported draining.
     pub drain_grace: Cell<Span>,
-    /// How many descriptors the process may hold.
+    /// Maximum number of file descriptors that the process may open.
     pub descriptors: usize,
-    /// In bytes; a part of it is for long responses.
+    /// Memory limit of the process in bytes; a part of it is reserved for long responses.
     pub memory: usize,
 }
--- a/crates/engine/src/connect.rs
+++ b/crates/engine/src/connect.rs
@@ -1,5 +1,5 @@
-//! Connections to servers for attempts and health checks: one of the pool, or a new one within the
-//! descriptor budget.
+//! Connections to servers for attempts and health checks, either from the pool or newly opened
+//! within the descriptor budget.
 
 #[cfg(test)]
 mod tests;
@@ -13,7 +13,8 @@
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 
-/// A connection to the server, from the pool or new; otherwise how the attempt ends that needed it.
+/// Returns a connection to the server, from the pool or new. The error is the outcome of the
+/// attempt that needs the connection.
 pub(crate) async fn pooled_or_new_connection(
     engine: &Engine,
     server: ServerIndex,
@@ -25,7 +26,7 @@
     open(engine, addr).await
 }
 
-/// A new connection to the server; otherwise how an attempt ends that needs it.
+/// Opens a new connection to the server. The error is the outcome of the attempt that needs it.
 pub(crate) async fn new_connection(
     engine: &Engine,
     server: ServerIndex,
@@ -46,8 +47,8 @@
     Ok(ServerConnection::new(stream, addr, permit))
 }
 
-/// How an attempt ends whose connection could not be opened. That this machine is out of
-/// descriptors, of buffers or memory, or of ports says nothing about the server.
+/// The outcome of an attempt whose connection could not be opened. A shortage of descriptors,
+/// buffers, memory or ports on this machine says nothing about the server.
 fn outcome_of(error: &io::Error) -> AttemptOutcome {
     match Errno::from_io_error(error) {
         Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM | Errno::ADDRNOTAVAIL) => {
--- a/crates/engine/src/connect/tests.rs
+++ b/crates/engine/src/connect/tests.rs
@@ -1,8 +1,9 @@
-//! Of how an attempt ends by an error; in the crate, as that is not public.
+//! Tests of the mapping from connect errors to attempt outcomes. They are unit tests because the
+//! mapping is not public.
 
 use super::*;
 
-/// By number: what Linux calls ENFILE, EMFILE, ENOMEM, EADDRNOTAVAIL and ENOBUFS says nothing about
+/// Uses Linux error numbers: ENFILE, EMFILE, ENOMEM, EADDRNOTAVAIL and ENOBUFS say nothing about
 /// the server; ECONNREFUSED, EHOSTUNREACH and ETIMEDOUT do, and so does an error without a number.
 #[test]
 fn errors_of_this_machine_say_nothing_about_the_server() {
--- a/crates/engine/src/dispatch.rs
+++ b/crates/engine/src/dispatch.rs
@@ -1,5 +1,5 @@
-//! Calls to the request table, and the tasks that carry out what the balancer wants then: attempts
-//! and health checks. Their results are reported to the table by calls of the same kind.
+//! Calls the request table, and spawns tasks for the attempts and health checks that the balancer
+//! requests during a call. The tasks report their results to the table in the same way.
 
 use crate::attempt::{Attempt, Progress};
 use crate::effect_sink::{Command, PendingAttempt};
@@ -10,8 +10,8 @@
 use chalkwalk_time::Timestamp;
 use std::rc::Rc;
 
-/// One call to the request table at the present time; the tasks that the balancer wants by then are
-/// spawned.
+/// Makes one call to the request table at the present time, and spawns the tasks that the balancer
+/// requested during it.
 pub(crate) fn call<T>(engine: &Rc<Engine>, call: impl FnOnce(&mut RequestTable, Timestamp) -> T) -> T {
     let mut requests = engine.requests.borrow_mut();
     let result = call(&mut requests, engine.clock.now());
@@ -45,8 +45,8 @@
             (transfer.run(&engine, *server, handle).await, None)
         }
     };
-    // The connection is closed, unless it is back in the pool, before the balancer is notified of
-    // the end.
+    // The connection is either in the pool again or closed here, before the balancer is notified of
+    // the attempt's end.
     handle.release_connection();
     if outcome == AttemptOutcome::Unreachable {
         engine.pool.close_all(*server);
--- a/crates/engine/src/effect_sink.rs
+++ b/crates/engine/src/effect_sink.rs
@@ -1,6 +1,6 @@
-//! What the balancer's decisions take effect on: the open requests, its timers and the log. Effects
-//! that need a task are only noted as commands, and carried out once the call to the balancer is
-//! over.
+//! Applies the balancer's decisions to the open requests, the timers and the log. A decision that
+//! needs a task is queued as a command, which `dispatch` carries out after the call to the balancer
+//! has returned.
 
 use crate::attempt_handle::AttemptHandle;
 use crate::response::{ClientRequest, Response, ResponseStatus};
@@ -13,7 +13,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// What the balancer wants done once the call to it is over.
+/// An action that the balancer requested, to be carried out after the call to it has returned.
 pub enum Command {
     /// Send a request to a server.
     StartAttempt(PendingAttempt),
@@ -21,51 +21,51 @@
     CheckHealth(ServerIndex),
 }
 
-/// Names an attempt: the request, and its number among the attempts for that.
+/// Identifies an attempt by its request and its index among the request's attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptId {
     /// The request.
     pub request_id: RequestId,
-    /// From 0, in the order of starting.
+    /// Index from 0, in the order in which the attempts were started.
     pub number: usize,
 }
 
-/// An attempt that is to be written.
+/// An attempt that is to be sent.
 pub struct PendingAttempt {
-    /// Which one.
+    /// The id of the attempt.
     pub id: AttemptId,
-    /// Where it goes.
+    /// The server to which it is sent.
     pub server: ServerIndex,
     /// When it times out.
     pub times_out_at: Timestamp,
-    /// It is not written at all where that would be later than this.
+    /// The latest time at which it may still be sent; after that it is not sent at all.
     pub send_by: Timestamp,
-    /// What is written.
+    /// The request to write.
     pub request: Rc<dyn ClientRequest>,
-    /// How it is cancelled.
+    /// Cancels the attempt and tracks its progress.
     pub handle: Rc<AttemptHandle>,
 }
 
 impl PendingAttempt {
-    /// Until when it may be written.
+    /// The latest time at which the attempt may be written: before its timeout and by `send_by`.
     pub fn may_be_sent_until(&self) -> Timestamp {
         self.times_out_at.min(self.send_by)
     }
 }
 
-/// A request from its arrival to its final response, or to the end of its last attempt if that is
-/// later.
+/// A request from its arrival until its final response, or until the end of its last attempt if
+/// that is later.
 pub(crate) struct OpenRequest {
     pub request: Rc<dyn ClientRequest>,
-    /// Where its final response goes; `None` once it has that, or nobody waits for it any more.
+    /// Sends the final response; `None` once the response was sent or the client has left.
     pub response: Option<Sender<Response>>,
-    /// All of its attempts, by their numbers.
+    /// All attempts for the request, by their index.
     pub attempts: Vec<Rc<AttemptHandle>>,
     pub in_flight: usize,
 }
 
 impl OpenRequest {
-    /// A request that has no attempt yet.
+    /// An open request without any attempt.
     pub fn new(request: Rc<dyn ClientRequest>, response: Sender<Response>) -> OpenRequest {
         OpenRequest { request, response: Some(response), attempts: Vec::new(), in_flight: 0 }
     }
@@ -75,29 +75,30 @@
     }
 }
 
-/// How the request table wakes tasks that wait for it. Each channel has capacity for one signal,
-/// which is enough to wake by.
+/// Wakes tasks that wait for the request table. Each channel has capacity for one signal, which is
+/// enough for a wake-up.
 pub(crate) struct Signals {
-    /// A timer is due before the one that is waited for.
+    /// Sent if a timer was set that is due before all others.
     pub earlier_timer: Sender<()>,
-    /// The balancer wants the endpoint list watched.
+    /// Sent if the balancer requests a watch of the endpoint list.
     pub watch_requested: Sender<()>,
 }
 
-/// What is known outside the balancer: never read by it, and lent to it as its [`Effects`].
+/// The state outside the balancer. The balancer never reads it; each call passes it as the
+/// balancer's [`Effects`].
 pub(crate) struct EffectSink {
     pub now: Timestamp,
     pub open: HashMap<RequestId, OpenRequest>,
     pub timers: TimerQueue,
     pub signals: Signals,
     pub log: Logger,
-    /// Of all calls to the balancer and its decisions, where they are captured.
+    /// Records all calls to the balancer and its decisions, if a capture runs.
     pub recorder: Option<Recorder>,
     commands: Vec<Command>,
 }
 
 impl EffectSink {
-    /// Without any request or timer yet.
+    /// A sink without requests or timers.
     pub fn new(now: Timestamp, signals: Signals, log: Logger, recorder: Option<Recorder>) -> EffectSink {
         EffectSink {
             now,
@@ -123,17 +124,17 @@
         }
     }
 
-    /// The commands noted so far, which are the caller's to carry out.
+    /// Takes the queued commands, for the caller to carry out.
     pub fn take_commands(&mut self) -> Vec<Command> {
         std::mem::take(&mut self.commands)
     }
 
-    /// Whether a request has its final response, or nobody waits for one any more.
+    /// Whether a request has its final response, or its client has left.
     pub fn is_over(&self, request_id: RequestId) -> bool {
         self.open.get(&request_id).is_none_or(|open| open.response.is_none())
     }
 
-    /// Gives a request its final response, unless it has one.
+    /// Sends the final response to a request, unless one was sent already.
     pub fn respond(&mut self, request_id: RequestId, response: Response) {
         if let Some(open) = self.open.get_mut(&request_id)
             && let Some(waiting) = open.response.take()
@@ -143,7 +144,7 @@
         self.remove_if_done(request_id);
     }
 
-    /// Forgets a request that has its final response and no attempt in flight.
+    /// Removes a request that has its final response and no attempt in flight.
     pub fn remove_if_done(&mut self, request_id: RequestId) {
         if self.open.get(&request_id).is_some_and(OpenRequest::is_done) {
             self.open.remove(&request_id);
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,4 +1,4 @@
-//! One proxy: what its parts share.
+//! The state that the parts of one proxy share.
 
 use crate::budget::DescriptorBudget;
 use crate::classes::RequestClasses;
@@ -21,23 +21,23 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// Long responses may take this part of the memory: the rest of the proxy needs a few megabytes,
-/// and as much again is the system's for what is on its way.
+/// Long responses may use the memory limit divided by this: the rest of the proxy needs a few
+/// megabytes, and another third is left to the system for data in transit.
 const RESPONSE_MEMORY_DIVISOR: usize = 3;
 
 /// One proxy without its protocols.
 pub struct Engine {
-    /// What it was given at its start; its cells change with the settings.
+    /// The configuration; the cells in it change when the settings are reloaded.
     pub config: EngineConfig,
-    /// The limits of requests.
+    /// The request classes and their limits.
     pub classes: RequestClasses,
     /// The proxy's time.
     pub clock: Clock,
-    /// The descriptors that connections need.
+    /// The file descriptors for connections.
     pub budget: DescriptorBudget,
-    /// For long responses.
+    /// The memory for long responses.
     pub response_memory: MemoryBudget,
-    /// The phases of the process.
+    /// The phase of the process.
     pub lifecycle: Lifecycle,
     /// The open requests, and the balancer.
     pub requests: RefCell<RequestTable>,
@@ -45,15 +45,15 @@
     pub pool: ConnectionPool,
     /// How the health of a server is checked.
     pub health_check: Box<dyn HealthCheck>,
-    /// All tasks of the proxy.
+    /// Runs all tasks of the proxy.
     pub executor: LocalExecutor<'static>,
     /// The proxy's log.
     pub log: Logger,
-    /// Attempts that were not written, counted by why not.
+    /// Counts attempts that were refused right before their first byte.
     pub(crate) refused: RefusedAttempts,
-    /// What must not happen, counted.
+    /// Counts events that must not happen.
     pub violations: Violations,
-    /// A timer is due before the one that is waited for.
+    /// Signals that a timer was set that is due before all others.
     pub(crate) earlier_timer: Receiver<()>,
     watch_requested: Receiver<()>,
     open_clients: Cell<usize>,
@@ -63,8 +63,7 @@
 }
 
 impl Engine {
-    /// An engine that was given this configuration, and checks servers in this way. `recorder`:
-    /// where all calls to the balancer are captured.
+    /// Creates an engine. `recorder`, if given, captures all calls to the balancer.
     pub fn new(
         mut config: EngineConfig,
         health_check: Box<dyn HealthCheck>,
@@ -112,17 +111,17 @@
         })
     }
 
-    /// Returns once the balancer wants the endpoint list watched.
+    /// Waits until the balancer requests a watch of the endpoint list.
     pub async fn watch_requested(&self) {
         _ = self.watch_requested.recv().await;
     }
 
-    /// Whatever watch the balancer wanted by now has been made.
+    /// Discards a pending request for a watch, because a watch has just been made.
     pub fn clear_watch_request(&self) {
         _ = self.watch_requested.try_recv();
     }
 
-    /// A source of the endpoint list has answered since the start.
+    /// Records that a source of the endpoint list has answered since the start.
     pub fn list_received(&self) {
         self.has_received_list.set(true);
     }
@@ -132,29 +131,29 @@
         self.has_received_list.get()
     }
 
-    /// Ends the capture, with all that happened by now.
+    /// Ends the capture, which then contains everything up to now.
     pub fn stop_capture(&self) {
         self.requests.borrow_mut().stop_capture();
     }
 
-    /// How many client connections are open.
+    /// The number of open client connections.
     pub fn open_clients(&self) -> usize {
         self.open_clients.get()
     }
 
-    /// When every response must be sent, once the proxy has been asked to shut down.
+    /// When every response must have been sent; `None` unless the proxy is shutting down.
     pub fn response_deadline(&self) -> Option<Timestamp> {
         self.drain.get().map(|window| window.response_deadline)
     }
 
-    /// The proxy has been asked to shut down.
+    /// Starts the drain of the proxy, after a request to shut down.
     pub(crate) fn begin_drain(&self, window: DrainWindow) {
         self.drain.set(Some(window));
         self.lifecycle.enter(Phase::Draining);
     }
 }
 
-/// A client's connection among those that the proxy waits for before it ends.
+/// A client's connection. The proxy waits for it to close before the process exits.
 pub struct ClientConnection {
     /// The proxy.
     pub engine: Rc<Engine>,
@@ -162,7 +161,7 @@
 }
 
 impl ClientConnection {
-    /// A connection that was just accepted; it counts as open until this is dropped.
+    /// Registers a connection that was just accepted. It counts as open until it is dropped.
     pub fn new(engine: &Rc<Engine>) -> ClientConnection {
         engine.open_clients.set(engine.open_clients.get() + 1);
         engine.clients_so_far.set(engine.clients_so_far.get() + 1);
@@ -179,15 +178,15 @@
         )
     }
 
-    /// Whether the next response on it says that it closes.
+    /// Whether the next response must announce that the connection closes.
     pub fn must_close(&self) -> bool {
         self.close_times().is_some_and(|times| times.with_response <= self.engine.clock.now())
     }
 
-    /// Returns once it is to be closed though it is idle.
+    /// Waits until the connection is due to close even if it is idle.
     pub async fn close_due(&self) {
         loop {
-            // Listens before it looks, so that no change between the two is missed.
+            // Subscribes before the check, so that no change in between is missed.
             let change = self.engine.lifecycle.changed();
             let Some(CloseTimes { when_idle, .. }) = self.close_times() else {
                 change.await;
--- a/crates/engine/src/health_check.rs
+++ b/crates/engine/src/health_check.rs
@@ -1,20 +1,20 @@
-//! A health check of one server, on a connection of its own.
+//! Checks the health of one server, on a new connection.
 
 use crate::connect;
 use crate::engine::Engine;
 use chalkwalk_balancer::ServerIndex;
 use chalkwalk_sockets::within;
 
-/// A check may take as long as a connection may, and as long again for the response.
+/// The time limit of a check, in connect timeouts: one to connect, and one for the response.
 const CONNECT_TIMEOUTS: u32 = 2;
 
-/// Checks a server; whether it passed.
+/// Checks a server. Returns whether it passed.
 pub(crate) async fn check(engine: &Engine, server: ServerIndex) -> bool {
     let limit = engine.config.connect_timeout.get() * CONNECT_TIMEOUTS;
     let passed = within(limit, check_on_new_connection(engine, server)).await.flatten().is_some();
     if !passed {
-        // An idle connection to a machine that vanished is reset only when that is back, and by the
-        // first request on it.
+        // An idle connection to a machine that vanished is reset only after the machine is back,
+        // and only by the first request sent on the connection.
         engine.pool.close_all(server);
     }
     passed
--- a/crates/engine/src/idle_clients.rs
+++ b/crates/engine/src/idle_clients.rs
@@ -1,5 +1,4 @@
-//! Client connections with nothing to do, in the order in which they are closed when descriptors
-//! run short.
+//! Idle client connections, in the order in which they are closed when descriptors run short.
 
 use chalkwalk_balancer::admission::may_close;
 use chalkwalk_time::Span;
@@ -8,8 +7,8 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// Names an idle connection among all. The order of the fields is the order of closing: connections
-/// that never carried a request go first, and then those that are idle longest.
+/// Identifies an idle connection. The order of the fields is the order of closing: connections that
+/// never carried a request come first, and among equals the one that has been idle longest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct IdleTicket {
     used: bool,
@@ -35,13 +34,13 @@
 }
 
 impl IdleClients {
-    /// At most `max` stay idle; beyond that the first in order is closed.
+    /// Keeps at most `max_idle` connections idle; beyond that the first in order is closed.
     pub fn new(max: usize) -> IdleClients {
         IdleClients { clients: RefCell::default(), next_number: Cell::new(0), max }
     }
 
-    /// Adds a connection, which is asked to close through `close`. `used`: whether it has carried a
-    /// request.
+    /// Adds a connection, which can be asked to close through `close`. `used` is whether it has
+    /// carried a request.
     pub fn add(&self, close: Sender<()>, used: bool) -> IdleTicket {
         let ticket = IdleTicket { used, number: self.next_number.get() };
         self.next_number.set(ticket.number + 1);
@@ -58,7 +57,8 @@
         self.clients.borrow_mut().remove(&ticket);
     }
 
-    /// Asks the first connection in order that may be closed to close; whether there was one.
+    /// Asks the first connection in order that may be closed to close. Returns whether there was
+    /// one.
     pub fn close_first(&self) -> bool {
         let mut clients = self.clients.borrow_mut();
         let first = clients.iter().find(|(ticket, client)| client.may_close(ticket.used));
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,20 +1,20 @@
-//! The engine: one proxy without its protocols. It owns the balancer and notifies it of all that
-//! happens, keeps the open requests until their one final response, the connections to servers, the
-//! descriptor budget, the lifecycle of the process, its clock and the balancer's timers. It decides
-//! nothing.
+//! The engine: one proxy process without its protocols. It owns the balancer and notifies it of
+//! every event, keeps open requests until each has its one final response, and owns the connections
+//! to servers, the descriptor budget, the lifecycle of the process, its clock and the balancer's
+//! timers. All routing decisions are the balancer's.
 //!
-//! It may use `balancer`, `capture`, `limits`, `membership`, `sockets`, `time`, smol and slog. No
-//! protocol ever enters it, neither of clients nor of servers, and no format of an endpoint list: a
-//! request comes in as something that can write itself to a server and read what comes back
-//! ([`response::ClientRequest`]), and leaves as bytes with a status; an endpoint list comes in as
-//! plain endpoints ([`servers::ListedEndpoint`]).
+//! The crate may depend on `balancer`, `capture`, `limits`, `membership`, `sockets`, `time`, smol
+//! and slog. It contains no client or server protocol and no endpoint list format: a request comes
+//! in as an object that can write itself to a server and read the response
+//! ([`response::ClientRequest`]), and the response leaves as bytes with a status; an endpoint list
+//! comes in as plain endpoints ([`servers::ListedEndpoint`]).
 //!
-//! Modules use those below them only:
+//! Each module uses only modules listed below it:
 //!
 //! - `shutdown`, `background` and `api` call the engine from outside;
-//! - `dispatch` calls the request table and spawns the tasks that it wants;
+//! - `dispatch` calls the request table and spawns the tasks that the balancer asks for;
 //! - `attempt` with `body_transfer`, `health_check` and `connect` are those tasks;
-//! - `engine` holds what the others share: `request_table` with `effect_sink`, `pool`, `budget`,
+//! - `engine` holds the shared state: `request_table` with `effect_sink`, `pool`, `budget`,
 //!   `lifecycle` and the rest.
 
 pub mod api;
--- a/crates/engine/src/lifecycle.rs
+++ b/crates/engine/src/lifecycle.rs
@@ -1,31 +1,31 @@
-//! The phases of the process from start to exit, and what else decides whether the proxy is ready
-//! for clients: whether operators took it out of service, and whether another process of the same
-//! proxy has taken over.
+//! The phases of the process from start to exit, and the other conditions for the proxy's
+//! readiness: whether operators have taken it out of service, and whether another process of the
+//! same proxy has taken over.
 
 use chalkwalk_time::Timestamp;
 use event_listener::Event;
 use std::cell::Cell;
 
-/// A phase of the process. The order counts: a process only moves on to later ones.
+/// A phase of the process. Variants are in order: a process only moves on to a later phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Being set up, and not ready yet.
+    /// The process is being set up and is not ready yet.
     Starting,
-    /// Serving clients.
+    /// The process serves clients.
     Serving,
-    /// Asked to shut down: new connections are still accepted, as the load balancer in front learns
-    /// of it late.
+    /// The process has been asked to shut down. It still accepts new connections, because the load
+    /// balancer in front notices with a delay.
     Draining,
-    /// Accepts no more connections and answers the requests that it has.
+    /// The process accepts no more connections, and answers the requests that it has.
     Finishing,
-    /// About to exit.
+    /// The process is about to exit.
     Ended,
 }
 
-/// Where a process is between start and exit, for tasks to query and wait for.
+/// The lifecycle state of a process, which tasks can query and wait on.
 pub struct Lifecycle {
     phase: Cell<Phase>,
-    /// Since when operators have taken the proxy out of service.
+    /// When operators took the proxy out of service, if they have.
     out_of_service_since: Cell<Option<Timestamp>>,
     /// Whether another process of this proxy has taken over.
     superseded: Cell<bool>,
@@ -44,7 +44,7 @@
 }
 
 impl Lifecycle {
-    /// Moves on to a phase; an earlier one than the present changes nothing.
+    /// Moves on to a phase. Has no effect if the phase is not later than the present one.
     pub fn enter(&self, phase: Phase) {
         if phase > self.phase.get() {
             self.phase.set(phase);
@@ -52,10 +52,10 @@
         }
     }
 
-    /// Returns once the phase, or a later one, is reached.
+    /// Waits until the given phase or a later one is reached.
     pub async fn reached(&self, phase: Phase) {
         loop {
-            // Listens before it looks, so that no change between the two is missed.
+            // Subscribes before the check, so that no change in between is missed.
             let change = self.changed();
             if self.phase.get() >= phase {
                 return;
@@ -64,19 +64,19 @@
         }
     }
 
-    /// What `/up` reports. Where another process has taken over, the proxy is ready though this
-    /// process ends.
+    /// The readiness that `/up` reports. If another process has taken over, the proxy is ready
+    /// although this process is ending.
     pub fn is_ready(&self) -> bool {
         let serving = self.is_serving() || self.superseded.get();
         serving && self.out_of_service_since.get().is_none()
     }
 
-    /// Whether this process serves: it has started, and was not asked to shut down.
+    /// Whether this process is serving: it has started and has not been asked to shut down.
     pub fn is_serving(&self) -> bool {
         self.phase.get() == Phase::Serving
     }
 
-    /// Operators take the proxy out of service from that moment on, or put it back (`None`).
+    /// Takes the proxy out of service as of the given time, or puts it back (`None`).
     pub fn set_out_of_service(&self, since: Option<Timestamp>) {
         if self.out_of_service_since.get().is_some() != since.is_some() {
             self.out_of_service_since.set(since);
@@ -84,12 +84,13 @@
         }
     }
 
-    /// Since when operators have taken the proxy out of service, if they have.
+    /// When operators took the proxy out of service, if they have.
     pub fn out_of_service_since(&self) -> Option<Timestamp> {
         self.out_of_service_since.get()
     }
 
-    /// Another process of this proxy has taken over, or is gone again.
+    /// Records whether another process of this proxy has taken over; false once that process is
+    /// gone.
     pub fn set_superseded(&self, superseded: bool) {
         if self.superseded.replace(superseded) != superseded {
             self.notify_change();
@@ -101,7 +102,7 @@
         self.superseded.get()
     }
 
-    /// Completes when any of this changes after this call.
+    /// Completes when any part of the state changes after this call.
     pub fn changed(&self) -> impl Future<Output = ()> + use<> {
         self.change.listen()
     }
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -1,6 +1,6 @@
-//! Connections to servers, and the pool of those that are idle. The one used last is reused first;
-//! none is reused that is near the server's idle timeout, has unread input, or carried a response
-//! just now.
+//! Connections to servers, and the pool of idle ones. The most recently used connection is reused
+//! first. A connection is not reused if it is close to the server's idle timeout, has unread input,
+//! or carried a response only a moment ago.
 
 #[cfg(test)]
 mod tests;
@@ -14,13 +14,13 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// A connection to a server, and its permit of the descriptor budget.
+/// A connection to a server with its permit from the descriptor budget.
 pub struct ServerConnection {
     /// The socket.
     pub stream: Async<TcpStream>,
     /// The server's address.
     pub addr: SocketAddr,
-    /// When it was opened, or last put into the pool.
+    /// When it was opened, or last returned to the pool.
     pub since: Instant,
     _permit: Permit,
 }
@@ -31,30 +31,31 @@
         ServerConnection { stream, addr, since: Instant::now(), _permit: permit }
     }
 
-    /// Whether a late second response to its last request would have been seen by now.
+    /// Whether the connection has been unused for `quiet_time`, so that a late second response to
+    /// its last request would have arrived by now.
     fn is_quiet_since(&self, quiet_time: Duration) -> bool {
         self.since.elapsed() >= quiet_time
     }
 }
 
-/// Idle connections to one server at most: more than are ever in use at once with a server that is
-/// not late.
+/// Maximum number of idle connections per server: more than are ever in use at once with a server
+/// that responds in time.
 const MAX_IDLE_PER_SERVER: usize = 64;
 
-/// How long a connection beyond the first to a server is kept idle: what a proxy uses concurrently
-/// again and again stays, as the one used last is reused first, and what it needed once is closed.
-/// A server accepts so many connections, and the ones that each of a hundred proxies holds idle are
-/// the ones that none of them gets when it needs one. A second closed too few
-/// (docs/notes/fleet.md), and less would open anew what responses of a tenth of a second need
-/// concurrently.
+/// How long a connection is kept idle if it is not the most recently used one to its server.
+/// Connections that a proxy uses concurrently all the time stay open, because the most recently
+/// used one is reused first; connections needed only once are closed. A server accepts a limited
+/// number of connections, and those held idle by each of a hundred proxies are missing when a proxy
+/// needs one. One second closed too few (docs/notes/fleet.md); with less than 250 ms, the
+/// connections that concurrent responses of 0.1 s need would be opened again and again.
 pub const SPARE_IDLE_TIME: Duration = Duration::from_millis(250);
 
-/// How long a connection is quiet after a response before the next request is written to it. A
-/// server may send a second response some milliseconds after the first, and nothing in it says
-/// which request it is for: read as the next one's it would be a value that no server made for it.
-/// Those seen came 1.5 to 5.8 ms after (docs/notes/endings.md); a request that finds no other
-/// connection waits this long, which is shorter than a handshake between zones and takes no further
-/// connection of the server.
+/// How long a connection stays unused after a response before the next request is written to it. A
+/// server may send a second response some milliseconds after the first, and nothing in it says to
+/// which request it belongs: read as the response to the next request, it would be a value that no
+/// server produced for that request. Observed second responses came 1.5 to 5.8 ms after the first
+/// (docs/notes/endings.md). A request that finds no other connection waits this long, which is
+/// shorter than a handshake between zones and uses no further connection of the server.
 const QUIET_TIME: Duration = Duration::from_millis(10);
 
 /// The idle connections, by server.
@@ -65,18 +66,19 @@
 }
 
 impl ConnectionPool {
-    /// `idle_timeout`: after which servers close what is idle. A connection is reused for half of
-    /// that: a server that closes earlier than it says is noticed when the connection is looked at
-    /// before its reuse.
+    /// `idle_timeout` is the time after which servers close idle connections. A connection is
+    /// reused for only half of it. A server that closes earlier than configured is detected by the
+    /// check of the connection before its reuse.
     pub fn new(idle_timeout: Duration) -> ConnectionPool {
         let max_idle_time = idle_timeout / 2;
-        // At most half of the time for which it is reused, where servers close very early.
+        // At most half of the time during which a connection is reused, for servers that close very
+        // early.
         let quiet_time = QUIET_TIME.min(max_idle_time / 2);
         ConnectionPool { idle: RefCell::default(), max_idle_time, quiet_time }
     }
 
-    /// The connection used last among those that are quiet for long enough, if it can still be
-    /// reused; where none is, the one that will be first, once it is.
+    /// Returns the most recently used connection among those that have been quiet long enough, if
+    /// it can still be reused. If there is none, waits for the one that becomes quiet first.
     pub async fn acquire(&self, server: ServerIndex, addr: SocketAddr) -> Option<ServerConnection> {
         while let Some(connection) = self.pop(server, addr) {
             if connection.is_quiet_since(self.quiet_time) {
@@ -107,7 +109,8 @@
         connection.since.elapsed() < self.max_idle_time && is_idle(&connection.stream)
     }
 
-    /// Puts a connection back after a response; it is closed where the server has enough idle ones.
+    /// Returns a connection to the pool after a response. It is closed if the pool already holds
+    /// the maximum for the server.
     pub fn put(&self, server: ServerIndex, connection: ServerConnection) {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(server).or_default();
@@ -116,12 +119,13 @@
         }
     }
 
-    /// Closes all idle connections to a server: what broke one connection broke the others.
+    /// Closes all idle connections to a server: the failure of one connection affects the others
+    /// too.
     pub fn close_all(&self, server: ServerIndex) {
         self.idle.borrow_mut().remove(&server);
     }
 
-    /// Closes the connection that has been idle longest, to whatever server.
+    /// Closes the connection that has been idle longest, to any server.
     pub fn close_longest_idle(&self) {
         let mut idle = self.idle.borrow_mut();
         let used = idle.values_mut().filter(|connections| !connections.is_empty());
@@ -130,10 +134,11 @@
         }
     }
 
-    /// Closes the connections beyond one to each server that were not used just now.
+    /// For each server, closes the connections that were not used within [`SPARE_IDLE_TIME`], except
+    /// for the most recently used one.
     pub fn close_spare(&self) {
         for connections in self.idle.borrow_mut().values_mut() {
-            // The one used last is at the end.
+            // The most recently used connection is at the end.
             let beyond_one = connections.len().saturating_sub(1);
             let is_spare = |connection: &&ServerConnection| connection.since.elapsed() >= SPARE_IDLE_TIME;
             let spare = connections[..beyond_one].iter().take_while(is_spare).count();
@@ -141,7 +146,7 @@
         }
     }
 
-    /// Closes what has been idle too long or was closed by the other side.
+    /// Closes connections that have been idle too long or were closed by the server.
     pub fn close_stale(&self) {
         let mut idle = self.idle.borrow_mut();
         for connections in idle.values_mut() {
--- a/crates/engine/src/pool/tests.rs
+++ b/crates/engine/src/pool/tests.rs
@@ -1,13 +1,14 @@
-//! Of what the pool gives back; in the crate, as they read how many connections it holds.
+//! Tests of the pool's spare connections. They are unit tests because they count the pool's
+//! connections.
 
 use super::*;
 use crate::budget::DescriptorBudget;
 use std::net::TcpListener;
 use std::thread::sleep;
 
-/// Of six connections that were used concurrently once one stays open, and two where two are used
-/// concurrently all the time: a hundred proxies hold a hundred of a server's connections and not
-/// six hundred.
+/// Of six connections that were used concurrently once, one stays open, or two if two are used
+/// concurrently all the time. Otherwise a hundred proxies would hold six hundred of a server's
+/// connections instead of a hundred.
 #[test]
 fn connections_that_were_needed_once_are_closed() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
--- a/crates/engine/src/request_table.rs
+++ b/crates/engine/src/request_table.rs
@@ -1,6 +1,6 @@
-//! The request table: the balancer and the requests that are open. The balancer is notified of all
-//! that happens here, one call at a time; what it wants done is only noted meanwhile, and carried
-//! out by `dispatch` once the call is over.
+//! The request table: the balancer and the open requests. Each event is reported to the balancer
+//! here, one call at a time. The actions that it requests are queued during the call, and
+//! `dispatch` carries them out after the call has returned.
 
 mod servers;
 
@@ -16,18 +16,18 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// The setting that says whether the balancer asks for the endpoint list, by "1".
+/// The setting that is "1" if the balancer itself requests watches of the endpoint list.
 const WATCHED_SETTING: &str = "watched";
 
-/// The open requests and the balancer that decides on them.
+/// The open requests and the balancer that routes them.
 pub struct RequestTable {
     balancer: Balancer,
-    /// As the balancer last read them.
+    /// The settings that the balancer read last.
     settings: BTreeMap<String, String>,
     sink: EffectSink,
     /// The servers of the endpoint list.
     pub servers: ServerRegistry,
-    /// Requests whose client left before any of their attempts was written.
+    /// Number of requests whose client left before any of their attempts was written.
     left_waiting: u64,
 }
 
@@ -35,18 +35,18 @@
 pub(crate) struct AttemptResult {
     pub outcome: AttemptOutcome,
     pub took: Span,
-    /// The final response of the request, where it is one.
+    /// The final response to the request, if the attempt produced it.
     pub response: Option<Response>,
 }
 
-/// The limits of a request's class once other limits apply.
+/// The limits of a request's class after a change of the operator's limits.
 pub(crate) struct RenewedLimits {
     pub class: usize,
     pub time_limit: Span,
 }
 
 impl RequestTable {
-    /// A table with a new balancer.
+    /// Creates a table with a new balancer.
     pub(crate) fn new(
         seed: u64,
         settings: &BTreeMap<String, String>,
@@ -59,16 +59,15 @@
         let mut sink = EffectSink::new(now, signals, log, recorder);
         sink.record_event(|| Event::Start { seed, settings: settings.clone() });
         let balancer = Balancer::new(seed, settings, &mut sink);
-        // The balancer asks for the list where the setting says so; elsewhere a watch is started
-        // all the same.
+        // With this setting the balancer requests the watch; otherwise the watch is requested here.
         if settings.get(WATCHED_SETTING).is_none_or(|watched| watched != "1") {
             _ = sink.signals.watch_requested.try_send(());
         }
         RequestTable { balancer, settings: settings.clone(), sink, servers, left_waiting: 0 }
     }
 
-    /// The balancer and its effects, both at the present time; every call to the balancer begins
-    /// here.
+    /// Returns the balancer and its effects, both advanced to the present time. Calls to the
+    /// balancer start here.
     fn at(&mut self, now: Timestamp) -> (&mut Balancer, &mut EffectSink) {
         self.sink.now = now;
         self.balancer.advance_clock(now);
@@ -85,22 +84,22 @@
         self.sink.recorder = None;
     }
 
-    /// What the balancer wants done by now.
+    /// Takes the queued actions that the balancer has requested.
     pub(crate) fn take_commands(&mut self) -> Vec<Command> {
         self.sink.take_commands()
     }
 
-    /// How many requests are without their final response, or with an attempt in flight.
+    /// The number of requests without a final response or with an attempt in flight.
     pub fn open_requests(&self) -> usize {
         self.sink.open.len()
     }
 
-    /// How many requests so far had their client leave before any of their attempts was written.
+    /// The number of requests so far whose client left before any of their attempts was written.
     pub fn left_waiting(&self) -> u64 {
         self.left_waiting
     }
 
-    /// Accepts a request and routes it; its final response comes by the channel.
+    /// Accepts and routes a request. Its final response is sent on the returned channel.
     pub(crate) fn accept_request(
         &mut self,
         now: Timestamp,
@@ -125,12 +124,13 @@
         (request_id, response)
     }
 
-    /// The servers that alone may serve a request, where they are settled.
+    /// The only servers that may serve the request; `None` if there is no such restriction.
     fn allowed_servers(&self, request: &dyn ClientRequest) -> Option<Vec<ServerIndex>> {
         request.allowed_servers().map(|addrs| self.servers.in_service_at(&addrs))
     }
 
-    /// Whether an attempt may be sent now; `client_connected`: whether its client is still there.
+    /// Whether an attempt may be sent now. `client_connected` is whether its client is still
+    /// connected.
     pub(crate) fn may_send(
         &self,
         now: Timestamp,
@@ -148,8 +148,8 @@
         self.balancer.may_send(&attempt, now)
     }
 
-    /// The response to an attempt has started, and is the request's; the attempt goes on until the
-    /// response has ended.
+    /// Reports that the response to an attempt has started, which makes it the final response of
+    /// the request. The attempt continues until the end of the response body.
     pub(crate) fn response_started(&mut self, now: Timestamp, attempt: AttemptId, response: Response) {
         let AttemptId { request_id, number } = attempt;
         let (balancer, sink) = self.at(now);
@@ -158,7 +158,7 @@
         balancer.response_started(request_id, number, sink);
     }
 
-    /// An attempt has ended, and its connection is closed or back in the pool.
+    /// Reports that an attempt has ended. Its connection is already closed or back in the pool.
     pub(crate) fn attempt_ended(&mut self, now: Timestamp, attempt: AttemptId, result: AttemptResult) {
         let AttemptId { request_id, number } = attempt;
         let AttemptResult { outcome, took, response } = result;
@@ -185,7 +185,7 @@
         sink.remove_if_done(request_id);
     }
 
-    /// The client of a request has gone, or given it up.
+    /// Reports that the client of a request has disconnected or cancelled it.
     pub(crate) fn client_left(&mut self, now: Timestamp, request_id: RequestId) {
         self.at(now);
         if let Some(open) = self.sink.open.get_mut(&request_id)
@@ -209,8 +209,8 @@
         }
     }
 
-    /// Other settings apply: the balancer reads them, and each open request for which `renewed`
-    /// returns limits gets its class and its time limit anew.
+    /// Applies new settings. The balancer reads them, and each open request for which `renewed`
+    /// returns limits gets the new class and time limit.
     pub(crate) fn apply_settings(
         &mut self,
         now: Timestamp,
@@ -237,7 +237,7 @@
         self.sink.timers.next_due()
     }
 
-    /// Fires the first timer of the balancer, if it is due.
+    /// Fires the balancer's first timer, if it is due.
     pub(crate) fn fire_timer(&mut self, now: Timestamp) {
         if let Some(token) = self.sink.timers.pop_due(now) {
             let (balancer, sink) = self.at(now);
--- a/crates/engine/src/request_table/servers.rs
+++ b/crates/engine/src/request_table/servers.rs
@@ -1,5 +1,5 @@
-//! The part of the request table that concerns servers: endpoint lists, health checks, operators,
-//! and what was learned of them.
+//! The part of the request table that concerns servers: endpoint lists, health checks, operators'
+//! commands, and learned state.
 
 use super::RequestTable;
 use crate::servers::{ListChanges, ListUpdate};
@@ -7,16 +7,16 @@
 use chalkwalk_capture::Event;
 use chalkwalk_time::{Span, Timestamp};
 
-/// What an endpoint list has left behind.
+/// The result of applying an endpoint list.
 pub(crate) struct ListOutcome {
-    /// All servers that are off now.
+    /// All servers that are draining or gone now.
     pub off: Vec<ServerIndex>,
-    /// What the list has changed.
+    /// The changes that the list has made.
     pub changes: ListChanges,
 }
 
 impl RequestTable {
-    /// Takes up what an endpoint list says.
+    /// Applies an endpoint list.
     pub(crate) fn apply_endpoint_list(&mut self, now: Timestamp, update: &ListUpdate<'_>) -> ListOutcome {
         let was_off: Vec<ServerIndex> = self.servers.off().collect();
         self.sink.now = now;
@@ -35,22 +35,22 @@
         ListOutcome { off: self.servers.off().collect(), changes }
     }
 
-    /// A call to discovery failed; the balancer will want another.
+    /// Reports a discovery call that failed. The balancer then requests another call.
     pub(crate) fn discovery_call_failed(&mut self, now: Timestamp, took: Span) {
         let (balancer, sink) = self.at(now);
         sink.record_event(|| Event::DiscoveryCallFailed { took });
         balancer.discovery_call_failed(took, sink);
     }
 
-    /// A health check has finished; `answered`: whether the server passed it.
+    /// Reports that a health check has finished. `answered` is whether the server passed it.
     pub(crate) fn health_check_finished(&mut self, now: Timestamp, server: ServerIndex, answered: bool) {
         let (balancer, sink) = self.at(now);
         sink.record_event(|| Event::HealthCheckFinished { server, answered });
         balancer.health_check_finished(server, answered, sink);
     }
 
-    /// Operators disable a server at that moment, or enable it again. Returns its index, if it has
-    /// one.
+    /// Disables a server at the given time, or enables it again, by an operator's command. Returns
+    /// its index, if it has one.
     pub(crate) fn set_server_disabled(
         &mut self,
         now: Timestamp,
@@ -64,34 +64,35 @@
         self.servers.index_of(id)
     }
 
-    /// So many proxies share the servers.
+    /// Sets the number of proxies that share the servers.
     pub(crate) fn set_proxy_count(&mut self, proxies: u64) {
         self.sink.record_event(|| Event::ProxyCount(proxies));
         self.balancer.set_proxy_count(proxies);
     }
 
-    /// Whether anything may be sent to a server: it is in service, and not disabled by operators.
+    /// Whether attempts may be sent to a server: it is in service, and operators have not disabled
+    /// it.
     pub fn may_send_to(&self, server: ServerIndex) -> bool {
         self.balancer.is_available(server)
     }
 
-    /// Whether no server is ready, as far as notified.
+    /// Whether no server is ready according to the endpoint lists so far.
     pub fn no_server_ready(&self) -> bool {
         self.balancer.no_server_ready()
     }
 
-    /// Whether there is a server by this id for operators to name.
+    /// Whether a server with this id is known, so that an operator's command can name it.
     pub fn knows_server(&self, id: &str) -> bool {
         self.balancer.knows_server(id)
     }
 
-    /// What was learned of the servers, for the process that comes after this one.
+    /// What the balancer has learned of the servers, to be handed to the next process.
     pub fn learned(&self) -> Vec<LearnedServer> {
         self.balancer.learned()
     }
 
-    /// Restores what a process before this one has learned; whether it did. It does not while a
-    /// capture runs, as a replay would not know of it.
+    /// Restores what a previous process has learned. Returns whether it was restored: it is not
+    /// while a capture runs, because a replay would lack it.
     pub fn restore_learned(&mut self, learned: Vec<LearnedServer>) -> bool {
         if self.sink.recorder.is_some() {
             return false;
@@ -100,7 +101,8 @@
         true
     }
 
-    /// The terms on which this balancer learns: what was learned under others means something else.
+    /// A digest of the settings under which the balancer learns. Values learned under other
+    /// settings have a different meaning.
     pub fn learning_terms(&self) -> u64 {
         self.balancer.learning_terms()
     }
--- a/crates/engine/src/response.rs
+++ b/crates/engine/src/response.rs
@@ -1,5 +1,5 @@
-//! What the engine must know of a request and its response, whatever their protocol: a request can
-//! write itself to a server and read the response, which is bytes with a status.
+//! The protocol-independent interface of requests and responses: a request can write itself to a
+//! server and read the response, which is bytes with a status.
 
 use chalkwalk_balancer::AttemptOutcome;
 use chalkwalk_limits::RequestAttributes;
@@ -16,36 +16,37 @@
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseStatus {
-    /// With the response of a server.
+    /// A server has responded.
     Served,
-    /// It may be tried again, after so long where that is known.
+    /// The client may retry the request, after the given time if there is one.
     Rejected(Option<Span>),
-    /// Without a response.
+    /// There is no response from a server.
     Failed,
 }
 
-/// The one final response to a request, which the frontend that it came by writes in its protocol.
+/// The one final response to a request. The frontend that accepted the request writes it in its own
+/// protocol.
 pub struct Response {
     /// How the request ended.
     pub status: ResponseStatus,
-    /// Of the body, as the server names it; empty if it did not.
+    /// The content type of the body, as the server states it; empty if it does not.
     pub content_type: String,
     /// The body, or its start.
     pub body: Vec<u8>,
-    /// What it holds of the memory for long responses.
+    /// The reservation in the memory budget for long responses.
     pub memory: Option<MemoryReservation>,
-    /// The rest of the body, where it is longer than is read whole.
+    /// The rest of the body, if the body is too long to be read whole.
     pub stream: Option<BodyStream>,
 }
 
-/// The rest of a body, part by part as the server sends it. At most one part waits: a client that
-/// reads slowly slows the server.
+/// The rest of a body, part by part as the server sends it. At most one part is buffered, so a
+/// client that reads slowly applies backpressure to the server.
 pub struct BodyStream {
-    /// Of the whole body in bytes, where it is known.
+    /// Length of the whole body in bytes, if it is known.
     pub content_length: Option<u64>,
-    /// The parts; closed after the last.
+    /// The parts; the channel is closed after the last.
     pub parts: Receiver<Vec<u8>>,
-    /// Once there are no more parts: whether the body is complete, or has broken off.
+    /// After the last part: true if the body is complete, false if it was cut off.
     pub complete: Rc<Cell<bool>>,
 }
 
@@ -56,86 +57,91 @@
     }
 }
 
-/// What came back on a connection for an attempt.
+/// What an attempt has read from its connection.
 pub struct ServerResponse {
-    /// How the attempt ended, or will end if the rest of the body comes.
+    /// How the attempt ended, or will end if the rest of the body arrives.
     pub outcome: AttemptOutcome,
-    /// The final response of the request, where it is one.
+    /// The final response to the request, if the attempt produced it.
     pub response: Option<Response>,
     /// Whether the connection may carry another attempt.
     pub reusable: bool,
-    /// What of the response is still to come on the connection, where the request has its response
-    /// before that.
+    /// The rest of the body, if it is still to be read from the connection after the response is
+    /// passed to the client.
     pub remaining_body: Option<Box<dyn ResponseBody>>,
 }
 
-/// What of a response is still to come.
+/// The rest of a response body that is still to be read from the connection.
 pub trait ResponseBody {
-    /// The next part, `None` at the end; an error if it breaks off.
+    /// Reads the next part. Returns `None` at the end of the body, and an error if the body is cut
+    /// off.
     fn next_part<'a>(
         &'a mut self,
         stream: &'a Async<TcpStream>,
     ) -> BoxFuture<'a, Result<Option<Vec<u8>>, BrokenOff>>;
 
-    /// Of the whole body in bytes, where it is known.
+    /// Length of the whole body in bytes, if it is known.
     fn content_length(&self) -> Option<u64>;
 
-    /// Whether the connection may carry another attempt after it.
+    /// Whether the connection may carry another attempt after this body.
     fn is_reusable(&self) -> bool;
 }
 
-/// A body ended before it was complete.
+/// The error of a body that ended before it was complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BrokenOff;
 
-/// A future of the proxy's one thread.
+/// A boxed future for the single-threaded executor, so it need not be `Send`.
 pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
 
-/// A request as its frontend accepted it.
+/// A request as accepted by its frontend.
 pub trait ClientRequest {
-    /// The class whose limits applied when it was accepted.
+    /// The index of the class whose limits applied when the request was accepted.
     fn class(&self) -> usize;
 
-    /// What its class is found by; `None` once other settings apply than it was accepted under.
+    /// The attributes that determine the class; `None` if the settings have been replaced since the
+    /// request was accepted.
     fn attributes(&self) -> Option<RequestAttributes<'_>>;
 
-    /// When its time began.
+    /// When the time limit of the request started to run.
     fn received_at(&self) -> Timestamp;
 
-    /// The key that it reads or writes.
+    /// The key that the request reads or writes.
     fn key(&self) -> &str;
 
-    /// Whether it writes.
+    /// Whether the request is a write.
     fn is_write(&self) -> bool;
 
-    /// When its time is over.
+    /// When the time limit of the request is over.
     fn expires(&self) -> Timestamp;
 
-    /// Which servers alone may serve it, in order of preference, where the servers themselves
-    /// settle that; called again after each attempt. `None`: any, in ring order.
+    /// The only servers that may serve the request, in order of preference, for protocols in which
+    /// the servers determine that. Called again after each attempt. `None` allows any server, in
+    /// ring order.
     fn allowed_servers(&self) -> Option<Vec<SocketAddr>> {
         None
     }
 
-    /// Whether its client is still there and waits, as far as can be read at this moment, whether
-    /// or not it was notified of.
+    /// Whether the client is still connected and waits for the response, as far as its connection
+    /// shows at this moment, even if the frontend has not yet been notified of a disconnect.
     fn client_is_waiting(&self) -> bool {
         true
     }
 
-    /// One of its attempts has ended; called before the allowed servers are looked up again.
+    /// Notifies the request that one of its attempts has ended; called before `allowed_servers` is
+    /// called again.
     fn attempt_ended(&self, _outcome: AttemptOutcome) {}
 
-    /// Writes it whole to a server, with how long its response will be waited for.
+    /// Writes the whole request to a server. `time_left` is how long the proxy will wait for the
+    /// response.
     fn write_to<'a>(&'a self, stream: &'a Async<TcpStream>, left: Span) -> BoxFuture<'a, io::Result<()>>;
 
-    /// Reads the server's response to it; `None` if the connection broke or the response can't be
-    /// understood.
+    /// Reads the server's response; `None` if the connection broke or the response is malformed.
     fn read_response<'a>(&'a self, stream: &'a Async<TcpStream>) -> BoxFuture<'a, Option<ServerResponse>>;
 }
 
-/// How a server is checked for whether it answers at all, in its own protocol.
+/// Checks whether a server responds at all, in the server's protocol.
 pub trait HealthCheck {
-    /// `None` if it does not; otherwise whether the connection may carry an attempt after it.
+    /// Returns `None` if the server does not respond, and otherwise whether the connection may
+    /// carry an attempt afterwards.
     fn check<'a>(&'a self, stream: &'a Async<TcpStream>) -> BoxFuture<'a, Option<bool>>;
 }
--- a/crates/engine/src/servers.rs
+++ b/crates/engine/src/servers.rs
@@ -1,4 +1,4 @@
-//! The servers as endpoint lists describe them, and the small indices by which the balancer knows
+//! The servers that endpoint lists describe, and the small indices by which the balancer identifies
 //! them.
 
 #[cfg(test)]
@@ -10,32 +10,32 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// What a list has changed, by the servers' ids in order.
+/// The changes that a list has made, as sorted server ids.
 #[derive(Debug, Default, PartialEq)]
 pub struct ListChanges {
-    /// Draining or gone since.
+    /// Servers that are now draining or gone.
     pub off: Vec<String>,
-    /// In service since, or again.
+    /// Servers that are now in service, for the first time or again.
     pub back: Vec<String>,
 }
 
-/// What a source of the endpoint list has read of it.
+/// An update that a source of the endpoint list has read.
 #[derive(Clone, Copy, Debug)]
 pub struct ListUpdate<'a> {
     /// The endpoints, with their status.
     pub endpoints: &'a [ListedEndpoint],
-    /// Whether they are the whole list, so that a server that is not among them is gone; otherwise
-    /// they are what changed.
+    /// Whether the endpoints are the full list, so that a server missing from it is gone; otherwise
+    /// they are only the changed ones.
     pub whole: bool,
-    /// Whether the list may be older than what was known before. It then brings no server back that
-    /// was notified to be off and has not started since.
+    /// Whether the list may be older than the one known before. It then does not return a server to
+    /// service that was reported draining or gone, unless the server has restarted since.
     pub doubted: bool,
 }
 
-/// What the engine itself needs to know of a server.
+/// The facts about a server that the engine itself needs.
 struct Row {
     addr: SocketAddr,
-    /// Since when it was notified to be draining or gone.
+    /// When it was reported draining or gone, if it was.
     unavailable_since: Option<Timestamp>,
     /// When its process started.
     born: Timestamp,
@@ -46,14 +46,15 @@
 pub struct ServerRegistry {
     rows: Vec<Row>,
     indices: HashMap<String, ServerIndex>,
-    /// Indices below the number of rows that are no server's.
+    /// Indices of entries that belong to no server.
     free: Vec<ServerIndex>,
     zones: Vec<String>,
     kinds: Vec<String>,
 }
 
 impl ServerRegistry {
-    /// Zones and kinds are numbered in this order; zones that a list adds come after them.
+    /// Zones and kinds are numbered in the given order; zones that appear only in a list are
+    /// appended.
     pub fn new(zones: &[String], kinds: &[String]) -> ServerRegistry {
         ServerRegistry { zones: zones.to_vec(), kinds: kinds.to_vec(), ..ServerRegistry::default() }
     }
@@ -63,7 +64,7 @@
         self.rows.get(server).map(|row| row.addr)
     }
 
-    /// The servers in service at these addresses, in that order.
+    /// The servers in service at the given addresses, in the same order.
     pub fn in_service_at(&self, addrs: &[SocketAddr]) -> Vec<ServerIndex> {
         let in_service = |addr: &SocketAddr| {
             self.rows.iter().position(|row| row.addr == *addr && row.unavailable_since.is_none())
@@ -71,13 +72,13 @@
         addrs.iter().filter_map(in_service).collect()
     }
 
-    /// Since when a server is draining or gone, as notified.
+    /// When a server was reported draining or gone, if it was.
     pub fn unavailable_since(&self, server: ServerIndex) -> Option<Timestamp> {
         self.rows.get(server)?.unavailable_since
     }
 
-    /// Which servers are off by now and were not, and the other way round. `was_off`: those that
-    /// were off before, sorted.
+    /// Compares the servers that are draining or gone now with `was_unavailable`, the sorted
+    /// indices of those that were before.
     pub fn changes_since(&self, was_off: &[ServerIndex]) -> ListChanges {
         let mut changes = ListChanges::default();
         for (id, server) in &self.indices {
@@ -99,14 +100,14 @@
         self.indices.get(id).copied()
     }
 
-    /// Whether the server of this endpoint is in service as far as notified, and has not started
-    /// since the endpoint was read.
+    /// Whether the server of this endpoint is in service according to the lists so far, and has not
+    /// restarted since the endpoint was read.
     pub fn is_ready(&self, endpoint: &ListedEndpoint) -> bool {
         let row = self.index_of(&endpoint.id).map(|server| &self.rows[server]);
         row.is_some_and(|row| row.unavailable_since.is_none() && row.born <= endpoint.born)
     }
 
-    /// The servers that are off, in order.
+    /// The servers that are draining or gone, in the order of their indices.
     pub fn off(&self) -> impl Iterator<Item = ServerIndex> {
         self.rows
             .iter()
@@ -115,7 +116,7 @@
             .map(|(server, _)| server)
     }
 
-    /// Takes up what a list says, and returns it by index for the balancer.
+    /// Applies an update, and returns its endpoints with server indices, for the balancer.
     pub fn apply<'a>(&mut self, now: Timestamp, update: &ListUpdate<'a>) -> Vec<Endpoint<'a>> {
         let was_off: Vec<Option<Timestamp>> = self.rows.iter().map(|row| row.unavailable_since).collect();
         if update.whole {
@@ -141,8 +142,7 @@
         update.endpoints.iter().map(apply_one).collect()
     }
 
-    /// Updates what is known of a server by its endpoint, and returns the status that it has by
-    /// that.
+    /// Updates a server's entry from its endpoint, and returns the server's resulting status.
     fn update_row(
         &mut self,
         now: Timestamp,
@@ -167,8 +167,8 @@
         })
     }
 
-    /// Forgets servers whose index the balancer needs no more, and frees their indices for others:
-    /// ids are ever new.
+    /// Removes servers whose index the balancer no longer needs, and frees the indices for reuse.
+    /// Without this the indices would grow forever, because new processes have new ids.
     pub fn forget_unused(&mut self, balancer: &Balancer) {
         let ServerRegistry { indices, free, .. } = self;
         indices.retain(|_, server| {
--- a/crates/engine/src/servers/tests.rs
+++ b/crates/engine/src/servers/tests.rs
@@ -1,4 +1,4 @@
-//! Of the indices of servers; in the crate, as they forget a server by hand.
+//! Tests of server indices. They are unit tests because they remove a server directly.
 
 use super::*;
 
--- a/crates/engine/src/shutdown/tests.rs
+++ b/crates/engine/src/shutdown/tests.rs
@@ -1,10 +1,10 @@
-//! Of the schedule; in the crate, as it is not public.
+//! Tests of the shutdown schedule. They are unit tests because the schedule is not public.
 
 use super::*;
 
-/// In ms, for limits from none to ten seconds: connections are accepted for as long as a load
-/// balancer in front sends them (400 ms), then comes the last response, its writing, and SIGKILL,
-/// each after the one before.
+/// For time limits from none to ten seconds, in ms: connections are accepted for at least as long
+/// as a load balancer in front sends them (400 ms), followed by the last response, its write and
+/// SIGKILL, each after the one before.
 #[test]
 fn each_step_of_the_shutdown_is_in_time_whatever_the_limits_are() {
     let steps = [0, 1, 300, 499, 500, 2_000, 3_000, 6_000, 30_000, 100_000].map(|limit| {
--- a/crates/engine/src/timers.rs
+++ b/crates/engine/src/timers.rs
@@ -7,8 +7,8 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// The order of the fields is the order of firing: of those due at the same moment the one set
-/// first comes first.
+/// A timer. The order of the fields is the order of firing: timers due at the same time fire in the
+/// order in which they were set.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Timer {
     due: Timestamp,
@@ -16,7 +16,7 @@
     token: u64,
 }
 
-/// Timers that are set and have not fired.
+/// The timers that are set and have not fired.
 #[derive(Default)]
 pub(crate) struct TimerQueue {
     timers: BinaryHeap<Reverse<Timer>>,
@@ -24,7 +24,7 @@
 }
 
 impl TimerQueue {
-    /// Sets a timer; whether it is due before all others.
+    /// Sets a timer. Returns whether it is due before all others.
     pub fn set(&mut self, due: Timestamp, token: u64) -> bool {
         let is_first = self.next_due().is_none_or(|first| due < first);
         self.set_so_far += 1;
@@ -37,7 +37,7 @@
         self.timers.peek().map(|Reverse(timer)| timer.due)
     }
 
-    /// Takes the token of the first timer out, if it is due by now.
+    /// Removes the first timer if it is due, and returns its token.
     pub fn pop_due(&mut self, now: Timestamp) -> Option<u64> {
         if self.next_due()? > now {
             return None;
--- a/crates/engine/src/timers/tests.rs
+++ b/crates/engine/src/timers/tests.rs
@@ -1,4 +1,4 @@
-//! Of the order of timers; in the crate, as the queue is not public.
+//! Tests of the firing order of timers. They are unit tests because the queue is not public.
 
 use super::*;
 use chalkwalk_time::Span;
--- a/crates/engine/src/violations.rs
+++ b/crates/engine/src/violations.rs
@@ -1,15 +1,15 @@
-//! Counters of attempts that were refused right before their first byte, and of violations: what
-//! must not happen at all, checked at run time.
+//! Counts attempts that were refused right before their first byte, and violations: events that
+//! must not happen, checked at run time.
 
 use chalkwalk_balancer::admission::{SendRefusal, Violation};
 use slog::{Logger, warn};
 use std::cell::Cell;
 
-/// Of each kind of violation the first is logged, and then each hundredth: one that repeats must
-/// not flood the log.
+/// The first violation of each kind is logged, and then every hundredth, so that a repeated one
+/// does not flood the log.
 const LOGGED_EACH: u64 = 100;
 
-/// Attempts that were refused since the start.
+/// Counts refused attempts since the start.
 #[derive(Default)]
 pub struct RefusedAttempts {
     request_over: Cell<u64>,
@@ -23,18 +23,18 @@
         }
     }
 
-    /// Those refused because their request had its response, or its client had gone.
+    /// The attempts refused because their request already had its response or its client had left.
     pub fn request_over(&self) -> u64 {
         self.request_over.get()
     }
 }
 
-/// How often each violation has happened since the start.
+/// The number of violations of each kind since the start.
 #[derive(Default)]
 pub struct Violations([Cell<u64>; Violation::ALL.len()]);
 
 impl Violations {
-    /// Counts a violation, if there is one, and logs the first of its kind and each hundredth.
+    /// Counts a violation, if there is one. Logs the first of its kind and every hundredth.
     pub fn check(&self, log: &Logger, violation: Option<Violation>) {
         let Some(violation) = violation else { return };
         let Some(index) = Violation::ALL.iter().position(|kind| *kind == violation) else { return };
@@ -45,7 +45,7 @@
         }
     }
 
-    /// All of them together.
+    /// The number of violations of all kinds.
     pub fn total(&self) -> u64 {
         self.0.iter().map(Cell::get).sum()
     }
--- a/crates/sockets/src/lib.rs
+++ b/crates/sockets/src/lib.rs
@@ -1,7 +1,8 @@
-//! Helpers for bytes on sockets that every protocol needs: reads and gathered writes, waits with a
-//! time limit, and the memory that long messages share.
+//! Socket helpers that every protocol needs: reads and vectored writes, waits with a time limit,
+//! and the memory budget that long messages share.
 //!
-//! It depends on smol and the standard library only. No protocol, request or server is known here.
+//! The crate depends only on smol and the standard library, and contains nothing specific to a
+//! protocol, request or server.
 
 mod memory;
 mod stream;
--- a/crates/sockets/src/memory.rs
+++ b/crates/sockets/src/memory.rs
@@ -1,34 +1,34 @@
-//! The memory that long messages share.
+//! The memory budget that long messages share.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// How many bytes all long messages may hold together, from their head until they are forwarded.
-/// Clones share one budget.
+/// Limits the bytes that all long messages together may hold, from the read of their head until
+/// they are forwarded. Clones share one budget.
 #[derive(Clone)]
 pub struct MemoryBudget {
     free: Rc<Cell<usize>>,
     capacity: usize,
 }
 
-/// Bytes reserved of a [`MemoryBudget`], released on drop.
+/// Bytes reserved from a [`MemoryBudget`], released on drop.
 pub struct MemoryReservation {
     budget: MemoryBudget,
     bytes: usize,
 }
 
 impl MemoryBudget {
-    /// A budget of so many bytes, all of them free.
+    /// A budget of `capacity` bytes, all of them free.
     pub fn new(capacity: usize) -> MemoryBudget {
         MemoryBudget { free: Rc::new(Cell::new(capacity)), capacity }
     }
 
-    /// The whole budget in bytes, free or not.
+    /// The size of the budget in bytes, free or not.
     pub fn capacity(&self) -> usize {
         self.capacity
     }
 
-    /// Reserves so many bytes, or `None` if fewer are free.
+    /// Reserves the given number of bytes, or returns `None` if fewer are free.
     pub fn try_reserve(&self, bytes: usize) -> Option<MemoryReservation> {
         let free = self.free.get().checked_sub(bytes)?;
         self.free.set(free);
--- a/crates/sockets/src/stream.rs
+++ b/crates/sockets/src/stream.rs
@@ -4,19 +4,20 @@
 use std::io::{self, ErrorKind, IoSlice, Read, Write};
 use std::net::TcpStream;
 
-/// What the first read of a message asks for, in bytes: one page, as most heads fit into it.
+/// Size of the first read of a message, in bytes: one page, as most message heads fit into it.
 const FIRST_READ: usize = 4096;
-/// What later reads of a message ask for, in bytes: a quarter of the longest body on the platform.
+/// Size of later reads of a message, in bytes: a quarter of the longest body on the platform.
 const LATER_READ: usize = 16 << 10;
 
-/// Appends to the buffer what the stream has, some KiB at most, waiting for the first byte. `Ok(0)`
-/// is the end of the stream. A dropped future leaves the buffer as it was.
+/// Waits until the stream is readable, and appends the available bytes to the buffer, at most 4 or
+/// 16 KiB. `Ok(0)` means the end of the stream. The buffer is unchanged if the future is dropped
+/// before it completes.
 pub async fn read_more(stream: &Async<TcpStream>, buf: &mut Vec<u8>) -> io::Result<usize> {
     let limit = if buf.len() < FIRST_READ { FIRST_READ } else { LATER_READ };
     read_up_to(stream, buf, limit).await
 }
 
-/// Like [`read_more`], with a limit of the caller's, in bytes.
+/// Like [`read_more`], with the given limit in bytes.
 pub async fn read_up_to(stream: &Async<TcpStream>, buf: &mut Vec<u8>, limit: usize) -> io::Result<usize> {
     loop {
         let filled = buf.len();
@@ -31,7 +32,7 @@
     }
 }
 
-/// Writes all parts in their order, gathered into as few writes as the socket allows.
+/// Writes all parts in order, with as few vectored writes as the socket allows.
 pub async fn write_all(stream: &Async<TcpStream>, parts: &[&[u8]]) -> io::Result<()> {
     let mut slices: Vec<IoSlice> =
         parts.iter().filter(|part| !part.is_empty()).map(|part| IoSlice::new(part)).collect();
@@ -46,7 +47,7 @@
 }
 
 /// Whether the connection is open and has nothing to read. False means that the peer has closed it,
-/// or has sent something ahead of its turn; the bytes stay unread.
+/// or has sent data that it was not asked for; these bytes stay unread.
 pub fn is_idle(stream: &Async<TcpStream>) -> bool {
     let mut byte = [0];
     matches!(stream.get_ref().peek(&mut byte), Err(error) if error.kind() == ErrorKind::WouldBlock)
--- a/crates/sockets/src/wait.rs
+++ b/crates/sockets/src/wait.rs
@@ -4,8 +4,8 @@
 use smol::future::FutureExt;
 use std::time::{Duration, Instant};
 
-/// The outcome of `wait`, or `None` if it is still pending at the deadline. An outcome that is
-/// ready at the deadline counts: the wait is polled before the timer.
+/// Waits for `wait` until the deadline. Returns its output, or `None` if it is still pending at the
+/// deadline. An output that is ready at the deadline counts: `wait` is polled before the timer.
 pub async fn wait_until<T>(deadline: Instant, wait: impl Future<Output = T>) -> Option<T> {
     let timed_out = async {
         Timer::at(deadline).await;
@@ -14,7 +14,8 @@
     async { Some(wait.await) }.or(timed_out).await
 }
 
-/// The outcome of `wait`, or `None` if it takes longer than the limit. See [`wait_until`].
+/// Waits for `wait` for at most `limit`. Returns its output, or `None` if it takes longer. See
+/// [`wait_until`].
 pub async fn within<T>(limit: Duration, wait: impl Future<Output = T>) -> Option<T> {
     wait_until(Instant::now() + limit, wait).await
 }
--- a/crates/sockets/tests/sockets.rs
+++ b/crates/sockets/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! Reads, writes and waits on sockets of this machine, and the memory budget.
+//! Tests of reads, writes and waits on loopback sockets, and of the memory budget.
 
 use chalkwalk_sockets::{MemoryBudget, is_idle, read_more, read_up_to, wait_until, within, write_all};
 use smol::{Async, Timer, block_on};
@@ -64,7 +64,7 @@
         assert_eq!(buf, b"kept");
         write_all(&near, &[b"!"]).await.unwrap();
         assert!(matches!(within(Duration::from_secs(5), read_more(&far, &mut buf)).await, Some(Ok(1))));
-        // What is ready at a deadline that has passed still counts.
+        // An output that is ready counts even if the deadline has passed.
         let passed = Instant::now();
         assert_eq!(wait_until(passed, async { 1 }).await, Some(1));
         assert!(wait_until(passed, Timer::after(Duration::from_secs(60))).await.is_none());
--- a/crates/time/src/lib.rs
+++ b/crates/time/src/lib.rs
@@ -1,8 +1,9 @@
-//! Instants and spans of time, counted in ticks of a tenth of a millisecond.
+//! Timestamps and time spans, counted in ticks of a tenth of a millisecond.
 //!
-//! Decisions are pure: the time is passed in, by the engine's clock or by a simulator's. A tick is short enough that no limit
-//! of a deployment is lost to rounding, and a `u64` of ticks lasts for longer than any process. Both types are stored and sent
-//! as their bare number of ticks. The crate does no I/O and reads no clock.
+//! Decisions are pure: callers pass the time in, read from the engine's clock or a simulator's. A
+//! tick is short enough that rounding loses no configured limit, and a `u64` of ticks outlasts any
+//! process. Both types are stored and sent as their plain number of ticks. The crate does no I/O
+//! and reads no clock.
 
 mod span;
 mod timestamp;
--- a/crates/time/src/span.rs
+++ b/crates/time/src/span.rs
@@ -15,22 +15,22 @@
 impl Span {
     /// No time at all.
     pub const ZERO: Span = Span(0);
-    /// The shortest span there is.
+    /// One tick, the shortest span that is not zero.
     pub const TICK: Span = Span(1);
-    /// Longer than any process runs.
+    /// The longest span: longer than any process runs.
     pub const MAX: Span = Span(u64::MAX);
 
-    /// A span of so many ticks.
+    /// A span of the given number of ticks.
     pub const fn from_ticks(ticks: u64) -> Span {
         Span(ticks)
     }
 
-    /// A span of so many milliseconds.
+    /// A span of the given number of milliseconds.
     pub const fn from_millis(milliseconds: u64) -> Span {
         Span(milliseconds * TICKS_PER_MILLISECOND)
     }
 
-    /// A span of so many seconds.
+    /// A span of the given number of seconds.
     pub const fn from_secs(seconds: u64) -> Span {
         Span(seconds * TICKS_PER_SECOND)
     }
@@ -40,7 +40,7 @@
         self.0
     }
 
-    /// The span in milliseconds, with its tenth.
+    /// The span in milliseconds, with one decimal place.
     pub fn as_millis_f64(self) -> f64 {
         self.0 as f64 / TICKS_PER_MILLISECOND as f64
     }
@@ -50,12 +50,12 @@
         self.0 / TICKS_PER_MILLISECOND
     }
 
-    /// Whether the span is empty.
+    /// Whether the span is zero.
     pub const fn is_zero(self) -> bool {
         self.0 == 0
     }
 
-    /// Whether it is no longer than another, usable in constants.
+    /// Whether the span is at most as long as the other, usable in constants.
     pub const fn fits(self, other: Span) -> bool {
         self.0 <= other.0
     }
@@ -70,18 +70,18 @@
         Span(self.0 - other.0)
     }
 
-    /// The multiple, usable in constants.
+    /// The product, usable in constants.
     pub const fn times(self, factor: u64) -> Span {
         Span(self.0 * factor)
     }
 
-    /// The difference, or nothing where the other is longer.
+    /// The difference, or zero if the other span is longer.
     pub const fn saturating_sub(self, other: Span) -> Span {
         Span(self.0.saturating_sub(other.0))
     }
 }
 
-/// Printed as the number of ticks, as it is stored.
+/// Printed as the plain number of ticks, as it is stored.
 impl fmt::Debug for Span {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(f)
@@ -153,7 +153,7 @@
     }
 }
 
-/// How many times the other span fits.
+/// How many times the other span fits into this one.
 impl Div for Span {
     type Output = u64;
     fn div(self, other: Span) -> u64 {
--- a/crates/time/src/timestamp.rs
+++ b/crates/time/src/timestamp.rs
@@ -1,23 +1,23 @@
-//! A moment in time.
+//! A point in time.
 
 use crate::Span;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::ops::{Add, AddAssign, Sub};
 
-/// A moment in ticks of a tenth of a millisecond since an origin that whoever passes the time in has chosen: Unix time for the
-/// proxy, the start of the day for a simulator.
+/// A point in time, in ticks of a tenth of a millisecond since an origin that the clock defines:
+/// Unix time for the proxy, the start of the simulated day for a simulator.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Deserialize, Serialize)]
 #[serde(transparent)]
 pub struct Timestamp(u64);
 
 impl Timestamp {
-    /// The origin. Fields that hold it have not been set yet.
+    /// The origin. In a field, it means that the field has not been set.
     pub const ZERO: Timestamp = Timestamp(0);
-    /// Later than any moment.
+    /// The latest timestamp; later than any actual time.
     pub const MAX: Timestamp = Timestamp(u64::MAX);
 
-    /// The moment so many ticks after the origin.
+    /// The timestamp the given number of ticks after the origin.
     pub const fn from_ticks(ticks: u64) -> Timestamp {
         Timestamp(ticks)
     }
@@ -27,17 +27,17 @@
         self.0
     }
 
-    /// Whether this is the origin, as a field that was not set yet.
+    /// Whether this is the origin, which marks a field that has not been set.
     pub const fn is_zero(self) -> bool {
         self.0 == 0
     }
 
-    /// How long ago an earlier moment was; nothing for a later one.
+    /// The time since `earlier`, or zero if `earlier` is in fact later.
     pub const fn saturating_since(self, earlier: Timestamp) -> Span {
         Span::from_ticks(self.0.saturating_sub(earlier.0))
     }
 
-    /// How long ago an earlier moment was; `None` for a later one.
+    /// The time since `earlier`, or `None` if `earlier` is in fact later.
     pub fn checked_since(self, earlier: Timestamp) -> Option<Span> {
         self.0.checked_sub(earlier.0).map(Span::from_ticks)
     }
@@ -47,18 +47,18 @@
         self.0 / period.ticks()
     }
 
-    /// How long the present period has lasted, where periods count from the origin.
+    /// The time since the start of the present period, where periods count from the origin.
     pub const fn into_period(self, period: Span) -> Span {
         Span::from_ticks(self.0 % period.ticks())
     }
 
-    /// The moment a span later, or the latest there is.
+    /// The timestamp plus a span, or [`Timestamp::MAX`] on overflow.
     pub const fn saturating_add(self, span: Span) -> Timestamp {
         Timestamp(self.0.saturating_add(span.ticks()))
     }
 }
 
-/// Printed as the number of ticks, as it is stored.
+/// Printed as the plain number of ticks, as it is stored.
 impl fmt::Debug for Timestamp {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(f)
--- a/crates/time/tests/time.rs
+++ b/crates/time/tests/time.rs
@@ -1,4 +1,4 @@
-//! The arithmetic of instants and spans, and the forms in which both are stored.
+//! Tests of timestamp and span arithmetic, and of their conversions and printed form.
 
 use chalkwalk_time::{Span, Timestamp};
 use std::time::Duration;
