--- a/crates/engine/src/api.rs
+++ b/crates/engine/src/api.rs
@@ -38,17 +38,19 @@
 pub fn apply_endpoint_list(
     engine: &Rc<Engine>,
     endpoints: &[ListedEndpoint],
-    whole_list: bool,
-    doubted: bool,
+    is_full_list: bool,
+    may_be_stale: bool,
 ) {
-    let update = ListUpdate { endpoints, whole: whole_list, doubted };
+    let update = ListUpdate { endpoints, is_full: is_full_list, may_be_stale };
     let outcome = call(engine, |requests, now| requests.apply_endpoint_list(now, &update));
-    for server in outcome.off {
+    for server in outcome.unavailable {
         engine.pool.close_all(server);
     }
     let changes = outcome.changes;
     if changes != ListChanges::default() {
-        info!(engine.log, "servers changed"; "off" => ids_to_log(&changes.off), "back" => ids_to_log(&changes.back));
+        info!(engine.log, "servers changed";
+            "off" => ids_to_log(&changes.became_unavailable),
+            "back" => ids_to_log(&changes.became_available));
     }
 }
 
--- a/crates/engine/src/attempt.rs
+++ b/crates/engine/src/attempt.rs
@@ -46,16 +46,16 @@
     pub async fn run(&self) -> Progress {
         let cancelled = async {
             self.pending.handle.cancelled().await;
-            self.cut_short(AttemptOutcome::Cancelled)
+            self.end_early(AttemptOutcome::Cancelled)
         };
         let progress = cancelled.or(self.send());
         let deadline = self.engine.clock.instant(self.pending.times_out_at);
-        wait_until(deadline, progress).await.unwrap_or_else(|| self.cut_short(AttemptOutcome::TimedOut))
+        wait_until(deadline, progress).await.unwrap_or_else(|| self.end_early(AttemptOutcome::TimedOut))
     }
 
     /// Ends an attempt before its response. A request whose last byte was not written has certainly
     /// not run on the server.
-    fn cut_short(&self, outcome: AttemptOutcome) -> Progress {
+    fn end_early(&self, outcome: AttemptOutcome) -> Progress {
         Progress::ended(if self.pending.handle.is_written() { outcome } else { AttemptOutcome::NotSent })
     }
 
@@ -64,7 +64,7 @@
         if engine.clock.now() >= pending.times_out_at {
             return Progress::ended(AttemptOutcome::NotSent);
         }
-        let deadline = engine.clock.instant(pending.may_be_sent_until());
+        let deadline = engine.clock.instant(pending.send_deadline());
         let connection = match wait_until(deadline, self.connect_and_write()).await {
             Some(Ok(connection)) => connection,
             Some(Err(outcome)) => return Progress::ended(outcome),
@@ -131,7 +131,7 @@
         let written = WrittenAttempt {
             at: engine.clock.now(),
             allowed_at,
-            until: pending.may_be_sent_until(),
+            until: pending.send_deadline(),
             unavailable_since: engine.requests.borrow().servers.unavailable_since(pending.server),
             grace: engine.config.drain_grace.get(),
             client_connected: pending.request.client_is_waiting(),
--- a/crates/engine/src/background.rs
+++ b/crates/engine/src/background.rs
@@ -10,13 +10,13 @@
 use std::rc::Rc;
 
 /// Number of sweeps for spare connections within [`SPARE_IDLE_TIME`].
-const CLOSE_SPARE_PER_IDLE_TIME: u32 = 2;
+const SPARE_SWEEPS_PER_IDLE_TIME: u32 = 2;
 /// Stale connections are closed in every eighth sweep for spare ones, about once a second, because
 /// that sweep examines each connection.
-const SPARE_ROUNDS_PER_STALE_ROUND: u32 = 8;
+const SPARE_SWEEPS_PER_STALE_SWEEP: u32 = 8;
 /// The counters are logged at most once per this many sweeps for stale connections, that is, once a
 /// minute.
-const STALE_ROUNDS_PER_REPORT: u32 = 60;
+const STALE_SWEEPS_PER_REPORT: u32 = 60;
 
 /// Fires the balancer's timers when they are due. Never returns.
 pub async fn run_timers(engine: Rc<Engine>) {
@@ -35,18 +35,18 @@
 /// Closes spare and stale connections of the pool, and logs the counters if more clients have
 /// disconnected while waiting. Never returns.
 pub async fn run_pool_sweeps(engine: Rc<Engine>) {
-    let mut logged = 0;
-    let mut rounds = 0u32;
+    let mut last_logged = 0;
+    let mut stale_sweeps = 0u32;
     loop {
-        for _ in 0..SPARE_ROUNDS_PER_STALE_ROUND {
-            Timer::after(SPARE_IDLE_TIME / CLOSE_SPARE_PER_IDLE_TIME).await;
+        for _ in 0..SPARE_SWEEPS_PER_STALE_SWEEP {
+            Timer::after(SPARE_IDLE_TIME / SPARE_SWEEPS_PER_IDLE_TIME).await;
             engine.pool.close_spare();
         }
         engine.pool.close_stale();
-        rounds += 1;
-        let left = engine.requests.borrow().left_waiting();
-        if rounds.is_multiple_of(STALE_ROUNDS_PER_REPORT) && left != logged {
-            logged = left;
+        stale_sweeps += 1;
+        let left_waiting = engine.requests.borrow().left_waiting();
+        if stale_sweeps.is_multiple_of(STALE_SWEEPS_PER_REPORT) && left_waiting != last_logged {
+            last_logged = left_waiting;
             log_counters(&engine, "clients left");
         }
     }
@@ -55,8 +55,9 @@
 /// Logs the totals since the start: requests whose client disconnected while they waited, attempts
 /// withheld because their request was already over, and violations.
 pub(crate) fn log_counters(engine: &Engine, event: &'static str) {
-    let left = engine.requests.borrow().left_waiting();
+    let left_waiting = engine.requests.borrow().left_waiting();
     let violations = engine.violations.total();
     info!(engine.log, "{}", event;
-        "left_waiting" => left, "withheld" => engine.refused.request_over(), "violations" => violations);
+        "left_waiting" => left_waiting, "withheld" => engine.refused.request_over(),
+        "violations" => violations);
 }
--- a/crates/engine/src/budget.rs
+++ b/crates/engine/src/budget.rs
@@ -15,7 +15,7 @@
 
 /// How long to wait for a permit after an idle connection was asked to close, before the next one
 /// is closed.
-const CLOSE_TIME: Duration = Duration::from_millis(5);
+const IDLE_CLOSE_WAIT: Duration = Duration::from_millis(5);
 
 /// Descriptors outside the budget: standard streams, epoll with its timer and event descriptors,
 /// the pair of the signal handler and the listener, 11 in all as counted; the two connections for
@@ -25,7 +25,7 @@
 
 /// How long a request that arrives while all connections are busy waits for a permit. Most
 /// responses take less, and a connection becomes idle right after its response.
-const PERMIT_SOON: Duration = Duration::from_millis(60);
+const CLIENT_PERMIT_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// A permit for one descriptor, returned to the budget on drop.
 pub type Permit = SemaphoreGuardArc;
@@ -38,9 +38,9 @@
     /// For clients and servers alike, first come, first served.
     shared: Arc<Semaphore>,
     /// For clients that arrive when all other permits are taken; their requests are only rejected.
-    rejecting: Arc<Semaphore>,
+    rejection_only: Arc<Semaphore>,
     idle_clients: IdleClients,
-    half: HalfShares,
+    half_shares: HalfShares,
 }
 
 /// Half of each share, which is lent to another process of this proxy.
@@ -53,26 +53,26 @@
 impl DescriptorBudget {
     /// Divides the given number of descriptors into shares.
     pub fn new(descriptors: usize) -> DescriptorBudget {
-        let all = descriptors.saturating_sub(OTHER_DESCRIPTORS).max(16);
+        let total = descriptors.saturating_sub(OTHER_DESCRIPTORS).max(16);
         // One third for servers, one third for clients, and one third for either: each client that
         // waits for a response needs at least one attempt in flight, and a client that writes or
         // reads slowly needs none.
-        let servers = all / 3;
-        let shared = all / 3;
+        let servers = total / 3;
+        let shared = total / 3;
         // These permits are held only while a rejection is written. With fewer than four of them,
         // further clients wait for one unnoticed.
-        let rejecting = (all / 16).max(4);
-        let clients = all - servers - shared - rejecting;
+        let rejection_only = (total / 16).max(4);
+        let clients = total - servers - shared - rejection_only;
         DescriptorBudget {
             servers: Arc::new(Semaphore::new(servers)),
             clients: Arc::new(Semaphore::new(clients)),
             shared: Arc::new(Semaphore::new(shared)),
-            rejecting: Arc::new(Semaphore::new(rejecting)),
+            rejection_only: Arc::new(Semaphore::new(rejection_only)),
             // Keeps clients that send one request and then hold their connection from shutting out
             // others. A load balancer in front may limit the open connections to a third of the
             // proxy's descriptors; half of those are for clients that send requests.
-            idle_clients: IdleClients::new(all / 6),
-            half: HalfShares { servers: servers / 2, clients: clients / 2, shared: shared / 2 },
+            idle_clients: IdleClients::new(total / 6),
+            half_shares: HalfShares { servers: servers / 2, clients: clients / 2, shared: shared / 2 },
         }
     }
 
@@ -81,9 +81,9 @@
     /// idle connection to a server.
     pub async fn lend_half(&self, close_idle_server: impl Fn()) -> Vec<Permit> {
         let close_idle_client = || _ = self.close_idle();
-        let mut lent = acquire_many(&self.servers, self.half.servers, close_idle_server).await;
-        lent.extend(acquire_many(&self.clients, self.half.clients, close_idle_client).await);
-        lent.extend(acquire_many(&self.shared, self.half.shared, close_idle_client).await);
+        let mut lent = acquire_many(&self.servers, self.half_shares.servers, close_idle_server).await;
+        lent.extend(acquire_many(&self.clients, self.half_shares.clients, close_idle_client).await);
+        lent.extend(acquire_many(&self.shared, self.half_shares.shared, close_idle_client).await);
         lent
     }
 
@@ -101,7 +101,7 @@
             if self.clients.try_acquire_arc().is_none() {
                 self.close_idle();
             }
-            if let Some(permit) = self.acquire_soon(&self.servers).await {
+            if let Some(permit) = self.acquire_after_close(&self.servers).await {
                 return permit;
             }
         }
@@ -117,11 +117,11 @@
             // Rejects requests rather than let them wait unread, before they are accepted, until
             // their time limit is over.
             if !self.close_idle()
-                && let Some(permit) = self.rejecting.try_acquire_arc()
+                && let Some(permit) = self.rejection_only.try_acquire_arc()
             {
                 return (permit, false);
             }
-            if let Some(permit) = self.acquire_soon(&self.clients).await {
+            if let Some(permit) = self.acquire_after_close(&self.clients).await {
                 return (permit, true);
             }
         }
@@ -130,7 +130,7 @@
     /// Waits up to `CLIENT_PERMIT_TIMEOUT` for a client's permit to be returned, or for a client to
     /// become idle.
     pub async fn acquire_for_client_soon(&self) -> Option<Permit> {
-        let deadline = Instant::now() + PERMIT_SOON;
+        let deadline = Instant::now() + CLIENT_PERMIT_TIMEOUT;
         loop {
             if let Some(permit) = self.try_acquire_for_client() {
                 return Some(permit);
@@ -138,7 +138,7 @@
             if !self.close_idle() && Instant::now() >= deadline {
                 return None;
             }
-            if let Some(permit) = self.acquire_soon(&self.clients).await {
+            if let Some(permit) = self.acquire_after_close(&self.clients).await {
                 return Some(permit);
             }
         }
@@ -150,8 +150,8 @@
 
     /// Waits up to `IDLE_CLOSE_WAIT` for a permit. The caller then looks for an idle connection
     /// again; a longer wait could block forever on a connection that became idle in the meantime.
-    async fn acquire_soon(&self, share: &Arc<Semaphore>) -> Option<Permit> {
-        within(CLOSE_TIME, share.acquire_arc().or(self.shared.acquire_arc())).await
+    async fn acquire_after_close(&self, share: &Arc<Semaphore>) -> Option<Permit> {
+        within(IDLE_CLOSE_WAIT, share.acquire_arc().or(self.shared.acquire_arc())).await
     }
 
     /// Marks a client's connection as idle, so that it may be asked to close through `close`.
@@ -179,7 +179,7 @@
         permits.extend(share.try_acquire_arc());
         if permits.len() < count {
             close_idle();
-            permits.extend(within(CLOSE_TIME, share.acquire_arc()).await);
+            permits.extend(within(IDLE_CLOSE_WAIT, share.acquire_arc()).await);
         }
     }
     permits
--- a/crates/engine/src/budget/tests.rs
+++ b/crates/engine/src/budget/tests.rs
@@ -29,12 +29,13 @@
     let budget = DescriptorBudget::new(192);
     let (close, closed) = smol::channel::bounded(1);
     budget.mark_idle(close, false);
-    let mut held: Vec<Permit> = (0..118)
-        .filter_map(|_| smol::block_on(within(CLOSE_TIME, budget.acquire_for_server(|| ()))))
+    let mut held_permits: Vec<Permit> = (0..118)
+        .filter_map(|_| smol::block_on(within(IDLE_CLOSE_WAIT, budget.acquire_for_server(|| ()))))
         .collect();
-    let waits = || smol::block_on(within(CLOSE_TIME * 3, budget.acquire_for_server(|| ()))).is_none();
-    let before = (waits(), closed.is_empty());
-    held.extend(std::iter::from_fn(|| budget.clients.try_acquire_arc()));
+    let waits_for_permit =
+        || smol::block_on(within(IDLE_CLOSE_WAIT * 3, budget.acquire_for_server(|| ()))).is_none();
+    let before = (waits_for_permit(), closed.is_empty());
+    held_permits.extend(std::iter::from_fn(|| budget.clients.try_acquire_arc()));
     expect_test::expect!["(true, true) (true, false)"]
-        .assert_eq(&format!("{before:?} {:?}", (waits(), closed.is_empty())));
+        .assert_eq(&format!("{before:?} {:?}", (waits_for_permit(), closed.is_empty())));
 }
--- a/crates/engine/src/classes.rs
+++ b/crates/engine/src/classes.rs
@@ -60,8 +60,8 @@
         platform_limits: PlatformLimits,
         limits: Option<LimitTable>,
     ) {
-        let longest_before = self.longest_time_limit();
-        *self.active.borrow_mut() = ActiveSettings::new(settings, platform_limits, limits, longest_before);
+        let previous_longest = self.longest_time_limit();
+        *self.active.borrow_mut() = ActiveSettings::new(settings, platform_limits, limits, previous_longest);
         self.generation.set(self.generation.get() + 1);
     }
 
@@ -116,12 +116,12 @@
 
     /// The number of proxies that share the servers, according to the settings.
     pub fn proxy_count(&self) -> u64 {
-        self.active.borrow().number(PROXIES_SETTING).map_or(1, |proxies| proxies as u64).max(1)
+        self.active.borrow().numeric_setting(PROXIES_SETTING).map_or(1, |proxies| proxies as u64).max(1)
     }
 
     /// The index of the proxy's zone in the platform's list of zones.
     pub fn zone(&self) -> usize {
-        self.active.borrow().number(ZONE_SETTING).unwrap_or(0.0) as usize
+        self.active.borrow().numeric_setting(ZONE_SETTING).unwrap_or(0.0) as usize
     }
 
     /// The settings that the balancer reads: the platform's settings unchanged if there are no
@@ -131,9 +131,9 @@
         let mut settings = active.settings.clone();
         let Some(table) = active.limits.as_ref() else { return settings };
         settings.insert(NAMESPACES_SETTING.into(), table.classes().len().to_string());
-        for (number, class) in table.classes().iter().enumerate() {
-            settings.extend(active.settings_of_class(number, class.namespace));
-            settings.extend(limits_as_settings(number, &class.limits));
+        for (index, class) in table.classes().iter().enumerate() {
+            settings.extend(active.settings_of_class(index, class.namespace));
+            settings.extend(limits_as_settings(index, &class.limits));
         }
         settings
     }
@@ -144,27 +144,27 @@
         settings: BTreeMap<String, String>,
         platform_limits: PlatformLimits,
         limits: Option<LimitTable>,
-        longest_before: Span,
+        previous_longest: Span,
     ) -> ActiveSettings {
         let time_limits = platform_limits.namespaces.iter().map(|namespace| namespace.time_limit);
-        let longest_time_limit = time_limits.max().unwrap_or(Span::ZERO).max(longest_before);
+        let longest_time_limit = time_limits.max().unwrap_or(Span::ZERO).max(previous_longest);
         let from_settings = Rc::new(LimitTable::from_settings(&platform_limits));
         let limits = limits.map(Rc::new);
         ActiveSettings { settings, platform_limits, from_settings, limits, longest_time_limit }
     }
 
-    fn number(&self, name: &str) -> Option<f64> {
+    fn numeric_setting(&self, name: &str) -> Option<f64> {
         self.settings.get(name)?.parse().ok()
     }
 
     /// Copies the settings of a namespace under the name of a class in it.
     fn settings_of_class(&self, class: usize, namespace: usize) -> Vec<(String, String)> {
         let prefix = format!("namespace {namespace} ");
-        let of_namespace = self.settings.iter().filter_map(|(name, value)| {
+        let class_settings = self.settings.iter().filter_map(|(name, value)| {
             let name = name.strip_prefix(&prefix)?;
             Some((format!("namespace {class} {name}"), value.clone()))
         });
-        of_namespace.collect()
+        class_settings.collect()
     }
 }
 
@@ -179,8 +179,8 @@
         ("further shots", limits.retry_budget.value),
         ("most open", limits.max_in_flight.value),
     ];
-    let set = values.into_iter().filter_map(|(name, value)| {
+    let present_limits = values.into_iter().filter_map(|(name, value)| {
         value.map(|value| (format!("namespace {class} {name}"), value.to_string()))
     });
-    set.collect()
+    present_limits.collect()
 }
--- a/crates/engine/src/clock.rs
+++ b/crates/engine/src/clock.rs
@@ -23,7 +23,7 @@
 const CATCH_UP_TIME: Duration = Duration::from_millis(2);
 /// A heartbeat older than two and a half intervals means that the process was stalled. 50 ms is
 /// also the maximum delay allowed for a response.
-const STANDSTILL: Span = Span::from_millis(50);
+const STALL_THRESHOLD: Span = Span::from_millis(50);
 
 impl Default for Clock {
     fn default() -> Clock {
@@ -60,7 +60,7 @@
     /// Right after a stall, waits until the input that arrived during it has been read; otherwise
     /// returns immediately.
     pub async fn catch_up(&self) {
-        if self.now() > self.last_heartbeat.get() + STANDSTILL {
+        if self.now() > self.last_heartbeat.get() + STALL_THRESHOLD {
             Timer::after(CATCH_UP_TIME).await;
         }
     }
@@ -70,6 +70,6 @@
     pub fn earliest_arrival(&self) -> Timestamp {
         let now = self.now();
         let last_heartbeat = self.last_heartbeat.get();
-        if now > last_heartbeat + STANDSTILL { last_heartbeat } else { now }
+        if now > last_heartbeat + STALL_THRESHOLD { last_heartbeat } else { now }
     }
 }
--- a/crates/engine/src/close_schedule.rs
+++ b/crates/engine/src/close_schedule.rs
@@ -19,16 +19,16 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CloseTimes {
     /// From this time on, the next response announces the close.
-    pub with_response: Timestamp,
+    pub announce_from: Timestamp,
     /// From this time on, the connection is closed even if it is idle.
-    pub when_idle: Timestamp,
+    pub close_idle_from: Timestamp,
 }
 
 impl CloseTimes {
     fn earlier_of(self, other: CloseTimes) -> CloseTimes {
         CloseTimes {
-            with_response: self.with_response.min(other.with_response),
-            when_idle: self.when_idle.min(other.when_idle),
+            announce_from: self.announce_from.min(other.announce_from),
+            close_idle_from: self.close_idle_from.min(other.close_idle_from),
         }
     }
 }
@@ -46,7 +46,7 @@
 
     /// The delay of this connection's close after the first one, where the last connection closes a
     /// thousand steps after the first.
-    fn after(self, step: Span) -> Span {
+    fn offset(self, step: Span) -> Span {
         step * self.0
     }
 
@@ -57,9 +57,9 @@
         superseded: bool,
         out_of_service_since: Option<Timestamp>,
     ) -> Option<CloseTimes> {
-        let by_drain = drain.map(|window| self.close_times_of_drain(window, superseded));
-        let by_service = out_of_service_since.map(|since| self.close_times_out_of_service(since));
-        match (by_drain, by_service) {
+        let drain_times = drain.map(|window| self.close_times_of_drain(window, superseded));
+        let out_of_service_times = out_of_service_since.map(|since| self.close_times_out_of_service(since));
+        match (drain_times, out_of_service_times) {
             (Some(drain), Some(service)) => Some(drain.earlier_of(service)),
             (drain, service) => drain.or(service),
         }
@@ -74,9 +74,12 @@
     /// client that is told to close sends no request into the closing connection.
     fn close_times_of_drain(self, window: DrainWindow, superseded: bool) -> CloseTimes {
         let DrainWindow { started, response_deadline } = window;
-        let late = started + (response_deadline - started) * (4000 + self.0) / 6000;
-        let soon = started + self.after(Span::from_millis(1));
-        CloseTimes { with_response: if superseded { soon } else { late }, when_idle: late }
+        let near_deadline = started + (response_deadline - started) * (4000 + self.0) / 6000;
+        let within_first_second = started + self.offset(Span::from_millis(1));
+        CloseTimes {
+            announce_from: if superseded { within_first_second } else { near_deadline },
+            close_idle_from: near_deadline,
+        }
     }
 
     /// The close times out of service: responses announce the close within the first second, and
@@ -84,10 +87,10 @@
     /// by then, and after four seconds no connection may be open that had a request in the last
     /// two.
     fn close_times_out_of_service(self, since: Timestamp) -> CloseTimes {
-        let spread = self.after(Span::from_ticks(8));
+        let spread = self.offset(Span::from_ticks(8));
         CloseTimes {
-            with_response: since + Span::from_millis(200) + spread,
-            when_idle: since + Span::from_secs(1) + spread,
+            announce_from: since + Span::from_millis(200) + spread,
+            close_idle_from: since + Span::from_secs(1) + spread,
         }
     }
 }
--- a/crates/engine/src/close_schedule/tests.rs
+++ b/crates/engine/src/close_schedule/tests.rs
@@ -10,7 +10,7 @@
 
 /// When the first and the last connection in order are closed, with a response and while idle, in
 /// ms after the start.
-fn closed(drain_ms: Option<u64>, superseded: bool, out_of_service: bool) -> String {
+fn close_times_in_ms(drain_ms: Option<u64>, superseded: bool, out_of_service: bool) -> String {
     let drain = drain_ms.map(|window| DrainWindow {
         started: at(START),
         response_deadline: at(START) + Span::from_millis(window),
@@ -19,8 +19,8 @@
         let times =
             ClosePosition(position).close_times(drain, superseded, out_of_service.then_some(at(START)));
         times.map_or("never".to_string(), |times| {
-            let after = |moment: Timestamp| moment.saturating_since(at(START)).as_millis();
-            format!("{} {}", after(times.with_response), after(times.when_idle))
+            let ms_after_start = |moment: Timestamp| moment.saturating_since(at(START)).as_millis();
+            format!("{} {}", ms_after_start(times.announce_from), ms_after_start(times.close_idle_from))
         })
     });
     times.join(", ")
@@ -28,12 +28,12 @@
 
 #[test]
 fn connections_are_closed_one_after_the_other_for_each_reason() {
-    let seen = [
-        ("in service", closed(None, false, false)),
-        ("shutting down", closed(Some(3000), false, false)),
-        ("superseded", closed(Some(3000), true, false)),
-        ("out of service", closed(None, false, true)),
-        ("both", closed(Some(600), false, true)),
+    let results = [
+        ("in service", close_times_in_ms(None, false, false)),
+        ("shutting down", close_times_in_ms(Some(3000), false, false)),
+        ("superseded", close_times_in_ms(Some(3000), true, false)),
+        ("out of service", close_times_in_ms(None, false, true)),
+        ("both", close_times_in_ms(Some(600), false, true)),
     ];
     expect_test::expect![[r#"
         in service: never, never
@@ -41,13 +41,13 @@
         superseded: 0 2000, 999 2499
         out of service: 200 1000, 999 1799
         both: 200 400, 499 499"#]]
-    .assert_eq(&seen.map(|(reason, times)| format!("{reason}: {times}")).join("\n"));
+    .assert_eq(&results.map(|(reason, times)| format!("{reason}: {times}")).join("\n"));
 }
 
 #[test]
 fn positions_of_connections_are_spread_evenly() {
     let mut positions: Vec<u64> = (1..=20).map(|number| ClosePosition::of_connection(number).0).collect();
     positions.sort_unstable();
-    let widest = positions.windows(2).map(|pair| pair[1] - pair[0]).max();
-    assert!(widest <= Some(100), "{positions:?}");
+    let max_gap = positions.windows(2).map(|pair| pair[1] - pair[0]).max();
+    assert!(max_gap <= Some(100), "{positions:?}");
 }
--- a/crates/engine/src/connect/tests.rs
+++ b/crates/engine/src/connect/tests.rs
@@ -6,7 +6,7 @@
 /// Uses Linux error numbers: ENFILE, EMFILE, ENOMEM, EADDRNOTAVAIL and ENOBUFS say nothing about
 /// the server; ECONNREFUSED, EHOSTUNREACH and ETIMEDOUT do, and so does an error without a number.
 #[test]
-fn errors_of_this_machine_say_nothing_about_the_server() {
+fn local_resource_errors_say_nothing_about_the_server() {
     for number in [23, 24, 12, 99, 105] {
         assert_eq!(outcome_of(&io::Error::from_raw_os_error(number)), AttemptOutcome::NotSent, "{number}");
     }
--- a/crates/engine/src/effect_sink.rs
+++ b/crates/engine/src/effect_sink.rs
@@ -48,7 +48,7 @@
 
 impl PendingAttempt {
     /// The latest time at which the attempt may be written: before its timeout and by `send_by`.
-    pub fn may_be_sent_until(&self) -> Timestamp {
+    pub fn send_deadline(&self) -> Timestamp {
         self.times_out_at.min(self.send_by)
     }
 }
@@ -58,7 +58,7 @@
 pub(crate) struct OpenRequest {
     pub request: Rc<dyn ClientRequest>,
     /// Sends the final response; `None` once the response was sent or the client has left.
-    pub response: Option<Sender<Response>>,
+    pub response_sender: Option<Sender<Response>>,
     /// All attempts for the request, by their index.
     pub attempts: Vec<Rc<AttemptHandle>>,
     pub in_flight: usize,
@@ -66,12 +66,12 @@
 
 impl OpenRequest {
     /// An open request without any attempt.
-    pub fn new(request: Rc<dyn ClientRequest>, response: Sender<Response>) -> OpenRequest {
-        OpenRequest { request, response: Some(response), attempts: Vec::new(), in_flight: 0 }
+    pub fn new(request: Rc<dyn ClientRequest>, response_sender: Sender<Response>) -> OpenRequest {
+        OpenRequest { request, response_sender: Some(response_sender), attempts: Vec::new(), in_flight: 0 }
     }
 
     fn is_done(&self) -> bool {
-        self.response.is_none() && self.in_flight == 0
+        self.response_sender.is_none() && self.in_flight == 0
     }
 }
 
@@ -88,7 +88,7 @@
 /// balancer's [`Effects`].
 pub(crate) struct EffectSink {
     pub now: Timestamp,
-    pub open: HashMap<RequestId, OpenRequest>,
+    pub open_requests: HashMap<RequestId, OpenRequest>,
     pub timers: TimerQueue,
     pub signals: Signals,
     pub log: Logger,
@@ -102,7 +102,7 @@
     pub fn new(now: Timestamp, signals: Signals, log: Logger, recorder: Option<Recorder>) -> EffectSink {
         EffectSink {
             now,
-            open: HashMap::new(),
+            open_requests: HashMap::new(),
             timers: TimerQueue::default(),
             signals,
             log,
@@ -131,23 +131,23 @@
 
     /// Whether a request has its final response, or its client has left.
     pub fn is_over(&self, request_id: RequestId) -> bool {
-        self.open.get(&request_id).is_none_or(|open| open.response.is_none())
+        self.open_requests.get(&request_id).is_none_or(|open_request| open_request.response_sender.is_none())
     }
 
     /// Sends the final response to a request, unless one was sent already.
     pub fn respond(&mut self, request_id: RequestId, response: Response) {
-        if let Some(open) = self.open.get_mut(&request_id)
-            && let Some(waiting) = open.response.take()
+        if let Some(open_request) = self.open_requests.get_mut(&request_id)
+            && let Some(sender) = open_request.response_sender.take()
         {
-            _ = waiting.try_send(response);
+            _ = sender.try_send(response);
         }
         self.remove_if_done(request_id);
     }
 
     /// Removes a request that has its final response and no attempt in flight.
     pub fn remove_if_done(&mut self, request_id: RequestId) {
-        if self.open.get(&request_id).is_some_and(OpenRequest::is_done) {
-            self.open.remove(&request_id);
+        if self.open_requests.get(&request_id).is_some_and(OpenRequest::is_done) {
+            self.open_requests.remove(&request_id);
         }
     }
 }
@@ -155,24 +155,26 @@
 impl Effects for EffectSink {
     fn start_attempt(&mut self, request_id: RequestId, server: ServerIndex, until: Timestamp, by: Timestamp) {
         self.record_decision(|| Decision::StartAttempt { request_id: request_id.0, server, until, by });
-        let Some(open) = self.open.get_mut(&request_id) else { return };
+        let Some(open_request) = self.open_requests.get_mut(&request_id) else { return };
         let handle = Rc::new(AttemptHandle::new());
-        let number = open.attempts.len();
-        open.attempts.push(handle.clone());
-        open.in_flight += 1;
+        let number = open_request.attempts.len();
+        open_request.attempts.push(handle.clone());
+        open_request.in_flight += 1;
         self.commands.push(Command::StartAttempt(PendingAttempt {
             id: AttemptId { request_id, number },
             server,
             times_out_at: until,
             send_by: by,
-            request: open.request.clone(),
+            request: open_request.request.clone(),
             handle,
         }));
     }
 
     fn cancel_attempt(&mut self, request_id: RequestId, attempt: usize) {
         self.record_decision(|| Decision::CancelAttempt { request_id: request_id.0, attempt });
-        if let Some(handle) = self.open.get(&request_id).and_then(|open| open.attempts.get(attempt)) {
+        if let Some(handle) =
+            self.open_requests.get(&request_id).and_then(|open_request| open_request.attempts.get(attempt))
+        {
             handle.cancel();
         }
     }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -57,7 +57,7 @@
     pub(crate) earlier_timer: Receiver<()>,
     watch_requested: Receiver<()>,
     open_clients: Cell<usize>,
-    clients_so_far: Cell<u64>,
+    accepted_clients: Cell<u64>,
     drain: Cell<Option<DrainWindow>>,
     has_received_list: Cell<bool>,
 }
@@ -70,8 +70,8 @@
         log: Logger,
         recorder: Option<Recorder>,
     ) -> Rc<Engine> {
-        let (earlier_timer, earlier_timer_signal) = bounded(1);
-        let (watch_requested, watch_signal) = bounded(1);
+        let (earlier_timer, earlier_timer_receiver) = bounded(1);
+        let (watch_requested, watch_receiver) = bounded(1);
         let servers = ServerRegistry::new(&config.zones, &config.kinds);
         let classes = RequestClasses::new(
             std::mem::take(&mut config.settings),
@@ -100,10 +100,10 @@
             log,
             refused: RefusedAttempts::default(),
             violations: Violations::default(),
-            earlier_timer: earlier_timer_signal,
-            watch_requested: watch_signal,
+            earlier_timer: earlier_timer_receiver,
+            watch_requested: watch_receiver,
             open_clients: Cell::new(0),
-            clients_so_far: Cell::new(0),
+            accepted_clients: Cell::new(0),
             drain: Cell::new(None),
             has_received_list: Cell::new(false),
             classes,
@@ -164,8 +164,8 @@
     /// Registers a connection that was just accepted. It counts as open until it is dropped.
     pub fn new(engine: &Rc<Engine>) -> ClientConnection {
         engine.open_clients.set(engine.open_clients.get() + 1);
-        engine.clients_so_far.set(engine.clients_so_far.get() + 1);
-        let position = ClosePosition::of_connection(engine.clients_so_far.get());
+        engine.accepted_clients.set(engine.accepted_clients.get() + 1);
+        let position = ClosePosition::of_connection(engine.accepted_clients.get());
         ClientConnection { engine: engine.clone(), position }
     }
 
@@ -180,7 +180,7 @@
 
     /// Whether the next response must announce that the connection closes.
     pub fn must_close(&self) -> bool {
-        self.close_times().is_some_and(|times| times.with_response <= self.engine.clock.now())
+        self.close_times().is_some_and(|times| times.announce_from <= self.engine.clock.now())
     }
 
     /// Waits until the connection is due to close even if it is idle.
@@ -188,14 +188,14 @@
         loop {
             // Subscribes before the check, so that no change in between is missed.
             let change = self.engine.lifecycle.changed();
-            let Some(CloseTimes { when_idle, .. }) = self.close_times() else {
+            let Some(CloseTimes { close_idle_from, .. }) = self.close_times() else {
                 change.await;
                 continue;
             };
-            if when_idle <= self.engine.clock.now() {
+            if close_idle_from <= self.engine.clock.now() {
                 return;
             }
-            _ = wait_until(self.engine.clock.instant(when_idle), change).await;
+            _ = wait_until(self.engine.clock.instant(close_idle_from), change).await;
         }
     }
 }
--- a/crates/engine/src/health_check.rs
+++ b/crates/engine/src/health_check.rs
@@ -6,12 +6,12 @@
 use chalkwalk_sockets::within;
 
 /// The time limit of a check, in connect timeouts: one to connect, and one for the response.
-const CONNECT_TIMEOUTS: u32 = 2;
+const CONNECT_TIMEOUTS_PER_CHECK: u32 = 2;
 
 /// Checks a server. Returns whether it passed.
 pub(crate) async fn check(engine: &Engine, server: ServerIndex) -> bool {
-    let limit = engine.config.connect_timeout.get() * CONNECT_TIMEOUTS;
-    let passed = within(limit, check_on_new_connection(engine, server)).await.flatten().is_some();
+    let timeout = engine.config.connect_timeout.get() * CONNECT_TIMEOUTS_PER_CHECK;
+    let passed = within(timeout, check_on_new_connection(engine, server)).await.flatten().is_some();
     if !passed {
         // An idle connection to a machine that vanished is reset only after the machine is back,
         // and only by the first request sent on the connection.
--- a/crates/engine/src/idle_clients.rs
+++ b/crates/engine/src/idle_clients.rs
@@ -16,13 +16,13 @@
 }
 
 struct IdleClient {
-    since: Instant,
+    idle_since: Instant,
     close: Sender<()>,
 }
 
 impl IdleClient {
     fn may_close(&self, used: bool) -> bool {
-        may_close(used, Span::from(self.since.elapsed()))
+        may_close(used, Span::from(self.idle_since.elapsed()))
     }
 }
 
@@ -30,13 +30,13 @@
 pub(crate) struct IdleClients {
     clients: RefCell<BTreeMap<IdleTicket, IdleClient>>,
     next_number: Cell<u64>,
-    max: usize,
+    max_idle: usize,
 }
 
 impl IdleClients {
     /// Keeps at most `max_idle` connections idle; beyond that the first in order is closed.
-    pub fn new(max: usize) -> IdleClients {
-        IdleClients { clients: RefCell::default(), next_number: Cell::new(0), max }
+    pub fn new(max_idle: usize) -> IdleClients {
+        IdleClients { clients: RefCell::default(), next_number: Cell::new(0), max_idle }
     }
 
     /// Adds a connection, which can be asked to close through `close`. `used` is whether it has
@@ -44,9 +44,9 @@
     pub fn add(&self, close: Sender<()>, used: bool) -> IdleTicket {
         let ticket = IdleTicket { used, number: self.next_number.get() };
         self.next_number.set(ticket.number + 1);
-        let client = IdleClient { since: Instant::now(), close };
+        let client = IdleClient { idle_since: Instant::now(), close };
         self.clients.borrow_mut().insert(ticket, client);
-        if self.clients.borrow().len() > self.max {
+        if self.clients.borrow().len() > self.max_idle {
             self.close_first();
         }
         ticket
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -21,20 +21,20 @@
     /// The server's address.
     pub addr: SocketAddr,
     /// When it was opened, or last returned to the pool.
-    pub since: Instant,
+    pub idle_since: Instant,
     _permit: Permit,
 }
 
 impl ServerConnection {
     /// A connection that was just opened.
     pub fn new(stream: Async<TcpStream>, addr: SocketAddr, permit: Permit) -> ServerConnection {
-        ServerConnection { stream, addr, since: Instant::now(), _permit: permit }
+        ServerConnection { stream, addr, idle_since: Instant::now(), _permit: permit }
     }
 
     /// Whether the connection has been unused for `quiet_time`, so that a late second response to
     /// its last request would have arrived by now.
-    fn is_quiet_since(&self, quiet_time: Duration) -> bool {
-        self.since.elapsed() >= quiet_time
+    fn has_been_quiet_for(&self, quiet_time: Duration) -> bool {
+        self.idle_since.elapsed() >= quiet_time
     }
 }
 
@@ -81,10 +81,10 @@
     /// it can still be reused. If there is none, waits for the one that becomes quiet first.
     pub async fn acquire(&self, server: ServerIndex, addr: SocketAddr) -> Option<ServerConnection> {
         while let Some(connection) = self.pop(server, addr) {
-            if connection.is_quiet_since(self.quiet_time) {
+            if connection.has_been_quiet_for(self.quiet_time) {
                 return Some(connection);
             }
-            Timer::at(connection.since + self.quiet_time).await;
+            Timer::at(connection.idle_since + self.quiet_time).await;
             if self.is_reusable(&connection) {
                 return Some(connection);
             }
@@ -96,8 +96,9 @@
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&server)?;
         while !connections.is_empty() {
-            let last_quiet = connections.iter().rposition(|c| c.is_quiet_since(self.quiet_time));
-            let connection = connections.remove(last_quiet.unwrap_or(0));
+            let last_quiet_index =
+                connections.iter().rposition(|connection| connection.has_been_quiet_for(self.quiet_time));
+            let connection = connections.remove(last_quiet_index.unwrap_or(0));
             if connection.addr == addr && self.is_reusable(&connection) {
                 return Some(connection);
             }
@@ -106,7 +107,7 @@
     }
 
     fn is_reusable(&self, connection: &ServerConnection) -> bool {
-        connection.since.elapsed() < self.max_idle_time && is_idle(&connection.stream)
+        connection.idle_since.elapsed() < self.max_idle_time && is_idle(&connection.stream)
     }
 
     /// Returns a connection to the pool after a response. It is closed if the pool already holds
@@ -115,7 +116,7 @@
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(server).or_default();
         if connections.len() < MAX_IDLE_PER_SERVER {
-            connections.push(ServerConnection { since: Instant::now(), ..connection });
+            connections.push(ServerConnection { idle_since: Instant::now(), ..connection });
         }
     }
 
@@ -128,8 +129,8 @@
     /// Closes the connection that has been idle longest, to any server.
     pub fn close_longest_idle(&self) {
         let mut idle = self.idle.borrow_mut();
-        let used = idle.values_mut().filter(|connections| !connections.is_empty());
-        if let Some(connections) = used.min_by_key(|connections| connections[0].since) {
+        let non_empty = idle.values_mut().filter(|connections| !connections.is_empty());
+        if let Some(connections) = non_empty.min_by_key(|connections| connections[0].idle_since) {
             connections.remove(0);
         }
     }
@@ -139,9 +140,10 @@
     pub fn close_spare(&self) {
         for connections in self.idle.borrow_mut().values_mut() {
             // The most recently used connection is at the end.
-            let beyond_one = connections.len().saturating_sub(1);
-            let is_spare = |connection: &&ServerConnection| connection.since.elapsed() >= SPARE_IDLE_TIME;
-            let spare = connections[..beyond_one].iter().take_while(is_spare).count();
+            let all_but_last = connections.len().saturating_sub(1);
+            let is_spare =
+                |connection: &&ServerConnection| connection.idle_since.elapsed() >= SPARE_IDLE_TIME;
+            let spare = connections[..all_but_last].iter().take_while(is_spare).count();
             connections.drain(..spare);
         }
     }
--- a/crates/engine/src/request_table.rs
+++ b/crates/engine/src/request_table.rs
@@ -68,7 +68,7 @@
 
     /// Returns the balancer and its effects, both advanced to the present time. Calls to the
     /// balancer start here.
-    fn at(&mut self, now: Timestamp) -> (&mut Balancer, &mut EffectSink) {
+    fn advance_to(&mut self, now: Timestamp) -> (&mut Balancer, &mut EffectSink) {
         self.sink.now = now;
         self.balancer.advance_clock(now);
         if let Some(recorder) = self.sink.recorder.as_mut().filter(|recorder| recorder.wants_snapshot(now))
@@ -91,7 +91,7 @@
 
     /// The number of requests without a final response or with an attempt in flight.
     pub fn open_requests(&self) -> usize {
-        self.sink.open.len()
+        self.sink.open_requests.len()
     }
 
     /// The number of requests so far whose client left before any of their attempts was written.
@@ -105,23 +105,23 @@
         now: Timestamp,
         request: Rc<dyn ClientRequest>,
     ) -> (RequestId, Receiver<Response>) {
-        let (respond, response) = bounded(1);
-        let allowed = self.allowed_servers(&*request);
-        let (balancer, sink) = self.at(now);
+        let (response_sender, response_receiver) = bounded(1);
+        let allowed_servers = self.allowed_servers(&*request);
+        let (balancer, sink) = self.advance_to(now);
         let class = request.class();
         let key = request.key();
         let write = request.is_write();
         let expires = request.expires();
         if let Some(recorder) = &mut sink.recorder {
-            recorder.request_accepted(now, class, key, write, expires, allowed.as_deref());
+            recorder.request_accepted(now, class, key, write, expires, allowed_servers.as_deref());
         }
         let request_id = balancer.accept_request(class, key, write, expires);
-        if let Some(allowed) = allowed {
-            balancer.restrict_to(request_id, allowed);
+        if let Some(allowed_servers) = allowed_servers {
+            balancer.restrict_to(request_id, allowed_servers);
         }
-        sink.open.insert(request_id, OpenRequest::new(request, respond));
+        sink.open_requests.insert(request_id, OpenRequest::new(request, response_sender));
         balancer.route_request(request_id, sink);
-        (request_id, response)
+        (request_id, response_receiver)
     }
 
     /// The only servers that may serve the request; `None` if there is no such restriction.
@@ -141,7 +141,7 @@
             request: pending.id.request_id,
             number: pending.id.number,
             server: pending.server,
-            until: pending.may_be_sent_until(),
+            until: pending.send_deadline(),
             answered: self.sink.is_over(pending.id.request_id),
             client_connected,
         };
@@ -152,7 +152,7 @@
     /// the request. The attempt continues until the end of the response body.
     pub(crate) fn response_started(&mut self, now: Timestamp, attempt: AttemptId, response: Response) {
         let AttemptId { request_id, number } = attempt;
-        let (balancer, sink) = self.at(now);
+        let (balancer, sink) = self.advance_to(now);
         sink.respond(request_id, response);
         sink.record_event(|| Event::ResponseStarted { request_id: request_id.0, attempt: number });
         balancer.response_started(request_id, number, sink);
@@ -162,24 +162,33 @@
     pub(crate) fn attempt_ended(&mut self, now: Timestamp, attempt: AttemptId, result: AttemptResult) {
         let AttemptId { request_id, number } = attempt;
         let AttemptResult { outcome, took, response } = result;
-        let request = self.sink.open.get(&request_id).map(|open| open.request.clone());
-        let allowed = request.and_then(|request| {
+        let request =
+            self.sink.open_requests.get(&request_id).map(|open_request| open_request.request.clone());
+        let allowed_servers = request.and_then(|request| {
             request.attempt_ended(outcome);
             self.allowed_servers(&*request)
         });
-        let (balancer, sink) = self.at(now);
-        if let Some(open) = sink.open.get_mut(&request_id) {
-            open.in_flight -= 1;
+        let (balancer, sink) = self.advance_to(now);
+        if let Some(open_request) = sink.open_requests.get_mut(&request_id) {
+            open_request.in_flight -= 1;
         }
         if let Some(response) = response {
             sink.respond(request_id, response);
         }
         let finished = sink.is_over(request_id);
         if let Some(recorder) = &mut sink.recorder {
-            recorder.attempt_ended(now, request_id.0, number, outcome, took, finished, allowed.as_deref());
+            recorder.attempt_ended(
+                now,
+                request_id.0,
+                number,
+                outcome,
+                took,
+                finished,
+                allowed_servers.as_deref(),
+            );
         }
-        if let Some(allowed) = allowed {
-            balancer.restrict_to(request_id, allowed);
+        if let Some(allowed_servers) = allowed_servers {
+            balancer.restrict_to(request_id, allowed_servers);
         }
         balancer.attempt_ended(request_id, number, outcome, took, finished, sink);
         sink.remove_if_done(request_id);
@@ -187,10 +196,10 @@
 
     /// Reports that the client of a request has disconnected or cancelled it.
     pub(crate) fn client_left(&mut self, now: Timestamp, request_id: RequestId) {
-        self.at(now);
-        if let Some(open) = self.sink.open.get_mut(&request_id)
-            && open.response.take().is_some()
-            && !open.attempts.iter().any(|attempt| attempt.is_written())
+        self.advance_to(now);
+        if let Some(open_request) = self.sink.open_requests.get_mut(&request_id)
+            && open_request.response_sender.take().is_some()
+            && !open_request.attempts.iter().any(|attempt| attempt.is_written())
         {
             self.left_waiting += 1;
         }
@@ -201,9 +210,9 @@
 
     /// Fails all requests that are open.
     pub(crate) fn fail_all(&mut self, now: Timestamp) {
-        let mut open: Vec<RequestId> = self.sink.open.keys().copied().collect();
-        open.sort_unstable_by_key(|request_id| request_id.0);
-        for request_id in open {
+        let mut open_requests: Vec<RequestId> = self.sink.open_requests.keys().copied().collect();
+        open_requests.sort_unstable_by_key(|request_id| request_id.0);
+        for request_id in open_requests {
             self.sink.respond(request_id, Response::empty(ResponseStatus::Failed));
             self.client_left(now, request_id);
         }
@@ -217,13 +226,16 @@
         settings: &BTreeMap<String, String>,
         renewed: impl Fn(&dyn ClientRequest) -> Option<RenewedLimits>,
     ) {
-        let (balancer, sink) = self.at(now);
+        let (balancer, sink) = self.advance_to(now);
         sink.record_event(|| Event::SettingsChanged(settings.clone()));
         balancer.apply_settings(settings);
-        let mut open: Vec<(RequestId, Rc<dyn ClientRequest>)> =
-            sink.open.iter().map(|(request_id, open)| (*request_id, open.request.clone())).collect();
-        open.sort_unstable_by_key(|(request_id, _)| request_id.0);
-        for (request_id, request) in open {
+        let mut open_requests: Vec<(RequestId, Rc<dyn ClientRequest>)> = sink
+            .open_requests
+            .iter()
+            .map(|(request_id, open_request)| (*request_id, open_request.request.clone()))
+            .collect();
+        open_requests.sort_unstable_by_key(|(request_id, _)| request_id.0);
+        for (request_id, request) in open_requests {
             let Some(RenewedLimits { class, time_limit }) = renewed(&*request) else { continue };
             let expires = request.received_at() + time_limit;
             sink.record_event(|| Event::LimitsRenewed { request_id: request_id.0, class, expires });
@@ -240,7 +252,7 @@
     /// Fires the balancer's first timer, if it is due.
     pub(crate) fn fire_timer(&mut self, now: Timestamp) {
         if let Some(token) = self.sink.timers.pop_due(now) {
-            let (balancer, sink) = self.at(now);
+            let (balancer, sink) = self.advance_to(now);
             sink.record_event(|| Event::TimerFired(token));
             balancer.timer_fired(token, sink);
         }
--- a/crates/engine/src/request_table/servers.rs
+++ b/crates/engine/src/request_table/servers.rs
@@ -10,7 +10,7 @@
 /// The result of applying an endpoint list.
 pub(crate) struct ListOutcome {
     /// All servers that are draining or gone now.
-    pub off: Vec<ServerIndex>,
+    pub unavailable: Vec<ServerIndex>,
     /// The changes that the list has made.
     pub changes: ListChanges,
 }
@@ -18,33 +18,33 @@
 impl RequestTable {
     /// Applies an endpoint list.
     pub(crate) fn apply_endpoint_list(&mut self, now: Timestamp, update: &ListUpdate<'_>) -> ListOutcome {
-        let was_off: Vec<ServerIndex> = self.servers.off().collect();
+        let was_unavailable: Vec<ServerIndex> = self.servers.unavailable().collect();
         self.sink.now = now;
         self.balancer.advance_clock(now);
         let endpoints = self.servers.apply(now, update);
         if let Some(recorder) = &mut self.sink.recorder {
-            recorder.endpoints_listed(now, update.whole, &endpoints);
+            recorder.endpoints_listed(now, update.is_full, &endpoints);
         }
-        if update.whole {
+        if update.is_full {
             self.balancer.replace_endpoints(&endpoints, &mut self.sink);
         } else {
             self.balancer.update_endpoints(&endpoints, &mut self.sink);
         }
-        let changes = self.servers.changes_since(&was_off);
+        let changes = self.servers.changes_since(&was_unavailable);
         self.servers.forget_unused(&self.balancer);
-        ListOutcome { off: self.servers.off().collect(), changes }
+        ListOutcome { unavailable: self.servers.unavailable().collect(), changes }
     }
 
     /// Reports a discovery call that failed. The balancer then requests another call.
     pub(crate) fn discovery_call_failed(&mut self, now: Timestamp, took: Span) {
-        let (balancer, sink) = self.at(now);
+        let (balancer, sink) = self.advance_to(now);
         sink.record_event(|| Event::DiscoveryCallFailed { took });
         balancer.discovery_call_failed(took, sink);
     }
 
     /// Reports that a health check has finished. `answered` is whether the server passed it.
     pub(crate) fn health_check_finished(&mut self, now: Timestamp, server: ServerIndex, answered: bool) {
-        let (balancer, sink) = self.at(now);
+        let (balancer, sink) = self.advance_to(now);
         sink.record_event(|| Event::HealthCheckFinished { server, answered });
         balancer.health_check_finished(server, answered, sink);
     }
@@ -58,7 +58,7 @@
         disabled: bool,
         at: Timestamp,
     ) -> Option<ServerIndex> {
-        let (balancer, sink) = self.at(now);
+        let (balancer, sink) = self.advance_to(now);
         sink.record_event(|| Event::ServerDisabled { id: id.into(), out: disabled, at });
         balancer.set_disabled(id, disabled, at);
         self.servers.index_of(id)
--- a/crates/engine/src/response.rs
+++ b/crates/engine/src/response.rs
@@ -133,7 +133,8 @@
 
     /// Writes the whole request to a server. `time_left` is how long the proxy will wait for the
     /// response.
-    fn write_to<'a>(&'a self, stream: &'a Async<TcpStream>, left: Span) -> BoxFuture<'a, io::Result<()>>;
+    fn write_to<'a>(&'a self, stream: &'a Async<TcpStream>, time_left: Span)
+    -> BoxFuture<'a, io::Result<()>>;
 
     /// Reads the server's response; `None` if the connection broke or the response is malformed.
     fn read_response<'a>(&'a self, stream: &'a Async<TcpStream>) -> BoxFuture<'a, Option<ServerResponse>>;
--- a/crates/engine/src/servers.rs
+++ b/crates/engine/src/servers.rs
@@ -14,9 +14,9 @@
 #[derive(Debug, Default, PartialEq)]
 pub struct ListChanges {
     /// Servers that are now draining or gone.
-    pub off: Vec<String>,
+    pub became_unavailable: Vec<String>,
     /// Servers that are now in service, for the first time or again.
-    pub back: Vec<String>,
+    pub became_available: Vec<String>,
 }
 
 /// An update that a source of the endpoint list has read.
@@ -26,14 +26,14 @@
     pub endpoints: &'a [ListedEndpoint],
     /// Whether the endpoints are the full list, so that a server missing from it is gone; otherwise
     /// they are only the changed ones.
-    pub whole: bool,
+    pub is_full: bool,
     /// Whether the list may be older than the one known before. It then does not return a server to
     /// service that was reported draining or gone, unless the server has restarted since.
-    pub doubted: bool,
+    pub may_be_stale: bool,
 }
 
 /// The facts about a server that the engine itself needs.
-struct Row {
+struct ServerEntry {
     addr: SocketAddr,
     /// When it was reported draining or gone, if it was.
     unavailable_since: Option<Timestamp>,
@@ -44,10 +44,10 @@
 /// The servers by id and by index.
 #[derive(Default)]
 pub struct ServerRegistry {
-    rows: Vec<Row>,
+    entries: Vec<ServerEntry>,
     indices: HashMap<String, ServerIndex>,
     /// Indices of entries that belong to no server.
-    free: Vec<ServerIndex>,
+    free_indices: Vec<ServerIndex>,
     zones: Vec<String>,
     kinds: Vec<String>,
 }
@@ -61,37 +61,37 @@
 
     /// The address of a server.
     pub fn addr(&self, server: ServerIndex) -> Option<SocketAddr> {
-        self.rows.get(server).map(|row| row.addr)
+        self.entries.get(server).map(|entry| entry.addr)
     }
 
     /// The servers in service at the given addresses, in the same order.
     pub fn in_service_at(&self, addrs: &[SocketAddr]) -> Vec<ServerIndex> {
         let in_service = |addr: &SocketAddr| {
-            self.rows.iter().position(|row| row.addr == *addr && row.unavailable_since.is_none())
+            self.entries.iter().position(|entry| entry.addr == *addr && entry.unavailable_since.is_none())
         };
         addrs.iter().filter_map(in_service).collect()
     }
 
     /// When a server was reported draining or gone, if it was.
     pub fn unavailable_since(&self, server: ServerIndex) -> Option<Timestamp> {
-        self.rows.get(server)?.unavailable_since
+        self.entries.get(server)?.unavailable_since
     }
 
     /// Compares the servers that are draining or gone now with `was_unavailable`, the sorted
     /// indices of those that were before.
-    pub fn changes_since(&self, was_off: &[ServerIndex]) -> ListChanges {
+    pub fn changes_since(&self, was_unavailable: &[ServerIndex]) -> ListChanges {
         let mut changes = ListChanges::default();
         for (id, server) in &self.indices {
-            let was_off = was_off.binary_search(server).is_ok();
-            let is_off = self.unavailable_since(*server).is_some();
-            match (was_off, is_off) {
-                (false, true) => changes.off.push(id.clone()),
-                (true, false) => changes.back.push(id.clone()),
+            let was_unavailable = was_unavailable.binary_search(server).is_ok();
+            let is_unavailable = self.unavailable_since(*server).is_some();
+            match (was_unavailable, is_unavailable) {
+                (false, true) => changes.became_unavailable.push(id.clone()),
+                (true, false) => changes.became_available.push(id.clone()),
                 _ => {}
             }
         }
-        changes.off.sort_unstable();
-        changes.back.sort_unstable();
+        changes.became_unavailable.sort_unstable();
+        changes.became_available.sort_unstable();
         changes
     }
 
@@ -103,31 +103,32 @@
     /// Whether the server of this endpoint is in service according to the lists so far, and has not
     /// restarted since the endpoint was read.
     pub fn is_ready(&self, endpoint: &ListedEndpoint) -> bool {
-        let row = self.index_of(&endpoint.id).map(|server| &self.rows[server]);
-        row.is_some_and(|row| row.unavailable_since.is_none() && row.born <= endpoint.born)
+        let entry = self.index_of(&endpoint.id).map(|server| &self.entries[server]);
+        entry.is_some_and(|entry| entry.unavailable_since.is_none() && entry.born <= endpoint.born)
     }
 
     /// The servers that are draining or gone, in the order of their indices.
-    pub fn off(&self) -> impl Iterator<Item = ServerIndex> {
-        self.rows
+    pub fn unavailable(&self) -> impl Iterator<Item = ServerIndex> {
+        self.entries
             .iter()
             .enumerate()
-            .filter(|(_, row)| row.unavailable_since.is_some())
+            .filter(|(_, entry)| entry.unavailable_since.is_some())
             .map(|(server, _)| server)
     }
 
     /// Applies an update, and returns its endpoints with server indices, for the balancer.
     pub fn apply<'a>(&mut self, now: Timestamp, update: &ListUpdate<'a>) -> Vec<Endpoint<'a>> {
-        let was_off: Vec<Option<Timestamp>> = self.rows.iter().map(|row| row.unavailable_since).collect();
-        if update.whole {
-            for row in &mut self.rows {
-                row.unavailable_since.get_or_insert(now);
+        let previously_unavailable_since: Vec<Option<Timestamp>> =
+            self.entries.iter().map(|entry| entry.unavailable_since).collect();
+        if update.is_full {
+            for entry in &mut self.entries {
+                entry.unavailable_since.get_or_insert(now);
             }
         }
         let apply_one = |endpoint: &'a ListedEndpoint| {
             let server = self.index_or_insert(&endpoint.id, endpoint.addr);
-            let was_off_since = was_off.get(server).copied().flatten();
-            let status = self.update_row(now, server, endpoint, was_off_since, update.doubted);
+            let unavailable_before = previously_unavailable_since.get(server).copied().flatten();
+            let status = self.update_entry(now, server, endpoint, unavailable_before, update.may_be_stale);
             Endpoint {
                 server,
                 id: &endpoint.id,
@@ -143,20 +144,21 @@
     }
 
     /// Updates a server's entry from its endpoint, and returns the server's resulting status.
-    fn update_row(
+    fn update_entry(
         &mut self,
         now: Timestamp,
         server: ServerIndex,
         endpoint: &ListedEndpoint,
-        was_off_since: Option<Timestamp>,
-        doubted: bool,
+        unavailable_before: Option<Timestamp>,
+        may_be_stale: bool,
     ) -> EndpointStatus {
-        let row = &mut self.rows[server];
-        let stays_off = doubted && was_off_since.is_some() && endpoint.born <= row.born;
-        let status = if stays_off { EndpointStatus::Draining } else { endpoint.status };
-        row.addr = endpoint.addr;
-        row.born = endpoint.born;
-        row.unavailable_since = (status != EndpointStatus::Ready).then_some(was_off_since.unwrap_or(now));
+        let entry = &mut self.entries[server];
+        let stays_unavailable = may_be_stale && unavailable_before.is_some() && endpoint.born <= entry.born;
+        let status = if stays_unavailable { EndpointStatus::Draining } else { endpoint.status };
+        entry.addr = endpoint.addr;
+        entry.born = endpoint.born;
+        entry.unavailable_since =
+            (status != EndpointStatus::Ready).then_some(unavailable_before.unwrap_or(now));
         status
     }
 
@@ -170,25 +172,25 @@
     /// Removes servers whose index the balancer no longer needs, and frees the indices for reuse.
     /// Without this the indices would grow forever, because new processes have new ids.
     pub fn forget_unused(&mut self, balancer: &Balancer) {
-        let ServerRegistry { indices, free, .. } = self;
+        let ServerRegistry { indices, free_indices, .. } = self;
         indices.retain(|_, server| {
             let unused = balancer.index_is_free(*server);
-            free.extend(unused.then_some(*server));
+            free_indices.extend(unused.then_some(*server));
             !unused
         });
-        free.sort_unstable();
+        free_indices.sort_unstable();
     }
 
     fn index_or_insert(&mut self, id: &str, addr: SocketAddr) -> ServerIndex {
         if let Some(server) = self.indices.get(id) {
             return *server;
         }
-        let server = self.free.pop().unwrap_or(self.rows.len());
+        let server = self.free_indices.pop().unwrap_or(self.entries.len());
         self.indices.insert(id.to_string(), server);
-        let row = Row { addr, unavailable_since: None, born: Timestamp::ZERO };
-        match self.rows.get_mut(server) {
-            Some(unused) => *unused = row,
-            None => self.rows.push(row),
+        let entry = ServerEntry { addr, unavailable_since: None, born: Timestamp::ZERO };
+        match self.entries.get_mut(server) {
+            Some(unused) => *unused = entry,
+            None => self.entries.push(entry),
         }
         server
     }
--- a/crates/engine/src/servers/tests.rs
+++ b/crates/engine/src/servers/tests.rs
@@ -3,15 +3,16 @@
 use super::*;
 
 #[test]
-fn the_index_of_a_server_that_is_forgotten_is_reused_next() {
+fn the_index_of_a_removed_server_is_reused_next() {
     let mut servers = ServerRegistry::default();
     let mut indices = Vec::new();
     for id in ["amber", "birch", "birch", "cedar", "delta"] {
         indices.push(servers.index_or_insert(id, "127.0.0.1:3000".parse().unwrap()));
         if id == "cedar" {
             servers.indices.remove("birch");
-            servers.free.push(1);
+            servers.free_indices.push(1);
         }
     }
-    expect_test::expect!["[0, 1, 1, 2, 1] of 3"].assert_eq(&format!("{indices:?} of {}", servers.rows.len()));
+    expect_test::expect!["[0, 1, 1, 2, 1] of 3"]
+        .assert_eq(&format!("{indices:?} of {}", servers.entries.len()));
 }
--- a/crates/engine/src/shutdown.rs
+++ b/crates/engine/src/shutdown.rs
@@ -21,13 +21,13 @@
 const ACCEPT_TIME: Span = Span::from_millis(500);
 /// Minimum time between the last accepted connection and the last response, for the request that
 /// arrives on that connection.
-const LAST_REQUEST_TIME: Span = Span::from_millis(50);
+const MIN_LAST_REQUEST_TIME: Span = Span::from_millis(50);
 /// Time to write the responses that were decided last, on a core with little time for this proxy.
 /// SIGKILL comes 0.05 s after it.
 const WRITE_TIME: Duration = Duration::from_millis(200);
 /// The last response is due this long after the longest time limit, counted from the request to
 /// shut down. SIGKILL comes 0.7 s after the longest time limit.
-const BESIDE_TIME_LIMIT: Span = Span::from_millis(450);
+const RESPONSE_GRACE: Span = Span::from_millis(450);
 /// The longest time limit that the delay before SIGKILL allows for.
 const MAX_TIME_LIMIT: Span = Span::from_secs(3);
 /// How often the open client connections are counted while requests are in progress.
@@ -46,8 +46,8 @@
 impl DrainSchedule {
     /// Derives the schedule from the longest time limit of any open request.
     fn new(longest_time_limit: Span) -> DrainSchedule {
-        let last_response_after = longest_time_limit.min(MAX_TIME_LIMIT) + BESIDE_TIME_LIMIT;
-        let accept_for = ACCEPT_TIME.min(last_response_after - LAST_REQUEST_TIME);
+        let last_response_after = longest_time_limit.min(MAX_TIME_LIMIT) + RESPONSE_GRACE;
+        let accept_for = ACCEPT_TIME.min(last_response_after - MIN_LAST_REQUEST_TIME);
         DrainSchedule { accept_for, last_response_after }
     }
 }
@@ -60,7 +60,8 @@
     let response_deadline = requested_at + schedule.last_response_after;
     engine.begin_drain(DrainWindow { started: requested_at, response_deadline });
     let superseded = engine.lifecycle.is_superseded();
-    info!(engine.log, "draining"; "open" => engine.requests.borrow().open_requests(), "succeeded" => superseded);
+    info!(engine.log, "draining";
+        "open" => engine.requests.borrow().open_requests(), "succeeded" => superseded);
     // If another process has taken over, it accepts all new connections.
     if !superseded {
         Timer::at(engine.clock.instant(requested_at + schedule.accept_for)).await;
@@ -74,8 +75,8 @@
     }
     // Fails the remaining requests now, because a later response would be lost.
     api::fail_all(engine);
-    let written_by = engine.clock.instant(response_deadline) + WRITE_TIME;
-    while engine.open_clients() > 0 && Instant::now() < written_by {
+    let write_deadline = engine.clock.instant(response_deadline) + WRITE_TIME;
+    while engine.open_clients() > 0 && Instant::now() < write_deadline {
         Timer::after(WRITE_CHECK_INTERVAL).await;
     }
     engine.lifecycle.enter(Phase::Ended);
--- a/crates/engine/src/timers.rs
+++ b/crates/engine/src/timers.rs
@@ -12,7 +12,7 @@
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Timer {
     due: Timestamp,
-    number: u64,
+    sequence: u64,
     token: u64,
 }
 
@@ -20,15 +20,15 @@
 #[derive(Default)]
 pub(crate) struct TimerQueue {
     timers: BinaryHeap<Reverse<Timer>>,
-    set_so_far: u64,
+    last_sequence: u64,
 }
 
 impl TimerQueue {
     /// Sets a timer. Returns whether it is due before all others.
     pub fn set(&mut self, due: Timestamp, token: u64) -> bool {
         let is_first = self.next_due().is_none_or(|first| due < first);
-        self.set_so_far += 1;
-        self.timers.push(Reverse(Timer { due, number: self.set_so_far, token }));
+        self.last_sequence += 1;
+        self.timers.push(Reverse(Timer { due, sequence: self.last_sequence, token }));
         is_first
     }
 
--- a/crates/engine/src/timers/tests.rs
+++ b/crates/engine/src/timers/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn timers_fire_in_order_of_their_moments_and_then_of_setting() {
+fn timers_fire_by_due_time_and_then_in_the_order_they_were_set() {
     let mut timers = TimerQueue::default();
     let first: Vec<bool> =
         [(30, 1), (20, 2), (20, 3), (40, 4), (10, 5)].map(|(due, token)| timers.set(at(due), token)).to_vec();
--- a/crates/engine/src/violations.rs
+++ b/crates/engine/src/violations.rs
@@ -7,7 +7,7 @@
 
 /// The first violation of each kind is logged, and then every hundredth, so that a repeated one
 /// does not flood the log.
-const LOGGED_EACH: u64 = 100;
+const LOG_INTERVAL: u64 = 100;
 
 /// Counts refused attempts since the start.
 #[derive(Default)]
@@ -40,7 +40,7 @@
         let Some(index) = Violation::ALL.iter().position(|kind| *kind == violation) else { return };
         let count = self.0[index].get() + 1;
         self.0[index].set(count);
-        if count == 1 || count.is_multiple_of(LOGGED_EACH) {
+        if count == 1 || count.is_multiple_of(LOG_INTERVAL) {
             warn!(log, "violation"; "of" => violation.name(), "count" => count);
         }
     }
--- a/crates/sockets/src/stream.rs
+++ b/crates/sockets/src/stream.rs
@@ -5,15 +5,15 @@
 use std::net::TcpStream;
 
 /// Size of the first read of a message, in bytes: one page, as most message heads fit into it.
-const FIRST_READ: usize = 4096;
+const FIRST_READ_BYTES: usize = 4096;
 /// Size of later reads of a message, in bytes: a quarter of the longest body on the platform.
-const LATER_READ: usize = 16 << 10;
+const LATER_READ_BYTES: usize = 16 << 10;
 
 /// Waits until the stream is readable, and appends the available bytes to the buffer, at most 4 or
 /// 16 KiB. `Ok(0)` means the end of the stream. The buffer is unchanged if the future is dropped
 /// before it completes.
 pub async fn read_more(stream: &Async<TcpStream>, buf: &mut Vec<u8>) -> io::Result<usize> {
-    let limit = if buf.len() < FIRST_READ { FIRST_READ } else { LATER_READ };
+    let limit = if buf.len() < FIRST_READ_BYTES { FIRST_READ_BYTES } else { LATER_READ_BYTES };
     read_up_to(stream, buf, limit).await
 }
 
--- a/crates/time/tests/time.rs
+++ b/crates/time/tests/time.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_moment_and_a_span_make_a_moment_and_two_moments_a_span() {
+fn timestamps_and_spans_are_added_and_subtracted() {
     let (start, end) = (Timestamp::from_ticks(100), Timestamp::from_ticks(130));
     assert_eq!(end - start, Span::from_ticks(30));
     assert_eq!(start + Span::from_millis(3), end);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn both_are_printed_as_their_bare_number() {
-    let shown = format!("{:?} {} {:?}", Timestamp::from_ticks(7), Span::from_ticks(8), Some(Span::ZERO));
-    assert_eq!(shown, "7 8 Some(0)");
+fn timestamps_and_spans_are_printed_as_plain_ticks() {
+    let printed = format!("{:?} {} {:?}", Timestamp::from_ticks(7), Span::from_ticks(8), Some(Span::ZERO));
+    assert_eq!(printed, "7 8 Some(0)");
 }
