--- a/crates/engine/src/attempt.rs
+++ b/crates/engine/src/attempt.rs
@@ -117,7 +117,7 @@
         let client_connected = pending.request.client_is_waiting();
         let allowed = engine.requests.borrow().may_send(now, pending, client_connected);
         let Err(refusal) = allowed else { return Ok(()) };
-        engine.refused.count(refusal);
+        engine.refused_attempts.count(refusal);
         debug!(engine.log, "attempt withheld"; "cache" => pending.server, "why" => ?refusal);
         if refusal == SendRefusal::ClientLeft {
             (self.on_client_left)();
--- a/crates/engine/src/attempt_handle.rs
+++ b/crates/engine/src/attempt_handle.rs
@@ -14,14 +14,19 @@
     connection: RefCell<Option<Rc<ServerConnection>>>,
     /// Whether the request has been written up to its last byte.
     written: Cell<bool>,
-    cancel: Sender<()>,
-    cancelled: Receiver<()>,
+    cancel_sender: Sender<()>,
+    cancel_receiver: Receiver<()>,
 }
 
 impl AttemptHandle {
     pub(crate) fn new() -> AttemptHandle {
-        let (cancel, cancelled) = bounded(1);
-        AttemptHandle { connection: RefCell::default(), written: Cell::new(false), cancel, cancelled }
+        let (cancel_sender, cancel_receiver) = bounded(1);
+        AttemptHandle {
+            connection: RefCell::default(),
+            written: Cell::new(false),
+            cancel_sender,
+            cancel_receiver,
+        }
     }
 
     /// Cancels the attempt. Its connection is shut down immediately, so that the shutdown precedes
@@ -30,12 +35,12 @@
         if let Some(connection) = self.connection.borrow().as_ref() {
             _ = connection.stream.get_ref().shutdown(Shutdown::Both);
         }
-        _ = self.cancel.try_send(());
+        _ = self.cancel_sender.try_send(());
     }
 
     /// Returns once the attempt is cancelled.
     pub(crate) async fn cancelled(&self) {
-        _ = self.cancelled.recv().await;
+        _ = self.cancel_receiver.recv().await;
     }
 
     /// Records the connection to which the attempt is about to be written.
--- a/crates/engine/src/classes.rs
+++ b/crates/engine/src/classes.rs
@@ -21,11 +21,11 @@
 struct ActiveSettings {
     settings: BTreeMap<String, String>,
     platform_limits: PlatformLimits,
-    from_settings: Rc<LimitTable>,
+    platform_table: Rc<LimitTable>,
     /// The operator's limits, if there are any.
-    limits: Option<Rc<LimitTable>>,
+    operator_limits: Option<Rc<LimitTable>>,
     /// The maximum of all time limits since the start.
-    longest_time_limit: Span,
+    max_time_limit: Span,
 }
 
 /// The class of a request, and the limits that a frontend needs to accept it.
@@ -44,10 +44,10 @@
     pub fn new(
         settings: BTreeMap<String, String>,
         platform_limits: PlatformLimits,
-        limits: Option<LimitTable>,
+        operator_limits: Option<LimitTable>,
     ) -> RequestClasses {
         RequestClasses {
-            active: RefCell::new(ActiveSettings::new(settings, platform_limits, limits, Span::ZERO)),
+            active: RefCell::new(ActiveSettings::new(settings, platform_limits, operator_limits, Span::ZERO)),
             generation: Cell::new(0),
         }
     }
@@ -58,16 +58,17 @@
         &self,
         settings: BTreeMap<String, String>,
         platform_limits: PlatformLimits,
-        limits: Option<LimitTable>,
+        operator_limits: Option<LimitTable>,
     ) {
-        let previous_longest = self.longest_time_limit();
-        *self.active.borrow_mut() = ActiveSettings::new(settings, platform_limits, limits, previous_longest);
+        let previous_max = self.max_time_limit();
+        *self.active.borrow_mut() =
+            ActiveSettings::new(settings, platform_limits, operator_limits, previous_max);
         self.generation.set(self.generation.get() + 1);
     }
 
     /// Replaces the operator's limits; the platform's settings stay.
-    pub fn set_limits(&self, limits: Option<LimitTable>) {
-        self.active.borrow_mut().limits = limits.map(Rc::new);
+    pub fn set_limits(&self, operator_limits: Option<LimitTable>) {
+        self.active.borrow_mut().operator_limits = operator_limits.map(Rc::new);
     }
 
     /// How many times the settings have been replaced.
@@ -81,8 +82,8 @@
     }
 
     /// An upper bound of the time limits of all open requests.
-    pub fn longest_time_limit(&self) -> Span {
-        self.active.borrow().longest_time_limit
+    pub fn max_time_limit(&self) -> Span {
+        self.active.borrow().max_time_limit
     }
 
     /// The names of the platform's namespaces, in the order of their indices.
@@ -111,7 +112,7 @@
 
     fn table(&self) -> Rc<LimitTable> {
         let active = self.active.borrow();
-        active.limits.clone().unwrap_or_else(|| active.from_settings.clone())
+        active.operator_limits.clone().unwrap_or_else(|| active.platform_table.clone())
     }
 
     /// The number of proxies that share the servers, according to the settings.
@@ -129,7 +130,7 @@
     pub fn balancer_settings(&self) -> BTreeMap<String, String> {
         let active = self.active.borrow();
         let mut settings = active.settings.clone();
-        let Some(table) = active.limits.as_ref() else { return settings };
+        let Some(table) = active.operator_limits.as_ref() else { return settings };
         settings.insert(NAMESPACES_SETTING.into(), table.classes().len().to_string());
         for (index, class) in table.classes().iter().enumerate() {
             settings.extend(active.settings_of_class(index, class.namespace));
@@ -143,14 +144,14 @@
     fn new(
         settings: BTreeMap<String, String>,
         platform_limits: PlatformLimits,
-        limits: Option<LimitTable>,
-        previous_longest: Span,
+        operator_limits: Option<LimitTable>,
+        previous_max: Span,
     ) -> ActiveSettings {
         let time_limits = platform_limits.namespaces.iter().map(|namespace| namespace.time_limit);
-        let longest_time_limit = time_limits.max().unwrap_or(Span::ZERO).max(previous_longest);
-        let from_settings = Rc::new(LimitTable::from_settings(&platform_limits));
-        let limits = limits.map(Rc::new);
-        ActiveSettings { settings, platform_limits, from_settings, limits, longest_time_limit }
+        let max_time_limit = time_limits.max().unwrap_or(Span::ZERO).max(previous_max);
+        let platform_table = Rc::new(LimitTable::from_settings(&platform_limits));
+        let operator_limits = operator_limits.map(Rc::new);
+        ActiveSettings { settings, platform_limits, platform_table, operator_limits, max_time_limit }
     }
 
     fn numeric_setting(&self, name: &str) -> Option<f64> {
--- a/crates/engine/src/close_schedule.rs
+++ b/crates/engine/src/close_schedule.rs
@@ -53,11 +53,11 @@
     /// When the connection is closed, if at all. If both reasons apply, the earlier times are used.
     pub fn close_times(
         self,
-        drain: Option<DrainWindow>,
+        drain_window: Option<DrainWindow>,
         superseded: bool,
         out_of_service_since: Option<Timestamp>,
     ) -> Option<CloseTimes> {
-        let drain_times = drain.map(|window| self.close_times_of_drain(window, superseded));
+        let drain_times = drain_window.map(|window| self.close_times_of_drain(window, superseded));
         let out_of_service_times = out_of_service_since.map(|since| self.close_times_out_of_service(since));
         match (drain_times, out_of_service_times) {
             (Some(drain), Some(service)) => Some(drain.earlier_of(service)),
--- a/crates/engine/src/close_schedule/tests.rs
+++ b/crates/engine/src/close_schedule/tests.rs
@@ -11,13 +11,16 @@
 /// When the first and the last connection in order are closed, with a response and while idle, in
 /// ms after the start.
 fn close_times_in_ms(drain_ms: Option<u64>, superseded: bool, out_of_service: bool) -> String {
-    let drain = drain_ms.map(|window| DrainWindow {
+    let drain_window = drain_ms.map(|window_ms| DrainWindow {
         started: at(START),
-        response_deadline: at(START) + Span::from_millis(window),
+        response_deadline: at(START) + Span::from_millis(window_ms),
     });
     let times = [0, 999].map(|position| {
-        let times =
-            ClosePosition(position).close_times(drain, superseded, out_of_service.then_some(at(START)));
+        let times = ClosePosition(position).close_times(
+            drain_window,
+            superseded,
+            out_of_service.then_some(at(START)),
+        );
         times.map_or("never".to_string(), |times| {
             let ms_after_start = |moment: Timestamp| moment.saturating_since(at(START)).as_millis();
             format!("{} {}", ms_after_start(times.announce_from), ms_after_start(times.close_idle_from))
--- a/crates/engine/src/effect_sink.rs
+++ b/crates/engine/src/effect_sink.rs
@@ -130,7 +130,7 @@
     }
 
     /// Whether a request has its final response, or its client has left.
-    pub fn is_over(&self, request_id: RequestId) -> bool {
+    pub fn is_finished(&self, request_id: RequestId) -> bool {
         self.open_requests.get(&request_id).is_none_or(|open_request| open_request.response_sender.is_none())
     }
 
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -50,7 +50,7 @@
     /// The proxy's log.
     pub log: Logger,
     /// Counts attempts that were refused right before their first byte.
-    pub(crate) refused: RefusedAttempts,
+    pub(crate) refused_attempts: RefusedAttempts,
     /// Counts events that must not happen.
     pub violations: Violations,
     /// Signals that a timer was set that is due before all others.
@@ -58,7 +58,7 @@
     watch_requested: Receiver<()>,
     open_clients: Cell<usize>,
     accepted_clients: Cell<u64>,
-    drain: Cell<Option<DrainWindow>>,
+    drain_window: Cell<Option<DrainWindow>>,
     has_received_list: Cell<bool>,
 }
 
@@ -98,13 +98,13 @@
             health_check,
             executor: LocalExecutor::new(),
             log,
-            refused: RefusedAttempts::default(),
+            refused_attempts: RefusedAttempts::default(),
             violations: Violations::default(),
             earlier_timer: earlier_timer_receiver,
             watch_requested: watch_receiver,
             open_clients: Cell::new(0),
             accepted_clients: Cell::new(0),
-            drain: Cell::new(None),
+            drain_window: Cell::new(None),
             has_received_list: Cell::new(false),
             classes,
             config,
@@ -143,12 +143,12 @@
 
     /// When every response must have been sent; `None` unless the proxy is shutting down.
     pub fn response_deadline(&self) -> Option<Timestamp> {
-        self.drain.get().map(|window| window.response_deadline)
+        self.drain_window.get().map(|window| window.response_deadline)
     }
 
     /// Starts the drain of the proxy, after a request to shut down.
     pub(crate) fn begin_drain(&self, window: DrainWindow) {
-        self.drain.set(Some(window));
+        self.drain_window.set(Some(window));
         self.lifecycle.enter(Phase::Draining);
     }
 }
@@ -172,7 +172,7 @@
     fn close_times(&self) -> Option<CloseTimes> {
         let lifecycle = &self.engine.lifecycle;
         self.position.close_times(
-            self.engine.drain.get(),
+            self.engine.drain_window.get(),
             lifecycle.is_superseded(),
             lifecycle.out_of_service_since(),
         )
--- a/crates/engine/src/request_table.rs
+++ b/crates/engine/src/request_table.rs
@@ -28,7 +28,7 @@
     /// The servers of the endpoint list.
     pub servers: ServerRegistry,
     /// Number of requests whose client left before any of their attempts was written.
-    left_waiting: u64,
+    clients_left_waiting: u64,
 }
 
 /// How an attempt ended.
@@ -63,7 +63,7 @@
         if settings.get(WATCHED_SETTING).is_none_or(|watched| watched != "1") {
             _ = sink.signals.watch_requested.try_send(());
         }
-        RequestTable { balancer, settings: settings.clone(), sink, servers, left_waiting: 0 }
+        RequestTable { balancer, settings: settings.clone(), sink, servers, clients_left_waiting: 0 }
     }
 
     /// Returns the balancer and its effects, both advanced to the present time. Calls to the
@@ -95,8 +95,8 @@
     }
 
     /// The number of requests so far whose client left before any of their attempts was written.
-    pub fn left_waiting(&self) -> u64 {
-        self.left_waiting
+    pub fn clients_left_waiting(&self) -> u64 {
+        self.clients_left_waiting
     }
 
     /// Accepts and routes a request. Its final response is sent on the returned channel.
@@ -142,7 +142,7 @@
             number: pending.id.number,
             server: pending.server,
             until: pending.send_deadline(),
-            answered: self.sink.is_over(pending.id.request_id),
+            answered: self.sink.is_finished(pending.id.request_id),
             client_connected,
         };
         self.balancer.may_send(&attempt, now)
@@ -175,7 +175,7 @@
         if let Some(response) = response {
             sink.respond(request_id, response);
         }
-        let finished = sink.is_over(request_id);
+        let finished = sink.is_finished(request_id);
         if let Some(recorder) = &mut sink.recorder {
             recorder.attempt_ended(
                 now,
@@ -201,7 +201,7 @@
             && open_request.response_sender.take().is_some()
             && !open_request.attempts.iter().any(|attempt| attempt.is_written())
         {
-            self.left_waiting += 1;
+            self.clients_left_waiting += 1;
         }
         self.sink.record_event(|| Event::ClientLeft(request_id.0));
         self.balancer.client_left(request_id, &mut self.sink);
--- a/crates/engine/src/shutdown.rs
+++ b/crates/engine/src/shutdown.rs
@@ -29,7 +29,7 @@
 /// shut down. SIGKILL comes 0.7 s after the longest time limit.
 const RESPONSE_GRACE: Span = Span::from_millis(450);
 /// The longest time limit that the delay before SIGKILL allows for.
-const MAX_TIME_LIMIT: Span = Span::from_secs(3);
+const TIME_LIMIT_CAP: Span = Span::from_secs(3);
 /// How often the open client connections are counted while requests are in progress.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 /// How often they are counted while the last responses are written, when less time is left.
@@ -45,8 +45,8 @@
 
 impl DrainSchedule {
     /// Derives the schedule from the longest time limit of any open request.
-    fn new(longest_time_limit: Span) -> DrainSchedule {
-        let last_response_after = longest_time_limit.min(MAX_TIME_LIMIT) + RESPONSE_GRACE;
+    fn new(max_time_limit: Span) -> DrainSchedule {
+        let last_response_after = max_time_limit.min(TIME_LIMIT_CAP) + RESPONSE_GRACE;
         let accept_for = ACCEPT_TIME.min(last_response_after - MIN_LAST_REQUEST_TIME);
         DrainSchedule { accept_for, last_response_after }
     }
@@ -56,7 +56,7 @@
 /// frontends' task, which ends once [`Phase::Finishing`] is reached and the connections that had
 /// arrived by then are accepted.
 pub async fn run(engine: &Rc<Engine>, accepting: Task<()>, requested_at: Timestamp) {
-    let schedule = DrainSchedule::new(engine.classes.longest_time_limit());
+    let schedule = DrainSchedule::new(engine.classes.max_time_limit());
     let response_deadline = requested_at + schedule.last_response_after;
     engine.begin_drain(DrainWindow { started: requested_at, response_deadline });
     let superseded = engine.lifecycle.is_superseded();
--- a/crates/engine/src/shutdown/tests.rs
+++ b/crates/engine/src/shutdown/tests.rs
@@ -10,10 +10,10 @@
     let steps = [0, 1, 300, 499, 500, 2_000, 3_000, 6_000, 30_000, 100_000].map(|limit| {
         let DrainSchedule { accept_for, last_response_after: last } =
             DrainSchedule::new(Span::from_ticks(limit));
-        let kill_after = limit.min(MAX_TIME_LIMIT.ticks()) + 7_000;
+        let kill_after = limit.min(TIME_LIMIT_CAP.ticks()) + 7_000;
         assert!(accept_for >= Span::from_ticks(4_000) && accept_for < last, "{limit}");
         assert!(
-            last >= Span::from_ticks(limit.min(MAX_TIME_LIMIT.ticks()))
+            last >= Span::from_ticks(limit.min(TIME_LIMIT_CAP.ticks()))
                 && last + Span::from(WRITE_TIME) + Span::from_ticks(500) <= Span::from_ticks(kill_after),
             "{limit}"
         );
--- a/crates/engine/src/violations.rs
+++ b/crates/engine/src/violations.rs
@@ -12,20 +12,20 @@
 /// Counts refused attempts since the start.
 #[derive(Default)]
 pub struct RefusedAttempts {
-    request_over: Cell<u64>,
+    for_finished_requests: Cell<u64>,
 }
 
 impl RefusedAttempts {
     /// Counts an attempt that was refused.
     pub fn count(&self, refusal: SendRefusal) {
         if matches!(refusal, SendRefusal::Answered | SendRefusal::ClientLeft) {
-            self.request_over.set(self.request_over.get() + 1);
+            self.for_finished_requests.set(self.for_finished_requests.get() + 1);
         }
     }
 
     /// The attempts refused because their request already had its response or its client had left.
-    pub fn request_over(&self) -> u64 {
-        self.request_over.get()
+    pub fn for_finished_requests(&self) -> u64 {
+        self.for_finished_requests.get()
     }
 }
 
