--- a/crates/engine/src/servers.rs
+++ b/crates/engine/src/servers.rs
@@ -1,4 +1,4 @@
-//! The servers as endpoint lists describe them, and the small indices by which the balancer knows
+//! The servers that endpoint lists describe, and the small indices by which the balancer identifies
 //! them.
 
 #[cfg(test)]
@@ -10,32 +10,32 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// What a list has changed, by the servers' ids in order.
+/// The changes that a list has made, as sorted server ids.
 #[derive(Debug, Default, PartialEq)]
 pub struct ListChanges {
-    /// Draining or gone since.
-    pub off: Vec<String>,
-    /// In service since, or again.
-    pub back: Vec<String>,
+    /// Servers that are now draining or gone.
+    pub became_unavailable: Vec<String>,
+    /// Servers that are now in service, for the first time or again.
+    pub became_available: Vec<String>,
 }
 
-/// What a source of the endpoint list has read of it.
+/// An update that a source of the endpoint list has read.
 #[derive(Clone, Copy, Debug)]
 pub struct ListUpdate<'a> {
     /// The endpoints, with their status.
     pub endpoints: &'a [ListedEndpoint],
-    /// Whether they are the whole list, so that a server that is not among them is gone; otherwise
-    /// they are what changed.
-    pub whole: bool,
-    /// Whether the list may be older than what was known before. It then brings no server back that
-    /// was notified to be off and has not started since.
-    pub doubted: bool,
+    /// Whether the endpoints are the full list, so that a server missing from it is gone; otherwise
+    /// they are only the changed ones.
+    pub is_full: bool,
+    /// Whether the list may be older than the one known before. It then does not return a server to
+    /// service that was reported draining or gone, unless the server has restarted since.
+    pub may_be_stale: bool,
 }
 
-/// What the engine itself needs to know of a server.
-struct Row {
+/// The facts about a server that the engine itself needs.
+struct ServerEntry {
     addr: SocketAddr,
-    /// Since when it was notified to be draining or gone.
+    /// When it was reported draining or gone, if it was.
     unavailable_since: Option<Timestamp>,
     /// When its process started.
     born: Timestamp,
@@ -44,53 +44,54 @@
 /// The servers by id and by index.
 #[derive(Default)]
 pub struct ServerRegistry {
-    rows: Vec<Row>,
+    entries: Vec<ServerEntry>,
     indices: HashMap<String, ServerIndex>,
-    /// Indices below the number of rows that are no server's.
-    free: Vec<ServerIndex>,
+    /// Indices of entries that belong to no server.
+    free_indices: Vec<ServerIndex>,
     zones: Vec<String>,
     kinds: Vec<String>,
 }
 
 impl ServerRegistry {
-    /// Zones and kinds are numbered in this order; zones that a list adds come after them.
+    /// Zones and kinds are numbered in the given order; zones that appear only in a list are
+    /// appended.
     pub fn new(zones: &[String], kinds: &[String]) -> ServerRegistry {
         ServerRegistry { zones: zones.to_vec(), kinds: kinds.to_vec(), ..ServerRegistry::default() }
     }
 
     /// The address of a server.
     pub fn addr(&self, server: ServerIndex) -> Option<SocketAddr> {
-        self.rows.get(server).map(|row| row.addr)
+        self.entries.get(server).map(|entry| entry.addr)
     }
 
-    /// The servers in service at these addresses, in that order.
+    /// The servers in service at the given addresses, in the same order.
     pub fn in_service_at(&self, addrs: &[SocketAddr]) -> Vec<ServerIndex> {
         let in_service = |addr: &SocketAddr| {
-            self.rows.iter().position(|row| row.addr == *addr && row.unavailable_since.is_none())
+            self.entries.iter().position(|entry| entry.addr == *addr && entry.unavailable_since.is_none())
         };
         addrs.iter().filter_map(in_service).collect()
     }
 
-    /// Since when a server is draining or gone, as notified.
+    /// When a server was reported draining or gone, if it was.
     pub fn unavailable_since(&self, server: ServerIndex) -> Option<Timestamp> {
-        self.rows.get(server)?.unavailable_since
+        self.entries.get(server)?.unavailable_since
     }
 
-    /// Which servers are off by now and were not, and the other way round. `was_off`: those that
-    /// were off before, sorted.
-    pub fn changes_since(&self, was_off: &[ServerIndex]) -> ListChanges {
+    /// Compares the servers that are draining or gone now with `was_unavailable`, the sorted
+    /// indices of those that were before.
+    pub fn changes_since(&self, was_unavailable: &[ServerIndex]) -> ListChanges {
         let mut changes = ListChanges::default();
         for (id, server) in &self.indices {
-            let was_off = was_off.binary_search(server).is_ok();
-            let is_off = self.unavailable_since(*server).is_some();
-            match (was_off, is_off) {
-                (false, true) => changes.off.push(id.clone()),
-                (true, false) => changes.back.push(id.clone()),
+            let was_unavailable = was_unavailable.binary_search(server).is_ok();
+            let is_unavailable = self.unavailable_since(*server).is_some();
+            match (was_unavailable, is_unavailable) {
+                (false, true) => changes.became_unavailable.push(id.clone()),
+                (true, false) => changes.became_available.push(id.clone()),
                 _ => {}
             }
         }
-        changes.off.sort_unstable();
-        changes.back.sort_unstable();
+        changes.became_unavailable.sort_unstable();
+        changes.became_available.sort_unstable();
         changes
     }
 
@@ -99,34 +100,35 @@
         self.indices.get(id).copied()
     }
 
-    /// Whether the server of this endpoint is in service as far as notified, and has not started
-    /// since the endpoint was read.
+    /// Whether the server of this endpoint is in service according to the lists so far, and has not
+    /// restarted since the endpoint was read.
     pub fn is_ready(&self, endpoint: &ListedEndpoint) -> bool {
-        let row = self.index_of(&endpoint.id).map(|server| &self.rows[server]);
-        row.is_some_and(|row| row.unavailable_since.is_none() && row.born <= endpoint.born)
+        let entry = self.index_of(&endpoint.id).map(|server| &self.entries[server]);
+        entry.is_some_and(|entry| entry.unavailable_since.is_none() && entry.born <= endpoint.born)
     }
 
-    /// The servers that are off, in order.
-    pub fn off(&self) -> impl Iterator<Item = ServerIndex> {
-        self.rows
+    /// The servers that are draining or gone, in the order of their indices.
+    pub fn unavailable(&self) -> impl Iterator<Item = ServerIndex> {
+        self.entries
             .iter()
             .enumerate()
-            .filter(|(_, row)| row.unavailable_since.is_some())
+            .filter(|(_, entry)| entry.unavailable_since.is_some())
             .map(|(server, _)| server)
     }
 
-    /// Takes up what a list says, and returns it by index for the balancer.
+    /// Applies an update, and returns its endpoints with server indices, for the balancer.
     pub fn apply<'a>(&mut self, now: Timestamp, update: &ListUpdate<'a>) -> Vec<Endpoint<'a>> {
-        let was_off: Vec<Option<Timestamp>> = self.rows.iter().map(|row| row.unavailable_since).collect();
-        if update.whole {
-            for row in &mut self.rows {
-                row.unavailable_since.get_or_insert(now);
+        let previously_unavailable_since: Vec<Option<Timestamp>> =
+            self.entries.iter().map(|entry| entry.unavailable_since).collect();
+        if update.is_full {
+            for entry in &mut self.entries {
+                entry.unavailable_since.get_or_insert(now);
             }
         }
         let apply_one = |endpoint: &'a ListedEndpoint| {
             let server = self.index_or_insert(&endpoint.id, endpoint.addr);
-            let was_off_since = was_off.get(server).copied().flatten();
-            let status = self.update_row(now, server, endpoint, was_off_since, update.doubted);
+            let unavailable_before = previously_unavailable_since.get(server).copied().flatten();
+            let status = self.update_entry(now, server, endpoint, unavailable_before, update.may_be_stale);
             Endpoint {
                 server,
                 id: &endpoint.id,
@@ -141,22 +143,22 @@
         update.endpoints.iter().map(apply_one).collect()
     }
 
-    /// Updates what is known of a server by its endpoint, and returns the status that it has by
-    /// that.
-    fn update_row(
+    /// Updates a server's entry from its endpoint, and returns the server's resulting status.
+    fn update_entry(
         &mut self,
         now: Timestamp,
         server: ServerIndex,
         endpoint: &ListedEndpoint,
-        was_off_since: Option<Timestamp>,
-        doubted: bool,
+        unavailable_before: Option<Timestamp>,
+        may_be_stale: bool,
     ) -> EndpointStatus {
-        let row = &mut self.rows[server];
-        let stays_off = doubted && was_off_since.is_some() && endpoint.born <= row.born;
-        let status = if stays_off { EndpointStatus::Draining } else { endpoint.status };
-        row.addr = endpoint.addr;
-        row.born = endpoint.born;
-        row.unavailable_since = (status != EndpointStatus::Ready).then_some(was_off_since.unwrap_or(now));
+        let entry = &mut self.entries[server];
+        let stays_unavailable = may_be_stale && unavailable_before.is_some() && endpoint.born <= entry.born;
+        let status = if stays_unavailable { EndpointStatus::Draining } else { endpoint.status };
+        entry.addr = endpoint.addr;
+        entry.born = endpoint.born;
+        entry.unavailable_since =
+            (status != EndpointStatus::Ready).then_some(unavailable_before.unwrap_or(now));
         status
     }
 
@@ -167,28 +169,28 @@
         })
     }
 
-    /// Forgets servers whose index the balancer needs no more, and frees their indices for others:
-    /// ids are ever new.
+    /// Removes servers whose index the balancer no longer needs, and frees the indices for reuse.
+    /// Without this the indices would grow forever, because new processes have new ids.
     pub fn forget_unused(&mut self, balancer: &Balancer) {
-        let ServerRegistry { indices, free, .. } = self;
+        let ServerRegistry { indices, free_indices, .. } = self;
         indices.retain(|_, server| {
             let unused = balancer.index_is_free(*server);
-            free.extend(unused.then_some(*server));
+            free_indices.extend(unused.then_some(*server));
             !unused
         });
-        free.sort_unstable();
+        free_indices.sort_unstable();
     }
 
     fn index_or_insert(&mut self, id: &str, addr: SocketAddr) -> ServerIndex {
         if let Some(server) = self.indices.get(id) {
             return *server;
         }
-        let server = self.free.pop().unwrap_or(self.rows.len());
+        let server = self.free_indices.pop().unwrap_or(self.entries.len());
         self.indices.insert(id.to_string(), server);
-        let row = Row { addr, unavailable_since: None, born: Timestamp::ZERO };
-        match self.rows.get_mut(server) {
-            Some(unused) => *unused = row,
-            None => self.rows.push(row),
+        let entry = ServerEntry { addr, unavailable_since: None, born: Timestamp::ZERO };
+        match self.entries.get_mut(server) {
+            Some(unused) => *unused = entry,
+            None => self.entries.push(entry),
         }
         server
     }
