--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -8,9 +8,9 @@
 use chalkwalk_time::{Span, Timestamp};
 
 /// From when a client closed its connection to the first byte of an attempt for it, at the most.
-const CLIENT_GONE: Span = Span::from_millis(100);
+const CLIENT_GONE_TOLERANCE: Span = Span::from_millis(100);
 /// A client that had an answer a moment ago may be sending again, across the close: many round trips.
-const JUST_USED: Span = Span::from_millis(50);
+const MIN_IDLE_AFTER_USE: Span = Span::from_millis(50);
 
 /// An attempt in the moment before its first byte.
 #[derive(Clone, Copy, Debug)]
@@ -106,7 +106,7 @@
             Some(Violation::SentAfterGrace)
         } else if self.at > self.until {
             Some(Violation::SentTooLate)
-        } else if !self.client_connected && self.at > self.allowed_at + CLIENT_GONE {
+        } else if !self.client_connected && self.at > self.allowed_at + CLIENT_GONE_TOLERANCE {
             Some(Violation::SentAfterClientLeft)
         } else {
             None
@@ -117,7 +117,7 @@
 /// Whether a client's connection between two requests may be closed to make room for others. One that never carried a request
 /// may, as whoever opened it sends again; on one that was just used the next request may be on its way.
 pub fn may_close(used: bool, idle_for: Span) -> bool {
-    !used || idle_for > JUST_USED
+    !used || idle_for > MIN_IDLE_AFTER_USE
 }
 
 /// Whether a request that was read may be started: its time is not over, and would not end after the process's last answer.
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -35,15 +35,15 @@
 /// The state decays in steps of one second: long enough for some dozens of answers, short enough to see a failure begin and end.
 const SECOND: Span = Span::from_secs(1);
 /// After a standstill of so long the seconds in between are not made up for.
-const LONGEST_CATCH_UP: Span = Span::from_secs(20);
+const MAX_CATCH_UP: Span = Span::from_secs(20);
 
 /// Timers below this are of requests, from here on of servers.
-const SERVER_TIMERS: u64 = 1 << 61;
+const FIRST_SERVER_TOKEN: u64 = 1 << 61;
 /// The timer after which discovery is called.
-const DISCOVERY_TIMER: u64 = 1 << 62;
+const DISCOVERY_TOKEN: u64 = 1 << 62;
 /// All that were killed together start together. Over 3 s: a service that takes a call of each of a fleet in 2 s to 8 s then
 /// holds few that wait too long, which are work for nobody.
-const FIRST_CALL_WITHIN: Span = Span::from_secs(3);
+const MAX_FIRST_CALL_DELAY: Span = Span::from_secs(3);
 
 /// The decisions of one proxy.
 #[derive(Default)]
@@ -67,7 +67,7 @@
     connections: ConnectionLimits,
     discovery: DiscoveryCalls,
     /// What a process before this one has learned, of servers not yet listed.
-    learned_before: BTreeMap<String, LearnedServer>,
+    pending_learned: BTreeMap<String, LearnedServer>,
     /// The ids of servers that operators took out, listed or not, and since when.
     disabled: BTreeMap<String, Timestamp>,
 }
@@ -78,7 +78,7 @@
         let settings = Settings::read(values);
         let mut random = Random::seeded(seed);
         if values.get("watched").is_some_and(|watched| watched == "1") {
-            effects.set_timer(DISCOVERY_TIMER, random.span_below(FIRST_CALL_WITHIN));
+            effects.set_timer(DISCOVERY_TOKEN, random.span_below(MAX_FIRST_CALL_DELAY));
         }
         Balancer { settings, salt: random.salt(), random, ..Balancer::default() }
     }
@@ -88,7 +88,7 @@
         self.now = now;
         while self.decayed_until + SECOND <= now {
             let behind = now - self.decayed_until;
-            self.decayed_until = if behind > LONGEST_CATCH_UP { now } else { self.decayed_until + SECOND };
+            self.decayed_until = if behind > MAX_CATCH_UP { now } else { self.decayed_until + SECOND };
             self.decay();
         }
     }
@@ -106,10 +106,10 @@
 
     /// A timer that was set has come.
     pub fn timer_fired(&mut self, token: u64, effects: &mut dyn Effects) {
-        if token >= DISCOVERY_TIMER {
+        if token >= DISCOVERY_TOKEN {
             effects.watch_endpoints();
-        } else if token >= SERVER_TIMERS {
-            self.ejection_timer_fired((token - SERVER_TIMERS) as ServerIndex, effects);
+        } else if token >= FIRST_SERVER_TOKEN {
+            self.ejection_timer_fired((token - FIRST_SERVER_TOKEN) as ServerIndex, effects);
         } else {
             self.request_timer_fired(RequestId(token), effects);
         }
--- a/crates/balancer/src/balancer/attempts.rs
+++ b/crates/balancer/src/balancer/attempts.rs
@@ -31,8 +31,8 @@
         let class = &request.class;
         // Guards a tagged request whose attempt waits for a connection: past the window it would run twice.
         let tagged = class.idempotency == Idempotency::Tagged;
-        let ran = request.attempts.iter().filter(|attempt| tagged && attempt.may_have_run);
-        let not_after = ran.map(|attempt| attempt.sent_at + class.dedup_window).min();
+        let earlier_attempts = request.attempts.iter().filter(|attempt| tagged && attempt.may_have_run);
+        let not_after = earlier_attempts.map(|attempt| attempt.sent_at + class.dedup_window).min();
         let opens_connection = !std::mem::replace(&mut server.connected, true);
         request.attempts.push(Attempt {
             server: index,
@@ -44,7 +44,7 @@
             likely_fetch,
             ..Attempt::default()
         });
-        let hedge_after = class.hedge_after.and_then(|part| self.latencies.quantile(part));
+        let hedge_after = class.hedge_after.and_then(|thousandths| self.latencies.quantile(thousandths));
         let until = request.expires.min(sent_at + class.attempt_timeout);
         effects.start_attempt(request_id, index, until, not_after.unwrap_or(request.expires));
         if Some(index) != self.origin {
@@ -82,10 +82,10 @@
         };
         let no_connection_left = self.record_connection(&ended);
         self.record_latency(&ended);
-        let ended_fetch = self.take_fetch(request_id, &ended);
+        let ended_fetch = self.end_led_fetch(request_id, &ended);
         self.record_key(&ended);
-        let late_alone = ended.outcome == AttemptOutcome::TimedOut && !ended.server_was_silent;
-        if !(ended.is_origin_error() || no_connection_left || late_alone) {
+        let only_late = ended.outcome == AttemptOutcome::TimedOut && !ended.server_was_silent;
+        if !(ended.is_origin_error() || no_connection_left || only_late) {
             self.record_outcome(ended.server, ended.outcome, effects);
         }
         self.record_load(&ended);
@@ -110,7 +110,7 @@
         let request = self.requests.get_mut(&request_id.0)?;
         let attempt = request.attempts.get_mut(attempt).filter(|attempt| attempt.pending)?;
         if outcome.may_still_run() && request.class.in_order {
-            self.key_order.keep_quiet(request.key, self.now + self.settings.key_quiet_time);
+            self.key_order.start_quiet_period(request.key, self.now + self.settings.key_quiet_period);
         }
         attempt.pending = false;
         attempt.may_have_run = outcome.may_have_run();
@@ -119,14 +119,15 @@
         attempt.failed = outcome != AttemptOutcome::CacheMiss && !broke_at_owner;
         let server = &mut self.servers[attempt.server];
         let server_was_silent = server.liveness.is_silent_since(attempt.sent_at);
-        server.concurrency.set_sparse(server.liveness.answers_seldom(self.now));
+        server.concurrency.set_rarely_answers(server.liveness.rarely_answers(self.now));
         server.liveness.end_attempt(attempt.streaming);
         if outcome.is_answer() {
             server.liveness.record_answer(attempt.sent_at, self.now);
         }
         // Guards servers against being taken for late over attempts that they lost, while they answer later ones.
-        let overtaken = !server_was_silent && server.liveness.answered_one_sent_after(attempt.sent_at);
-        let lost = outcome == AttemptOutcome::TimedOut && overtaken && took > overdue_after;
+        let later_attempt_answered =
+            !server_was_silent && server.liveness.answered_one_sent_after(attempt.sent_at);
+        let lost = outcome == AttemptOutcome::TimedOut && later_attempt_answered && took > overdue_after;
         Some(EndedAttempt {
             key: request.key,
             server: attempt.server,
@@ -142,7 +143,7 @@
     }
 
     /// Whether the attempt was the fetch that others wait for; the request leads it no longer.
-    fn take_fetch(&mut self, request_id: RequestId, ended: &EndedAttempt) -> bool {
+    fn end_led_fetch(&mut self, request_id: RequestId, ended: &EndedAttempt) -> bool {
         match self.requests.get_mut(&request_id.0) {
             Some(request) if !ended.from_server => std::mem::replace(&mut request.leads_fetch, false),
             _ => false,
--- a/crates/balancer/src/balancer/endpoints.rs
+++ b/crates/balancer/src/balancer/endpoints.rs
@@ -2,7 +2,7 @@
 //!
 //! Guards that a drain or an operator's call holds from the moment of the call on, and that a restarted server is a new one.
 
-use super::{Balancer, DISCOVERY_TIMER};
+use super::{Balancer, DISCOVERY_TOKEN};
 use crate::effects::{Effects, StateChange};
 use crate::server::Server;
 use crate::slow_start::{SlowStart, token_floor};
@@ -41,7 +41,7 @@
         server.zone = endpoint.zone;
         server.cell = endpoint.cell;
         server.status = endpoint.status;
-        server.keys.list_size(endpoint.size, self.settings.fixed_sizes);
+        server.keys.update_listed_size(endpoint.size, self.settings.fixed_sizes);
         if Some(endpoint.kind) == self.settings.origin_kind {
             self.origin = Some(index);
         }
@@ -85,7 +85,7 @@
         }
         let backoff = self.settings.discovery_backoff;
         let delay = backoff.delay(took, self.discovery.failures(), |end| self.random.span_below(end));
-        effects.set_timer(DISCOVERY_TIMER, delay);
+        effects.set_timer(DISCOVERY_TOKEN, delay);
     }
 
     /// Operators take a server out at that moment, whatever any list says, or put it back. It is restarted in
--- a/crates/balancer/src/balancer/health.rs
+++ b/crates/balancer/src/balancer/health.rs
@@ -1,6 +1,6 @@
 //! Ejects servers for their failures, checks their health and readmits them; `outlier.rs` keeps the score.
 
-use super::{Balancer, SERVER_TIMERS};
+use super::{Balancer, FIRST_SERVER_TOKEN};
 use crate::effects::{Effects, StateChange};
 use crate::types::{AttemptOutcome, ServerIndex};
 
@@ -14,8 +14,8 @@
     ) {
         let timeout = self.silence_timeout();
         let server = &mut self.servers[index];
-        let answered_lately = server.liveness.answered_within(self.now, timeout);
-        if server.failures.record(outcome, answered_lately) && Some(index) != self.origin {
+        let answered_recently = server.liveness.answered_within(self.now, timeout);
+        if server.failures.record(outcome, answered_recently) && Some(index) != self.origin {
             self.eject(index, effects);
         }
     }
@@ -27,7 +27,7 @@
         effects.report(StateChange::ServerEjected { server: &server.id });
         // Spread, so that the proxies that ejected it together do not check it together.
         let jitter = self.random.span_below(backoff / 4);
-        effects.set_timer(SERVER_TIMERS + index as u64, backoff + jitter);
+        effects.set_timer(FIRST_SERVER_TOKEN + index as u64, backoff + jitter);
     }
 
     /// The ejection of a server has lasted its time: its health is checked where that can be, else it counts as checked.
--- a/crates/balancer/src/balancer/queries.rs
+++ b/crates/balancer/src/balancer/queries.rs
@@ -38,13 +38,13 @@
     /// What a process before this one has learned on the same terms: restored once the list names a server that has not
     /// started since. Connections, silences, failures, latencies, and all that is learned of the origin start afresh.
     pub fn restore_learned(&mut self, learned: Vec<LearnedServer>) {
-        self.learned_before = learned.into_iter().map(|server| (server.id.clone(), server)).collect();
+        self.pending_learned = learned.into_iter().map(|server| (server.id.clone(), server)).collect();
         (0..self.servers.len()).for_each(|server| self.restore_learned_server(server));
     }
 
     pub(super) fn restore_learned_server(&mut self, server: ServerIndex) {
         let server = &mut self.servers[server];
-        if let Some(learned) = self.learned_before.remove(&server.id) {
+        if let Some(learned) = self.pending_learned.remove(&server.id) {
             server.restore_learned(&learned, &self.settings);
         }
     }
--- a/crates/balancer/src/balancer/repeats.rs
+++ b/crates/balancer/src/balancer/repeats.rs
@@ -43,32 +43,34 @@
         &self,
         request: &Request,
         server: Option<ServerIndex>,
-        then: Timestamp,
-        itself: Option<usize>,
+        until: Timestamp,
+        own_index: Option<usize>,
     ) -> bool {
         let class = &request.class;
         let mut earlier =
-            request.attempts.iter().enumerate().filter(|(i, a)| a.may_have_run && Some(*i) != itself);
+            request.attempts.iter().enumerate().filter(|(i, a)| a.may_have_run && Some(*i) != own_index);
         earlier.all(|(_, attempt)| match class.idempotency {
             Idempotency::Replayable => true,
             Idempotency::SingleUse => false,
             Idempotency::Tagged => {
                 self.drops_repeat(class.dedup_group, attempt, server)
-                    && then < attempt.sent_at + class.dedup_window
+                    && until < attempt.sent_at + class.dedup_window
             }
         })
     }
 
     /// Whether the server of a repeat knows of an earlier attempt, as that was at one of its group.
     fn drops_repeat(&self, group: DedupGroup, earlier: &Attempt, server: Option<ServerIndex>) -> bool {
-        let ran = &self.servers[earlier.server];
-        let Some(next) = server.map(|server| &self.servers[server]) else {
+        let earlier_server = &self.servers[earlier.server];
+        let Some(next_server) = server.map(|server| &self.servers[server]) else {
             return group == DedupGroup::All;
         };
         match group {
             DedupGroup::All => true,
-            DedupGroup::Zone => next.zone == ran.zone,
-            DedupGroup::Cell => next.zone == ran.zone && next.cell == ran.cell,
+            DedupGroup::Zone => next_server.zone == earlier_server.zone,
+            DedupGroup::Cell => {
+                next_server.zone == earlier_server.zone && next_server.cell == earlier_server.cell
+            }
         }
     }
 }
--- a/crates/balancer/src/balancer/requests.rs
+++ b/crates/balancer/src/balancer/requests.rs
@@ -13,7 +13,7 @@
 /// The draws of requests are below this.
 const DRAW_END: u64 = 100;
 /// The median, by which a request's turn is foreseen.
-const HALF: u64 = 500;
+const MEDIAN_THOUSANDTHS: u64 = 500;
 
 impl Balancer {
     /// Accepts a request. It must be answered once, before `expires`; route it next.
@@ -34,7 +34,8 @@
         self.shedding.count_request();
         let class = &self.settings.classes[class];
         class.retry_budget.record_first_attempt(self.now);
-        let useful_until = if class.late_counts { expires } else { expires.min(self.now + class.target) };
+        let useful_until =
+            if class.late_answers_useful { expires } else { expires.min(self.now + class.target) };
         let draw = self.random.below(DRAW_END);
         let class = ClassHandle::new(class);
         let request = Request { class, key, write, expires, useful_until, draw, ..Request::default() };
@@ -65,7 +66,7 @@
         if now < expires && expires < request.expires {
             request.expires = expires;
             request.useful_until = request.useful_until.min(expires);
-            request.shortened = true;
+            request.time_limit_shortened = true;
             effects.set_timer(request_id.0, expires - now);
         }
     }
@@ -117,8 +118,8 @@
             return true;
         }
         let useful_until = request.useful_until;
-        let typical = self.latencies.quantile(HALF).unwrap_or(Span::ZERO);
-        match self.key_order.enter(request.key, request_id, self.now, typical, useful_until) {
+        let median_latency = self.latencies.quantile(MEDIAN_THOUSANDTHS).unwrap_or(Span::ZERO);
+        match self.key_order.enter(request.key, request_id, self.now, median_latency, useful_until) {
             Turn::Now => return true,
             Turn::Never => self.answer_unserved(request_id, effects),
             Turn::Wait => {
--- a/crates/balancer/src/balancer/retry.rs
+++ b/crates/balancer/src/balancer/retry.rs
@@ -19,9 +19,9 @@
 
 /// What the timer of a request finds at its last pending attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Wait {
+enum WaitStatus {
     /// Nothing is wrong yet.
-    GoesOn,
+    InProgress,
     /// Its server has sent nothing since it was sent.
     Silent,
     /// It was accepted and never answered, or takes so long that its class asks for a hedged request.
@@ -50,7 +50,7 @@
         }
         // Half a second to one and a half, spread so that those sent away do not return together.
         let spread = SECOND / 2 + self.random.span_below(SECOND);
-        let retry_after = spread.min(self.settings.longest_retry_after);
+        let retry_after = spread.min(self.settings.max_retry_after);
         if self.may_repeat(&self.requests[&request_id.0], None, self.now + retry_after, None) {
             effects.reject(request_id, retry_after);
         } else {
@@ -72,7 +72,7 @@
                 false => self.advance_key(key, effects),
             };
         }
-        if request.shortened && self.now >= request.expires {
+        if request.time_limit_shortened && self.now >= request.expires {
             return request
                 .pending_attempts()
                 .for_each(|attempt| effects.cancel_attempt(request_id, attempt));
@@ -83,29 +83,29 @@
             return;
         }
         match self.pending_wait(request, last) {
-            Wait::GoesOn => {
+            WaitStatus::InProgress => {
                 return effects.set_timer(request_id.0, self.silence_timeout() + Span::TICK);
             }
-            Wait::Silent => {
+            WaitStatus::Silent => {
                 if self.servers[server].liveness.count_silence() {
                     self.record_outcome(server, AttemptOutcome::TimedOut, effects);
                 }
             }
-            Wait::HedgeDue => {}
+            WaitStatus::HedgeDue => {}
         }
         self.hedge_or_cancel(request_id, last, effects);
     }
 
     /// How the wait for a request's last pending attempt stands.
-    fn pending_wait(&self, request: &Request, last: usize) -> Wait {
+    fn pending_wait(&self, request: &Request, last: usize) -> WaitStatus {
         let attempt = &request.attempts[last];
         let liveness = &self.servers[attempt.server].liveness;
         if self.is_lost(attempt) || (last == 0 && self.is_hedge_due(request, attempt.sent_at)) {
-            Wait::HedgeDue
+            WaitStatus::HedgeDue
         } else if !liveness.is_silent_since(attempt.sent_at) || !self.is_silent(attempt.server) {
-            Wait::GoesOn
+            WaitStatus::InProgress
         } else {
-            Wait::Silent
+            WaitStatus::Silent
         }
     }
 
@@ -118,7 +118,7 @@
     /// Guards the urgent against the slow tail, where the class asks for it: one hedged request, within its budget.
     fn is_hedge_due(&self, request: &Request, sent_at: Timestamp) -> bool {
         let class = &request.class;
-        let hedge_after = class.hedge_after.and_then(|part| self.latencies.quantile(part));
+        let hedge_after = class.hedge_after.and_then(|thousandths| self.latencies.quantile(thousandths));
         hedge_after.is_some_and(|after| self.now > sent_at + after)
             && class.hedging
             && class.retry_budget.allows_retry(self.now)
--- a/crates/balancer/src/balancer/selection.rs
+++ b/crates/balancer/src/balancer/selection.rs
@@ -23,18 +23,18 @@
 }
 
 /// The least cap on the attempts of one server.
-const LEAST_CAP: u64 = 2;
+const MIN_IN_FLIGHT_CAP: u64 = 2;
 
 /// What a walk along the ring has found out before it looks at single servers.
 struct Walk<'a> {
     request: &'a Request,
     round: Round,
     /// The largest size of the servers on the way.
-    largest: u64,
+    max_size: u64,
     /// The first servers on the way, up to one that does not keep the key.
     keepers: Vec<ServerIndex>,
     /// No ready server is trusted.
-    none_trusted: bool,
+    all_ejected: bool,
     /// A connection to one more server may be opened, by `ZoneGroup`.
     may_connect: [bool; 2],
 }
@@ -49,56 +49,56 @@
         let rest = [Round::Relaxed, Round::LastResort]
             .into_iter()
             .flat_map(|round| [RingScope::OwnZone, RingScope::OtherZones].map(|scope| (scope, round)));
-        first.into_iter().chain(rest).find_map(|(scope, round)| self.first_on_ring(scope, request, round))
+        first.into_iter().chain(rest).find_map(|(scope, round)| self.find_on_ring(scope, request, round))
     }
 
     /// Follows a ring from the key's point, passing servers at the cap, ejected, silent, in slow start or not keeping the key.
-    fn first_on_ring(&self, scope: RingScope, request: &Request, round: Round) -> Option<ServerIndex> {
+    fn find_on_ring(&self, scope: RingScope, request: &Request, round: Round) -> Option<ServerIndex> {
         let mut servers: Vec<ServerIndex> = match &request.allowed_servers {
             Some(allowed) => allowed.iter().copied().filter(|server| self.is_ready(*server)).collect(),
             None => self.ring.servers_from(scope, request.key, self.servers.len()),
         };
-        let largest = servers.iter().map(|server| self.servers[*server].keys.size()).max();
+        let max_size = servers.iter().map(|server| self.servers[*server].keys.size()).max();
         let mut walk = Walk {
             request,
             round,
-            largest: largest.unwrap_or(1).max(1),
+            max_size: max_size.unwrap_or(1).max(1),
             keepers: Vec::new(),
-            none_trusted: round == Round::LastResort && self.none_trusted(),
+            all_ejected: round == Round::LastResort && self.all_ejected(),
             may_connect: [ZoneGroup::Own, ZoneGroup::Others].map(|group| self.may_connect(group)),
         };
         walk.keepers = servers.iter().copied().take_while(|server| self.keeps_key(&walk, *server)).collect();
         if round == Round::LastResort {
             // Guards against rejecting as those that are passed hold nothing: the mean is of the others.
-            servers.retain(|server| self.may_get(&walk, *server));
+            servers.retain(|server| self.may_receive(&walk, *server));
         }
         let in_flight: u64 =
             servers.iter().map(|server| self.servers[*server].liveness.in_flight()).sum::<u64>() + 1;
         // 5/4 of the mean: consistent hashing with bounded loads.
-        let cap = (in_flight * 5).div_ceil(4 * servers.len().max(1) as u64).max(LEAST_CAP);
-        servers
-            .into_iter()
-            .find(|server| self.servers[*server].liveness.in_flight() < cap && self.may_get(&walk, *server))
+        let cap = (in_flight * 5).div_ceil(4 * servers.len().max(1) as u64).max(MIN_IN_FLIGHT_CAP);
+        servers.into_iter().find(|server| {
+            self.servers[*server].liveness.in_flight() < cap && self.may_receive(&walk, *server)
+        })
     }
 
     /// Guards against taking a failure behind all servers (link, origin) for one of each of them.
-    fn none_trusted(&self) -> bool {
+    fn all_ejected(&self) -> bool {
         (0..self.servers.len())
             .all(|server| !self.is_ready(server) || self.servers[server].failures.is_ejected())
     }
 
     fn keeps_key(&self, walk: &Walk, server: ServerIndex) -> bool {
         walk.round != Round::Strict
-            || self.servers[server].keys.keeps(walk.request.key, self.salt, walk.largest)
+            || self.servers[server].keys.keeps(walk.request.key, self.salt, walk.max_size)
     }
 
     /// Whether a server may get the attempt.
-    fn may_get(&self, walk: &Walk, index: ServerIndex) -> bool {
+    fn may_receive(&self, walk: &Walk, index: ServerIndex) -> bool {
         let Walk { request, round, .. } = *walk;
         let server = &self.servers[index];
         let in_flight = server.liveness.in_flight();
         let strict = round == Round::Strict;
-        (server.failures.is_trusted(in_flight) || walk.none_trusted)
+        (server.failures.allows_attempt(in_flight) || walk.all_ejected)
             && (round == Round::LastResort || !self.is_silent(index))
             && (server.connected || walk.may_connect[self.zone_group(server) as usize])
             && !request.attempts.iter().any(|a| a.server == index && (a.failed || a.pending))
@@ -107,7 +107,7 @@
             && self.keeps_key(walk, index)
             && match strict {
                 true => server.concurrency.admits(in_flight, request.draw),
-                false => server.concurrency.admits_stretched(in_flight, request.draw),
+                false => server.concurrency.admits_relaxed(in_flight, request.draw),
             }
             && self.may_attempt(request, index)
     }
--- a/crates/balancer/src/balancer/snapshot.rs
+++ b/crates/balancer/src/balancer/snapshot.rs
@@ -6,30 +6,30 @@
 use crate::request::Request;
 use crate::request_class::ClassHandle;
 use crate::settings::Settings;
-use crate::snapshot::{MOST_ITEMS, Reader, Snapshot, Stored};
+use crate::snapshot::{MAX_ITEMS, Reader, Snapshot, Stored};
 use chalkwalk_time::Timestamp;
 use std::collections::{BTreeMap, HashSet};
 
 /// Stores a request, and its class by number.
-fn store_request(request: &Request, class: usize, to: &mut Snapshot) {
-    class.store(to);
-    (request.key, request.write).store(to);
-    request.allowed_servers.store(to);
-    [request.expires, request.useful_until].store(to);
-    request.draw.store(to);
-    request.attempts.store(to);
-    let Request { shortened, answered, streaming, waiting, leads_fetch, .. } = *request;
-    [shortened, answered, streaming, waiting, leads_fetch].store(to);
+fn store_request(request: &Request, class: usize, snapshot: &mut Snapshot) {
+    class.store(snapshot);
+    (request.key, request.write).store(snapshot);
+    request.allowed_servers.store(snapshot);
+    [request.expires, request.useful_until].store(snapshot);
+    request.draw.store(snapshot);
+    request.attempts.store(snapshot);
+    let Request { time_limit_shortened, answered, streaming, waiting, leads_fetch, .. } = *request;
+    [time_limit_shortened, answered, streaming, waiting, leads_fetch].store(snapshot);
 }
 
-fn load_request(settings: &Settings, from: &mut Reader) -> Option<Request> {
-    let class = ClassHandle::new(settings.classes.get(usize::load(from)?)?);
-    let (key, write) = Stored::load(from)?;
-    let allowed_servers = Stored::load(from)?;
-    let [expires, useful_until] = Stored::load(from)?;
-    let draw = Stored::load(from)?;
-    let attempts = Stored::load(from)?;
-    let [shortened, answered, streaming, waiting, leads_fetch] = Stored::load(from)?;
+fn load_request(settings: &Settings, reader: &mut Reader) -> Option<Request> {
+    let class = ClassHandle::new(settings.classes.get(usize::load(reader)?)?);
+    let (key, write) = Stored::load(reader)?;
+    let allowed_servers = Stored::load(reader)?;
+    let [expires, useful_until] = Stored::load(reader)?;
+    let draw = Stored::load(reader)?;
+    let attempts = Stored::load(reader)?;
+    let [time_limit_shortened, answered, streaming, waiting, leads_fetch] = Stored::load(reader)?;
     Some(Request {
         class,
         key,
@@ -39,7 +39,7 @@
         useful_until,
         draw,
         attempts,
-        shortened,
+        time_limit_shortened,
         answered,
         streaming,
         waiting,
@@ -50,89 +50,89 @@
 impl Balancer {
     /// All that it knows. Nothing while a request still has limits that new settings have replaced: soon after there is.
     pub fn snapshot(&self) -> Option<Snapshot> {
-        let mut to = Snapshot::default();
-        self.now.store(&mut to);
-        self.settings.proxies.store(&mut to);
-        self.shedding.shared_ring_share().store(&mut to);
-        self.accepted.store(&mut to);
-        self.shedding.accepted_recently().store(&mut to);
-        self.salt.store(&mut to);
-        self.decayed_until.store(&mut to);
-        self.connections.refused_share().store(&mut to);
-        self.discovery.store(&mut to);
-        self.origin.store(&mut to);
-        self.random.store(&mut to);
-        self.servers.store(&mut to);
-        self.shedding.admission_ratios().store(&mut to);
-        self.connections.limits().store(&mut to);
-        self.latencies.store(&mut to);
-        self.fetches.store(&mut to);
-        self.key_order.store(&mut to);
-        self.disabled.clone().into_iter().collect::<Vec<(String, Timestamp)>>().store(&mut to);
-        self.shedding.resolved_keys().store(&mut to);
-        self.settings.classes.iter().for_each(|class| class.retry_budget.counters().store(&mut to));
-        self.store_requests(&mut to)?;
-        Some(to)
+        let mut snapshot = Snapshot::default();
+        self.now.store(&mut snapshot);
+        self.settings.proxies.store(&mut snapshot);
+        self.shedding.shared_ring_share().store(&mut snapshot);
+        self.accepted.store(&mut snapshot);
+        self.shedding.accepted_recently().store(&mut snapshot);
+        self.salt.store(&mut snapshot);
+        self.decayed_until.store(&mut snapshot);
+        self.connections.refused_share().store(&mut snapshot);
+        self.discovery.store(&mut snapshot);
+        self.origin.store(&mut snapshot);
+        self.random.store(&mut snapshot);
+        self.servers.store(&mut snapshot);
+        self.shedding.admission_ratios().store(&mut snapshot);
+        self.connections.limits().store(&mut snapshot);
+        self.latencies.store(&mut snapshot);
+        self.fetches.store(&mut snapshot);
+        self.key_order.store(&mut snapshot);
+        self.disabled.clone().into_iter().collect::<Vec<(String, Timestamp)>>().store(&mut snapshot);
+        self.shedding.resolved_keys().store(&mut snapshot);
+        self.settings.classes.iter().for_each(|class| class.retry_budget.counters().store(&mut snapshot));
+        self.store_requests(&mut snapshot)?;
+        Some(snapshot)
     }
 
-    fn store_requests(&self, to: &mut Snapshot) -> Option<()> {
-        self.requests.len().store(to);
+    fn store_requests(&self, snapshot: &mut Snapshot) -> Option<()> {
+        self.requests.len().store(snapshot);
         let ordered: BTreeMap<&u64, &Request> = self.requests.iter().collect();
         for (request_id, request) in ordered {
-            request_id.store(to);
+            request_id.store(snapshot);
             let class = self.settings.classes.iter().position(|class| request.class.is_of(class))?;
-            store_request(request, class, to);
+            store_request(request, class, snapshot);
         }
         Some(())
     }
 
     /// A balancer with these settings which knows all that another knew; nothing where the snapshot is not of such a balancer.
     pub fn from_snapshot(values: &BTreeMap<String, String>, snapshot: &Snapshot) -> Option<Balancer> {
-        let from = &mut Reader::new(snapshot);
+        let reader = &mut Reader::new(snapshot);
         let mut balancer = Balancer { settings: Settings::read(values), ..Balancer::default() };
-        balancer.now = Stored::load(from)?;
-        balancer.settings.proxies = Stored::load(from)?;
-        let shared_ring_share = Stored::load(from)?;
-        balancer.accepted = Stored::load(from)?;
-        let accepted_recently = Stored::load(from)?;
-        balancer.salt = Stored::load(from)?;
-        balancer.decayed_until = Stored::load(from)?;
-        let refused_share = Stored::load(from)?;
-        balancer.discovery = Stored::load(from)?;
-        balancer.origin = Stored::load(from)?;
-        balancer.random = Stored::load(from)?;
-        balancer.servers = Stored::load(from)?;
-        let admission_ratios = Stored::load(from)?;
-        balancer.connections = ConnectionLimits::restored(refused_share, Stored::load(from)?);
-        balancer.latencies = Stored::load(from)?;
-        balancer.fetches = Stored::load(from)?;
-        balancer.key_order = Stored::load(from)?;
-        balancer.disabled = Vec::<(String, Timestamp)>::load(from)?.into_iter().collect();
-        let resolved_keys = <[HashSet<u64>; 2]>::load(from)?;
+        balancer.now = Stored::load(reader)?;
+        balancer.settings.proxies = Stored::load(reader)?;
+        let shared_ring_share = Stored::load(reader)?;
+        balancer.accepted = Stored::load(reader)?;
+        let accepted_recently = Stored::load(reader)?;
+        balancer.salt = Stored::load(reader)?;
+        balancer.decayed_until = Stored::load(reader)?;
+        let refused_share = Stored::load(reader)?;
+        balancer.discovery = Stored::load(reader)?;
+        balancer.origin = Stored::load(reader)?;
+        balancer.random = Stored::load(reader)?;
+        balancer.servers = Stored::load(reader)?;
+        let admission_ratios = Stored::load(reader)?;
+        balancer.connections = ConnectionLimits::restored(refused_share, Stored::load(reader)?);
+        balancer.latencies = Stored::load(reader)?;
+        balancer.fetches = Stored::load(reader)?;
+        balancer.key_order = Stored::load(reader)?;
+        balancer.disabled = Vec::<(String, Timestamp)>::load(reader)?.into_iter().collect();
+        let resolved_keys = <[HashSet<u64>; 2]>::load(reader)?;
         balancer.shedding =
             LoadShedding::restored(shared_ring_share, accepted_recently, admission_ratios, resolved_keys);
         for class in &balancer.settings.classes {
-            class.retry_budget.restore(Stored::load(from)?);
+            class.retry_budget.restore(Stored::load(reader)?);
         }
-        balancer.load_requests(from)?;
-        if !from.is_at_end() || !balancer.names_known_servers() {
+        balancer.load_requests(reader)?;
+        if !reader.is_at_end() || !balancer.references_known_servers() {
             return None;
         }
         balancer.rebuild_ring();
         Some(balancer)
     }
 
-    fn load_requests(&mut self, from: &mut Reader) -> Option<()> {
-        for _ in 0..u64::load(from).filter(|count| *count <= MOST_ITEMS)? {
-            let request_id = Stored::load(from)?;
-            let request = load_request(&self.settings, from)?;
+    fn load_requests(&mut self, reader: &mut Reader) -> Option<()> {
+        for _ in 0..u64::load(reader).filter(|count| *count <= MAX_ITEMS)? {
+            let request_id = Stored::load(reader)?;
+            let request = load_request(&self.settings, reader)?;
             self.requests.insert(request_id, request);
         }
         Some(())
     }
 
     /// Whether every attempt, and the origin, is at a server that it knows.
-    fn names_known_servers(&self) -> bool {
+    fn references_known_servers(&self) -> bool {
         let known = self.servers.len();
         let mut attempts = self.requests.values().flat_map(|request| &request.attempts);
         attempts.all(|attempt| attempt.server < known) && self.origin.is_none_or(|origin| origin < known)
--- a/crates/balancer/src/concurrency_limit.rs
+++ b/crates/balancer/src/concurrency_limit.rs
@@ -12,27 +12,27 @@
 /// Hundredths of an attempt: limits are kept in these.
 const ONE_ATTEMPT: u64 = 100;
 /// Before anything is known of a server.
-const AT_FIRST: u64 = 8 * ONE_ATTEMPT;
-const LEAST: u64 = ONE_ATTEMPT / 10;
-const MOST: u64 = 100 * ONE_ATTEMPT;
+const INITIAL_LIMIT: u64 = 8 * ONE_ATTEMPT;
+const MIN_LIMIT: u64 = ONE_ATTEMPT / 10;
+const MAX_LIMIT: u64 = 100 * ONE_ATTEMPT;
 /// Added by an answer in time, where half of the limit was in use.
-const STEP_UP: u64 = 16;
+const INCREASE_STEP: u64 = 16;
 /// So many rejections in a row lower the limit of a server below one attempt. Where half of all attempts are rejected, whatever
 /// the load, one run in sixteen is of four, and a server that is truly full answers nothing in between.
-const REJECTIONS_IN_A_ROW: u64 = 4;
+const REJECTION_THRESHOLD: u64 = 4;
 
 /// How many attempts a server, or the origin, takes at once.
 #[derive(Default)]
 pub(crate) struct ConcurrencyLimit {
     /// Rejected as overloaded, since an answer.
-    rejections: u64,
+    consecutive_rejections: u64,
     /// It had answered nothing for a fifth of a second before its last outcome.
-    sparse: bool,
+    rarely_answers: bool,
     /// Hundredths of an attempt.
     limit: u64,
 }
 
-stored! { ConcurrencyLimit { rejections, sparse, limit } }
+stored! { ConcurrencyLimit { consecutive_rejections, rarely_answers, limit } }
 
 /// What an attempt shows of the limit of its server.
 pub(crate) struct Sample {
@@ -57,8 +57,8 @@
 }
 
 impl ConcurrencyLimit {
-    pub fn at_first() -> ConcurrencyLimit {
-        ConcurrencyLimit { limit: AT_FIRST, ..ConcurrencyLimit::default() }
+    pub fn initial() -> ConcurrencyLimit {
+        ConcurrencyLimit { limit: INITIAL_LIMIT, ..ConcurrencyLimit::default() }
     }
 
     /// In hundredths of an attempt.
@@ -66,13 +66,13 @@
         self.limit
     }
 
-    pub fn is_at_first(&self) -> bool {
-        self.limit == AT_FIRST
+    pub fn is_initial(&self) -> bool {
+        self.limit == INITIAL_LIMIT
     }
 
     /// Takes over what another process has learned, within what could have been learned.
     pub fn restore(&mut self, limit: u64) {
-        self.limit = limit.clamp(LEAST, MOST);
+        self.limit = limit.clamp(MIN_LIMIT, MAX_LIMIT);
     }
 
     /// Whether one more attempt is within the limit. `draw`, 0 to 99, gives a part of an attempt to a part of the requests.
@@ -81,13 +81,13 @@
     }
 
     /// The same for 3/2 of the limit.
-    pub fn admits_stretched(&self, in_flight: u64, draw: u64) -> bool {
+    pub fn admits_relaxed(&self, in_flight: u64, draw: u64) -> bool {
         in_flight * ONE_ATTEMPT + draw < self.limit * 3 / 2
     }
 
     /// Whether the server has answered seldom of late.
-    pub fn set_sparse(&mut self, sparse: bool) {
-        self.sparse = sparse;
+    pub fn set_rarely_answers(&mut self, rarely_answers: bool) {
+        self.rarely_answers = rarely_answers;
     }
 
     /// An attempt ended.
@@ -95,25 +95,27 @@
         let late = sample.is_late();
         match sample.outcome {
             AttemptOutcome::Completed if !late && sample.in_flight * 2 * ONE_ATTEMPT > self.limit => {
-                self.limit += STEP_UP;
+                self.limit += INCREASE_STEP;
             }
             AttemptOutcome::Completed | AttemptOutcome::TimedOut if late => {
                 // What was in flight is too much at a server that seldom answers: one of many proxies has few answers of it.
-                let bound = if self.sparse { sample.in_flight * ONE_ATTEMPT } else { self.limit };
+                let bound = if self.rarely_answers { sample.in_flight * ONE_ATTEMPT } else { self.limit };
                 self.limit = (self.limit * 7 / 8).min(bound);
             }
             // One at a time is no load: guards servers that reject a part of whatever comes.
-            AttemptOutcome::Overloaded if sample.from_server && self.rejections < REJECTIONS_IN_A_ROW => {
+            AttemptOutcome::Overloaded
+                if sample.from_server && self.consecutive_rejections < REJECTION_THRESHOLD =>
+            {
                 self.limit -= (self.limit / 4).min(self.limit.saturating_sub(ONE_ATTEMPT));
             }
             AttemptOutcome::Overloaded => self.limit -= self.limit / 4,
             _ => {}
         }
-        self.rejections = match sample.outcome {
-            AttemptOutcome::Overloaded => self.rejections + 1,
+        self.consecutive_rejections = match sample.outcome {
+            AttemptOutcome::Overloaded => self.consecutive_rejections + 1,
             outcome if outcome.is_success_or_miss() => 0,
-            _ => self.rejections,
+            _ => self.consecutive_rejections,
         };
-        self.limit = self.limit.clamp(LEAST, MOST);
+        self.limit = self.limit.clamp(MIN_LIMIT, MAX_LIMIT);
     }
 }
--- a/crates/balancer/src/connections.rs
+++ b/crates/balancer/src/connections.rs
@@ -5,13 +5,13 @@
 //! Inputs: which attempts found no connection.
 
 /// Hundredths of a server: limits are kept in these.
-const ONE: u64 = 100;
+const ONE_SERVER: u64 = 100;
 /// No limit at all.
 const UNLIMITED: u64 = 1 << 30;
 /// Every four seconds one more.
-const PER_SECOND: u64 = ONE / 4;
+const INCREASE_PER_SECOND: u64 = ONE_SERVER / 4;
 /// Two of the last 32 attempts, in ten-thousandths, are more than one server that died, which is ejected.
-const SCARCE: u64 = 600;
+const SCARCITY_THRESHOLD: u64 = 600;
 
 /// The servers of the own zone and those of others have limits of their own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -55,7 +55,7 @@
 
     /// Whether a connection to one more server may be opened beside those to so many.
     pub fn may_open(&self, group: ZoneGroup, connected: u64) -> bool {
-        connected * ONE + ONE <= self.limits[group as usize]
+        connected * ONE_SERVER + ONE_SERVER <= self.limits[group as usize]
     }
 
     /// An attempt at a server found a connection, or none.
@@ -65,23 +65,23 @@
 
     /// Connections are refused for lack of capacity, and not by a server that died.
     pub fn is_scarce(&self) -> bool {
-        self.refused_share > SCARCE
+        self.refused_share > SCARCITY_THRESHOLD
     }
 
     /// A server had no capacity for a connection: no more are held than to so many.
     pub fn lower(&mut self, group: ZoneGroup, connected: u64) {
         let limit = &mut self.limits[group as usize];
-        *limit = (*limit).min(ONE * connected.max(1));
+        *limit = (*limit).min(ONE_SERVER * connected.max(1));
     }
 
     /// A connection that was opened was let in.
     pub fn raise(&mut self, group: ZoneGroup) {
         let limit = &mut self.limits[group as usize];
-        *limit = (*limit + 2 * ONE).min(UNLIMITED);
+        *limit = (*limit + 2 * ONE_SERVER).min(UNLIMITED);
     }
 
     /// A second has passed.
     pub fn recover(&mut self) {
-        self.limits = self.limits.map(|limit| (limit + PER_SECOND).min(UNLIMITED));
+        self.limits = self.limits.map(|limit| (limit + INCREASE_PER_SECOND).min(UNLIMITED));
     }
 }
--- a/crates/balancer/src/discovery.rs
+++ b/crates/balancer/src/discovery.rs
@@ -41,43 +41,43 @@
 pub const LONGEST_CALL_INTERVAL: Span = NOTIFIED_WITHIN.minus(LONGEST_QUEUE_WAIT);
 
 /// No failing call is repeated sooner, or calls that fail at once would spin.
-const SHORTEST_BACKOFF: Span = Span::from_millis(250);
+const MIN_BACKOFF: Span = Span::from_millis(250);
 /// For starved cores, the transfer and reading a long list.
 const HEADROOM: Span = Span::from_millis(250);
 /// From the beginning of a call that failed to that of the next.
-const LONGEST_RETRY_INTERVAL: Span = LONGEST_CALL_INTERVAL.minus(HEADROOM);
+const MAX_RETRY_INTERVAL: Span = LONGEST_CALL_INTERVAL.minus(HEADROOM);
 /// A call that took so long has waited in the queue: half of the longest wait, and well above what a call takes on a busy
 /// machine.
-const QUEUED_FROM: Span = Span::from_secs(1);
+const MIN_QUEUED_CALL_TIME: Span = Span::from_secs(1);
 /// After a call that has waited in the queue no backoff is shorter, as a service that works on calls which it has refused by
 /// then has to get through a whole fleet's calls from one call of a process to its next: 3.5 s with the wait.
-const SHORTEST_BACKOFF_AFTER_QUEUE: Span = Span::from_millis(1_500);
+const MIN_BACKOFF_AFTER_QUEUE: Span = Span::from_millis(1_500);
 /// So many calls in a row that failed, the last after waiting, over a minute of nothing else, are taken for a service that the
 /// fleet itself keeps from working.
-const CONGESTED_AFTER: u32 = 20;
+const CONGESTION_FAILURES: u32 = 20;
 /// The backoff then. It exceeds the term, and is the one exception: a fleet that keeps to the term would go on keeping the
 /// service from answering anybody. Eight seconds in the mean, so that a queue of five seconds runs dry first.
-const BACKOFF_WHILE_CONGESTED: (Span, Span) = (Span::from_secs(4), Span::from_secs(12));
+const CONGESTION_BACKOFF: (Span, Span) = (Span::from_secs(4), Span::from_secs(12));
 
 /// An older call beside a newer one that failed is accepted until so long after the beginning of the newer: the shortest backoff
 /// follows.
-pub const OLDER_CALL_TIMEOUT: Span = LONGEST_RETRY_INTERVAL.minus(SHORTEST_BACKOFF.times(2));
+pub const OLDER_CALL_TIMEOUT: Span = MAX_RETRY_INTERVAL.minus(MIN_BACKOFF.times(2));
 
 // The term, part by part: what takes the longest before the next call can be made.
-const _: () = assert!(CONNECT_TIMEOUT.plus(SHORTEST_BACKOFF.times(2)).fits(LONGEST_RETRY_INTERVAL));
-const _: () = assert!(POLL_SILENT_AFTER.fits(LONGEST_RETRY_INTERVAL));
-const _: () = assert!(WATCH_SILENT_AFTER.plus(SHORTEST_BACKOFF.times(2)).fits(LONGEST_QUEUE_WAIT));
+const _: () = assert!(CONNECT_TIMEOUT.plus(MIN_BACKOFF.times(2)).fits(MAX_RETRY_INTERVAL));
+const _: () = assert!(POLL_SILENT_AFTER.fits(MAX_RETRY_INTERVAL));
+const _: () = assert!(WATCH_SILENT_AFTER.plus(MIN_BACKOFF.times(2)).fits(LONGEST_QUEUE_WAIT));
 // A silent watch is followed by another call while what it misses does not count as notified yet.
 const _: () = assert!(LONGEST_WATCH_WAIT.plus(WATCH_SILENT_AFTER).fits(NOTIFIED_WITHIN));
 
 /// Whether a call that begins so long after the one before keeps the term; that one could wait for an event for `wait`. The
 /// grace of drains covers the headroom.
-pub fn call_interval_allowed(apart: Span, wait: Span) -> bool {
+pub fn call_interval_allowed(interval: Span, watch_wait: Span) -> bool {
     // A watch may fail just before it is taken for silent, and the shortest backoff follows. What it missed counts as notified
     // a queue wait after its wait.
     let watched =
-        if wait > Span::ZERO { wait + WATCH_SILENT_AFTER + 2 * SHORTEST_BACKOFF } else { Span::ZERO };
-    apart <= LONGEST_CALL_INTERVAL.max(watched) + HEADROOM
+        if watch_wait > Span::ZERO { watch_wait + WATCH_SILENT_AFTER + 2 * MIN_BACKOFF } else { Span::ZERO };
+    interval <= LONGEST_CALL_INTERVAL.max(watched) + HEADROOM
 }
 
 /// The calls to discovery that failed in a row.
@@ -101,51 +101,56 @@
 
     /// A call was answered; whether one had failed before. One answer does not end congestion.
     pub fn record_answer(&mut self) -> bool {
-        let congested = self.failures > CONGESTED_AFTER;
-        std::mem::replace(&mut self.failures, if congested { CONGESTED_AFTER } else { 0 }) > 0
+        let congested = self.failures > CONGESTION_FAILURES;
+        std::mem::replace(&mut self.failures, if congested { CONGESTION_FAILURES } else { 0 }) > 0
     }
 }
 
 /// The backoff after failed calls, as the settings of a deployment bound them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Backoff {
-    shortest: Span,
+    min_delay: Span,
     /// From the beginning of the failed call on.
-    within: Span,
+    max_interval: Span,
     /// The longest after any call.
-    longest: Span,
+    max_delay: Span,
 }
 
 impl Backoff {
     /// Where the list is polled. `ask_time`: for so long a process may neither watch nor poll.
-    pub fn polled(ask_time: Span) -> Backoff {
+    pub fn polled(max_poll_gap: Span) -> Backoff {
         Backoff {
-            shortest: SHORTEST_BACKOFF,
-            within: LONGEST_RETRY_INTERVAL,
-            longest: ask_time.max(2 * SHORTEST_BACKOFF),
+            min_delay: MIN_BACKOFF,
+            max_interval: MAX_RETRY_INTERVAL,
+            max_delay: max_poll_gap.max(2 * MIN_BACKOFF),
         }
     }
 
     /// Where the list is pushed by an agent of the process's own: what it has counts as notified at once, and only the grace
     /// runs. A quarter of it leaves time for further tries; nobody shares the agent.
     pub fn pushed(grace: Span) -> Backoff {
-        let longest = (grace / 4).clamp(SECOND / 20, LONGEST_RETRY_INTERVAL);
-        Backoff { shortest: longest / 4, within: LONGEST_RETRY_INTERVAL, longest }
+        let max_delay = (grace / 4).clamp(SECOND / 20, MAX_RETRY_INTERVAL);
+        Backoff { min_delay: max_delay / 4, max_interval: MAX_RETRY_INTERVAL, max_delay }
     }
 
     /// How long to wait after a call that took so long and failed, the last of so many in a row; `below` draws a uniform span
     /// below another.
-    pub fn delay(&self, took: Span, in_a_row: u32, below: impl FnOnce(Span) -> Span) -> Span {
-        let queued = took >= QUEUED_FROM;
-        let (shortest, longest) = match queued && in_a_row > CONGESTED_AFTER {
-            true => BACKOFF_WHILE_CONGESTED,
+    pub fn delay(
+        &self,
+        took: Span,
+        consecutive_failures: u32,
+        random_below: impl FnOnce(Span) -> Span,
+    ) -> Span {
+        let queued = took >= MIN_QUEUED_CALL_TIME;
+        let (min_delay, max_delay) = match queued && consecutive_failures > CONGESTION_FAILURES {
+            true => CONGESTION_BACKOFF,
             false => {
-                let shortest = if queued { SHORTEST_BACKOFF_AFTER_QUEUE } else { self.shortest };
-                (shortest, self.within.saturating_sub(took).max(2 * self.shortest))
+                let min_delay = if queued { MIN_BACKOFF_AFTER_QUEUE } else { self.min_delay };
+                (min_delay, self.max_interval.saturating_sub(took).max(2 * self.min_delay))
             }
         };
-        let longest = longest.min(self.longest);
-        let shortest = shortest.min(longest * 9 / 10);
-        shortest + below((longest - shortest).max(Span::TICK))
+        let max_delay = max_delay.min(self.max_delay);
+        let min_delay = min_delay.min(max_delay * 9 / 10);
+        min_delay + random_below((max_delay - min_delay).max(Span::TICK))
     }
 }
--- a/crates/balancer/src/effects.rs
+++ b/crates/balancer/src/effects.rs
@@ -6,7 +6,13 @@
 /// What a balancer calls while it decides. An implementation must not call back into the balancer.
 pub trait Effects {
     /// Sends the request to a server: given up at `until`, and not written at all where that would be later than `by`.
-    fn start_attempt(&mut self, request_id: RequestId, server: ServerIndex, until: Timestamp, by: Timestamp);
+    fn start_attempt(
+        &mut self,
+        request_id: RequestId,
+        server: ServerIndex,
+        deadline: Timestamp,
+        send_by: Timestamp,
+    );
     /// Withdraws an attempt, by its index among those of the request.
     fn cancel_attempt(&mut self, request_id: RequestId, attempt: usize);
     /// Answers the client that the request was not served, and when to retry; zero: without a time.
--- a/crates/balancer/src/histogram.rs
+++ b/crates/balancer/src/histogram.rs
@@ -5,13 +5,13 @@
 
 const DOUBLINGS: usize = 14;
 /// What one answer adds to its bin: four, so that a single one outlives two halvings.
-const PER_ANSWER: u32 = 4;
+const COUNT_PER_ANSWER: u32 = 4;
 /// Fewer than five answers say too little about a ninth decile.
-const ENOUGH_FOR_DECILE: u32 = 5 * PER_ANSWER;
+const MIN_COUNT_FOR_DECILE: u32 = 5 * COUNT_PER_ANSWER;
 /// Fewer than twenty answers say too little about a quantile.
-const ENOUGH_FOR_QUANTILE: u64 = 20 * PER_ANSWER as u64;
+const MIN_COUNT_FOR_QUANTILE: u64 = 20 * COUNT_PER_ANSWER as u64;
 /// Forty answers: fewer are kept, as half of them would be too few.
-const ENOUGH_TO_DECAY: u32 = 40 * PER_ANSWER;
+const MIN_COUNT_TO_DECAY: u32 = 40 * COUNT_PER_ANSWER;
 
 /// A histogram with four bins for each doubling from 0.8 ms up, halved once a second.
 #[derive(Clone)]
@@ -34,13 +34,13 @@
         let doubling = ((took / 8 + 1).ilog2() as usize).min(DOUBLINGS - 1);
         // The bins of a doubling begin at 8 * (2^doubling - 1), and are 8 * 2^doubling long together.
         let quarter = ((took + 8) >> (doubling + 1)).saturating_sub(4).min(3) as usize;
-        self.counts[4 * doubling + quarter] += PER_ANSWER;
+        self.counts[4 * doubling + quarter] += COUNT_PER_ANSWER;
     }
 
     /// Halves what is counted, unless too little would be left to read anything from: a proxy with little traffic knows its
     /// servers by their earlier answers.
     pub fn decay(&mut self) {
-        if self.counts.iter().sum::<u32>() >= ENOUGH_TO_DECAY {
+        if self.counts.iter().sum::<u32>() >= MIN_COUNT_TO_DECAY {
             self.counts.iter_mut().for_each(|count| *count /= 2);
         }
     }
@@ -51,7 +51,7 @@
         let count: u32 = self.counts.iter().sum();
         let mut above = count / 10;
         for i in (0..DOUBLINGS).rev() {
-            if count >= ENOUGH_FOR_DECILE && in_doubling(i) > above {
+            if count >= MIN_COUNT_FOR_DECILE && in_doubling(i) > above {
                 return Span::from_ticks(16 << i);
             }
             above -= in_doubling(i).min(above);
@@ -66,7 +66,7 @@
         let mut above = count * (1000 - thousandths) / 1000;
         for (i, in_bin) in self.counts.iter().enumerate().rev() {
             let in_bin = u64::from(*in_bin);
-            if in_bin > above && count >= ENOUGH_FOR_QUANTILE {
+            if in_bin > above && count >= MIN_COUNT_FOR_QUANTILE {
                 let doubling = i / 4;
                 let quarter = i as u64 % 4;
                 return Some(Span::from_ticks(((5 + quarter) << (doubling + 1)) - 8));
--- a/crates/balancer/src/histogram/tests.rs
+++ b/crates/balancer/src/histogram/tests.rs
@@ -7,7 +7,7 @@
     let mut histogram = LatencyHistogram::default();
     assert_eq!(histogram.quantile(900), None);
     (0..1000).for_each(|took| histogram.record(Span::from_ticks(took)));
-    let quantiles = [500, 900, 950, 990].map(|part| histogram.quantile(part).map(Span::ticks));
+    let quantiles = [500, 900, 950, 990].map(|thousandths| histogram.quantile(thousandths).map(Span::ticks));
     assert_eq!(quantiles, [Some(504), Some(1016), Some(1016), Some(1016)]);
     // It is the beginning of the next bin, and never below what was recorded.
     for took in 0..3000 {
--- a/crates/balancer/src/key_order.rs
+++ b/crates/balancer/src/key_order.rs
@@ -10,7 +10,7 @@
 use std::collections::HashMap;
 
 /// More than ever come to their turn while they are of use.
-const LONGEST_QUEUE: usize = 100;
+const MAX_QUEUE_LENGTH: usize = 100;
 
 /// The requests with one key.
 #[derive(Default)]
@@ -66,7 +66,7 @@
         key: u64,
         request_id: RequestId,
         now: Timestamp,
-        typical: Span,
+        median_latency: Span,
         useful_until: Timestamp,
     ) -> Turn {
         if key == key_point("") {
@@ -79,8 +79,8 @@
         if queue.active == Some(request_id) {
             return Turn::Now;
         }
-        let expected = queue.quiet_until.max(now + typical * (queue.waiting.len() as u64 + 1));
-        if queue.waiting.len() >= LONGEST_QUEUE || expected >= useful_until {
+        let expected = queue.quiet_until.max(now + median_latency * (queue.waiting.len() as u64 + 1));
+        if queue.waiting.len() >= MAX_QUEUE_LENGTH || expected >= useful_until {
             return Turn::Never;
         }
         queue.waiting.push(request_id);
@@ -88,7 +88,7 @@
     }
 
     /// An attempt for a key may still run: no other request with the key is sent until then.
-    pub fn keep_quiet(&mut self, key: u64, until: Timestamp) {
+    pub fn start_quiet_period(&mut self, key: u64, until: Timestamp) {
         if let Some(queue) = self.queues.get_mut(&key) {
             queue.quiet_until = until;
         }
--- a/crates/balancer/src/liveness.rs
+++ b/crates/balancer/src/liveness.rs
@@ -31,12 +31,12 @@
     waiting_since: Timestamp,
     last_answer: Timestamp,
     /// When the attempt was sent that was answered and had been sent last.
-    last_answered_send: Timestamp,
+    latest_answered_sent_at: Timestamp,
     /// The present silence was counted as a failure.
     silence_counted: bool,
 }
 
-stored! { Liveness { in_flight, streaming, waiting_since, last_answer, last_answered_send, silence_counted } }
+stored! { Liveness { in_flight, streaming, waiting_since, last_answer, latest_answered_sent_at, silence_counted } }
 
 impl Liveness {
     pub fn in_flight(&self) -> u64 {
@@ -70,7 +70,7 @@
         self.waiting_since = now;
         self.last_answer = now;
         self.silence_counted = false;
-        self.last_answered_send = self.last_answered_send.max(sent_at);
+        self.latest_answered_sent_at = self.latest_answered_sent_at.max(sent_at);
     }
 
     /// Whether it owes an answer, and has sent nothing for longer than the timeout, which is computed only then.
@@ -85,7 +85,7 @@
 
     /// Whether an attempt that was sent later has been answered.
     pub fn answered_one_sent_after(&self, sent_at: Timestamp) -> bool {
-        self.last_answered_send > sent_at
+        self.latest_answered_sent_at > sent_at
     }
 
     /// Whether others were answered just now.
@@ -94,7 +94,7 @@
     }
 
     /// Whether it has answered nothing for a fifth of a second.
-    pub fn answers_seldom(&self, now: Timestamp) -> bool {
+    pub fn rarely_answers(&self, now: Timestamp) -> bool {
         now > self.last_answer + SECOND / 5
     }
 
--- a/crates/balancer/src/load_shedding.rs
+++ b/crates/balancer/src/load_shedding.rs
@@ -10,13 +10,13 @@
 use std::collections::HashSet;
 
 /// All requests, in thousandths.
-const ALL: u64 = 1000;
+const FULL_RATIO: u64 = 1000;
 /// The least that is sent: one in twenty.
-const LEAST: u64 = 50;
+const MIN_RATIO: u64 = 50;
 /// Each second, so that all are sent again within 20 s whatever comes.
-const PER_SECOND: u64 = 50;
+const INCREASE_PER_SECOND: u64 = 50;
 /// An answer in time: an eighth down and a seventeenth up hold all requests while up to one in three is late.
-const PER_ANSWER_IN_TIME: u64 = 60;
+const INCREASE_PER_TIMELY_ANSWER: u64 = 60;
 /// Keys are remembered for 4 to 8 s: longer, and too many pass whose copy is gone by then.
 const KEY_MEMORY_SECONDS: u64 = 4;
 
@@ -42,7 +42,7 @@
 
 impl Default for LoadShedding {
     fn default() -> LoadShedding {
-        LoadShedding::restored(0, 0, [ALL; 2], <[HashSet<u64>; 2]>::default())
+        LoadShedding::restored(0, 0, [FULL_RATIO; 2], <[HashSet<u64>; 2]>::default())
     }
 }
 
@@ -84,8 +84,8 @@
     /// An answer came, in time or late.
     pub fn record(&mut self, resource: Resource, late: bool) {
         let ratio = &mut self.admission_ratios[resource as usize];
-        let next = if late { *ratio * 7 / 8 } else { (*ratio + PER_ANSWER_IN_TIME).min(ALL) };
-        *ratio = next.max(LEAST);
+        let next = if late { *ratio * 7 / 8 } else { (*ratio + INCREASE_PER_TIMELY_ANSWER).min(FULL_RATIO) };
+        *ratio = next.max(MIN_RATIO);
     }
 
     /// A request was rejected as the origin is short. By their share, whatever this proxy's traffic: one in twenty, and all keys
@@ -119,7 +119,8 @@
     /// A second has passed, the `second`th.
     pub fn recover(&mut self, second: u64) {
         self.accepted_recently /= 2;
-        self.admission_ratios = self.admission_ratios.map(|ratio| (ratio + PER_SECOND).min(ALL));
+        self.admission_ratios =
+            self.admission_ratios.map(|ratio| (ratio + INCREASE_PER_SECOND).min(FULL_RATIO));
         if second.is_multiple_of(KEY_MEMORY_SECONDS) {
             self.resolved_keys.swap(0, 1);
             self.resolved_keys[0].clear();
--- a/crates/balancer/src/outlier.rs
+++ b/crates/balancer/src/outlier.rs
@@ -9,17 +9,17 @@
 
 const SECOND: Span = Span::from_secs(1);
 /// Up for a failure; down by one for an answer.
-const FAILURE: u64 = 3;
+const FAILURE_PENALTY: u64 = 3;
 /// Up for a broken connection of a server that answered others just now: it was the connection, and not the server.
-const BROKEN_CONNECTION: u64 = 2;
+const BROKEN_CONNECTION_PENALTY: u64 = 2;
 /// A server is ejected from here on.
-const EJECTED_FROM: u64 = 9;
+const EJECTION_THRESHOLD: u64 = 9;
 /// One attempt at a time from here on; an ejected server is readmitted below.
-const SUSPECT_FROM: u64 = 6;
+const SUSPECT_THRESHOLD: u64 = 6;
 /// The score of a server that was readmitted by a health check: one attempt at a time until two were answered.
-const READMITTED: u64 = 7;
+const READMISSION_SCORE: u64 = 7;
 /// Seven answers make up for the worst score.
-const MOST: u64 = 12;
+const MAX_SCORE: u64 = 12;
 
 /// How often a server has failed of late.
 #[derive(Default)]
@@ -36,15 +36,15 @@
     }
 
     /// Whether it may get an attempt beside those in flight.
-    pub fn is_trusted(&self, in_flight: u64) -> bool {
-        !self.ejected && (self.score < SUSPECT_FROM || in_flight == 0)
+    pub fn allows_attempt(&self, in_flight: u64) -> bool {
+        !self.ejected && (self.score < SUSPECT_THRESHOLD || in_flight == 0)
     }
 
     /// Counts an outcome; whether the server is to be ejected for it. `answered_lately`: it has answered others just now.
-    pub fn record(&mut self, outcome: AttemptOutcome, answered_lately: bool) -> bool {
+    pub fn record(&mut self, outcome: AttemptOutcome, answered_recently: bool) -> bool {
         self.score = match outcome {
-            AttemptOutcome::Unreachable | AttemptOutcome::ConnectionLost if answered_lately => {
-                self.score + BROKEN_CONNECTION
+            AttemptOutcome::Unreachable | AttemptOutcome::ConnectionLost if answered_recently => {
+                self.score + BROKEN_CONNECTION_PENALTY
             }
             AttemptOutcome::Completed
             | AttemptOutcome::CompletedFromCache
@@ -55,15 +55,15 @@
             | AttemptOutcome::Cancelled
             | AttemptOutcome::NotSent
             | AttemptOutcome::InvalidRequest => self.score,
-            AttemptOutcome::Unreachable => self.score + EJECTED_FROM,
+            AttemptOutcome::Unreachable => self.score + EJECTION_THRESHOLD,
             AttemptOutcome::ServerError | AttemptOutcome::TimedOut | AttemptOutcome::ConnectionLost => {
-                self.score + FAILURE
+                self.score + FAILURE_PENALTY
             }
         };
         // Ejected and in use all the same, as none was trusted, it is readmitted for its answers.
-        self.score = self.score.min(MOST);
-        self.ejected &= self.score >= SUSPECT_FROM;
-        self.score >= EJECTED_FROM && !self.ejected
+        self.score = self.score.min(MAX_SCORE);
+        self.ejected &= self.score >= SUSPECT_THRESHOLD;
+        self.score >= EJECTION_THRESHOLD && !self.ejected
     }
 
     pub fn eject(&mut self) {
@@ -72,7 +72,7 @@
 
     pub fn readmit(&mut self) {
         self.ejected = false;
-        self.score = READMITTED;
+        self.score = READMISSION_SCORE;
     }
 
     /// A new process: what was held against the old one is void.
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -46,7 +46,7 @@
     pub draw: u64,
     pub attempts: Vec<Attempt>,
     /// Its time limit was shortened while it was open.
-    pub shortened: bool,
+    pub time_limit_shortened: bool,
     /// It has its final answer.
     pub answered: bool,
     /// An answer has begun.
--- a/crates/balancer/src/request_class.rs
+++ b/crates/balancer/src/request_class.rs
@@ -34,7 +34,7 @@
     /// The latency objective.
     pub target: Span,
     /// An answer after the target time is still of use.
-    pub late_counts: bool,
+    pub late_answers_useful: bool,
     /// Requests with one key run one at a time, as accepted.
     pub in_order: bool,
     pub idempotency: Idempotency,
@@ -54,32 +54,33 @@
 impl RequestClass {
     /// Reads the class with that number; without a budget of its own it shares that of all others.
     pub fn read(values: &Values, index: usize, shared_budget: &RetryBudget) -> RequestClass {
-        let own = |name: &str| format!("namespace {index} {name}");
-        let own_budget = values.has(&own("further shots"));
+        let setting = |name: &str| format!("namespace {index} {name}");
+        let own_budget = values.has(&setting("further shots"));
         RequestClass {
-            target: values.span(&own("target time"), 1e4),
-            in_order: values.flag(&own("in order")),
-            late_counts: values.flag(&own("late utility")),
-            idempotency: match values.text(&own("repeats")) {
+            target: values.span(&setting("target time"), 1e4),
+            in_order: values.flag(&setting("in order")),
+            late_answers_useful: values.flag(&setting("late utility")),
+            idempotency: match values.text(&setting("repeats")) {
                 "replayable" => Idempotency::Replayable,
                 "tagged" => Idempotency::Tagged,
                 _ => Idempotency::SingleUse,
             },
-            dedup_group: match values.text(&own("group")) {
+            dedup_group: match values.text(&setting("group")) {
                 "all" => DedupGroup::All,
                 "zone" => DedupGroup::Zone,
                 _ => DedupGroup::Cell,
             },
-            dedup_window: values.span(&own("window"), 0.0),
-            max_attempts: values.number(&own("most shots"), values.number("most shots", 1.0)) as usize,
-            hedging: values.number(&own("second copies"), values.number("second copies", 0.0)) > 0.0,
-            attempt_timeout: values.span(&own("shot wait"), 1e12),
-            hedge_after: Some(values.number(&own("copies after"), 0.0) as u64).filter(|part| *part > 0),
+            dedup_window: values.span(&setting("window"), 0.0),
+            max_attempts: values.number(&setting("most shots"), values.number("most shots", 1.0)) as usize,
+            hedging: values.number(&setting("second copies"), values.number("second copies", 0.0)) > 0.0,
+            attempt_timeout: values.span(&setting("shot wait"), 1e12),
+            hedge_after: Some(values.number(&setting("copies after"), 0.0) as u64)
+                .filter(|thousandths| *thousandths > 0),
             retry_budget: match own_budget {
-                true => RetryBudget::own(values.number(&own("further shots"), 0.0) as u64),
+                true => RetryBudget::own(values.number(&setting("further shots"), 0.0) as u64),
                 false => shared_budget.clone(),
             },
-            max_open: values.number(&own("most open"), 1e12) as u64,
+            max_open: values.number(&setting("most open"), 1e12) as u64,
             open: Cell::new(0),
         }
     }
--- a/crates/balancer/src/server.rs
+++ b/crates/balancer/src/server.rs
@@ -39,8 +39,8 @@
     pub fn new(id: &str) -> Server {
         Server {
             id: id.into(),
-            keys: KeyShare::all(),
-            concurrency: ConcurrencyLimit::at_first(),
+            keys: KeyShare::full(),
+            concurrency: ConcurrencyLimit::initial(),
             ..Server::default()
         }
     }
@@ -68,7 +68,7 @@
 
     /// What was learned of it, where it differs from what holds at first.
     pub fn learned(&self) -> Option<LearnedServer> {
-        let differs = !self.keys.has_all() || !self.concurrency.is_at_first();
+        let differs = !self.keys.is_full() || !self.concurrency.is_initial();
         (self.status == EndpointStatus::Ready && differs).then(|| LearnedServer {
             id: self.id.clone(),
             born: self.started_at,
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -18,7 +18,7 @@
     /// Attempts can be withdrawn.
     pub cancellation: bool,
     /// 0: rejections do not state when to retry.
-    pub longest_retry_after: Span,
+    pub max_retry_after: Span,
     /// The share of its keys that a server stands for at its start.
     pub slow_start_share: f64,
     /// How long after its start a server is in slow start.
@@ -33,7 +33,7 @@
     /// The kind of the origin, where misses are fetched by the proxy.
     pub origin_kind: Option<usize>,
     /// How long no request with a key is sent after an attempt that may still run, where its requests run in order.
-    pub key_quiet_time: Span,
+    pub key_quiet_period: Span,
     /// The classes of requests, and the classes that limits make of them.
     pub classes: Vec<Rc<RequestClass>>,
 }
@@ -51,7 +51,7 @@
             zone: values.number("zone", 0.0) as usize,
             health_checks: values.flag("probes"),
             cancellation: values.flag("withdrawals"),
-            longest_retry_after: values.span("longest stay away", 0.0),
+            max_retry_after: values.span("longest stay away", 0.0),
             slow_start_share: values.number("cold share", 1.0),
             slow_start_time: values.span("cold time", 0.0),
             proxies: values.number("proxies", 1.0) as u64,
@@ -62,7 +62,7 @@
             servers_fetch: values.flag("through"),
             fixed_sizes: values.text("size kind") != "live",
             origin_kind: has_origin.then(|| values.number("origin kind", 0.0) as usize),
-            key_quiet_time: values.span("key quiet", 0.0),
+            key_quiet_period: values.span("key quiet", 0.0),
             classes,
         }
     }
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -10,13 +10,13 @@
 use chalkwalk_time::Timestamp;
 
 /// A server that is past its slow start, in thousandths.
-const DONE: u64 = 1000;
+const COMPLETE: u64 = 1000;
 /// One attempt, in thousandths of a token.
 const ONE_ATTEMPT: u64 = 1000;
 /// Attempts that a server gets in a second from all proxies together at the least, as at their worst servers in slow start bear
 /// twice that.
-const FLEET_FLOOR: u64 = 4 * ONE_ATTEMPT;
-const FEWEST_PROXIES: u64 = 4;
+const FLEET_TOKEN_FLOOR: u64 = 4 * ONE_ATTEMPT;
+const MIN_PROXY_COUNT: u64 = 4;
 
 /// How far a server is through its slow start.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -26,7 +26,7 @@
     pub fn new(settings: &Settings, started_at: Timestamp, now: Timestamp) -> Progress {
         let age = now.saturating_since(started_at);
         if started_at.is_zero() || age >= settings.slow_start_time {
-            return Progress(DONE);
+            return Progress(COMPLETE);
         }
         let share = settings.slow_start_share
             + (1.0 - settings.slow_start_share) * age.ticks() as f64
@@ -35,7 +35,7 @@
     }
 
     pub fn is_done(self) -> bool {
-        self.0 == DONE
+        self.0 == COMPLETE
     }
 
     /// Whether a key, by a hash of it, is in the share that the server stands for.
@@ -52,7 +52,7 @@
 /// Thousandths of an attempt that a server may have from this proxy in a second whatever it has earned, or a fleet that is all
 /// in slow start would stay so.
 pub(crate) fn token_floor(settings: &Settings) -> u64 {
-    FLEET_FLOOR / settings.proxies.max(FEWEST_PROXIES)
+    FLEET_TOKEN_FLOOR / settings.proxies.max(MIN_PROXY_COUNT)
 }
 
 /// The attempts that a server may still be sent while it is in slow start.
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -36,36 +36,36 @@
 
 /// A part of the state that is stored in a snapshot.
 pub(crate) trait Stored: Sized {
-    fn store(&self, to: &mut Snapshot);
-    fn load(from: &mut Reader) -> Option<Self>;
+    fn store(&self, snapshot: &mut Snapshot);
+    fn load(reader: &mut Reader) -> Option<Self>;
 }
 
 impl Stored for u64 {
-    fn store(&self, to: &mut Snapshot) {
-        to.numbers.push(*self);
+    fn store(&self, snapshot: &mut Snapshot) {
+        snapshot.numbers.push(*self);
     }
-    fn load(from: &mut Reader) -> Option<u64> {
-        from.numbers.next().copied()
+    fn load(reader: &mut Reader) -> Option<u64> {
+        reader.numbers.next().copied()
     }
 }
 
 impl Stored for String {
-    fn store(&self, to: &mut Snapshot) {
-        to.texts.push(self.clone());
+    fn store(&self, snapshot: &mut Snapshot) {
+        snapshot.texts.push(self.clone());
     }
-    fn load(from: &mut Reader) -> Option<String> {
-        from.texts.next().cloned()
+    fn load(reader: &mut Reader) -> Option<String> {
+        reader.texts.next().cloned()
     }
 }
 
 macro_rules! stored_as_number {
-    ($($kind:ty: $to:expr, $of:expr;)*) => {$(
+    ($($kind:ty: $to_number:expr, $from_number:expr;)*) => {$(
         impl Stored for $kind {
-            fn store(&self, to: &mut Snapshot) {
-                to.numbers.push($to(*self));
+            fn store(&self, snapshot: &mut Snapshot) {
+                snapshot.numbers.push($to_number(*self));
             }
-            fn load(from: &mut Reader) -> Option<$kind> {
-                u64::load(from).and_then($of)
+            fn load(reader: &mut Reader) -> Option<$kind> {
+                u64::load(reader).and_then($from_number)
             }
         }
     )*};
@@ -82,72 +82,72 @@
 }
 
 /// No balancer holds more of anything.
-pub(crate) const MOST_ITEMS: u64 = 1 << 24;
+pub(crate) const MAX_ITEMS: u64 = 1 << 24;
 
 impl<T: Stored> Stored for Vec<T> {
-    fn store(&self, to: &mut Snapshot) {
-        self.len().store(to);
-        self.iter().for_each(|part| part.store(to));
+    fn store(&self, snapshot: &mut Snapshot) {
+        self.len().store(snapshot);
+        self.iter().for_each(|item| item.store(snapshot));
     }
-    fn load(from: &mut Reader) -> Option<Vec<T>> {
-        let len = u64::load(from).filter(|n| *n <= MOST_ITEMS)?;
-        (0..len).map(|_| T::load(from)).collect()
+    fn load(reader: &mut Reader) -> Option<Vec<T>> {
+        let len = u64::load(reader).filter(|n| *n <= MAX_ITEMS)?;
+        (0..len).map(|_| T::load(reader)).collect()
     }
 }
 
 impl<T: Stored> Stored for Option<T> {
-    fn store(&self, to: &mut Snapshot) {
-        self.is_some().store(to);
-        self.iter().for_each(|part| part.store(to));
+    fn store(&self, snapshot: &mut Snapshot) {
+        self.is_some().store(snapshot);
+        self.iter().for_each(|item| item.store(snapshot));
     }
-    fn load(from: &mut Reader) -> Option<Option<T>> {
-        Some(if bool::load(from)? { Some(T::load(from)?) } else { None })
+    fn load(reader: &mut Reader) -> Option<Option<T>> {
+        Some(if bool::load(reader)? { Some(T::load(reader)?) } else { None })
     }
 }
 
 impl<T: Stored, const N: usize> Stored for [T; N] {
-    fn store(&self, to: &mut Snapshot) {
-        self.iter().for_each(|part| part.store(to));
+    fn store(&self, snapshot: &mut Snapshot) {
+        self.iter().for_each(|item| item.store(snapshot));
     }
-    fn load(from: &mut Reader) -> Option<[T; N]> {
-        let parts = (0..N).map(|_| T::load(from)).collect::<Option<Vec<T>>>()?;
-        parts.try_into().ok()
+    fn load(reader: &mut Reader) -> Option<[T; N]> {
+        let items = (0..N).map(|_| T::load(reader)).collect::<Option<Vec<T>>>()?;
+        items.try_into().ok()
     }
 }
 
 impl<A: Stored, B: Stored> Stored for (A, B) {
-    fn store(&self, to: &mut Snapshot) {
-        self.0.store(to);
-        self.1.store(to);
+    fn store(&self, snapshot: &mut Snapshot) {
+        self.0.store(snapshot);
+        self.1.store(snapshot);
     }
-    fn load(from: &mut Reader) -> Option<(A, B)> {
-        Some((A::load(from)?, B::load(from)?))
+    fn load(reader: &mut Reader) -> Option<(A, B)> {
+        Some((A::load(reader)?, B::load(reader)?))
     }
 }
 
 /// In order of the keys: the order of a hash table is no part of the state.
 impl<T: Stored> Stored for HashMap<u64, T> {
-    fn store(&self, to: &mut Snapshot) {
-        self.len().store(to);
+    fn store(&self, snapshot: &mut Snapshot) {
+        self.len().store(snapshot);
         let ordered: BTreeMap<&u64, &T> = self.iter().collect();
-        for (key, part) in ordered {
-            key.store(to);
-            part.store(to);
+        for (key, item) in ordered {
+            key.store(snapshot);
+            item.store(snapshot);
         }
     }
-    fn load(from: &mut Reader) -> Option<HashMap<u64, T>> {
-        Some(Vec::<(u64, T)>::load(from)?.into_iter().collect())
+    fn load(reader: &mut Reader) -> Option<HashMap<u64, T>> {
+        Some(Vec::<(u64, T)>::load(reader)?.into_iter().collect())
     }
 }
 
 impl Stored for HashSet<u64> {
-    fn store(&self, to: &mut Snapshot) {
+    fn store(&self, snapshot: &mut Snapshot) {
         let mut keys: Vec<u64> = self.iter().copied().collect();
         keys.sort_unstable();
-        keys.store(to);
+        keys.store(snapshot);
     }
-    fn load(from: &mut Reader) -> Option<HashSet<u64>> {
-        Some(Vec::load(from)?.into_iter().collect())
+    fn load(reader: &mut Reader) -> Option<HashSet<u64>> {
+        Some(Vec::load(reader)?.into_iter().collect())
     }
 }
 
@@ -155,12 +155,12 @@
 macro_rules! stored {
     ($($kind:ident { $($field:ident),* $(,)? })*) => {$(
         impl crate::snapshot::Stored for $kind {
-            fn store(&self, to: &mut crate::snapshot::Snapshot) {
+            fn store(&self, snapshot: &mut crate::snapshot::Snapshot) {
                 let $kind { $($field),* } = self;
-                $(crate::snapshot::Stored::store($field, to);)*
+                $(crate::snapshot::Stored::store($field, snapshot);)*
             }
-            fn load(from: &mut crate::snapshot::Reader) -> Option<$kind> {
-                $(let $field = crate::snapshot::Stored::load(from)?;)*
+            fn load(reader: &mut crate::snapshot::Reader) -> Option<$kind> {
+                $(let $field = crate::snapshot::Stored::load(reader)?;)*
                 Some($kind { $($field),* })
             }
         }
