--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -1,67 +1,75 @@
-//! Decides whether something may be sent, closed or started now. Called right before it is done, by whoever does it: between a
-//! decision and its first byte lie waits for a connection or a key's turn, and what was right may have gone wrong.
+//! Decides whether an attempt may be sent, a client connection closed or a request started now. The
+//! caller asks right before it acts: between the balancer's decision and the first byte, an attempt
+//! may wait for a connection or for its key's turn, and the decision may be out of date by then.
 //!
-//! Pure: what is known outside the balancer, and the time, are passed in. [`Violation`] names what must not happen all the same;
-//! the engine counts each at run time. Whether an attempt may be sent is `Balancer::may_send` (`balancer/repeats.rs`).
+//! The checks are pure: the time, and what only the caller knows, are passed in. [`Violation`]
+//! lists what must never happen; the engine counts each occurrence at run time.
+//! `Balancer::may_send` (`balancer/repeats.rs`) decides whether an attempt may be sent.
 
 use crate::types::{RequestId, ServerIndex};
 use chalkwalk_time::{Span, Timestamp};
 
-/// From when a client closed its connection to the first byte of an attempt for it, at the most.
+/// The longest allowed time from a client closing its connection to an attempt for it being
+/// written.
 const CLIENT_GONE_TOLERANCE: Span = Span::from_millis(100);
-/// A client that had an answer a moment ago may be sending again, across the close: many round trips.
+/// A client that was answered more recently than this may already be sending its next request,
+/// which would cross the close on the wire. The value covers many round trips.
 const MIN_IDLE_AFTER_USE: Span = Span::from_millis(50);
 
-/// An attempt in the moment before its first byte.
+/// An attempt, right before its first byte is written.
 #[derive(Clone, Copy, Debug)]
 pub struct UnsentAttempt {
-    /// Its request.
+    /// The request that the attempt is for.
     pub request: RequestId,
-    /// Its index among the attempts for that request.
+    /// The attempt's index among the attempts for that request.
     pub number: usize,
-    /// The server that it is for.
+    /// The server that the attempt is for.
     pub server: ServerIndex,
-    /// The end of its time, or of the window in which a repeat is dropped, whichever is sooner.
+    /// The end of the attempt's time, or of the window in which servers drop a repeat, whichever is
+    /// sooner.
     pub until: Timestamp,
     /// Whether the client has its final answer.
     pub answered: bool,
-    /// Whether the client is still there, as far as can be read.
+    /// Whether the client is still connected, as far as its connection shows.
     pub client_connected: bool,
 }
 
 /// Why an attempt may not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendRefusal {
-    /// The server is draining or gone, as notified, or operators took it out. The grace is for what can't be helped, and how much
-    /// of it is over is not known exactly, as the notification may have waited to be read.
+    /// The server is draining or gone according to the endpoint list, or operators disabled it. The
+    /// drain grace period does not apply here: it only covers attempts that can't be stopped any
+    /// more, and how much of it has passed is not known exactly, as the notification may have
+    /// waited to be read.
     ServerUnavailable,
-    /// Its time, or the window in which a repeat is dropped, is over.
+    /// The attempt's time, or the window in which servers drop a repeat, is over.
     TooLate,
     /// The client has its final answer.
     Answered,
-    /// The client has gone.
+    /// The client has disconnected.
     ClientLeft,
-    /// An earlier attempt may have run, and this one would not be dropped as its repeat.
+    /// An earlier attempt may have run, and the server would not drop this one as a repeat.
     MayRunTwice,
 }
 
-/// What must not happen; each is counted.
+/// An event that must never happen; each occurrence is counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// An attempt was written later than the grace after the server was notified to be unavailable.
+    /// An attempt was written to an unavailable server after its drain grace period, which starts
+    /// with the notification.
     SentAfterGrace,
-    /// An attempt was written after the end of its time or window.
+    /// An attempt was written after the end of its time or of its deduplication window.
     SentTooLate,
-    /// An attempt was written over 0.1 s after its client had gone.
+    /// An attempt was written over 0.1 s after its client had disconnected.
     SentAfterClientLeft,
-    /// A request that was read ended without a final answer.
+    /// A request that had been read ended without a final answer.
     NoFinalAnswer,
-    /// Discovery was called later than the term for changes allows.
+    /// Discovery was called later than the time limit for noticing changes allows.
     DiscoveryNotCalled,
 }
 
 impl Violation {
-    /// All of them.
+    /// All violations.
     pub const ALL: [Violation; 5] = [
         Violation::SentAfterGrace,
         Violation::SentTooLate,
@@ -70,7 +78,7 @@
         Violation::DiscoveryNotCalled,
     ];
 
-    /// Its name in logs.
+    /// The violation's name in logs.
     pub fn name(self) -> &'static str {
         match self {
             Violation::SentAfterGrace => "sent after the grace",
@@ -85,22 +93,22 @@
 /// An attempt whose last byte was just written.
 #[derive(Clone, Copy, Debug)]
 pub struct WrittenAttempt {
-    /// When.
+    /// When the last byte was written.
     pub at: Timestamp,
-    /// When it was last decided that it may be sent.
+    /// When the attempt was last allowed to be sent.
     pub allowed_at: Timestamp,
-    /// The end of its time or window.
+    /// The end of the attempt's time or of its deduplication window.
     pub until: Timestamp,
-    /// Since when the server is unavailable, as notified by now.
+    /// When the server became unavailable, if a notification of that has arrived by now.
     pub unavailable_since: Option<Timestamp>,
-    /// For so long after the notification attempts are still tolerated.
+    /// The drain grace period: attempts written within it after the notification are tolerated.
     pub grace: Span,
-    /// Whether the client is still there.
+    /// Whether the client is still connected.
     pub client_connected: bool,
 }
 
 impl WrittenAttempt {
-    /// What should not have happened by it.
+    /// The violation that writing this attempt was, if any.
     pub fn violation(&self) -> Option<Violation> {
         if self.unavailable_since.is_some_and(|since| self.at > since + self.grace) {
             Some(Violation::SentAfterGrace)
@@ -114,14 +122,16 @@
     }
 }
 
-/// Whether a client's connection between two requests may be closed to make room for others. One that never carried a request
-/// may, as whoever opened it sends again; on one that was just used the next request may be on its way.
+/// Whether an idle client connection may be closed to make room for others. A connection that never
+/// carried a request may be closed, as its client will connect again. On a connection that was used
+/// a moment ago, the next request may be on its way.
 pub fn may_close(used: bool, idle_for: Span) -> bool {
     !used || idle_for > MIN_IDLE_AFTER_USE
 }
 
-/// Whether a request that was read may be started: its time is not over, and would not end after the process's last answer.
-/// Returns the end of its time.
+/// Whether a request that was read may be started: its time limit is not over, counted to the time
+/// of the process's last answer at the latest. Returns the time by which the request must be
+/// answered.
 pub fn may_start(now: Timestamp, expires: Timestamp, last_answer: Option<Timestamp>) -> Option<Timestamp> {
     let expires = expires.min(last_answer.unwrap_or(Timestamp::MAX));
     (expires > now).then_some(expires)
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -1,8 +1,10 @@
-//! One balancer is one proxy's decisions: it owns the state of each decision, and wires the modules that make them.
+//! A balancer makes the decisions of one proxy: it owns the state of each decision and connects the
+//! modules that make them.
 //!
-//! Set its clock, hand it the list of servers, accept each request and route it, then report what happens to its attempts. It
-//! calls its [`Effects`] for what is to be done. The same calls lead to the same decisions: it reads no clock and draws from
-//! its own random numbers.
+//! The caller sets the clock, passes the endpoint list, accepts and routes each request, and then
+//! reports what happens to its attempts. The balancer calls its [`Effects`] for everything that is
+//! to be done. It is deterministic: it reads no clock and has its own random number generator, so
+//! the same calls lead to the same decisions.
 
 mod attempts;
 mod endpoints;
@@ -32,28 +34,31 @@
 use chalkwalk_time::{Span, Timestamp};
 use std::collections::{BTreeMap, HashMap};
 
-/// The state decays in steps of one second: long enough for some dozens of answers, short enough to see a failure begin and end.
+/// The interval at which the state decays: long enough for some dozens of answers, short enough to
+/// notice when a failure begins and ends.
 const SECOND: Span = Span::from_secs(1);
-/// After a standstill of so long the seconds in between are not made up for.
+/// If the clock advances by more than this at once, the decay steps in between are skipped.
 const MAX_CATCH_UP: Span = Span::from_secs(20);
 
-/// Timers below this are of requests, from here on of servers.
+/// Timer tokens below this one belong to requests, tokens from here on to servers.
 const FIRST_SERVER_TOKEN: u64 = 1 << 61;
-/// The timer after which discovery is called.
+/// The token of the timer for the next call to discovery.
 const DISCOVERY_TOKEN: u64 = 1 << 62;
-/// All that were killed together start together. Over 3 s: a service that takes a call of each of a fleet in 2 s to 8 s then
-/// holds few that wait too long, which are work for nobody.
+/// The upper bound of the random delay before the first call to discovery. Proxies that were killed
+/// together also start together. With their first calls spread over 3 s, a service that takes 2 s
+/// to 8 s to answer one call from each proxy of a fleet keeps few calls so long that the callers
+/// have given them up and the work is wasted.
 const MAX_FIRST_CALL_DELAY: Span = Span::from_secs(3);
 
 /// The decisions of one proxy.
 #[derive(Default)]
 pub struct Balancer {
     now: Timestamp,
-    /// Until when the state has decayed.
+    /// The time up to which the state has decayed.
     decayed_until: Timestamp,
     settings: Settings,
     random: Random,
-    /// Its own, so that proxies pass a loaded server for different keys.
+    /// Differs between proxies, so that they skip a loaded server for different keys.
     salt: u64,
     servers: Vec<Server>,
     origin: Option<ServerIndex>,
@@ -66,14 +71,14 @@
     shedding: LoadShedding,
     connections: ConnectionLimits,
     discovery: DiscoveryCalls,
-    /// What a process before this one has learned, of servers not yet listed.
+    /// What an earlier process of this proxy learned about servers that are not listed yet.
     pending_learned: BTreeMap<String, LearnedServer>,
-    /// The ids of servers that operators took out, listed or not, and since when.
+    /// The ids of servers that operators disabled, whether listed or not, and since when.
     disabled: BTreeMap<String, Timestamp>,
 }
 
 impl Balancer {
-    /// A balancer that knows no server yet, with the settings of a deployment by name.
+    /// Creates a balancer without servers. `values` holds the settings of a deployment by name.
     pub fn new(seed: u64, values: &BTreeMap<String, String>, effects: &mut dyn Effects) -> Balancer {
         let settings = Settings::read(values);
         let mut random = Random::seeded(seed);
@@ -83,7 +88,8 @@
         Balancer { settings, salt: random.salt(), random, ..Balancer::default() }
     }
 
-    /// Sets the clock, which never goes back. Called before each call that something has happened.
+    /// Sets the clock, which never goes back. Must be called before each call that reports an
+    /// event.
     pub fn advance_clock(&mut self, now: Timestamp) {
         self.now = now;
         while self.decayed_until + SECOND <= now {
@@ -93,7 +99,7 @@
         }
     }
 
-    /// One second has passed for the state of each decision.
+    /// Decays the state of each decision by one second.
     fn decay(&mut self) {
         self.latencies.decay();
         self.key_order.drop_idle(self.now);
@@ -104,7 +110,7 @@
         }
     }
 
-    /// A timer that was set has come.
+    /// Handles the expiry of a timer that the balancer had set.
     pub fn timer_fired(&mut self, token: u64, effects: &mut dyn Effects) {
         if token >= DISCOVERY_TOKEN {
             effects.watch_endpoints();
@@ -115,12 +121,12 @@
         }
     }
 
-    /// How long a server with attempts in flight may send nothing.
+    /// How long a server with attempts in flight may send nothing before it counts as silent.
     fn silence_timeout(&self) -> Span {
         crate::liveness::silence_timeout(&self.latencies, self.settings.shortest_target())
     }
 
-    /// After how long an attempt is overdue where later ones were answered.
+    /// The time after which an attempt is overdue if attempts sent later were answered.
     fn overdue_after(&self) -> Span {
         crate::liveness::overdue_after(&self.latencies, self.settings.shortest_target())
     }
@@ -129,7 +135,7 @@
         self.servers[server].liveness.is_silent(self.now, || self.silence_timeout())
     }
 
-    /// Whether a server, which is not the origin, is in service.
+    /// Whether this is a server in service, and not the origin.
     fn is_ready(&self, server: ServerIndex) -> bool {
         Some(server) != self.origin && self.is_available(server)
     }
--- a/crates/balancer/src/balancer/attempts.rs
+++ b/crates/balancer/src/balancer/attempts.rs
@@ -1,7 +1,7 @@
-//! Starts attempts, and takes what becomes of them: each decision about the server learns from the outcome (`learning.rs`), one
-//! step after the other, and then the request goes on.
+//! Starts attempts and handles their outcomes: first every decision about the server learns from
+//! the outcome (`learning.rs`), in a fixed order, and then the request continues.
 //!
-//! Inputs: the start of each response and the end of each attempt, once.
+//! Inputs: the start of each response and the end of each attempt, each reported once.
 
 use super::Balancer;
 use super::learning::EndedAttempt;
@@ -29,7 +29,8 @@
         server.slow_start.spend();
         request.waiting = false;
         let class = &request.class;
-        // Guards a tagged request whose attempt waits for a connection: past the window it would run twice.
+        // Protects a tagged request whose attempt waits for a connection: if it were sent after the
+        // deduplication window, the request would run twice.
         let tagged = class.idempotency == Idempotency::Tagged;
         let earlier_attempts = request.attempts.iter().filter(|attempt| tagged && attempt.may_have_run);
         let not_after = earlier_attempts.map(|attempt| attempt.sent_at + class.dedup_window).min();
@@ -52,8 +53,9 @@
         }
     }
 
-    /// An attempt's response has begun: it is the client's now, and no timer of ours runs for it. What else is in flight for the
-    /// request is of no use any more.
+    /// The response to an attempt has begun. It is being passed on to the client, so the balancer
+    /// runs no timer for it any more, and the request's other pending attempts are cancelled if the
+    /// platform allows it.
     pub fn response_started(&mut self, request_id: RequestId, attempt: usize, effects: &mut dyn Effects) {
         let Some(request) = self.requests.get_mut(&request_id.0) else { return };
         request.streaming = true;
@@ -67,7 +69,8 @@
         }
     }
 
-    /// An attempt ended; `finished` says that the client has its answer, by this or before.
+    /// An attempt ended. `finished`: the client has its final answer, from this attempt or an
+    /// earlier one.
     pub fn attempt_ended(
         &mut self,
         request_id: RequestId,
@@ -114,7 +117,8 @@
         }
         attempt.pending = false;
         attempt.may_have_run = outcome.may_have_run();
-        // A server that alone may serve the request may be tried again across a connection that broke.
+        // Where the allowed servers are given, the server that owns the key may be tried again
+        // after a connection to it broke.
         let broke_at_owner = outcome == AttemptOutcome::ConnectionLost && request.allowed_servers.is_some();
         attempt.failed = outcome != AttemptOutcome::CacheMiss && !broke_at_owner;
         let server = &mut self.servers[attempt.server];
@@ -124,7 +128,8 @@
         if outcome.is_answer() {
             server.liveness.record_answer(attempt.sent_at, self.now);
         }
-        // Guards servers against being taken for late over attempts that they lost, while they answer later ones.
+        // A server that answers later attempts has lost this one: such a loss must not count as a
+        // late answer of the server.
         let later_attempt_answered =
             !server_was_silent && server.liveness.answered_one_sent_after(attempt.sent_at);
         let lost = outcome == AttemptOutcome::TimedOut && later_attempt_answered && took > overdue_after;
@@ -142,7 +147,8 @@
         })
     }
 
-    /// Whether the attempt was the fetch that others wait for; the request leads it no longer.
+    /// Whether the attempt was the fetch that other requests wait for. If so, the request is no
+    /// longer marked as leading that fetch.
     fn end_led_fetch(&mut self, request_id: RequestId, ended: &EndedAttempt) -> bool {
         match self.requests.get_mut(&request_id.0) {
             Some(request) if !ended.from_server => std::mem::replace(&mut request.leads_fetch, false),
@@ -150,7 +156,7 @@
         }
     }
 
-    /// Closes the request, retries it or answers it, as the attempt ended.
+    /// Closes, retries or answers the request, depending on the attempt's outcome.
     fn continue_request(
         &mut self,
         request_id: RequestId,
@@ -169,7 +175,8 @@
             effects.fail(request_id);
         }
         if answer_begun_elsewhere {
-            // Another attempt's answer is the client's by now, whatever became of this one.
+            // Another attempt's response is already being passed on to the client, so this outcome
+            // does not matter.
         } else if finished || answered || invalid {
             self.close(request_id, effects);
         } else if outcome == AttemptOutcome::CacheMiss && self.settings.origin_kind.is_some() && on_ring {
@@ -194,7 +201,8 @@
             AttemptOutcome::Unreachable | AttemptOutcome::CacheMiss if ended.from_server => {
                 self.retry(request_id, RetryCost::Free, effects);
             }
-            // One that broke or was spoilt at the origin says nothing of its load, and may have stored the value.
+            // A broken connection or an error at the origin says nothing about its load, and the
+            // attempt may have stored the value.
             _ => self.retry(request_id, RetryCost::Budgeted, effects),
         }
     }
--- a/crates/balancer/src/balancer/endpoints.rs
+++ b/crates/balancer/src/balancer/endpoints.rs
@@ -1,6 +1,8 @@
-//! Takes lists of servers: what each entry changes, which servers are ready, and when discovery is called again.
+//! Applies endpoint lists: what each entry changes, which servers are ready, and when discovery is
+//! called again.
 //!
-//! Guards that a drain or an operator's call holds from the moment of the call on, and that a restarted server is a new one.
+//! A drain, or an operator's call, takes effect from the moment of the call, and a server that
+//! restarted counts as a new one.
 
 use super::{Balancer, DISCOVERY_TOKEN};
 use crate::effects::{Effects, StateChange};
@@ -10,7 +12,7 @@
 use chalkwalk_time::{Span, Timestamp};
 
 impl Balancer {
-    /// Discovery has sent the whole list: servers not in it are gone.
+    /// Discovery has sent the whole list: servers that are not in it are gone.
     pub fn replace_endpoints(&mut self, endpoints: &[Endpoint], effects: &mut dyn Effects) {
         self.servers.iter_mut().for_each(|server| server.status = EndpointStatus::Gone);
         self.update_endpoints(endpoints, effects);
@@ -18,7 +20,8 @@
 
     /// Discovery has sent the entries that changed.
     pub fn update_endpoints(&mut self, endpoints: &[Endpoint], effects: &mut dyn Effects) {
-        // The watch goes on: what changes just after an answer counts as notified, called for or not.
+        // The watch continues, so a change right after this answer counts as notified even before
+        // the next call.
         if self.discovery.record_answer() {
             effects.report(StateChange::DiscoveryRecovered);
         }
@@ -48,7 +51,8 @@
         self.restore_learned_server(index);
     }
 
-    /// A new process under a known id, and never an older one.
+    /// Starts the server's slow start if the entry is about a newer process under the same id. An
+    /// older one is ignored.
     pub(super) fn restart_if_newer(&mut self, server: ServerIndex, started_at: Timestamp) {
         if started_at > self.servers[server].started_at {
             let draw = self.random.below(SlowStart::DRAW_END);
@@ -56,7 +60,7 @@
         }
     }
 
-    /// Moves keys away from servers whose listed load is above the mean.
+    /// Moves keys away from servers whose listed load is above the mean of the ready servers.
     fn rebalance_keys(&mut self, endpoints: &[Endpoint]) {
         let ready = || (0..self.servers.len()).filter(|server| self.is_ready(*server));
         let total: u64 = ready().map(|server| self.servers[server].keys.load()).sum();
@@ -78,7 +82,8 @@
         self.ring = ring;
     }
 
-    /// A call to discovery that took so long failed: the next one is made after a backoff, within the term for changes.
+    /// A call to discovery failed after `took`. The next call follows after a backoff that stays
+    /// within the time limit for noticing changes.
     pub fn discovery_call_failed(&mut self, took: Span, effects: &mut dyn Effects) {
         if self.discovery.record_failure() {
             effects.report(StateChange::DiscoveryLost);
@@ -88,8 +93,9 @@
         effects.set_timer(DISCOVERY_TOKEN, delay);
     }
 
-    /// Operators take a server out at that moment, whatever any list says, or put it back. It is restarted in
-    /// between: back, it is in slow start as one that started then, and what was held against it is void.
+    /// Operators disable a server from `at` on, whatever any list says, or enable it again. A
+    /// server is assumed to be restarted in between: once it is enabled, it is in slow start as if
+    /// it had started at `at`, and its recorded failures are cleared.
     pub fn set_disabled(&mut self, id: &str, disabled: bool, at: Timestamp) {
         if disabled {
             self.disabled.entry(id.into()).or_insert(at);
--- a/crates/balancer/src/balancer/health.rs
+++ b/crates/balancer/src/balancer/health.rs
@@ -1,11 +1,13 @@
-//! Ejects servers for their failures, checks their health and readmits them; `outlier.rs` keeps the score.
+//! Ejects servers for their failures, checks their health and readmits them. `outlier.rs` keeps the
+//! failure scores.
 
 use super::{Balancer, FIRST_SERVER_TOKEN};
 use crate::effects::{Effects, StateChange};
 use crate::types::{AttemptOutcome, ServerIndex};
 
 impl Balancer {
-    /// Counts an outcome for or against a server, which may be ejected for it. The origin never is.
+    /// Counts an outcome for or against a server, which may be ejected for it. The origin is never
+    /// ejected.
     pub(super) fn record_outcome(
         &mut self,
         index: ServerIndex,
@@ -25,12 +27,14 @@
         server.failures.eject();
         let backoff = server.ejection.begin();
         effects.report(StateChange::ServerEjected { server: &server.id });
-        // Spread, so that the proxies that ejected it together do not check it together.
+        // The jitter keeps the proxies that ejected the server together from checking its health
+        // together.
         let jitter = self.random.span_below(backoff / 4);
         effects.set_timer(FIRST_SERVER_TOKEN + index as u64, backoff + jitter);
     }
 
-    /// The ejection of a server has lasted its time: its health is checked where that can be, else it counts as checked.
+    /// The ejection time of a server is over: its health is checked if the platform supports health
+    /// checks, else it counts as passed.
     pub(super) fn ejection_timer_fired(&mut self, index: ServerIndex, effects: &mut dyn Effects) {
         let known = index < self.servers.len();
         if known && self.is_ready(index) && self.settings.health_checks {
@@ -40,7 +44,8 @@
         }
     }
 
-    /// A health check has ended. An ejected server that passed it gets one attempt at a time until two were answered.
+    /// A health check has ended. An ejected server that passed gets one attempt at a time until it
+    /// has answered two.
     pub fn health_check_finished(&mut self, index: ServerIndex, passed: bool, effects: &mut dyn Effects) {
         let Some(server) = self.servers.get_mut(index) else { return };
         server.ejection.end_check();
--- a/crates/balancer/src/balancer/learning.rs
+++ b/crates/balancer/src/balancer/learning.rs
@@ -1,6 +1,6 @@
-//! What each decision about a server learns from an attempt that has ended.
+//! Updates the state of each decision about a server when an attempt ends.
 //!
-//! Inputs: the attempt with its outcome, once.
+//! Input: the attempt with its outcome, reported once.
 
 use super::Balancer;
 use crate::concurrency_limit::Sample;
@@ -9,7 +9,7 @@
 use crate::types::{AttemptOutcome, ServerIndex};
 use chalkwalk_time::Span;
 
-/// An attempt that has ended, as the decisions learn from it.
+/// An attempt that has ended, with what the decisions learn from.
 #[derive(Clone, Copy)]
 pub(super) struct EndedAttempt {
     pub key: u64,
@@ -20,14 +20,15 @@
     pub in_flight: u64,
     pub likely_fetch: bool,
     pub opened_connection: bool,
-    /// It was at a server, and not at the origin.
+    /// The attempt went to a server, and not to the origin.
     pub from_server: bool,
-    /// Nothing had come from the server since it was sent.
+    /// The server had sent nothing since the attempt was sent.
     pub server_was_silent: bool,
 }
 
 impl EndedAttempt {
-    /// An error on a fetch may be the origin's, and says nothing of the server.
+    /// Whether the error may be the origin's: an error on a likely fetch says nothing about the
+    /// server.
     pub fn is_origin_error(&self) -> bool {
         self.likely_fetch && self.outcome == AttemptOutcome::ServerError
     }
@@ -38,7 +39,8 @@
 }
 
 impl Balancer {
-    /// Learns whether servers have capacity for connections; whether the attempt failed for lack of it.
+    /// Learns whether servers have capacity for connections. Returns whether the attempt failed for
+    /// lack of it.
     pub(super) fn record_connection(&mut self, ended: &EndedAttempt) -> bool {
         let refused = ended.outcome == AttemptOutcome::Unreachable;
         let server = &mut self.servers[ended.server];
@@ -57,7 +59,8 @@
         no_connection_left
     }
 
-    /// Learns how fast the server answers, and from that how much it takes.
+    /// Learns how fast the server answers, and from that its concurrency limit and its share of
+    /// keys.
     pub(super) fn record_latency(&mut self, ended: &EndedAttempt) {
         let EndedAttempt { outcome, took, target, from_server, in_flight, .. } = *ended;
         let server = &mut self.servers[ended.server];
@@ -74,7 +77,7 @@
         server.concurrency.adjust(&Sample { outcome, took, in_flight, target, shortest_target, from_server });
     }
 
-    /// Learns whether servers hold the key by now.
+    /// Learns whether servers hold the key now.
     pub(super) fn record_key(&mut self, ended: &EndedAttempt) {
         if self.settings.servers_fetch && ended.outcome == AttemptOutcome::Completed {
             self.shedding.record_resolved(ended.key);
@@ -83,7 +86,7 @@
         }
     }
 
-    /// Learns whether the servers, or the origin, are late.
+    /// Learns whether the servers, or the origin, answer late.
     pub(super) fn record_load(&mut self, ended: &EndedAttempt) {
         if ended.is_origin_error() || ended.outcome.shows_latency() {
             let by_server = ended.from_server && !ended.likely_fetch;
--- a/crates/balancer/src/balancer/origin.rs
+++ b/crates/balancer/src/balancer/origin.rs
@@ -1,5 +1,6 @@
-//! Decides what is sent to the origin: misses and writes, one fetch a key at a time, within its concurrency limit. Guards an
-//! origin that is short: what it can't answer in time is rejected at once.
+//! Decides what is sent to the origin: misses and writes, with one fetch per key at a time, within
+//! the origin's concurrency limit. Protects an overloaded origin: a request that it can't answer in
+//! time is rejected at once.
 
 use super::Balancer;
 use crate::effects::Effects;
@@ -7,7 +8,8 @@
 use crate::types::RequestId;
 
 impl Balancer {
-    /// Sends a request to the origin, or lets it wait for the fetch of its key that is in flight.
+    /// Sends a request to the origin, or makes it wait for the fetch of its key that is already in
+    /// flight.
     pub(super) fn send_to_origin(&mut self, request_id: RequestId, effects: &mut dyn Effects) {
         let request = &self.requests[&request_id.0];
         let time_left = request.useful_until.saturating_since(self.now);
@@ -33,13 +35,14 @@
         self.start_attempt(request_id, origin, effects);
     }
 
-    /// Rejects a request as the origin is short.
+    /// Rejects a request because the origin lacks capacity.
     pub(super) fn reject_for_origin(&mut self, request_id: RequestId, effects: &mut dyn Effects) {
         self.shedding.record_origin_short();
         self.answer_unserved(request_id, effects);
     }
 
-    /// A fetch is over. Those that waited for it go on: to the server that now holds the key, or one of them to the origin.
+    /// A fetch has ended. The requests that waited for it continue: if the value was stored, to the
+    /// server that now holds the key, else to the origin, where one of them starts a new fetch.
     pub(super) fn end_fetch(&mut self, key: u64, stored: bool, effects: &mut dyn Effects) {
         for request_id in self.fetches.end(key) {
             match self.requests.get(&request_id.0) {
--- a/crates/balancer/src/balancer/queries.rs
+++ b/crates/balancer/src/balancer/queries.rs
@@ -1,4 +1,5 @@
-//! Queries of a balancer's state, and changes of it beside requests and lists. Nothing here decides.
+//! Queries of a balancer's state, and changes to it apart from requests and endpoint lists. This
+//! module makes no decisions.
 
 use super::Balancer;
 use crate::hash::mix;
@@ -7,8 +8,9 @@
 use std::collections::BTreeMap;
 
 impl Balancer {
-    /// Other settings hold from now on, and budgets go on counting. What is open keeps the limits that it has,
-    /// until `renew_limits` gives it others. Zones, kinds and the origin must be the same.
+    /// Applies new settings; the budgets keep their counts. Open requests keep the limits that they
+    /// have until `renew_limits` gives them others. Zones, kinds and the origin must be the same as
+    /// before.
     pub fn apply_settings(&mut self, values: &BTreeMap<String, String>) {
         let settings = Settings { proxies: self.settings.proxies, ..Settings::read(values) };
         let before = std::mem::replace(&mut self.settings, settings);
@@ -17,26 +19,29 @@
         }
     }
 
-    /// Classes of requests; `accept_request` and `renew_limits` name one by its number.
+    /// The number of request classes; `accept_request` and `renew_limits` identify a class by its
+    /// index.
     pub fn class_count(&self) -> usize {
         self.settings.classes.len()
     }
 
-    /// What the figures of `learned` depend on: target times, the own zone, what weights state. Learned under others they mean
-    /// something else.
+    /// A digest of the settings that the figures of `learned` depend on: the target times, the
+    /// proxy's own zone and what the weights mean. Figures learned under other settings are not
+    /// comparable.
     pub fn learning_terms(&self) -> u64 {
         let targets = self.settings.classes.iter().map(|class| class.target.ticks());
         let other = [self.settings.zone as u64, u64::from(self.settings.fixed_sizes)];
         targets.chain(other).fold(0, |hash, n| mix(hash.rotate_left(7) ^ mix(n + 1)))
     }
 
-    /// What was learned of the servers in service, of those where it differs from what holds at first.
+    /// What was learned about the servers in service whose figures differ from the initial ones.
     pub fn learned(&self) -> Vec<LearnedServer> {
         self.servers.iter().filter_map(|server| server.learned()).collect()
     }
 
-    /// What a process before this one has learned on the same terms: restored once the list names a server that has not
-    /// started since. Connections, silences, failures, latencies, and all that is learned of the origin start afresh.
+    /// Restores what an earlier process learned under the same settings. A server's figures are
+    /// applied once the list names the server, if the server has not restarted since. Connections,
+    /// silences, failures, latencies and everything learned about the origin are not restored.
     pub fn restore_learned(&mut self, learned: Vec<LearnedServer>) {
         self.pending_learned = learned.into_iter().map(|server| (server.id.clone(), server)).collect();
         (0..self.servers.len()).for_each(|server| self.restore_learned_server(server));
@@ -49,18 +54,20 @@
         }
     }
 
-    /// Whether operators have a server out.
+    /// Whether operators have disabled a server.
     pub fn is_disabled(&self, server: ServerIndex) -> bool {
         self.servers.get(server).is_some_and(|server| self.disabled.contains_key(&server.id))
     }
 
-    /// Whether a server, or the origin, is in service as notified, and not disabled by operators.
+    /// Whether a server, or the origin, is in service according to the endpoint list, and not
+    /// disabled by operators.
     pub fn is_available(&self, server: ServerIndex) -> bool {
         let ready = self.servers.get(server).is_some_and(|server| server.status == EndpointStatus::Ready);
         ready && !self.is_disabled(server)
     }
 
-    /// Whether operators may mean this server: it is listed, or was taken out. The origin is none.
+    /// Whether an operator's call may name this server: it is listed, or it is disabled. The origin
+    /// is not a server here.
     pub fn knows_server(&self, id: &str) -> bool {
         let is_listed = |(index, server): (ServerIndex, &crate::server::Server)| {
             server.id == id && Some(index) != self.origin && server.status != EndpointStatus::Gone
@@ -68,12 +75,14 @@
         self.disabled.contains_key(id) || self.servers.iter().enumerate().any(is_listed)
     }
 
-    /// Whether no server of any zone may get requests: none is listed as in service, or operators took all out.
+    /// Whether no server of any zone may get requests: none is listed as in service, or operators
+    /// disabled all of those.
     pub fn no_server_ready(&self) -> bool {
         self.ring.server_count() == 0
     }
 
-    /// Whether nothing will name this server any more, so that its index may be another's.
+    /// Whether nothing refers to this server any more, so that its index may be given to another
+    /// one.
     pub fn index_is_free(&self, index: ServerIndex) -> bool {
         let server = &self.servers[index];
         let has_attempts =
@@ -81,17 +90,17 @@
         server.status == EndpointStatus::Gone && !server.ejection.has_pending_checks() && !has_attempts()
     }
 
-    /// Requests that are not done with yet.
+    /// The number of requests that are not closed yet, or whose attempts have not all ended.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether the balancer still knows this request; when it does not, nothing more will come of it.
+    /// Whether the balancer still knows this request. If not, it causes no more effects.
     pub fn knows_request(&self, request_id: RequestId) -> bool {
         self.requests.contains_key(&request_id.0)
     }
 
-    /// So many proxies send to the servers, this one included, where that can be counted.
+    /// Sets how many proxies send to the servers, this one included, where that can be counted.
     pub fn set_proxy_count(&mut self, proxies: u64) {
         self.settings.proxies = proxies.max(1);
     }
--- a/crates/balancer/src/balancer/repeats.rs
+++ b/crates/balancer/src/balancer/repeats.rs
@@ -1,5 +1,6 @@
-//! Decides whether a request may be sent, or sent again, to a server: no effect may come about twice, and nothing is sent to a
-//! server that is out of service, late, or for a client that has its answer or has gone.
+//! Decides whether a request may be sent, or sent again, to a server. No request may take effect
+//! twice, and nothing is sent to a server that is out of service, after the request's time, or for
+//! a client that has its answer or has disconnected.
 
 use super::Balancer;
 use crate::admission::{SendRefusal, UnsentAttempt};
@@ -30,15 +31,16 @@
         }
     }
 
-    /// Whether the limits of its class allow one more attempt of the request, at that server.
+    /// Whether the limits of the request's class allow one more attempt at that server.
     pub(super) fn may_attempt(&self, request: &Request, server: ServerIndex) -> bool {
         request.attempts.len() < request.class.max_attempts
             && (request.class.hedging || !request.is_pending())
             && self.may_repeat(request, Some(server), self.now, None)
     }
 
-    /// Whether a repeat of the request, at that server or (for `None`) anywhere, does no harm until `then`. The attempt itself,
-    /// where there is one already, is not its own repeat.
+    /// Whether repeating the request until `until`, at that server or (for `None`) at any server,
+    /// does no harm. `own_index` is the index of the attempt in question if it exists already: it
+    /// does not count as an earlier attempt.
     pub(super) fn may_repeat(
         &self,
         request: &Request,
@@ -59,18 +61,17 @@
         })
     }
 
-    /// Whether the server of a repeat knows of an earlier attempt, as that was at one of its group.
+    /// Whether the server of a repeat knows of an earlier attempt, because that attempt was sent to
+    /// a server of the same deduplication group.
     fn drops_repeat(&self, group: DedupGroup, earlier: &Attempt, server: Option<ServerIndex>) -> bool {
         let earlier_server = &self.servers[earlier.server];
-        let Some(next_server) = server.map(|server| &self.servers[server]) else {
+        let Some(target) = server.map(|server| &self.servers[server]) else {
             return group == DedupGroup::All;
         };
         match group {
             DedupGroup::All => true,
-            DedupGroup::Zone => next_server.zone == earlier_server.zone,
-            DedupGroup::Cell => {
-                next_server.zone == earlier_server.zone && next_server.cell == earlier_server.cell
-            }
+            DedupGroup::Zone => target.zone == earlier_server.zone,
+            DedupGroup::Cell => target.zone == earlier_server.zone && target.cell == earlier_server.cell,
         }
     }
 }
--- a/crates/balancer/src/balancer/requests.rs
+++ b/crates/balancer/src/balancer/requests.rs
@@ -1,4 +1,5 @@
-//! Takes requests, routes them and closes them: the order in which the decisions about a request are made.
+//! Accepts, routes and closes requests, and sets the order in which the decisions about a request
+//! are made.
 
 use super::Balancer;
 use crate::effects::Effects;
@@ -10,18 +11,19 @@
 use crate::types::{RequestId, ServerIndex};
 use chalkwalk_time::{Span, Timestamp};
 
-/// The draws of requests are below this.
+/// The random draw of a request is below this.
 const DRAW_END: u64 = 100;
-/// The median, by which a request's turn is foreseen.
+/// The median latency predicts when a request's turn comes.
 const MEDIAN_THOUSANDTHS: u64 = 500;
 
 impl Balancer {
-    /// Accepts a request. It must be answered once, before `expires`; route it next.
+    /// Accepts a request, which must be answered exactly once and before `expires`. Call
+    /// `route_request` next.
     pub fn accept_request(&mut self, class: usize, key: &str, write: bool, expires: Timestamp) -> RequestId {
         self.accept_request_at(class, key_point(key), write, expires)
     }
 
-    /// The same for a key that is known by its point alone.
+    /// Does the same as `accept_request` for a key of which only the point on the ring is known.
     pub fn accept_request_at(
         &mut self,
         class: usize,
@@ -43,13 +45,14 @@
         request_id
     }
 
-    /// Only these servers may serve it, in this order, in place of the ring's: who holds its key is decided elsewhere.
+    /// Restricts the request to these servers, in this order, instead of the ring's: which server
+    /// owns the key is decided elsewhere.
     pub fn restrict_to(&mut self, request_id: RequestId, servers: Vec<ServerIndex>) {
         self.requests.entry(request_id.0).and_modify(|request| request.allowed_servers = Some(servers));
     }
 
-    /// Limits have changed while it is open: what is sent from now on goes by the new ones, and so does its
-    /// time limit where that is shorter and can still be kept.
+    /// Applies changed limits to an open request. Later attempts follow the new limits, and the
+    /// request's time limit follows if the new one is shorter and can still be met.
     pub fn renew_limits(
         &mut self,
         request_id: RequestId,
@@ -71,19 +74,20 @@
         }
     }
 
-    /// The client does not wait for its answer any more.
+    /// The client no longer waits for its answer.
     pub fn client_left(&mut self, request_id: RequestId, effects: &mut dyn Effects) {
         self.close(request_id, effects);
     }
 
-    /// Sends a request where the decisions about it lead, or rejects it at once.
+    /// Sends a request to the server or the origin that the decisions select, or rejects it at
+    /// once.
     pub fn route_request(&mut self, request_id: RequestId, effects: &mut dyn Effects) {
         if !self.is_its_turn(request_id, effects) {
             return;
         }
         let request = &self.requests[&request_id.0];
         let first_attempt = request.attempts.is_empty();
-        // Guards one class of requests against another that fills the platform.
+        // Protects the other request classes from one that fills the platform.
         if first_attempt && request.class.is_over_max_open() {
             return self.answer_unserved(request_id, effects);
         }
@@ -93,8 +97,8 @@
         if first_attempt && self.shedding.sheds(Resource::Servers, request.draw) {
             return self.answer_unserved(request_id, effects);
         }
-        // Guards the origin behind the servers: when fetches fail or come late, requests for keys that are not
-        // known to be held are rejected.
+        // Protects the origin behind the servers: when fetches fail or are late, requests for keys
+        // that no server is known to hold are rejected.
         if self.will_likely_fetch(request) && self.shedding.sheds(Resource::Origin, request.draw) {
             return self.reject_for_origin(request_id, effects);
         }
@@ -111,7 +115,8 @@
             && (request.write || self.shedding.needs_fetch(request.key))
     }
 
-    /// Whether a request is sent now. Else it waits for its turn, or is rejected as that can't come while it is of use.
+    /// Whether a request may be sent now. If not, it waits for its turn, or is rejected if its turn
+    /// can't come while an answer is still useful.
     fn is_its_turn(&mut self, request_id: RequestId, effects: &mut dyn Effects) -> bool {
         let request = &self.requests[&request_id.0];
         if !request.class.in_order {
@@ -130,7 +135,7 @@
         false
     }
 
-    /// The requests with a key go on.
+    /// Continues with the next request for a key.
     pub(super) fn advance_key(&mut self, key: u64, effects: &mut dyn Effects) {
         match self.key_order.advance(key, self.now) {
             Next::Nothing => {}
--- a/crates/balancer/src/balancer/retry.rs
+++ b/crates/balancer/src/balancer/retry.rs
@@ -1,7 +1,8 @@
-//! Decides what follows an attempt that did not serve its request: a retry or a hedged request, or the final answer.
+//! Decides what follows an attempt that did not serve its request: a retry, a hedged request or the
+//! final answer.
 //!
-//! Inputs: the end of attempts, and timers. Guards the servers against retry storms by the budget of the class, and the
-//! client against a retry that would run its request twice.
+//! Inputs: the end of attempts, and timers. The retry budget of the class protects the servers from
+//! retry storms, and the client is protected from a retry that would run its request twice.
 
 use super::{Balancer, SECOND};
 use crate::effects::Effects;
@@ -12,24 +13,25 @@
 /// Whether a retry counts against the budget of the class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RetryCost {
-    /// The attempt before has not loaded a server.
+    /// The previous attempt put no load on a server.
     Free,
     Budgeted,
 }
 
-/// What the timer of a request finds at its last pending attempt.
+/// The state of a request's last pending attempt when the request's timer fires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WaitStatus {
-    /// Nothing is wrong yet.
+    /// The attempt shows no sign of a failure yet.
     InProgress,
-    /// Its server has sent nothing since it was sent.
+    /// The server has sent nothing since the attempt was sent.
     Silent,
-    /// It was accepted and never answered, or takes so long that its class asks for a hedged request.
+    /// The attempt was accepted and never answered, or takes so long that its class asks for a
+    /// hedged request.
     HedgeDue,
 }
 
 impl Balancer {
-    /// Tries once more where the limits and the budget allow, else answers.
+    /// Sends one more attempt if the limits and the budget allow it, else answers the request.
     pub(super) fn retry(&mut self, request_id: RequestId, cost: RetryCost, effects: &mut dyn Effects) {
         let request = &self.requests[&request_id.0];
         let budget = &request.class.retry_budget;
@@ -43,12 +45,13 @@
         self.route_request(request_id, effects);
     }
 
-    /// The final answer, at once, unless an attempt is pending. A rejection only where a retry by the client is harmless.
+    /// Answers the request as unserved, unless an attempt is pending. It is rejected only if a
+    /// retry by the client does no harm; otherwise it fails.
     pub(super) fn answer_unserved(&mut self, request_id: RequestId, effects: &mut dyn Effects) {
         if self.requests[&request_id.0].is_pending() {
             return;
         }
-        // Half a second to one and a half, spread so that those sent away do not return together.
+        // Half a second to one and a half, spread so that rejected clients do not return together.
         let spread = SECOND / 2 + self.random.span_below(SECOND);
         let retry_after = spread.min(self.settings.max_retry_after);
         if self.may_repeat(&self.requests[&request_id.0], None, self.now + retry_after, None) {
@@ -59,7 +62,8 @@
         self.close(request_id, effects);
     }
 
-    /// The timer of a request has come: it has waited too long, its limit is over, or its attempt may be lost.
+    /// The timer of a request has fired: it has waited too long, its time limit is over, or its
+    /// attempt may be lost.
     pub(super) fn request_timer_fired(&mut self, request_id: RequestId, effects: &mut dyn Effects) {
         let Some(request) = self.requests.get(&request_id.0) else { return };
         if request.answered || request.streaming {
@@ -96,7 +100,7 @@
         self.hedge_or_cancel(request_id, last, effects);
     }
 
-    /// How the wait for a request's last pending attempt stands.
+    /// The state of a request's last pending attempt.
     fn pending_wait(&self, request: &Request, last: usize) -> WaitStatus {
         let attempt = &request.attempts[last];
         let liveness = &self.servers[attempt.server].liveness;
@@ -109,13 +113,15 @@
         }
     }
 
-    /// Guards against attempts that are accepted and never answered: one sent later was, and this is overdue.
+    /// Detects an attempt that was accepted and is never answered: the server answered an attempt
+    /// that was sent later, and this one is overdue.
     fn is_lost(&self, attempt: &Attempt) -> bool {
         let liveness = &self.servers[attempt.server].liveness;
         liveness.answered_one_sent_after(attempt.sent_at) && self.now > attempt.sent_at + self.overdue_after()
     }
 
-    /// Guards the urgent against the slow tail, where the class asks for it: one hedged request, within its budget.
+    /// Protects urgent requests from tail latency where the class asks for it, with one hedged
+    /// request within the budget.
     fn is_hedge_due(&self, request: &Request, sent_at: Timestamp) -> bool {
         let class = &request.class;
         let hedge_after = class.hedge_after.and_then(|thousandths| self.latencies.quantile(thousandths));
@@ -124,7 +130,8 @@
             && class.retry_budget.allows_retry(self.now)
     }
 
-    /// Sends a hedged request where the class allows it, else withdraws the attempt so that its end leads to a retry.
+    /// Sends a hedged request if the class allows it, else cancels the attempt so that its end
+    /// leads to a retry.
     fn hedge_or_cancel(&mut self, request_id: RequestId, attempt: usize, effects: &mut dyn Effects) {
         let request = &self.requests[&request_id.0];
         if request.class.hedging {
--- a/crates/balancer/src/balancer/selection.rs
+++ b/crates/balancer/src/balancer/selection.rs
@@ -1,7 +1,8 @@
-//! Decides which server gets the next attempt of a request: the first that follows the key's point on the ring and may get it.
-//! The own zone comes before the others, and each is sought three times, with fewer conditions each time.
+//! Decides which server gets the next attempt of a request: the first eligible one after the key's
+//! point on the ring. The proxy's own zone comes before the others, and each is searched up to
+//! three times, with fewer conditions each time.
 //!
-//! Inputs: what the other decisions know of each server; it has no state of its own.
+//! Inputs: what the other decisions know about each server. This decision has no state of its own.
 
 use super::Balancer;
 use crate::connections::ZoneGroup;
@@ -11,36 +12,36 @@
 use crate::server::Server;
 use crate::types::ServerIndex;
 
-/// The conditions that a server must meet.
+/// The set of conditions that a server must meet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Round {
-    /// Within its concurrency limit, and the key among those that it keeps.
+    /// The server is within its concurrency limit and keeps the key.
     Strict,
-    /// Within 3/2 of its limit.
+    /// The server is within 3/2 of its concurrency limit.
     Relaxed,
-    /// A silent one too, or an ejected one where none is trusted.
+    /// A silent server is eligible too, and an ejected one if all ready servers are ejected.
     LastResort,
 }
 
-/// The least cap on the attempts of one server.
+/// The smallest cap on the attempts in flight at one server.
 const MIN_IN_FLIGHT_CAP: u64 = 2;
 
-/// What a walk along the ring has found out before it looks at single servers.
+/// What a search along the ring knows before it looks at single servers.
 struct Walk<'a> {
     request: &'a Request,
     round: Round,
-    /// The largest size of the servers on the way.
+    /// The largest size among the servers on the path.
     max_size: u64,
-    /// The first servers on the way, up to one that does not keep the key.
+    /// The first servers on the path, up to one that does not keep the key.
     keepers: Vec<ServerIndex>,
-    /// No ready server is trusted.
+    /// All ready servers are ejected, and this is the last round.
     all_ejected: bool,
-    /// A connection to one more server may be opened, by `ZoneGroup`.
+    /// Whether a connection to one more server may be opened, by `ZoneGroup`.
     may_connect: [bool; 2],
 }
 
 impl Balancer {
-    /// The server for the next attempt, if any may get it.
+    /// The server for the next attempt, if any is eligible.
     pub(super) fn select_server(&self, request: &Request) -> Option<ServerIndex> {
         let first = match self.shedding.uses_shared_ring(request.key) {
             true => [(RingScope::AllZones, Round::Strict), (RingScope::AllZones, Round::Relaxed)],
@@ -52,7 +53,9 @@
         first.into_iter().chain(rest).find_map(|(scope, round)| self.find_on_ring(scope, request, round))
     }
 
-    /// Follows a ring from the key's point, passing servers at the cap, ejected, silent, in slow start or not keeping the key.
+    /// Searches a ring from the key's point on for an eligible server. Skips servers that are at
+    /// the cap, ejected, silent, not yet open to the key in their slow start, or not keeping the
+    /// key.
     fn find_on_ring(&self, scope: RingScope, request: &Request, round: Round) -> Option<ServerIndex> {
         let mut servers: Vec<ServerIndex> = match &request.allowed_servers {
             Some(allowed) => allowed.iter().copied().filter(|server| self.is_ready(*server)).collect(),
@@ -69,19 +72,21 @@
         };
         walk.keepers = servers.iter().copied().take_while(|server| self.keeps_key(&walk, *server)).collect();
         if round == Round::LastResort {
-            // Guards against rejecting as those that are passed hold nothing: the mean is of the others.
-            servers.retain(|server| self.may_receive(&walk, *server));
+            // The cap is computed from the mean of the eligible servers only: skipped ones have
+            // nothing in flight, and would lower the mean so far that requests are rejected.
+            servers.retain(|server| self.eligible(&walk, *server));
         }
         let in_flight: u64 =
             servers.iter().map(|server| self.servers[*server].liveness.in_flight()).sum::<u64>() + 1;
         // 5/4 of the mean: consistent hashing with bounded loads.
         let cap = (in_flight * 5).div_ceil(4 * servers.len().max(1) as u64).max(MIN_IN_FLIGHT_CAP);
-        servers.into_iter().find(|server| {
-            self.servers[*server].liveness.in_flight() < cap && self.may_receive(&walk, *server)
-        })
+        servers
+            .into_iter()
+            .find(|server| self.servers[*server].liveness.in_flight() < cap && self.eligible(&walk, *server))
     }
 
-    /// Guards against taking a failure behind all servers (link, origin) for one of each of them.
+    /// Whether all ready servers are ejected. A failure behind all servers (a link, the origin)
+    /// must not count as a failure of each of them.
     fn all_ejected(&self) -> bool {
         (0..self.servers.len())
             .all(|server| !self.is_ready(server) || self.servers[server].failures.is_ejected())
@@ -92,8 +97,8 @@
             || self.servers[server].keys.keeps(walk.request.key, self.salt, walk.max_size)
     }
 
-    /// Whether a server may get the attempt.
-    fn may_receive(&self, walk: &Walk, index: ServerIndex) -> bool {
+    /// Whether a server may get the attempt in this round.
+    fn eligible(&self, walk: &Walk, index: ServerIndex) -> bool {
         let Walk { request, round, .. } = *walk;
         let server = &self.servers[index];
         let in_flight = server.liveness.in_flight();
@@ -112,8 +117,9 @@
             && self.may_attempt(request, index)
     }
 
-    /// A server in slow start stands on the ring with its share of its keys only, the same keys at every proxy and more by and
-    /// by, and for none that a server before it does not keep. Guards one that comes back, and the origin.
+    /// A server in slow start serves only a growing share of its keys, the same keys at every
+    /// proxy, and no key that a server before it on the ring does not keep. Protects a server that
+    /// comes back, and the origin.
     fn slow_start_allows(&self, walk: &Walk, index: ServerIndex) -> bool {
         let server = &self.servers[index];
         let progress = server.slow_start_progress(&self.settings, self.now);
@@ -129,7 +135,7 @@
         ZoneGroup::of(server.zone, self.settings.zone)
     }
 
-    /// To how many servers of the own zone, or of others, connections are held.
+    /// The number of servers in the own zone, or in other zones, to which connections are held.
     pub(super) fn connected_count(&self, group: ZoneGroup) -> u64 {
         let counts = |server: &&Server| server.connected && self.zone_group(server) == group;
         self.servers.iter().filter(counts).count() as u64
--- a/crates/balancer/src/balancer/snapshot.rs
+++ b/crates/balancer/src/balancer/snapshot.rs
@@ -1,4 +1,5 @@
-//! The whole state of a balancer in the order in which captures store it, which never changes.
+//! The whole state of a balancer, in the order in which captures store it. This order never
+//! changes.
 
 use super::Balancer;
 use crate::connections::ConnectionLimits;
@@ -10,7 +11,7 @@
 use chalkwalk_time::Timestamp;
 use std::collections::{BTreeMap, HashSet};
 
-/// Stores a request, and its class by number.
+/// Stores a request, with its class as an index.
 fn store_request(request: &Request, class: usize, snapshot: &mut Snapshot) {
     class.store(snapshot);
     (request.key, request.write).store(snapshot);
@@ -48,7 +49,8 @@
 }
 
 impl Balancer {
-    /// All that it knows. Nothing while a request still has limits that new settings have replaced: soon after there is.
+    /// The whole state of the balancer. Returns `None` while a request still has limits that new
+    /// settings have replaced, which is soon over.
     pub fn snapshot(&self) -> Option<Snapshot> {
         let mut snapshot = Snapshot::default();
         self.now.store(&mut snapshot);
@@ -86,7 +88,8 @@
         Some(())
     }
 
-    /// A balancer with these settings which knows all that another knew; nothing where the snapshot is not of such a balancer.
+    /// Creates a balancer with these settings and the state of a snapshot. Returns `None` if the
+    /// snapshot does not fit the settings.
     pub fn from_snapshot(values: &BTreeMap<String, String>, snapshot: &Snapshot) -> Option<Balancer> {
         let reader = &mut Reader::new(snapshot);
         let mut balancer = Balancer { settings: Settings::read(values), ..Balancer::default() };
@@ -131,7 +134,7 @@
         Some(())
     }
 
-    /// Whether every attempt, and the origin, is at a server that it knows.
+    /// Whether every attempt, and the origin, refers to a known server.
     fn references_known_servers(&self) -> bool {
         let known = self.servers.len();
         let mut attempts = self.requests.values().flat_map(|request| &request.attempts);
