--- a/crates/balancer/src/concurrency_limit.rs
+++ b/crates/balancer/src/concurrency_limit.rs
@@ -1,48 +1,53 @@
-//! Decides how many attempts a server takes at once, by additive increase and multiplicative decrease.
+//! Limits how many attempts a server gets at once, by additive increase and multiplicative
+//! decrease.
 //!
-//! Inputs: how each attempt ended, how long it took and how many were in flight with it. Late is what took over half its
-//! target time, or 3/4 of the shortest: queues stay short enough for the most urgent, which the patient would crowd out; at the
-//! origin, over 3/4 of its own. A sixth of an attempt up and an eighth of the limit down hold eight attempts where one in seven
-//! is late, and one where half are.
+//! Inputs: how each attempt ended, how long it took, and how many were in flight with it. An answer
+//! of a server is late if it took over half of the request's target time or over 3/4 of the
+//! shortest target time of all classes, whichever is less: queues then stay short enough for the
+//! most urgent class, which more patient ones would otherwise crowd out. An answer of the origin is
+//! late if it took over 3/4 of the request's own target time. With an increase by a sixth of an
+//! attempt and a decrease by an eighth of the limit, the limit stays at eight attempts if one
+//! answer in seven is late, and at one attempt if half are.
 
 use crate::snapshot::stored;
 use crate::types::AttemptOutcome;
 use chalkwalk_time::Span;
 
-/// Hundredths of an attempt: limits are kept in these.
+/// One attempt in the unit of limits, which is a hundredth of an attempt.
 const ONE_ATTEMPT: u64 = 100;
-/// Before anything is known of a server.
+/// The limit before anything is known about a server.
 const INITIAL_LIMIT: u64 = 8 * ONE_ATTEMPT;
 const MIN_LIMIT: u64 = ONE_ATTEMPT / 10;
 const MAX_LIMIT: u64 = 100 * ONE_ATTEMPT;
-/// Added by an answer in time, where half of the limit was in use.
+/// Added by an answer in time if over half of the limit was in use.
 const INCREASE_STEP: u64 = 16;
-/// So many rejections in a row lower the limit of a server below one attempt. Where half of all attempts are rejected, whatever
-/// the load, one run in sixteen is of four, and a server that is truly full answers nothing in between.
+/// After this many rejections in a row, further ones may lower the limit of a server below one
+/// attempt. If half of all attempts are rejected, whatever the load, one run in sixteen has four
+/// rejections; a server that is truly full answers nothing in between.
 const REJECTION_THRESHOLD: u64 = 4;
 
-/// How many attempts a server, or the origin, takes at once.
+/// The concurrency limit of a server or of the origin.
 #[derive(Default)]
 pub(crate) struct ConcurrencyLimit {
-    /// Rejected as overloaded, since an answer.
+    /// The number of attempts rejected as overloaded since the last answer.
     consecutive_rejections: u64,
-    /// It had answered nothing for a fifth of a second before its last outcome.
+    /// The server had answered nothing for a fifth of a second before its last outcome.
     rarely_answers: bool,
-    /// Hundredths of an attempt.
+    /// In hundredths of an attempt.
     limit: u64,
 }
 
 stored! { ConcurrencyLimit { consecutive_rejections, rarely_answers, limit } }
 
-/// What an attempt shows of the limit of its server.
+/// What an attempt shows about the limit of its server.
 pub(crate) struct Sample {
     pub outcome: AttemptOutcome,
     pub took: Span,
-    /// In flight at the server when it was sent, with it.
+    /// The attempts in flight at the server when this one was sent, this one included.
     pub in_flight: u64,
     pub target: Span,
     pub shortest_target: Span,
-    /// It was at a server, and not at the origin.
+    /// The attempt went to a server, and not to the origin.
     pub from_server: bool,
 }
 
@@ -70,27 +75,28 @@
         self.limit == INITIAL_LIMIT
     }
 
-    /// Takes over what another process has learned, within what could have been learned.
+    /// Sets a limit that another process learned, clamped to the valid range.
     pub fn restore(&mut self, limit: u64) {
         self.limit = limit.clamp(MIN_LIMIT, MAX_LIMIT);
     }
 
-    /// Whether one more attempt is within the limit. `draw`, 0 to 99, gives a part of an attempt to a part of the requests.
+    /// Whether one more attempt is within the limit. `draw`, 0 to 99, is the request's random draw:
+    /// of a fractional part of the limit, only that share of the requests makes use.
     pub fn admits(&self, in_flight: u64, draw: u64) -> bool {
         in_flight * ONE_ATTEMPT + draw < self.limit
     }
 
-    /// The same for 3/2 of the limit.
+    /// Whether one more attempt is within 3/2 of the limit.
     pub fn admits_relaxed(&self, in_flight: u64, draw: u64) -> bool {
         in_flight * ONE_ATTEMPT + draw < self.limit * 3 / 2
     }
 
-    /// Whether the server has answered seldom of late.
+    /// Sets whether the server has answered rarely of late.
     pub fn set_rarely_answers(&mut self, rarely_answers: bool) {
         self.rarely_answers = rarely_answers;
     }
 
-    /// An attempt ended.
+    /// Adjusts the limit by the outcome of an attempt.
     pub fn adjust(&mut self, sample: &Sample) {
         let late = sample.is_late();
         match sample.outcome {
@@ -98,11 +104,13 @@
                 self.limit += INCREASE_STEP;
             }
             AttemptOutcome::Completed | AttemptOutcome::TimedOut if late => {
-                // What was in flight is too much at a server that seldom answers: one of many proxies has few answers of it.
+                // At a server that rarely answers, the attempts in flight were already too many:
+                // one of many proxies sees few answers of the server.
                 let bound = if self.rarely_answers { sample.in_flight * ONE_ATTEMPT } else { self.limit };
                 self.limit = (self.limit * 7 / 8).min(bound);
             }
-            // One at a time is no load: guards servers that reject a part of whatever comes.
+            // A single attempt at a time is no load. Protects servers that reject a part of their
+            // attempts whatever the load.
             AttemptOutcome::Overloaded
                 if sample.from_server && self.consecutive_rejections < REJECTION_THRESHOLD =>
             {
--- a/crates/balancer/src/connections.rs
+++ b/crates/balancer/src/connections.rs
@@ -1,19 +1,22 @@
-//! Decides to how many servers connections are held. Guards servers short of capacity for connections against hundreds of
-//! proxies that each want one at all: no more are held than were found, one more is tried every four seconds, and two more
-//! where that is let in.
+//! Limits the number of servers to which connections are held. Protects servers that are short of
+//! capacity for connections from hundreds of proxies that each want a connection to all of them.
+//! When connections are refused, the limit drops to the number of servers connected; it rises by
+//! one server every four seconds, and by two for each new connection that is accepted.
 //!
 //! Inputs: which attempts found no connection.
 
-/// Hundredths of a server: limits are kept in these.
+/// One server in the unit of limits, which is a hundredth of a server.
 const ONE_SERVER: u64 = 100;
-/// No limit at all.
+/// The value of a limit that limits nothing.
 const UNLIMITED: u64 = 1 << 30;
-/// Every four seconds one more.
+/// The increase of a limit per second: one server every four seconds.
 const INCREASE_PER_SECOND: u64 = ONE_SERVER / 4;
-/// Two of the last 32 attempts, in ten-thousandths, are more than one server that died, which is ejected.
+/// In ten-thousandths: about two of the last 32 attempts. That is more than a single dead server
+/// causes, as it gets ejected.
 const SCARCITY_THRESHOLD: u64 = 600;
 
-/// The servers of the own zone and those of others have limits of their own.
+/// The zone groups: servers of the proxy's own zone and servers of other zones have separate
+/// limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ZoneGroup {
     Own,
@@ -26,11 +29,12 @@
     }
 }
 
-/// To how many servers of each group connections may be held.
+/// The limits on how many servers of each group connections may be held to.
 pub(crate) struct ConnectionLimits {
-    /// Ten-thousandths of the last attempts at servers, about 32, that found no connection.
+    /// The share of the last attempts at servers, about 32, that found no connection, in
+    /// ten-thousandths.
     refused_share: u64,
-    /// Hundredths of servers, by `ZoneGroup`.
+    /// In hundredths of a server, by `ZoneGroup`.
     limits: [u64; 2],
 }
 
@@ -53,34 +57,35 @@
         self.limits
     }
 
-    /// Whether a connection to one more server may be opened beside those to so many.
+    /// Whether a connection to one more server may be opened if `connected` servers are connected.
     pub fn may_open(&self, group: ZoneGroup, connected: u64) -> bool {
         connected * ONE_SERVER + ONE_SERVER <= self.limits[group as usize]
     }
 
-    /// An attempt at a server found a connection, or none.
+    /// Records whether an attempt at a server was refused a connection.
     pub fn record(&mut self, refused: bool) {
         self.refused_share = (self.refused_share * 31 + if refused { 10_000 } else { 0 }) / 32;
     }
 
-    /// Connections are refused for lack of capacity, and not by a server that died.
+    /// Whether connections are refused for lack of capacity, and not just by a server that died.
     pub fn is_scarce(&self) -> bool {
         self.refused_share > SCARCITY_THRESHOLD
     }
 
-    /// A server had no capacity for a connection: no more are held than to so many.
+    /// Lowers the limit to the number of connected servers, after a server had no capacity for a
+    /// connection.
     pub fn lower(&mut self, group: ZoneGroup, connected: u64) {
         let limit = &mut self.limits[group as usize];
         *limit = (*limit).min(ONE_SERVER * connected.max(1));
     }
 
-    /// A connection that was opened was let in.
+    /// Raises the limit after a new connection was accepted.
     pub fn raise(&mut self, group: ZoneGroup) {
         let limit = &mut self.limits[group as usize];
         *limit = (*limit + 2 * ONE_SERVER).min(UNLIMITED);
     }
 
-    /// A second has passed.
+    /// Raises the limits; called once a second.
     pub fn recover(&mut self) {
         self.limits = self.limits.map(|limit| (limit + INCREASE_PER_SECOND).min(UNLIMITED));
     }
--- a/crates/balancer/src/discovery.rs
+++ b/crates/balancer/src/discovery.rs
@@ -1,86 +1,97 @@
-//! Decides when discovery is called, and how soon again after a call that failed. Pure: times and random draws are passed in.
+//! Decides when discovery is called, and how soon again after a failed call. The functions are
+//! pure: times and random draws are passed in.
 //!
-//! Every source of the server list keeps one term: a change counts as notified [`NOTIFIED_WITHIN`] after discovery had it and
-//! could be reached, whatever calls failed, were refused or were given up before. The parts below add up to that term:
+//! Every source of the endpoint list keeps the same time limit: a change counts as notified
+//! [`NOTIFIED_WITHIN`] after discovery had it and was reachable, whichever calls failed, were
+//! refused or timed out before. These parts add up to that limit:
 //!
 //! | part | at most |
 //! | --- | --- |
-//! | a call that was bound to fail as discovery could not be reached, until it has failed or another is made beside it | [`CONNECT_TIMEOUT`], [`POLL_SILENT_AFTER`] |
-//! | the backoff after it, the shorter the longer it took | [`Backoff`] |
+//! | a call that fails as discovery is unreachable, until its failure or a parallel call | [`CONNECT_TIMEOUT`], [`POLL_SILENT_AFTER`] |
+//! | the backoff after it, shorter the longer the call took | [`Backoff`] |
 //! | the next call's wait in the queue of the service | [`LONGEST_QUEUE_WAIT`] |
 //!
-//! So a call that failed and the next one begin [`LONGEST_CALL_INTERVAL`] at most; that is checked at run time.
+//! So at most [`LONGEST_CALL_INTERVAL`] passes between the beginning of a failed call and that of
+//! the next one; this is checked at run time.
 //!
-//! A backoff is spread as evenly as the term allows, not as short as it could be: all processes of a fleet lose discovery
-//! together, and meet it again together. Spread over 3 s, with 2 s in which each may wait in its queue, a service that answers
-//! the whole fleet once in 5 s refuses none of them.
+//! A backoff is spread as evenly as the limit allows instead of being as short as possible: all
+//! proxies of a fleet lose discovery together and reach it again together. With calls spread over 3
+//! s, and 2 s that each may wait in the queue, a service that takes 5 s to answer the whole fleet
+//! once refuses none of them.
 
 use crate::snapshot::stored;
 use chalkwalk_time::Span;
 
 const SECOND: Span = Span::from_secs(1);
 
-/// A change counts as notified at the latest so long after discovery had it and could be reached.
+/// The longest time from when discovery has a change and is reachable until the change counts as
+/// notified.
 pub const NOTIFIED_WITHIN: Span = Span::from_secs(6);
-/// How long the service lets a call wait in its queue.
+/// The longest time that the service lets a call wait in its queue.
 pub const LONGEST_QUEUE_WAIT: Span = Span::from_secs(2);
-/// A connection that does not come up is given up after so long. The first SYN is sent again after 1 s.
+/// The timeout for connecting to discovery. The first SYN is sent again after 1 s.
 pub const CONNECT_TIMEOUT: Span = Span::from_secs(2);
-/// A call for the present list that has no answer is followed by another beside it: a second beyond its wait in the queue, so
-/// that no call is made twice to a service that merely has much to do.
+/// If a call for the current list has no answer after this time, another call is made in parallel.
+/// It is a second longer than the longest wait in the queue, so that no call is repeated to a
+/// service that is merely busy.
 pub const POLL_SILENT_AFTER: Span = LONGEST_QUEUE_WAIT.plus(SECOND);
 
-/// How long a watch may wait for an event, at the most. What a silent one misses counts as notified 2 s after its wait is over; a
-/// shorter wait costs every process more calls in calm times, a longer one leaves a silent watch unnoticed for longer than any
-/// other fault.
+/// The longest time that a watch may wait for an event. What a silent watch misses counts as
+/// notified 2 s after its wait is over. A shorter wait costs every proxy more calls in quiet times;
+/// a longer one leaves a silent watch unnoticed for longer than any other fault.
 pub const LONGEST_WATCH_WAIT: Span = Span::from_millis(5_500);
-/// So long after its wait a watch without an answer is taken for silent, and another call is made beside it.
+/// If a watch has no answer this long after the end of its wait, it is considered silent, and
+/// another call is made in parallel.
 pub const WATCH_SILENT_AFTER: Span = Span::from_millis(500);
-/// From the beginning of a call that failed to that of the next, at the most: what the first missed is notified by the next, at
-/// the end of its wait in the queue at the latest.
+/// The longest time from the beginning of a failed call to that of the next. What the failed call
+/// missed is notified by the next one, at the latest at the end of its wait in the queue.
 pub const LONGEST_CALL_INTERVAL: Span = NOTIFIED_WITHIN.minus(LONGEST_QUEUE_WAIT);
 
-/// No failing call is repeated sooner, or calls that fail at once would spin.
+/// The shortest backoff: without it, calls that fail at once would be repeated in a busy loop.
 const MIN_BACKOFF: Span = Span::from_millis(250);
-/// For starved cores, the transfer and reading a long list.
+/// Allows for CPU starvation, and for the transfer and parsing of a long list.
 const HEADROOM: Span = Span::from_millis(250);
-/// From the beginning of a call that failed to that of the next.
+/// The longest time from the beginning of a failed call to the planned beginning of the next.
 const MAX_RETRY_INTERVAL: Span = LONGEST_CALL_INTERVAL.minus(HEADROOM);
-/// A call that took so long has waited in the queue: half of the longest wait, and well above what a call takes on a busy
-/// machine.
+/// A call that took at least this long has waited in the queue: half of the longest wait, and well
+/// above what a call takes on a busy machine.
 const MIN_QUEUED_CALL_TIME: Span = Span::from_secs(1);
-/// After a call that has waited in the queue no backoff is shorter, as a service that works on calls which it has refused by
-/// then has to get through a whole fleet's calls from one call of a process to its next: 3.5 s with the wait.
+/// The shortest backoff after a call that waited in the queue. A service that still works on calls
+/// that it has already refused has to answer a whole fleet's calls between one call of a proxy and
+/// its next: that interval is 3.5 s with the wait in the queue.
 const MIN_BACKOFF_AFTER_QUEUE: Span = Span::from_millis(1_500);
-/// So many calls in a row that failed, the last after waiting, over a minute of nothing else, are taken for a service that the
-/// fleet itself keeps from working.
+/// If more calls than this fail in a row, the last one after waiting in the queue, the service
+/// counts as congested by the fleet itself. It takes over a minute of nothing but failures to get
+/// there.
 const CONGESTION_FAILURES: u32 = 20;
-/// The backoff then. It exceeds the term, and is the one exception: a fleet that keeps to the term would go on keeping the
-/// service from answering anybody. Eight seconds in the mean, so that a queue of five seconds runs dry first.
+/// The shortest and longest backoff while the service is congested. It is the one exception to the
+/// time limit for noticing changes: a fleet that kept to the limit would keep the service from
+/// answering anybody. The mean of eight seconds lets a queue of five seconds drain first.
 const CONGESTION_BACKOFF: (Span, Span) = (Span::from_secs(4), Span::from_secs(12));
 
-/// An older call beside a newer one that failed is accepted until so long after the beginning of the newer: the shortest backoff
-/// follows.
+/// If a call fails while an older one is still running, the older one's answer is accepted until
+/// this long after the beginning of the newer call; the shortest backoff follows.
 pub const OLDER_CALL_TIMEOUT: Span = MAX_RETRY_INTERVAL.minus(MIN_BACKOFF.times(2));
 
-// The term, part by part: what takes the longest before the next call can be made.
+// The parts of the time limit: whatever takes the longest before the next call can be made.
 const _: () = assert!(CONNECT_TIMEOUT.plus(MIN_BACKOFF.times(2)).fits(MAX_RETRY_INTERVAL));
 const _: () = assert!(POLL_SILENT_AFTER.fits(MAX_RETRY_INTERVAL));
 const _: () = assert!(WATCH_SILENT_AFTER.plus(MIN_BACKOFF.times(2)).fits(LONGEST_QUEUE_WAIT));
-// A silent watch is followed by another call while what it misses does not count as notified yet.
+// A silent watch is followed by another call before the changes that it misses count as notified.
 const _: () = assert!(LONGEST_WATCH_WAIT.plus(WATCH_SILENT_AFTER).fits(NOTIFIED_WITHIN));
 
-/// Whether a call that begins so long after the one before keeps the term; that one could wait for an event for `wait`. The
-/// grace of drains covers the headroom.
+/// Whether a call that begins `interval` after the previous one keeps the time limit. `watch_wait`
+/// is how long the previous call could wait for an event. The drain grace period covers the
+/// headroom.
 pub fn call_interval_allowed(interval: Span, watch_wait: Span) -> bool {
-    // A watch may fail just before it is taken for silent, and the shortest backoff follows. What it missed counts as notified
-    // a queue wait after its wait.
+    // A watch may fail just before it counts as silent, and the shortest backoff follows. What it
+    // missed counts as notified one queue wait after the end of its own wait.
     let watched =
         if watch_wait > Span::ZERO { watch_wait + WATCH_SILENT_AFTER + 2 * MIN_BACKOFF } else { Span::ZERO };
     interval <= LONGEST_CALL_INTERVAL.max(watched) + HEADROOM
 }
 
-/// The calls to discovery that failed in a row.
+/// Counts the calls to discovery that failed in a row.
 #[derive(Default)]
 pub(crate) struct DiscoveryCalls {
     failures: u32,
@@ -93,31 +104,33 @@
         self.failures
     }
 
-    /// A call failed; whether it is the first in a row.
+    /// Records a failed call. Returns whether it is the first in a row.
     pub fn record_failure(&mut self) -> bool {
         self.failures = self.failures.saturating_add(1);
         self.failures == 1
     }
 
-    /// A call was answered; whether one had failed before. One answer does not end congestion.
+    /// Records an answered call. Returns whether the previous call had failed. One answer does not
+    /// end congestion.
     pub fn record_answer(&mut self) -> bool {
         let congested = self.failures > CONGESTION_FAILURES;
         std::mem::replace(&mut self.failures, if congested { CONGESTION_FAILURES } else { 0 }) > 0
     }
 }
 
-/// The backoff after failed calls, as the settings of a deployment bound them.
+/// The backoff after failed calls, within the bounds that the settings of a deployment give.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Backoff {
     min_delay: Span,
-    /// From the beginning of the failed call on.
+    /// The longest time from the beginning of the failed call to the next call.
     max_interval: Span,
-    /// The longest after any call.
+    /// The longest backoff after any call.
     max_delay: Span,
 }
 
 impl Backoff {
-    /// Where the list is polled. `ask_time`: for so long a process may neither watch nor poll.
+    /// The backoff for a list that is polled. `max_poll_gap`: the longest time that a proxy may go
+    /// without a watch or a poll.
     pub fn polled(max_poll_gap: Span) -> Backoff {
         Backoff {
             min_delay: MIN_BACKOFF,
@@ -126,15 +139,16 @@
         }
     }
 
-    /// Where the list is pushed by an agent of the process's own: what it has counts as notified at once, and only the grace
-    /// runs. A quarter of it leaves time for further tries; nobody shares the agent.
+    /// The backoff for a list that is pushed by the process's own agent. What the agent has counts
+    /// as notified at once, and only the drain grace period is available. A quarter of it leaves
+    /// time for further tries; no other process uses the agent.
     pub fn pushed(grace: Span) -> Backoff {
         let max_delay = (grace / 4).clamp(SECOND / 20, MAX_RETRY_INTERVAL);
         Backoff { min_delay: max_delay / 4, max_interval: MAX_RETRY_INTERVAL, max_delay }
     }
 
-    /// How long to wait after a call that took so long and failed, the last of so many in a row; `below` draws a uniform span
-    /// below another.
+    /// The backoff after a call that took `took` and was the last of `consecutive_failures` failed
+    /// ones. `random_below` draws a uniformly distributed span below its argument.
     pub fn delay(
         &self,
         took: Span,
--- a/crates/balancer/src/effects.rs
+++ b/crates/balancer/src/effects.rs
@@ -1,11 +1,14 @@
-//! What a balancer does to the world: its calls out, each at the moment of the decision. Nothing here decides.
+//! The actions that a balancer asks for, each called at the moment of the decision. This module
+//! makes no decisions.
 
 use crate::types::{RequestId, ServerIndex};
 use chalkwalk_time::{Span, Timestamp};
 
-/// What a balancer calls while it decides. An implementation must not call back into the balancer.
+/// The interface through which a balancer acts. An implementation must not call back into the
+/// balancer.
 pub trait Effects {
-    /// Sends the request to a server: given up at `until`, and not written at all where that would be later than `by`.
+    /// Sends the request to a server. The attempt times out at `deadline`, and is not written at
+    /// all if that would be later than `send_by`.
     fn start_attempt(
         &mut self,
         request_id: RequestId,
@@ -13,17 +16,18 @@
         deadline: Timestamp,
         send_by: Timestamp,
     );
-    /// Withdraws an attempt, by its index among those of the request.
+    /// Cancels an attempt, given its index among those of the request.
     fn cancel_attempt(&mut self, request_id: RequestId, attempt: usize);
-    /// Answers the client that the request was not served, and when to retry; zero: without a time.
+    /// Answers the client that the request was not served, and when to retry. If `retry_after` is
+    /// zero, no time is stated.
     fn reject(&mut self, request_id: RequestId, retry_after: Span);
     /// Answers the client that the request failed, and may have run.
     fn fail(&mut self, request_id: RequestId);
     /// Checks the health of an ejected server; `Balancer::health_check_finished` takes the result.
     fn check_health(&mut self, server: ServerIndex);
-    /// Calls `Balancer::timer_fired` with the token after so long.
+    /// Calls `Balancer::timer_fired` with the token after the given time.
     fn set_timer(&mut self, token: u64, after: Span);
-    /// Calls discovery for the list of servers, and goes on watching it.
+    /// Calls discovery for the list of servers, and keeps watching it.
     fn watch_endpoints(&mut self);
     /// Reports a change of state, for the log.
     fn report(&mut self, change: StateChange);
@@ -32,9 +36,9 @@
 /// A change of state that operators are shown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StateChange<'a> {
-    /// The first call to discovery that failed after one that was answered.
+    /// A call to discovery failed, and the previous one was answered.
     DiscoveryLost,
-    /// The first call to discovery that was answered after one that failed.
+    /// A call to discovery was answered, and the previous one had failed.
     DiscoveryRecovered,
     /// A server failed too often, and gets no attempts until it is readmitted.
     ServerEjected {
@@ -50,7 +54,7 @@
 }
 
 impl<'a> StateChange<'a> {
-    /// Its name in log lines.
+    /// The change's name in log lines.
     pub fn name(self) -> &'static str {
         match self {
             StateChange::DiscoveryLost => "discovery lost",
@@ -60,7 +64,8 @@
         }
     }
 
-    /// Its name in captures and on the simulator's wire. Stored data: never changes.
+    /// The change's name in captures and in the simulator protocol. It is stored data and never
+    /// changes.
     pub fn stored_name(self) -> &'static str {
         match self {
             StateChange::DiscoveryLost => "discovery lost",
@@ -70,7 +75,7 @@
         }
     }
 
-    /// The id of the server that changed, if it is about one.
+    /// The id of the server that changed, if the change is about one.
     pub fn server(self) -> Option<&'a str> {
         match self {
             StateChange::DiscoveryLost | StateChange::DiscoveryRecovered => None,
--- a/crates/balancer/src/fetches.rs
+++ b/crates/balancer/src/fetches.rs
@@ -1,5 +1,6 @@
-//! Decides who fetches a key from the origin: one request a key at a time; others that need it wait for that fetch and then go
-//! to the server again. Guards the origin against a stampede on one key.
+//! Decides which request fetches a key from the origin: one request per key at a time. Other
+//! requests that need the key wait for that fetch and then go to the server again. Protects the
+//! origin from a stampede on one key.
 //!
 //! Inputs: the end of each fetch.
 
@@ -31,7 +32,7 @@
         self.waiting.insert(key, Vec::new());
     }
 
-    /// The fetch of a key has ended. Returns the requests that waited for it.
+    /// Ends the fetch of a key. Returns the requests that waited for it.
     pub fn end(&mut self, key: u64) -> Vec<RequestId> {
         self.waiting.remove(&key).unwrap_or_default()
     }
--- a/crates/balancer/src/hash.rs
+++ b/crates/balancer/src/hash.rs
@@ -1,6 +1,7 @@
-//! Hashes that every proxy of a fleet computes alike: a server's points on the ring, a key's point, and shares of keys.
+//! Hashes that all proxies of a fleet compute alike: a server's points on the ring, a key's point,
+//! and shares of keys.
 
-/// FNV-1a with a closing mix, so that names that differ in one letter land far apart on the ring.
+/// FNV-1a with a finalizer, so that names that differ in one letter land far apart on the ring.
 pub(crate) fn point(name: &str, salt: u64) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x100_0000_01b3;
@@ -15,7 +16,7 @@
     hash ^ (hash >> 33)
 }
 
-/// The point of a key on the ring, by which alone the balancer knows the key.
+/// The point of a key on the ring. The balancer identifies the key by this point only.
 pub fn key_point(key: &str) -> u64 {
     point(key, 0)
 }
--- a/crates/balancer/src/histogram.rs
+++ b/crates/balancer/src/histogram.rs
@@ -1,16 +1,17 @@
-//! Latencies of recent answers: a coarse histogram, from which timeouts and hedging delays are read.
+//! The latencies of recent answers as a coarse histogram, which timeouts and hedging delays are
+//! read from.
 
 use crate::snapshot::stored;
 use chalkwalk_time::Span;
 
 const DOUBLINGS: usize = 14;
-/// What one answer adds to its bin: four, so that a single one outlives two halvings.
+/// What one answer adds to its bin: four, so that a single answer still counts after two halvings.
 const COUNT_PER_ANSWER: u32 = 4;
 /// Fewer than five answers say too little about a ninth decile.
 const MIN_COUNT_FOR_DECILE: u32 = 5 * COUNT_PER_ANSWER;
 /// Fewer than twenty answers say too little about a quantile.
 const MIN_COUNT_FOR_QUANTILE: u64 = 20 * COUNT_PER_ANSWER as u64;
-/// Forty answers: fewer are kept, as half of them would be too few.
+/// Forty answers: a smaller count is not halved, as half of it would be too few.
 const MIN_COUNT_TO_DECAY: u32 = 40 * COUNT_PER_ANSWER;
 
 /// A histogram with four bins for each doubling from 0.8 ms up, halved once a second.
@@ -28,24 +29,26 @@
 }
 
 impl LatencyHistogram {
-    /// Counts an answer that took so long.
+    /// Counts an answer that took `took`.
     pub fn record(&mut self, took: Span) {
         let took = took.ticks();
         let doubling = ((took / 8 + 1).ilog2() as usize).min(DOUBLINGS - 1);
-        // The bins of a doubling begin at 8 * (2^doubling - 1), and are 8 * 2^doubling long together.
+        // The bins of a doubling begin at 8 * (2^doubling - 1) ticks and are 8 * 2^doubling ticks
+        // long together.
         let quarter = ((took + 8) >> (doubling + 1)).saturating_sub(4).min(3) as usize;
         self.counts[4 * doubling + quarter] += COUNT_PER_ANSWER;
     }
 
-    /// Halves what is counted, unless too little would be left to read anything from: a proxy with little traffic knows its
-    /// servers by their earlier answers.
+    /// Halves the counts, unless too few would be left: a proxy with little traffic relies on the
+    /// earlier answers of its servers.
     pub fn decay(&mut self) {
         if self.counts.iter().sum::<u32>() >= MIN_COUNT_TO_DECAY {
             self.counts.iter_mut().for_each(|count| *count /= 2);
         }
     }
 
-    /// The time within which nine in ten answered, rounded up to a doubling, or `default` where too few were measured.
+    /// The time within which nine in ten answers came, rounded up to a doubling, or `default` if
+    /// too few were measured.
     pub fn ninth_decile(&self, default: Span) -> Span {
         let in_doubling = |i: usize| self.counts[4 * i..4 * i + 4].iter().sum::<u32>();
         let count: u32 = self.counts.iter().sum();
@@ -59,8 +62,8 @@
         default
     }
 
-    /// The time within which so many thousandths answered, rounded up to a quarter of a doubling; `None` where too few were
-    /// measured.
+    /// The time within which `thousandths` of the answers came, rounded up to a quarter of a
+    /// doubling, or `None` if too few were measured.
     pub fn quantile(&self, thousandths: u64) -> Option<Span> {
         let count: u64 = self.counts.iter().map(|count| u64::from(*count)).sum();
         let mut above = count * (1000 - thousandths) / 1000;
--- a/crates/balancer/src/histogram/tests.rs
+++ b/crates/balancer/src/histogram/tests.rs
@@ -1,4 +1,4 @@
-//! Reads quantiles out of known latencies.
+//! Checks the quantiles of known latencies.
 
 use super::*;
 
@@ -9,7 +9,7 @@
     (0..1000).for_each(|took| histogram.record(Span::from_ticks(took)));
     let quantiles = [500, 900, 950, 990].map(|thousandths| histogram.quantile(thousandths).map(Span::ticks));
     assert_eq!(quantiles, [Some(504), Some(1016), Some(1016), Some(1016)]);
-    // It is the beginning of the next bin, and never below what was recorded.
+    // A quantile is the beginning of the next bin, and never below what was recorded.
     for took in 0..3000 {
         let mut histogram = LatencyHistogram::default();
         (0..20).for_each(|_| histogram.record(Span::from_ticks(took)));
--- a/crates/balancer/src/key_order.rs
+++ b/crates/balancer/src/key_order.rs
@@ -1,5 +1,6 @@
-//! Decides whose turn it is among the requests with one key, where their class asks for order: one at a time, as accepted, and
-//! none for the stated time after an attempt that may still run.
+//! Decides which of the requests with one key runs next, where their class asks for order: one at a
+//! time in the order of acceptance, and none for a configured time after an attempt that may still
+//! run.
 //!
 //! Inputs: the end of each request with a key, and attempts that may still run.
 
@@ -9,15 +10,15 @@
 use chalkwalk_time::{Span, Timestamp};
 use std::collections::HashMap;
 
-/// More than ever come to their turn while they are of use.
+/// More requests than ever get their turn while their answers are still useful.
 const MAX_QUEUE_LENGTH: usize = 100;
 
 /// The requests with one key.
 #[derive(Default)]
 struct KeyQueue {
-    /// Until it is over and all its attempts have ended.
+    /// The running request, until it is closed and all its attempts have ended.
     active: Option<RequestId>,
-    /// As accepted.
+    /// In the order of acceptance.
     waiting: Vec<RequestId>,
     quiet_until: Timestamp,
 }
@@ -38,29 +39,31 @@
 
 stored! { KeyOrder { queues } }
 
-/// What a request does that has to keep to the order.
+/// What a request that runs in order does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Turn {
-    /// It is sent now.
+    /// The request is sent now.
     Now,
-    /// It waits for those before it.
+    /// The request waits for those before it.
     Wait,
-    /// Its turn can't come while it is of use.
+    /// The request's turn can't come while an answer is still useful.
     Never,
 }
 
-/// What is done next with the queue of a key.
+/// The next step for the queue of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Next {
     Nothing,
-    /// The first of those that wait looks again after so long, when the key has been quiet long enough.
+    /// The first waiting request tries again after this time, when the quiet period of the key is
+    /// over.
     Later(RequestId, Span),
     /// It is this request's turn.
     Start(RequestId),
 }
 
 impl KeyOrder {
-    /// The turn of a request that is of use until `useful_until`, where half of all answers come within `typical`.
+    /// The turn of a request that is useful until `useful_until`, if half of all answers come
+    /// within `median_latency`.
     pub fn enter(
         &mut self,
         key: u64,
@@ -87,14 +90,15 @@
         Turn::Wait
     }
 
-    /// An attempt for a key may still run: no other request with the key is sent until then.
+    /// Holds back other requests with the key until `until`, as an attempt for the key may still
+    /// run.
     pub fn start_quiet_period(&mut self, key: u64, until: Timestamp) {
         if let Some(queue) = self.queues.get_mut(&key) {
             queue.quiet_until = until;
         }
     }
 
-    /// A request is over.
+    /// Removes a request that is closed.
     pub fn leave(&mut self, key: u64, request_id: RequestId) {
         if let Some(queue) = self.queues.get_mut(&key) {
             queue.waiting.retain(|other| *other != request_id);
@@ -102,7 +106,7 @@
         }
     }
 
-    /// Goes on with the queue of a key, once its first is over and the key has been quiet.
+    /// Starts the next request of a key, once the running one is over and so is the quiet period.
     pub fn advance(&mut self, key: u64, now: Timestamp) -> Next {
         let Some(queue) = self.queues.get_mut(&key) else { return Next::Nothing };
         if queue.active.is_some() || queue.waiting.is_empty() {
@@ -116,7 +120,7 @@
         Next::Start(first)
     }
 
-    /// A second has passed: queues that nothing depends on go.
+    /// Drops idle queues whose quiet period is over; called once a second.
     pub fn drop_idle(&mut self, now: Timestamp) {
         self.queues.retain(|_, queue| !queue.is_idle() || now < queue.quiet_until);
     }
--- a/crates/balancer/src/key_share.rs
+++ b/crates/balancer/src/key_share.rs
@@ -1,5 +1,6 @@
-//! Decides which of its keys a server keeps: fewer where it is small, answers late, or is listed as loaded. A hot key so splits
-//! over several servers, as each proxy passes a loaded server for other keys.
+//! Decides which of its keys a server keeps: fewer if it is small, answers late, or is listed as
+//! loaded. A hot key is thereby split over several servers, as each proxy skips a loaded server for
+//! different keys.
 //!
 //! Inputs: the listed sizes, and how long answers took.
 
@@ -7,33 +8,34 @@
 use crate::snapshot::stored;
 use chalkwalk_time::Span;
 
-/// All keys, in thousandths.
+/// The share of a server that keeps all its keys, in thousandths.
 const FULL_SHARE: u64 = 1000;
-/// The least share: what still shows how the server does, and an eighth of an eighth by the list's load.
+/// The smallest share: enough to still show how the server does, and an eighth of an eighth by the
+/// load in the list.
 const MIN_SHARE: u64 = 30;
-/// Given back by an answer in time: eight give all back.
+/// Added to the share by an answer in time: eight answers restore the whole share.
 const GAIN_PER_TIMELY_ANSWER: u64 = 125;
-/// Given back each second: half a hundredth.
+/// Added to the share each second: half a hundredth.
 const GAIN_PER_SECOND: u64 = 5;
-/// Given back by a list that states no load too high.
+/// Added to the share by a list that does not state too high a load.
 const GAIN_PER_LIST: u64 = 16;
-/// Hundredths of a request a core: over three are a load.
+/// In hundredths of a request per core: a server with more than three requests per core is loaded.
 const LOAD_THRESHOLD: u64 = 300;
-/// Sizes outside make no sense.
+/// The range of valid sizes.
 const VALID_SIZES: std::ops::Range<u64> = 1..10_000_000;
-/// A size that another process has learned counts to this.
+/// The upper bound for a size that another process learned.
 const MAX_LEARNED_SIZE: u64 = 1_000_000;
 
-/// A server's part in the keys that the ring gives it.
+/// The share of its keys on the ring that a server keeps.
 #[derive(Default)]
 pub(crate) struct KeyShare {
-    /// As listed; the largest listed, where it is lowered by load.
+    /// The listed size, or the largest one listed if load lowers the listed size.
     size: u64,
-    /// Hundredths of a request a core that it holds, by the list before.
+    /// The load according to the previous list, in hundredths of a request per core.
     previous_load: u64,
-    /// The same by the last list.
+    /// The load according to the last list, in hundredths of a request per core.
     load: u64,
-    /// Thousandths of its keys that it keeps.
+    /// The share of its keys that the server keeps, in thousandths.
     share: u64,
 }
 
@@ -60,12 +62,14 @@
         self.share == FULL_SHARE
     }
 
-    /// A new process under the id: what the old one was late with is void.
+    /// Restores the whole share for a new process under the same id: late answers of the old
+    /// process no longer count.
     pub fn reset(&mut self) {
         self.share = FULL_SHARE;
     }
 
-    /// The list states a size. What makes no sense is as if nothing were stated; a size that is lowered by load fades in minutes.
+    /// Records a listed size. An invalid size counts as not stated. If load lowers the listed size,
+    /// the stored one follows slowly, over minutes.
     pub fn update_listed_size(&mut self, size: u64, fixed: bool) {
         let valid_size = if VALID_SIZES.contains(&size) { size } else { self.size.max(1) };
         self.size = if fixed { size.max(1) } else { valid_size.max(self.size - self.size / 128) };
@@ -73,8 +77,9 @@
         self.load = if fixed { 0 } else { self.size * 100 / valid_size - 100 };
     }
 
-    /// A server that holds over three requests a core, and more than the mean, keeps an eighth less of its keys, or else a
-    /// sixtieth more: the same keys at every proxy, as all have the same list.
+    /// Adjusts the share by the listed load. A server that has over three requests per core, and
+    /// more than the mean, keeps an eighth less of its keys; any other server keeps a sixtieth
+    /// more. The keys are the same at every proxy, as all proxies have the same list.
     pub fn rebalance(&mut self, mean_load: u64) {
         let loaded = self.load > mean_load.max(LOAD_THRESHOLD);
         let recovering = self.load * 8 <= self.previous_load * 7;
@@ -85,7 +90,8 @@
         };
     }
 
-    /// An answer took so long. Half of the share goes for one past its target, as one of many proxies has few to learn from.
+    /// Adjusts the share by an answer. One past its target time halves the share, as each of many
+    /// proxies has few answers to learn from.
     pub fn record_latency(&mut self, took: Span, target: Span) {
         let raised = if took > target / 2 {
             self.share
@@ -95,26 +101,29 @@
         self.share = if took < target { raised } else { (self.share / 2).max(MIN_SHARE) };
     }
 
-    /// A second has passed.
+    /// Restores a part of the share and reduces the load; called once a second.
     pub fn recover(&mut self) {
         self.share = (self.share + GAIN_PER_SECOND).min(FULL_SHARE);
         self.load -= self.load / 8;
     }
 
-    /// Whether a key is among those that it keeps, beside servers of which the largest has that size. A smaller one gives up half
-    /// of the keys that it is short of the largest by, the same at every proxy: half, as keys are work and memory, which is
-    /// nowhere stated. Of the rest it keeps its share, by `salt` other keys at each proxy.
+    /// Whether the server keeps a key. `max_size` is the largest size among the servers that are
+    /// searched. A smaller server gives up half of the share of keys by which its size falls short
+    /// of the largest, the same keys at every proxy: only half, as keys cost both work and memory,
+    /// and it is nowhere stated which of the two a size means. Of the remaining keys it keeps its
+    /// share, which `salt` makes a different one at each proxy.
     pub fn keeps(&self, key: u64, salt: u64, max_size: u64) -> bool {
         mix(key) / 100_000_000 % 1000 < (self.size + max_size) * 500 / max_size
             && mix(key ^ salt) % 1000 < self.share
     }
 
-    /// Whether its listed load leaves it open to keys that it does not own: never above nine requests a core, always up to three.
+    /// Whether the listed load allows the server to take keys that it does not own: never above
+    /// nine requests per core, always up to three.
     pub fn takes_other_keys(&self, draw: u64) -> bool {
         self.load <= LOAD_THRESHOLD + draw * 6
     }
 
-    /// Takes over what another process has learned, within what could have been learned.
+    /// Sets what another process learned, clamped to the valid range.
     pub fn restore(&mut self, share: u64, size: u64, fixed_sizes: bool) {
         self.share = share.clamp(MIN_SHARE, FULL_SHARE);
         if !fixed_sizes {
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,7 +1,10 @@
-//! Every decision of chalkwalk about a request: which server gets it, when it is tried again, and when it is given up.
+//! All decisions of chalkwalk about a request: which server gets it, when it is retried, and when
+//! it is given up.
 //!
-//! Pure: no I/O and no clock. A [`Balancer`] is called with what happens and when, and calls its [`Effects`] for what is to be
-//! done. Start reading with `balancer.rs`; each module beside it makes one decision, and owns what that decision knows.
+//! The crate does no I/O and reads no clock. The caller reports to a [`Balancer`] what happens and
+//! when, and the balancer calls its [`Effects`] for everything that is to be done. Start reading
+//! with `balancer.rs`; each module beside it makes one decision and owns the state of that
+//! decision.
 
 pub mod admission;
 mod balancer;
--- a/crates/balancer/src/liveness.rs
+++ b/crates/balancer/src/liveness.rs
@@ -1,5 +1,6 @@
-//! Decides whether a server that has attempts in flight is silent: it has answered nothing for so long that something is wrong.
-//! Guards against servers that hang, vanish or pause, and against attempts that are accepted and never answered.
+//! Decides whether a server with attempts in flight is silent: it has answered nothing for so long
+//! that something is wrong. Protects against servers that hang, vanish or pause, and against
+//! attempts that are accepted and never answered.
 //!
 //! Inputs: the start, the answer and the end of each attempt.
 
@@ -9,14 +10,16 @@
 
 const SECOND: Span = Span::from_secs(1);
 
-/// What an answer seldom takes: three times what nine in ten stay under, as a few heavy requests together hold up more. Before
-/// there are any, nine in ten are taken to need a quarter of the shortest target time.
+/// The time after which an answer is overdue: three times what nine in ten answers stay under, as a
+/// few heavy requests together delay others. Before any latency is known, nine in ten answers are
+/// assumed to take at most a quarter of the shortest target time.
 pub(crate) fn overdue_after(latencies: &LatencyHistogram, shortest_target: Option<Span>) -> Span {
     let shortest = shortest_target.unwrap_or(SECOND / 4);
     (3 * latencies.ninth_decile(shortest / 4)).max(SECOND / 20)
 }
 
-/// How long a server with attempts in flight may send nothing: as long, and 1.5 s at most.
+/// How long a server with attempts in flight may send nothing before it counts as silent: as long
+/// as `overdue_after`, and 1.5 s at most.
 pub(crate) fn silence_timeout(latencies: &LatencyHistogram, shortest_target: Option<Span>) -> Span {
     overdue_after(latencies, shortest_target).min(SECOND * 3 / 2)
 }
@@ -25,14 +28,14 @@
 #[derive(Default)]
 pub(crate) struct Liveness {
     in_flight: u64,
-    /// Of these, whose answers have begun.
+    /// The number of attempts in flight whose answers have begun.
     streaming: u64,
-    /// Its last answer, or the first attempt since nothing was in flight.
+    /// The time of the last answer, or of the first attempt since nothing was in flight.
     waiting_since: Timestamp,
     last_answer: Timestamp,
-    /// When the attempt was sent that was answered and had been sent last.
+    /// The latest sending time among the attempts that were answered.
     latest_answered_sent_at: Timestamp,
-    /// The present silence was counted as a failure.
+    /// The current silence was already counted as a failure.
     silence_counted: bool,
 }
 
@@ -43,7 +46,7 @@
         self.in_flight
     }
 
-    /// An attempt is sent. Returns how many are in flight with it.
+    /// Records that an attempt is sent. Returns how many attempts are in flight, this one included.
     pub fn start_attempt(&mut self, now: Timestamp) -> u64 {
         if self.in_flight == 0 {
             self.waiting_since = now;
@@ -53,19 +56,20 @@
         self.in_flight
     }
 
-    /// The answer to an attempt has begun: the server owes nothing for it any more.
+    /// Records that the answer to an attempt has begun. The attempt no longer makes the server
+    /// silent.
     pub fn start_response(&mut self, sent_at: Timestamp, now: Timestamp) {
         self.streaming += 1;
         self.record_answer(sent_at, now);
     }
 
-    /// An attempt has ended, whose answer may have begun.
+    /// Records the end of an attempt. `streaming`: its answer had begun.
     pub fn end_attempt(&mut self, streaming: bool) {
         self.in_flight -= 1;
         self.streaming -= u64::from(streaming);
     }
 
-    /// The server has answered an attempt.
+    /// Records that the server answered an attempt sent at `sent_at`.
     pub fn record_answer(&mut self, sent_at: Timestamp, now: Timestamp) {
         self.waiting_since = now;
         self.last_answer = now;
@@ -73,33 +77,34 @@
         self.latest_answered_sent_at = self.latest_answered_sent_at.max(sent_at);
     }
 
-    /// Whether it owes an answer, and has sent nothing for longer than the timeout, which is computed only then.
+    /// Whether an answer is due and the server has sent nothing for longer than the timeout. The
+    /// timeout is computed only if an answer is due.
     pub fn is_silent(&self, now: Timestamp, timeout: impl FnOnce() -> Span) -> bool {
         self.in_flight > self.streaming && now - self.waiting_since > timeout()
     }
 
-    /// Whether nothing has come since an attempt was sent.
+    /// Whether the server has sent nothing since the attempt was sent at `sent_at`.
     pub fn is_silent_since(&self, sent_at: Timestamp) -> bool {
         self.waiting_since <= sent_at
     }
 
-    /// Whether an attempt that was sent later has been answered.
+    /// Whether an attempt sent after `sent_at` has been answered.
     pub fn answered_one_sent_after(&self, sent_at: Timestamp) -> bool {
         self.latest_answered_sent_at > sent_at
     }
 
-    /// Whether others were answered just now.
+    /// Whether the server answered an attempt within the last `span`.
     pub fn answered_within(&self, now: Timestamp, span: Span) -> bool {
         !self.last_answer.is_zero() && now < self.last_answer + span
     }
 
-    /// Whether it has answered nothing for a fifth of a second.
+    /// Whether the server has answered nothing for a fifth of a second.
     pub fn rarely_answers(&self, now: Timestamp) -> bool {
         now > self.last_answer + SECOND / 5
     }
 
-    /// Counts the present silence as a failure; whether it is the first time. One silence is one failure, however many attempts
-    /// it holds up: a pause is no hang.
+    /// Counts the current silence as a failure. Returns whether it is counted for the first time:
+    /// one silence is one failure, however many attempts it delays, as a pause is not a hang.
     pub fn count_silence(&mut self) -> bool {
         !std::mem::replace(&mut self.silence_counted, true)
     }
