--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -64,7 +64,7 @@
     origin: Option<ServerIndex>,
     ring: Ring,
     requests: HashMap<u64, Request>,
-    accepted: u64,
+    accepted_count: u64,
     latencies: LatencyHistogram,
     key_order: KeyOrder,
     fetches: Fetches,
--- a/crates/balancer/src/balancer/attempts.rs
+++ b/crates/balancer/src/balancer/attempts.rs
@@ -85,7 +85,7 @@
         };
         let no_connection_left = self.record_connection(&ended);
         self.record_latency(&ended);
-        let ended_fetch = self.end_led_fetch(request_id, &ended);
+        let ended_fetch = self.take_fetch_lead(request_id, &ended);
         self.record_key(&ended);
         let only_late = ended.outcome == AttemptOutcome::TimedOut && !ended.server_was_silent;
         if !(ended.is_origin_error() || no_connection_left || only_late) {
@@ -149,7 +149,7 @@
 
     /// Whether the attempt was the fetch that other requests wait for. If so, the request is no
     /// longer marked as leading that fetch.
-    fn end_led_fetch(&mut self, request_id: RequestId, ended: &EndedAttempt) -> bool {
+    fn take_fetch_lead(&mut self, request_id: RequestId, ended: &EndedAttempt) -> bool {
         match self.requests.get_mut(&request_id.0) {
             Some(request) if !ended.from_server => std::mem::replace(&mut request.leads_fetch, false),
             _ => false,
--- a/crates/balancer/src/balancer/endpoints.rs
+++ b/crates/balancer/src/balancer/endpoints.rs
@@ -51,8 +51,8 @@
         self.restore_learned_server(index);
     }
 
-    /// Starts the server's slow start if the entry is about a newer process under the same id. An
-    /// older one is ignored.
+    /// Resets the server's state and starts its slow start if a newer process has started under its
+    /// id. A start time that is not newer is ignored.
     pub(super) fn restart_if_newer(&mut self, server: ServerIndex, started_at: Timestamp) {
         if started_at > self.servers[server].started_at {
             let draw = self.random.below(SlowStart::DRAW_END);
--- a/crates/balancer/src/balancer/requests.rs
+++ b/crates/balancer/src/balancer/requests.rs
@@ -31,8 +31,8 @@
         write: bool,
         expires: Timestamp,
     ) -> RequestId {
-        let request_id = RequestId(self.accepted);
-        self.accepted += 1;
+        let request_id = RequestId(self.accepted_count);
+        self.accepted_count += 1;
         self.shedding.count_request();
         let class = &self.settings.classes[class];
         class.retry_budget.record_first_attempt(self.now);
--- a/crates/balancer/src/balancer/snapshot.rs
+++ b/crates/balancer/src/balancer/snapshot.rs
@@ -56,7 +56,7 @@
         self.now.store(&mut snapshot);
         self.settings.proxies.store(&mut snapshot);
         self.shedding.shared_ring_share().store(&mut snapshot);
-        self.accepted.store(&mut snapshot);
+        self.accepted_count.store(&mut snapshot);
         self.shedding.accepted_recently().store(&mut snapshot);
         self.salt.store(&mut snapshot);
         self.decayed_until.store(&mut snapshot);
@@ -96,7 +96,7 @@
         balancer.now = Stored::load(reader)?;
         balancer.settings.proxies = Stored::load(reader)?;
         let shared_ring_share = Stored::load(reader)?;
-        balancer.accepted = Stored::load(reader)?;
+        balancer.accepted_count = Stored::load(reader)?;
         let accepted_recently = Stored::load(reader)?;
         balancer.salt = Stored::load(reader)?;
         balancer.decayed_until = Stored::load(reader)?;
--- a/crates/balancer/src/concurrency_limit.rs
+++ b/crates/balancer/src/concurrency_limit.rs
@@ -80,8 +80,8 @@
         self.limit = limit.clamp(MIN_LIMIT, MAX_LIMIT);
     }
 
-    /// Whether one more attempt is within the limit. `draw`, 0 to 99, is the request's random draw:
-    /// of a fractional part of the limit, only that share of the requests makes use.
+    /// Whether one more attempt is within the limit. `draw` is the request's random draw, 0 to 99:
+    /// a fraction of an attempt in the limit admits that fraction of the requests.
     pub fn admits(&self, in_flight: u64, draw: u64) -> bool {
         in_flight * ONE_ATTEMPT + draw < self.limit
     }
--- a/crates/balancer/src/discovery.rs
+++ b/crates/balancer/src/discovery.rs
@@ -110,8 +110,8 @@
         self.failures == 1
     }
 
-    /// Records an answered call. Returns whether the previous call had failed. One answer does not
-    /// end congestion.
+    /// Records an answered call. Returns whether failed calls were counted before it. One answer
+    /// does not end congestion: it only lowers a higher count to the threshold.
     pub fn record_answer(&mut self) -> bool {
         let congested = self.failures > CONGESTION_FAILURES;
         std::mem::replace(&mut self.failures, if congested { CONGESTION_FAILURES } else { 0 }) > 0
--- a/crates/balancer/src/effects.rs
+++ b/crates/balancer/src/effects.rs
@@ -45,8 +45,8 @@
         /// The id of the server in the list.
         server: &'a str,
     },
-    /// An ejected server passed its health check or its ejection is over; it gets one attempt at a time until it has answered
-    /// two.
+    /// An ejected server passed its health check, or its ejection is over. It gets one attempt at a
+    /// time until it has answered two.
     ServerReadmitted {
         /// The id of the server in the list.
         server: &'a str,
--- a/crates/balancer/src/key_order.rs
+++ b/crates/balancer/src/key_order.rs
@@ -10,7 +10,8 @@
 use chalkwalk_time::{Span, Timestamp};
 use std::collections::HashMap;
 
-/// More requests than ever get their turn while their answers are still useful.
+/// The longest queue of a key. More requests never get their turn while their answers are still
+/// useful.
 const MAX_QUEUE_LENGTH: usize = 100;
 
 /// The requests with one key.
--- a/crates/balancer/src/liveness.rs
+++ b/crates/balancer/src/liveness.rs
@@ -39,7 +39,11 @@
     silence_counted: bool,
 }
 
-stored! { Liveness { in_flight, streaming, waiting_since, last_answer, latest_answered_sent_at, silence_counted } }
+stored! {
+    Liveness {
+        in_flight, streaming, waiting_since, last_answer, latest_answered_sent_at, silence_counted,
+    }
+}
 
 impl Liveness {
     pub fn in_flight(&self) -> u64 {
--- a/crates/balancer/src/load_shedding.rs
+++ b/crates/balancer/src/load_shedding.rs
@@ -1,42 +1,48 @@
-//! Decides which requests are rejected before they load the servers or the origin, and which keys share one ring of all zones.
+//! Decides which requests are rejected before they load the servers or the origin, and which keys
+//! are looked up on one ring of all zones.
 //!
-//! Inputs: whether answers of the servers, whichever, and of the origin came in time. Over one in three late, and a part of the
-//! requests is rejected so that the rest is in time; at the least one in twenty is sent. While the origin is short, fewer
-//! copies of a key leave room for more keys, so by and by requests go to the ring of all zones. Guards servers that are late
-//! together, as one of many proxies gets too few answers of each to find its limit, and an origin that every zone by itself
-//! would load with the same keys.
+//! Inputs: whether answers came in time, counted for all servers together and for the origin. If
+//! over one in three is late, a part of the requests is rejected so that the rest is answered in
+//! time; at least one in twenty is sent. While the origin is short of capacity, fewer copies of
+//! each key leave room in the servers for more keys, so step by step more keys move to the ring of
+//! all zones. Protects servers that are late together, which single concurrency limits can't do, as
+//! one of many proxies gets too few answers of each server to find its limit. Also protects an
+//! origin that each zone would otherwise load with the same keys.
 
 use crate::hash::mix;
 use std::collections::HashSet;
 
-/// All requests, in thousandths.
+/// The admission ratio at which all requests are sent, in thousandths.
 const FULL_RATIO: u64 = 1000;
-/// The least that is sent: one in twenty.
+/// The smallest admission ratio: one request in twenty.
 const MIN_RATIO: u64 = 50;
-/// Each second, so that all are sent again within 20 s whatever comes.
+/// Added to the admission ratios each second, so that all requests are sent again within 20 s in
+/// any case.
 const INCREASE_PER_SECOND: u64 = 50;
-/// An answer in time: an eighth down and a seventeenth up hold all requests while up to one in three is late.
+/// Added by an answer in time. A decrease by an eighth and an increase by a seventeenth keep all
+/// requests admitted as long as at most one answer in three is late.
 const INCREASE_PER_TIMELY_ANSWER: u64 = 60;
-/// Keys are remembered for 4 to 8 s: longer, and too many pass whose copy is gone by then.
+/// Keys are remembered for 4 to 8 s. If it were longer, too many requests would be admitted for
+/// keys whose copy is gone by then.
 const KEY_MEMORY_SECONDS: u64 = 4;
 
-/// What a request loads.
+/// The resource that a request loads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Resource {
     Servers,
-    /// The origin, loaded by this proxy or by a server.
+    /// The origin, whether this proxy or a server sends it the request.
     Origin,
 }
 
-/// What of the requests is sent.
+/// The state that decides which requests are sent.
 pub(crate) struct LoadShedding {
-    /// Hundredths of the keys that are looked up on the ring of all zones.
+    /// The share of keys that are looked up on the ring of all zones, in hundredths.
     shared_ring_share: u64,
-    /// Requests, halved each second.
+    /// The number of accepted requests, halved each second.
     accepted_recently: u64,
-    /// Thousandths of the requests that are sent, by `Resource`.
+    /// The share of requests that are sent, in thousandths, by `Resource`.
     admission_ratios: [u64; 2],
-    /// Keys that servers resolved lately, and before that.
+    /// The keys that servers resolved in the current period and in the one before.
     resolved_keys: [HashSet<u64>; 2],
 }
 
@@ -76,20 +82,21 @@
         self.accepted_recently += 1;
     }
 
-    /// Whether a request is rejected, by its draw of 0 to 99.
+    /// Whether a request is rejected, given its random draw of 0 to 99.
     pub fn sheds(&self, resource: Resource, draw: u64) -> bool {
         draw * 10 >= self.admission_ratios[resource as usize]
     }
 
-    /// An answer came, in time or late.
+    /// Records whether an answer was late.
     pub fn record(&mut self, resource: Resource, late: bool) {
         let ratio = &mut self.admission_ratios[resource as usize];
         let next = if late { *ratio * 7 / 8 } else { (*ratio + INCREASE_PER_TIMELY_ANSWER).min(FULL_RATIO) };
         *ratio = next.max(MIN_RATIO);
     }
 
-    /// A request was rejected as the origin is short. By their share, whatever this proxy's traffic: one in twenty, and all keys
-    /// go to the ring of all zones.
+    /// Records a request that was rejected because the origin is short of capacity. The step
+    /// depends on the share of such requests, whatever this proxy's traffic: if one in twenty is
+    /// rejected, all keys move to the ring of all zones.
     pub fn record_origin_short(&mut self) {
         let step = 150u64.div_ceil(self.accepted_recently.max(2));
         self.shared_ring_share = (self.shared_ring_share + step).min(100);
@@ -100,7 +107,7 @@
         mix(key) / 1000 % 100 < self.shared_ring_share
     }
 
-    /// Whether a server is not known to hold a key, and would fetch it.
+    /// Whether no server is known to hold a key, so that the server would fetch it.
     pub fn needs_fetch(&self, key: u64) -> bool {
         !self.resolved_keys.iter().any(|keys| keys.contains(&key))
     }
@@ -109,14 +116,15 @@
         self.resolved_keys[0].insert(key);
     }
 
-    /// Guards against copies that went void: after an error the key is not held after all.
+    /// Handles copies that were invalidated: after an error, the key counts as not held.
     pub fn forget_resolved(&mut self, key: u64) {
         for keys in &mut self.resolved_keys {
             keys.remove(&key);
         }
     }
 
-    /// A second has passed, the `second`th.
+    /// Restores the admission ratios and forgets old keys; called once a second with the number of
+    /// the second.
     pub fn recover(&mut self, second: u64) {
         self.accepted_recently /= 2;
         self.admission_ratios =
@@ -125,6 +133,6 @@
             self.resolved_keys.swap(0, 1);
             self.resolved_keys[0].clear();
         }
-        self.shared_ring_share -= self.shared_ring_share.div_ceil(16); // all within half a minute
+        self.shared_ring_share -= self.shared_ring_share.div_ceil(16); // back to none within half a minute
     }
 }
--- a/crates/balancer/src/outlier.rs
+++ b/crates/balancer/src/outlier.rs
@@ -1,27 +1,32 @@
 //! Decides which server is ejected for its failures, for how long, and when it is readmitted.
 //!
-//! Inputs: how each attempt ended, and the results of health checks. A server is ejected where over one in four attempts fails:
-//! after three failures in a row, or one if nothing listens, as a server that fails fast holds little and would keep its keys.
+//! Inputs: how each attempt ended, and the results of health checks. A server is ejected if over
+//! one in four attempts fails: after three failures in a row, or after one if nothing listens on
+//! its port. A server that fails fast has few attempts in flight, so it would otherwise keep its
+//! keys.
 
 use crate::snapshot::stored;
 use crate::types::AttemptOutcome;
 use chalkwalk_time::Span;
 
 const SECOND: Span = Span::from_secs(1);
-/// Up for a failure; down by one for an answer.
+/// Added to the score for a failure; an answer subtracts one.
 const FAILURE_PENALTY: u64 = 3;
-/// Up for a broken connection of a server that answered others just now: it was the connection, and not the server.
+/// Added to the score for a broken connection if the server answered other attempts a moment ago:
+/// the fault is then in the connection and not in the server.
 const BROKEN_CONNECTION_PENALTY: u64 = 2;
-/// A server is ejected from here on.
+/// A server with this score or more is ejected.
 const EJECTION_THRESHOLD: u64 = 9;
-/// One attempt at a time from here on; an ejected server is readmitted below.
+/// A server with this score or more gets one attempt at a time; an ejected server below it is
+/// readmitted.
 const SUSPECT_THRESHOLD: u64 = 6;
-/// The score of a server that was readmitted by a health check: one attempt at a time until two were answered.
+/// The score of a server that was readmitted by a health check: it gets one attempt at a time until
+/// it has answered two.
 const READMISSION_SCORE: u64 = 7;
-/// Seven answers make up for the worst score.
+/// The highest score: seven answers are enough to recover from it.
 const MAX_SCORE: u64 = 12;
 
-/// How often a server has failed of late.
+/// A score of how often a server has failed recently.
 #[derive(Default)]
 pub(crate) struct FailureScore {
     score: u64,
@@ -35,12 +40,13 @@
         self.ejected
     }
 
-    /// Whether it may get an attempt beside those in flight.
+    /// Whether the server may get one more attempt in addition to those in flight.
     pub fn allows_attempt(&self, in_flight: u64) -> bool {
         !self.ejected && (self.score < SUSPECT_THRESHOLD || in_flight == 0)
     }
 
-    /// Counts an outcome; whether the server is to be ejected for it. `answered_lately`: it has answered others just now.
+    /// Counts an outcome. Returns whether the server is to be ejected for it. `answered_recently`:
+    /// the server answered other attempts a moment ago.
     pub fn record(&mut self, outcome: AttemptOutcome, answered_recently: bool) -> bool {
         self.score = match outcome {
             AttemptOutcome::Unreachable | AttemptOutcome::ConnectionLost if answered_recently => {
@@ -50,7 +56,8 @@
             | AttemptOutcome::CompletedFromCache
             | AttemptOutcome::CompletedByFetch
             | AttemptOutcome::CacheMiss => self.score.saturating_sub(1),
-            // Guards against a request that no server can use and that would have each of them ejected.
+            // An invalid request does not count: every server would reject it, and it would have
+            // each of them ejected.
             AttemptOutcome::Overloaded
             | AttemptOutcome::Cancelled
             | AttemptOutcome::NotSent
@@ -60,7 +67,8 @@
                 self.score + FAILURE_PENALTY
             }
         };
-        // Ejected and in use all the same, as none was trusted, it is readmitted for its answers.
+        // An ejected server that is in use, as all servers are ejected, is readmitted for its
+        // answers.
         self.score = self.score.min(MAX_SCORE);
         self.ejected &= self.score >= SUSPECT_THRESHOLD;
         self.score >= EJECTION_THRESHOLD && !self.ejected
@@ -75,26 +83,26 @@
         self.score = READMISSION_SCORE;
     }
 
-    /// A new process: what was held against the old one is void.
+    /// Clears the score for a new process: failures of the old one no longer count.
     pub fn reset(&mut self) {
         *self = FailureScore::default();
     }
 }
 
-/// How long a server is ejected, and what will end it.
+/// How long a server is ejected, and the timers and health checks that will end the ejection.
 #[derive(Default)]
 pub(crate) struct Ejection {
-    /// Timers and health checks of it that are still to come back.
+    /// The timers and health checks of the server that have not returned yet.
     pending_checks: u32,
-    /// How long the last ejection was, and the next is twice.
+    /// The length of the last ejection; the next one is twice as long.
     backoff: Span,
 }
 
 stored! { Ejection { pending_checks, backoff } }
 
 impl Ejection {
-    /// One more ejection begins. Returns its length: from half a second, doubled each time up to eight, so that short failures
-    /// cost little, and long ones too.
+    /// Begins an ejection and returns its length: half a second at first, doubled each time up to
+    /// eight seconds, so that both short and long failures cost little.
     pub fn begin(&mut self) -> Span {
         self.backoff = (self.backoff * 2).clamp(SECOND / 2, 8 * SECOND);
         self.pending_checks += 1;
@@ -109,7 +117,7 @@
         self.pending_checks > 0
     }
 
-    /// A second has passed.
+    /// Shortens the next ejection unless the server is ejected; called once a second.
     pub fn decay(&mut self, ejected: bool) {
         self.backoff -= if ejected { Span::ZERO } else { self.backoff / 8 };
     }
--- a/crates/balancer/src/random.rs
+++ b/crates/balancer/src/random.rs
@@ -1,5 +1,5 @@
-//! The balancer's own random numbers. Seeded, so that the same calls lead to the same decisions: the order and the number of
-//! draws are part of what a capture replays.
+//! The balancer's random number generator. It is seeded, so that the same calls lead to the same
+//! decisions: the order and the number of draws are part of what a capture replays.
 
 use crate::hash::mix;
 use crate::snapshot::stored;
@@ -18,7 +18,7 @@
         Random { state: mix(seed) | 1 }
     }
 
-    /// A number that differs from process to process, without a draw.
+    /// A number that differs between processes. It does not use up a draw.
     pub fn salt(&self) -> u64 {
         mix(self.state)
     }
@@ -29,7 +29,7 @@
         ((self.state & 0xffff_ffff) * end.max(1)) >> 32
     }
 
-    /// A uniform draw of a span below another.
+    /// A uniform draw of a span below `end`.
     pub fn span_below(&mut self, end: Span) -> Span {
         Span::from_ticks(self.below(end.ticks()))
     }
--- a/crates/balancer/src/recent_latency.rs
+++ b/crates/balancer/src/recent_latency.rs
@@ -1,4 +1,5 @@
-//! What the answers of one server took of late, the last counting most: shows whether the origin answers in the time left.
+//! A moving average of the latencies of one server, in which the latest answer counts most. Shows
+//! whether the origin can answer in the time left.
 
 use crate::snapshot::stored;
 use chalkwalk_time::Span;
@@ -11,12 +12,13 @@
 stored! { RecentLatency { mean } }
 
 impl RecentLatency {
-    /// An answer took so long; beyond the target time it makes no difference.
+    /// Records the latency of an answer. Latencies above the target time count as the target time.
     pub fn record(&mut self, took: Span, target: Span) {
         self.mean = (self.mean * 7 + took.min(target)) / 8;
     }
 
-    /// A second has passed: decays, so that a server which gets no attempts is tried again.
+    /// Lowers the mean, so that a server that gets no attempts is tried again; called once a
+    /// second.
     pub fn decay(&mut self) {
         self.mean -= self.mean / 8;
     }
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -1,4 +1,4 @@
-//! An open request and its attempts. Nothing here decides.
+//! An open request and its attempts. This module makes no decisions.
 
 use crate::request_class::ClassHandle;
 use crate::snapshot::stored;
@@ -10,55 +10,59 @@
 pub(crate) struct Attempt {
     pub server: ServerIndex,
     pub sent_at: Timestamp,
-    /// How many attempts of this proxy were in flight at the server, with this one.
+    /// How many attempts of this proxy were in flight at the server, this one included.
     pub in_flight: u64,
-    /// It has no outcome yet.
+    /// The attempt has no outcome yet.
     pub pending: bool,
     pub may_have_run: bool,
-    /// Its server is not tried again for the request.
+    /// The server is not tried again for the request.
     pub failed: bool,
-    /// Its answer is on its way to the client.
+    /// The answer is being passed on to the client.
     pub streaming: bool,
-    /// No connection to the server was held.
+    /// No connection to the server was open, so the attempt opens one.
     pub opens_connection: bool,
-    /// The server will likely fetch from the origin for it.
+    /// The server will likely fetch from the origin for this attempt.
     pub likely_fetch: bool,
 }
 
 stored! {
-    Attempt { server, sent_at, in_flight, pending, may_have_run, failed, streaming, opens_connection, likely_fetch }
+    Attempt {
+        server, sent_at, in_flight, pending, may_have_run, failed, streaming, opens_connection,
+        likely_fetch,
+    }
 }
 
 /// A request from its acceptance until its final answer and the end of its attempts.
 #[derive(Default)]
 pub(crate) struct Request {
     pub class: ClassHandle,
-    /// Its key's point on the ring.
+    /// The point of the request's key on the ring.
     pub key: u64,
     pub write: bool,
-    /// The servers that may serve it, in order, where the ring does not decide.
+    /// The servers that may serve the request, in order, if the ring does not decide.
     pub allowed_servers: Option<Vec<ServerIndex>>,
-    /// By when it must be answered.
+    /// The time by which the request must be answered.
     pub expires: Timestamp,
-    /// Until when an answer is of use.
+    /// The time until which an answer is useful.
     pub useful_until: Timestamp,
-    /// 0 to 99, drawn once: who gets a part of what is less than one attempt, and who is shed first.
+    /// A random number from 0 to 99, drawn once: it selects the requests that use a fractional part
+    /// of a limit, and those that are shed first.
     pub draw: u64,
     pub attempts: Vec<Attempt>,
-    /// Its time limit was shortened while it was open.
+    /// The time limit was shortened while the request was open.
     pub time_limit_shortened: bool,
-    /// It has its final answer.
+    /// The request has its final answer.
     pub answered: bool,
     /// An answer has begun.
     pub streaming: bool,
-    /// It waits for its turn by key, or for a fetch.
+    /// The request waits for its key's turn or for a fetch.
     pub waiting: bool,
-    /// Its attempt at the origin is the fetch that others wait for.
+    /// The request's attempt at the origin is the fetch that other requests wait for.
     pub leads_fetch: bool,
 }
 
 impl Request {
-    /// The indices of its attempts that have no outcome yet.
+    /// The indices of the attempts that have no outcome yet.
     pub fn pending_attempts(&self) -> impl Iterator<Item = usize> {
         self.attempts.iter().enumerate().filter(|(_, attempt)| attempt.pending).map(|(i, _)| i)
     }
--- a/crates/balancer/src/request_class.rs
+++ b/crates/balancer/src/request_class.rs
@@ -1,4 +1,4 @@
-//! Classes of requests: the limits and the promises that hold for the requests of each.
+//! Classes of requests: the limits and guarantees that apply to the requests of each class.
 
 use crate::values::Values;
 use chalkwalk_limits::RetryBudget;
@@ -10,16 +10,18 @@
 /// Whether a request may run twice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Idempotency {
-    /// A repeat does no harm.
+    /// Repeating the request does no harm.
     Replayable,
-    /// Servers drop a repeat that comes within the class's window, by its tag.
+    /// Servers recognize a repeat by its tag, and drop it if it arrives within the deduplication
+    /// window of the class.
     Tagged,
     /// A repeat is never allowed.
     #[default]
     SingleUse,
 }
 
-/// Which servers drop the repeat of a tagged request: those that share what they have seen.
+/// Which servers drop the repeat of a tagged request: those that share the record of tags that they
+/// have seen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum DedupGroup {
     All,
@@ -28,23 +30,23 @@
     Cell,
 }
 
-/// What holds for the requests of one namespace, or of one class of it.
+/// The settings for the requests of one namespace, or of one class of a namespace.
 #[derive(Default)]
 pub(crate) struct RequestClass {
     /// The latency objective.
     pub target: Span,
-    /// An answer after the target time is still of use.
+    /// An answer after the target time is still useful.
     pub late_answers_useful: bool,
-    /// Requests with one key run one at a time, as accepted.
+    /// Requests with the same key run one at a time, in the order of acceptance.
     pub in_order: bool,
     pub idempotency: Idempotency,
     pub dedup_group: DedupGroup,
     pub dedup_window: Span,
     pub max_attempts: usize,
     pub hedging: bool,
-    /// A single attempt is given up after this.
+    /// The timeout of a single attempt.
     pub attempt_timeout: Span,
-    /// A hedged request goes out after the time within which so many thousandths of answers come.
+    /// A hedged request is sent after the time within which this many thousandths of answers come.
     pub hedge_after: Option<u64>,
     pub retry_budget: RetryBudget,
     pub max_open: u64,
@@ -52,7 +54,8 @@
 }
 
 impl RequestClass {
-    /// Reads the class with that number; without a budget of its own it shares that of all others.
+    /// Reads the class with that index. A class without a retry budget of its own shares the budget
+    /// of all such classes.
     pub fn read(values: &Values, index: usize, shared_budget: &RetryBudget) -> RequestClass {
         let setting = |name: &str| format!("namespace {index} {name}");
         let own_budget = values.has(&setting("further shots"));
@@ -85,13 +88,14 @@
         }
     }
 
-    /// More requests are open than may be.
+    /// Whether more requests of the class are open than allowed.
     pub fn is_over_max_open(&self) -> bool {
         self.open.get() > self.max_open
     }
 }
 
-/// The class as an open request holds it: counted among the open ones of the class meanwhile.
+/// An open request's reference to its class. While it exists, the request counts among the open
+/// ones of the class.
 #[derive(Default)]
 pub(crate) struct ClassHandle(Rc<RequestClass>);
 
@@ -101,7 +105,7 @@
         ClassHandle(class.clone())
     }
 
-    /// Whether it is a handle of that class.
+    /// Whether this is a handle of that class.
     pub fn is_of(&self, class: &Rc<RequestClass>) -> bool {
         Rc::ptr_eq(&self.0, class)
     }
--- a/crates/balancer/src/ring.rs
+++ b/crates/balancer/src/ring.rs
@@ -1,15 +1,16 @@
-//! The consistent-hash ring: which servers follow a key's point, in order. All proxies with the same list build the same ring,
-//! so that a key's copies lie on few servers, and a server that comes or goes moves only its own keys.
+//! The consistent-hash ring: which servers follow a key's point, in order. All proxies with the
+//! same list build the same ring, so that each key has copies on few servers, and a server that is
+//! added or removed moves only its own keys.
 //!
 //! Inputs: which servers are ready, and their zones.
 
 use crate::hash::point;
 use crate::types::ServerIndex;
 
-/// 128 points a server keep the shares of equal servers within about a tenth of each other.
+/// 128 points per server keep the shares of equal servers within about a tenth of each other.
 const POINTS_PER_SERVER: u64 = 128;
 
-/// The servers among which a key's owner is sought.
+/// The set of servers that a key's owner is searched in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RingScope {
     OwnZone,
@@ -28,8 +29,10 @@
 }
 
 impl Ring {
-    /// Builds the ring of `servers`: for each index its id, whether it is ready, and whether it is in the own zone. Points come
-    /// from the id alone. Those of servers that stay are kept: an index is another server's only after it had none.
+    /// Builds the ring of `servers`, which gives for each index the server's id, whether it is
+    /// ready, and whether it is in the proxy's own zone. Points depend on the id alone. The points
+    /// of servers that stay are kept: an index is given to another server only after it had no
+    /// points.
     pub fn rebuild<'a>(&mut self, servers: impl ExactSizeIterator<Item = (&'a str, bool, bool)> + Clone) {
         let mut all = std::mem::take(&mut self.all_zones);
         let mut missing: Vec<bool> = servers.clone().map(|(_, ready, _)| ready).collect();
@@ -39,7 +42,7 @@
         for (server, (id, ..)) in servers.enumerate().filter(|(server, _)| missing[*server]) {
             all.extend((0..POINTS_PER_SERVER).map(|salt| (point(id, salt + 1), server)));
         }
-        all.sort(); // two sorted runs, mostly
+        all.sort(); // fast, as the input is mostly two sorted runs
         (self.own_zone, self.other_zones) = all.iter().partition(|point| own[point.1]);
         self.all_zones = all;
     }
@@ -52,7 +55,8 @@
         }
     }
 
-    /// The servers of a scope in the order in which they follow a key's point, each once; indices are below `index_end`.
+    /// The servers of a scope in the order in which they follow a key's point, each once. All
+    /// indices are below `index_end`.
     pub fn servers_from(&self, scope: RingScope, key: u64, index_end: usize) -> Vec<ServerIndex> {
         let points = self.points(scope);
         let mut found = Vec::new();
@@ -70,7 +74,7 @@
         found
     }
 
-    /// How many servers of all zones are on it.
+    /// The number of servers of all zones on the ring.
     pub fn server_count(&self) -> u64 {
         self.all_zones.len() as u64 / POINTS_PER_SERVER
     }
--- a/crates/balancer/src/server.rs
+++ b/crates/balancer/src/server.rs
@@ -1,4 +1,5 @@
-//! What this proxy knows of one server, or of the origin: one part for each decision about it. Nothing here decides.
+//! What this proxy knows about one server or the origin, with one part for each decision. This
+//! module makes no decisions.
 
 use crate::concurrency_limit::ConcurrencyLimit;
 use crate::key_share::KeyShare;
@@ -21,7 +22,7 @@
     pub started_at: Timestamp,
     pub liveness: Liveness,
     pub failures: FailureScore,
-    /// A connection to it is held, as far as attempts show.
+    /// A connection to the server is open, as far as attempts show.
     pub connected: bool,
     pub ejection: Ejection,
     pub recent_latency: RecentLatency,
@@ -31,7 +32,8 @@
 
 stored! {
     Server {
-        id, zone, cell, keys, status, started_at, liveness, failures, connected, ejection, recent_latency, concurrency, slow_start,
+        id, zone, cell, keys, status, started_at, liveness, failures, connected, ejection,
+        recent_latency, concurrency, slow_start,
     }
 }
 
@@ -45,7 +47,8 @@
         }
     }
 
-    /// A new process under the id: what was held against the old one is void, and its slow start begins.
+    /// Resets the state for a new process under the same id: the failures of the old process no
+    /// longer count, and slow start begins.
     pub fn restart(&mut self, at: Timestamp, token_floor: u64, draw: u64) {
         self.started_at = at;
         self.slow_start.restart(token_floor, draw);
@@ -54,7 +57,7 @@
         self.keys.reset();
     }
 
-    /// A second has passed.
+    /// Lets the state decay and recover; called once a second.
     pub fn recover(&mut self, settings: &Settings) {
         self.slow_start.refill(token_floor(settings));
         self.keys.recover();
@@ -66,7 +69,7 @@
         Progress::new(settings, self.started_at, now)
     }
 
-    /// What was learned of it, where it differs from what holds at first.
+    /// What was learned about the server, if it differs from the initial values.
     pub fn learned(&self) -> Option<LearnedServer> {
         let differs = !self.keys.is_full() || !self.concurrency.is_initial();
         (self.status == EndpointStatus::Ready && differs).then(|| LearnedServer {
@@ -78,7 +81,8 @@
         })
     }
 
-    /// Takes over what another process has learned of it, if it has not started since.
+    /// Restores what another process learned about the server, unless the server has restarted
+    /// since.
     pub fn restore_learned(&mut self, learned: &LearnedServer, settings: &Settings) {
         if learned.born == self.started_at {
             self.keys.restore(learned.key_share, learned.size, settings.fixed_sizes);
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -1,4 +1,5 @@
-//! The settings of a deployment, read from the map of names and values. Nothing here decides.
+//! The settings of a deployment, read from a map of names and values. This module makes no
+//! decisions.
 
 use crate::discovery::Backoff;
 use crate::request_class::RequestClass;
@@ -8,38 +9,41 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// What the platform allows and promises.
+/// What the platform supports and guarantees.
 #[derive(Default)]
 pub(crate) struct Settings {
     /// The proxy's own zone.
     pub zone: usize,
     /// The health of servers can be checked.
     pub health_checks: bool,
-    /// Attempts can be withdrawn.
+    /// Attempts can be cancelled.
     pub cancellation: bool,
-    /// 0: rejections do not state when to retry.
+    /// The longest time after which a rejected client is told to retry. 0: rejections do not state
+    /// a time.
     pub max_retry_after: Span,
-    /// The share of its keys that a server stands for at its start.
+    /// The share of its keys that a server serves right after its start.
     pub slow_start_share: f64,
     /// How long after its start a server is in slow start.
     pub slow_start_time: Span,
     /// How many proxies send to the servers, this one included.
     pub proxies: u64,
     pub discovery_backoff: Backoff,
-    /// Servers fetch from the origin by themselves.
+    /// Servers fetch misses from the origin themselves.
     pub servers_fetch: bool,
-    /// The listed sizes are the servers' own, and not their load of the moment.
+    /// The listed sizes are those of the servers themselves, and do not vary with their current
+    /// load.
     pub fixed_sizes: bool,
-    /// The kind of the origin, where misses are fetched by the proxy.
+    /// The kind that marks the origin in the list, if the proxy fetches misses.
     pub origin_kind: Option<usize>,
-    /// How long no request with a key is sent after an attempt that may still run, where its requests run in order.
+    /// How long no request with a key is sent after an attempt that may still run, in classes whose
+    /// requests run in order.
     pub key_quiet_period: Span,
-    /// The classes of requests, and the classes that limits make of them.
+    /// The request classes, including those that limits derive from others.
     pub classes: Vec<Rc<RequestClass>>,
 }
 
 impl Settings {
-    /// Reads all of them; what is missing or makes no sense has its default.
+    /// Reads all settings. A missing or invalid one takes its default.
     pub fn read(values: &BTreeMap<String, String>) -> Settings {
         let values = Values(values);
         let shared_budget = RetryBudget::default();
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -1,24 +1,26 @@
-//! Decides what a server may get in its slow start: a share of its keys that grows with its age, the same at every proxy, and
-//! within tokens, one an attempt. Guards a server that comes back, and the origin behind its misses.
+//! Decides what a server may get during its slow start: a share of its keys that grows with its
+//! age, the same keys at every proxy, and only as many attempts as it has tokens. Protects a server
+//! that comes back, and the origin behind its misses.
 //!
-//! Inputs: when the server started, and the answers of it and of others. Tokens are earned by its own answers and misses,
-//! and by answers of others: as much as the mean server answers, cut by its progress, so that it is not pushed over when far more
-//! is requested than the fleet can do.
+//! Inputs: when the server started, and the answers of this and other servers. A server earns
+//! tokens by its own answers and misses, and by answers of other servers: as many as the mean
+//! server answers, reduced according to its progress, so that it is not overloaded when far more is
+//! requested than the fleet can serve.
 
 use crate::settings::Settings;
 use crate::snapshot::stored;
 use chalkwalk_time::Timestamp;
 
-/// A server that is past its slow start, in thousandths.
+/// The progress of a server that has finished its slow start, in thousandths.
 const COMPLETE: u64 = 1000;
 /// One attempt, in thousandths of a token.
 const ONE_ATTEMPT: u64 = 1000;
-/// Attempts that a server gets in a second from all proxies together at the least, as at their worst servers in slow start bear
-/// twice that.
+/// The minimum number of attempts per second that a server gets from all proxies together, in
+/// thousandths. Servers in slow start withstand twice that even at their worst.
 const FLEET_TOKEN_FLOOR: u64 = 4 * ONE_ATTEMPT;
 const MIN_PROXY_COUNT: u64 = 4;
 
-/// How far a server is through its slow start.
+/// How far a server is through its slow start, in thousandths.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Progress(u64);
 
@@ -38,39 +40,41 @@
         self.0 == COMPLETE
     }
 
-    /// Whether a key, by a hash of it, is in the share that the server stands for.
+    /// Whether a key, given a hash of it, is in the share that the server serves.
     pub fn includes(self, hash: u64) -> bool {
         hash % 1000 < self.0
     }
 
-    /// What an answer of another server earns it, beside so many ready servers.
+    /// The tokens that an answer of another server earns this one, with `ready` servers in service.
     fn earned_by_others(self, ready: u64) -> u64 {
         self.0 * 5 / 4 / ready
     }
 }
 
-/// Thousandths of an attempt that a server may have from this proxy in a second whatever it has earned, or a fleet that is all
-/// in slow start would stay so.
+/// The tokens that a server gets from this proxy per second whatever it has earned, in thousandths
+/// of an attempt. Without them, a fleet in which all servers are in slow start would never leave
+/// it.
 pub(crate) fn token_floor(settings: &Settings) -> u64 {
     FLEET_TOKEN_FLOOR / settings.proxies.max(MIN_PROXY_COUNT)
 }
 
-/// The attempts that a server may still be sent while it is in slow start.
+/// The attempts that a server in slow start may still get.
 #[derive(Default)]
 pub(crate) struct SlowStart {
-    /// Thousandths of an attempt.
+    /// In thousandths of an attempt.
     tokens: u64,
 }
 
 stored! { SlowStart { tokens } }
 
 impl SlowStart {
-    /// A new process. Some of many proxies begin with an attempt, by a draw of one, or all would send theirs together.
+    /// Resets the tokens for a new process. The random draw lets only some of many proxies begin
+    /// with a whole token; otherwise all of them would send an attempt at the same time.
     pub fn restart(&mut self, floor: u64, draw: u64) {
         self.tokens = floor + draw;
     }
 
-    /// The end of the draw at a start.
+    /// The upper bound, exclusive, of the random draw at a restart.
     pub const DRAW_END: u64 = ONE_ATTEMPT;
 
     pub fn has_token(&self) -> bool {
@@ -81,14 +85,14 @@
         self.tokens = self.tokens.saturating_sub(ONE_ATTEMPT);
     }
 
-    /// A second has passed.
+    /// Adds the minimum if no token is left; called once a second.
     pub fn refill(&mut self, floor: u64) {
         if !self.has_token() {
             self.tokens += floor;
         }
     }
 
-    /// An answer came, its own or another's.
+    /// Earns tokens for an answer of this server (`own`) or of another one.
     pub fn earn(&mut self, own: bool, progress: Progress, ready: u64, floor: u64) {
         let earned = if own { ONE_ATTEMPT } else { progress.earned_by_others(ready) };
         self.tokens = (self.tokens + earned).min(ONE_ATTEMPT + 2 * floor);
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -1,14 +1,15 @@
-//! All that a balancer knows, as numbers and texts: loaded into a balancer with the same settings, it decides as before. Stored
-//! in captures, so the order of the values never changes. What is computed from the rest (rings, settings) is not in it.
+//! The state of a balancer as numbers and texts. A balancer that loads it with the same settings
+//! decides as the original would. Captures store it, so the order of the values never changes. What
+//! is computed from other state (rings, settings) is left out.
 //!
-//! Each part of the state implements [`Stored`], mostly by [`stored!`] beside its struct; `balancer/snapshot.rs` puts them in
-//! order.
+//! Each part of the state implements [`Stored`], mostly with [`stored!`] next to its struct;
+//! `balancer/snapshot.rs` puts the parts in order.
 
 use crate::types::{EndpointStatus, RequestId};
 use chalkwalk_time::{Span, Timestamp};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// A balancer's state. Equal states decide alike.
+/// A balancer's state. Balancers with equal states make the same decisions.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
     /// All numbers, in the order of the state.
@@ -17,7 +18,7 @@
     pub texts: Vec<String>,
 }
 
-/// Reads a snapshot from its beginning on.
+/// Reads a snapshot from the beginning.
 pub(crate) struct Reader<'a> {
     numbers: std::slice::Iter<'a, u64>,
     texts: std::slice::Iter<'a, String>,
@@ -81,7 +82,7 @@
     RequestId: |request_id: RequestId| request_id.0, |n| Some(RequestId(n));
 }
 
-/// No balancer holds more of anything.
+/// The upper bound for the length of a stored collection; no balancer holds more items of any kind.
 pub(crate) const MAX_ITEMS: u64 = 1 << 24;
 
 impl<T: Stored> Stored for Vec<T> {
@@ -125,7 +126,8 @@
     }
 }
 
-/// In order of the keys: the order of a hash table is no part of the state.
+/// Stored in the order of the keys, as the iteration order of a hash table is not part of the
+/// state.
 impl<T: Stored> Stored for HashMap<u64, T> {
     fn store(&self, snapshot: &mut Snapshot) {
         self.len().store(snapshot);
@@ -151,7 +153,7 @@
     }
 }
 
-/// Implements [`Stored`] for a struct by its fields, in the order in which they are named.
+/// Implements [`Stored`] for a struct, field by field in the order given.
 macro_rules! stored {
     ($($kind:ident { $($field:ident),* $(,)? })*) => {$(
         impl crate::snapshot::Stored for $kind {
--- a/crates/balancer/src/types.rs
+++ b/crates/balancer/src/types.rs
@@ -1,11 +1,11 @@
-//! The types that a balancer is called with. Nothing here decides.
+//! The types of the balancer's interface. This module makes no decisions.
 
 use chalkwalk_time::Timestamp;
 
-/// A server or the origin: a small index, given out by the caller.
+/// A server or the origin: a small index that the caller assigns.
 pub type ServerIndex = usize;
 
-/// A request that this balancer has accepted. Never reused within its life.
+/// Identifies a request that this balancer accepted. Never reused while the balancer exists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RequestId(pub u64);
 
@@ -14,32 +14,32 @@
 pub enum AttemptOutcome {
     /// Answered with success.
     Completed,
-    /// Completed, and the server says that it held the value.
+    /// Answered with success, and the server says that it held the value.
     CompletedFromCache,
-    /// Completed, and the server says that it fetched the value from the origin.
+    /// Answered with success, and the server says that it fetched the value from the origin.
     CompletedByFetch,
     /// Answered that the server does not hold the value.
     CacheMiss,
-    /// Rejected as wrong in itself, whichever server it is sent to.
+    /// Rejected as invalid, whichever server it is sent to.
     InvalidRequest,
     /// Answered with an error of the server.
     ServerError,
     /// Rejected for lack of capacity; it has not run.
     Overloaded,
-    /// No answer by the end of its time.
+    /// No answer by the end of the attempt's time.
     TimedOut,
-    /// No connection: its last byte was never written.
+    /// No connection, or one that broke before the attempt's last byte was written.
     Unreachable,
-    /// The connection broke after its last byte was written.
+    /// The connection broke after the attempt's last byte was written.
     ConnectionLost,
-    /// Withdrawn by the balancer.
+    /// Cancelled by the balancer.
     Cancelled,
-    /// Withheld before its first byte.
+    /// Withheld before its first byte was written.
     NotSent,
 }
 
 impl AttemptOutcome {
-    /// Without what a server says of where the value came from.
+    /// The outcome without the server's statement of where the value came from.
     pub(crate) fn without_source(self) -> AttemptOutcome {
         match self {
             AttemptOutcome::CompletedFromCache | AttemptOutcome::CompletedByFetch => {
@@ -49,12 +49,14 @@
         }
     }
 
-    /// Whether a server with capacity has answered it by the rules: with a value, or that it holds none.
+    /// Whether a server with capacity answered regularly: with a value, or that it does not hold
+    /// one.
     pub(crate) fn is_success_or_miss(self) -> bool {
         matches!(self, AttemptOutcome::Completed | AttemptOutcome::CacheMiss)
     }
 
-    /// Whether its latency shows how the server does: an answer, or none in time.
+    /// Whether the latency of the attempt shows how the server performs: it was answered, or was
+    /// not answered in time.
     pub(crate) fn shows_latency(self) -> bool {
         matches!(self, AttemptOutcome::Completed | AttemptOutcome::CacheMiss | AttemptOutcome::TimedOut)
     }
@@ -82,18 +84,18 @@
         )
     }
 
-    /// Whether the server may still be working on it.
+    /// Whether the server may still be working on the attempt.
     pub(crate) fn may_still_run(self) -> bool {
         matches!(self, AttemptOutcome::TimedOut | AttemptOutcome::ConnectionLost | AttemptOutcome::Cancelled)
     }
 }
 
-/// What the list says of a server.
+/// A server's status in the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointStatus {
     /// In service.
     Ready,
-    /// Gets no new attempts, and finishes those that it has.
+    /// Gets no new attempts, and finishes those in flight.
     Draining,
     /// Not in the list any more.
     #[default]
@@ -105,33 +107,35 @@
 pub struct Endpoint<'a> {
     /// The index that the caller gave to the server.
     pub server: ServerIndex,
-    /// Its name, from which its points on the ring are computed.
+    /// The server's id, from which its points on the ring are computed.
     pub id: &'a str,
-    /// Its availability zone.
+    /// The server's availability zone.
     pub zone: usize,
-    /// Its kind: the origin has one of its own.
+    /// The server's kind. The origin has a kind of its own.
     pub kind: usize,
-    /// Its cell: servers of one cell drop repeats of the same request.
+    /// The server's cell. Servers of one cell drop repeats of the same request.
     pub cell: u64,
-    /// Stated, in hundredths; to be compared with those of others.
+    /// The size stated by the list, in hundredths. It only has a meaning relative to the sizes of
+    /// other servers.
     pub size: u64,
-    /// Whether it is in service.
+    /// Whether the server is in service.
     pub status: EndpointStatus,
-    /// When its process started.
+    /// When the server's process started.
     pub born: Timestamp,
 }
 
-/// What one process of a proxy has learned of a server that means the same to the next.
+/// What one process of a proxy has learned about a server and the next process can use.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LearnedServer {
-    /// Its id in the list.
+    /// The server's id in the list.
     pub id: String,
-    /// When its process started: of another start these figures mean nothing.
+    /// When the server's process started. The figures do not apply to a process started at another
+    /// time.
     pub born: Timestamp,
-    /// The largest weight listed, in hundredths, where weights move with load.
+    /// The largest weight listed, in hundredths, if weights vary with load.
     pub size: u64,
-    /// Thousandths of its keys that it keeps.
+    /// The share of its keys that the server keeps, in thousandths.
     pub key_share: u64,
-    /// How many attempts it takes at once, in hundredths of an attempt.
+    /// The concurrency limit of the server, in hundredths of an attempt.
     pub concurrency_limit: u64,
 }
--- a/crates/balancer/src/values.rs
+++ b/crates/balancer/src/values.rs
@@ -1,4 +1,4 @@
-//! The settings by name, as the platform states them: what is missing or makes no sense has its default.
+//! Settings by name, as the platform states them. A missing or invalid one takes its default.
 
 use chalkwalk_time::Span;
 use std::collections::BTreeMap;
