--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -132,7 +132,7 @@
 /// Whether a request that was read may be started: its time limit is not over, counted to the time
 /// of the process's last answer at the latest. Returns the time by which the request must be
 /// answered.
-pub fn may_start(now: Timestamp, expires: Timestamp, last_answer: Option<Timestamp>) -> Option<Timestamp> {
-    let expires = expires.min(last_answer.unwrap_or(Timestamp::MAX));
+pub fn may_start(now: Timestamp, expires: Timestamp, last_answer_at: Option<Timestamp>) -> Option<Timestamp> {
+    let expires = expires.min(last_answer_at.unwrap_or(Timestamp::MAX));
     (expires > now).then_some(expires)
 }
--- a/crates/balancer/src/balancer/endpoints.rs
+++ b/crates/balancer/src/balancer/endpoints.rs
@@ -1,8 +1,8 @@
 //! Applies endpoint lists: what each entry changes, which servers are ready, and when discovery is
 //! called again.
 //!
-//! A drain, or an operator's call, takes effect from the moment of the call, and a server that
-//! restarted counts as a new one.
+//! A drain or an operator's call takes effect at the moment of the call and stays in effect, and a
+//! server that restarted counts as a new one.
 
 use super::{Balancer, DISCOVERY_TOKEN};
 use crate::effects::{Effects, StateChange};
@@ -34,8 +34,8 @@
 
     fn update_endpoint(&mut self, endpoint: &Endpoint) {
         let index = endpoint.server;
-        let known = self.servers.len().max(index + 1);
-        self.servers.resize_with(known, Server::default);
+        let server_count = self.servers.len().max(index + 1);
+        self.servers.resize_with(server_count, Server::default);
         if self.servers[index].id != endpoint.id {
             self.servers[index] = Server::new(endpoint.id);
         }
--- a/crates/balancer/src/balancer/health.rs
+++ b/crates/balancer/src/balancer/health.rs
@@ -36,8 +36,8 @@
     /// The ejection time of a server is over: its health is checked if the platform supports health
     /// checks, else it counts as passed.
     pub(super) fn ejection_timer_fired(&mut self, index: ServerIndex, effects: &mut dyn Effects) {
-        let known = index < self.servers.len();
-        if known && self.is_ready(index) && self.settings.health_checks {
+        let is_known = index < self.servers.len();
+        if is_known && self.is_ready(index) && self.settings.health_checks {
             effects.check_health(index);
         } else {
             self.health_check_finished(index, true, effects);
--- a/crates/balancer/src/balancer/queries.rs
+++ b/crates/balancer/src/balancer/queries.rs
@@ -13,9 +13,9 @@
     /// before.
     pub fn apply_settings(&mut self, values: &BTreeMap<String, String>) {
         let settings = Settings { proxies: self.settings.proxies, ..Settings::read(values) };
-        let before = std::mem::replace(&mut self.settings, settings);
-        for (class, before) in self.settings.classes.iter().zip(&before.classes) {
-            class.retry_budget.continue_from(&before.retry_budget);
+        let previous = std::mem::replace(&mut self.settings, settings);
+        for (class, previous) in self.settings.classes.iter().zip(&previous.classes) {
+            class.retry_budget.continue_from(&previous.retry_budget);
         }
     }
 
--- a/crates/balancer/src/balancer/selection.rs
+++ b/crates/balancer/src/balancer/selection.rs
@@ -137,8 +137,8 @@
 
     /// The number of servers in the own zone, or in other zones, to which connections are held.
     pub(super) fn connected_count(&self, group: ZoneGroup) -> u64 {
-        let counts = |server: &&Server| server.connected && self.zone_group(server) == group;
-        self.servers.iter().filter(counts).count() as u64
+        let in_group = |server: &&Server| server.connected && self.zone_group(server) == group;
+        self.servers.iter().filter(in_group).count() as u64
     }
 
     fn may_connect(&self, group: ZoneGroup) -> bool {
--- a/crates/balancer/src/balancer/snapshot.rs
+++ b/crates/balancer/src/balancer/snapshot.rs
@@ -136,8 +136,9 @@
 
     /// Whether every attempt, and the origin, refers to a known server.
     fn references_known_servers(&self) -> bool {
-        let known = self.servers.len();
+        let server_count = self.servers.len();
         let mut attempts = self.requests.values().flat_map(|request| &request.attempts);
-        attempts.all(|attempt| attempt.server < known) && self.origin.is_none_or(|origin| origin < known)
+        attempts.all(|attempt| attempt.server < server_count)
+            && self.origin.is_none_or(|origin| origin < server_count)
     }
 }
--- a/crates/balancer/src/concurrency_limit.rs
+++ b/crates/balancer/src/concurrency_limit.rs
@@ -22,8 +22,8 @@
 /// Added by an answer in time if over half of the limit was in use.
 const INCREASE_STEP: u64 = 16;
 /// After this many rejections in a row, further ones may lower the limit of a server below one
-/// attempt. If half of all attempts are rejected, whatever the load, one run in sixteen has four
-/// rejections; a server that is truly full answers nothing in between.
+/// attempt. If half of all attempts are rejected, whatever the load, one in sixteen runs of four
+/// attempts consists of rejections only; a server that is truly full answers nothing in between.
 const REJECTION_THRESHOLD: u64 = 4;
 
 /// The concurrency limit of a server or of the origin.
--- a/crates/balancer/src/discovery.rs
+++ b/crates/balancer/src/discovery.rs
@@ -7,17 +7,18 @@
 //!
 //! | part | at most |
 //! | --- | --- |
-//! | a call that fails as discovery is unreachable, until its failure or a parallel call | [`CONNECT_TIMEOUT`], [`POLL_SILENT_AFTER`] |
+//! | a call that fails, until its failure or a parallel call | [`CONNECT_TIMEOUT`], [`POLL_SILENT_AFTER`] |
 //! | the backoff after it, shorter the longer the call took | [`Backoff`] |
 //! | the next call's wait in the queue of the service | [`LONGEST_QUEUE_WAIT`] |
 //!
-//! So at most [`LONGEST_CALL_INTERVAL`] passes between the beginning of a failed call and that of
-//! the next one; this is checked at run time.
+//! The first part is a call that is bound to fail because discovery is unreachable. So at most
+//! [`LONGEST_CALL_INTERVAL`] passes between the beginning of a failed call and that of the next
+//! one; this is checked at run time.
 //!
 //! A backoff is spread as evenly as the limit allows instead of being as short as possible: all
-//! proxies of a fleet lose discovery together and reach it again together. With calls spread over 3
-//! s, and 2 s that each may wait in the queue, a service that takes 5 s to answer the whole fleet
-//! once refuses none of them.
+//! proxies of a fleet lose discovery together and reach it again together. With the calls spread
+//! over 3 s and a wait of up to 2 s in the queue, a service that takes 5 s to answer the whole
+//! fleet once refuses none of them.
 
 use crate::snapshot::stored;
 use chalkwalk_time::Span;
--- a/crates/balancer/src/effects.rs
+++ b/crates/balancer/src/effects.rs
@@ -36,9 +36,9 @@
 /// A change of state that operators are shown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StateChange<'a> {
-    /// A call to discovery failed, and the previous one was answered.
+    /// A call to discovery failed while no earlier failure was counted.
     DiscoveryLost,
-    /// A call to discovery was answered, and the previous one had failed.
+    /// A call to discovery was answered while earlier failures were still counted.
     DiscoveryRecovered,
     /// A server failed too often, and gets no attempts until it is readmitted.
     ServerEjected {
--- a/crates/balancer/src/histogram.rs
+++ b/crates/balancer/src/histogram.rs
@@ -52,12 +52,12 @@
     pub fn ninth_decile(&self, default: Span) -> Span {
         let in_doubling = |i: usize| self.counts[4 * i..4 * i + 4].iter().sum::<u32>();
         let count: u32 = self.counts.iter().sum();
-        let mut above = count / 10;
+        let mut allowed_above = count / 10;
         for i in (0..DOUBLINGS).rev() {
-            if count >= MIN_COUNT_FOR_DECILE && in_doubling(i) > above {
+            if count >= MIN_COUNT_FOR_DECILE && in_doubling(i) > allowed_above {
                 return Span::from_ticks(16 << i);
             }
-            above -= in_doubling(i).min(above);
+            allowed_above -= in_doubling(i).min(allowed_above);
         }
         default
     }
@@ -66,15 +66,15 @@
     /// doubling, or `None` if too few were measured.
     pub fn quantile(&self, thousandths: u64) -> Option<Span> {
         let count: u64 = self.counts.iter().map(|count| u64::from(*count)).sum();
-        let mut above = count * (1000 - thousandths) / 1000;
+        let mut allowed_above = count * (1000 - thousandths) / 1000;
         for (i, in_bin) in self.counts.iter().enumerate().rev() {
             let in_bin = u64::from(*in_bin);
-            if in_bin > above && count >= MIN_COUNT_FOR_QUANTILE {
+            if in_bin > allowed_above && count >= MIN_COUNT_FOR_QUANTILE {
                 let doubling = i / 4;
                 let quarter = i as u64 % 4;
                 return Some(Span::from_ticks(((5 + quarter) << (doubling + 1)) - 8));
             }
-            above -= in_bin.min(above);
+            allowed_above -= in_bin.min(allowed_above);
         }
         None
     }
--- a/crates/balancer/src/key_order.rs
+++ b/crates/balancer/src/key_order.rs
@@ -83,8 +83,8 @@
         if queue.active == Some(request_id) {
             return Turn::Now;
         }
-        let expected = queue.quiet_until.max(now + median_latency * (queue.waiting.len() as u64 + 1));
-        if queue.waiting.len() >= MAX_QUEUE_LENGTH || expected >= useful_until {
+        let expected_turn = queue.quiet_until.max(now + median_latency * (queue.waiting.len() as u64 + 1));
+        if queue.waiting.len() >= MAX_QUEUE_LENGTH || expected_turn >= useful_until {
             return Turn::Never;
         }
         queue.waiting.push(request_id);
--- a/crates/balancer/src/load_shedding.rs
+++ b/crates/balancer/src/load_shedding.rs
@@ -90,8 +90,9 @@
     /// Records whether an answer was late.
     pub fn record(&mut self, resource: Resource, late: bool) {
         let ratio = &mut self.admission_ratios[resource as usize];
-        let next = if late { *ratio * 7 / 8 } else { (*ratio + INCREASE_PER_TIMELY_ANSWER).min(FULL_RATIO) };
-        *ratio = next.max(MIN_RATIO);
+        let new_ratio =
+            if late { *ratio * 7 / 8 } else { (*ratio + INCREASE_PER_TIMELY_ANSWER).min(FULL_RATIO) };
+        *ratio = new_ratio.max(MIN_RATIO);
     }
 
     /// Records a request that was rejected because the origin is short of capacity. The step
--- a/crates/balancer/src/ring.rs
+++ b/crates/balancer/src/ring.rs
@@ -35,15 +35,15 @@
     /// points.
     pub fn rebuild<'a>(&mut self, servers: impl ExactSizeIterator<Item = (&'a str, bool, bool)> + Clone) {
         let mut all = std::mem::take(&mut self.all_zones);
-        let mut missing: Vec<bool> = servers.clone().map(|(_, ready, _)| ready).collect();
-        let own: Vec<bool> = servers.clone().map(|(.., own_zone)| own_zone).collect();
-        all.retain(|point| missing[point.1]);
-        all.iter().for_each(|point| missing[point.1] = false);
-        for (server, (id, ..)) in servers.enumerate().filter(|(server, _)| missing[*server]) {
+        let mut needs_points: Vec<bool> = servers.clone().map(|(_, ready, _)| ready).collect();
+        let in_own_zone: Vec<bool> = servers.clone().map(|(.., own_zone)| own_zone).collect();
+        all.retain(|point| needs_points[point.1]);
+        all.iter().for_each(|point| needs_points[point.1] = false);
+        for (server, (id, ..)) in servers.enumerate().filter(|(server, _)| needs_points[*server]) {
             all.extend((0..POINTS_PER_SERVER).map(|salt| (point(id, salt + 1), server)));
         }
         all.sort(); // fast, as the input is mostly two sorted runs
-        (self.own_zone, self.other_zones) = all.iter().partition(|point| own[point.1]);
+        (self.own_zone, self.other_zones) = all.iter().partition(|point| in_own_zone[point.1]);
         self.all_zones = all;
     }
 
--- a/crates/balancer/src/types.rs
+++ b/crates/balancer/src/types.rs
@@ -49,8 +49,7 @@
         }
     }
 
-    /// Whether a server with capacity answered regularly: with a value, or that it does not hold
-    /// one.
+    /// Whether a server with capacity gave a regular answer: a value, or that it does not hold one.
     pub(crate) fn is_success_or_miss(self) -> bool {
         matches!(self, AttemptOutcome::Completed | AttemptOutcome::CacheMiss)
     }
