--- a/crates/balancer/src/balancer/requests.rs
+++ b/crates/balancer/src/balancer/requests.rs
@@ -4,7 +4,7 @@
 use super::Balancer;
 use crate::effects::Effects;
 use crate::hash::key_point;
-use crate::key_order::{Next, Turn};
+use crate::key_order::{NextStep, Turn};
 use crate::load_shedding::Resource;
 use crate::request::Request;
 use crate::request_class::ClassHandle;
@@ -138,9 +138,9 @@
     /// Continues with the next request for a key.
     pub(super) fn advance_key(&mut self, key: u64, effects: &mut dyn Effects) {
         match self.key_order.advance(key, self.now) {
-            Next::Nothing => {}
-            Next::Later(request_id, after) => effects.set_timer(request_id.0, after),
-            Next::Start(request_id) => {
+            NextStep::Nothing => {}
+            NextStep::Later(request_id, after) => effects.set_timer(request_id.0, after),
+            NextStep::Start(request_id) => {
                 self.requests.entry(request_id.0).and_modify(|request| request.waiting = false);
                 self.route_request(request_id, effects);
             }
--- a/crates/balancer/src/key_order.rs
+++ b/crates/balancer/src/key_order.rs
@@ -53,7 +53,7 @@
 
 /// The next step for the queue of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Next {
+pub(crate) enum NextStep {
     Nothing,
     /// The first waiting request tries again after this time, when the quiet period of the key is
     /// over.
@@ -108,17 +108,17 @@
     }
 
     /// Starts the next request of a key, once the running one is over and so is the quiet period.
-    pub fn advance(&mut self, key: u64, now: Timestamp) -> Next {
-        let Some(queue) = self.queues.get_mut(&key) else { return Next::Nothing };
+    pub fn advance(&mut self, key: u64, now: Timestamp) -> NextStep {
+        let Some(queue) = self.queues.get_mut(&key) else { return NextStep::Nothing };
         if queue.active.is_some() || queue.waiting.is_empty() {
-            return Next::Nothing;
+            return NextStep::Nothing;
         }
         if now < queue.quiet_until {
-            return Next::Later(queue.waiting[0], queue.quiet_until - now);
+            return NextStep::Later(queue.waiting[0], queue.quiet_until - now);
         }
         let first = queue.waiting.remove(0);
         queue.active = Some(first);
-        Next::Start(first)
+        NextStep::Start(first)
     }
 
     /// Drops idle queues whose quiet period is over; called once a second.
--- a/crates/balancer/src/request_class.rs
+++ b/crates/balancer/src/request_class.rs
@@ -33,7 +33,7 @@
 /// The settings for the requests of one namespace, or of one class of a namespace.
 #[derive(Default)]
 pub(crate) struct RequestClass {
-    /// The latency objective.
+    /// The latency objective, also called the target time.
     pub target: Span,
     /// An answer after the target time is still useful.
     pub late_answers_useful: bool,
--- a/crates/balancer/src/values.rs
+++ b/crates/balancer/src/values.rs
@@ -23,6 +23,7 @@
         self.number(name, 0.0) > 0.0
     }
 
+    /// Reads a span, which is stated in ticks like `default`.
     pub fn span(&self, name: &str, default: f64) -> Span {
         Span::from_ticks(self.number(name, default) as u64)
     }
