--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -129,9 +129,9 @@
     !used || idle_for > MIN_IDLE_AFTER_USE
 }
 
-/// Whether a request that was read may be started: its time limit is not over, counted to the time
-/// of the process's last answer at the latest. Returns the time by which the request must be
-/// answered.
+/// Whether a request that was read may be started: the time by which it must be answered has not
+/// passed. That time is `expires`, or the time of the process's last answer if that is earlier.
+/// Returns that time if the request may be started.
 pub fn may_start(now: Timestamp, expires: Timestamp, last_answer_at: Option<Timestamp>) -> Option<Timestamp> {
     let expires = expires.min(last_answer_at.unwrap_or(Timestamp::MAX));
     (expires > now).then_some(expires)
--- a/crates/balancer/src/concurrency_limit.rs
+++ b/crates/balancer/src/concurrency_limit.rs
@@ -91,7 +91,7 @@
         in_flight * ONE_ATTEMPT + draw < self.limit * 3 / 2
     }
 
-    /// Sets whether the server has answered rarely of late.
+    /// Sets whether the server has answered rarely in the recent past.
     pub fn set_rarely_answers(&mut self, rarely_answers: bool) {
         self.rarely_answers = rarely_answers;
     }
