--- a/crates/balancer/src/balancer/endpoints.rs
+++ b/crates/balancer/src/balancer/endpoints.rs
@@ -1,8 +1,10 @@
-//! Takes lists of servers: what each entry changes, which servers are ready, and when discovery is called again.
+//! Applies endpoint lists: what each entry changes, which servers are ready, and when discovery is
+//! called again.
 //!
-//! Guards that a drain or an operator's call holds from the moment of the call on, and that a restarted server is a new one.
+//! A drain or an operator's call takes effect at the moment of the call and stays in effect, and a
+//! server that restarted counts as a new one.
 
-use super::{Balancer, DISCOVERY_TIMER};
+use super::{Balancer, DISCOVERY_TOKEN};
 use crate::effects::{Effects, StateChange};
 use crate::server::Server;
 use crate::slow_start::{SlowStart, token_floor};
@@ -10,7 +12,7 @@
 use chalkwalk_time::{Span, Timestamp};
 
 impl Balancer {
-    /// Discovery has sent the whole list: servers not in it are gone.
+    /// Discovery has sent the whole list: servers that are not in it are gone.
     pub fn replace_endpoints(&mut self, endpoints: &[Endpoint], effects: &mut dyn Effects) {
         self.servers.iter_mut().for_each(|server| server.status = EndpointStatus::Gone);
         self.update_endpoints(endpoints, effects);
@@ -18,7 +20,8 @@
 
     /// Discovery has sent the entries that changed.
     pub fn update_endpoints(&mut self, endpoints: &[Endpoint], effects: &mut dyn Effects) {
-        // The watch goes on: what changes just after an answer counts as notified, called for or not.
+        // The watch continues, so a change right after this answer counts as notified even before
+        // the next call.
         if self.discovery.record_answer() {
             effects.report(StateChange::DiscoveryRecovered);
         }
@@ -31,8 +34,8 @@
 
     fn update_endpoint(&mut self, endpoint: &Endpoint) {
         let index = endpoint.server;
-        let known = self.servers.len().max(index + 1);
-        self.servers.resize_with(known, Server::default);
+        let server_count = self.servers.len().max(index + 1);
+        self.servers.resize_with(server_count, Server::default);
         if self.servers[index].id != endpoint.id {
             self.servers[index] = Server::new(endpoint.id);
         }
@@ -41,14 +44,15 @@
         server.zone = endpoint.zone;
         server.cell = endpoint.cell;
         server.status = endpoint.status;
-        server.keys.list_size(endpoint.size, self.settings.fixed_sizes);
+        server.keys.update_listed_size(endpoint.size, self.settings.fixed_sizes);
         if Some(endpoint.kind) == self.settings.origin_kind {
             self.origin = Some(index);
         }
         self.restore_learned_server(index);
     }
 
-    /// A new process under a known id, and never an older one.
+    /// Resets the server's state and starts its slow start if a newer process has started under its
+    /// id. A start time that is not newer is ignored.
     pub(super) fn restart_if_newer(&mut self, server: ServerIndex, started_at: Timestamp) {
         if started_at > self.servers[server].started_at {
             let draw = self.random.below(SlowStart::DRAW_END);
@@ -56,7 +60,7 @@
         }
     }
 
-    /// Moves keys away from servers whose listed load is above the mean.
+    /// Moves keys away from servers whose listed load is above the mean of the ready servers.
     fn rebalance_keys(&mut self, endpoints: &[Endpoint]) {
         let ready = || (0..self.servers.len()).filter(|server| self.is_ready(*server));
         let total: u64 = ready().map(|server| self.servers[server].keys.load()).sum();
@@ -78,18 +82,20 @@
         self.ring = ring;
     }
 
-    /// A call to discovery that took so long failed: the next one is made after a backoff, within the term for changes.
+    /// A call to discovery failed after `took`. The next call follows after a backoff that stays
+    /// within the time limit for noticing changes.
     pub fn discovery_call_failed(&mut self, took: Span, effects: &mut dyn Effects) {
         if self.discovery.record_failure() {
             effects.report(StateChange::DiscoveryLost);
         }
         let backoff = self.settings.discovery_backoff;
         let delay = backoff.delay(took, self.discovery.failures(), |end| self.random.span_below(end));
-        effects.set_timer(DISCOVERY_TIMER, delay);
+        effects.set_timer(DISCOVERY_TOKEN, delay);
     }
 
-    /// Operators take a server out at that moment, whatever any list says, or put it back. It is restarted in
-    /// between: back, it is in slow start as one that started then, and what was held against it is void.
+    /// Operators disable a server from `at` on, whatever any list says, or enable it again. A
+    /// server is assumed to be restarted in between: once it is enabled, it is in slow start as if
+    /// it had started at `at`, and its recorded failures are cleared.
     pub fn set_disabled(&mut self, id: &str, disabled: bool, at: Timestamp) {
         if disabled {
             self.disabled.entry(id.into()).or_insert(at);
--- a/crates/balancer/src/balancer/requests.rs
+++ b/crates/balancer/src/balancer/requests.rs
@@ -1,27 +1,29 @@
-//! Takes requests, routes them and closes them: the order in which the decisions about a request are made.
+//! Accepts, routes and closes requests, and sets the order in which the decisions about a request
+//! are made.
 
 use super::Balancer;
 use crate::effects::Effects;
 use crate::hash::key_point;
-use crate::key_order::{Next, Turn};
+use crate::key_order::{NextStep, Turn};
 use crate::load_shedding::Resource;
 use crate::request::Request;
 use crate::request_class::ClassHandle;
 use crate::types::{RequestId, ServerIndex};
 use chalkwalk_time::{Span, Timestamp};
 
-/// The draws of requests are below this.
+/// The random draw of a request is below this.
 const DRAW_END: u64 = 100;
-/// The median, by which a request's turn is foreseen.
-const HALF: u64 = 500;
+/// The median latency predicts when a request's turn comes.
+const MEDIAN_THOUSANDTHS: u64 = 500;
 
 impl Balancer {
-    /// Accepts a request. It must be answered once, before `expires`; route it next.
+    /// Accepts a request, which must be answered exactly once and before `expires`. Call
+    /// `route_request` next.
     pub fn accept_request(&mut self, class: usize, key: &str, write: bool, expires: Timestamp) -> RequestId {
         self.accept_request_at(class, key_point(key), write, expires)
     }
 
-    /// The same for a key that is known by its point alone.
+    /// Does the same as `accept_request` for a key of which only the point on the ring is known.
     pub fn accept_request_at(
         &mut self,
         class: usize,
@@ -29,12 +31,13 @@
         write: bool,
         expires: Timestamp,
     ) -> RequestId {
-        let request_id = RequestId(self.accepted);
-        self.accepted += 1;
+        let request_id = RequestId(self.accepted_count);
+        self.accepted_count += 1;
         self.shedding.count_request();
         let class = &self.settings.classes[class];
         class.retry_budget.record_first_attempt(self.now);
-        let useful_until = if class.late_counts { expires } else { expires.min(self.now + class.target) };
+        let useful_until =
+            if class.late_answers_useful { expires } else { expires.min(self.now + class.target) };
         let draw = self.random.below(DRAW_END);
         let class = ClassHandle::new(class);
         let request = Request { class, key, write, expires, useful_until, draw, ..Request::default() };
@@ -42,13 +45,14 @@
         request_id
     }
 
-    /// Only these servers may serve it, in this order, in place of the ring's: who holds its key is decided elsewhere.
+    /// Restricts the request to these servers, in this order, instead of the ring's: which server
+    /// owns the key is decided elsewhere.
     pub fn restrict_to(&mut self, request_id: RequestId, servers: Vec<ServerIndex>) {
         self.requests.entry(request_id.0).and_modify(|request| request.allowed_servers = Some(servers));
     }
 
-    /// Limits have changed while it is open: what is sent from now on goes by the new ones, and so does its
-    /// time limit where that is shorter and can still be kept.
+    /// Applies changed limits to an open request. Later attempts follow the new limits, and the
+    /// request's time limit follows if the new one is shorter and can still be met.
     pub fn renew_limits(
         &mut self,
         request_id: RequestId,
@@ -65,24 +69,25 @@
         if now < expires && expires < request.expires {
             request.expires = expires;
             request.useful_until = request.useful_until.min(expires);
-            request.shortened = true;
+            request.time_limit_shortened = true;
             effects.set_timer(request_id.0, expires - now);
         }
     }
 
-    /// The client does not wait for its answer any more.
+    /// The client no longer waits for its answer.
     pub fn client_left(&mut self, request_id: RequestId, effects: &mut dyn Effects) {
         self.close(request_id, effects);
     }
 
-    /// Sends a request where the decisions about it lead, or rejects it at once.
+    /// Sends a request to the server or the origin that the decisions select, or rejects it at
+    /// once.
     pub fn route_request(&mut self, request_id: RequestId, effects: &mut dyn Effects) {
         if !self.is_its_turn(request_id, effects) {
             return;
         }
         let request = &self.requests[&request_id.0];
         let first_attempt = request.attempts.is_empty();
-        // Guards one class of requests against another that fills the platform.
+        // Protects the other request classes from one that fills the platform.
         if first_attempt && request.class.is_over_max_open() {
             return self.answer_unserved(request_id, effects);
         }
@@ -92,8 +97,8 @@
         if first_attempt && self.shedding.sheds(Resource::Servers, request.draw) {
             return self.answer_unserved(request_id, effects);
         }
-        // Guards the origin behind the servers: when fetches fail or come late, requests for keys that are not
-        // known to be held are rejected.
+        // Protects the origin behind the servers: when fetches fail or are late, requests for keys
+        // that no server is known to hold are rejected.
         if self.will_likely_fetch(request) && self.shedding.sheds(Resource::Origin, request.draw) {
             return self.reject_for_origin(request_id, effects);
         }
@@ -110,15 +115,16 @@
             && (request.write || self.shedding.needs_fetch(request.key))
     }
 
-    /// Whether a request is sent now. Else it waits for its turn, or is rejected as that can't come while it is of use.
+    /// Whether a request may be sent now. If not, it waits for its turn, or is rejected if its turn
+    /// can't come while an answer is still useful.
     fn is_its_turn(&mut self, request_id: RequestId, effects: &mut dyn Effects) -> bool {
         let request = &self.requests[&request_id.0];
         if !request.class.in_order {
             return true;
         }
         let useful_until = request.useful_until;
-        let typical = self.latencies.quantile(HALF).unwrap_or(Span::ZERO);
-        match self.key_order.enter(request.key, request_id, self.now, typical, useful_until) {
+        let median_latency = self.latencies.quantile(MEDIAN_THOUSANDTHS).unwrap_or(Span::ZERO);
+        match self.key_order.enter(request.key, request_id, self.now, median_latency, useful_until) {
             Turn::Now => return true,
             Turn::Never => self.answer_unserved(request_id, effects),
             Turn::Wait => {
@@ -129,12 +135,12 @@
         false
     }
 
-    /// The requests with a key go on.
+    /// Continues with the next request for a key.
     pub(super) fn advance_key(&mut self, key: u64, effects: &mut dyn Effects) {
         match self.key_order.advance(key, self.now) {
-            Next::Nothing => {}
-            Next::Later(request_id, after) => effects.set_timer(request_id.0, after),
-            Next::Start(request_id) => {
+            NextStep::Nothing => {}
+            NextStep::Later(request_id, after) => effects.set_timer(request_id.0, after),
+            NextStep::Start(request_id) => {
                 self.requests.entry(request_id.0).and_modify(|request| request.waiting = false);
                 self.route_request(request_id, effects);
             }
--- a/crates/balancer/src/request_class.rs
+++ b/crates/balancer/src/request_class.rs
@@ -1,4 +1,4 @@
-//! Classes of requests: the limits and the promises that hold for the requests of each.
+//! Classes of requests: the limits and guarantees that apply to the requests of each class.
 
 use crate::values::Values;
 use chalkwalk_limits::RetryBudget;
@@ -10,16 +10,18 @@
 /// Whether a request may run twice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Idempotency {
-    /// A repeat does no harm.
+    /// Repeating the request does no harm.
     Replayable,
-    /// Servers drop a repeat that comes within the class's window, by its tag.
+    /// Servers recognize a repeat by its tag, and drop it if it arrives within the deduplication
+    /// window of the class.
     Tagged,
     /// A repeat is never allowed.
     #[default]
     SingleUse,
 }
 
-/// Which servers drop the repeat of a tagged request: those that share what they have seen.
+/// Which servers drop the repeat of a tagged request: those that share the record of tags that they
+/// have seen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum DedupGroup {
     All,
@@ -28,23 +30,23 @@
     Cell,
 }
 
-/// What holds for the requests of one namespace, or of one class of it.
+/// The settings for the requests of one namespace, or of one class of a namespace.
 #[derive(Default)]
 pub(crate) struct RequestClass {
-    /// The latency objective.
+    /// The latency objective, also called the target time.
     pub target: Span,
-    /// An answer after the target time is still of use.
-    pub late_counts: bool,
-    /// Requests with one key run one at a time, as accepted.
+    /// An answer after the target time is still useful.
+    pub late_answers_useful: bool,
+    /// Requests with the same key run one at a time, in the order of acceptance.
     pub in_order: bool,
     pub idempotency: Idempotency,
     pub dedup_group: DedupGroup,
     pub dedup_window: Span,
     pub max_attempts: usize,
     pub hedging: bool,
-    /// A single attempt is given up after this.
+    /// The timeout of a single attempt.
     pub attempt_timeout: Span,
-    /// A hedged request goes out after the time within which so many thousandths of answers come.
+    /// A hedged request is sent after the time within which this many thousandths of answers come.
     pub hedge_after: Option<u64>,
     pub retry_budget: RetryBudget,
     pub max_open: u64,
@@ -52,45 +54,48 @@
 }
 
 impl RequestClass {
-    /// Reads the class with that number; without a budget of its own it shares that of all others.
+    /// Reads the class with that index. A class without a retry budget of its own shares the budget
+    /// of all such classes.
     pub fn read(values: &Values, index: usize, shared_budget: &RetryBudget) -> RequestClass {
-        let own = |name: &str| format!("namespace {index} {name}");
-        let own_budget = values.has(&own("further shots"));
+        let setting = |name: &str| format!("namespace {index} {name}");
+        let own_budget = values.has(&setting("further shots"));
         RequestClass {
-            target: values.span(&own("target time"), 1e4),
-            in_order: values.flag(&own("in order")),
-            late_counts: values.flag(&own("late utility")),
-            idempotency: match values.text(&own("repeats")) {
+            target: values.span(&setting("target time"), 1e4),
+            in_order: values.flag(&setting("in order")),
+            late_answers_useful: values.flag(&setting("late utility")),
+            idempotency: match values.text(&setting("repeats")) {
                 "replayable" => Idempotency::Replayable,
                 "tagged" => Idempotency::Tagged,
                 _ => Idempotency::SingleUse,
             },
-            dedup_group: match values.text(&own("group")) {
+            dedup_group: match values.text(&setting("group")) {
                 "all" => DedupGroup::All,
                 "zone" => DedupGroup::Zone,
                 _ => DedupGroup::Cell,
             },
-            dedup_window: values.span(&own("window"), 0.0),
-            max_attempts: values.number(&own("most shots"), values.number("most shots", 1.0)) as usize,
-            hedging: values.number(&own("second copies"), values.number("second copies", 0.0)) > 0.0,
-            attempt_timeout: values.span(&own("shot wait"), 1e12),
-            hedge_after: Some(values.number(&own("copies after"), 0.0) as u64).filter(|part| *part > 0),
+            dedup_window: values.span(&setting("window"), 0.0),
+            max_attempts: values.number(&setting("most shots"), values.number("most shots", 1.0)) as usize,
+            hedging: values.number(&setting("second copies"), values.number("second copies", 0.0)) > 0.0,
+            attempt_timeout: values.span(&setting("shot wait"), 1e12),
+            hedge_after: Some(values.number(&setting("copies after"), 0.0) as u64)
+                .filter(|thousandths| *thousandths > 0),
             retry_budget: match own_budget {
-                true => RetryBudget::own(values.number(&own("further shots"), 0.0) as u64),
+                true => RetryBudget::own(values.number(&setting("further shots"), 0.0) as u64),
                 false => shared_budget.clone(),
             },
-            max_open: values.number(&own("most open"), 1e12) as u64,
+            max_open: values.number(&setting("most open"), 1e12) as u64,
             open: Cell::new(0),
         }
     }
 
-    /// More requests are open than may be.
+    /// Whether more requests of the class are open than allowed.
     pub fn is_over_max_open(&self) -> bool {
         self.open.get() > self.max_open
     }
 }
 
-/// The class as an open request holds it: counted among the open ones of the class meanwhile.
+/// An open request's reference to its class. While it exists, the request counts among the open
+/// ones of the class.
 #[derive(Default)]
 pub(crate) struct ClassHandle(Rc<RequestClass>);
 
@@ -100,7 +105,7 @@
         ClassHandle(class.clone())
     }
 
-    /// Whether it is a handle of that class.
+    /// Whether this is a handle of that class.
     pub fn is_of(&self, class: &Rc<RequestClass>) -> bool {
         Rc::ptr_eq(&self.0, class)
     }
--- a/crates/balancer/src/values.rs
+++ b/crates/balancer/src/values.rs
@@ -1,4 +1,4 @@
-//! The settings by name, as the platform states them: what is missing or makes no sense has its default.
+//! Settings by name, as the platform states them. A missing or invalid one takes its default.
 
 use chalkwalk_time::Span;
 use std::collections::BTreeMap;
@@ -23,6 +23,7 @@
         self.number(name, 0.0) > 0.0
     }
 
+    /// Reads a span, which is stated in ticks like `default`.
     pub fn span(&self, name: &str, default: f64) -> Span {
         Span::from_ticks(self.number(name, default) as u64)
     }
