--- a/crates/admin/src/call.rs
+++ b/crates/admin/src/call.rs
@@ -1,4 +1,4 @@
-//! One call: read off its connection, carried out, and answered.
+//! One operator call: reading it from its connection, running it and writing the response.
 
 use crate::{ControlOutcome, ProxyControl};
 use chalkwalk_http1::{HttpError, RequestLimits, read_request, reason};
@@ -9,28 +9,28 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// From the accept to the whole call.
+/// How long a caller has, from the accept on, to send its whole call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// The longest body, in bytes: a call has none to speak of.
-const MAX_BODY: usize = 1024;
+/// The maximum length of a call's body. No call needs a body.
+const MAX_BODY_BYTES: usize = 1024;
 
-/// A call as it was read.
+/// The method and target of a call, as the caller sent them.
 pub struct Call {
     method: String,
     target: String,
 }
 
-/// What a caller is answered with.
+/// The HTTP response to a call: its status code and its plain-text body.
 pub struct Response {
     status: u16,
     body: &'static str,
 }
 
-/// What a call asks for.
+/// The operation that a call requests.
 enum Operation {
     CheckReady,
     SetServerDisabled { id: String, disabled: bool },
-    SetOutOfService { out: bool },
+    SetOutOfService { out_of_service: bool },
 }
 
 impl From<HttpError> for Response {
@@ -51,11 +51,11 @@
     }
 }
 
-/// Reads the one call of a connection.
+/// Reads the only call of a connection.
 pub async fn read_call(stream: &Async<TcpStream>) -> Result<Call, HttpError> {
     let deadline = Instant::now() + CALL_TIMEOUT;
-    let no_memory = MemoryBudget::new(0);
-    let limits = RequestLimits { head_deadline: deadline, max_body: MAX_BODY, memory: &no_memory };
+    let empty_budget = MemoryBudget::new(0);
+    let limits = RequestLimits { head_deadline: deadline, max_body: MAX_BODY_BYTES, memory: &empty_budget };
     let mut unread = Vec::new();
     let request = read_request(stream, &mut unread, limits);
     let request = wait_until(deadline, request).await.unwrap_or(Err(HttpError::Timeout))?;
@@ -65,25 +65,25 @@
     })
 }
 
-/// Carries out a call, or says what is wrong with it.
+/// Runs a call and returns its response, or an error response if the call is invalid.
 pub async fn run_call(control: Rc<dyn ProxyControl>, call: &Call) -> Response {
     let outcome = match operation(call) {
         Ok(Operation::CheckReady) => control.check_ready(),
         Ok(Operation::SetServerDisabled { id, disabled }) => control.set_server_disabled(id, disabled),
-        Ok(Operation::SetOutOfService { out }) => control.set_out_of_service(out),
-        Err(refusal) => return refusal,
+        Ok(Operation::SetOutOfService { out_of_service }) => control.set_out_of_service(out_of_service),
+        Err(error_response) => return error_response,
     };
     outcome.await.into()
 }
 
-/// What a call asks for, by its path and method.
+/// Parses the operation from the call's path and method; an invalid call gets an error response.
 fn operation(call: &Call) -> Result<Operation, Response> {
     let path = call.target.split('?').next().unwrap_or("");
     let segments: Vec<&str> = path.strip_prefix("/control/").unwrap_or("").split('/').collect();
     let (method, operation) = match segments[..] {
         ["ready"] => ("GET", Operation::CheckReady),
-        ["out-of-service"] => ("POST", Operation::SetOutOfService { out: true }),
-        ["in-service"] => ("POST", Operation::SetOutOfService { out: false }),
+        ["out-of-service"] => ("POST", Operation::SetOutOfService { out_of_service: true }),
+        ["in-service"] => ("POST", Operation::SetOutOfService { out_of_service: false }),
         ["cache-nodes", id, state @ ("offline" | "online")] => {
             let id = server_id(id).ok_or(Response { status: 400, body: "an id that makes no sense\n" })?;
             ("POST", Operation::SetServerDisabled { id, disabled: state == "offline" })
@@ -97,15 +97,16 @@
     }
 }
 
-/// A server's id out of a segment of the path: percent-encoded UTF-8, and not empty.
+/// Decodes a server's id from a segment of the path: percent-encoded UTF-8, and not empty.
 fn server_id(segment: &str) -> Option<String> {
     let id = percent_decode_str(segment).decode_utf8().ok()?;
     (!id.is_empty()).then(|| id.into_owned())
 }
 
-/// Writes the response and ends the connection. What the caller still sends is read and dropped
-/// until it closes: closed with unread bytes, the connection would be reset and the response lost.
-pub async fn respond(stream: &Async<TcpStream>, response: &Response) {
+/// Writes the response and ends the connection. Further bytes from the caller are read and
+/// discarded until the caller closes: closing a socket that holds unread bytes resets the
+/// connection, and the caller would lose the response.
+pub async fn write_response(stream: &Async<TcpStream>, response: &Response) {
     let Response { status, body } = response;
     let text = format!(
         "HTTP/1.1 {status} {}\r\nContent-Type: text/plain\r\nContent-Length: {}\r\nConnection: close\r\n\r\n{body}",
@@ -116,8 +117,8 @@
         return;
     }
     _ = stream.get_ref().shutdown(Shutdown::Write);
-    let mut dropped = Vec::new();
-    while let Ok(1..) = read_more(stream, &mut dropped).await {
-        dropped.clear();
+    let mut discarded = Vec::new();
+    while let Ok(1..) = read_more(stream, &mut discarded).await {
+        discarded.clear();
     }
 }
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,14 +1,14 @@
-//! The operators' HTTP door: HTTP/1.1, one call to a connection, on a listener of its own.
+//! The operators' HTTP interface: HTTP/1.1, one call per connection, on a separate listener.
 //!
-//! | call | does |
+//! | call | effect |
 //! | --- | --- |
-//! | `GET /control/ready` | says whether this process is ready to serve |
-//! | `POST /control/out-of-service`, `POST /control/in-service` | empties the proxy, and ends that |
-//! | `POST /control/cache-nodes/ID/offline`, `.../online` | disables a server, and ends that |
+//! | `GET /control/ready` | reports whether this process is ready to serve |
+//! | `POST /control/out-of-service`, `POST /control/in-service` | drains the proxy, or puts it in service |
+//! | `POST /control/cache-nodes/ID/offline`, `.../online` | disables a server, or enables it |
 //!
-//! It depends on `http1` and `sockets`. No request, server connection or decision enters it, and no
-//! frontend: what a call does is behind [`ProxyControl`]. Its connections are its own: requests
-//! cannot take them, and it takes none of theirs.
+//! The crate depends on `http1` and `sockets`. It knows nothing of requests, server connections,
+//! balancing decisions or frontends: [`ProxyControl`] implements the calls. Its connections are
+//! limited separately from those of requests, so that neither side can use up the other's.
 
 mod call;
 mod control;
--- a/crates/admin/tests/calls.rs
+++ b/crates/admin/tests/calls.rs
@@ -1,5 +1,5 @@
-//! Calls over sockets: what reaches the proxy, what is refused, and who makes way when there are
-//! too many callers.
+//! Operator calls over sockets: which calls reach the proxy, which are rejected, and which caller
+//! is disconnected when there are too many.
 
 use chalkwalk_admin::{ControlFuture, ControlOutcome, MAX_CALLERS, ProxyControl, serve};
 use expect_test::expect;
@@ -10,47 +10,49 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A proxy that records what it is called for.
+/// A `ProxyControl` that records the calls made to it.
 #[derive(Default)]
-struct Proxy(RefCell<Vec<String>>);
+struct RecordingControl(RefCell<Vec<String>>);
 
-impl Proxy {
-    fn outcome(&self, call: String, outcome: ControlOutcome) -> ControlFuture {
+impl RecordingControl {
+    fn record_call(&self, call: String, outcome: ControlOutcome) -> ControlFuture {
         self.0.borrow_mut().push(call);
         Box::pin(async move { outcome })
     }
 }
 
-impl ProxyControl for Proxy {
+impl ProxyControl for RecordingControl {
     fn check_ready(self: Rc<Self>) -> ControlFuture {
-        self.outcome("ready".into(), ControlOutcome::NotReady)
+        self.record_call("ready".into(), ControlOutcome::NotReady)
     }
 
     fn set_server_disabled(self: Rc<Self>, id: String, disabled: bool) -> ControlFuture {
         let outcome = if id == "a b" { ControlOutcome::Done } else { ControlOutcome::UnknownServer };
-        self.outcome(format!("server {id} {disabled}"), outcome)
+        self.record_call(format!("server {id} {disabled}"), outcome)
     }
 
-    fn set_out_of_service(self: Rc<Self>, out: bool) -> ControlFuture {
-        let outcome = if out { ControlOutcome::NotPersisted } else { ControlOutcome::Done };
-        self.outcome(format!("out of service {out}"), outcome)
+    fn set_out_of_service(self: Rc<Self>, out_of_service: bool) -> ControlFuture {
+        let outcome = if out_of_service { ControlOutcome::NotPersisted } else { ControlOutcome::Done };
+        self.record_call(format!("out of service {out_of_service}"), outcome)
     }
 }
 
-/// Plays callers against a listener, beside it; what they made of it, and what the proxy was called
-/// for.
-fn play<T: Send + 'static>(callers: impl FnOnce(SocketAddr) -> T + Send + 'static) -> (T, Vec<String>) {
+/// Runs `callers` in another thread against a served listener. Returns their result, and the calls
+/// that the `ProxyControl` recorded.
+fn run_callers<T: Send + 'static>(
+    callers: impl FnOnce(SocketAddr) -> T + Send + 'static,
+) -> (T, Vec<String>) {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap();
     let addr = listener.get_ref().local_addr().unwrap();
     let executor = Rc::new(LocalExecutor::new());
-    let proxy = Rc::new(Proxy::default());
+    let control = Rc::new(RecordingControl::default());
     let tasks = executor.clone();
-    executor.spawn(serve(listener, proxy.clone(), move |task| tasks.spawn(task).detach())).detach();
+    executor.spawn(serve(listener, control.clone(), move |task| tasks.spawn(task).detach())).detach();
     let result = block_on(executor.run(unblock(move || callers(addr))));
-    (result, proxy.0.take())
+    (result, control.0.take())
 }
 
-/// Sends a text and reads to the connection's end.
+/// Sends a text on a new connection and returns all that is received until the connection ends.
 fn exchange(addr: SocketAddr, text: &str) -> String {
     let mut stream = TcpStream::connect(addr).unwrap();
     stream.write_all(text.as_bytes()).unwrap();
@@ -60,8 +62,8 @@
 }
 
 #[test]
-fn calls_reach_the_proxy_and_others_are_refused() {
-    let heads = [
+fn valid_calls_reach_the_proxy_and_others_are_rejected() {
+    let request_lines = [
         "GET /control/ready",
         "GET /control/ready?now",
         "POST /control/out-of-service",
@@ -77,15 +79,15 @@
         "GET /control/",
         "GET /ready",
     ];
-    let (responses, calls) = play(move |addr| {
-        let mut responses: Vec<String> = heads
+    let (responses, calls) = run_callers(move |addr| {
+        let mut responses: Vec<String> = request_lines
             .iter()
-            .map(|head| exchange(addr, &format!("{head} HTTP/1.1\r\nContent-Length: 1\r\n\r\nx")))
+            .map(|line| exchange(addr, &format!("{line} HTTP/1.1\r\nContent-Length: 1\r\n\r\nx")))
             .collect();
         responses.push(exchange(addr, "nonsense\r\n\r\n"));
         responses
     });
-    let shown: String = responses.iter().map(|response| format!("{}\n", response.escape_debug())).collect();
+    let escaped: String = responses.iter().map(|response| format!("{}\n", response.escape_debug())).collect();
     expect![[r#"
         HTTP/1.1 503 Service Unavailable\r\nContent-Type: text/plain\r\nContent-Length: 3\r\nConnection: close\r\n\r\nno\n
         HTTP/1.1 503 Service Unavailable\r\nContent-Type: text/plain\r\nContent-Length: 3\r\nConnection: close\r\n\r\nno\n
@@ -103,7 +105,7 @@
         HTTP/1.1 404 Not Found\r\nContent-Type: text/plain\r\nContent-Length: 13\r\nConnection: close\r\n\r\nno such call\n
         HTTP/1.1 400 Bad Request\r\nContent-Type: text/plain\r\nContent-Length: 0\r\nConnection: close\r\n\r\n
     "#]]
-    .assert_eq(&shown);
+    .assert_eq(&escaped);
     expect![[r#"
         ready
         ready
@@ -116,20 +118,23 @@
 }
 
 #[test]
-fn a_caller_without_a_call_makes_way_when_all_connections_are_taken() {
-    let (closed_first, _) = play(|addr| {
-        let mut silent: Vec<TcpStream> =
+fn the_oldest_caller_without_a_call_is_disconnected_when_all_connections_are_taken() {
+    let (closed_first, _) = run_callers(|addr| {
+        let mut idle_callers: Vec<TcpStream> =
             (0..MAX_CALLERS).map(|_| TcpStream::connect(addr).unwrap()).collect();
         std::thread::sleep(Duration::from_millis(50));
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let response = exchange(addr, "GET /control/ready HTTP/1.1\r\n\r\n");
         assert!(response.starts_with("HTTP/1.1 503 "), "{response}");
-        assert!(begun.elapsed() < Duration::from_millis(500), "it waited for the callers without a call");
-        // The one that came first is closed without a response; the one that came last is still
-        // open.
+        assert!(
+            started_at.elapsed() < Duration::from_millis(500),
+            "the call waited for the callers without a call"
+        );
+        // The connection that was opened first is closed without a response; the one that was
+        // opened last is still open.
         let mut text = String::new();
-        silent[0].read_to_string(&mut text).unwrap();
-        let last = &mut silent[MAX_CALLERS - 1];
+        idle_callers[0].read_to_string(&mut text).unwrap();
+        let last = &mut idle_callers[MAX_CALLERS - 1];
         last.set_nonblocking(true).unwrap();
         text.is_empty() && last.read(&mut [0]).is_err()
     });
@@ -137,25 +142,25 @@
 }
 
 #[test]
-fn a_call_that_does_not_come_in_time_is_a_timeout() {
-    let (response, calls) = play(|addr| exchange(addr, "GET /control/ready HTTP/1.1\r\n"));
+fn an_incomplete_call_is_rejected_with_408_after_the_timeout() {
+    let (response, calls) = run_callers(|addr| exchange(addr, "GET /control/ready HTTP/1.1\r\n"));
     assert!(response.starts_with("HTTP/1.1 408 Request Timeout\r\n"), "{response}");
     assert!(calls.is_empty());
 }
 
 #[test]
-fn a_caller_that_stays_connected_does_not_hold_its_connection() {
-    let (waited, _) = play(|addr| {
+fn a_caller_that_keeps_sending_after_the_response_is_disconnected() {
+    let (waited, _) = run_callers(|addr| {
         let mut stream = TcpStream::connect(addr).unwrap();
         stream.write_all(b"GET /control/ready HTTP/1.1\r\n\r\n").unwrap();
         let mut response = String::new();
         stream.read_to_string(&mut response).unwrap();
-        let begun = Instant::now();
-        // Writes succeed until the door closes its side too.
-        while stream.write_all(b"x").is_ok() && begun.elapsed() < Duration::from_secs(5) {
+        let started_at = Instant::now();
+        // Writes succeed until the server closes its side too.
+        while stream.write_all(b"x").is_ok() && started_at.elapsed() < Duration::from_secs(5) {
             block_on(Timer::after(Duration::from_millis(10)));
         }
-        begun.elapsed()
+        started_at.elapsed()
     });
     assert!(waited < Duration::from_secs(2), "{waited:?}");
 }
--- a/crates/handover/src/format.rs
+++ b/crates/handover/src/format.rs
@@ -1,42 +1,46 @@
-//! The text of a handover file: a mark with the version, a checksum, and the record as JSON on one line.
+//! The text of a handover file: one line with a header that names the format version, a checksum,
+//! and the record as JSON.
 
 use crate::record::HandoverRecord;
 
-/// The first word of each file, with the version of its format. Another version is not read.
-const MARK: &str = "chalkwalk-handover-1";
+/// The first word of each file: the name and the version of its format. Files of other versions are
+/// not read.
+const FILE_HEADER: &str = "chalkwalk-handover-1";
 
-/// Longer than any file that is written: ten thousand disabled servers, of 60 bytes each.
+/// The maximum length of a handover file. It leaves room beyond ten thousand disabled servers, at
+/// 60 bytes each.
 pub const MAX_FILE_BYTES: usize = 1 << 20;
 
-/// Why a text is no handover record.
+/// Why a text can't be decoded as a handover record.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub enum DecodeError {
-    /// The mark is missing, or that of another version.
-    #[error("no handover of a version that is known")]
+    /// The header is missing, or names another version of the format.
+    #[error("not a handover file of version 1: the header chalkwalk-handover-1 is missing")]
     UnknownVersion,
     /// The text ends early.
-    #[error("cut short")]
+    #[error("truncated handover file")]
     Truncated,
-    /// The text was changed after it was written.
-    #[error("a checksum that is another")]
+    /// The checksum in the text doesn't match the record: the text was changed after it was
+    /// written.
+    #[error("the checksum does not match the record")]
     WrongChecksum,
-    /// The JSON is no record.
-    #[error("nothing that makes sense")]
+    /// The checksum matches, but the JSON is not a record of the expected form.
+    #[error("the JSON is not a valid handover record")]
     InvalidRecord,
 }
 
 impl HandoverRecord {
-    /// The text of the file.
+    /// Encodes the record as the text of a file.
     pub fn encode(&self) -> String {
         let body = serde_json::to_string(self).unwrap_or_default();
-        format!("{MARK} {:08x} {body}\n", crc32fast::hash(body.as_bytes()))
+        format!("{FILE_HEADER} {:08x} {body}\n", crc32fast::hash(body.as_bytes()))
     }
 
-    /// The record in a file's text.
+    /// Decodes the record from the text of a file.
     pub fn decode(text: &str) -> Result<HandoverRecord, DecodeError> {
-        let after_mark = text.strip_prefix(MARK).and_then(|rest| rest.strip_prefix(' '));
-        let after_mark = after_mark.ok_or(DecodeError::UnknownVersion)?;
-        let line = after_mark.strip_suffix('\n').ok_or(DecodeError::Truncated)?;
+        let after_header = text.strip_prefix(FILE_HEADER).and_then(|rest| rest.strip_prefix(' '));
+        let after_header = after_header.ok_or(DecodeError::UnknownVersion)?;
+        let line = after_header.strip_suffix('\n').ok_or(DecodeError::Truncated)?;
         let (checksum, body) = line.split_once(' ').ok_or(DecodeError::Truncated)?;
         if u32::from_str_radix(checksum, 16) != Ok(crc32fast::hash(body.as_bytes())) {
             return Err(DecodeError::WrongChecksum);
--- a/crates/handover/src/learned.rs
+++ b/crates/handover/src/learned.rs
@@ -1,46 +1,51 @@
-//! What a process learned of the servers, so that its successor need not learn it again.
+//! What a process learned about the servers, written so that its successor need not learn it again.
 
 use chalkwalk_time::{Span, Timestamp};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Learned figures are used for so long after they were written: as long as a restart or an upgrade takes.
+/// The age up to which learned figures are used: as long as a restart or an upgrade takes.
 const MAX_AGE: Span = Span::from_secs(60);
 
-/// At most so many servers are written, with ids of at most so many bytes: a fifth of the longest file.
+/// The maximum number of servers that are written. With ids of at most `MAX_ID_BYTES`, their
+/// figures take a fifth of the maximum length of a file.
 const MAX_SERVERS: usize = 2000;
+/// The maximum length of a server's id; figures of servers with longer ids are not written.
 const MAX_ID_BYTES: usize = 64;
 
-/// What a process has learned of the servers, when, and under which settings: under other settings the figures mean nothing.
+/// The figures that a process has learned about the servers, with the time and a digest of the
+/// settings: under other settings the figures mean nothing.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct LearnedServers {
     /// When the figures were written.
     #[serde(rename = "at")]
     pub written_at: Timestamp,
-    /// A digest of the settings that give the figures their meaning.
+    /// A digest of the settings on which the meaning of the figures depends.
     #[serde(rename = "terms")]
     pub settings_digest: u64,
-    /// The figures of each server, by its id.
+    /// The figures of each server, by server id.
     #[serde(rename = "caches")]
-    pub servers: BTreeMap<String, ServerFigures>,
+    pub servers: BTreeMap<String, ServerStats>,
 }
 
-/// What was learned of one server. Stored as the JSON array `[started, weight, key share, concurrency limit]`.
+/// The learned figures of one server. Stored as the JSON array
+/// `[start time, weight, key share, concurrency limit]`.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(from = "[u64; 4]", into = "[u64; 4]")]
-pub struct ServerFigures {
-    /// When its process started, in ticks: of another start the figures say nothing.
-    pub started: u64,
-    /// The largest weight that it reported, in hundredths.
+pub struct ServerStats {
+    /// When the server process started, in ticks: the figures don't hold after a restart of the
+    /// server.
+    pub started_at: u64,
+    /// The highest weight that the server has reported, in hundredths.
     pub weight: u64,
-    /// Thousandths of its keys that it keeps.
+    /// The share of its keys that the server keeps, in thousandths.
     pub key_share: u64,
-    /// Hundredths of an attempt that it takes at once.
+    /// The number of concurrent attempts that the server can take, in hundredths of an attempt.
     pub concurrency_limit: u64,
 }
 
 impl LearnedServers {
-    /// The same, cut down to the number of servers and the length of ids that are written.
+    /// Drops the servers beyond the maximum number, and those whose id is too long to be written.
     pub fn bounded(mut self) -> LearnedServers {
         let mut count = 0;
         self.servers.retain(|id, _| {
@@ -53,22 +58,23 @@
         self
     }
 
-    /// Whether a process with these settings may use the figures now. Figures from the future were written before the clock
-    /// was set back: their age is unknown, and they are not used.
+    /// Whether a process with these settings may use the figures now. Figures with a time in the
+    /// future were written before the clock was set back: their age is unknown, so they are not
+    /// used.
     pub fn is_usable(&self, settings_digest: u64, now: Timestamp) -> bool {
         let valid = self.written_at..self.written_at.saturating_add(MAX_AGE);
         self.settings_digest == settings_digest && !self.servers.is_empty() && valid.contains(&now)
     }
 }
 
-impl From<[u64; 4]> for ServerFigures {
-    fn from([started, weight, key_share, concurrency_limit]: [u64; 4]) -> ServerFigures {
-        ServerFigures { started, weight, key_share, concurrency_limit }
+impl From<[u64; 4]> for ServerStats {
+    fn from([started_at, weight, key_share, concurrency_limit]: [u64; 4]) -> ServerStats {
+        ServerStats { started_at, weight, key_share, concurrency_limit }
     }
 }
 
-impl From<ServerFigures> for [u64; 4] {
-    fn from(figures: ServerFigures) -> [u64; 4] {
-        [figures.started, figures.weight, figures.key_share, figures.concurrency_limit]
+impl From<ServerStats> for [u64; 4] {
+    fn from(figures: ServerStats) -> [u64; 4] {
+        [figures.started_at, figures.weight, figures.key_share, figures.concurrency_limit]
     }
 }
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,8 +1,10 @@
-//! What the processes of one proxy share over an upgrade: servers that operators disabled, whether the proxy is in service,
-//! which process is ready. Each process writes one file, a [`HandoverRecord`]; where two records differ on a matter, the later
-//! [`OperatorOverride`] wins.
+//! The state that the processes of one proxy share during an upgrade: which servers operators have
+//! disabled, whether the proxy is in service, and which process is ready. Each process writes one
+//! file, a [`HandoverRecord`]; where two records disagree on a server or on the proxy's service
+//! state, the later [`OperatorOverride`] wins.
 //!
-//! The crate does no I/O: times are passed in, and files come and go as texts. It depends on serde and a checksum only.
+//! The crate does no I/O: the caller passes in the time and the texts of files. Besides the time
+//! types it depends only on serde and a checksum library.
 
 mod format;
 mod learned;
@@ -10,6 +12,6 @@
 mod record;
 
 pub use format::{DecodeError, MAX_FILE_BYTES};
-pub use learned::{LearnedServers, ServerFigures};
+pub use learned::{LearnedServers, ServerStats};
 pub use operator_override::OperatorOverride;
 pub use record::{HandoverRecord, MergeOutcome};
--- a/crates/handover/src/operator_override.rs
+++ b/crates/handover/src/operator_override.rs
@@ -1,20 +1,24 @@
-//! What an operator decided last about a server or about the proxy.
+//! An operator's latest decision about a server or about the proxy.
 
 use chalkwalk_time::{Span, Timestamp};
 use serde::{Deserialize, Serialize};
 
-/// The last decision of an operator on a matter, and when it was made. The default is the state before any decision.
+/// An operator's latest decision on whether a server or the proxy is disabled, and when it was
+/// made. The default is the state before any decision.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct OperatorOverride {
-    /// When it was made: of two, the later wins.
-    pub at: Timestamp,
-    /// Whether the server is disabled, or the proxy out of service.
-    pub out: bool,
+    /// When the decision was made: of two decisions, the later wins.
+    #[serde(rename = "at")]
+    pub decided_at: Timestamp,
+    /// Whether the server is disabled, or the proxy is out of service.
+    #[serde(rename = "out")]
+    pub is_disabled: bool,
 }
 
 impl OperatorOverride {
-    /// A decision that replaces this one. It is later than this one also where the clock was set back in between.
-    pub(crate) fn replaced_by(self, out: bool, now: Timestamp) -> OperatorOverride {
-        OperatorOverride { at: now.max(self.at + Span::from_ticks(1)), out }
+    /// Returns a decision that replaces this one. Its time is later than this one's even if the
+    /// clock was set back in between.
+    pub(crate) fn replaced_by(self, is_disabled: bool, now: Timestamp) -> OperatorOverride {
+        OperatorOverride { decided_at: now.max(self.decided_at + Span::from_ticks(1)), is_disabled }
     }
 }
--- a/crates/handover/src/record.rs
+++ b/crates/handover/src/record.rs
@@ -1,4 +1,4 @@
-//! The record that each process of a proxy writes, and how two records are merged.
+//! The record that each process of a proxy writes, and the merge of two records.
 
 use crate::learned::LearnedServers;
 use crate::operator_override::OperatorOverride;
@@ -6,27 +6,27 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// An override that enables a server is kept for so long, so that every process has read it: each reads the files ten times a
-/// second.
-const ENABLED_KEPT: Span = Span::from_secs(60);
+/// How long an override that enables a server is retained, so that every process has read it: each
+/// process reads the files ten times a second.
+const ENABLED_OVERRIDE_RETENTION: Span = Span::from_secs(60);
 
-/// One process of a proxy, and all the operator overrides that it knows of.
+/// The state of one process of a proxy, and all operator overrides that the process knows of.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct HandoverRecord {
-    /// The process's id.
+    /// The process id.
     pub pid: u32,
-    /// When it started: of two that are ready, the later is the successor.
+    /// When the process started: of two processes that are ready, the later is the successor.
     #[serde(rename = "began")]
-    pub started: Timestamp,
-    /// Since when it is ready, if it is.
+    pub started_at: Timestamp,
+    /// Since when the process has been ready, if it is.
     #[serde(rename = "ready")]
     pub ready_since: Option<Timestamp>,
-    /// The last override of each server, by its id.
+    /// The latest override of each server, by server id.
     #[serde(rename = "caches")]
     pub servers: BTreeMap<String, OperatorOverride>,
     /// Whether the proxy is out of service.
     pub service: OperatorOverride,
-    /// What the process learned of the servers. Missing in the files of earlier versions.
+    /// What the process learned about the servers. Missing in files of earlier versions.
     #[serde(default)]
     pub learned: LearnedServers,
 }
@@ -34,9 +34,9 @@
 /// What a merge changed.
 #[derive(Debug, Default, PartialEq)]
 pub struct MergeOutcome {
-    /// Servers of which the other record had a later override.
+    /// The ids of the servers for which the other record had a later override.
     pub servers: Vec<String>,
-    /// Whether the proxy went out of service, or back.
+    /// Whether the merge took the proxy out of service or put it back.
     pub service_changed: bool,
 }
 
@@ -44,50 +44,53 @@
     /// Adopts the later overrides of another process's record.
     pub fn merge(&mut self, other: &HandoverRecord) -> MergeOutcome {
         let mut servers = Vec::new();
-        for (id, theirs) in &other.servers {
-            if theirs.at > self.server_override(id).at {
-                self.servers.insert(id.clone(), *theirs);
+        for (id, other_override) in &other.servers {
+            if other_override.decided_at > self.server_override(id).decided_at {
+                self.servers.insert(id.clone(), *other_override);
                 servers.push(id.clone());
             }
         }
-        let was_out = self.service.out;
-        if other.service.at > self.service.at {
+        let was_disabled = self.service.is_disabled;
+        if other.service.decided_at > self.service.decided_at {
             self.service = other.service;
         }
-        MergeOutcome { servers, service_changed: self.service.out != was_out }
+        MergeOutcome { servers, service_changed: self.service.is_disabled != was_disabled }
     }
 
-    /// An operator disables a server, or enables it again. The later call wins, also where a clock was set back in between.
-    pub fn set_server_out(&mut self, server: &str, out: bool, now: Timestamp) {
+    /// Records that an operator disables a server, or enables it again. The later call wins, even
+    /// if the clock was set back in between.
+    pub fn set_server_disabled(&mut self, server: &str, is_disabled: bool, now: Timestamp) {
         let new = match self.servers.get(server) {
-            Some(before) => before.replaced_by(out, now),
-            None => OperatorOverride { at: now, out },
+            Some(previous) => previous.replaced_by(is_disabled, now),
+            None => OperatorOverride { decided_at: now, is_disabled },
         };
         self.servers.insert(server.to_string(), new);
     }
 
-    /// An operator takes the proxy out of service, or puts it back.
-    pub fn set_service_out(&mut self, out: bool, now: Timestamp) {
-        self.service = self.service.replaced_by(out, now);
+    /// Records that an operator takes the proxy out of service, or puts it back.
+    pub fn set_service_disabled(&mut self, is_disabled: bool, now: Timestamp) {
+        self.service = self.service.replaced_by(is_disabled, now);
     }
 
     /// Whether operators have disabled the server.
-    pub fn is_server_out(&self, server: &str) -> bool {
-        self.server_override(server).out
+    pub fn is_server_disabled(&self, server: &str) -> bool {
+        self.server_override(server).is_disabled
     }
 
-    /// The last override of a server.
+    /// The latest override of a server, or the default if there is none.
     pub fn server_override(&self, server: &str) -> OperatorOverride {
         self.servers.get(server).copied().unwrap_or_default()
     }
 
-    /// Whether the other process has taken over from this one.
-    pub fn succeeded_by(&self, other: &HandoverRecord) -> bool {
-        other.ready_since.is_some() && (other.started, other.pid) > (self.started, self.pid)
+    /// Whether the other process has taken over from this one: it is ready, and started later
+    /// (of two that started at the same time, the one with the higher pid).
+    pub fn is_succeeded_by(&self, other: &HandoverRecord) -> bool {
+        other.ready_since.is_some() && (other.started_at, other.pid) > (self.started_at, self.pid)
     }
 
-    /// Drops the overrides that enabled a server long enough ago for every process to have read them.
-    pub fn drop_settled(&mut self, now: Timestamp) {
-        self.servers.retain(|_, last| last.out || now < last.at + ENABLED_KEPT);
+    /// Drops overrides that enabled a server so long ago that every process has read them.
+    pub fn drop_expired_overrides(&mut self, now: Timestamp) {
+        self.servers
+            .retain(|_, latest| latest.is_disabled || now < latest.decided_at + ENABLED_OVERRIDE_RETENTION);
     }
 }
--- a/crates/proxy/src/captures.rs
+++ b/crates/proxy/src/captures.rs
@@ -1,4 +1,4 @@
-//! What the command line does with captures. Each command returns the text that it prints.
+//! The `capture` commands of the command line. Each returns the text to print.
 
 mod cut;
 mod info;
--- a/crates/proxy/src/captures/info.rs
+++ b/crates/proxy/src/captures/info.rs
@@ -1,15 +1,15 @@
-//! What each segment holds.
+//! The `capture info` command: summarizes each segment.
 
-use super::segment::{Segment, read_segments, seconds};
+use super::segment::{Segment, format_seconds, read_segments};
 use crate::error::CaptureFileError;
 use chalkwalk_capture::{CaptureItem, Event};
 use chalkwalk_time::Timestamp;
 use std::path::PathBuf;
 
-/// A line for each segment.
-pub fn info(named: &[PathBuf]) -> Result<String, CaptureFileError> {
+/// Returns a line for each segment.
+pub fn info(paths: &[PathBuf]) -> Result<String, CaptureFileError> {
     let mut text = String::new();
-    for segment in read_segments(named, &mut text)? {
+    for segment in read_segments(paths, &mut text)? {
         text += &summary(&segment);
     }
     Ok(text)
@@ -26,8 +26,8 @@
         "{}: {bytes} bytes, {calls} calls, {requests} requests ({:.1} bytes each), {gaps} gaps, from {} to {}\n",
         segment.path.display(),
         segment.bytes as f64 / requests.max(1) as f64,
-        seconds(first),
-        seconds(last),
+        format_seconds(first),
+        format_seconds(last),
         bytes = segment.bytes,
     )
 }
--- a/crates/proxy/src/captures/replay.rs
+++ b/crates/proxy/src/captures/replay.rs
@@ -1,27 +1,28 @@
-//! The calls of captures made again, and where the balancer decides otherwise.
+//! The `capture replay` command: makes the calls of captures again, and reports where the
+//! balancer's decisions differ from the recorded ones.
 
-use super::segment::{Segment, read_segments, seconds};
+use super::segment::{Segment, format_seconds, read_segments};
 use crate::error::CaptureFileError;
 use chalkwalk_capture::{Difference, Replay, replay};
 use std::fmt::Write;
 use std::path::PathBuf;
 
-/// What a replay prints, and whether every call was decided the same.
+/// The text that a replay prints, and whether all decisions were identical to the recorded ones.
 pub struct ReplayReport {
     pub text: String,
-    pub same: bool,
+    pub is_identical: bool,
 }
 
-/// Replays the segments of each instance by themselves.
-pub fn replay_all(named: &[PathBuf]) -> Result<ReplayReport, CaptureFileError> {
-    let mut report = ReplayReport { text: String::new(), same: true };
-    let segments = read_segments(named, &mut report.text)?;
+/// Replays the segments of each instance separately.
+pub fn replay_all(paths: &[PathBuf]) -> Result<ReplayReport, CaptureFileError> {
+    let mut report = ReplayReport { text: String::new(), is_identical: true };
+    let segments = read_segments(paths, &mut report.text)?;
     let mut instances: Vec<&str> = segments.iter().map(Segment::instance).collect();
     instances.dedup();
     for instance in instances {
-        let own = segments.iter().filter(|segment| segment.instance() == instance);
-        let replayed = replay(own.flat_map(|segment| &segment.items));
-        report.same &= replayed.differences == 0;
+        let instance_segments = segments.iter().filter(|segment| segment.instance() == instance);
+        let replayed = replay(instance_segments.flat_map(|segment| &segment.items));
+        report.is_identical &= replayed.differences == 0;
         report.text += &summary(instance, &replayed);
         if let Some(difference) = &replayed.first_difference {
             report.text += &first_difference(difference);
@@ -46,6 +47,6 @@
     let Difference { call, at, event, recorded, replayed } = difference;
     format!(
         "first at call {call}, {}: event {event:?}\n  decided {recorded:?}\n  and now {replayed:?}\n",
-        seconds(*at)
+        format_seconds(*at)
     )
 }
--- a/crates/proxy/src/captures/segment.rs
+++ b/crates/proxy/src/captures/segment.rs
@@ -1,4 +1,4 @@
-//! Segments of captures, read from the files or folders that the command line names.
+//! Reads the segments of captures from the files or folders that the command line names.
 
 use crate::error::CaptureFileError;
 use chalkwalk_capture::{CaptureItem, Damage, RecordedCall, read};
@@ -6,22 +6,22 @@
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 
-/// A segment's file, as far as it can be read.
+/// A segment's file, up to the first damaged item.
 pub struct Segment {
     pub path: PathBuf,
     pub items: Vec<CaptureItem>,
-    /// The length of the file.
+    /// The length of the file in bytes.
     pub bytes: usize,
 }
 
 impl Segment {
-    /// The instance that wrote it: the first part of its name.
+    /// The instance that wrote the segment: the first part of the file's name.
     pub fn instance(&self) -> &str {
         let name = self.path.file_name().and_then(|name| name.to_str()).unwrap_or("");
         name.split('.').next().unwrap_or("")
     }
 
-    /// All calls, and when each was made.
+    /// Iterates over all calls, with the time of each.
     pub fn calls(&self) -> impl Iterator<Item = (Timestamp, &RecordedCall)> {
         let blocks = self.items.iter().filter_map(|item| match item {
             CaptureItem::Calls(block) => Some(block),
@@ -36,10 +36,10 @@
     }
 }
 
-/// Reads all segments, as far as they can be read. What is damaged is added to the text.
-pub fn read_segments(named: &[PathBuf], text: &mut String) -> Result<Vec<Segment>, CaptureFileError> {
+/// Reads all segments, each up to its first damaged item. Appends a line to `text` for each damage.
+pub fn read_segments(paths: &[PathBuf], text: &mut String) -> Result<Vec<Segment>, CaptureFileError> {
     let mut segments = Vec::new();
-    for path in segment_files(named)? {
+    for path in segment_files(paths)? {
         let bytes = std::fs::read(&path).map_err(|error| file_error(&path, error))?;
         let contents = read(&bytes);
         let contents = contents.map_err(|error| CaptureFileError::Format { path: path.clone(), error })?;
@@ -51,14 +51,14 @@
     Ok(segments)
 }
 
-/// The files that are named, or all captures of a folder, in order.
-fn segment_files(named: &[PathBuf]) -> Result<Vec<PathBuf>, CaptureFileError> {
-    let is_capture = |path: &PathBuf| path.extension().is_some_and(|ending| ending == "capture");
+/// The named files, and all captures in the named folders, sorted by path.
+fn segment_files(paths: &[PathBuf]) -> Result<Vec<PathBuf>, CaptureFileError> {
+    let is_capture = |path: &PathBuf| path.extension().is_some_and(|extension| extension == "capture");
     let mut files = Vec::new();
-    for path in named {
+    for path in paths {
         if path.is_dir() {
-            let listed = std::fs::read_dir(path).map_err(|error| file_error(path, error))?;
-            files.extend(listed.flatten().map(|entry| entry.path()).filter(is_capture));
+            let entries = std::fs::read_dir(path).map_err(|error| file_error(path, error))?;
+            files.extend(entries.flatten().map(|entry| entry.path()).filter(is_capture));
         } else {
             files.push(path.clone());
         }
@@ -71,7 +71,7 @@
     CaptureFileError::File { path: path.to_path_buf(), error }
 }
 
-/// A moment, in seconds of Unix time.
-pub fn seconds(at: Timestamp) -> String {
+/// Formats a time as seconds of Unix time.
+pub fn format_seconds(at: Timestamp) -> String {
     format!("{}.{:04}", at.ticks() / TICKS_PER_SECOND, at.ticks() % TICKS_PER_SECOND)
 }
--- a/crates/proxy/src/captures/show.rs
+++ b/crates/proxy/src/captures/show.rs
@@ -1,24 +1,24 @@
-//! All that concerns one request.
+//! The `capture show` command: prints all events and decisions of one request.
 
-use super::segment::{read_segments, seconds};
+use super::segment::{format_seconds, read_segments};
 use crate::error::CaptureFileError;
 use chalkwalk_capture::{Decision, Event};
 use std::fmt::Write;
 use std::path::PathBuf;
 
-/// The events and decisions of a request, in order.
-pub fn show(named: &[PathBuf], request: u64) -> Result<String, CaptureFileError> {
+/// Returns the events and decisions of a request, in order.
+pub fn show(paths: &[PathBuf], request_id: u64) -> Result<String, CaptureFileError> {
     let mut text = String::new();
-    let mut numbers = RequestNumbers::default();
-    for segment in read_segments(named, &mut text)? {
+    let mut request_numbers = RequestNumbers::default();
+    for segment in read_segments(paths, &mut text)? {
         for (at, call) in segment.calls() {
-            let is_own_event = numbers.request_of(&call.event) == Some(request);
-            let concerns = |decision: &&Decision| decision.request_id() == Some(request);
-            let decisions: Vec<&Decision> = call.decisions.iter().filter(concerns).collect();
+            let is_own_event = request_numbers.request_id_of(&call.event) == Some(request_id);
+            let is_own_decision = |decision: &&Decision| decision.request_id() == Some(request_id);
+            let decisions: Vec<&Decision> = call.decisions.iter().filter(is_own_decision).collect();
             if !is_own_event && decisions.is_empty() {
                 continue;
             }
-            _ = writeln!(text, "{}  event {:?}", seconds(at), call.event);
+            _ = writeln!(text, "{}  event {:?}", format_seconds(at), call.event);
             for decision in decisions {
                 _ = writeln!(text, "{:>16}  {decision:?}", "");
             }
@@ -27,15 +27,15 @@
     Ok(text)
 }
 
-/// Requests are numbered as they are accepted, from each start of the balancer.
+/// Numbers requests in the order of their acceptance, from 0 at each start of the balancer.
 #[derive(Default)]
 struct RequestNumbers {
     accepted: u64,
 }
 
 impl RequestNumbers {
-    /// The request that an event is about. Every event has to be passed, in order.
-    fn request_of(&mut self, event: &Event) -> Option<u64> {
+    /// The id of the request that an event concerns. Every event has to be passed, in order.
+    fn request_id_of(&mut self, event: &Event) -> Option<u64> {
         match event {
             Event::Start { .. } => {
                 self.accepted = 0;
--- a/crates/proxy/src/cli.rs
+++ b/crates/proxy/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: which command is run, with which arguments, and its exit status.
+//! The command line: parses the command and its arguments, runs it and returns its exit status.
 
 use crate::captures;
 use crate::error::{CommandError, UsageError};
@@ -14,22 +14,23 @@
 
 const USAGE: &str = "\
 usage: chalkwalk serve [--config FILE] [--operator FILE] [--log plain|json]    run one proxy in the foreground
-       chalkwalk check [--config FILE] [--operator FILE]    read both and report what is wrong with them
+       chalkwalk check [--config FILE] [--operator FILE]    read both files and report their errors
        chalkwalk explain --operator FILE --namespace N [--route PATH] [--tenant T] [--door D] [--config FILE]
-                                          which limits hold for a request, and which line sets them
-       chalkwalk capture info|replay FILE...    what captures hold; whether a replay decides the same (1 if not)
-       chalkwalk capture show --lookup N FILE...    all that concerns one request
-       chalkwalk capture cut --call N --to OUT FILE...    the smallest capture that still shows a call
+                                          the limits that apply to a request, and the line that sets each
+       chalkwalk capture info|replay FILE...    summarize captures; replay them (status 1 if decisions differ)
+       chalkwalk capture show --lookup N FILE...    all events and decisions of one request
+       chalkwalk capture cut --call N --to OUT FILE...    write the smallest capture that reproduces a call
        chalkwalk version                  print the version
 
-Without --config the file named by ROUTER_CONFIG is read. An operator's file is optional; deploy/operator.toml is one.";
+Without --config the file named by ROUTER_CONFIG is read.
+The operator's file is optional; deploy/operator.toml is an example.";
 
-/// A replay decides otherwise than the capture.
-const EXIT_DIFFERS: u8 = 1;
-/// A command fails.
-const EXIT_FAILED: u8 = 2;
+/// The exit status of a replay with decisions that differ from the capture's.
+const EXIT_REPLAY_DIFFERS: u8 = 1;
+/// The exit status of a command that fails.
+const EXIT_FAILURE: u8 = 2;
 
-/// Runs the command that the arguments name.
+/// Runs the command that the program's arguments name.
 pub fn run() -> ExitCode {
     let mut args = Arguments::from_env();
     if args.contains(["-h", "--help"]) {
@@ -40,7 +41,7 @@
         Ok(status) => status,
         Err(error) => {
             eprintln!("chalkwalk: {error}");
-            ExitCode::from(EXIT_FAILED)
+            ExitCode::from(EXIT_FAILURE)
         }
     }
 }
@@ -65,9 +66,10 @@
         Some("json") => LogFormat::Json,
         Some(other) => return Err(UsageError::UnknownLogFormat(other.to_string()).into()),
     };
-    finish(args)?;
+    expect_no_more_arguments(args)?;
     let settings = files.load()?;
-    // Before the system accepts a connection for us: after a signal to end, what came on it is answered.
+    // Signals are handled before the kernel accepts connections on the listener: a request that has
+    // arrived before a termination signal is still answered.
     let signals = serve::signals()?;
     let listener = listeners::client_listener(settings.config.listen)?;
     let (log, _flush_at_end) = logger(&settings.config.engine.name, format);
@@ -77,7 +79,7 @@
 
 fn run_check(mut args: Arguments) -> Result<(), CommandError> {
     let files = startup_files(&mut args)?;
-    finish(args)?;
+    expect_no_more_arguments(args)?;
     let settings = files.load()?;
     println!("{}: fine", settings.config.engine.name);
     Ok(())
@@ -89,7 +91,7 @@
     let namespace = option(&mut args, "--namespace")?.unwrap_or_default();
     let tenant = option(&mut args, "--tenant")?.unwrap_or_default();
     let frontend = option(&mut args, "--door")?.unwrap_or_default();
-    finish(args)?;
+    expect_no_more_arguments(args)?;
     let config = files.load()?.config;
     let index = config.namespaces.iter().position(|known| *known == namespace);
     let index = index.ok_or_else(|| {
@@ -106,27 +108,27 @@
 
 fn run_capture(mut args: Arguments) -> Result<ExitCode, CommandError> {
     let command = args.subcommand().map_err(UsageError::from)?.unwrap_or_default();
-    let request: Option<u64> = args.opt_value_from_str("--lookup").map_err(UsageError::from)?;
+    let request_id: Option<u64> = args.opt_value_from_str("--lookup").map_err(UsageError::from)?;
     let call: Option<u64> = args.opt_value_from_str("--call").map_err(UsageError::from)?;
-    let to: Option<PathBuf> = args.opt_value_from_str("--to").map_err(UsageError::from)?;
+    let output_path: Option<PathBuf> = args.opt_value_from_str("--to").map_err(UsageError::from)?;
     let files: Vec<PathBuf> = args.finish().into_iter().map(Into::into).collect();
-    let mut same = true;
-    let text = match (command.as_str(), request) {
+    let mut is_identical = true;
+    let text = match (command.as_str(), request_id) {
         ("info", None) => captures::info(&files)?,
         ("replay", None) => {
             let report = captures::replay_all(&files)?;
-            same = report.same;
+            is_identical = report.is_identical;
             report.text
         }
-        ("show", Some(request)) => captures::show(&files, request)?,
-        ("cut", None) => match (call, to) {
-            (Some(call), Some(to)) => captures::cut(&files, call, &to)?,
+        ("show", Some(request_id)) => captures::show(&files, request_id)?,
+        ("cut", None) => match (call, output_path) {
+            (Some(call), Some(output_path)) => captures::cut(&files, call, &output_path)?,
             _ => return Err(UsageError::IncompleteCut.into()),
         },
         _ => return Err(UsageError::UnknownCaptureCommand { usage: USAGE }.into()),
     };
     print!("{text}");
-    Ok(if same { ExitCode::SUCCESS } else { ExitCode::from(EXIT_DIFFERS) })
+    Ok(if is_identical { ExitCode::SUCCESS } else { ExitCode::from(EXIT_REPLAY_DIFFERS) })
 }
 
 /// The configuration files that the command line names.
@@ -142,8 +144,8 @@
     Ok(args.opt_value_from_str(name)?)
 }
 
-/// Fails if there are more arguments.
-fn finish(args: Arguments) -> Result<(), UsageError> {
+/// Fails if an argument is left that the command doesn't know.
+fn expect_no_more_arguments(args: Arguments) -> Result<(), UsageError> {
     match args.finish().first() {
         Some(unknown) => Err(UsageError::UnknownArgument(unknown.to_string_lossy().into())),
         None => Ok(()),
--- a/crates/proxy/src/endpoint_source.rs
+++ b/crates/proxy/src/endpoint_source.rs
@@ -1,4 +1,4 @@
-//! Where the endpoint list comes from: the platform, or what the operator's file names.
+//! The source of the endpoint list: the platform, or a source that the operator's file names.
 
 use chalkwalk_config::{EtcdConfig, MembershipConfig, MembershipSource};
 use chalkwalk_discovery::{self as discovery, DiscoveryAddress};
@@ -14,19 +14,22 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A proxy without a list is not to be used, but not for longer than this: a client is better rejected with a time to retry
-/// after than not answered at all.
+/// How long a new proxy waits for its first list before it serves without one. A proxy without a
+/// list should get no clients, but rejecting a client with a time to retry after is better than not
+/// answering it at all.
 const MAX_WAIT_FOR_FEED: Duration = Duration::from_secs(5);
 
-/// A new process waits for the platform's list for so long: the platform gives it 6 s to be ready, and the old process serves
-/// meanwhile.
+/// How long a new process waits for the platform's list while the old process still serves. The
+/// platform gives the new process 6 s to become ready.
 const MAX_WAIT_BESIDE_OLD_PROCESS: Duration = Duration::from_secs(4);
 
-/// Where lists are pushed, the proxy counts as notified of what its own agent has from the first moment on: the agent's answer
-/// takes some milliseconds, and if it has not answered for so long it has no list, as while the list service is down.
+/// How long a proxy waits for the first list of its agent, where the platform pushes lists to
+/// agents. From its start on the proxy is expected to know the list that its own agent has. The
+/// agent answers within milliseconds; if it hasn't answered by then it has no list, as when the
+/// list service is down.
 const MAX_WAIT_FOR_AGENT: Duration = Duration::from_millis(300);
 
-/// How often the wait looks for the list.
+/// How often the wait for the list checks whether the list has arrived.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// How this process was started.
@@ -34,15 +37,16 @@
 pub struct StartContext {
     /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// The clients' listener is inherited: another process of this proxy may serve until this one can.
+    /// Whether the clients' listener is inherited: another process of this proxy may then serve
+    /// until this one can.
     pub is_inherited: bool,
 }
 
-/// The platform's list as the configuration has it.
+/// The platform's endpoint list, as the configuration describes it.
 pub struct PlatformList {
-    /// Where it is polled.
+    /// The address at which the list is polled.
     pub address: Option<SocketAddr>,
-    /// The version that the configuration came with.
+    /// The version of the list that the configuration came with.
     pub known_version: Option<u64>,
 }
 
@@ -54,7 +58,7 @@
 }
 
 impl EndpointSource {
-    /// Follows the list from now on.
+    /// Starts to follow the list.
     pub fn follow(
         engine: &Rc<Engine>,
         platform: PlatformList,
@@ -79,7 +83,8 @@
     }
 
     fn follow_platform(engine: &Rc<Engine>, list: PlatformList, context: StartContext) -> EndpointSource {
-        // The configuration was read with an address, unless there is a membership.
+        // Without a membership, a configuration that lacks the list's address is rejected at
+        // startup.
         let address = DiscoveryAddress::new(list.address.unwrap_or(context.listen));
         let watch = discovery::watch_endpoint_list(
             engine.clone(),
@@ -114,7 +119,7 @@
         EndpointSource::Etcd(feed)
     }
 
-    /// The feed of a source that is not the platform.
+    /// The feed, if the source isn't the platform.
     pub fn feed(&self) -> Option<Rc<Feed>> {
         match self {
             EndpointSource::Platform(_) => None,
@@ -122,14 +127,15 @@
         }
     }
 
-    /// Whether the platform pushes its list to an agent of this proxy.
+    /// Whether the platform pushes its list to an agent of this proxy, instead of the proxy polling
+    /// it.
     pub fn is_pushed(&self, engine: &Engine) -> bool {
         let settings = engine.classes.platform_settings();
         let is_unwatched = settings.get("watched").is_some_and(|watched| watched == "0");
         matches!(self, EndpointSource::Platform(_)) && is_unwatched
     }
 
-    /// The configuration was reloaded, with the platform's list at this address.
+    /// Applies a reloaded configuration that has the platform's list at this address.
     pub fn reload(&self, address: Option<SocketAddr>) {
         match self {
             EndpointSource::Platform(current) => {
@@ -143,9 +149,10 @@
     }
 }
 
-/// Begins to serve once there is a list, or once it did not come in time. From a feed it waits for the first list; beside an
-/// old process, for the platform's answer about the list that it was started with; where the platform pushes its list, for
-/// that of its agent.
+/// Enters the serving phase once the endpoint list has arrived or the wait for it has timed out.
+/// With a feed, the process waits for the feed's first list; beside an old process, for the
+/// platform's answer about the list that it was started with; where the platform pushes its list,
+/// for the agent's list.
 pub async fn enter_service(engine: &Engine, feed: Option<Rc<Feed>>, is_inherited: bool, is_pushed: bool) {
     let max_wait = match (&feed, is_inherited) {
         (Some(_), _) => MAX_WAIT_FOR_FEED,
@@ -156,8 +163,8 @@
         Some(feed) => !feed.endpoints().is_empty(),
         None => !(is_inherited || is_pushed) || engine.has_received_list(),
     };
-    let end = Instant::now() + max_wait;
-    while !has_list() && Instant::now() < end {
+    let deadline = Instant::now() + max_wait;
+    while !has_list() && Instant::now() < deadline {
         Timer::after(POLL_INTERVAL).await;
     }
     engine.lifecycle.enter(Phase::Serving);
--- a/crates/proxy/src/error.rs
+++ b/crates/proxy/src/error.rs
@@ -1,4 +1,5 @@
-//! Why a command of the program fails. Each error is printed on standard error, and the program exits with status 2.
+//! Why a command of the program fails. Each error is printed on standard error, and the program
+//! exits with status 2.
 
 use chalkwalk_capture::{NotACapture, OpenError};
 use std::io;
@@ -18,11 +19,11 @@
     NoCommand,
     #[error("no configuration: give --config FILE or set ROUTER_CONFIG")]
     NoConfiguration,
-    #[error("--log {0}: there are plain and json")]
+    #[error("--log {0}: unknown format, expected plain or json")]
     UnknownLogFormat(String),
-    #[error("capture is info, replay, cut, or show --lookup N\n{usage}")]
+    #[error("expected capture info, replay, cut, or show --lookup N\n{usage}")]
     UnknownCaptureCommand { usage: &'static str },
-    #[error("capture cut takes --call N and --to FILE")]
+    #[error("capture cut requires --call N and --to FILE")]
     IncompleteCut,
     #[error("no namespace \"{name}\"; there are {known}")]
     UnknownNamespace { name: String, known: String },
@@ -31,7 +32,7 @@
 /// Why the proxy can't start, or its configuration can't be read.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// A file's content is wrong: one line for each error in it.
+    /// A file's content is invalid: one line for each error in it.
     #[error("{0}")]
     Configuration(String),
     #[error("cannot read {path}: {error}")]
@@ -40,15 +41,15 @@
     Signals(io::Error),
     #[error("cannot listen on {address}: {error}")]
     Bind { address: SocketAddr, error: io::Error },
-    #[error("cannot listen: {0}")]
+    #[error("cannot set up the listener for clients: {0}")]
     Listen(io::Error),
-    #[error("{variable}: expected a descriptor's number, got \"{value}\"")]
-    NoDescriptor { variable: &'static str, value: String },
-    #[error("{variable}={value}: {error}")]
+    #[error("{variable}: expected the number of a file descriptor, got \"{value}\"")]
+    InvalidDescriptor { variable: &'static str, value: String },
+    #[error("{variable}={value}: cannot use the inherited descriptor: {error}")]
     Inherit { variable: &'static str, value: String, error: io::Error },
-    #[error("{variable}={value}: no listening socket")]
+    #[error("{variable}={value}: the descriptor is not a listening socket")]
     NotListening { variable: &'static str, value: String },
-    #[error("cannot capture: {0}")]
+    #[error("cannot start the capture: {0}")]
     Capture(#[from] OpenError),
 }
 
@@ -59,9 +60,9 @@
     File { path: PathBuf, error: io::Error },
     #[error("{}: {error}", path.display())]
     Format { path: PathBuf, error: NotACapture },
-    #[error("no capture named, or none there")]
+    #[error("no capture files: none named, or none in the named folders")]
     NoFiles,
-    #[error("there is no call {0}, or no snapshot before it")]
+    #[error("call {0} is not in the captures, or no start or snapshot precedes it")]
     NoSuchCall(u64),
 }
 
--- a/crates/proxy/src/logging.rs
+++ b/crates/proxy/src/logging.rs
@@ -1,10 +1,12 @@
-//! The log on standard error: plain, or a JSON object a line, whose fields docs/oncall.md names.
+//! The log on standard error: plain text, or one JSON object per line, with the fields that
+//! docs/oncall.md lists.
 
 use slog::{Drain, FnValue, Logger, PushFnValue, o};
 use std::io::stderr;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Lines that wait to be written: beyond that they are dropped, and the log says how many.
+/// The maximum number of lines that wait to be written. Further lines are dropped, and the log
+/// reports how many.
 const MAX_QUEUED_LINES: usize = 256;
 
 /// How log lines are written.
@@ -16,7 +18,7 @@
 
 type LineDrain = Box<dyn Drain<Ok = (), Err = slog::Never> + Send>;
 
-/// The log of the proxy with this name. Queued lines are written when the guard is dropped.
+/// Creates the logger of the proxy with this name. Dropping the guard writes the queued lines.
 pub fn logger(proxy: &str, format: LogFormat) -> (Logger, slog_async::AsyncGuard) {
     let lines = match format {
         LogFormat::Plain => plain_lines(),
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,5 +1,6 @@
-//! chalkwalk: a balancer for fleets of servers, on sockets. This program wires the engine, its frontends and its sources of the
-//! endpoint list together, and has the command line; nothing else is in it.
+//! chalkwalk: a load-balancing proxy between clients and fleets of cache servers. This program
+//! contains only the command line and the wiring of the engine, its frontends and the sources of
+//! the endpoint list.
 
 mod captures;
 mod cli;
--- a/crates/proxy/src/operators.rs
+++ b/crates/proxy/src/operators.rs
@@ -1,5 +1,5 @@
-//! Operators' calls to this proxy. What they set is shared with the proxy's other processes: with the one that comes after this
-//! one, and the one before it.
+//! Operators' calls to this proxy. The overrides that they set are shared with the proxy's other
+//! processes: this process's predecessor and its successor.
 
 mod control;
 mod learned;
@@ -19,51 +19,55 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often the files of the proxy's other processes are read: a tenth of the second within which an operator's call has to be
-/// in force everywhere.
-const READ_INTERVAL: Duration = Duration::from_millis(100);
+/// How often the files of the proxy's other processes are read: a tenth of the second within which
+/// an operator's call has to take effect in every process.
+const PEER_READ_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often the learned figures are written: a successor starts at any moment, and key shares move by a half in a second at
-/// the worst. Every 5 s costs the disk little.
-const LEARNED_INTERVAL: Span = Span::from_secs(5);
+/// How often the learned figures are written. A successor may start at any moment, and key shares
+/// change by a half within a second at worst; a write every 5 s costs the disk little.
+const LEARNED_WRITE_INTERVAL: Span = Span::from_secs(5);
 
-/// How long an answer to an operator waits for the record to be written, where the disk is slow: it is due within a second.
+/// How long a response to an operator waits for the record to be written if the disk is slow. The
+/// response is due within a second.
 const MAX_WAIT_FOR_WRITE: Duration = Duration::from_millis(700);
 
-/// How long the end of the process waits to know whether another has taken over.
-const MAX_WAIT_AT_END: Duration = Duration::from_millis(200);
+/// How long each step of the exchange with peers may take at shutdown: reading their records, to
+/// know whether another process has taken over, and writing the learned figures.
+const MAX_WAIT_AT_SHUTDOWN: Duration = Duration::from_millis(200);
 
-/// Whether the own record is on disk, so that the other processes can read it.
+/// Whether this process's record has been written to disk, where the other processes can read it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Persisted {
-    Yes,
+enum WriteOutcome {
+    Written,
     Failed,
-    /// The disk takes too long: the record is written as soon as that allows.
+    /// The disk is too slow: the write is still pending, and completes once the disk allows it.
     Delayed,
 }
 
-/// The operators' calls, and the state that they share with the proxy's other processes.
+/// Implements the operators' calls, and holds the state that this process shares with the proxy's
+/// other processes.
 pub struct Operators {
     engine: Rc<Engine>,
-    /// One write at a time, so that the last one stays.
-    writing: Mutex<()>,
+    /// Serializes writes of the record, so that the latest record is the one that remains on disk.
+    write_lock: Mutex<()>,
     state: RefCell<SharedState>,
-    /// Holds the descriptors that are another process's, while there is one.
-    lent_descriptors: RefCell<Option<Task<()>>>,
+    /// The task that holds the descriptors reserved for another process, while there is one.
+    peer_descriptors: RefCell<Option<Task<()>>>,
 }
 
 impl Operators {
-    /// Adopts what operators set in other processes of this proxy, and accepts their calls from now on.
+    /// Adopts the overrides that operators set in other processes of this proxy, and starts to
+    /// accept operators' calls.
     pub fn start(engine: &Rc<Engine>, listener: Async<TcpListener>) -> Rc<Operators> {
         let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty()).map(Into::into);
         let state = SharedState::new(folder, &engine.config.name, engine.clock.now());
         let operators = Rc::new(Operators {
             engine: engine.clone(),
-            writing: Mutex::new(()),
+            write_lock: Mutex::new(()),
             state: RefCell::new(state),
-            lent_descriptors: RefCell::default(),
+            peer_descriptors: RefCell::default(),
         });
-        // No request is served yet: this may wait for the disk.
+        // No request is served yet, so this read may block on the disk.
         let reader = operators.state.borrow().reader();
         let update = operators.merge(reader.map(|reader| reader.read()).unwrap_or_default());
         operators.restore_learned(update.learned);
@@ -75,78 +79,81 @@
     }
 
     async fn sync_with_peers(self: Rc<Operators>) {
-        let mut learned_written = self.engine.clock.now();
+        let mut learned_written_at = self.engine.clock.now();
         loop {
             self.read_peers().await;
             self.share_readiness().await;
-            if self.engine.clock.now() >= learned_written + LEARNED_INTERVAL {
-                learned_written = self.engine.clock.now();
+            if self.engine.clock.now() >= learned_written_at + LEARNED_WRITE_INTERVAL {
+                learned_written_at = self.engine.clock.now();
                 self.write_learned().await;
             }
-            Timer::after(READ_INTERVAL).await;
+            Timer::after(PEER_READ_INTERVAL).await;
         }
     }
 
-    /// Writes whether this process is ready, if that has changed.
+    /// Writes this process's readiness to its record, if the readiness has changed.
     async fn share_readiness(&self) {
-        let was_ready = self.state.borrow().own.ready_since.is_some();
+        let was_ready = self.state.borrow().own_record.ready_since.is_some();
         let is_ready = self.engine.lifecycle.is_serving();
         if is_ready != was_ready {
-            self.state.borrow_mut().own.ready_since = is_ready.then(|| self.engine.clock.now());
+            self.state.borrow_mut().own_record.ready_since = is_ready.then(|| self.engine.clock.now());
             self.write().await;
             info!(self.engine.log, "{}", if is_ready { "ready" } else { "no longer ready" });
         }
     }
 
-    /// Reads the other processes' records, outside this thread: a busy disk blocks the reader.
+    /// Reads the other processes' records in another thread, as a busy disk blocks the reader. Then
+    /// removes the files of processes that have ended.
     async fn read_peers(&self) {
         let Some(reader) = self.state.borrow().reader() else { return };
-        let ended = self.merge(unblock(|| reader.read()).await).ended;
-        if !ended.is_empty() && self.write().await {
-            unblock(move || ended.iter().for_each(|path| _ = std::fs::remove_file(path))).await;
+        let ended_files = self.merge(unblock(|| reader.read()).await).ended_files;
+        if !ended_files.is_empty() && self.write().await {
+            unblock(move || ended_files.iter().for_each(|path| _ = std::fs::remove_file(path))).await;
         }
     }
 
-    /// Reads them once more as this process ends, if the disk allows it soon, and writes what it has learned.
-    pub async fn read_peers_before_end(&self) {
-        within(MAX_WAIT_AT_END, self.read_peers()).await;
-        within(MAX_WAIT_AT_END, self.write_learned()).await;
+    /// Reads the other processes' records once more as this process ends, and writes its learned
+    /// figures, each within a time limit in case the disk is slow.
+    pub async fn sync_with_peers_at_shutdown(&self) {
+        within(MAX_WAIT_AT_SHUTDOWN, self.read_peers()).await;
+        within(MAX_WAIT_AT_SHUTDOWN, self.write_learned()).await;
     }
 
-    /// Applies the other processes' records.
+    /// Applies the other processes' records to the engine.
     fn merge(&self, peers: Vec<PeerFile>) -> HandoverUpdate {
         let engine = &self.engine;
         let update = self.state.borrow_mut().merge(peers, &engine.log);
         engine.lifecycle.set_superseded(update.is_superseded);
-        self.lend_descriptors(update.has_live_peer);
+        self.reserve_peer_descriptors(update.has_live_peer);
         for id in &update.servers {
-            let last = self.state.borrow().own.server_override(id);
-            api::set_server_disabled(engine, id, last.out, last.at);
+            let current = self.state.borrow().own_record.server_override(id);
+            api::set_server_disabled(engine, id, current.is_disabled, current.decided_at);
         }
         if update.service_changed {
-            let service = self.state.borrow().own.service;
-            engine.lifecycle.set_out_of_service(service.out.then_some(service.at));
+            let service = self.state.borrow().own_record.service;
+            engine.lifecycle.set_out_of_service(service.is_disabled.then_some(service.decided_at));
         }
         update
     }
 
-    /// All processes of a proxy have one budget of descriptors: half of it is the other process's while there is one.
-    fn lend_descriptors(&self, has_live_peer: bool) {
-        let mut lent = self.lent_descriptors.borrow_mut();
+    /// All processes of a proxy share one budget of descriptors: half of it is reserved for the
+    /// other process while there is one.
+    fn reserve_peer_descriptors(&self, has_live_peer: bool) {
+        let mut reservation = self.peer_descriptors.borrow_mut();
         if !has_live_peer {
-            *lent = None;
-        } else if lent.is_none() {
+            *reservation = None;
+        } else if reservation.is_none() {
             let engine = self.engine.clone();
-            *lent = Some(self.engine.executor.spawn(async move {
+            *reservation = Some(self.engine.executor.spawn(async move {
                 let _permits = engine.budget.lend_half(|| engine.pool.close_longest_idle()).await;
                 std::future::pending().await
             }));
         }
     }
 
-    /// Writes the own record; whether the other processes can read it now.
+    /// Writes this process's record. Returns whether the other processes can now read it.
     async fn write(&self) -> bool {
-        let _only_write = self.writing.lock().await;
+        let _write_guard = self.write_lock.lock().await;
         let writer = self.state.borrow_mut().writer(self.engine.clock.now());
         let written = match writer {
             Ok(Some(writer)) => unblock(|| writer.write()).await,
@@ -159,20 +166,21 @@
         written.is_ok()
     }
 
-    /// Writes the own record for an operator, who waits no longer than the answer allows.
-    async fn write_in_time(self: &Rc<Self>) -> Persisted {
-        let (report, reported) = bounded(1);
+    /// Writes this process's record for an operator's call, and waits for the write no longer than
+    /// the response may take.
+    async fn write_with_timeout(self: &Rc<Self>) -> WriteOutcome {
+        let (outcome_sender, outcome_receiver) = bounded(1);
         let operators = self.clone();
         let write = async move {
-            _ = report.try_send(operators.write().await);
+            _ = outcome_sender.try_send(operators.write().await);
         };
         self.engine.executor.spawn(write).detach();
-        match within(MAX_WAIT_FOR_WRITE, reported.recv()).await {
-            Some(Ok(true)) => Persisted::Yes,
-            Some(Ok(false)) => Persisted::Failed,
+        match within(MAX_WAIT_FOR_WRITE, outcome_receiver.recv()).await {
+            Some(Ok(true)) => WriteOutcome::Written,
+            Some(Ok(false)) => WriteOutcome::Failed,
             Some(Err(_)) | None => {
                 warn!(self.engine.log, "handover file delayed");
-                Persisted::Delayed
+                WriteOutcome::Delayed
             }
         }
     }
--- a/crates/proxy/src/operators/control.rs
+++ b/crates/proxy/src/operators/control.rs
@@ -1,9 +1,10 @@
-//! The operators' calls: a server disabled or enabled, the proxy taken out of service or put back, and whether it is ready.
+//! The operators' calls: disable or enable a server, take the proxy out of service or put it back,
+//! and check whether this process is ready.
 //!
-//! An override is in force at once, whatever the disk does: it is due within a second. It is withdrawn if it can't be written,
-//! as the next process would not know of it.
+//! An override takes effect immediately, without waiting for the disk, as it is due within a
+//! second. It is reverted if it can't be written, as the next process would not know of it.
 
-use super::{MAX_WAIT_FOR_WRITE, Operators, Persisted};
+use super::{MAX_WAIT_FOR_WRITE, Operators, WriteOutcome};
 use chalkwalk_admin::{ControlFuture, ControlOutcome, ProxyControl};
 use chalkwalk_engine::api;
 use chalkwalk_handover::OperatorOverride;
@@ -12,77 +13,83 @@
 use std::rc::Rc;
 
 impl Operators {
-    async fn override_server(self: Rc<Self>, id: String, out: bool) -> ControlOutcome {
+    async fn override_server(self: Rc<Self>, id: String, is_disabled: bool) -> ControlOutcome {
         if !self.engine.requests.borrow().knows_server(&id) {
             return ControlOutcome::UnknownServer;
         }
-        if self.state.borrow().own.is_server_out(&id) == out {
+        if self.state.borrow().own_record.is_server_disabled(&id) == is_disabled {
             return ControlOutcome::Done;
         }
-        let before = self.state.borrow().own.servers.get(&id).copied();
-        self.state.borrow_mut().own.set_server_out(&id, out, self.engine.clock.now());
-        let new = self.state.borrow().own.server_override(&id);
-        api::set_server_disabled(&self.engine, &id, out, new.at);
-        if self.write_in_time().await == Persisted::Failed {
-            self.withdraw_server_override(&id, new, before);
+        let previous = self.state.borrow().own_record.servers.get(&id).copied();
+        self.state.borrow_mut().own_record.set_server_disabled(&id, is_disabled, self.engine.clock.now());
+        let new = self.state.borrow().own_record.server_override(&id);
+        api::set_server_disabled(&self.engine, &id, is_disabled, new.decided_at);
+        if self.write_with_timeout().await == WriteOutcome::Failed {
+            self.revert_server_override(&id, new, previous);
             return ControlOutcome::NotPersisted;
         }
-        let event = if out { "server disabled by operator" } else { "server enabled by operator" };
+        let event = if is_disabled { "server disabled by operator" } else { "server enabled by operator" };
         info!(self.engine.log, "{}", event; "cache" => id);
         ControlOutcome::Done
     }
 
-    /// Puts the override of before back, unless there is a later one by now. A server that was never disabled gets no override,
-    /// and so no slow start.
-    fn withdraw_server_override(
+    /// Restores the previous override, unless a later one has replaced the reverted one. If there
+    /// was none, the server is left without an override, and so gets no slow start.
+    fn revert_server_override(
         &self,
         id: &str,
-        withdrawn: OperatorOverride,
-        before: Option<OperatorOverride>,
+        reverted: OperatorOverride,
+        previous: Option<OperatorOverride>,
     ) {
-        if self.state.borrow().own.server_override(id) != withdrawn {
+        if self.state.borrow().own_record.server_override(id) != reverted {
             return;
         }
-        let own = &mut self.state.borrow_mut().own;
-        match before {
-            Some(before) => own.servers.insert(id.to_string(), before),
-            None => own.servers.remove(id),
+        let own_record = &mut self.state.borrow_mut().own_record;
+        match previous {
+            Some(previous) => own_record.servers.insert(id.to_string(), previous),
+            None => own_record.servers.remove(id),
         };
-        api::set_server_disabled(&self.engine, id, !withdrawn.out, before.unwrap_or_default().at);
+        api::set_server_disabled(
+            &self.engine,
+            id,
+            !reverted.is_disabled,
+            previous.unwrap_or_default().decided_at,
+        );
     }
 
-    async fn override_service(self: Rc<Self>, out: bool) -> ControlOutcome {
-        let before = self.state.borrow().own.service;
-        if before.out == out {
+    async fn override_service(self: Rc<Self>, is_disabled: bool) -> ControlOutcome {
+        let previous = self.state.borrow().own_record.service;
+        if previous.is_disabled == is_disabled {
             return ControlOutcome::Done;
         }
-        self.state.borrow_mut().own.set_service_out(out, self.engine.clock.now());
-        let new = self.state.borrow().own.service;
+        self.state.borrow_mut().own_record.set_service_disabled(is_disabled, self.engine.clock.now());
+        let new = self.state.borrow().own_record.service;
         self.apply_service_override(new);
-        if self.write_in_time().await == Persisted::Failed {
-            if self.state.borrow().own.service == new {
-                self.state.borrow_mut().own.service = before;
-                self.apply_service_override(before);
+        if self.write_with_timeout().await == WriteOutcome::Failed {
+            if self.state.borrow().own_record.service == new {
+                self.state.borrow_mut().own_record.service = previous;
+                self.apply_service_override(previous);
             }
             return ControlOutcome::NotPersisted;
         }
-        info!(self.engine.log, "{}", if out { "out of service" } else { "in service" });
+        info!(self.engine.log, "{}", if is_disabled { "out of service" } else { "in service" });
         ControlOutcome::Done
     }
 
     fn apply_service_override(&self, service: OperatorOverride) {
-        self.engine.lifecycle.set_out_of_service(service.out.then_some(service.at));
+        self.engine.lifecycle.set_out_of_service(service.is_disabled.then_some(service.decided_at));
     }
 
-    /// The old process is signalled to end as soon as this one answers that it is ready, and has to know then which process
-    /// takes over: so the record has to be written first.
+    /// Reports readiness only after the record has been written. The old process is signalled to
+    /// end as soon as this process reports that it is ready, and has to know by then which process
+    /// takes over.
     async fn is_ready(self: Rc<Self>) -> ControlOutcome {
-        let shared = async {
+        let write_readiness = async {
             self.share_readiness().await;
-            _ = self.writing.lock().await;
+            _ = self.write_lock.lock().await;
         };
-        let is_shared = within(MAX_WAIT_FOR_WRITE, shared).await.is_some();
-        if is_shared && self.engine.lifecycle.is_serving() {
+        let readiness_written = within(MAX_WAIT_FOR_WRITE, write_readiness).await.is_some();
+        if readiness_written && self.engine.lifecycle.is_serving() {
             ControlOutcome::Done
         } else {
             ControlOutcome::NotReady
@@ -99,7 +106,7 @@
         Box::pin(self.override_server(id, disabled))
     }
 
-    fn set_out_of_service(self: Rc<Self>, out: bool) -> ControlFuture {
-        Box::pin(self.override_service(out))
+    fn set_out_of_service(self: Rc<Self>, out_of_service: bool) -> ControlFuture {
+        Box::pin(self.override_service(out_of_service))
     }
 }
--- a/crates/proxy/src/operators/learned.rs
+++ b/crates/proxy/src/operators/learned.rs
@@ -1,13 +1,14 @@
-//! What this process learned of the servers, written for its successor; and what the process before it had learned.
+//! Writes the figures that this process has learned about the servers, for its successor, and
+//! restores those that its predecessor had learned.
 
 use super::Operators;
 use chalkwalk_balancer as balancer;
-use chalkwalk_handover::{LearnedServers, ServerFigures};
+use chalkwalk_handover::{LearnedServers, ServerStats};
 use chalkwalk_time::Timestamp;
 use slog::info;
 
 impl Operators {
-    /// Restores what a process before this one had learned, if that still means the same.
+    /// Restores the figures that a previous process had learned, if they are still valid.
     pub(super) fn restore_learned(&self, learned: LearnedServers) {
         let servers = learned.servers.len();
         if servers == 0 {
@@ -26,7 +27,7 @@
         requests.restore_learned(learned.bounded().servers.into_iter().map(to_balancer).collect())
     }
 
-    /// Writes what was learned of the servers, if that is anything.
+    /// Writes the figures learned about the servers, if there are any.
     pub(super) async fn write_learned(&self) {
         let written_at = self.engine.clock.now();
         let settings_digest = self.engine.requests.borrow().learning_terms();
@@ -34,25 +35,25 @@
         let servers = servers.into_iter().map(from_balancer).collect();
         let learned = LearnedServers { written_at, settings_digest, servers }.bounded();
         if !learned.servers.is_empty() {
-            self.state.borrow_mut().own.learned = learned;
+            self.state.borrow_mut().own_record.learned = learned;
             self.write().await;
         }
     }
 }
 
-fn to_balancer((id, figures): (String, ServerFigures)) -> balancer::LearnedServer {
+fn to_balancer((id, figures): (String, ServerStats)) -> balancer::LearnedServer {
     balancer::LearnedServer {
         id,
-        born: Timestamp::from_ticks(figures.started),
+        born: Timestamp::from_ticks(figures.started_at),
         size: figures.weight,
         key_share: figures.key_share,
         concurrency_limit: figures.concurrency_limit,
     }
 }
 
-fn from_balancer(learned: balancer::LearnedServer) -> (String, ServerFigures) {
-    let figures = ServerFigures {
-        started: learned.born.ticks(),
+fn from_balancer(learned: balancer::LearnedServer) -> (String, ServerStats) {
+    let figures = ServerStats {
+        started_at: learned.born.ticks(),
         weight: learned.size,
         key_share: learned.key_share,
         concurrency_limit: learned.concurrency_limit,
--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -1,5 +1,6 @@
-//! The configuration reloaded while the proxy runs: settings of the platform, limits of the operator, and where the endpoint
-//! list is. All of it comes into force, or nothing.
+//! Reloads the configuration while the proxy runs: the platform's settings, the operator's limits,
+//! and the address of the endpoint list. Either the whole new configuration is applied or none of
+//! it.
 
 use crate::endpoint_source::EndpointSource;
 use crate::error::StartError;
@@ -12,39 +13,40 @@
 use slog::{info, warn};
 use std::rc::Rc;
 
-/// Settings as they were at the start, which only a restart can change.
+/// Settings from the start of the process, which only a restart can change.
 pub struct FixedSettings {
     pub membership: Option<MembershipConfig>,
     pub resp: Option<RespConfig>,
     pub capture: Option<CaptureConfig>,
-    /// The fields that the configuration had.
+    /// The fields that the platform's configuration had.
     pub fields: FieldPaths,
 }
 
-/// Settings of the platform that only a restart can change, by their names: indices in use depend on them.
+/// The names of the platform's settings that only a restart can change: indices in use depend on
+/// them.
 const FIXED_PLATFORM_SETTINGS: [&str; 7] =
     ["zones", "zone", "kinds", "origin kind", "through", "watched", "tenants"];
 
 /// Why a new configuration is rejected.
 #[derive(Debug, thiserror::Error)]
 enum ReloadError {
-    /// It can't be read: a line for each error in it.
+    /// The configuration can't be read: one line for each error in it.
     #[error(transparent)]
     Load(#[from] StartError),
     #[error("field {0}: missing, and was there at the start")]
     MissingField(String),
-    #[error("its membership, RESP frontend or capture differs, which needs a restart")]
+    #[error("the operator's file changes the membership, RESP frontend or capture, which needs a restart")]
     OperatorFile,
-    #[error("its {0} differ, which needs a restart")]
+    #[error("the platform's setting \"{0}\" has changed, which needs a restart")]
     PlatformSetting(&'static str),
-    #[error("its zones or kinds differ, which needs a restart")]
+    #[error("the zones or server kinds have changed, which needs a restart")]
     ZonesOrKinds,
-    #[error("its namespaces differ, which needs a restart with RESP")]
+    #[error("the namespaces have changed, which needs a restart while the RESP frontend is in use")]
     RespNamespaces,
 }
 
-/// Reads both files again, and applies both or neither. What the configuration knows of servers is as old as the file, and what
-/// the endpoint list has brought since is newer.
+/// Reads both files again, and applies both or neither. Servers in the configuration are not
+/// applied: they are as old as the file, and the endpoint list has brought newer ones since.
 pub fn reload(
     engine: &Rc<Engine>,
     frontend: &Frontend,
@@ -72,7 +74,7 @@
     Ok(settings)
 }
 
-/// Fails if the new settings can't come into force without a restart.
+/// Fails if the new settings can't be applied without a restart.
 fn check_fixed(engine: &Engine, new: &StartupSettings, fixed: &FixedSettings) -> Result<(), ReloadError> {
     let StartupSettings { config, membership, resp, capture } = new;
     if let Some(field) = fixed.fields.first_missing_in(&config.fields) {
@@ -89,7 +91,7 @@
     if config.engine.zones != engine.config.zones || config.engine.kinds != engine.config.kinds {
         return Err(ReloadError::ZonesOrKinds);
     }
-    // The RESP frontend knows namespaces by their indices.
+    // The RESP frontend refers to namespaces by index.
     if resp.is_some() && config.namespaces != engine.classes.namespace_names() {
         return Err(ReloadError::RespNamespaces);
     }
@@ -106,8 +108,8 @@
     let StartupSettings { config, resp, .. } = settings;
     let address = config.list_address.map_or_else(|| "-".to_string(), |address| address.to_string());
     let is_new = config.engine.settings != engine.classes.platform_settings();
-    let shown = if is_new { "new" } else { "as before" };
-    info!(engine.log, "configuration reloaded"; "list" => address, "settings" => shown);
+    let settings_state = if is_new { "new" } else { "as before" };
+    info!(engine.log, "configuration reloaded"; "list" => address, "settings" => settings_state);
     if let Some(source) = source {
         source.reload(config.list_address);
     }
--- a/crates/proxy/src/resp_settings.rs
+++ b/crates/proxy/src/resp_settings.rs
@@ -1,17 +1,17 @@
-//! The RESP frontend's settings, from what the operator's file has.
+//! Converts the operator's file's RESP section to the settings of the RESP frontend.
 
 use chalkwalk_config::{KeyPrefix, ProxyInstance, RespConfig, RespUser};
 use chalkwalk_resp_frontend::{Instance, PrefixRule, Settings, User};
 
-/// The settings for the frontend of a proxy with so many namespaces.
-pub fn resp_settings(config: &RespConfig, namespaces: usize) -> Settings {
+/// The settings of the RESP frontend of a proxy with `namespace_count` namespaces.
+pub fn resp_settings(config: &RespConfig, namespace_count: usize) -> Settings {
     Settings {
         listen: config.listen,
         seeds: config.seeds.clone(),
         read_class: config.namespace,
         write_class: config.write_namespace,
         prefixes: config.prefixes.iter().map(prefix_rule).collect(),
-        stale_reads: (0..namespaces).map(|index| config.stale_reads.contains(&index)).collect(),
+        stale_reads: (0..namespace_count).map(|index| config.stale_reads.contains(&index)).collect(),
         split_multi_slot: config.split,
         instances: config.instances.iter().map(instance).collect(),
         users: config.users.iter().map(user).collect(),
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -1,4 +1,4 @@
-//! One proxy in one process: the parts that it consists of, and the signals that it handles.
+//! Runs one proxy in this process: assembles its parts, serves, and handles signals.
 
 use crate::endpoint_source::{EndpointSource, PlatformList, StartContext, enter_service};
 use crate::error::StartError;
@@ -24,12 +24,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Handles the signals from now on.
+/// Installs handlers for the signals that end the process or reload its configuration.
 pub fn signals() -> Result<Signals, StartError> {
     Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map_err(StartError::Signals)
 }
 
-/// Serves until a signal ends it.
+/// Serves until a signal ends the process.
 pub fn run(
     files: StartupFiles,
     settings: StartupSettings,
@@ -44,9 +44,9 @@
     } = config;
     config.descriptors = config.descriptors.saturating_sub(sockets.reserved_descriptors());
     let capture_writer = open_capture(capture.as_ref(), &config.name)?;
-    let keep_keys = capture.as_ref().is_some_and(|capture| capture.keys);
-    let recorder = capture_writer.as_ref().map(|writer| Recorder::new(writer.sink(), keep_keys));
-    // Servers speak one protocol, by which their health is checked.
+    let record_keys = capture.as_ref().is_some_and(|capture| capture.keys);
+    let recorder = capture_writer.as_ref().map(|writer| Recorder::new(writer.sink(), record_keys));
+    // All servers speak the same protocol, which is also used to check their health.
     let health_check: Box<dyn HealthCheck> =
         if resp.is_some() { Box::new(resp_frontend::Ping) } else { Box::new(http::AliveCheck) };
     let engine = Engine::new(config, health_check, log, recorder);
@@ -66,10 +66,10 @@
     Ok(())
 }
 
-/// All sockets that the proxy listens on.
+/// All listening sockets of the proxy.
 struct Sockets {
     clients: Async<TcpListener>,
-    /// Other processes of this proxy accept on the clients' socket too.
+    /// Whether other processes of this proxy accept on the clients' socket too.
     is_inherited: bool,
     resp: Option<Async<TcpListener>>,
     admin: Option<Async<TcpListener>>,
@@ -85,7 +85,8 @@
         })
     }
 
-    /// Descriptors that no request can use: those of operators' calls, and the second one of an inherited socket.
+    /// The number of descriptors that requests can't use: those for operators' calls, and the
+    /// second descriptor of an inherited socket.
     fn reserved_descriptors(&self) -> usize {
         let for_operators = if self.admin.is_some() { admin::MAX_DESCRIPTORS } else { 0 };
         for_operators + usize::from(self.is_inherited)
@@ -109,14 +110,14 @@
     engine.executor.spawn(background::run_pool_sweeps(engine.clone())).detach();
 }
 
-/// The parts of a proxy that runs.
+/// The parts of a running proxy.
 struct Proxy {
     engine: Rc<Engine>,
-    /// `None` where the servers themselves tell their slots, by RESP.
+    /// `None` if the servers themselves report their slots over RESP.
     endpoint_source: Option<EndpointSource>,
     frontend: Rc<http::Frontend>,
     operators: Option<Rc<Operators>>,
-    accepting: Task<()>,
+    accept_task: Task<()>,
 }
 
 impl Proxy {
@@ -136,8 +137,8 @@
             let settings = resp_settings(config, engine.classes.namespace_names().len());
             start_resp_frontend(&engine, settings, discovers_by_resp, listener);
         }
-        // Servers that speak RESP can't be called over HTTP: the HTTP frontend then has no namespace, and only reports whether
-        // the proxy is up.
+        // Servers that speak RESP can't be called over HTTP. The HTTP frontend then has no
+        // namespaces, and only reports whether the proxy is up.
         let namespaces = if fixed.resp.is_some() { Vec::new() } else { namespaces };
         let frontend = http::Frontend::new(engine.clone(), namespaces);
         let is_pushed = endpoint_source.as_ref().is_some_and(|source| source.is_pushed(&engine));
@@ -148,10 +149,10 @@
             enter_service(&serving, feed, context.is_inherited, is_pushed).await;
             info!(serving.log, "serving"; "listen" => %context.listen);
         };
-        let accepting =
+        let accept_task =
             accept_clients(engine.clone(), frontend.clone(), sockets.clients, context.is_inherited, serving);
-        let accepting = engine.executor.spawn(accepting);
-        Proxy { engine, endpoint_source, frontend, operators, accepting }
+        let accept_task = engine.executor.spawn(accept_task);
+        Proxy { engine, endpoint_source, frontend, operators, accept_task }
     }
 
     /// Reloads the configuration on SIGHUP, until another signal ends the process.
@@ -168,12 +169,13 @@
     }
 
     async fn shut_down(self) {
-        let signalled = self.engine.clock.now();
-        // Whether another process has taken over is known as of this moment.
+        let signalled_at = self.engine.clock.now();
+        // Reads the peers' records now, so that the shutdown knows whether another process has
+        // taken over.
         if let Some(operators) = &self.operators {
-            operators.read_peers_before_end().await;
+            operators.sync_with_peers_at_shutdown().await;
         }
-        shutdown::run(&self.engine, self.accepting, signalled).await;
+        shutdown::run(&self.engine, self.accept_task, signalled_at).await;
         self.engine.stop_capture();
     }
 }
@@ -190,8 +192,9 @@
     engine.executor.spawn(resp_frontend::accept_clients(frontend, listener)).detach();
 }
 
-/// Accepts clients. Where another process may be accepting them, this one does so only once it can serve them: `serving` ends
-/// when it has the endpoint list, or has waited for it for as long as it may.
+/// Accepts clients. If another process may be accepting on the same listener, this process starts
+/// to accept only once it can serve: `serving` completes when the process has the endpoint list, or
+/// when the time limit for receiving the list has passed.
 async fn accept_clients(
     engine: Rc<Engine>,
     frontend: Rc<http::Frontend>,
@@ -203,8 +206,8 @@
         serving.await;
         http::accept(frontend, listener).await;
     } else {
-        let accepting = engine.executor.spawn(http::accept(frontend, listener));
+        let accept_task = engine.executor.spawn(http::accept(frontend, listener));
         serving.await;
-        accepting.await;
+        accept_task.await;
     }
 }
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -1,26 +1,27 @@
-//! The files that a proxy starts from: the platform's configuration and the operator's file, read and checked together.
+//! The files that a proxy starts from: the configuration that the hosting platform supplies, and
+//! the operator's file. They are read and checked together.
 
 use crate::error::StartError;
 use chalkwalk_config::{self as operator_config, CaptureConfig, MembershipConfig, RespConfig};
 use chalkwalk_discovery::StartupConfig;
 
-/// The paths of both files.
+/// The paths of the platform's configuration and of the operator's file, if there is one.
 pub struct StartupFiles {
     pub config: String,
     pub operator: Option<String>,
 }
 
-/// What the files set.
+/// The settings from both files.
 pub struct StartupSettings {
     pub config: StartupConfig,
-    /// Where the endpoint list comes from, if not from the platform.
+    /// The source of the endpoint list, if it isn't the platform.
     pub membership: Option<MembershipConfig>,
     pub resp: Option<RespConfig>,
     pub capture: Option<CaptureConfig>,
 }
 
 impl StartupFiles {
-    /// Reads both files, and fails if either is wrong.
+    /// Reads both files, and fails if either is invalid.
     pub fn load(&self) -> Result<StartupSettings, StartError> {
         let config = StartupConfig::load(&self.config);
         let config = config.map_err(|error| StartError::Configuration(error.to_string()))?;
--- a/crates/proxy/src/state_files/reader.rs
+++ b/crates/proxy/src/state_files/reader.rs
@@ -1,6 +1,7 @@
-//! The read of the other processes' records, outside the proxy's own thread.
+//! Reads the other processes' records. A read may block on the disk, so the caller runs it outside
+//! the proxy's main thread.
 
-use super::FILE_ENDING;
+use super::FILE_EXTENSION;
 use chalkwalk_handover::{DecodeError, HandoverRecord, MAX_FILE_BYTES};
 use std::fs;
 use std::io::{self, Read};
@@ -19,14 +20,14 @@
 pub struct PeerFile {
     pub path: PathBuf,
     pub record: Result<HandoverRecord, ReadError>,
-    /// Whether its process is alive.
+    /// Whether the process that wrote the file is alive; `false` if the record can't be read.
     pub is_alive: bool,
 }
 
-/// Where the other processes' files are.
+/// A read of the other processes' files, still to be run.
 pub struct PeerReader {
     folder: PathBuf,
-    /// What the names of this proxy's files begin with.
+    /// The prefix of the names of this proxy's files.
     name_prefix: String,
     own_file: PathBuf,
 }
@@ -36,10 +37,10 @@
         PeerReader { folder, name_prefix, own_file }
     }
 
-    /// Reads all files; blocks.
+    /// Reads the files of all other processes. Blocks on the disk.
     pub fn read(self) -> Vec<PeerFile> {
-        let Ok(listed) = fs::read_dir(&self.folder) else { return Vec::new() };
-        let mut paths: Vec<PathBuf> = listed.flatten().map(|entry| entry.path()).collect();
+        let Ok(entries) = fs::read_dir(&self.folder) else { return Vec::new() };
+        let mut paths: Vec<PathBuf> = entries.flatten().map(|entry| entry.path()).collect();
         paths.retain(|path| self.is_peer_file(path));
         paths.sort();
         paths.into_iter().map(PeerFile::read).collect()
@@ -47,7 +48,7 @@
 
     fn is_peer_file(&self, path: &Path) -> bool {
         let name = path.file_name().and_then(|name| name.to_str()).unwrap_or("");
-        *path != self.own_file && name.starts_with(&self.name_prefix) && name.ends_with(FILE_ENDING)
+        *path != self.own_file && name.starts_with(&self.name_prefix) && name.ends_with(FILE_EXTENSION)
     }
 }
 
--- a/crates/proxy/src/state_files/writer.rs
+++ b/crates/proxy/src/state_files/writer.rs
@@ -1,43 +1,44 @@
-//! The write of the own record. A disk may block the writer for seconds, so it is done outside the proxy's own thread.
+//! Writes this process's record. A write may block on the disk for seconds, so the caller runs it
+//! outside the proxy's main thread.
 
 use chalkwalk_handover::{HandoverRecord, MAX_FILE_BYTES};
 use std::fs;
 use std::io;
 use std::path::PathBuf;
 
-/// Why the own record is not written.
+/// Why this process's record can't be written.
 #[derive(Debug, thiserror::Error)]
 pub enum WriteError {
-    #[error("more caches disabled than a handover file holds")]
+    #[error("the handover record exceeds the maximum file length: too many servers are disabled")]
     TooLong,
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// A record to be written.
+/// A write of a record, still to be run.
 pub struct RecordWriter {
-    temporary: PathBuf,
-    file: PathBuf,
+    temporary_path: PathBuf,
+    path: PathBuf,
     text: String,
 }
 
 impl RecordWriter {
     pub(super) fn new(
-        temporary: PathBuf,
-        file: PathBuf,
+        temporary_path: PathBuf,
+        path: PathBuf,
         record: &HandoverRecord,
     ) -> Result<RecordWriter, WriteError> {
         let text = record.encode();
         if text.len() > MAX_FILE_BYTES {
             return Err(WriteError::TooLong);
         }
-        Ok(RecordWriter { temporary, file, text })
+        Ok(RecordWriter { temporary_path, path, text })
     }
 
-    /// Writes the file whole, or leaves it as it was; blocks.
+    /// Replaces the file atomically, or leaves it unchanged on failure. Blocks on the disk.
     pub fn write(self) -> Result<(), WriteError> {
-        fs::write(&self.temporary, self.text)?;
-        fs::rename(self.temporary, self.file)?;
+        fs::write(&self.temporary_path, self.text)?;
+        fs::rename(self.temporary_path, self.path)?;
         Ok(())
     }
 }
