--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -107,13 +107,13 @@
 ) {
     let StartupSettings { config, resp, .. } = settings;
     let address = config.list_address.map_or_else(|| "-".to_string(), |address| address.to_string());
-    let is_new = config.engine.settings != engine.classes.platform_settings();
-    let settings_state = if is_new { "new" } else { "as before" };
+    let settings_changed = config.engine.settings != engine.classes.platform_settings();
+    let settings_state = if settings_changed { "new" } else { "as before" };
     info!(engine.log, "configuration reloaded"; "list" => address, "settings" => settings_state);
     if let Some(source) = source {
         source.reload(config.list_address);
     }
-    if is_new {
+    if settings_changed {
         if resp.is_none() {
             frontend.set_namespaces(config.namespaces);
         }
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -68,27 +68,27 @@
 
 /// All listening sockets of the proxy.
 struct Sockets {
-    clients: Async<TcpListener>,
+    client_listener: Async<TcpListener>,
     /// Whether other processes of this proxy accept on the clients' socket too.
     is_inherited: bool,
-    resp: Option<Async<TcpListener>>,
-    admin: Option<Async<TcpListener>>,
+    resp_listener: Option<Async<TcpListener>>,
+    admin_listener: Option<Async<TcpListener>>,
 }
 
 impl Sockets {
     fn open(settings: &StartupSettings, listener: ClientListener) -> Result<Sockets, StartError> {
         Ok(Sockets {
-            clients: Async::new(listener.socket).map_err(StartError::Listen)?,
+            client_listener: Async::new(listener.socket).map_err(StartError::Listen)?,
             is_inherited: listener.is_inherited,
-            resp: listeners::bind(settings.resp.as_ref().map(|resp| resp.listen))?,
-            admin: listeners::bind(settings.config.admin_address)?,
+            resp_listener: listeners::bind(settings.resp.as_ref().map(|resp| resp.listen))?,
+            admin_listener: listeners::bind(settings.config.admin_address)?,
         })
     }
 
     /// The number of descriptors that requests can't use: those for operators' calls, and the
     /// second descriptor of an inherited socket.
     fn reserved_descriptors(&self) -> usize {
-        let for_operators = if self.admin.is_some() { admin::MAX_DESCRIPTORS } else { 0 };
+        let for_operators = if self.admin_listener.is_some() { admin::MAX_DESCRIPTORS } else { 0 };
         for_operators + usize::from(self.is_inherited)
     }
 }
@@ -133,7 +133,7 @@
         let discovers_by_resp = fixed.resp.is_some() && membership.is_none() && platform.address.is_none();
         let endpoint_source =
             (!discovers_by_resp).then(|| EndpointSource::follow(&engine, platform, membership, context));
-        if let (Some(config), Some(listener)) = (&fixed.resp, sockets.resp) {
+        if let (Some(config), Some(listener)) = (&fixed.resp, sockets.resp_listener) {
             let settings = resp_settings(config, engine.classes.namespace_names().len());
             start_resp_frontend(&engine, settings, discovers_by_resp, listener);
         }
@@ -142,15 +142,20 @@
         let namespaces = if fixed.resp.is_some() { Vec::new() } else { namespaces };
         let frontend = http::Frontend::new(engine.clone(), namespaces);
         let is_pushed = endpoint_source.as_ref().is_some_and(|source| source.is_pushed(&engine));
-        let operators = sockets.admin.map(|listener| Operators::start(&engine, listener));
+        let operators = sockets.admin_listener.map(|listener| Operators::start(&engine, listener));
         let feed = endpoint_source.as_ref().and_then(EndpointSource::feed);
         let serving = engine.clone();
         let serving = async move {
             enter_service(&serving, feed, context.is_inherited, is_pushed).await;
             info!(serving.log, "serving"; "listen" => %context.listen);
         };
-        let accept_task =
-            accept_clients(engine.clone(), frontend.clone(), sockets.clients, context.is_inherited, serving);
+        let accept_task = accept_clients(
+            engine.clone(),
+            frontend.clone(),
+            sockets.client_listener,
+            context.is_inherited,
+            serving,
+        );
         let accept_task = engine.executor.spawn(accept_task);
         Proxy { engine, endpoint_source, frontend, operators, accept_task }
     }
