--- a/crates/config/src/capture.rs
+++ b/crates/config/src/capture.rs
@@ -1,45 +1,48 @@
-//! Whether and where captures are written.
+//! Reads whether and where captures are written.
 
-use crate::lines::Errors;
+use crate::lines::ErrorList;
 use crate::schema::CaptureFields;
 use std::path::PathBuf;
 use toml::Spanned;
 
-/// Whether and where the balancer's events and decisions are written.
+/// Configuration of captures, the record of the balancer's events and decisions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CaptureConfig {
-    /// Where the segments are written.
+    /// The directory in which the segments are written.
     pub folder: PathBuf,
-    /// Whether the texts of keys are captured; their points on the ring are in any case.
+    /// Whether the text of keys is captured. Their points on the ring are always captured.
     pub keys: bool,
-    /// The size of a segment, in bytes.
+    /// Size of a segment, in bytes.
     pub segment_bytes: u64,
-    /// The size of all segments that are kept, in bytes.
+    /// Maximum total size of the segments that are kept, in bytes.
     pub max_bytes: u64,
 }
 
-/// A segment holds some minutes of a busy proxy.
+/// A segment of this size holds a few minutes of a busy proxy's events.
 const DEFAULT_SEGMENT_MB: u64 = 32;
-/// All segments hold an evening of one.
+/// Segments of this total size hold an evening of a busy proxy's events.
 const DEFAULT_MAX_MB: u64 = 1024;
-/// 16 TiB, so that sizes in bytes stay far from the end of their type.
-const LARGEST_MAX_MB: u64 = 1 << 24;
+/// 16 TiB, which keeps sizes in bytes far from the maximum of their type.
+const MAX_TOTAL_MB: u64 = 1 << 24;
 
-pub(crate) fn read(section: &Spanned<CaptureFields>, errors: &mut Errors) -> CaptureConfig {
+pub(crate) fn read(section: &Spanned<CaptureFields>, errors: &mut ErrorList) -> CaptureConfig {
     let CaptureFields { folder, keys, segment_mb, max_mb } = section.get_ref();
     let segment_mb = segment_mb.unwrap_or(DEFAULT_SEGMENT_MB);
     let max_mb = max_mb.unwrap_or(DEFAULT_MAX_MB);
-    if segment_mb == 0 || max_mb < segment_mb.saturating_mul(2) || max_mb > LARGEST_MAX_MB {
-        errors.add(section, "capture keeps two segments at the least, of 1 MB or more each");
+    if segment_mb == 0 || max_mb < segment_mb.saturating_mul(2) || max_mb > MAX_TOTAL_MB {
+        errors.add(
+            section,
+            "segment_mb must be at least 1, and most_mb must hold at least two segments and at most 16 TiB",
+        );
     }
     CaptureConfig {
         folder: folder.clone(),
         keys: *keys,
-        segment_bytes: bytes(segment_mb),
-        max_bytes: bytes(max_mb),
+        segment_bytes: mb_to_bytes(segment_mb),
+        max_bytes: mb_to_bytes(max_mb),
     }
 }
 
-fn bytes(megabytes: u64) -> u64 {
+fn mb_to_bytes(megabytes: u64) -> u64 {
     megabytes << 20
 }
--- a/crates/config/src/explain.rs
+++ b/crates/config/src/explain.rs
@@ -1,6 +1,7 @@
-//! Which limits apply to a request, and which line set each: the output of `chalkwalk explain`.
+//! Formats which limits apply to a request, and which line of the file sets each of them: the
+//! output of `chalkwalk explain`.
 
-use chalkwalk_limits::{Effective, LimitTable, Limits, RequestAttributes};
+use chalkwalk_limits::{EffectiveLimit, LimitTable, Limits, RequestAttributes};
 use chalkwalk_time::Span;
 use std::fmt::Write;
 
@@ -12,20 +13,21 @@
 }
 
 impl Row {
-    fn new<T: Clone>(name: &'static str, limit: &Effective<T>, format: impl FnOnce(T) -> String) -> Row {
+    fn new<T: Clone>(name: &'static str, limit: &EffectiveLimit<T>, format: impl FnOnce(T) -> String) -> Row {
         Row { name, value: format(limit.value.clone()), source: limit.source.to_string() }
     }
 }
 
-/// The limits that apply to a request, one a line, after the name of its route.
+/// The name of the request's route and then the limits that apply, one per line.
 pub fn explain(table: &LimitTable, request: RequestAttributes) -> String {
     let class = table.find(request);
-    let route = table.route_of(class).map_or("no route matches".to_string(), |name| format!("route {name}"));
-    let mut out = format!("{route}\n");
+    let route =
+        table.route_name(class).map_or("no route matches".to_string(), |name| format!("route {name}"));
+    let mut output = format!("{route}\n");
     for Row { name, value, source } in rows(&table.classes()[class].limits) {
-        _ = writeln!(out, "{name:<16} {value:<24} {source}");
+        _ = writeln!(output, "{name:<16} {value:<24} {source}");
     }
-    out
+    output
 }
 
 fn rows(limits: &Limits) -> [Row; 9] {
@@ -38,10 +40,10 @@
         }),
         Row::new("hedging", &limits.hedging, |allowed| if allowed { "allowed" } else { "never" }.into()),
         Row::new("hedge after", &limits.hedge_after, |share| {
-            share.map_or("silence or loss alone".into(), part_of_one)
+            share.map_or("silence or loss alone".into(), fraction)
         }),
         Row::new("retry budget", &limits.retry_budget, |share| {
-            share.map_or("the shared budget".into(), part_of_one)
+            share.map_or("the shared budget".into(), fraction)
         }),
         Row::new("max in flight", &limits.max_in_flight, |count| {
             count.map_or("no limit".into(), |count| count.to_string())
@@ -54,6 +56,6 @@
     format!("{} ms", span.as_millis_f64())
 }
 
-fn part_of_one(thousandths: u64) -> String {
+fn fraction(thousandths: u64) -> String {
     (thousandths as f64 / 1000.0).to_string()
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,13 +1,14 @@
-//! The operator's file: what an installation sets beside the platform's settings. TOML, read whole
-//! with the line of every value; the limits in it are checked by `chalkwalk_limits` before any of
-//! it is used, and all errors are reported at once.
+//! Reads the operator's file, in which an installation sets what the platform's settings do not
+//! cover. The file is TOML and is read as a whole, with the line of every value. `chalkwalk_limits`
+//! checks its limits before any part of the file is used, and all errors are reported at once.
 //!
-//! - `schema` is the file's tables and keys, `lines` finds the lines of its values, `read` reads it
-//!   whole.
-//! - `limits`, `membership`, `resp` and `capture` read one part each.
-//! - `explain` writes which limits apply to a request, and which line set each.
+//! - `schema` defines the file's tables and keys, `lines` finds the lines of its values, `read`
+//!   reads the whole file.
+//! - `limits`, `membership`, `resp` and `capture` read one part of the file each.
+//! - `explain` formats which limits apply to a request, and which line of the file sets each of
+//!   them.
 //!
-//! Nothing of the running proxy is used here.
+//! This crate uses nothing of the running proxy.
 
 mod capture;
 mod explain;
--- a/crates/config/src/read.rs
+++ b/crates/config/src/read.rs
@@ -1,33 +1,33 @@
-//! The whole file, read and checked.
+//! Reads and checks the whole file.
 
 use crate::capture::{self, CaptureConfig};
 use crate::limits;
-use crate::lines::{Errors, Lines};
+use crate::lines::{ErrorList, Lines};
 use crate::membership::{self, MembershipConfig};
 use crate::resp::{self, RespConfig};
 use crate::schema::{END, OperatorFile, VERSION};
 use chalkwalk_limits::{ConfigError, LimitTable, PlatformLimits, check};
 
-/// What an operator's file sets, checked.
+/// The checked contents of an operator's file.
 #[derive(Clone, Debug, Default)]
 pub struct OperatorConfig {
     /// Which limits apply to which requests.
     pub limits: LimitTable,
-    /// Where the endpoint list comes from, if not from the platform.
+    /// The source of the endpoint list, if it is not the platform.
     pub membership: Option<MembershipConfig>,
-    /// The RESP frontend, if there is one.
+    /// The RESP frontend, if the file configures one.
     pub resp: Option<RespConfig>,
-    /// Whether and where captures are written.
+    /// Where captures are written, if they are.
     pub capture: Option<CaptureConfig>,
 }
 
-/// Reads a file's text and checks it against the platform's limits. Errors come all at once, by
-/// line.
+/// Reads a file's text and checks it against the platform's limits. Returns all errors at once,
+/// ordered by line.
 pub fn read(text: &str, platform_limits: &PlatformLimits) -> Result<OperatorConfig, Vec<ConfigError>> {
     let lines = Lines(text);
     let file = parse(lines).map_err(|error| vec![error])?;
-    let mut errors = Errors::new(lines);
-    let checked = check(&limits::unchecked(&file, lines), platform_limits);
+    let mut errors = ErrorList::new(lines);
+    let checked = check(&limits::unchecked_limits(&file, lines), platform_limits);
     let config = OperatorConfig {
         limits: checked.unwrap_or_else(|found| {
             errors.extend(found);
@@ -41,29 +41,29 @@
     if errors.is_empty() { Ok(config) } else { Err(errors) }
 }
 
-/// Errors as lines of text, each with the file's name.
+/// Formats errors, one per line of text, each with the path of the file.
 pub fn format_errors(path: &str, errors: &[ConfigError]) -> String {
     let lines: Vec<String> = errors.iter().map(|error| format!("{path}:{error}")).collect();
     lines.join("\n")
 }
 
-/// The tables and keys of a file that is whole and of the version that is known.
+/// Parses the file's tables and keys. The file must be complete and of the supported version.
 fn parse(lines: Lines) -> Result<OperatorFile, ConfigError> {
     let file: OperatorFile = toml::from_str(lines.0).map_err(|error| {
-        let line = error.span().map_or(1, |span| lines.at(span.start));
+        let line = error.span().map_or(1, |span| lines.line_at(span.start));
         ConfigError { line, message: error.message().replace('\n', " ") }
     })?;
     check_end(lines.0)?;
     let version = *file.version.get_ref();
     if version != VERSION {
         let message = format!("version {version} is not known; this program reads version {VERSION}");
-        return Err(ConfigError { line: lines.of(&file.version), message });
+        return Err(ConfigError { line: lines.line_of(&file.version), message });
     }
     Ok(file)
 }
 
-/// Much of a file that is still being written is good TOML, so a whole one ends with a line that
-/// says so.
+/// Checks that the file is complete. The beginning of a file that is still being written is often
+/// valid TOML, so a complete file has to end with the line `END`.
 fn check_end(text: &str) -> Result<(), ConfigError> {
     let has_content = |line: &str| !line.trim().is_empty() && !line.trim().starts_with('#');
     let content = text.lines().enumerate().filter(|(_, line)| has_content(line));
--- a/crates/config/src/resp.rs
+++ b/crates/config/src/resp.rs
@@ -1,79 +1,80 @@
-//! The RESP frontend: its addresses, and which namespaces keys are of.
+//! Reads the configuration of the RESP frontend: its addresses, and the namespaces of keys.
 
-use crate::lines::Errors;
+use crate::lines::ErrorList;
 use crate::schema::{InstanceFields, PrefixFields, RespFields, UserFields};
 use chalkwalk_limits::PlatformLimits;
 use std::net::SocketAddr;
 use toml::Spanned;
 
-/// The RESP frontend. Namespaces are by their numbers.
+/// Configuration of the RESP frontend. Namespaces are given by their index in the platform's list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RespConfig {
-    /// Where clients connect to.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// Servers that the slot map is first read from.
+    /// The servers from which the slot map is first read.
     pub seeds: Vec<SocketAddr>,
-    /// The namespace of keys without a prefix of their own.
+    /// The namespace of keys that none of `prefixes` matches.
     pub namespace: usize,
-    /// The same, for commands that write.
+    /// The namespace of these keys for commands that write.
     pub write_namespace: usize,
-    /// Namespaces by prefix.
+    /// The namespaces of keys with certain prefixes.
     pub prefixes: Vec<KeyPrefix>,
-    /// Namespaces that may be read from replicas.
+    /// The namespaces whose keys may be read from replicas.
     pub stale_reads: Vec<usize>,
-    /// Whether commands with several keys are split by server.
+    /// Whether commands with several keys are split into one command per server.
     pub split: bool,
     /// The proxies that clients see as the cluster's nodes.
     pub instances: Vec<ProxyInstance>,
-    /// Who may connect.
+    /// The users that may connect.
     pub users: Vec<RespUser>,
 }
 
-/// The namespaces of keys with one prefix.
+/// The namespaces of the keys with one prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KeyPrefix {
-    /// What the keys begin with.
+    /// The prefix of the keys.
     pub prefix: String,
-    /// Their namespace.
+    /// The namespace of these keys.
     pub namespace: usize,
-    /// The same, for commands that write.
+    /// The namespace of these keys for commands that write.
     pub write_namespace: usize,
 }
 
-/// A proxy as clients see it: a node of the cluster.
+/// A proxy, which clients see as a node of the cluster.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProxyInstance {
     /// The node's name.
     pub name: String,
-    /// Where clients reach it.
+    /// The address at which clients reach the node.
     pub address: SocketAddr,
-    /// The first and the last hash slot that it answers for.
+    /// The first and the last hash slot that the node serves.
     pub slots: (u16, u16),
 }
 
 /// A user of the RESP frontend.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RespUser {
-    /// The name.
+    /// The user's name.
     pub name: String,
-    /// SHA-256 of the secret.
+    /// The SHA-256 hash of the user's secret.
     pub secret: [u8; 32],
 }
 
-/// Hash slots of the protocol, by its public specification.
-const SLOTS: u16 = 16384;
-const ALL_SLOTS: (u16, u16) = (0, SLOTS - 1);
-/// The most instances that clients may see, and the most seeds: as many as a slot map has nodes.
-const MAX_INSTANCES: usize = 4096;
+/// Number of hash slots, from the public specification of the protocol.
+const SLOT_COUNT: u16 = 16384;
+const ALL_SLOTS: (u16, u16) = (0, SLOT_COUNT - 1);
+/// Maximum number of instances and of seeds: the maximum number of nodes in a slot map.
+const MAX_NODES: usize = 4096;
 
-/// Where it is not as it should be, the errors say so and the result is of no use.
+/// Reads the section. If it is invalid, the problems are added to `errors` and the result must not
+/// be used.
 pub(crate) fn read(
     section: &Spanned<RespFields>,
     platform_limits: &PlatformLimits,
-    errors: &mut Errors,
+    errors: &mut ErrorList,
 ) -> RespConfig {
     let fields = section.get_ref();
-    let mut reader = Reader { platform_limits, errors };
+    let mut reader = FieldReader { platform_limits, errors };
     let config = RespConfig {
         listen: reader.address(&fields.listen),
         seeds: fields.seeds.iter().map(|seed| reader.address(seed)).collect(),
@@ -92,38 +93,38 @@
     config
 }
 
-fn check_counts(config: &RespConfig, section: &Spanned<RespFields>, errors: &mut Errors) {
+fn check_counts(config: &RespConfig, section: &Spanned<RespFields>, errors: &mut ErrorList) {
     let seeds = config.seeds.len();
-    if seeds == 0 || seeds > MAX_INSTANCES || config.instances.len() > MAX_INSTANCES {
-        let message = format!("resp needs 1 to {MAX_INSTANCES} seeds, and has as many instances at the most");
+    if seeds == 0 || seeds > MAX_NODES || config.instances.len() > MAX_NODES {
+        let message = format!("resp needs 1 to {MAX_NODES} seeds and at most {MAX_NODES} instances");
         errors.add(section, message);
     }
 }
 
-/// Clients have to find a node for every slot, and this proxy among them.
-fn check_instances(config: &RespConfig, section: &Spanned<RespFields>, errors: &mut Errors) {
-    let answered = |slot: &u16| {
+/// Checks that clients find a node for every slot, and that this proxy is one of the nodes.
+fn check_instances(config: &RespConfig, section: &Spanned<RespFields>, errors: &mut ErrorList) {
+    let is_covered = |slot: &u16| {
         config.instances.iter().any(|instance| (instance.slots.0..=instance.slots.1).contains(slot))
     };
-    if let Some(slot) = (0..SLOTS).find(|slot| !answered(slot)) {
-        errors.add(section, format!("no instance answers for slot {slot}"));
+    if let Some(slot) = (0..SLOT_COUNT).find(|slot| !is_covered(slot)) {
+        errors.add(section, format!("no instance covers slot {slot}"));
     }
     if !config.instances.iter().any(|instance| instance.address == config.listen) {
-        errors.add(section, "no instance is at the address that this one listens on");
+        errors.add(section, "no instance has the address that this proxy listens on");
     }
 }
 
-/// Reads values. In place of one that can't be read it returns a default, so that the errors of all
-/// others are found as well.
-struct Reader<'a, 'text> {
+/// Reads values. For a value that cannot be read it returns a default, so that the errors of all
+/// other values are found as well.
+struct FieldReader<'a, 'text> {
     platform_limits: &'a PlatformLimits,
-    errors: &'a mut Errors<'text>,
+    errors: &'a mut ErrorList<'text>,
 }
 
-impl Reader<'_, '_> {
+impl FieldReader<'_, '_> {
     fn address(&mut self, field: &Spanned<String>) -> SocketAddr {
         field.get_ref().parse().unwrap_or_else(|_| {
-            self.errors.add(field, format!("\"{}\" is no address with a port", field.get_ref()));
+            self.errors.add(field, format!("\"{}\" is not an IP:port address", field.get_ref()));
             SocketAddr::from(([0, 0, 0, 0], 0))
         })
     }
@@ -132,13 +133,17 @@
         let name = field.get_ref();
         let number = self.platform_limits.namespaces.iter().position(|namespace| namespace.name == *name);
         number.unwrap_or_else(|| {
-            self.errors.add(field, format!("\"{name}\" is no namespace of the platform"));
+            self.errors.add(field, format!("\"{name}\" is not a namespace of the platform"));
             0
         })
     }
 
-    fn write_namespace(&mut self, field: &Option<Spanned<String>>, of_reads: &Spanned<String>) -> usize {
-        self.namespace(field.as_ref().unwrap_or(of_reads))
+    fn write_namespace(
+        &mut self,
+        field: &Option<Spanned<String>>,
+        read_namespace: &Spanned<String>,
+    ) -> usize {
+        self.namespace(field.as_ref().unwrap_or(read_namespace))
     }
 
     fn prefix(&mut self, fields: &PrefixFields) -> KeyPrefix {
@@ -159,14 +164,14 @@
 
     fn slots(&mut self, field: &Spanned<String>) -> (u16, u16) {
         parse_slots(field.get_ref()).unwrap_or_else(|| {
-            self.errors.add(field, format!("slots are FIRST-LAST, from 0 to {}", SLOTS - 1));
+            self.errors.add(field, format!("slots must be FIRST-LAST, both from 0 to {}", SLOT_COUNT - 1));
             (0, 0)
         })
     }
 
     fn user(&mut self, fields: &UserFields) -> RespUser {
         let secret = parse_sha256(fields.secret.get_ref()).unwrap_or_else(|| {
-            let message = "a secret is written as sha256: and 64 hexadecimal digits";
+            let message = "secret must be sha256: followed by 64 hexadecimal digits";
             self.errors.add(&fields.secret, message);
             [0; 32]
         });
@@ -178,7 +183,7 @@
     let (first, last) = text.split_once('-')?;
     let first: u16 = first.parse().ok()?;
     let last: u16 = last.parse().ok()?;
-    (first <= last && last < SLOTS).then_some((first, last))
+    (first <= last && last < SLOT_COUNT).then_some((first, last))
 }
 
 fn parse_sha256(text: &str) -> Option<[u8; 32]> {
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -1,13 +1,14 @@
-//! The file's tables and keys, as they are written. Keys are the operators' own and stay as they
-//! are: where the code's name is another one, a rename pins the key.
+//! The tables and keys of the file. Operators' files contain the keys, so they must not change:
+//! where the name in the code differs, a `rename` attribute keeps the key.
 
 use serde::Deserialize;
 use std::path::PathBuf;
 use toml::Spanned;
 
-/// The format's version; one that is not known is refused, as its fields may mean something else.
+/// The version of the format. Files of other versions are rejected, because their fields may have
+/// another meaning.
 pub(crate) const VERSION: u64 = 1;
-/// The last line of a file that is whole.
+/// The last line of a complete file.
 pub(crate) const END: &str = "[end]";
 
 #[derive(Deserialize)]
@@ -28,12 +29,12 @@
     _end: Option<EndFields>,
 }
 
-/// The last table, and empty: a file that was cut short has none.
+/// The empty table at the end of the file. A truncated file does not contain it.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct EndFields {}
 
-/// Limits. Times in milliseconds, shares as parts of one.
+/// Limits of one scope. Times are in milliseconds, shares are fractions of 1.
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct LimitFields {
--- a/crates/limits/src/budget.rs
+++ b/crates/limits/src/budget.rs
@@ -1,39 +1,40 @@
-//! The budget of retries that the requests of a class have: their own, or the one that all classes
-//! without their own share.
+//! The retry budget of a request class: its own, or the one that is shared by all classes without a
+//! budget of their own.
 
 use crate::sliding_window::SlidingWindow;
 use crate::token_bucket::TokenBucket;
 use chalkwalk_time::Timestamp;
 use std::cell::RefCell;
 
-/// A budget of retries as a share of first attempts.
+/// Limits retries to a share of the first attempts.
 #[derive(Clone, Debug)]
 pub struct RetryBudget(Budget);
 
 #[derive(Clone, Debug)]
 enum Budget {
     Shared(TokenBucket),
-    Own(RefCell<SlidingWindow>),
+    PerClass(RefCell<SlidingWindow>),
 }
 
 impl Default for RetryBudget {
-    /// A budget for all classes: its clones count together.
+    /// A budget that is shared between classes: its clones use the same counters.
     fn default() -> RetryBudget {
         RetryBudget(Budget::Shared(TokenBucket::new()))
     }
 }
 
 impl RetryBudget {
-    /// A budget for one class. `share`: retries allowed, in thousandths of first attempts.
-    pub fn own(share: u64) -> RetryBudget {
-        RetryBudget(Budget::Own(RefCell::new(SlidingWindow::new(share))))
+    /// A budget for one class. `share_permille`: retries allowed, in thousandths of the first
+    /// attempts.
+    pub fn own(share_permille: u64) -> RetryBudget {
+        RetryBudget(Budget::PerClass(RefCell::new(SlidingWindow::new(share_permille))))
     }
 
-    /// A first attempt was sent.
+    /// Records that the first attempt of a request was sent.
     pub fn record_first_attempt(&self, now: Timestamp) {
         match &self.0 {
             Budget::Shared(bucket) => bucket.record_first_attempt(),
-            Budget::Own(window) => window.borrow_mut().record_first_attempt(now),
+            Budget::PerClass(window) => window.borrow_mut().record_first_attempt(now),
         }
     }
 
@@ -41,43 +42,43 @@
     pub fn allows_retry(&self, now: Timestamp) -> bool {
         match &self.0 {
             Budget::Shared(bucket) => bucket.allows_retry(),
-            Budget::Own(window) => window.borrow_mut().allows_retry(now),
+            Budget::PerClass(window) => window.borrow_mut().allows_retry(now),
         }
     }
 
-    /// A retry was sent.
+    /// Records that a retry was sent.
     pub fn record_retry(&self, now: Timestamp) {
         match &self.0 {
             Budget::Shared(bucket) => bucket.record_retry(),
-            Budget::Own(window) => window.borrow_mut().record_retry(now),
+            Budget::PerClass(window) => window.borrow_mut().record_retry(now),
         }
     }
 
-    /// What was counted: the shared budget's tokens, or the five counters of a class's own. Stored
-    /// in snapshots by position.
+    /// The state of the budget: the tokens of a shared budget, or the five counters of a budget for
+    /// one class. Snapshots store these values by position.
     pub fn counters(&self) -> [u64; 5] {
         match &self.0 {
             Budget::Shared(bucket) => [bucket.tokens(), 0, 0, 0, 0],
-            Budget::Own(window) => window.borrow().counters(),
+            Budget::PerClass(window) => window.borrow().counters(),
         }
     }
 
-    /// Goes on from what was counted.
+    /// Continues from stored counters.
     pub fn restore(&self, counters: [u64; 5]) {
         match &self.0 {
             Budget::Shared(bucket) => bucket.set_tokens(counters[0]),
-            Budget::Own(window) => window.borrow_mut().restore(counters),
+            Budget::PerClass(window) => window.borrow_mut().restore(counters),
         }
     }
 
-    /// Goes on from what another budget has counted, if both are of one kind.
-    pub fn continue_from(&self, before: &RetryBudget) {
-        let same_kind = match (&self.0, &before.0) {
-            (Budget::Shared(_), Budget::Shared(_)) | (Budget::Own(_), Budget::Own(_)) => true,
-            (Budget::Shared(_), Budget::Own(_)) | (Budget::Own(_), Budget::Shared(_)) => false,
+    /// Continues from the counters of another budget, if both are shared or both are for one class.
+    pub fn continue_from(&self, previous: &RetryBudget) {
+        let same_kind = match (&self.0, &previous.0) {
+            (Budget::Shared(_), Budget::Shared(_)) | (Budget::PerClass(_), Budget::PerClass(_)) => true,
+            (Budget::Shared(_), Budget::PerClass(_)) | (Budget::PerClass(_), Budget::Shared(_)) => false,
         };
         if same_kind {
-            self.restore(before.counters());
+            self.restore(previous.counters());
         }
     }
 }
--- a/crates/limits/src/check.rs
+++ b/crates/limits/src/check.rs
@@ -1,5 +1,5 @@
-//! An operator's limits, checked against the platform's. All errors are found at once, each with
-//! the line to change and the rule that it breaks.
+//! Checks an operator's limits against the platform's. All errors are found at once, each with the
+//! line to correct and the rule that it breaks.
 
 mod class;
 mod clients;
@@ -12,13 +12,13 @@
 use crate::platform::PlatformLimits;
 use crate::table::LimitTable;
 
-/// The limits that apply, or all that is wrong with them.
+/// Returns the limits that apply, or all errors in the operator's limits.
 pub fn check(limits: &UncheckedLimits, platform: &PlatformLimits) -> Result<LimitTable, Vec<ConfigError>> {
     let mut errors = ErrorList::default();
     names::check(limits, platform, &mut errors);
     values::check(limits, &mut errors);
     routes::check(limits, &mut errors);
-    let table = LimitTable::of(limits, platform);
+    let table = LimitTable::build(limits, platform);
     class::check(&table, platform, &mut errors);
     clients::check(limits, &table, platform, &mut errors);
     let errors = errors.into_sorted();
--- a/crates/limits/src/check/class.rs
+++ b/crates/limits/src/check/class.rs
@@ -1,44 +1,45 @@
-//! The limits of one class against the platform's, one rule a function. Each rule names the line to
-//! change; where the platform alone would break it, there is none and nothing is reported.
+//! Checks the limits of one request class against the platform's, with one function per rule. Each
+//! violation names the line to correct. If the platform's limits alone violate a rule, there is no
+//! such line and nothing is reported.
 
-use crate::effective::{Effective, LimitSource, Limits};
+use crate::effective::{EffectiveLimit, LimitSource, Limits};
 use crate::error::ErrorList;
 use crate::platform::{Idempotency, Namespace, PlatformLimits};
 use crate::table::LimitTable;
 use chalkwalk_time::Span;
 
-/// A rule that does not hold: what is wrong, and who set the limits that it is about.
-struct Broken<'a> {
+/// A violation of a rule: what is wrong, and who set the limits that the rule compares.
+struct Violation<'a> {
     sources: Vec<&'a LimitSource>,
     message: String,
 }
 
-impl<'a> Broken<'a> {
-    fn new(sources: impl Into<Vec<&'a LimitSource>>, message: String) -> Broken<'a> {
-        Broken { sources: sources.into(), message }
+impl<'a> Violation<'a> {
+    fn new(sources: impl Into<Vec<&'a LimitSource>>, message: String) -> Violation<'a> {
+        Violation { sources: sources.into(), message }
     }
 
-    /// The narrowest scope that set one of the limits is the one to change, and it comes last in
-    /// the file.
+    /// The line to correct: that of the narrowest scope that sets one of the limits, which comes
+    /// last in the file.
     fn line(&self) -> Option<usize> {
         self.sources.iter().filter_map(|source| source.line()).max()
     }
 }
 
-/// All that a rule may look at.
-struct Subject<'a> {
+/// What a rule can read.
+struct RuleContext<'a> {
     limits: &'a Limits,
     namespace: &'a Namespace,
     platform: &'a PlatformLimits,
 }
 
-type Rule = for<'a> fn(&Subject<'a>) -> Option<Broken<'a>>;
+type Rule = for<'a> fn(&RuleContext<'a>) -> Option<Violation<'a>>;
 
 const RULES: [Rule; 13] = [
-    time_limit_within_platforms,
+    time_limit_within_platform_limit,
     objective_within_time_limit,
-    attempts_within_platforms,
-    body_within_platforms,
+    attempts_within_platform_limit,
+    body_within_platform_limit,
     hedging_only_if_replayable,
     hedging_allowed_by_platform,
     hedge_after_needs_hedging,
@@ -53,10 +54,10 @@
 pub(crate) fn check(table: &LimitTable, platform: &PlatformLimits, errors: &mut ErrorList) {
     for class in table.classes() {
         let namespace = &platform.namespaces[class.namespace];
-        let subject = Subject { limits: &class.limits, namespace, platform };
-        for broken in RULES.iter().filter_map(|rule| rule(&subject)) {
-            if let Some(line) = broken.line() {
-                errors.add(line, format!("{}: {}", namespace.name, broken.message));
+        let context = RuleContext { limits: &class.limits, namespace, platform };
+        for violation in RULES.iter().filter_map(|rule| rule(&context)) {
+            if let Some(line) = violation.line() {
+                errors.add(line, format!("{}: {}", namespace.name, violation.message));
             }
         }
     }
@@ -66,10 +67,10 @@
     span.as_millis_f64()
 }
 
-impl<'a> Subject<'a> {
-    /// How long each attempt may take, its connection included. `None` where an attempt is waited
-    /// for up to the time limit.
-    fn time_of_attempt(&self) -> Option<Span> {
+impl<'a> RuleContext<'a> {
+    /// How long each attempt may take, including the connection setup. `None` if attempts have no
+    /// timeout of their own.
+    fn time_per_attempt(&self) -> Option<Span> {
         self.limits.attempt_timeout.value.map(|timeout| timeout + self.platform.connect_time)
     }
 
@@ -77,7 +78,7 @@
         self.namespace.idempotency == Idempotency::Tagged
     }
 
-    /// Attempts beyond the first.
+    /// Maximum number of attempts after the first.
     fn max_retries(&self) -> u64 {
         self.limits.max_attempts.value.max(1) - 1
     }
@@ -88,18 +89,18 @@
     }
 }
 
-fn time_limit_within_platforms<'a>(subject: &Subject<'a>) -> Option<Broken<'a>> {
-    let Effective { value, source } = &subject.limits.time_limit;
-    let allowed = subject.namespace.time_limit;
+fn time_limit_within_platform_limit<'a>(context: &RuleContext<'a>) -> Option<Violation<'a>> {
+    let EffectiveLimit { value, source } = &context.limits.time_limit;
+    let allowed = context.namespace.time_limit;
     if *value <= allowed {
         return None;
     }
     let message = format!("a time limit of {} ms is above the platform's {} ms", ms(*value), ms(allowed));
-    Some(Broken::new([source], message))
+    Some(Violation::new([source], message))
 }
 
-fn objective_within_time_limit<'a>(subject: &Subject<'a>) -> Option<Broken<'a>> {
-    let Limits { latency_objective, time_limit, .. } = subject.limits;
+fn objective_within_time_limit<'a>(context: &RuleContext<'a>) -> Option<Violation<'a>> {
+    let Limits { latency_objective, time_limit, .. } = context.limits;
     if latency_objective.value <= time_limit.value {
         return None;
     }
@@ -108,33 +109,36 @@
         ms(latency_objective.value),
         ms(time_limit.value)
     );
-    Some(Broken::new([&latency_objective.source, &time_limit.source], message))
+    Some(Violation::new([&latency_objective.source, &time_limit.source], message))
 }
 
-fn attempts_within_platforms<'a>(subject: &Subject<'a>) -> Option<Broken<'a>> {
-    let Effective { value, source } = &subject.limits.max_attempts;
-    let allowed = subject.platform.max_attempts;
+fn attempts_within_platform_limit<'a>(context: &RuleContext<'a>) -> Option<Violation<'a>> {
+    let EffectiveLimit { value, source } = &context.limits.max_attempts;
+    let allowed = context.platform.max_attempts;
     if *value <= allowed {
         return None;
     }
-    Some(Broken::new(
+    Some(Violation::new(
         [source],
         format!("{value} attempts are more than the {allowed} that the platform allows"),
     ))
 }
 
-fn body_within_platforms<'a>(subject: &Subject<'a>) -> Option<Broken<'a>> {
-    let Effective { value, source } = &subject.limits.max_body_bytes;
-    let allowed = subject.platform.max_body_bytes;
+fn body_within_platform_limit<'a>(context: &RuleContext<'a>) -> Option<Violation<'a>> {
+    let EffectiveLimit { value, source } = &context.limits.max_body_bytes;
+    let allowed = context.platform.max_body_bytes;
     if *value <= allowed {
         return None;
     }
-    Some(Broken::new([source], format!("a body of {value} bytes is above the platform's {allowed}")))
+    Some(Violation::new(
+        [source],
+        format!("a maximum body of {value} bytes is above the platform's {allowed} bytes"),
+    ))
 }
 
-fn hedging_only_if_replayable<'a>(subject: &Subject<'a>) -> Option<Broken<'a>> {
-    let hedging = &subject.limits.hedging;
-    let kind = match subject.namespace.idempotency {
+fn hedging_only_if_replayable<'a>(context: &RuleContext<'a>) -> Option<Violation<'a>> {
+    let hedging = &context.limits.hedging;
+    let kind = match context.namespace.idempotency {
         Idempotency::Replayable => return None,
         Idempotency::Tagged => "tagged",
         Idempotency::SingleUse => "single-use",
@@ -142,102 +146,108 @@
     if !hedging.value {
         return None;
     }
-    Some(Broken::new([&hedging.source], format!("hedging a {kind} request would run it twice")))
+    Some(Violation::new([&hedging.source], format!("hedging a {kind} request could run it twice")))
 }
 
-fn hedging_allowed_by_platform<'a>(subject: &Subject<'a>) -> Option<Broken<'a>> {
-    let hedging = &subject.limits.hedging;
-    if !hedging.value || subject.platform.hedging {
+fn hedging_allowed_by_platform<'a>(context: &RuleContext<'a>) -> Option<Violation<'a>> {
+    let hedging = &context.limits.hedging;
+    if !hedging.value || context.platform.hedging {
         return None;
     }
-    Some(Broken::new([&hedging.source], "the platform allows no hedged requests".into()))
+    Some(Violation::new([&hedging.source], "the platform allows no hedged requests".into()))
 }
 
-/// Of requests that must not run twice nothing is reported: there wider scopes may set it for
-/// others.
-fn hedge_after_needs_hedging<'a>(subject: &Subject<'a>) -> Option<Broken<'a>> {
-    let Limits { hedge_after, hedging, .. } = subject.limits;
-    let replayable = subject.namespace.idempotency == Idempotency::Replayable;
+/// Nothing is reported for requests that must not run twice: a wider scope may set `hedge_after`
+/// for other classes.
+fn hedge_after_needs_hedging<'a>(context: &RuleContext<'a>) -> Option<Violation<'a>> {
+    let Limits { hedge_after, hedging, .. } = context.limits;
+    let replayable = context.namespace.idempotency == Idempotency::Replayable;
     if hedge_after.value.is_none() || hedging.value || !replayable {
         return None;
     }
-    let message = "copies_after is set, and hedged requests are not allowed".into();
-    Some(Broken::new([&hedge_after.source, &hedging.source], message))
+    let message = "copies_after is set, but hedged requests are not allowed".into();
+    Some(Violation::new([&hedge_after.source, &hedging.source], message))
 }
 
-fn hedge_after_needs_two_attempts<'a>(subject: &Subject<'a>) -> Option<Broken<'a>> {
-    let Limits { hedge_after, hedging, max_attempts, .. } = subject.limits;
+fn hedge_after_needs_two_attempts<'a>(context: &RuleContext<'a>) -> Option<Violation<'a>> {
+    let Limits { hedge_after, hedging, max_attempts, .. } = context.limits;
     if hedge_after.value.is_none() || !hedging.value || max_attempts.value >= 2 {
         return None;
     }
-    let message = "a hedged request is a second attempt, and most_shots is 1".into();
-    Some(Broken::new([&hedge_after.source, &max_attempts.source], message))
+    let message = "copies_after is set, but a hedged request is a second attempt and most_shots is 1".into();
+    Some(Violation::new([&hedge_after.source, &max_attempts.source], message))
 }
 
-fn retry_budget_within_attempts<'a>(subject: &Subject<'a>) -> Option<Broken<'a>> {
-    let Limits { retry_budget, max_attempts, .. } = subject.limits;
-    let retries = subject.max_retries();
+fn retry_budget_within_attempts<'a>(context: &RuleContext<'a>) -> Option<Violation<'a>> {
+    let Limits { retry_budget, max_attempts, .. } = context.limits;
+    let retries = context.max_retries();
     if retry_budget.value.is_none_or(|share| share <= retries * 1000) {
         return None;
     }
-    let message = format!("further_shots is more than the {retries} that most_shots leaves");
-    Some(Broken::new([&retry_budget.source, &max_attempts.source], message))
+    let message = format!("further_shots is above {retries}, the number of retries that most_shots allows");
+    Some(Violation::new([&retry_budget.source, &max_attempts.source], message))
 }
 
-/// Unless an attempt is given up before, the last may start at the end of the time limit.
-fn tagged_retries_need_attempt_timeout<'a>(subject: &Subject<'a>) -> Option<Broken<'a>> {
-    let Limits { max_attempts, time_limit, attempt_timeout, .. } = subject.limits;
-    let window = subject.namespace.dedup_window;
-    let retried = max_attempts.value > 1;
-    if attempt_timeout.value.is_some() || !subject.is_tagged() || !retried || time_limit.value <= window {
+/// Without an attempt timeout, the last attempt may start as late as the end of the time limit.
+fn tagged_retries_need_attempt_timeout<'a>(context: &RuleContext<'a>) -> Option<Violation<'a>> {
+    let Limits { max_attempts, time_limit, attempt_timeout, .. } = context.limits;
+    let dedup_window = context.namespace.dedup_window;
+    let may_retry = max_attempts.value > 1;
+    if attempt_timeout.value.is_some()
+        || !context.is_tagged()
+        || !may_retry
+        || time_limit.value <= dedup_window
+    {
         return None;
     }
     let message = format!(
-        "servers drop repeats for {} ms only, and the last attempt may start later: set shot_wait_ms, a shorter time limit or most_shots = 1",
-        ms(window)
+        "servers drop repeated requests for {} ms only, but the last attempt may start later: \
+         set shot_wait_ms, a shorter time limit or most_shots = 1",
+        ms(dedup_window)
     );
-    Some(Broken::new([&max_attempts.source, &time_limit.source], message))
+    Some(Violation::new([&max_attempts.source, &time_limit.source], message))
 }
 
-fn attempt_timeout_within_time_limit<'a>(subject: &Subject<'a>) -> Option<Broken<'a>> {
-    let Limits { attempt_timeout, time_limit, .. } = subject.limits;
+fn attempt_timeout_within_time_limit<'a>(context: &RuleContext<'a>) -> Option<Violation<'a>> {
+    let Limits { attempt_timeout, time_limit, .. } = context.limits;
     let timeout = attempt_timeout.value.filter(|timeout| *timeout > time_limit.value)?;
     let message = format!(
         "an attempt timeout of {} ms is above the time limit of {} ms",
         ms(timeout),
         ms(time_limit.value)
     );
-    Some(Broken::new([&attempt_timeout.source, &time_limit.source], message))
+    Some(Violation::new([&attempt_timeout.source, &time_limit.source], message))
 }
 
-/// Where one attempt alone does not, that is reported instead.
-fn attempts_end_within_time_limit<'a>(subject: &Subject<'a>) -> Option<Broken<'a>> {
-    let Limits { attempt_timeout, max_attempts, time_limit, .. } = subject.limits;
+/// If a single attempt exceeds the time limit, `attempt_timeout_within_time_limit` reports it
+/// instead.
+fn attempts_end_within_time_limit<'a>(context: &RuleContext<'a>) -> Option<Violation<'a>> {
+    let Limits { attempt_timeout, max_attempts, time_limit, .. } = context.limits;
     attempt_timeout.value.filter(|timeout| *timeout <= time_limit.value)?;
-    let each = subject.time_of_attempt()?;
-    if max_attempts.value * each <= time_limit.value {
+    let time_per_attempt = context.time_per_attempt()?;
+    if max_attempts.value * time_per_attempt <= time_limit.value {
         return None;
     }
     let message = format!(
-        "{} attempts of {} ms each, connecting included, do not end within the time limit of {} ms",
+        "{} attempts of {} ms each, including connection setup, do not end within the time limit of {} ms",
         max_attempts.value,
-        ms(each),
+        ms(time_per_attempt),
         ms(time_limit.value)
     );
-    let [timeout_source, attempts_source] = subject.attempt_sources();
-    Some(Broken::new([timeout_source, attempts_source, &time_limit.source], message))
+    let [attempt_timeout_source, max_attempts_source] = context.attempt_sources();
+    Some(Violation::new([attempt_timeout_source, max_attempts_source, &time_limit.source], message))
 }
 
-fn tagged_retries_within_dedup_window<'a>(subject: &Subject<'a>) -> Option<Broken<'a>> {
-    let window = subject.namespace.dedup_window;
-    let last_start = subject.max_retries() * subject.time_of_attempt()?;
-    if !subject.is_tagged() || last_start <= window {
+fn tagged_retries_within_dedup_window<'a>(context: &RuleContext<'a>) -> Option<Violation<'a>> {
+    let dedup_window = context.namespace.dedup_window;
+    let last_start = context.max_retries() * context.time_per_attempt()?;
+    if !context.is_tagged() || last_start <= dedup_window {
         return None;
     }
     let message = format!(
-        "the last attempt may start {} ms after the first, and servers drop repeats for {} ms only",
+        "the last attempt may start {} ms after the first, but servers drop repeated requests for {} ms only",
         ms(last_start),
-        ms(window)
+        ms(dedup_window)
     );
-    Some(Broken::new(subject.attempt_sources(), message))
+    Some(Violation::new(context.attempt_sources(), message))
 }
--- a/crates/limits/src/check/clients.rs
+++ b/crates/limits/src/check/clients.rs
@@ -1,5 +1,5 @@
-//! Retries that clients make by themselves: they multiply the attempts that are made for each of
-//! their requests.
+//! Retries that clients make on their own. They multiply the attempts that the proxy makes for each
+//! request.
 
 use crate::effective::Limits;
 use crate::error::ErrorList;
@@ -7,8 +7,8 @@
 use crate::platform::PlatformLimits;
 use crate::table::LimitTable;
 
-/// One, in the thousandths that shares are counted in.
-const ONE: u64 = 1000;
+/// The number 1 in thousandths, the unit of shares.
+const ONE_IN_THOUSANDTHS: u64 = 1000;
 
 pub(crate) fn check(
     limits: &UncheckedLimits,
@@ -18,7 +18,10 @@
 ) {
     let Some(clients) = limits.clients else { return };
     if clients.tries.value == 0 {
-        errors.add(clients.tries.line, "tries counts the first one: it is 1 at the least".into());
+        errors.add(
+            clients.tries.line,
+            "tries is 0, but it includes the first request and must be at least 1".into(),
+        );
         return;
     }
     for class in table.classes() {
@@ -28,15 +31,16 @@
 
 fn check_class(namespace: &str, limits: &Limits, clients: ClientRetries, errors: &mut ErrorList) {
     let attempts = attempts_per_request(limits);
-    let total = attempts * clients.tries.value;
-    if total <= clients.max_amplification.value {
+    let amplification = attempts * clients.tries.value;
+    if amplification <= clients.max_amplification.value {
         return;
     }
     let message = format!(
-        "{namespace}: {} tries of a client with {} attempts each come to {}, and {} is the most that was stated: set further_shots",
+        "{namespace}: {} tries by a client with {} attempts each make {} attempts, \
+         more than the stated amplification of {}: set further_shots",
         clients.tries.value,
         from_thousandths(attempts),
-        from_thousandths(total),
+        from_thousandths(amplification),
         from_thousandths(clients.max_amplification.value)
     );
     let sources = [&limits.retry_budget.source, &limits.max_attempts.source];
@@ -45,12 +49,12 @@
     errors.add(line, message);
 }
 
-/// Attempts that are made for one request on average, in thousandths, if all of them fail.
+/// The average number of attempts for one request if all attempts fail, in thousandths.
 fn attempts_per_request(limits: &Limits) -> u64 {
-    let most = limits.max_attempts.value * ONE;
-    limits.retry_budget.value.map_or(most, |share| most.min(ONE + share))
+    let max_attempts = limits.max_attempts.value * ONE_IN_THOUSANDTHS;
+    limits.retry_budget.value.map_or(max_attempts, |share| max_attempts.min(ONE_IN_THOUSANDTHS + share))
 }
 
 fn from_thousandths(thousandths: u64) -> f64 {
-    thousandths as f64 / ONE as f64
+    thousandths as f64 / ONE_IN_THOUSANDTHS as f64
 }
--- a/crates/limits/src/check/values.rs
+++ b/crates/limits/src/check/values.rs
@@ -1,17 +1,18 @@
-//! Values that make no sense by themselves, whatever the platform allows.
+//! Reports values that are invalid on their own, whatever the platform allows.
 
 use crate::error::ErrorList;
 use crate::operator::{LimitOverrides, Located, UncheckedLimits};
 use chalkwalk_time::Span;
 use std::ops::Range;
 
-/// The shortest time that may be set: below it no response comes over any network.
-const SHORTEST: Span = Span::from_millis(1);
-/// Thousandths of responses after which a request may be hedged. Below half, most requests would be
-/// hedged; all is never reached.
-const HEDGE_AFTER: Range<u64> = 500..1000;
-/// The highest share of retries, in thousandths of first attempts. More is a slip in writing.
-const MAX_RETRY_BUDGET: u64 = 5000;
+/// The shortest time that may be set. No response arrives over a network in less.
+const MIN_TIME: Span = Span::from_millis(1);
+/// The shares of responses, in thousandths, after which a request may be hedged. Below a half, most
+/// requests would be hedged; no attempt takes longer than all responses, so 1000 is excluded.
+const HEDGE_AFTER_RANGE_PERMILLE: Range<u64> = 500..1000;
+/// The highest share of retries, in thousandths of the first attempts. A higher value is taken for
+/// a typing error.
+const MAX_RETRY_BUDGET_PERMILLE: u64 = 5000;
 
 pub(crate) fn check(limits: &UncheckedLimits, errors: &mut ErrorList) {
     let classes = limits.classes.iter().map(|class| &class.overrides);
@@ -30,9 +31,9 @@
         ("shot_wait_ms", overrides.attempt_timeout),
     ];
     for (key, time) in times {
-        if let Some(Located { line, .. }) = time.filter(|time| time.value < SHORTEST) {
-            let shortest = SHORTEST.as_millis_f64();
-            errors.add(line, format!("{key} is below {shortest} ms, in which no answer comes"));
+        if let Some(Located { line, .. }) = time.filter(|time| time.value < MIN_TIME) {
+            let min_time_ms = MIN_TIME.as_millis_f64();
+            errors.add(line, format!("{key} is below {min_time_ms} ms, too short for any response"));
         }
     }
 }
@@ -51,12 +52,13 @@
 }
 
 fn check_shares(overrides: &LimitOverrides, errors: &mut ErrorList) {
-    let hedge_after = overrides.hedge_after.filter(|share| !HEDGE_AFTER.contains(&share.value));
+    let hedge_after =
+        overrides.hedge_after.filter(|share| !HEDGE_AFTER_RANGE_PERMILLE.contains(&share.value));
     if let Some(Located { line, .. }) = hedge_after {
-        errors.add(line, "copies_after is a share of the answers, from 0.5 to 0.999".into());
+        errors.add(line, "copies_after must be a share of the responses from 0.5 to 0.999".into());
     }
-    let retry_budget = overrides.retry_budget.filter(|share| share.value > MAX_RETRY_BUDGET);
+    let retry_budget = overrides.retry_budget.filter(|share| share.value > MAX_RETRY_BUDGET_PERMILLE);
     if let Some(Located { line, .. }) = retry_budget {
-        errors.add(line, "further_shots is a share of the first attempts, from 0 to 5".into());
+        errors.add(line, "further_shots must be a share of the first attempts from 0 to 5".into());
     }
 }
--- a/crates/limits/src/effective.rs
+++ b/crates/limits/src/effective.rs
@@ -1,25 +1,25 @@
-//! Which limits apply to the requests of one class, and who set each.
+//! The limits that apply to the requests of one class, and who set each of them.
 
 use crate::operator::{LimitOverrides, Located};
 use crate::platform::{Idempotency, Namespace, PlatformLimits};
 use chalkwalk_time::Span;
 use std::fmt;
 
-/// Who set a limit. The operator's are named with the line of the file.
+/// Who set a limit. The variants for the operator's file hold the line.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LimitSource {
-    /// The platform, as no operator did.
+    /// The platform; the operator's file does not set the limit.
     Platform,
-    /// The file's defaults.
+    /// The defaults of the operator's file.
     Defaults(usize),
-    /// A class, by its namespace.
+    /// The class of the namespace with this name.
     Class(String, usize),
-    /// A route, by its name.
+    /// The route with this name.
     Route(String, usize),
 }
 
 impl LimitSource {
-    /// The line of the operator's file, if it is from there.
+    /// The line of the operator's file, if the limit is set there.
     pub(crate) fn line(&self) -> Option<usize> {
         match self {
             LimitSource::Platform => None,
@@ -43,66 +43,67 @@
 
 /// A limit that applies, and who set it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Effective<T> {
+pub struct EffectiveLimit<T> {
     /// The limit.
     pub value: T,
     /// Who set it.
     pub source: LimitSource,
 }
 
-/// The limits of one class of requests.
+/// The limits that apply to one class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Within which a request has its final response.
-    pub time_limit: Effective<Span>,
-    /// Within which a response is worth most to the client.
-    pub latency_objective: Effective<Span>,
-    /// Attempts for one request, the first included.
-    pub max_attempts: Effective<u64>,
-    /// How long a single attempt is waited for. `None`: up to the time limit.
-    pub attempt_timeout: Effective<Option<Span>>,
+    /// Time within which a request must get its final response.
+    pub time_limit: EffectiveLimit<Span>,
+    /// Response time up to which a response has its full value to the client.
+    pub latency_objective: EffectiveLimit<Span>,
+    /// Maximum number of attempts for one request, including the first.
+    pub max_attempts: EffectiveLimit<u64>,
+    /// How long the proxy waits for the response to a single attempt. `None`: up to the time limit.
+    pub attempt_timeout: EffectiveLimit<Option<Span>>,
     /// Whether requests may be hedged.
-    pub hedging: Effective<bool>,
-    /// After what share of responses, in thousandths, a request is hedged. `None`: only where a
-    /// server is silent or an attempt lost.
-    pub hedge_after: Effective<Option<u64>>,
-    /// Retries, in thousandths of first attempts. `None`: the balancer's own budget for all
-    /// classes.
-    pub retry_budget: Effective<Option<u64>>,
-    /// Requests in flight at once. `None`: as many as come.
-    pub max_in_flight: Effective<Option<u64>>,
-    /// Of a request's body, in bytes.
-    pub max_body_bytes: Effective<u64>,
+    pub hedging: EffectiveLimit<bool>,
+    /// A hedged request is sent once an attempt has taken longer than this share of all responses,
+    /// in thousandths. `None`: only if a server is silent or an attempt is lost.
+    pub hedge_after: EffectiveLimit<Option<u64>>,
+    /// Retries allowed, in thousandths of the first attempts. `None`: the class uses the balancer's
+    /// budget, which is shared between classes.
+    pub retry_budget: EffectiveLimit<Option<u64>>,
+    /// Maximum number of requests in flight at once. `None`: no limit.
+    pub max_in_flight: EffectiveLimit<Option<u64>>,
+    /// Maximum size of a request body, in bytes.
+    pub max_body_bytes: EffectiveLimit<u64>,
 }
 
 impl Limits {
-    /// The platform's limits for a namespace, with an operator's in their place where they are set.
-    pub(crate) fn of(platform: &PlatformLimits, namespace: &Namespace, scopes: &[Scope]) -> Limits {
-        let time_limit = effective(scopes, namespace.time_limit, |set| set.time_limit);
+    /// The limits for a namespace: the operator's where they are set, the platform's otherwise.
+    pub(crate) fn resolve(platform: &PlatformLimits, namespace: &Namespace, scopes: &[Scope]) -> Limits {
+        let time_limit = resolve_limit(scopes, namespace.time_limit, |limits| limits.time_limit);
         let mut latency_objective =
-            effective(scopes, namespace.latency_objective, |set| set.latency_objective);
+            resolve_limit(scopes, namespace.latency_objective, |limits| limits.latency_objective);
         let platform_objective = latency_objective.source == LimitSource::Platform;
         if platform_objective && latency_objective.value > time_limit.value {
-            // A shorter time limit shortens the platform's objective with it.
+            // The platform's objective is lowered to the operator's shorter time limit.
             latency_objective = time_limit.clone();
         }
-        // Only requests that may run twice are hedged, whatever wider scopes allow.
+        // By default only requests that may run twice are hedged, even if the platform allows
+        // hedging.
         let hedging = platform.hedging && namespace.idempotency == Idempotency::Replayable;
         Limits {
             time_limit,
             latency_objective,
-            max_attempts: effective(scopes, platform.max_attempts, |set| set.max_attempts),
-            attempt_timeout: effective(scopes, None, |set| optional(set.attempt_timeout)),
-            hedging: effective(scopes, hedging, |set| set.hedging),
-            hedge_after: effective(scopes, None, |set| optional(set.hedge_after)),
-            retry_budget: effective(scopes, None, |set| optional(set.retry_budget)),
-            max_in_flight: effective(scopes, None, |set| optional(set.max_in_flight)),
-            max_body_bytes: effective(scopes, platform.max_body_bytes, |set| set.max_body_bytes),
+            max_attempts: resolve_limit(scopes, platform.max_attempts, |limits| limits.max_attempts),
+            attempt_timeout: resolve_limit(scopes, None, |limits| wrap_value(limits.attempt_timeout)),
+            hedging: resolve_limit(scopes, hedging, |limits| limits.hedging),
+            hedge_after: resolve_limit(scopes, None, |limits| wrap_value(limits.hedge_after)),
+            retry_budget: resolve_limit(scopes, None, |limits| wrap_value(limits.retry_budget)),
+            max_in_flight: resolve_limit(scopes, None, |limits| wrap_value(limits.max_in_flight)),
+            max_body_bytes: resolve_limit(scopes, platform.max_body_bytes, |limits| limits.max_body_bytes),
         }
     }
 }
 
-/// Limits that an operator sets for some requests.
+/// The limits that an operator sets in one part of the file.
 pub(crate) struct Scope<'a> {
     pub overrides: &'a LimitOverrides,
     pub kind: ScopeKind<'a>,
@@ -125,21 +126,22 @@
     }
 }
 
-/// The limit of the narrowest scope that sets it, or the platform's. `scopes` go from the widest to
-/// the narrowest.
-fn effective<T: Copy>(
+/// The value of the narrowest scope that sets the limit, or else the platform's. `scopes` are
+/// ordered from the widest to the narrowest.
+fn resolve_limit<T: Copy>(
     scopes: &[Scope],
-    platform: T,
+    platform_value: T,
     limit: impl Fn(&LimitOverrides) -> Option<Located<T>>,
-) -> Effective<T> {
+) -> EffectiveLimit<T> {
     let narrowest = scopes.iter().rev().find_map(|scope| {
         let Located { value, line } = limit(scope.overrides)?;
-        Some(Effective { value, source: scope.kind.source(line) })
+        Some(EffectiveLimit { value, source: scope.kind.source(line) })
     });
-    narrowest.unwrap_or(Effective { value: platform, source: LimitSource::Platform })
+    narrowest.unwrap_or(EffectiveLimit { value: platform_value, source: LimitSource::Platform })
 }
 
-/// For limits that the platform does not have.
-fn optional<T>(set: Option<Located<T>>) -> Option<Located<Option<T>>> {
-    set.map(|located| located.map(Some))
+/// Wraps the value of a limit that the platform does not have: there, the platform's value is
+/// `None`.
+fn wrap_value<T>(limit: Option<Located<T>>) -> Option<Located<Option<T>>> {
+    limit.map(|located| located.map(Some))
 }
--- a/crates/limits/src/error.rs
+++ b/crates/limits/src/error.rs
@@ -1,13 +1,13 @@
-//! What is wrong with an operator's file, by line.
+//! Errors in an operator's file.
 
 use std::fmt;
 
-/// One thing that is wrong. Ordered by line, so that a file's errors read from its top to its end.
+/// One error in an operator's file. Errors are ordered by line.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConfigError {
-    /// The line to change, counted from 1.
+    /// The line to correct, counted from 1.
     pub line: usize,
-    /// What is wrong with it.
+    /// What is wrong with this line.
     pub message: String,
 }
 
@@ -19,7 +19,7 @@
 
 impl std::error::Error for ConfigError {}
 
-/// Errors as they are found, in any order and some twice.
+/// Errors in the order in which they are found; the same error may be found several times.
 #[derive(Default)]
 pub(crate) struct ErrorList(Vec<ConfigError>);
 
@@ -28,7 +28,7 @@
         self.0.push(ConfigError { line, message });
     }
 
-    /// Each error once, by line.
+    /// Each error once, ordered by line.
     pub fn into_sorted(self) -> Vec<ConfigError> {
         let ErrorList(mut errors) = self;
         errors.sort();
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -1,18 +1,19 @@
 //! Limits by request class: time limits, attempts, hedged requests, retry budgets.
 //!
-//! An operator's limits are checked against the platform's before any of them is used, and all
-//! errors are reported at once. What is accepted keeps the platform's limits by construction.
+//! The operator's limits are checked against the platform's before any of them is used, and all
+//! errors are reported at once. A `LimitTable` is built only from limits that passed the check, or
+//! from the platform's alone, so that it always keeps the platform's limits.
 //!
-//! - `operator` holds an operator's limits as they are written, `platform` what the platform
-//!   allows.
+//! - `operator` holds the operator's limits as they are written in the file, `platform` the
+//!   platform's limits.
 //! - `check` compares the two, rule by rule.
-//! - `effective` is which limits apply to a class and who set each, `table` which class a request
-//!   is of, `route_match` which requests a route is for.
-//! - `budget` counts retries against a share of first attempts, of all classes (`token_bucket`) or
-//!   of one (`sliding_window`).
+//! - `effective` determines which limits apply to a request class and who set each of them, `table`
+//!   finds the class of a request, `route_match` tells whether a route matches a request.
+//! - `budget` limits retries to a share of the first attempts: of all classes together
+//!   (`token_bucket`) or of a single class (`sliding_window`).
 //!
-//! No socket, file or clock is used here. Times are in ticks of a tenth of a millisecond, shares in
-//! whole thousandths.
+//! This crate uses no sockets, files or clocks. Times are in ticks of 0.1 ms, shares in whole
+//! thousandths.
 
 mod budget;
 mod check;
@@ -27,7 +28,7 @@
 
 pub use budget::RetryBudget;
 pub use check::check;
-pub use effective::{Effective, LimitSource, Limits};
+pub use effective::{EffectiveLimit, LimitSource, Limits};
 pub use error::ConfigError;
 pub use operator::{
     ClassOverrides, ClientRetries, LimitOverrides, Located, Route, RouteMatch, UncheckedLimits,
--- a/crates/limits/src/operator.rs
+++ b/crates/limits/src/operator.rs
@@ -1,105 +1,106 @@
-//! An operator's limits as they stand in the file: nothing of them is checked yet.
+//! An operator's limits as they are written in the file, before they are checked.
 
 use chalkwalk_time::Span;
 
-/// A value and the line of the file that it stands in.
+/// A value and the line of the file where it is set.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Located<T> {
     /// The value.
     pub value: T,
-    /// Its line, counted from 1.
+    /// The line of the file, counted from 1.
     pub line: usize,
 }
 
 impl<T> Located<T> {
-    /// A value in a line.
+    /// Creates a value with its line.
     pub fn new(value: T, line: usize) -> Located<T> {
         Located { value, line }
     }
 
-    /// The value converted, still in its line.
+    /// Converts the value and keeps its line.
     pub fn map<U>(self, convert: impl FnOnce(T) -> U) -> Located<U> {
         Located::new(convert(self.value), self.line)
     }
 }
 
-/// The limits that may be set; where one is not, that of the next wider scope applies.
+/// The limits that an operator may set in one scope. For a limit that is not set, that of the next
+/// wider scope applies.
 #[derive(Clone, Debug, Default)]
 pub struct LimitOverrides {
-    /// Within which a request has its final response.
+    /// Time within which a request must get its final response.
     pub time_limit: Option<Located<Span>>,
-    /// Within which a response is worth most to the client.
+    /// Response time up to which a response has its full value to the client.
     pub latency_objective: Option<Located<Span>>,
-    /// Attempts for one request, the first included.
+    /// Maximum number of attempts for one request, including the first.
     pub max_attempts: Option<Located<u64>>,
-    /// How long a single attempt is waited for.
+    /// How long the proxy waits for the response to a single attempt.
     pub attempt_timeout: Option<Located<Span>>,
     /// Whether requests may be hedged.
     pub hedging: Option<Located<bool>>,
-    /// A hedged request is sent once an attempt takes longer than so many thousandths of all
-    /// responses did.
+    /// A hedged request is sent once an attempt has taken longer than this share of all responses,
+    /// in thousandths.
     pub hedge_after: Option<Located<u64>>,
-    /// Retries, in thousandths of first attempts, over a sliding time.
+    /// Retries allowed within a sliding window, in thousandths of the first attempts.
     pub retry_budget: Option<Located<u64>>,
-    /// Requests of this class in flight at once.
+    /// Maximum number of requests of the class that are in flight at once.
     pub max_in_flight: Option<Located<u64>>,
-    /// Of a request's body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: Option<Located<u64>>,
 }
 
-/// Which requests a route is for: those that meet every condition that is set.
+/// The conditions of a route. A route matches the requests that meet every condition that is set.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RouteMatch {
-    /// What the path begins with.
-    pub path: Option<String>,
+    /// Prefix of the request's path.
+    pub path_prefix: Option<String>,
     /// The request's namespace.
     pub namespace: Option<String>,
     /// The request's tenant.
     pub tenant: Option<String>,
-    /// The frontend that it came by.
+    /// The frontend that received the request.
     pub frontend: Option<String>,
 }
 
-/// Limits for the requests that match.
+/// Limits for the requests that match the route's conditions.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// Unique in the file.
+    /// The route's name, unique in the file.
     pub name: String,
-    /// The line that it begins at.
+    /// The line of the file where the route begins.
     pub line: usize,
-    /// Which requests it is for.
-    pub matches: RouteMatch,
-    /// Their limits.
+    /// Which requests the route matches.
+    pub conditions: RouteMatch,
+    /// The limits for these requests.
     pub overrides: LimitOverrides,
 }
 
 /// Limits for the requests of one namespace.
 #[derive(Clone, Debug)]
 pub struct ClassOverrides {
-    /// The namespace's name.
+    /// The name of the namespace.
     pub namespace: Located<String>,
-    /// Its limits.
+    /// The limits for its requests.
     pub overrides: LimitOverrides,
 }
 
-/// Retries that clients make by themselves.
+/// Retries that clients make on their own, in addition to the proxy's.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientRetries {
-    /// Requests that a client sends for the same, the first included.
+    /// Number of times that a client sends the same request, including the first.
     pub tries: Located<u64>,
-    /// How many attempts they may all come to, in thousandths.
+    /// Maximum number of attempts for all of these requests together, in thousandths.
     pub max_amplification: Located<u64>,
 }
 
-/// All that an operator sets, unchecked.
+/// All limits that an operator sets, before they are checked.
 #[derive(Clone, Debug, Default)]
 pub struct UncheckedLimits {
-    /// For all requests.
+    /// Limits for all requests.
     pub defaults: LimitOverrides,
-    /// For single namespaces.
+    /// Limits for single namespaces.
     pub classes: Vec<ClassOverrides>,
-    /// For requests that match. The first that does applies.
+    /// Limits for the requests that a route matches. The first route that matches applies.
     pub routes: Vec<Route>,
-    /// What clients do by themselves, where the operator states it.
+    /// The clients' own retries, if the operator states them.
     pub clients: Option<ClientRetries>,
 }
--- a/crates/limits/src/platform.rs
+++ b/crates/limits/src/platform.rs
@@ -1,48 +1,49 @@
-//! What the platform allows: an operator's limits have to keep to it.
+//! The platform's limits, which an operator's limits must not exceed.
 
 use chalkwalk_time::Span;
 
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may be repeated as often as one likes.
+    /// The request may be repeated any number of times.
     Replayable,
-    /// It carries an idempotency key, by which servers drop repeats for some time.
+    /// The request carries an idempotency key, by which servers drop repeats for a limited time,
+    /// the namespace's `dedup_window`.
     Tagged,
-    /// It must run once at the most.
+    /// The request must not run more than once.
     SingleUse,
 }
 
-/// A namespace's limits by the platform.
+/// The platform's limits for the requests of one namespace.
 #[derive(Clone, Debug)]
 pub struct Namespace {
-    /// Its name.
+    /// The name of the namespace.
     pub name: String,
-    /// Within which a request has its final response.
+    /// Time within which a request must get its final response.
     pub time_limit: Span,
-    /// Within which a response is worth most to the client.
+    /// Response time up to which a response has its full value to the client.
     pub latency_objective: Span,
-    /// Whether its requests may run more than once.
+    /// Whether the namespace's requests may run more than once.
     pub idempotency: Idempotency,
-    /// For how long servers drop repeats of a tagged request.
+    /// How long servers drop repeats of a tagged request.
     pub dedup_window: Span,
 }
 
 /// The platform's limits.
 #[derive(Clone, Debug, Default)]
 pub struct PlatformLimits {
-    /// Attempts for one request, the first included.
+    /// Maximum number of attempts for one request, including the first.
     pub max_attempts: u64,
-    /// Whether requests may be hedged at all.
+    /// Whether requests may be hedged, in any namespace.
     pub hedging: bool,
-    /// Within which a connection to a server has to come up.
+    /// Time within which a connection to a server must be established.
     pub connect_time: Span,
-    /// Of a request's body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: u64,
-    /// The namespaces; each one's index is its number.
+    /// The namespaces; elsewhere a namespace is referred to by its index in this list.
     pub namespaces: Vec<Namespace>,
-    /// Empty where the platform names none: then any may be named.
+    /// Names of the tenants. If the list is empty, routes may name any tenant.
     pub tenants: Vec<String>,
-    /// The frontends of this program. Empty where they are not known: then any may be named.
+    /// Names of this program's frontends. If the list is empty, routes may name any frontend.
     pub frontends: Vec<String>,
 }
--- a/crates/limits/src/route_match.rs
+++ b/crates/limits/src/route_match.rs
@@ -1,30 +1,32 @@
-//! Which requests a route is for.
+//! Which requests a route matches.
 
 use crate::operator::RouteMatch;
 use crate::table::RequestAttributes;
 
 impl RouteMatch {
-    /// Whether the route is for this request; `namespace` is the name of the request's.
+    /// Whether the request meets all conditions. `namespace` is the name of the request's
+    /// namespace.
     pub(crate) fn matches(&self, request: RequestAttributes, namespace: &str) -> bool {
-        let equal = |condition: &Option<String>, value: &str| {
+        let is_met = |condition: &Option<String>, value: &str| {
             condition.as_ref().is_none_or(|condition| condition == value)
         };
-        self.path.as_ref().is_none_or(|prefix| request.path.starts_with(prefix.as_str()))
-            && equal(&self.namespace, namespace)
-            && equal(&self.tenant, request.tenant)
-            && equal(&self.frontend, request.frontend)
+        self.path_prefix.as_ref().is_none_or(|prefix| request.path.starts_with(prefix.as_str()))
+            && is_met(&self.namespace, namespace)
+            && is_met(&self.tenant, request.tenant)
+            && is_met(&self.frontend, request.frontend)
     }
 
-    /// Whether it matches every request that another does.
+    /// Whether these conditions match every request that `other` matches.
     pub(crate) fn covers(&self, other: &RouteMatch) -> bool {
-        let wider = |own: &Option<String>, other: &Option<String>| own.is_none() || own == other;
-        let path = match (&self.path, &other.path) {
+        let covers_condition = |own: &Option<String>, other: &Option<String>| own.is_none() || own == other;
+        let covers_path = match (&self.path_prefix, &other.path_prefix) {
             (None, _) => true,
             (Some(own), Some(other)) => other.starts_with(own.as_str()),
             (Some(_), None) => false,
         };
-        path && wider(&self.namespace, &other.namespace)
-            && wider(&self.tenant, &other.tenant)
-            && wider(&self.frontend, &other.frontend)
+        covers_path
+            && covers_condition(&self.namespace, &other.namespace)
+            && covers_condition(&self.tenant, &other.tenant)
+            && covers_condition(&self.frontend, &other.frontend)
     }
 }
--- a/crates/limits/src/table.rs
+++ b/crates/limits/src/table.rs
@@ -1,35 +1,36 @@
-//! The classes of requests, each with its limits, and which class a request is of.
+//! The request classes with their limits, and the class that a request belongs to.
 
 use crate::effective::{Limits, Scope, ScopeKind};
 use crate::operator::{Route, RouteMatch, UncheckedLimits};
 use crate::platform::PlatformLimits;
 
-/// The requests of one namespace that one route is for, or that none is.
+/// A class of requests: those of one namespace that a given route matches, or those that no route
+/// matches.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// The namespace's number.
+    /// Index of the namespace in the platform's list.
     pub namespace: usize,
-    /// The route, by its position in the file.
+    /// Index of the route in the file. `None`: requests that no route matches.
     pub route: Option<usize>,
-    /// The limits that apply.
+    /// The limits that apply to these requests.
     pub limits: Limits,
 }
 
-/// What is known of a request when it comes.
+/// What is known of a request when it arrives.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RequestAttributes<'a> {
-    /// The namespace's number.
+    /// Index of the namespace in the platform's list.
     pub namespace: usize,
-    /// The path, or the key.
+    /// The path of an HTTP request, the key of a RESP command.
     pub path: &'a str,
-    /// The tenant, empty where none is named.
+    /// The tenant's name, empty if the request has none.
     pub tenant: &'a str,
-    /// The frontend that it came by.
+    /// The frontend that received the request.
     pub frontend: &'a str,
 }
 
-/// All classes. Those of the namespaces alone come first, in the namespaces' order, so that a class
-/// without a route has the number of its namespace.
+/// All request classes. The classes without a route come first, in the namespaces' order, so that
+/// the index of such a class is that of its namespace.
 #[derive(Clone, Debug, Default)]
 pub struct LimitTable {
     classes: Vec<RequestClass>,
@@ -40,14 +41,15 @@
 #[derive(Clone, Debug)]
 struct RouteClasses {
     name: String,
-    matches: RouteMatch,
-    /// The route's class by namespace, `None` where it is for another one.
-    by_namespace: Vec<Option<usize>>,
+    conditions: RouteMatch,
+    /// The index of the route's class for each namespace, `None` if the route does not match
+    /// requests of the namespace.
+    class_by_namespace: Vec<Option<usize>>,
 }
 
 impl LimitTable {
-    /// The limits that apply by an operator's file, checked or not.
-    pub(crate) fn of(limits: &UncheckedLimits, platform: &PlatformLimits) -> LimitTable {
+    /// The classes and limits that result from an operator's file, whether it is valid or not.
+    pub(crate) fn build(limits: &UncheckedLimits, platform: &PlatformLimits) -> LimitTable {
         let mut table = LimitTable {
             namespaces: platform.namespaces.iter().map(|namespace| namespace.name.clone()).collect(),
             ..LimitTable::default()
@@ -61,28 +63,29 @@
         table
     }
 
-    /// The limits that apply where no operator sets any.
+    /// The limits that apply without an operator's file.
     pub fn from_settings(platform: &PlatformLimits) -> LimitTable {
-        LimitTable::of(&UncheckedLimits::default(), platform)
+        LimitTable::build(&UncheckedLimits::default(), platform)
     }
 
-    /// All classes, by number.
+    /// All classes, by index.
     pub fn classes(&self) -> &[RequestClass] {
         &self.classes
     }
 
-    /// The number of a request's class: that of the first route that is for it, or its namespace's.
+    /// The index of a request's class: the class of the first route that matches the request, or
+    /// that of the request's namespace.
     pub fn find(&self, request: RequestAttributes) -> usize {
         let namespace = self.namespaces.get(request.namespace).map_or("", String::as_str);
         let class = |route: &RouteClasses| {
-            let class = route.by_namespace.get(request.namespace).copied().flatten();
-            class.filter(|_| route.matches.matches(request, namespace))
+            let class = route.class_by_namespace.get(request.namespace).copied().flatten();
+            class.filter(|_| route.conditions.matches(request, namespace))
         };
         self.routes.iter().find_map(class).unwrap_or(request.namespace)
     }
 
-    /// The name of a class's route.
-    pub fn route_of(&self, class: usize) -> Option<&str> {
+    /// The name of a class's route, if the class has one.
+    pub fn route_name(&self, class: usize) -> Option<&str> {
         self.classes[class].route.map(|route| self.routes[route].name.as_str())
     }
 
@@ -93,18 +96,18 @@
         index: usize,
         route: &Route,
     ) {
-        let mut by_namespace = vec![None; platform.namespaces.len()];
-        for (namespace, class) in by_namespace.iter_mut().enumerate() {
+        let mut class_by_namespace = vec![None; platform.namespaces.len()];
+        for (namespace, class) in class_by_namespace.iter_mut().enumerate() {
             let name = &platform.namespaces[namespace].name;
-            if route.matches.namespace.as_ref().is_none_or(|namespace| namespace == name) {
+            if route.conditions.namespace.as_ref().is_none_or(|namespace| namespace == name) {
                 *class = Some(self.add_class(limits, platform, namespace, Some(index)));
             }
         }
-        let (name, matches) = (route.name.clone(), route.matches.clone());
-        self.routes.push(RouteClasses { name, matches, by_namespace });
+        let (name, conditions) = (route.name.clone(), route.conditions.clone());
+        self.routes.push(RouteClasses { name, conditions, class_by_namespace });
     }
 
-    /// Adds the class of a namespace, or of a route in it, and returns its number.
+    /// Adds the class of a namespace, or of a route within the namespace, and returns its index.
     fn add_class(
         &mut self,
         limits: &UncheckedLimits,
@@ -112,8 +115,8 @@
         namespace: usize,
         route: Option<usize>,
     ) -> usize {
-        let of_platform = &platform.namespaces[namespace];
-        let name = of_platform.name.as_str();
+        let platform_namespace = &platform.namespaces[namespace];
+        let name = platform_namespace.name.as_str();
         let mut scopes = vec![Scope { overrides: &limits.defaults, kind: ScopeKind::Defaults }];
         let class = limits.classes.iter().find(|class| class.namespace.value == name);
         scopes.extend(class.map(|class| Scope { overrides: &class.overrides, kind: ScopeKind::Class(name) }));
@@ -122,7 +125,7 @@
             route_scope
                 .map(|route| Scope { overrides: &route.overrides, kind: ScopeKind::Route(&route.name) }),
         );
-        let limits = Limits::of(platform, of_platform, &scopes);
+        let limits = Limits::resolve(platform, platform_namespace, &scopes);
         self.classes.push(RequestClass { namespace, route, limits });
         self.classes.len() - 1
     }
--- a/crates/limits/src/token_bucket.rs
+++ b/crates/limits/src/token_bucket.rs
@@ -1,18 +1,21 @@
-//! The retry budget that all classes without one of their own share: first attempts earn tokens,
-//! retries cost them.
+//! The retry budget that is shared by all classes without a budget of their own: a token bucket
+//! that first attempts fill and retries empty.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A fifth of all requests may be sent once more, and a few dozen in a row: enough for a server
-/// that fails until it is ejected, too little for a retry storm. A token is a tenth of an attempt:
-/// what a first attempt earns, what a retry costs, how many there are at first, and the most.
-const EARNED_BY_FIRST_ATTEMPT: u64 = 2;
-const COST_OF_RETRY: u64 = 10;
+// A token is a tenth of an attempt. The values allow retries for a fifth of all requests, and a few
+// dozen retries in a row: enough while a failing server is not ejected yet, too few for a retry
+// storm.
+
+/// Tokens that a first attempt adds.
+const TOKENS_PER_FIRST_ATTEMPT: u64 = 2;
+/// Tokens that a retry removes.
+const TOKENS_PER_RETRY: u64 = 10;
 const INITIAL_TOKENS: u64 = 50;
 const MAX_TOKENS: u64 = 400;
 
-/// Tokens that every clone shares.
+/// A count of tokens that all clones share.
 #[derive(Clone, Debug)]
 pub(crate) struct TokenBucket(Rc<Cell<u64>>);
 
@@ -22,15 +25,15 @@
     }
 
     pub fn record_first_attempt(&self) {
-        self.0.set((self.0.get() + EARNED_BY_FIRST_ATTEMPT).min(MAX_TOKENS));
+        self.0.set((self.0.get() + TOKENS_PER_FIRST_ATTEMPT).min(MAX_TOKENS));
     }
 
     pub fn allows_retry(&self) -> bool {
-        self.0.get() >= COST_OF_RETRY
+        self.0.get() >= TOKENS_PER_RETRY
     }
 
     pub fn record_retry(&self) {
-        self.0.set(self.0.get().saturating_sub(COST_OF_RETRY));
+        self.0.set(self.0.get().saturating_sub(TOKENS_PER_RETRY));
     }
 
     pub fn tokens(&self) -> u64 {
--- a/crates/limits/tests/accepted.rs
+++ b/crates/limits/tests/accepted.rs
@@ -1,8 +1,9 @@
-//! Whatever is accepted keeps the platform's settings; whatever breaks one is refused.
+//! Limits that the check accepts never exceed the platform's; others are rejected with the lines
+//! to correct.
 
 use chalkwalk_limits::{
-    ClassOverrides, ClientRetries, Effective, Idempotency, LimitOverrides, LimitSource, Located, Namespace,
-    PlatformLimits, RequestAttributes, Route, RouteMatch, UncheckedLimits, check,
+    ClassOverrides, ClientRetries, EffectiveLimit, Idempotency, LimitOverrides, LimitSource, Located,
+    Namespace, PlatformLimits, RequestAttributes, Route, RouteMatch, UncheckedLimits, check,
 };
 use chalkwalk_time::Span;
 use proptest::option::of;
@@ -49,9 +50,9 @@
             move |(
                 (time_limit, latency_objective, max_attempts, attempt_timeout),
                 (hedging, hedge_after, retry_budget),
-                rest,
+                capacity,
             )| {
-                let (max_in_flight, max_body_bytes) = rest;
+                let (max_in_flight, max_body_bytes) = capacity;
                 LimitOverrides {
                     time_limit: span(time_limit),
                     latency_objective: span(latency_objective),
@@ -67,7 +68,7 @@
         )
 }
 
-fn name() -> impl Strategy<Value = Option<String>> {
+fn namespace_name() -> impl Strategy<Value = Option<String>> {
     of(prop_oneof![Just("page"), Just("record"), Just("once")].prop_map(String::from))
 }
 
@@ -78,7 +79,7 @@
             overrides,
         })
     };
-    let route = (of("/[ab]{0,2}"), name(), overrides());
+    let route = (of("/[ab]{0,2}"), namespace_name(), overrides());
     let clients = of((1u64..5, 500u64..9000));
     (overrides(), of(class("page")), of(class("record")), proptest::collection::vec(route, 0..3), clients)
         .prop_map(|(defaults, page, record, routes, clients)| UncheckedLimits {
@@ -87,22 +88,22 @@
             routes: routes
                 .into_iter()
                 .enumerate()
-                .map(|(i, (path, namespace, overrides))| Route {
+                .map(|(i, (path_prefix, namespace, overrides))| Route {
                     name: format!("r{i}"),
                     line: 70 + i,
-                    matches: RouteMatch { path, namespace, ..RouteMatch::default() },
+                    conditions: RouteMatch { path_prefix, namespace, ..RouteMatch::default() },
                     overrides,
                 })
                 .collect(),
-            clients: clients.map(|(tries, most)| ClientRetries {
+            clients: clients.map(|(tries, max_amplification)| ClientRetries {
                 tries: Located::new(tries, 90),
-                max_amplification: Located::new(most, 91),
+                max_amplification: Located::new(max_amplification, 91),
             }),
         })
 }
 
-/// What the operator set, as against what applies by the platform.
-fn set<T: Copy>(limit: &Effective<T>) -> Option<T> {
+/// The value of a limit that the operator's file sets, `None` for a limit of the platform.
+fn operator_value<T: Copy>(limit: &EffectiveLimit<T>) -> Option<T> {
     (limit.source != LimitSource::Platform).then_some(limit.value)
 }
 
@@ -110,7 +111,7 @@
     #![proptest_config(ProptestConfig { cases: 4000, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
     #[test]
-    fn what_is_accepted_keeps_the_rules(unchecked in unchecked_limits()) {
+    fn accepted_limits_keep_the_platforms_limits(unchecked in unchecked_limits()) {
         let platform_limits = platform_limits();
         let Ok(table) = check(&unchecked, &platform_limits) else { return Ok(()) };
         for class in table.classes() {
@@ -121,11 +122,16 @@
             prop_assert!(limits.max_body_bytes.value <= platform_limits.max_body_bytes);
             prop_assert!(!limits.hedging.value || namespace.idempotency == Idempotency::Replayable);
             prop_assert!(limits.max_in_flight.value != Some(0));
-            if let Some(wait) = limits.attempt_timeout.value {
-                let each = wait + platform_limits.connect_time;
-                prop_assert!(limits.max_attempts.value * each <= limits.time_limit.value);
-                prop_assert!(namespace.idempotency != Idempotency::Tagged || (limits.max_attempts.value - 1) * each <= namespace.dedup_window);
-            } else if namespace.idempotency == Idempotency::Tagged && set(&limits.max_attempts).is_some() {
+            if let Some(timeout) = limits.attempt_timeout.value {
+                let time_per_attempt = timeout + platform_limits.connect_time;
+                prop_assert!(limits.max_attempts.value * time_per_attempt <= limits.time_limit.value);
+                prop_assert!(
+                    namespace.idempotency != Idempotency::Tagged
+                        || (limits.max_attempts.value - 1) * time_per_attempt <= namespace.dedup_window
+                );
+            } else if namespace.idempotency == Idempotency::Tagged
+                && operator_value(&limits.max_attempts).is_some()
+            {
                 prop_assert!(limits.max_attempts.value == 1 || limits.time_limit.value <= namespace.dedup_window);
             }
             if let Some(share) = limits.retry_budget.value {
@@ -136,7 +142,7 @@
                 prop_assert!(attempts * clients.tries.value <= clients.max_amplification.value);
             }
         }
-        // Each request has a class, of its own namespace.
+        // Each request gets a class of its own namespace.
         for namespace in 0..platform_limits.namespaces.len() {
             for path in ["/", "/a", "/ab", "/bb/c", ""] {
                 let class = table.find(RequestAttributes { namespace, path, tenant: "", frontend: "" });
@@ -148,14 +154,14 @@
     #[test]
     fn errors_name_a_line_of_the_file(unchecked in unchecked_limits()) {
         if let Err(errors) = check(&unchecked, &platform_limits()) {
-            prop_assert!(!errors.is_empty() && errors.iter().all(|f| f.line > 0));
+            prop_assert!(!errors.is_empty() && errors.iter().all(|error| error.line > 0));
         }
     }
 }
 
 #[test]
-fn an_empty_file_changes_nothing() {
+fn an_empty_file_leaves_the_platforms_limits() {
     let table = check(&UncheckedLimits::default(), &platform_limits()).expect("an empty file");
-    assert!(table.classes().iter().all(|c| c.limits.time_limit
-        == Effective { value: Span::from_ticks(20_000), source: LimitSource::Platform }));
+    assert!(table.classes().iter().all(|class| class.limits.time_limit
+        == EffectiveLimit { value: Span::from_ticks(20_000), source: LimitSource::Platform }));
 }
--- a/crates/settings/src/convert.rs
+++ b/crates/settings/src/convert.rs
@@ -1,20 +1,20 @@
-//! One value of the wire in the notation of the settings map: numbers and ticks in decimal digits,
-//! flags as 0 or 1.
+//! Converts one JSON value to the notation of the settings map: numbers and ticks in decimal
+//! digits, flags as 0 or 1.
 
 use crate::fields::{FieldError, FieldResult};
-use crate::table::{Kind, WEIGHT_KINDS};
+use crate::table::{SettingKind, WEIGHT_KINDS};
 use serde_json::Value;
 
-/// A tick of the balancer's clock, a tenth of a millisecond.
+/// Length of a tick of the balancer's clock, 0.1 ms.
 const NANOSECONDS_PER_TICK: f64 = 1e5;
 
-/// The longest time, in nanoseconds: half a year, so that none added to a clock is beyond what it
-/// can represent.
-const LONGEST: f64 = 1.5e16;
+/// The longest time that is kept, about half a year. A longer one is reduced to it, so that a clock
+/// can represent the sum of its reading and any setting.
+const MAX_NANOSECONDS: f64 = 1.5e16;
 
-/// The name in the map of a kind of idempotency; other texts stay as they are.
-fn standard_idempotency(wire: &str) -> &str {
-    match wire {
+/// The map's name for a kind of idempotency. Other strings are returned unchanged.
+fn standard_idempotency(wire_name: &str) -> &str {
+    match wire_name {
         "free" => "replayable",
         "guarded" => "tagged",
         "single_shot" => "single-use",
@@ -22,35 +22,35 @@
     }
 }
 
-/// The value in the map's notation; `path` names the setting in the error.
-pub(crate) fn convert(value: &Value, path: &str, kind: Kind) -> FieldResult<String> {
-    let reader = Reader { value, path };
+/// Converts a value to the map's notation. `path` names the setting in an error.
+pub(crate) fn convert(value: &Value, path: &str, kind: SettingKind) -> FieldResult<String> {
+    let reader = SettingReader { value, path };
     match kind {
-        Kind::Number => reader.number().map(|n| n.to_string()),
-        Kind::NonNegativeNumber => reader.non_negative().map(|n| n.to_string()),
-        Kind::Duration => reader.number().map(|ns| ticks(ns).floor().to_string()),
-        Kind::TimeLimit => reader.number().map(|ns| {
-            let least = if ns > 0.0 { 1.0 } else { 0.0 };
-            ticks(ns).floor().max(least).to_string()
+        SettingKind::Number => reader.number().map(|n| n.to_string()),
+        SettingKind::NonNegativeNumber => reader.non_negative().map(|n| n.to_string()),
+        SettingKind::Duration => reader.number().map(|ns| ticks(ns).floor().to_string()),
+        SettingKind::TimeLimit => reader.number().map(|ns| {
+            let min_ticks = if ns > 0.0 { 1.0 } else { 0.0 };
+            ticks(ns).floor().max(min_ticks).to_string()
         }),
-        Kind::Wait => reader.number().map(|ns| ticks(ns).ceil().to_string()),
-        Kind::NonNegativeWait => reader.non_negative().map(|ns| ticks(ns).ceil().to_string()),
-        Kind::Flag => reader.flag().map(|flag| u8::from(flag).to_string()),
-        Kind::Text => reader.text().map(|text| standard_idempotency(text).to_string()),
-        Kind::Weights => reader.weight_kind().map(str::to_string),
+        SettingKind::Wait => reader.number().map(|ns| ticks(ns).ceil().to_string()),
+        SettingKind::NonNegativeWait => reader.non_negative().map(|ns| ticks(ns).ceil().to_string()),
+        SettingKind::Flag => reader.flag().map(|flag| u8::from(flag).to_string()),
+        SettingKind::Text => reader.text().map(|text| standard_idempotency(text).to_string()),
+        SettingKind::WeightKind => reader.weight_kind().map(str::to_string),
     }
 }
 
 fn ticks(nanoseconds: f64) -> f64 {
-    nanoseconds.min(LONGEST) / NANOSECONDS_PER_TICK
+    nanoseconds.min(MAX_NANOSECONDS) / NANOSECONDS_PER_TICK
 }
 
-struct Reader<'a> {
+struct SettingReader<'a> {
     value: &'a Value,
     path: &'a str,
 }
 
-impl<'a> Reader<'a> {
+impl<'a> SettingReader<'a> {
     fn unexpected(&self, expected: &'static str) -> FieldError {
         let field = format!("setting {}", self.path);
         FieldError::Unexpected { field, expected, found: self.value.to_string() }
@@ -72,7 +72,7 @@
     }
 
     fn text(&self) -> FieldResult<&'a str> {
-        self.value.as_str().ok_or_else(|| self.unexpected("a text"))
+        self.value.as_str().ok_or_else(|| self.unexpected("a string"))
     }
 
     fn weight_kind(&self) -> FieldResult<&'a str> {
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -1,36 +1,35 @@
-//! Reading fields out of JSON objects, with an error that says what was expected and what was
-//! found.
+//! Reads fields of JSON objects. Errors say what was expected and what was found.
 
 use serde_json::{Map, Value};
 use std::fmt;
 
-/// A JSON object, by its fields' names.
+/// A JSON object: its values by field name.
 pub type JsonObject = Map<String, Value>;
 
-/// What a field holds, or why it can't be read.
+/// The value of a field, or why it cannot be read.
 pub type FieldResult<T> = Result<T, FieldError>;
 
-/// Why a field can't be read. `field` says where it is, as in `field servers` or `setting
-/// zones[0].name`.
+/// Why a field cannot be read. `field` is the location of the field, such as `field servers` or
+/// `setting zones[0].name`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FieldError {
-    /// It is not there, and needed.
+    /// A required field is missing.
     Missing {
-        /// Where the field is expected.
+        /// The location of the missing field.
         field: String,
-        /// What is expected there.
+        /// The value that is expected.
         expected: &'static str,
     },
-    /// It is of another type, or out of bounds.
+    /// The value has the wrong type or is out of range.
     Unexpected {
-        /// Where the field is.
+        /// The location of the field.
         field: String,
-        /// What is expected there.
+        /// The value that is expected.
         expected: &'static str,
-        /// What is there, shortened.
+        /// The value that was found, which may be truncated.
         found: String,
     },
-    /// A rule of the reader's own does not hold.
+    /// The field violates another rule, which the message states.
     Invalid(String),
 }
 
@@ -60,35 +59,35 @@
     }
 }
 
-/// For callers whose own errors are texts for people.
+/// For callers whose own errors are plain messages.
 impl From<FieldError> for String {
     fn from(error: FieldError) -> String {
         error.to_string()
     }
 }
 
-/// How much of a value an error shows, in characters: enough to find it in a file, and no whole
-/// list on one line of the log.
-const SHOWN: usize = 60;
+/// Maximum length of a value in an error message, in characters: enough to find the value in a
+/// file, but short enough to keep a whole list out of a log line.
+const MAX_SHOWN_CHARS: usize = 60;
 
-fn shortened(value: &Value) -> String {
+fn truncated(value: &Value) -> String {
     let text = value.to_string();
-    match text.char_indices().nth(SHOWN) {
-        Some((cut, _)) => format!("{}...", &text[..cut]),
+    match text.char_indices().nth(MAX_SHOWN_CHARS) {
+        Some((end, _)) => format!("{}...", &text[..end]),
         None => text,
     }
 }
 
-/// The value as an object; `field` names it in the error.
+/// Returns the value as an object. `field` is its location in an error.
 pub fn object<'a>(value: &'a Value, field: &str) -> FieldResult<&'a JsonObject> {
     value.as_object().ok_or_else(|| FieldError::Unexpected {
         field: field.to_string(),
         expected: "an object",
-        found: shortened(value),
+        found: truncated(value),
     })
 }
 
-/// The field, if it is there and not null, read by `convert`.
+/// Reads a field with `convert`. A missing or null field is `None`.
 fn optional<'a, T>(
     object: &'a JsonObject,
     name: &str,
@@ -97,7 +96,7 @@
 ) -> FieldResult<Option<T>> {
     let Some(value) = object.get(name).filter(|value| !value.is_null()) else { return Ok(None) };
     let unexpected =
-        || FieldError::Unexpected { field: format!("field {name}"), expected, found: shortened(value) };
+        || FieldError::Unexpected { field: format!("field {name}"), expected, found: truncated(value) };
     convert(value).map(Some).ok_or_else(unexpected)
 }
 
@@ -106,45 +105,45 @@
 }
 
 const INTEGER: &str = "a whole number";
-const TEXT: &str = "a text";
+const TEXT: &str = "a string";
 const ARRAY: &str = "an array";
 
-/// A whole number from 0 on, or `default` where the field is missing.
+/// Reads a whole number that is not negative. A missing field is `default`.
 pub fn integer_or(object: &JsonObject, name: &str, default: u64) -> FieldResult<u64> {
     Ok(optional(object, name, INTEGER, Value::as_u64)?.unwrap_or(default))
 }
 
-/// A whole number from 0 on.
+/// Reads a whole number that is not negative.
 pub fn integer(object: &JsonObject, name: &str) -> FieldResult<u64> {
     required(optional(object, name, INTEGER, Value::as_u64)?, name, INTEGER)
 }
 
-/// Bounds of a relative size, wider than any fleet's machines differ.
-const SIZES: std::ops::RangeInclusive<f64> = 0.01..=10_000.0;
+/// Range of relative server sizes, wider than the differences between the machines of any fleet.
+const SIZE_RANGE: std::ops::RangeInclusive<f64> = 0.01..=10_000.0;
 
-/// A server's relative size in hundredths, one where the field is missing. What is beyond the
-/// bounds is taken as the bound, as no list is to be lost over a strange one.
+/// Reads a server's relative size and returns it in hundredths. A missing field is a size of 1. A
+/// size out of range is clamped, because one odd size must not invalidate the whole endpoint list.
 pub fn size_hundredths(object: &JsonObject, name: &str) -> FieldResult<u64> {
     let size = optional(object, name, "a number", Value::as_f64)?.unwrap_or(1.0);
-    Ok((size.clamp(*SIZES.start(), *SIZES.end()) * 100.0).round() as u64)
+    Ok((size.clamp(*SIZE_RANGE.start(), *SIZE_RANGE.end()) * 100.0).round() as u64)
 }
 
-/// True or false; false where the field is missing.
+/// Reads a boolean. A missing field is `false`.
 pub fn flag(object: &JsonObject, name: &str) -> FieldResult<bool> {
     Ok(optional(object, name, "true or false", Value::as_bool)?.unwrap_or(false))
 }
 
-/// A text, or `default` where the field is missing.
+/// Reads a string. A missing field is `default`.
 pub fn text_or<'a>(object: &'a JsonObject, name: &str, default: &'a str) -> FieldResult<&'a str> {
     Ok(optional(object, name, TEXT, Value::as_str)?.unwrap_or(default))
 }
 
-/// A text.
+/// Reads a string.
 pub fn text<'a>(object: &'a JsonObject, name: &str) -> FieldResult<&'a str> {
     required(optional(object, name, TEXT, Value::as_str)?, name, TEXT)
 }
 
-/// The items of an array.
+/// Reads an array and returns its items.
 pub fn list<'a>(object: &'a JsonObject, name: &str) -> FieldResult<&'a [Value]> {
     let array = optional(object, name, ARRAY, Value::as_array)?;
     required(array, name, ARRAY).map(Vec::as_slice)
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,4 +1,4 @@
-//! Settings of the wire read into the balancer's settings map.
+//! Reads the platform's settings into the balancer's settings map.
 //!
 //! The platform writes settings as a JSON object with nested fields and times in nanoseconds. The
 //! balancer reads a flat map from names to values, as in "namespace 0 target time", with times in
@@ -6,9 +6,9 @@
 //! not change.
 //!
 //! - `fields` reads single fields of JSON objects.
-//! - `table` lists the settings: path on the wire, name in the map, kind.
-//! - `convert` turns one value into the map's notation.
-//! - `read` goes through a whole object of settings.
+//! - `table` lists the settings: path in the JSON object, name in the map, kind.
+//! - `convert` converts one value to the map's notation.
+//! - `read` reads the whole settings object.
 
 mod convert;
 pub mod fields;
--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -1,17 +1,17 @@
-//! A whole object of settings, read into the map.
+//! Reads the platform's whole settings object into the settings map.
 
 use crate::convert::convert;
 use crate::fields::{FieldError, FieldResult, JsonObject, object, text_or};
-use crate::table::{GLOBAL, OF_NAMESPACE, OF_TENANT, Setting};
+use crate::table::{GLOBAL_SETTINGS, NAMESPACE_SETTINGS, Setting, TENANT_SETTINGS};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// The balancer's settings map, and the names that later events are looked up by, in the platform's
-/// order.
+/// The balancer's settings map, and the lists of names, in the platform's order, in which names of
+/// later events are looked up.
 pub struct PlatformSettings {
     /// The settings map.
     pub values: BTreeMap<String, String>,
-    /// Names of the namespaces; each one's index is its number in the map.
+    /// Names of the namespaces. The index of a namespace is its number in the map.
     pub namespaces: Vec<String>,
     /// Names of the tenants.
     pub tenants: Vec<String>,
@@ -21,10 +21,10 @@
     pub zones: Vec<String>,
 }
 
-/// Reads the platform's settings. The first field that can't be read is the error.
+/// Reads the platform's settings. The error is that of the first field that cannot be read.
 pub fn read(options: &JsonObject) -> FieldResult<PlatformSettings> {
     let mut map = SettingsMap::default();
-    map.copy(options, &GLOBAL, &Prefix::default())?;
+    map.copy(options, &GLOBAL_SETTINGS, &Prefix::default())?;
     let namespaces = map.copy_list(options, &NAMESPACES)?;
     map.check_ordered_namespaces(namespaces.len())?;
     let tenants = map.copy_list(options, &TENANTS)?;
@@ -37,25 +37,31 @@
     Ok(PlatformSettings { values: map.0, namespaces, tenants, kinds, zones })
 }
 
-/// A list of named things, each with settings of its own.
+/// A list in the platform's settings whose items have a name and settings of their own.
 struct NamedList {
-    /// The list's field on the wire.
+    /// The JSON field that holds the list.
     field: &'static str,
-    /// What the names of an item's settings begin with in the map, before its number.
-    item: &'static str,
-    /// The name of the list's length in the map.
-    count: &'static str,
+    /// Prefix of the names of an item's settings in the map; the item's number follows it.
+    name_prefix: &'static str,
+    /// The name in the map under which the length of the list is stored.
+    count_name: &'static str,
     settings: &'static [Setting],
 }
 
-const NAMESPACES: NamedList =
-    NamedList { field: "namespaces", item: "namespace", count: "namespaces", settings: &OF_NAMESPACE };
+const NAMESPACES: NamedList = NamedList {
+    field: "namespaces",
+    name_prefix: "namespace",
+    count_name: "namespaces",
+    settings: &NAMESPACE_SETTINGS,
+};
 const TENANTS: NamedList =
-    NamedList { field: "tenants", item: "tenant", count: "tenants", settings: &OF_TENANT };
-const KINDS: NamedList = NamedList { field: "kinds", item: "kind", count: "kinds", settings: &[] };
-const ZONES: NamedList = NamedList { field: "zones", item: "zone", count: "zones", settings: &[] };
+    NamedList { field: "tenants", name_prefix: "tenant", count_name: "tenants", settings: &TENANT_SETTINGS };
+const KINDS: NamedList =
+    NamedList { field: "kinds", name_prefix: "kind", count_name: "kinds", settings: &[] };
+const ZONES: NamedList =
+    NamedList { field: "zones", name_prefix: "zone", count_name: "zones", settings: &[] };
 
-/// What goes before the paths and names of an item's settings.
+/// The prefixes of the paths and names of an item's settings.
 #[derive(Default)]
 struct Prefix {
     path: String,
@@ -78,16 +84,17 @@
         self.0.get(name).is_some_and(|value| value == "1")
     }
 
-    /// Copies each setting that is there; one that is missing or null is left out of the map.
+    /// Copies each setting that `from` holds. A setting that is missing or null is left out of the
+    /// map.
     fn copy(&mut self, from: &JsonObject, settings: &[Setting], prefix: &Prefix) -> FieldResult<()> {
         for setting in settings {
             let (group, field) = setting.path.split_once('.').unwrap_or(("", setting.path));
-            let holder = match (group, from.get(group)) {
+            let parent = match (group, from.get(group)) {
                 ("", _) => from,
                 (_, Some(value)) => object(value, &format!("setting {group}"))?,
                 (_, None) => continue,
             };
-            if let Some(value) = present(holder, field) {
+            if let Some(value) = non_null_field(parent, field) {
                 let path = format!("{}{}", prefix.path, setting.path);
                 let name = format!("{}{}", prefix.name, setting.name);
                 self.0.insert(name, convert(value, &path, setting.kind)?);
@@ -98,7 +105,7 @@
 
     /// Copies the settings of each item of a list, and returns the items' names.
     fn copy_list(&mut self, options: &JsonObject, list: &NamedList) -> FieldResult<Vec<String>> {
-        let items = match present(options, list.field) {
+        let items = match non_null_field(options, list.field) {
             None => &[],
             Some(Value::Array(items)) => items.as_slice(),
             Some(other) => {
@@ -106,38 +113,44 @@
                 return Err(FieldError::Unexpected { field, expected: "an array", found: other.to_string() });
             }
         };
-        self.insert(list.count, items.len());
+        self.insert(list.count_name, items.len());
         items.iter().enumerate().map(|(index, item)| self.copy_item(list, index, item)).collect()
     }
 
-    /// An item is its name alone, or an object with a name and settings.
+    /// Copies one item of a list and returns its name. An item is a name alone, or an object with a
+    /// name and settings.
     fn copy_item(&mut self, list: &NamedList, index: usize, item: &Value) -> FieldResult<String> {
         if let Value::String(name) = item {
             return Ok(name.clone());
         }
         let path = format!("{}[{index}]", list.field);
         let fields = object(item, &format!("setting {path}"))?;
-        let prefix = Prefix { path: format!("{path}."), name: format!("{} {index} ", list.item) };
+        let prefix = Prefix { path: format!("{path}."), name: format!("{} {index} ", list.name_prefix) };
         self.copy(fields, list.settings, &prefix)?;
         let name = fields.get("name").and_then(Value::as_str).map(str::to_string);
-        name.ok_or_else(|| FieldError::Missing { field: format!("setting {path}.name"), expected: "a text" })
+        name.ok_or_else(|| FieldError::Missing {
+            field: format!("setting {path}.name"),
+            expected: "a string",
+        })
     }
 
-    /// A stream has no end that the next request of its key could wait for.
+    /// Requests with the same key can be kept in order only if each of them ends, and a stream has
+    /// no end that the next request could wait for.
     fn check_ordered_namespaces(&self, namespaces: usize) -> FieldResult<()> {
-        let streams_in_order = |index: &usize| {
+        let is_ordered_stream = |index: &usize| {
             self.is_set(&format!("namespace {index} streams"))
                 && self.is_set(&format!("namespace {index} in order"))
         };
-        match (0..namespaces).find(streams_in_order) {
+        match (0..namespaces).find(is_ordered_stream) {
             None => Ok(()),
             Some(index) => Err(FieldError::Invalid(format!(
-                "setting namespaces[{index}].keepOrder: a stream has no end to wait for, and can't be kept in order"
+                "setting namespaces[{index}].keepOrder: \
+                 a stream has no end to wait for and cannot be kept in order"
             ))),
         }
     }
 
-    /// Without Retry-After there is no longest one.
+    /// Removes the maximum of Retry-After if Retry-After is not sent.
     fn drop_unused_retry_after(&mut self) {
         if self.0.get("return advice").is_none_or(|flag| flag == "0") {
             self.0.remove("longest stay away");
@@ -152,17 +165,17 @@
         Ok(())
     }
 
-    /// Whether the endpoint list is watched, or else pushed.
+    /// Sets whether the endpoint list is watched. Otherwise it is pushed.
     fn set_watched(&mut self, options: &JsonObject) -> FieldResult<()> {
         let watched = text_or(options, "discovery", "automatic")? == "subscribe";
         self.insert_flag("watched", watched);
         Ok(())
     }
 
-    /// How the servers are with their origin: whether requests go to it through them, and where
-    /// they don't, its kind.
+    /// Sets how requests reach the origin: whether they go through the servers, and if they do not,
+    /// the kind of the origin.
     fn set_origin(&mut self, options: &JsonObject) -> FieldResult<()> {
-        let Some(info) = present(options, "familyInfo") else { return Ok(()) };
+        let Some(info) = non_null_field(options, "familyInfo") else { return Ok(()) };
         let info = object(info, "setting familyInfo")?;
         let mode = info.get("mode").and_then(Value::as_str);
         self.insert_flag("through", mode == Some("through"));
@@ -174,7 +187,7 @@
     }
 }
 
-/// A field that is there and not null.
-fn present<'a>(object: &'a JsonObject, field: &str) -> Option<&'a Value> {
+/// Returns a field, unless it is missing or null.
+fn non_null_field<'a>(object: &'a JsonObject, field: &str) -> Option<&'a Value> {
     object.get(field).filter(|value| !value.is_null())
 }
--- a/crates/settings/src/table.rs
+++ b/crates/settings/src/table.rs
@@ -1,82 +1,86 @@
-//! The settings that are read: each one's path on the wire, its name in the settings map, and its
-//! kind.
+//! The settings that are read, each with its path in the platform's JSON, its name in the settings
+//! map, and its kind.
 //!
-//! Paths are the platform's and names are stored in captures: neither may change.
+//! Neither paths nor names may change: the platform defines the paths, and captures store the
+//! names.
 
-/// How a setting is written on the wire and in the map.
+/// How a setting is written in JSON and in the map.
 #[derive(Clone, Copy)]
-pub(crate) enum Kind {
+pub(crate) enum SettingKind {
     Number,
-    /// A number from 0 on: nothing sensible is meant by one below.
+    /// A number that is not negative; a negative value of such a setting has no meaning.
     NonNegativeNumber,
-    /// Nanoseconds, in the map as whole ticks rounded down: what may be done for so long must not
-    /// last longer.
+    /// A time in nanoseconds, stored in the map as ticks rounded down: what is allowed for this
+    /// time must not last longer.
     Duration,
-    /// A time by which clients are answered: rounded down as well, but one tick at the least where
-    /// it is above 0, as 0 is none.
+    /// A time within which clients get a response, also rounded down. A value above 0 becomes at
+    /// least one tick, because 0 means no time at all.
     TimeLimit,
-    /// A time that has to be waited: rounded up, so that the wait is never shorter.
+    /// A time to wait: rounded up, so that the wait is never shorter.
     Wait,
-    /// The same, from 0 on.
+    /// A time to wait that must not be negative, also rounded up.
     NonNegativeWait,
     Flag,
     Text,
-    /// What the list's weights are, one of `WEIGHT_KINDS`.
-    Weights,
+    /// What the weights in the endpoint list are, one of `WEIGHT_KINDS`.
+    WeightKind,
 }
 
-/// None, a size, about a size, or a size that moves with load.
+/// What the weights in the endpoint list are, in this order: not given, sizes, approximate sizes,
+/// or sizes that change with the load.
 pub(crate) const WEIGHT_KINDS: [&str; 4] = ["off", "nominal", "rough", "live"];
 
-/// One setting. `path` may name a field of a nested object, as in "rules.coldNs".
+/// One setting. `path` may name a field of a nested object, such as "rules.coldNs".
 pub(crate) struct Setting {
     pub path: &'static str,
     pub name: &'static str,
-    pub kind: Kind,
+    pub kind: SettingKind,
 }
 
-const fn setting(path: &'static str, name: &'static str, kind: Kind) -> Setting {
+const fn setting(path: &'static str, name: &'static str, kind: SettingKind) -> Setting {
     Setting { path, name, kind }
 }
 
-pub(crate) const GLOBAL: [Setting; 24] = [
-    setting("position", "position", Kind::Number),
-    setting("balancers", "proxies", Kind::Number),
-    setting("excessUtility", "excess utility", Kind::Number),
-    setting("utilityBasis", "utility basis", Kind::Text),
-    setting("weightKind", "size kind", Kind::Weights),
-    setting("ceilings.mostShots", "most shots", Kind::Number),
-    setting("ceilings.secondCopies", "second copies", Kind::Flag),
-    setting("ceilings.probes", "probes", Kind::Flag),
-    setting("ceilings.peers", "peers", Kind::Flag),
-    setting("ceilings.cancelling", "withdrawals", Kind::Flag),
-    setting("ceilings.retryAfter", "return advice", Kind::Flag),
-    setting("ceilings.maxRetryAfterNs", "longest stay away", Kind::Duration),
-    setting("ceilings.connIdleNs", "idle time", Kind::Duration),
-    setting("ceilings.connectTimeoutNs", "connect time", Kind::TimeLimit),
-    setting("rules.drainGraceNs", "drain grace", Kind::Duration),
-    setting("rules.askEveryNs", "ask time", Kind::Duration),
-    setting("rules.startCapacity", "cold share", Kind::Number),
-    setting("rules.coldNs", "cold time", Kind::Wait),
-    setting("rules.fallMultiple", "fall multiple", Kind::Number),
-    setting("rules.fallNs", "fall time", Kind::Duration),
-    setting("rules.keyQuietNs", "key quiet", Kind::NonNegativeWait),
-    setting("scoreParts.tail", "tail", Kind::NonNegativeNumber),
-    setting("scoreParts.missAllowed", "miss allowed", Kind::NonNegativeNumber),
-    setting("familyInfo.originFallMultiple", "origin fall multiple", Kind::Number),
+pub(crate) const GLOBAL_SETTINGS: [Setting; 24] = [
+    setting("position", "position", SettingKind::Number),
+    setting("balancers", "proxies", SettingKind::Number),
+    setting("excessUtility", "excess utility", SettingKind::Number),
+    setting("utilityBasis", "utility basis", SettingKind::Text),
+    setting("weightKind", "size kind", SettingKind::WeightKind),
+    setting("ceilings.mostShots", "most shots", SettingKind::Number),
+    setting("ceilings.secondCopies", "second copies", SettingKind::Flag),
+    setting("ceilings.probes", "probes", SettingKind::Flag),
+    setting("ceilings.peers", "peers", SettingKind::Flag),
+    setting("ceilings.cancelling", "withdrawals", SettingKind::Flag),
+    setting("ceilings.retryAfter", "return advice", SettingKind::Flag),
+    setting("ceilings.maxRetryAfterNs", "longest stay away", SettingKind::Duration),
+    setting("ceilings.connIdleNs", "idle time", SettingKind::Duration),
+    setting("ceilings.connectTimeoutNs", "connect time", SettingKind::TimeLimit),
+    setting("rules.drainGraceNs", "drain grace", SettingKind::Duration),
+    setting("rules.askEveryNs", "ask time", SettingKind::Duration),
+    setting("rules.startCapacity", "cold share", SettingKind::Number),
+    setting("rules.coldNs", "cold time", SettingKind::Wait),
+    setting("rules.fallMultiple", "fall multiple", SettingKind::Number),
+    setting("rules.fallNs", "fall time", SettingKind::Duration),
+    setting("rules.keyQuietNs", "key quiet", SettingKind::NonNegativeWait),
+    setting("scoreParts.tail", "tail", SettingKind::NonNegativeNumber),
+    setting("scoreParts.missAllowed", "miss allowed", SettingKind::NonNegativeNumber),
+    setting("familyInfo.originFallMultiple", "origin fall multiple", SettingKind::Number),
 ];
 
-pub(crate) const OF_NAMESPACE: [Setting; 9] = [
-    setting("targetTimeNs", "target time", Kind::TimeLimit),
-    setting("timeLimitNs", "time limit", Kind::TimeLimit),
-    setting("utility", "utility", Kind::Number),
-    setting("overdueUtility", "late utility", Kind::Number),
-    setting("idempotency", "repeats", Kind::Text),
-    setting("group", "group", Kind::Text),
-    setting("dedupWindowNs", "window", Kind::Duration),
-    setting("streaming", "streams", Kind::Flag),
-    setting("keepOrder", "in order", Kind::Flag),
+pub(crate) const NAMESPACE_SETTINGS: [Setting; 9] = [
+    setting("targetTimeNs", "target time", SettingKind::TimeLimit),
+    setting("timeLimitNs", "time limit", SettingKind::TimeLimit),
+    setting("utility", "utility", SettingKind::Number),
+    setting("overdueUtility", "late utility", SettingKind::Number),
+    setting("idempotency", "repeats", SettingKind::Text),
+    setting("group", "group", SettingKind::Text),
+    setting("dedupWindowNs", "window", SettingKind::Duration),
+    setting("streaming", "streams", SettingKind::Flag),
+    setting("keepOrder", "in order", SettingKind::Flag),
 ];
 
-pub(crate) const OF_TENANT: [Setting; 2] =
-    [setting("allowancePerS", "allowance", Kind::Number), setting("fraction", "share", Kind::Number)];
+pub(crate) const TENANT_SETTINGS: [Setting; 2] = [
+    setting("allowancePerS", "allowance", SettingKind::Number),
+    setting("fraction", "share", SettingKind::Number),
+];
--- a/crates/settings/tests/fields.rs
+++ b/crates/settings/tests/fields.rs
@@ -1,11 +1,11 @@
-//! Fields of JSON objects, and the errors for those that can't be read.
+//! Reading fields of JSON objects, and the errors for fields that cannot be read.
 
 use chalkwalk_settings::fields::size_hundredths;
 use serde_json::json;
 
 #[test]
-fn sizes_are_numbers_within_bounds_and_one_where_none_is_stated() {
-    let read = [
+fn sizes_are_numbers_clamped_to_their_range_and_default_to_one() {
+    let results = [
         json!({}),
         json!({"w": 1.5}),
         json!({"w": 0}),
@@ -24,5 +24,5 @@
         1
         field w: expected a number, got "2"
         1000000"#]]
-    .assert_eq(&read.join("\n"));
+    .assert_eq(&results.join("\n"));
 }
--- a/crates/settings/tests/read.rs
+++ b/crates/settings/tests/read.rs
@@ -1,12 +1,12 @@
-//! Settings of the wire, and what the settings map holds for them.
+//! The platform's settings, and the settings map that is read from them.
 
 use chalkwalk_settings::read;
 use serde_json::{Value, json};
 
-/// A window or a grace period lasts no longer for being rounded, a slow start is no shorter, and no
-/// limit above 0 becomes none.
+/// Rounding to ticks never lengthens a window or a grace period, never shortens a slow start, and
+/// never turns a limit above 0 into 0.
 #[test]
-fn times_between_two_ticks_are_rounded_to_the_safe_side() {
+fn times_are_rounded_to_ticks_in_the_safe_direction() {
     let settings = |ns: f64| {
         json!({"rules": {"drainGraceNs": ns, "coldNs": ns, "keyQuietNs": ns, "askEveryNs": ns},
                "ceilings": {"connectTimeoutNs": ns},
@@ -15,11 +15,11 @@
     let read_back =
         [0.0, 1.0, 49_999.0, 50_000.0, 99_999.0, 100_000.0, 150_000.0, 199_999.0, 1e300].map(|ns| {
             let values = read(settings(ns).as_object().unwrap()).unwrap().values;
-            let of = |name: &str| values[name].clone();
-            let integer = ["drain grace", "ask time", "namespace 0 window"].map(of).join(" ");
+            let value = |name: &str| values[name].clone();
+            let rounded_down = ["drain grace", "ask time", "namespace 0 window"].map(value).join(" ");
             let limits =
-                ["connect time", "namespace 0 target time", "namespace 0 time limit"].map(of).join(" ");
-            format!("{ns:e}: {integer}, {limits}, {}", ["cold time", "key quiet"].map(of).join(" "))
+                ["connect time", "namespace 0 target time", "namespace 0 time limit"].map(value).join(" ");
+            format!("{ns:e}: {rounded_down}, {limits}, {}", ["cold time", "key quiet"].map(value).join(" "))
         });
     expect_test::expect![[r#"
         0e0: 0 0 0, 0 0 0, 0 0
@@ -34,14 +34,15 @@
     .assert_eq(&read_back.join("\n"));
 }
 
-/// Settings of order by key reach the map, nothing changes without them, and what makes no sense is
-/// refused.
+/// The settings for keeping requests of a key in order reach the map. Without them the map has no
+/// such entries. Invalid values are rejected.
 #[test]
-fn order_by_key_is_read_and_checked() {
-    let settings = |more: Value| {
-        let mut ns = json!({"name": "records", "idempotency": "free", "timeLimitNs": 1e9});
-        ns.as_object_mut().unwrap().extend(more["of"].as_object().cloned().unwrap_or_default());
-        let options = json!({"namespaces": [ns], "rules": more["rules"], "scoreParts": more["parts"]});
+fn settings_for_order_by_key_are_read_and_checked() {
+    let settings = |overrides: Value| {
+        let mut namespace = json!({"name": "records", "idempotency": "free", "timeLimitNs": 1e9});
+        namespace.as_object_mut().unwrap().extend(overrides["of"].as_object().cloned().unwrap_or_default());
+        let options =
+            json!({"namespaces": [namespace], "rules": overrides["rules"], "scoreParts": overrides["parts"]});
         match read(options.as_object().unwrap()) {
             Ok(settings) => ["namespace 0 in order", "key quiet", "tail", "miss allowed"]
                 .map(|name| settings.values.get(name).cloned().unwrap_or("-".into()))
@@ -64,13 +65,14 @@
         - - - -
         1 5000 0.2 0.02
         setting namespaces[0].keepOrder: expected true or false, got "yes"
-        setting namespaces[0].keepOrder: a stream has no end to wait for, and can't be kept in order
+        setting namespaces[0].keepOrder: a stream has no end to wait for and cannot be kept in order
         setting rules.keyQuietNs: expected a number that is not negative, got -1
         setting scoreParts.missAllowed: expected a number, got "few""#]]
     .assert_eq(&read_back.join("\n"));
 }
 
-/// The kind of weights is one of four words, or left out for the default; another is refused.
+/// The kind of weights is one of four names, or missing for the default. Any other value is
+/// rejected.
 #[test]
 fn the_kind_of_weights_is_checked() {
     let read_back =
@@ -83,6 +85,6 @@
         -
         live
         setting weightKind: expected one of off, nominal, rough, live, got "linear"
-        setting weightKind: expected a text, got 3"#]]
+        setting weightKind: expected a string, got 3"#]]
     .assert_eq(&read_back.join("\n"));
 }
