--- a/crates/http-frontend/src/accept.rs
+++ b/crates/http-frontend/src/accept.rs
@@ -1,4 +1,4 @@
-//! Client connections, accepted until the proxy shuts down.
+//! Accepts client connections until the proxy shuts down.
 
 use crate::connection::Connection;
 use crate::frontend::Frontend;
@@ -12,66 +12,72 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// After an accept that failed, as it does when no descriptor is left: short beside any time limit.
-const ACCEPT_RETRY: Duration = Duration::from_millis(20);
+/// Delay before the next accept after one has failed, for example because no file descriptor was
+/// available. It is short compared to any time limit of a request.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Accepts connections until the proxy finishes; those that have arrived by then are accepted as
-/// well.
+/// Accepts connections until the proxy reaches [`Phase::Finishing`], and then those that are
+/// already in the listener's queue.
 pub async fn accept(frontend: Rc<Frontend>, listener: Async<TcpListener>) {
     let engine = &frontend.engine;
-    let mut waiting = None;
+    let mut awaiting_permit = None;
     let finishing = engine.lifecycle.reached(Phase::Finishing);
-    finishing.or(accept_forever(&frontend, &listener, &mut waiting)).await;
-    // A client that is connected by now may have sent a request: it is accepted before the listener
-    // closes.
-    let arrived = || listener.get_ref().accept().ok().and_then(|(stream, _)| Async::new(stream).ok());
-    while let Some(stream) = waiting.take().or_else(arrived) {
+    finishing.or(accept_forever(&frontend, &listener, &mut awaiting_permit)).await;
+    // A client in the listener's queue may have sent a request already, so its connection is
+    // accepted before the listener closes.
+    let accept_pending = || listener.get_ref().accept().ok().and_then(|(stream, _)| Async::new(stream).ok());
+    while let Some(stream) = awaiting_permit.take().or_else(accept_pending) {
         let (permit, admitted) = engine.budget.acquire_for_client().await;
-        let arrived_after = engine.clock.earliest_arrival();
-        spawn(&frontend, Connection::new(&frontend, stream, permit, admitted), arrived_after);
+        let earliest_arrival = engine.clock.earliest_arrival();
+        spawn_connection(&frontend, Connection::new(&frontend, stream, permit, admitted), earliest_arrival);
     }
 }
 
-/// Accepts connections. One that waits for its permit is kept in `waiting`, so that it is not lost
-/// when this is dropped.
+/// Accepts connections without end. A connection that waits for its permit is kept in
+/// `awaiting_permit`, so that it is not lost when this future is dropped.
 async fn accept_forever(
     frontend: &Rc<Frontend>,
     listener: &Async<TcpListener>,
-    waiting: &mut Option<Async<TcpStream>>,
+    awaiting_permit: &mut Option<Async<TcpStream>>,
 ) {
     let engine = &frontend.engine;
-    let mut failing = false;
-    // No connection that is accepted next arrived before this.
-    let mut arrived_after = engine.clock.earliest_arrival();
+    let mut last_accept_failed = false;
+    // The earliest time at which the connection accepted next can have arrived.
+    let mut earliest_arrival = engine.clock.earliest_arrival();
     loop {
         match listener.get_ref().accept() {
             Ok((stream, _)) => {
-                failing = false;
+                last_accept_failed = false;
                 let Ok(stream) = Async::new(stream) else { continue };
-                *waiting = Some(stream);
-                // An idle connection is closed only for one that is here: a client that is closed
-                // for nothing comes again.
+                *awaiting_permit = Some(stream);
+                // The permit is acquired only after a connection has arrived, because acquiring it
+                // may close an idle connection. A client whose connection is closed needlessly
+                // connects again.
                 let (permit, admitted) = engine.budget.acquire_for_client().await;
-                if let Some(stream) = waiting.take() {
-                    spawn(frontend, Connection::new(frontend, stream, permit, admitted), arrived_after);
+                if let Some(stream) = awaiting_permit.take() {
+                    spawn_connection(
+                        frontend,
+                        Connection::new(frontend, stream, permit, admitted),
+                        earliest_arrival,
+                    );
                 }
             }
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                 _ = listener.readable().await;
-                arrived_after = engine.clock.earliest_arrival();
+                earliest_arrival = engine.clock.earliest_arrival();
             }
             Err(error) => {
-                if !failing {
+                if !last_accept_failed {
                     warn!(engine.log, "cannot accept"; "fault" => %error);
                 }
-                failing = true;
+                last_accept_failed = true;
                 engine.budget.close_idle();
-                Timer::after(ACCEPT_RETRY).await;
+                Timer::after(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-fn spawn(frontend: &Frontend, connection: Connection, arrived_after: Timestamp) {
-    frontend.engine.executor.spawn(connection.serve(arrived_after)).detach();
+fn spawn_connection(frontend: &Frontend, connection: Connection, earliest_arrival: Timestamp) {
+    frontend.engine.executor.spawn(connection.serve(earliest_arrival)).detach();
 }
--- a/crates/http-frontend/src/admit.rs
+++ b/crates/http-frontend/src/admit.rs
@@ -1,5 +1,5 @@
-//! Stage "admit": what a message asks for. A request is accepted only with a known namespace, time
-//! left, and an id of its own.
+//! Stage "admit": determines what a message requests. A request is accepted only if it names a
+//! known namespace, has time left, and has a correlation id that no other open request uses.
 
 use crate::decimal::parse_seconds;
 use crate::frontend::Frontend;
@@ -13,14 +13,14 @@
 use std::ops::Range;
 use std::rc::Rc;
 
-/// The fields that decide on a request, which may come once each.
-const SINGLE_FIELDS: [&str; 5] =
+/// The header fields that determine how a request is handled. Each may occur at most once.
+const SINGLETON_FIELDS: [&str; 5] =
     ["Host", "X-Correlation-Id", "X-Service-Class", "X-Time-Left", "Idempotency-Key"];
 
-/// Where a load balancer in front checks whether the proxy is ready.
+/// The path at which a load balancer in front of the proxy checks whether the proxy is ready.
 const READINESS_PATH: &str = "/up";
 
-/// What a message asks for.
+/// What a message requests.
 pub(crate) enum Admitted {
     Request(Rc<HttpRequest>),
     /// Whether the proxy is ready.
@@ -29,30 +29,30 @@
     },
 }
 
-/// Why a message is no request that can be accepted.
+/// Why a message is not accepted as a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AdmitError {
     /// The method is neither GET nor PUT.
     MethodNotAllowed,
-    /// No service class is named.
+    /// The `X-Service-Class` field is missing.
     NoServiceClass,
-    /// A field is missing, malformed, unknown or there twice.
-    BadField,
-    /// The body is longer than the class allows.
+    /// A required header field is missing, malformed or duplicated, or names an unknown namespace.
+    InvalidHeaderField,
+    /// The body is longer than the request class allows.
     BodyTooLong,
-    /// The time for the request is over.
+    /// The request's time has run out, or the proxy's response deadline during shutdown has passed.
     Expired,
-    /// Another request with this id is open.
+    /// Another open request has the same correlation id.
     IdInUse,
 }
 
 impl AdmitError {
-    /// The HTTP status that it is answered with.
+    /// The HTTP status code of the reply.
     pub fn status(self) -> u16 {
         match self {
             AdmitError::MethodNotAllowed => 405,
             AdmitError::NoServiceClass => 404,
-            AdmitError::BadField => 400,
+            AdmitError::InvalidHeaderField => 400,
             AdmitError::BodyTooLong => 413,
             AdmitError::Expired => 408,
             AdmitError::IdInUse => 409,
@@ -60,12 +60,13 @@
     }
 }
 
-/// Reads what a message asks for. The time of a request counts from its arrival at `received_at`.
+/// Determines what a message requests. The time limit of a request starts at its arrival,
+/// `received_at`.
 pub(crate) fn admit(
     frontend: &Rc<Frontend>,
     message: Message,
     received_at: Timestamp,
-    client: &Rc<Async<TcpStream>>,
+    client_stream: &Rc<Async<TcpStream>>,
 ) -> Result<Admitted, AdmitError> {
     let method = message.text(&message.method);
     if path_of(&message) == READINESS_PATH && method == "GET" {
@@ -74,23 +75,24 @@
     if !matches!(method, "GET" | "PUT") {
         return Err(AdmitError::MethodNotAllowed);
     }
-    let write = method == "PUT";
-    admit_request(frontend, message, write, received_at, client).map(Admitted::Request)
+    let is_write = method == "PUT";
+    admit_request(frontend, message, is_write, received_at, client_stream).map(Admitted::Request)
 }
 
 fn admit_request(
     frontend: &Rc<Frontend>,
     message: Message,
-    write: bool,
+    is_write: bool,
     received_at: Timestamp,
-    client: &Rc<Async<TcpStream>>,
+    client_stream: &Rc<Async<TcpStream>>,
 ) -> Result<Rc<HttpRequest>, AdmitError> {
     let engine = &frontend.engine;
     let namespace = namespace_of(frontend, &message)?;
-    if message.has_duplicate(&SINGLE_FIELDS) {
-        return Err(AdmitError::BadField);
+    if message.has_duplicate(&SINGLETON_FIELDS) {
+        return Err(AdmitError::InvalidHeaderField);
     }
-    let time_left = message.header("X-Time-Left").and_then(parse_seconds).ok_or(AdmitError::BadField)?;
+    let time_left =
+        message.header("X-Time-Left").and_then(parse_seconds).ok_or(AdmitError::InvalidHeaderField)?;
     let ClassLimits { class, time_limit, longest_body } =
         engine.classes.find(attributes_of(&message, namespace));
     if message.body.len() as u64 > longest_body {
@@ -100,32 +102,33 @@
     let expires = may_start(engine.clock.now(), expires, engine.response_deadline());
     let expires = expires.ok_or(AdmitError::Expired)?;
     let id = message.header_bytes("X-Correlation-Id").unwrap_or_default().to_vec();
-    let open = frontend.open_ids.open(id).ok_or(AdmitError::IdInUse)?;
+    let open_id = frontend.open_ids.claim(id).ok_or(AdmitError::IdInUse)?;
     Ok(Rc::new(HttpRequest {
         frontend: frontend.clone(),
         key: key_range(&message),
         namespace,
         class,
-        generation: engine.classes.generation(),
-        write,
+        settings_generation: engine.classes.generation(),
+        is_write,
         received_at,
         expires,
         message,
-        client: Rc::downgrade(client),
-        _open: open,
+        client_stream: Rc::downgrade(client_stream),
+        _open_id: open_id,
     }))
 }
 
-/// The namespace that a message names; it must have a correlation id as well.
+/// The index of the namespace that a message names. Fails also if the message has no correlation
+/// id.
 fn namespace_of(frontend: &Frontend, message: &Message) -> Result<usize, AdmitError> {
     let name = message.header("X-Service-Class").ok_or(AdmitError::NoServiceClass)?;
     if message.header("X-Correlation-Id").is_none_or(str::is_empty) {
-        return Err(AdmitError::BadField);
+        return Err(AdmitError::InvalidHeaderField);
     }
-    frontend.namespace(name).ok_or(AdmitError::BadField)
+    frontend.namespace_index(name).ok_or(AdmitError::InvalidHeaderField)
 }
 
-/// Where the key is in a message: the last segment of its path.
+/// The range of the key in a message's buffer: the last segment of the path.
 fn key_range(message: &Message) -> Range<usize> {
     let path = path_of(message);
     let start = path.rfind('/').map_or(0, |slash| slash + 1);
--- a/crates/http-frontend/src/connection.rs
+++ b/crates/http-frontend/src/connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection, one request at a time on it: the stages in their order.
+//! Serves one client connection: passes its requests through the stages, one request at a time.
 
 use crate::admit::{Admitted, admit};
 use crate::frontend::Frontend;
@@ -16,32 +16,34 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// A message that was there whole is read in a few turns of the executor.
-const READ_AT_ONCE: Span = Span::from_millis(10);
+/// Maximum time to read a message that was completely received before its connection was served;
+/// such a message takes only a few turns of the executor.
+const QUEUED_MESSAGE_READ_TIME: Span = Span::from_millis(10);
 
-/// A client's connection. The fields are dropped in this order: the socket is closed before the
-/// connection counts as closed, and its permit is given back last.
+/// A client connection. The order of the fields matters because they are dropped in this order: the
+/// socket is closed before the connection is counted as closed, and the permit is released last.
 pub(crate) struct Connection {
-    /// What was read beyond the present message.
-    unread: Vec<u8>,
+    /// Bytes that were read beyond the end of the current message.
+    read_ahead: Vec<u8>,
     stream: Rc<Async<TcpStream>>,
-    open: ClientConnection,
+    client_connection: ClientConnection,
     permit: Permit,
-    /// Whether its requests are admitted; otherwise they are rejected at once.
+    /// Whether requests on the connection are admitted; otherwise they are rejected immediately.
     admitted: bool,
     frontend: Rc<Frontend>,
 }
 
-/// When a first message arrived that was there before the connection was served: it may have waited
-/// for as long as the connection did, and that much less time is left to it. It is whole then; what
-/// is still on its way has not waited.
+/// Arrival time of a first message that was received before its connection was served. The message
+/// may have waited as long as the connection did, and that wait counts against its time limit. This
+/// applies only to a message that is complete and is therefore read by `read_deadline`; a message
+/// that is still arriving has not waited.
 struct QueuedMessage {
-    arrived_after: Timestamp,
-    read_by: Timestamp,
+    earliest_arrival: Timestamp,
+    read_deadline: Timestamp,
 }
 
 impl Connection {
-    /// A connection that was just accepted.
+    /// Wraps a connection that was just accepted.
     pub fn new(
         frontend: &Rc<Frontend>,
         stream: Async<TcpStream>,
@@ -50,21 +52,22 @@
     ) -> Connection {
         _ = stream.get_ref().set_nodelay(true);
         Connection {
-            unread: Vec::new(),
+            read_ahead: Vec::new(),
             stream: Rc::new(stream),
-            open: ClientConnection::new(&frontend.engine),
+            client_connection: ClientConnection::new(&frontend.engine),
             permit,
             admitted,
             frontend: frontend.clone(),
         }
     }
 
-    /// Serves the connection to its end. It cannot have arrived before `arrived_after`.
-    pub async fn serve(mut self, arrived_after: Timestamp) {
-        let mut opened = Some(Instant::now());
-        let mut queued = self.queued_message(arrived_after);
+    /// Serves the connection until it ends. `earliest_arrival` is the earliest time at which the
+    /// connection can have arrived.
+    pub async fn serve(mut self, earliest_arrival: Timestamp) {
+        let mut opened_at = Some(Instant::now());
+        let mut queued = self.queued_message(earliest_arrival);
         loop {
-            let message = match self.read_message(opened.take()).await {
+            let message = match self.read_message(opened_at.take()).await {
                 Ok(Some(message)) => message,
                 Ok(None) => return,
                 Err(error) => return refuse(&self.stream, Reply::empty(error.status())).await,
@@ -72,39 +75,39 @@
             let received_at = self.received_at(queued.take());
             self.admit_if_possible().await;
             let close = message.close || !self.admitted;
-            let http10 = message.is_http10;
+            let is_http10 = message.is_http10;
             let Some(reply) = self.reply_to(message, received_at).await else { return };
             if reply.is_client_error() {
                 return refuse(&self.stream, reply).await;
             }
-            let options = ReplyOptions { close: close || self.open.must_close(), http10 };
+            let options = ReplyOptions { close: close || self.client_connection.must_close(), is_http10 };
             if !write_reply(&self.stream, reply, options).await {
                 return;
             }
         }
     }
 
-    fn queued_message(&self, arrived_after: Timestamp) -> Option<QueuedMessage> {
+    fn queued_message(&self, earliest_arrival: Timestamp) -> Option<QueuedMessage> {
         let is_queued = !is_idle(&self.stream);
-        let read_by = self.frontend.engine.clock.now() + READ_AT_ONCE;
-        is_queued.then_some(QueuedMessage { arrived_after, read_by })
+        let read_deadline = self.frontend.engine.clock.now() + QUEUED_MESSAGE_READ_TIME;
+        is_queued.then_some(QueuedMessage { earliest_arrival, read_deadline })
     }
 
-    async fn read_message(&mut self, opened: Option<Instant>) -> Result<Option<Message>, HttpError> {
-        read_request(&self.open, &self.stream, &mut self.unread, opened).await
+    async fn read_message(&mut self, opened_at: Option<Instant>) -> Result<Option<Message>, HttpError> {
+        read_request(&self.client_connection, &self.stream, &mut self.read_ahead, opened_at).await
     }
 
-    /// When the message that was just read arrived.
+    /// The arrival time of the message that was just read.
     fn received_at(&self, queued: Option<QueuedMessage>) -> Timestamp {
         let clock = &self.frontend.engine.clock;
         match queued {
-            Some(queued) if clock.now() < queued.read_by => queued.arrived_after,
+            Some(queued) if clock.now() < queued.read_deadline => queued.earliest_arrival,
             _ => clock.earliest_arrival(),
         }
     }
 
-    /// A connection that was accepted while all others were busy is admitted where by now one is
-    /// not.
+    /// Admits a connection that was accepted while all others were busy, if a permit is available
+    /// by now or becomes available soon.
     async fn admit_if_possible(&mut self) {
         if !self.admitted
             && let Some(permit) = self.frontend.engine.budget.acquire_for_client_soon().await
@@ -114,10 +117,10 @@
         }
     }
 
-    /// The reply to a message; `None` if the client has gone.
+    /// Returns the reply to a message, or `None` if the client has disconnected.
     async fn reply_to(&mut self, message: Message, received_at: Timestamp) -> Option<Reply> {
-        if !self.unread.is_empty() {
-            // More than one request at once: none of it is accepted.
+        if !self.read_ahead.is_empty() {
+            // The client sent more than one request at once (pipelining): none of them is accepted.
             return Some(Reply::empty(400));
         }
         match admit(&self.frontend, message, received_at, &self.stream) {
@@ -125,7 +128,7 @@
             Ok(Admitted::Readiness { ready }) => Some(Reply::empty(if ready { 200 } else { 503 })),
             Ok(Admitted::Request(_)) if !self.admitted => Some(Reply::empty(503)),
             Ok(Admitted::Request(request)) => {
-                route(&self.frontend.engine, &self.stream, &mut self.unread, request).await
+                route(&self.frontend.engine, &self.stream, &mut self.read_ahead, request).await
             }
         }
     }
--- a/crates/http-frontend/src/decimal.rs
+++ b/crates/http-frontend/src/decimal.rs
@@ -1,22 +1,23 @@
-//! Times as the protocol writes them: seconds in decimals.
+//! Formats and parses the protocol's time spans, which are decimal numbers of seconds.
 
 #[cfg(test)]
 mod tests;
 
 use chalkwalk_time::{Span, TICKS_PER_SECOND};
 
-/// Digits before the point of a time that is read: nine are thirty years.
-const MAX_WHOLE_DIGITS: usize = 9;
+/// Maximum number of digits before the decimal point in a parsed time span; nine digits are over
+/// thirty years.
+const MAX_INTEGER_DIGITS: usize = 9;
 
-/// Seconds with four decimals.
+/// Formats a span as seconds with four decimal places.
 pub(crate) fn format_seconds(span: Span) -> String {
     format!("{}.{:04}", span.ticks() / TICKS_PER_SECOND, span.ticks() % TICKS_PER_SECOND)
 }
 
-/// A time above zero from seconds in plain decimals.
+/// Parses a span above zero from seconds in decimal notation, without sign or exponent.
 pub(crate) fn parse_seconds(text: &str) -> Option<Span> {
-    let (whole, part) = text.split_once('.').unwrap_or((text, "0"));
-    if !is_digits(whole) || !is_digits(part) || whole.len() > MAX_WHOLE_DIGITS {
+    let (integer, fraction) = text.split_once('.').unwrap_or((text, "0"));
+    if !is_digits(integer) || !is_digits(fraction) || integer.len() > MAX_INTEGER_DIGITS {
         return None;
     }
     let seconds: f64 = text.parse().ok()?;
--- a/crates/http-frontend/src/decimal/tests.rs
+++ b/crates/http-frontend/src/decimal/tests.rs
@@ -1,9 +1,9 @@
-//! Of times in decimals; in the crate, as they are not public.
+//! Tests of formatting and parsing seconds. They are unit tests because the functions are private.
 
 use super::*;
 
 #[test]
-fn seconds_are_read_in_plain_decimals_alone() {
+fn only_plain_decimal_seconds_are_parsed() {
     let ticks = |text: &str| parse_seconds(text).map(Span::ticks);
     assert_eq!(ticks("1"), Some(10_000));
     assert_eq!(ticks("0.25"), Some(2_500));
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn seconds_are_written_with_four_decimals() {
-    let written = [0, 1, 2_500, 10_000, 123_456].map(|ticks| format_seconds(Span::from_ticks(ticks)));
-    assert_eq!(written, ["0.0000", "0.0001", "0.2500", "1.0000", "12.3456"]);
+fn seconds_are_formatted_with_four_decimal_places() {
+    let formatted = [0, 1, 2_500, 10_000, 123_456].map(|ticks| format_seconds(Span::from_ticks(ticks)));
+    assert_eq!(formatted, ["0.0000", "0.0001", "0.2500", "1.0000", "12.3456"]);
 }
--- a/crates/http-frontend/src/frontend.rs
+++ b/crates/http-frontend/src/frontend.rs
@@ -1,51 +1,52 @@
-//! What all connections of this frontend share.
+//! State shared by all connections of this frontend.
 
 use chalkwalk_engine::engine::Engine;
 use std::cell::RefCell;
 use std::collections::HashSet;
 use std::rc::Rc;
 
-/// The name by which an operator's routes know this frontend.
+/// The name of this frontend in the routes of the operator's file.
 pub const FRONTEND_NAME: &str = "http";
 
 /// The HTTP frontend of one proxy.
 pub struct Frontend {
     pub(crate) engine: Rc<Engine>,
-    /// The namespaces by number, under the names that clients send.
+    /// The names of the namespaces as clients send them, by namespace index.
     namespaces: RefCell<Vec<String>>,
     pub(crate) open_ids: OpenIds,
 }
 
 impl Frontend {
-    /// A frontend of this engine, for requests of these namespaces.
+    /// Creates a frontend that passes requests for these namespaces to the engine.
     pub fn new(engine: Rc<Engine>, namespaces: Vec<String>) -> Rc<Frontend> {
         Rc::new(Frontend { engine, namespaces: RefCell::new(namespaces), open_ids: OpenIds::default() })
     }
 
-    /// Requests are of these namespaces from now on.
+    /// Replaces the namespaces that requests may name.
     pub fn set_namespaces(&self, namespaces: Vec<String>) {
         *self.namespaces.borrow_mut() = namespaces;
     }
 
-    /// The number of a namespace.
-    pub(crate) fn namespace(&self, name: &str) -> Option<usize> {
+    /// The index of a namespace, or `None` if the name is unknown.
+    pub(crate) fn namespace_index(&self, name: &str) -> Option<usize> {
         self.namespaces.borrow().iter().position(|known| known == name)
     }
 }
 
-/// The ids of the requests that are open here. An id that comes again meanwhile is not its owner's.
+/// The correlation ids of the requests that are open on this frontend. A request that arrives with
+/// an id in use is rejected, as the id belongs to another request.
 #[derive(Clone, Default)]
 pub(crate) struct OpenIds(Rc<RefCell<HashSet<Vec<u8>>>>);
 
-/// The id of an open request, which is free again on drop.
+/// The claimed id of an open request; it is released on drop.
 pub(crate) struct OpenId {
     ids: OpenIds,
     id: Vec<u8>,
 }
 
 impl OpenIds {
-    /// Claims an id, unless it is in use.
-    pub fn open(&self, id: Vec<u8>) -> Option<OpenId> {
+    /// Claims an id, or returns `None` if it is in use.
+    pub fn claim(&self, id: Vec<u8>) -> Option<OpenId> {
         let is_new = self.0.borrow_mut().insert(id.clone());
         is_new.then(|| OpenId { ids: self.clone(), id })
     }
--- a/crates/http-frontend/src/lib.rs
+++ b/crates/http-frontend/src/lib.rs
@@ -1,12 +1,14 @@
-//! The HTTP/1.1 frontend: clients' connections on one side, attempts to servers on the other, in
-//! the platform's dialect of HTTP.
+//! The HTTP/1.1 frontend: serves client connections and exchanges requests and responses with the
+//! servers, using the platform's HTTP headers.
 //!
-//! It may use `engine`, `balancer`, `http1`, `limits`, `sockets`, `time`, smol and slog. Another
-//! protocol's frontend never enters it, nor a source of the endpoint list; it decides nothing.
+//! It may depend on `engine`, `balancer`, `http1`, `limits`, `sockets`, `time`, smol and slog, but
+//! not on the frontend of another protocol or on a source of the endpoint list. It makes no routing
+//! or retry decisions; the engine makes them.
 //!
-//! A connection comes in by `accept`, and `connection` has each request pass its stages in their
-//! order: `read_request`, `admit`, `route` (the engine), and `write_reply`. The engine then writes
-//! a `request` to a server, and `server_response` reads what comes back.
+//! `accept` accepts connections, and `connection` passes each request through its stages in order:
+//! `read_request`, `admit`, `route` (which calls the engine), and `write_reply`. For each attempt,
+//! the engine uses `request` to write the request to a server and `server_response` to read the
+//! response.
 
 mod accept;
 mod admit;
--- a/crates/http-frontend/src/read_request.rs
+++ b/crates/http-frontend/src/read_request.rs
@@ -1,4 +1,4 @@
-//! Stage "read": a message read whole off a client's connection, or the connection's end.
+//! Stage "read": reads one whole message from a client connection, or detects its end.
 
 use chalkwalk_engine::engine::ClientConnection;
 use chalkwalk_http1::{self as http1, HttpError, Message, RequestLimits};
@@ -9,75 +9,78 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// A connection on which nothing comes for so long after a response is closed: longer than clients
-/// commonly pause.
+/// Time after a response for which a connection may stay idle before it is closed. It is longer
+/// than clients commonly pause between requests.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// For a head from its first byte on, and for the first byte from the accept on: a client that
-/// sends nonsense or nothing is to be closed within 3 s, and one that is slow may take 2 s.
+/// Maximum time from the first byte of a head to its end, and from the accept of a connection to
+/// its first byte. The connection of a client that sends invalid data or nothing must be closed
+/// within 3 s, while a slow client may take 2 s.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2500);
-/// A new connection without its first message is not idle for so long: if it were closed its
-/// request would be lost, as clients send again only what crosses a close between two requests.
-/// Many round trips, and short beside what a silent client may hold up.
-const FRESH_TIME: Duration = Duration::from_millis(300);
+/// Time during which a new connection without its first message does not count as idle and so is
+/// not closed to make room for others. Its first request would be lost, as clients resend only
+/// requests that cross a close between two requests. The time spans many round trips, and is short
+/// compared to the time for which a silent client may hold a connection.
+const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(300);
 
-/// Reads the next message; `None` where the connection is to be closed. `opened`: when the
-/// connection was, if nothing has come on it yet.
+/// Reads the next message, or returns `None` if the connection is to be closed. `opened_at` is the
+/// time at which the connection was opened, or `None` if a message has been read on it before.
 pub(crate) async fn read_request(
-    open: &ClientConnection,
+    client_connection: &ClientConnection,
     stream: &Async<TcpStream>,
-    unread: &mut Vec<u8>,
-    opened: Option<Instant>,
+    read_ahead: &mut Vec<u8>,
+    opened_at: Option<Instant>,
 ) -> Result<Option<Message>, HttpError> {
-    if !wait_for_first_byte(open, stream, unread, opened).await {
+    if !wait_for_first_byte(client_connection, stream, read_ahead, opened_at).await {
         return Ok(None);
     }
-    let engine = &open.engine;
+    let engine = &client_connection.engine;
     let limits = RequestLimits {
         head_deadline: Instant::now() + HEAD_TIMEOUT,
         max_body: engine.classes.longest_body() as usize,
         memory: &engine.response_memory,
     };
-    http1::read_request(stream, unread, limits).await.map(Some)
+    http1::read_request(stream, read_ahead, limits).await.map(Some)
 }
 
-/// Waits for the first byte of a message; false if the connection is to be closed.
+/// Waits for the first byte of a message. Returns false if the connection is to be closed.
 async fn wait_for_first_byte(
-    open: &ClientConnection,
+    client_connection: &ClientConnection,
     stream: &Async<TcpStream>,
-    unread: &mut Vec<u8>,
-    opened: Option<Instant>,
+    read_ahead: &mut Vec<u8>,
+    opened_at: Option<Instant>,
 ) -> bool {
-    if opened.is_some()
-        && let Some(read) = within(FRESH_TIME, read_more(stream, unread)).await
+    if opened_at.is_some()
+        && let Some(read) = within(NEW_CONNECTION_GRACE, read_more(stream, read_ahead)).await
     {
         return matches!(read, Ok(1..));
     }
-    wait_while_idle(open, stream, unread, opened).await
-        // What has come by the moment of closing is still accepted.
-        || (!is_idle(stream) && matches!(read_more(stream, unread).await, Ok(1..)))
+    wait_while_idle(client_connection, stream, read_ahead, opened_at).await
+        // A message whose first bytes arrived before the close is still accepted.
+        || (!is_idle(stream) && matches!(read_more(stream, read_ahead).await, Ok(1..)))
 }
 
-/// Waits for the first byte on a connection that is idle: it may be closed for others' sake, or as
-/// the proxy shuts down.
+/// Waits for the first byte on an idle connection. Returns false if it is to be closed: to make
+/// room for another connection, because the proxy shuts down, or because of a timeout.
 async fn wait_while_idle(
-    open: &ClientConnection,
+    client_connection: &ClientConnection,
     stream: &Async<TcpStream>,
-    unread: &mut Vec<u8>,
-    opened: Option<Instant>,
+    read_ahead: &mut Vec<u8>,
+    opened_at: Option<Instant>,
 ) -> bool {
-    let (close, closed) = bounded(1);
-    let ticket = open.engine.budget.mark_idle(close, opened.is_none());
-    let deadline = opened.map_or_else(|| Instant::now() + IDLE_TIMEOUT, |at| at + HEAD_TIMEOUT);
-    let first_byte = async { matches!(read_more(stream, unread).await, Ok(1..)) };
-    let closed_for_others = async {
-        _ = closed.recv().await;
+    let (close_sender, close_receiver) = bounded(1);
+    let ticket = client_connection.engine.budget.mark_idle(close_sender, opened_at.is_none());
+    let deadline =
+        opened_at.map_or_else(|| Instant::now() + IDLE_TIMEOUT, |opened_at| opened_at + HEAD_TIMEOUT);
+    let first_byte = async { matches!(read_more(stream, read_ahead).await, Ok(1..)) };
+    let evicted = async {
+        _ = close_receiver.recv().await;
         false
     };
     let close_due = async {
-        open.close_due().await;
+        client_connection.close_due().await;
         false
     };
-    let came = wait_until(deadline, first_byte.or(closed_for_others).or(close_due)).await;
-    open.engine.budget.mark_busy(ticket);
-    came.unwrap_or(false)
+    let received = wait_until(deadline, first_byte.or(evicted).or(close_due)).await;
+    client_connection.engine.budget.mark_busy(ticket);
+    received.unwrap_or(false)
 }
--- a/crates/http-frontend/src/reply.rs
+++ b/crates/http-frontend/src/reply.rs
@@ -1,4 +1,4 @@
-//! A response as a client will read it.
+//! The HTTP reply to a client.
 
 use crate::decimal::format_seconds;
 use chalkwalk_engine::response::{BodyStream, Response, ResponseStatus};
@@ -6,19 +6,19 @@
 use chalkwalk_sockets::MemoryReservation;
 use chalkwalk_time::Span;
 
-/// A response in HTTP's terms.
+/// A response as HTTP represents it: a status code, header fields and a body.
 pub(crate) struct Reply {
     pub status: u16,
     pub body: Vec<u8>,
-    /// The rest of the body, where it is longer than was read whole.
+    /// The rest of the body, if only its start was read in advance.
     pub stream: Option<Box<BodyStream>>,
     retry_after: Option<Span>,
     content_type: String,
-    _memory: Option<MemoryReservation>,
+    _memory_reservation: Option<MemoryReservation>,
 }
 
 impl Reply {
-    /// A reply without a body.
+    /// Creates a reply without a body.
     pub fn empty(status: u16) -> Reply {
         Reply {
             status,
@@ -26,17 +26,17 @@
             stream: None,
             retry_after: None,
             content_type: String::new(),
-            _memory: None,
+            _memory_reservation: None,
         }
     }
 
-    /// Whether the request was wrong.
+    /// Whether the status code is a client error (4xx).
     pub fn is_client_error(&self) -> bool {
         (400..500).contains(&self.status)
     }
 
-    /// The status line and the fields, without the empty line that ends them. `close`: the
-    /// connection ends with it.
+    /// Formats the status line and the header fields, without the empty line that ends the head.
+    /// `close` states that the connection closes after the reply.
     pub fn head(&self, content_length: Option<u64>, close: bool) -> String {
         let mut head = format!("HTTP/1.1 {} {}\r\n", self.status, reason(self.status));
         if let Some(length) = content_length {
@@ -68,7 +68,7 @@
             stream: response.stream.map(Box::new),
             retry_after,
             content_type: response.content_type,
-            _memory: response.memory,
+            _memory_reservation: response.memory,
         }
     }
 }
--- a/crates/http-frontend/src/request.rs
+++ b/crates/http-frontend/src/request.rs
@@ -1,4 +1,4 @@
-//! A request as this frontend accepted it: how it is written on to a server, and its response read.
+//! An accepted request: writes it to a server and reads the server's response.
 
 use crate::decimal::format_seconds;
 use crate::frontend::{FRONTEND_NAME, Frontend, OpenId};
@@ -14,34 +14,34 @@
 use std::ops::Range;
 use std::rc::{Rc, Weak};
 
-/// The fields that are written on to servers as they came.
+/// The header fields that are forwarded to servers unchanged.
 const FORWARDED_FIELDS: [&str; 4] = ["Host", "X-Correlation-Id", "Idempotency-Key", "Content-Type"];
 
-/// A request, with the message that it came in.
+/// An accepted request, with the message that carried it.
 pub(crate) struct HttpRequest {
     pub frontend: Rc<Frontend>,
     pub message: Message,
-    /// Where its key is in the message.
+    /// The range of the key in the message's buffer.
     pub key: Range<usize>,
     pub namespace: usize,
     pub class: usize,
-    /// Of the settings that its class is of.
-    pub generation: u64,
-    pub write: bool,
+    /// The generation of the settings in which `class` is an index.
+    pub settings_generation: u64,
+    pub is_write: bool,
     pub received_at: Timestamp,
     pub expires: Timestamp,
-    /// Its client's connection, while that is served.
-    pub client: Weak<Async<TcpStream>>,
-    /// Its correlation id is in use for as long as it is open.
-    pub _open: OpenId,
+    /// The client's connection, while it is being served.
+    pub client_stream: Weak<Async<TcpStream>>,
+    /// Keeps the correlation id claimed while the request is open.
+    pub _open_id: OpenId,
 }
 
-/// The path of a message's target, without its query.
+/// The path of a message's target, without the query.
 pub(crate) fn path_of(message: &Message) -> &str {
     message.text(&message.target).split('?').next().unwrap_or("")
 }
 
-/// What the class of a request in a namespace is found by.
+/// The attributes that determine the class of a request.
 pub(crate) fn attributes_of(message: &Message, namespace: usize) -> RequestAttributes<'_> {
     RequestAttributes {
         namespace,
@@ -51,14 +51,14 @@
     }
 }
 
-/// The tenant that a request is of; empty where it names none.
+/// The tenant that a request names in its `X-Facts` field; empty if it names none.
 fn tenant_of(message: &Message) -> &str {
     let facts = message.header("X-Facts").unwrap_or("");
     facts.split(',').find_map(|fact| fact.trim().strip_prefix("tenant=")).unwrap_or("")
 }
 
 impl HttpRequest {
-    async fn write(&self, stream: &Async<TcpStream>, time_left: Span) -> io::Result<()> {
+    async fn write_request(&self, stream: &Async<TcpStream>, time_left: Span) -> io::Result<()> {
         let message = &self.message;
         let time_left = format_seconds(time_left);
         let length = message.body.len().to_string();
@@ -70,7 +70,7 @@
             }
         }
         parts.extend([&b"X-Time-Left: "[..], time_left.as_bytes(), b"\r\n"]);
-        if self.write || !message.body.is_empty() {
+        if self.is_write || !message.body.is_empty() {
             parts.extend([&b"Content-Length: "[..], length.as_bytes(), b"\r\n"]);
         }
         parts.extend([&b"\r\n"[..], message.slice(&message.body)]);
@@ -84,7 +84,7 @@
     }
 
     fn attributes(&self) -> Option<RequestAttributes<'_>> {
-        let same_settings = self.generation == self.frontend.engine.classes.generation();
+        let same_settings = self.settings_generation == self.frontend.engine.classes.generation();
         same_settings.then(|| attributes_of(&self.message, self.namespace))
     }
 
@@ -97,21 +97,25 @@
     }
 
     fn is_write(&self) -> bool {
-        self.write
+        self.is_write
     }
 
     fn expires(&self) -> Timestamp {
         self.expires
     }
 
-    /// Nothing comes from a client that waits: its end, and what it sends before the response, both
+    /// A waiting client sends nothing. A closed connection and data sent before the response both
     /// end the request.
     fn client_is_waiting(&self) -> bool {
-        self.client.upgrade().is_some_and(|client| is_idle(&client))
+        self.client_stream.upgrade().is_some_and(|client_stream| is_idle(&client_stream))
     }
 
-    fn write_to<'a>(&'a self, stream: &'a Async<TcpStream>, left: Span) -> BoxFuture<'a, io::Result<()>> {
-        Box::pin(self.write(stream, left))
+    fn write_to<'a>(
+        &'a self,
+        stream: &'a Async<TcpStream>,
+        time_left: Span,
+    ) -> BoxFuture<'a, io::Result<()>> {
+        Box::pin(self.write_request(stream, time_left))
     }
 
     fn read_response<'a>(&'a self, stream: &'a Async<TcpStream>) -> BoxFuture<'a, Option<ServerResponse>> {
--- a/crates/http-frontend/src/route.rs
+++ b/crates/http-frontend/src/route.rs
@@ -1,4 +1,4 @@
-//! Stage "route": a request is handed to the engine, and its one final response waited for.
+//! Stage "route": passes a request to the engine and waits for its final response.
 
 use crate::reply::Reply;
 use crate::request::HttpRequest;
@@ -13,38 +13,40 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Beside a time limit, until a request's response is taken to be forgotten: the rules allow 50 ms.
-const OVERDUE: Duration = Duration::from_millis(30);
+/// Time after a request's expiry at which a missing response is treated as lost. The platform's
+/// rules allow 50 ms after the expiry for the response.
+const LOST_RESPONSE_DELAY: Duration = Duration::from_millis(30);
 
-/// The reply to a request; `None` if its client has gone. A client that sends more before the
-/// response breaks the protocol and gets none.
+/// Returns the reply to a request, or `None` if its client has disconnected. A client that sends
+/// more data before the response violates the protocol: it gets status 400 in place of the
+/// response.
 pub(crate) async fn route(
     engine: &Rc<Engine>,
     stream: &Async<TcpStream>,
-    unread: &mut Vec<u8>,
+    read_ahead: &mut Vec<u8>,
     request: Rc<HttpRequest>,
 ) -> Option<Reply> {
     let expires = request.expires;
     let (request_id, response) = api::accept_request(engine, request);
     let overdue = async {
-        // The balancer responds by then; a request that it forgot would hold the connection
-        // forever.
-        Timer::at(engine.clock.instant(expires) + OVERDUE).await;
+        // The balancer has responded by this time. This timeout guards against a request that it
+        // lost track of, which would hold the connection forever.
+        Timer::at(engine.clock.instant(expires) + LOST_RESPONSE_DELAY).await;
         warn!(engine.log, "request without a response");
         engine.violations.check(&engine.log, Some(Violation::NoFinalAnswer));
         api::client_left(engine, request_id);
         Some(Reply::empty(500))
     };
     let client_left = async {
-        let sent_more = matches!(read_more(stream, unread).await, Ok(1..));
+        let sent_more = matches!(read_more(stream, read_ahead).await, Ok(1..));
         api::client_left(engine, request_id);
         sent_more.then(|| Reply::empty(400))
     };
     let responded = async {
         match response.recv().await {
             Ok(response) => Some(Reply::from(response)),
-            // The client was seen to have left where an attempt was to be written: what was seen
-            // there is read here next.
+            // The engine found that the client no longer waits when it was about to write an
+            // attempt. `client_left` reads the same end of connection or data next.
             Err(_) => std::future::pending().await,
         }
     };
--- a/crates/http-frontend/src/server_response.rs
+++ b/crates/http-frontend/src/server_response.rs
@@ -1,4 +1,4 @@
-//! A server's response: what it says of the attempt, and its body, whole or in part.
+//! Reads a server's response: the outcome of the attempt, and the body, whole or its start.
 
 use chalkwalk_balancer::AttemptOutcome;
 use chalkwalk_engine::response::{
@@ -10,18 +10,18 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// How many bytes of a long body are read at once.
-const PART_SIZE: usize = 16 << 10;
-/// How many such parts a streamed body holds at most: one that is read, one that waits, one that is
-/// written.
-const PARTS_HELD: usize = 3;
-/// A body of unknown length is waited for so long before it is streamed: short beside a latency
-/// objective, and most are complete by then.
-const LENGTH_SHOWS: Duration = Duration::from_millis(50);
+/// Maximum length of one read of a streamed body.
+const PART_BYTES: usize = 16 << 10;
+/// Maximum number of parts that a streamed body holds in memory: one being read, one waiting, and
+/// one being written.
+const MAX_BUFFERED_PARTS: usize = 3;
+/// Time to wait for the end of a body of unknown length before the body is streamed. It is short
+/// compared to a latency objective, and most bodies are complete by then.
+const UNKNOWN_LENGTH_WAIT: Duration = Duration::from_millis(50);
 
-/// Reads a response. One of up to 64 KiB is read whole, so that one that breaks off can be tried
-/// elsewhere; a longer one is passed on from its first bytes on. `None` where it breaks off or
-/// makes no sense.
+/// Reads a response. A body of up to 64 KiB is read whole, so that the request can be retried on
+/// another server if the body is truncated; a longer body is forwarded from its first bytes on.
+/// Returns `None` if the response is truncated or invalid.
 pub(crate) async fn read(
     mut reader: ResponseReader,
     stream: &Async<TcpStream>,
@@ -44,7 +44,7 @@
     Some(ServerResponse { outcome, response: Some(response), reusable, remaining_body })
 }
 
-/// What the head of a response says of the attempt.
+/// The outcome of the attempt, according to the head of the response.
 fn outcome_of(message: &Message) -> AttemptOutcome {
     let unprocessed = message.header("X-Unprocessed").is_some_and(|value| value == "1");
     match message.status {
@@ -55,32 +55,32 @@
         },
         404 => AttemptOutcome::CacheMiss,
         503 | 504 if unprocessed => AttemptOutcome::Overloaded,
-        // Says nothing about the server: a client requested what can't be had.
+        // The request itself was invalid, so the response tells nothing about the server's health.
         400..=499 => AttemptOutcome::InvalidRequest,
         _ => AttemptOutcome::ServerError,
     }
 }
 
 fn is_long(bytes: usize) -> bool {
-    bytes > http1::MAX_BUFFERED_BODY
+    bytes > http1::MAX_BUFFERED_BODY_BYTES
 }
 
-/// A body that is longer than any may be makes no sense, and neither does a long one that reports a
-/// failure.
+/// Whether a response may have a body of this length. A body above the maximum length is invalid,
+/// and so is a long body of a response that reports a failure.
 fn is_length_allowed(content_length: Option<u64>, served: bool) -> bool {
     content_length
         .is_none_or(|length| length <= http1::MAX_BODY as u64 && (served || !is_long(length as usize)))
 }
 
-/// What of a body is read before the response is passed on.
+/// The part of a body that is read before the response is forwarded.
 #[derive(Default)]
 struct BodyStart {
     bytes: Vec<u8>,
     complete: bool,
 }
 
-/// Reads a short body whole, and of a long one the first bytes: nothing of it is the client's
-/// before its first byte is here.
+/// Reads a short body whole, and of a long body the first bytes. Nothing is sent to the client
+/// before the first byte of the body has arrived, so until then the request can still be retried.
 async fn read_body_start(
     reader: &mut ResponseReader,
     stream: &Async<TcpStream>,
@@ -88,13 +88,13 @@
 ) -> Option<BodyStart> {
     let length_known = reader.content_length.is_some();
     let known_long = reader.content_length.is_some_and(|length| is_long(length as usize));
-    let length_shows_by = Instant::now() + LENGTH_SHOWS;
+    let unknown_length_deadline = Instant::now() + UNKNOWN_LENGTH_WAIT;
     let mut start = BodyStart::default();
     while !start.complete && (!known_long || start.bytes.is_empty()) {
         let part = reader.next_part(stream);
         let may_be_streamed = served && !length_known && !start.bytes.is_empty();
         let part = if may_be_streamed {
-            match wait_until(length_shows_by, part).await {
+            match wait_until(unknown_length_deadline, part).await {
                 Some(part) => part,
                 None => break,
             }
@@ -112,33 +112,33 @@
     Some(start)
 }
 
-/// The rest of a long body, with its share of the memory for them; without one it is read in
-/// smaller parts.
+/// Returns the rest of a long body for streaming. Reserves memory from the budget for long bodies;
+/// if too little is free, the body is read in smaller parts.
 fn remaining_body(
     mut reader: ResponseReader,
     bytes_read: usize,
     memory: &MemoryBudget,
 ) -> Box<dyn ResponseBody> {
-    let memory = memory.try_reserve(PART_SIZE * PARTS_HELD);
-    if memory.is_some() {
-        reader.max_read = PART_SIZE;
+    let memory_reservation = memory.try_reserve(PART_BYTES * MAX_BUFFERED_PARTS);
+    if memory_reservation.is_some() {
+        reader.max_read_bytes = PART_BYTES;
     }
     let bytes_left = http1::MAX_BODY.saturating_sub(bytes_read);
-    Box::new(RemainingBody { reader, bytes_left, _memory: memory })
+    Box::new(RemainingBody { reader, bytes_left, _memory_reservation: memory_reservation })
 }
 
 struct RemainingBody {
     reader: ResponseReader,
-    /// How many bytes may still come.
+    /// How many more bytes the body may have.
     bytes_left: usize,
-    _memory: Option<MemoryReservation>,
+    _memory_reservation: Option<MemoryReservation>,
 }
 
 impl RemainingBody {
     async fn read_part(&mut self, stream: &Async<TcpStream>) -> Result<Option<Vec<u8>>, BrokenOff> {
         let part = self.reader.next_part(stream).await.map_err(|_| BrokenOff)?;
-        // A body of unknown length may never end: where it is longer than any may be, it is broken
-        // off.
+        // A body of unknown length may never end, so it is aborted once it exceeds the maximum
+        // length of a body.
         let length = part.as_ref().map_or(0, Vec::len);
         self.bytes_left = self.bytes_left.checked_sub(length).ok_or(BrokenOff)?;
         Ok(part)
--- a/crates/http-frontend/src/write_reply.rs
+++ b/crates/http-frontend/src/write_reply.rs
@@ -1,4 +1,4 @@
-//! Stage "reply": the final response, written to the client.
+//! Stage "reply": writes the final response to the client.
 
 use crate::reply::Reply;
 use chalkwalk_engine::response::BodyStream;
@@ -7,25 +7,27 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::Duration;
 
-/// A client that takes no more for so long has gone: a short body fits into what the system
-/// buffers, and of a long one a client that reads 64 kB a second takes several parts.
+/// A client that accepts no more data for this time is treated as disconnected. A short body fits
+/// into the socket's send buffer, and of a long body a client that reads 64 kB per second accepts
+/// several parts in this time.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long, and how much, what a client still sends is read and dropped: closed at once, the
-/// connection would be reset and the reply lost with it.
-const LINGER_TIME: Duration = Duration::from_millis(300);
+/// After an error reply, data that the client still sends is read and discarded for up to this time
+/// and up to `LINGER_MAX_BYTES`. If the socket were closed immediately, unread data would cause a
+/// connection reset, and the client could lose the reply.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
 const LINGER_MAX_BYTES: usize = 256 << 10;
 
-/// What the client's connection allows.
+/// How a reply is written, depending on the client's connection.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReplyOptions {
-    /// The connection ends with the reply.
+    /// Whether the connection is closed after the reply.
     pub close: bool,
-    /// The client speaks HTTP/1.0, and knows no chunks.
-    pub http10: bool,
+    /// Whether the client uses HTTP/1.0, which does not support chunked encoding.
+    pub is_http10: bool,
 }
 
-/// Writes the reply. Returns whether the connection may carry another.
+/// Writes a reply. Returns whether the connection may carry another request.
 pub(crate) async fn write_reply(stream: &Async<TcpStream>, mut reply: Reply, options: ReplyOptions) -> bool {
     match reply.stream.take() {
         Some(body) => write_streamed(stream, &reply, *body, options).await,
@@ -33,9 +35,9 @@
     }
 }
 
-/// Writes a reply to what is wrong, and ends the connection.
+/// Writes the reply to an invalid message and closes the connection.
 pub(crate) async fn refuse(stream: &Async<TcpStream>, reply: Reply) {
-    write_reply(stream, reply, ReplyOptions { close: true, http10: false }).await;
+    write_reply(stream, reply, ReplyOptions { close: true, is_http10: false }).await;
     linger(stream).await;
 }
 
@@ -43,11 +45,11 @@
     let head = reply.head(Some(reply.body.len() as u64), close) + "\r\n";
     let parts = [head.as_bytes(), &reply.body];
     let written = within(WRITE_TIMEOUT, write_all(stream, &parts)).await;
-    let keep = matches!(written, Some(Ok(()))) && !close;
-    if !keep {
-        shut_down(stream);
+    let keep_open = matches!(written, Some(Ok(()))) && !close;
+    if !keep_open {
+        shutdown_write(stream);
     }
-    keep
+    keep_open
 }
 
 async fn write_streamed(
@@ -56,26 +58,26 @@
     body: BodyStream,
     options: ReplyOptions,
 ) -> bool {
-    let framing = Framing::new(body.content_length, options.http10);
+    let framing = Framing::new(body.content_length, options.is_http10);
     let close = options.close || framing == Framing::UntilClose;
     let complete = stream_body(stream, reply, body, framing, close).await.is_some();
     if !complete && framing == Framing::UntilClose {
-        // Closed in order, it would look complete: it is reset.
+        // With an orderly close the body would look complete, so the connection is reset.
         _ = socket2::SockRef::from(stream.get_ref()).set_linger(Some(Duration::ZERO));
         return false;
     }
     if complete && !close {
         return true;
     }
-    shut_down(stream);
+    shutdown_write(stream);
     false
 }
 
-fn shut_down(stream: &Async<TcpStream>) {
+fn shutdown_write(stream: &Async<TcpStream>) {
     _ = stream.get_ref().shutdown(Shutdown::Write);
 }
 
-/// How a client knows where a streamed body ends.
+/// How the end of a streamed body is indicated to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Framing {
     ContentLength(u64),
@@ -84,10 +86,10 @@
 }
 
 impl Framing {
-    fn new(content_length: Option<u64>, http10: bool) -> Framing {
+    fn new(content_length: Option<u64>, is_http10: bool) -> Framing {
         match content_length {
             Some(length) => Framing::ContentLength(length),
-            None if http10 => Framing::UntilClose,
+            None if is_http10 => Framing::UntilClose,
             None => Framing::Chunked,
         }
     }
@@ -99,7 +101,8 @@
         }
     }
 
-    /// The field for it that does not come with every head, and the end of the head.
+    /// The framing header field that [`Reply::head`] does not write, and the empty line that ends
+    /// the head.
     fn end_of_head(self) -> &'static str {
         match self {
             Framing::Chunked => "Transfer-Encoding: chunked\r\n\r\n",
@@ -108,7 +111,8 @@
     }
 }
 
-/// Writes a long body part by part; `None` if it broke off, here or at the server.
+/// Writes a long body part by part. Returns `None` if the body was truncated, because of the client
+/// or of the server.
 async fn stream_body(
     stream: &Async<TcpStream>,
     reply: &Reply,
@@ -134,33 +138,34 @@
 }
 
 impl PartWriter<'_> {
-    /// Writes a part of the body, and something before it.
-    async fn write(&self, before: &str, part: &[u8]) -> Option<()> {
+    /// Writes `prefix` unframed, followed by a part of the body.
+    async fn write(&self, prefix: &str, part: &[u8]) -> Option<()> {
         let is_chunk = self.chunked && !part.is_empty();
-        let size = if is_chunk { format!("{:x}\r\n", part.len()) } else { String::new() };
-        let end: &[u8] = if is_chunk { b"\r\n" } else { b"" };
-        let parts = [before.as_bytes(), size.as_bytes(), part, end];
+        let chunk_size_line = if is_chunk { format!("{:x}\r\n", part.len()) } else { String::new() };
+        let chunk_end: &[u8] = if is_chunk { b"\r\n" } else { b"" };
+        let parts = [prefix.as_bytes(), chunk_size_line.as_bytes(), part, chunk_end];
         within(WRITE_TIMEOUT, write_all(self.stream, &parts)).await?.ok()
     }
 
-    /// Writes the end of a complete body.
+    /// Writes the end of the body, if the framing has one.
     async fn finish(&self) -> Option<()> {
         if self.chunked { self.write("0\r\n\r\n", b"").await } else { Some(()) }
     }
 }
 
 async fn linger(stream: &Async<TcpStream>) {
-    let drained = async {
-        let mut dropped = 0;
+    let drain = async {
+        let mut discarded_bytes = 0;
         let mut buffer = Vec::new();
-        while let Ok(read @ 1..) = read_more(stream, &mut buffer).await {
-            dropped += read;
+        while let Ok(read_bytes @ 1..) = read_more(stream, &mut buffer).await {
+            discarded_bytes += read_bytes;
             buffer.clear();
-            if dropped > LINGER_MAX_BYTES {
-                // No more is read, at no cost; the reply still can be.
+            if discarded_bytes > LINGER_MAX_BYTES {
+                // Reading stops here, which bounds the cost; the client can still read the reply
+                // until the timeout.
                 std::future::pending::<()>().await;
             }
         }
     };
-    within(LINGER_TIME, drained).await;
+    within(LINGER_TIMEOUT, drain).await;
 }
--- a/crates/http-frontend/tests/wire.rs
+++ b/crates/http-frontend/tests/wire.rs
@@ -1,5 +1,5 @@
-//! The frontend on sockets, with an engine of its own: what clients are answered, and what a server
-//! is sent.
+//! Tests of the frontend over sockets, with its own engine: the replies that clients receive, and
+//! the requests that a server receives.
 
 use chalkwalk_balancer::EndpointStatus;
 use chalkwalk_engine::api;
@@ -18,7 +18,7 @@
 use std::thread::{JoinHandle, spawn};
 use std::time::Duration;
 
-const LONGEST_BODY: u64 = 100_000;
+const MAX_BODY_BYTES: u64 = 100_000;
 
 fn engine() -> Rc<Engine> {
     let namespace = Namespace {
@@ -30,7 +30,7 @@
     };
     let platform_limits = PlatformLimits {
         max_attempts: 1,
-        max_body_bytes: LONGEST_BODY,
+        max_body_bytes: MAX_BODY_BYTES,
         namespaces: vec![namespace],
         ..PlatformLimits::default()
     };
@@ -66,9 +66,9 @@
     }
 }
 
-/// A proxy that runs for as long as the client does, which gets its address; in front of a server,
-/// if there is one.
-fn run<T: Send + 'static>(
+/// Runs a proxy until `client`, which is passed the proxy's address, returns. The proxy forwards to
+/// `server`, if there is one.
+fn run_proxy<T: Send + 'static>(
     server: Option<SocketAddr>,
     client: impl FnOnce(SocketAddr) -> T + Send + 'static,
 ) -> T {
@@ -85,7 +85,8 @@
     }))
 }
 
-/// Sends bytes on a connection of their own, and returns all that comes back until it closes.
+/// Sends a request on a new connection, and returns everything received until the connection
+/// closes.
 fn exchange(addr: SocketAddr, request: &str) -> String {
     let mut stream = TcpStream::connect(addr).unwrap();
     stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
@@ -95,8 +96,8 @@
     String::from_utf8(reply).unwrap()
 }
 
-/// The status line of a reply, and whether it closes the connection.
-fn status(reply: &str) -> String {
+/// Returns the status line of a reply, with a note if the reply closes the connection.
+fn status_line(reply: &str) -> String {
     let close = if reply.contains("Connection: close") { ", close" } else { "" };
     format!("{}{close}", reply.lines().next().unwrap_or("nothing"))
 }
@@ -106,13 +107,13 @@
 }
 
 #[test]
-fn messages_that_are_no_request_are_answered_by_what_is_wrong() {
-    let good = "X-Service-Class: books\r\nX-Correlation-Id: i\r\nX-Time-Left: 0.5\r\n";
-    let long = format!("{good}Content-Length: {}\r\n", LONGEST_BODY + 1);
+fn readiness_checks_and_invalid_requests_get_the_matching_status() {
+    let required_fields = "X-Service-Class: books\r\nX-Correlation-Id: i\r\nX-Time-Left: 0.5\r\n";
+    let fields_of_long_body = format!("{required_fields}Content-Length: {}\r\n", MAX_BODY_BYTES + 1);
     let cases = [
         ("readiness", "GET /up HTTP/1.1\r\nConnection: close\r\n\r\n".to_string()),
         ("put to readiness", "PUT /up HTTP/1.1\r\nConnection: close\r\n\r\n".to_string()),
-        ("method", request("DELETE", good)),
+        ("method", request("DELETE", required_fields)),
         ("no class", request("GET", "X-Correlation-Id: i\r\nX-Time-Left: 0.5\r\n")),
         (
             "unknown class",
@@ -121,14 +122,17 @@
         ("no id", request("GET", "X-Service-Class: books\r\nX-Time-Left: 0.5\r\n")),
         ("empty id", request("GET", "X-Service-Class: books\r\nX-Correlation-Id:\r\nX-Time-Left: 0.5\r\n")),
         ("no time", request("GET", "X-Service-Class: books\r\nX-Correlation-Id: i\r\n")),
-        ("odd time", request("GET", "X-Service-Class: books\r\nX-Correlation-Id: i\r\nX-Time-Left: 1e3\r\n")),
-        ("field twice", request("GET", &format!("{good}X-Time-Left: 0.5\r\n"))),
-        ("too long", request("PUT", &long)),
-        ("two at once", request("GET", good).repeat(2)),
-        ("no http", "nonsense\r\n\r\n".to_string()),
+        (
+            "malformed time",
+            request("GET", "X-Service-Class: books\r\nX-Correlation-Id: i\r\nX-Time-Left: 1e3\r\n"),
+        ),
+        ("duplicate field", request("GET", &format!("{required_fields}X-Time-Left: 0.5\r\n"))),
+        ("too long", request("PUT", &fields_of_long_body)),
+        ("pipelined requests", request("GET", required_fields).repeat(2)),
+        ("not HTTP", "nonsense\r\n\r\n".to_string()),
     ];
-    let seen = run(None, move |addr| {
-        cases.map(|(name, bytes)| format!("{name}: {}", status(&exchange(addr, &bytes)))).join("\n")
+    let outcomes = run_proxy(None, move |addr| {
+        cases.map(|(name, bytes)| format!("{name}: {}", status_line(&exchange(addr, &bytes)))).join("\n")
     });
     expect![[r#"
         readiness: HTTP/1.1 200 OK, close
@@ -139,28 +143,28 @@
         no id: HTTP/1.1 400 Bad Request, close
         empty id: HTTP/1.1 400 Bad Request, close
         no time: HTTP/1.1 400 Bad Request, close
-        odd time: HTTP/1.1 400 Bad Request, close
-        field twice: HTTP/1.1 400 Bad Request, close
+        malformed time: HTTP/1.1 400 Bad Request, close
+        duplicate field: HTTP/1.1 400 Bad Request, close
         too long: HTTP/1.1 413 Content Too Large, close
-        two at once: HTTP/1.1 400 Bad Request, close
-        no http: HTTP/1.1 400 Bad Request, close"#]]
-    .assert_eq(&seen);
+        pipelined requests: HTTP/1.1 400 Bad Request, close
+        not HTTP: HTTP/1.1 400 Bad Request, close"#]]
+    .assert_eq(&outcomes);
 }
 
 #[test]
-fn an_id_that_is_open_is_not_accepted_again() {
+fn a_request_with_the_correlation_id_of_an_open_request_is_rejected() {
     let (addr, server) = server(vec![("", Duration::from_millis(300))]);
-    let seen = run(Some(addr), |addr| {
-        let one = spawn(move || status(&exchange(addr, &get("same"))));
+    let outcomes = run_proxy(Some(addr), |addr| {
+        let first_client = spawn(move || status_line(&exchange(addr, &get_request("same"))));
         std::thread::sleep(Duration::from_millis(100));
-        let other = status(&exchange(addr, &get("same")));
-        format!("{}; {other}", one.join().unwrap())
+        let second_status = status_line(&exchange(addr, &get_request("same")));
+        format!("{}; {second_status}", first_client.join().unwrap())
     });
     drop(server);
-    expect!["HTTP/1.1 500 Internal Server Error, close; HTTP/1.1 409 Conflict, close"].assert_eq(&seen);
+    expect!["HTTP/1.1 500 Internal Server Error, close; HTTP/1.1 409 Conflict, close"].assert_eq(&outcomes);
 }
 
-fn get(id: &str) -> String {
+fn get_request(id: &str) -> String {
     request(
         "GET",
         &format!(
@@ -169,31 +173,32 @@
     )
 }
 
-/// A server that answers one connection after the other with these bytes, each after a time, and
-/// closes it. Returns what it was sent.
-fn server(answers: Vec<(&'static str, Duration)>) -> (SocketAddr, JoinHandle<Vec<String>>) {
+/// Starts a server that accepts one connection per response, reads a request head, waits for the
+/// given time, sends the response and closes the connection. The thread returns the heads that it
+/// received.
+fn server(responses: Vec<(&'static str, Duration)>) -> (SocketAddr, JoinHandle<Vec<String>>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
-    let served = spawn(move || {
-        let serve = |(answer, after): (&str, Duration)| {
+    let server_thread = spawn(move || {
+        let serve = |(response, delay): (&str, Duration)| {
             let (mut stream, _) = listener.accept().unwrap();
             let mut head = Vec::new();
             let mut byte = [0];
             while !head.ends_with(b"\r\n\r\n") && stream.read(&mut byte).unwrap() == 1 {
                 head.push(byte[0]);
             }
-            std::thread::sleep(after);
-            stream.write_all(answer.as_bytes()).unwrap();
+            std::thread::sleep(delay);
+            stream.write_all(response.as_bytes()).unwrap();
             _ = stream.shutdown(Shutdown::Write);
             String::from_utf8(head).unwrap()
         };
-        answers.into_iter().map(serve).collect()
+        responses.into_iter().map(serve).collect()
     });
-    (addr, served)
+    (addr, server_thread)
 }
 
-/// What a server is sent, with the time left without its decimals, which pass meanwhile.
-fn sent(head: &str) -> String {
+/// Masks the decimals of `X-Time-Left` in a request head, as they depend on the time elapsed.
+fn mask_time_left(head: &str) -> String {
     let lines = head.lines().map(|line| match line.strip_prefix("X-Time-Left: 0.") {
         Some(decimals) => format!("X-Time-Left: 0.{}", "#".repeat(decimals.len())),
         None => line.to_string(),
@@ -202,11 +207,11 @@
 }
 
 #[test]
-fn a_request_is_written_on_and_its_response_back() {
-    let answer = "HTTP/1.1 200 OK\r\nX-Lookup: hit\r\nX-Other: o\r\nContent-Type: text/plain\r\nContent-Length: 5\r\n\r\nvalue";
-    let (addr, server) = server(vec![(answer, Duration::ZERO)]);
-    let reply = run(Some(addr), |addr| exchange(addr, &get("one")));
-    let sent = sent(&server.join().unwrap()[0]);
+fn a_request_is_forwarded_and_its_response_returned() {
+    let response = "HTTP/1.1 200 OK\r\nX-Lookup: hit\r\nX-Other: o\r\nContent-Type: text/plain\r\nContent-Length: 5\r\n\r\nvalue";
+    let (addr, server) = server(vec![(response, Duration::ZERO)]);
+    let reply = run_proxy(Some(addr), |addr| exchange(addr, &get_request("one")));
+    let sent = mask_time_left(&server.join().unwrap()[0]);
     expect![[r#"
         GET /books/k HTTP/1.1
         Host: h
@@ -224,22 +229,26 @@
 }
 
 #[test]
-fn a_long_body_is_streamed_in_the_framing_that_its_client_knows() {
-    let mut long = String::from("HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n");
+fn a_long_body_is_streamed_in_a_framing_that_the_client_supports() {
+    let mut chunked_response =
+        String::from("HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n");
     for _ in 0..10 {
-        long += &format!("2710\r\n{}\r\n", "x".repeat(10_000));
+        chunked_response += &format!("2710\r\n{}\r\n", "x".repeat(10_000));
     }
-    let whole: &'static str = Box::leak(format!("{long}0\r\n\r\n").into_boxed_str());
-    let cut: &'static str = Box::leak(long.into_boxed_str());
-    let (addr, server) =
-        server(vec![(whole, Duration::ZERO), (whole, Duration::ZERO), (cut, Duration::ZERO)]);
-    let seen = run(Some(addr), |addr| {
-        let old = get("two").replace("HTTP/1.1", "HTTP/1.0");
-        [get("one"), old, get("three")].map(|request| {
+    let complete_response: &'static str = Box::leak(format!("{chunked_response}0\r\n\r\n").into_boxed_str());
+    let truncated_response: &'static str = Box::leak(chunked_response.into_boxed_str());
+    let (addr, server) = server(vec![
+        (complete_response, Duration::ZERO),
+        (complete_response, Duration::ZERO),
+        (truncated_response, Duration::ZERO),
+    ]);
+    let outcomes = run_proxy(Some(addr), |addr| {
+        let http10_request = get_request("two").replace("HTTP/1.1", "HTTP/1.0");
+        [get_request("one"), http10_request, get_request("three")].map(|request| {
             let reply = exchange(addr, &request);
             let (head, body) = reply.split_once("\r\n\r\n").unwrap();
-            let values = body.matches('x').count();
-            format!("{}\n{values} bytes, ends {:?}", head.replace('\r', ""), body.ends_with("0\r\n\r\n"))
+            let value_bytes = body.matches('x').count();
+            format!("{}\n{value_bytes} bytes, ends {:?}", head.replace('\r', ""), body.ends_with("0\r\n\r\n"))
         })
     });
     drop(server);
@@ -257,5 +266,5 @@
         Connection: close
         Transfer-Encoding: chunked
         100000 bytes, ends false"#]]
-    .assert_eq(&seen.join("\n---\n"));
+    .assert_eq(&outcomes.join("\n---\n"));
 }
--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -1,51 +1,52 @@
-//! Takes the framing off a body, whatever pieces it comes in.
+//! Decodes the framing of a body incrementally, however the body is split into reads.
 
 use crate::HttpError;
 
-/// How the end of a body is marked.
+/// How the end of a body is indicated.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Framing {
-    /// By its length in bytes.
+    /// By a length given in advance, in bytes.
     Length(usize),
-    /// By a chunk of size 0.
+    /// By a chunk of size 0 (chunked transfer encoding).
     Chunked,
-    /// By the end of the connection.
+    /// By the close of the connection.
     UntilClose,
 }
 
-/// What comes next of a body.
+/// What the decoder expects next.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
-    /// So many bytes of the body; a chunk's end follows if it is chunked.
+    /// This many more bytes of the body, followed by the end of the chunk if the body is chunked.
     Data(u64),
-    /// The line with a chunk's size.
+    /// The line with the size of a chunk.
     ChunkSize,
-    /// The line end behind a chunk's data.
+    /// The line break after the data of a chunk.
     ChunkEnd,
-    /// Lines of trailers; an empty one is the end.
+    /// Trailer lines; an empty line ends them.
     Trailers,
-    /// Bytes of the body up to the connection's end.
+    /// Bytes of the body until the connection closes.
     UntilClose,
-    /// Nothing.
+    /// Nothing: the body is complete.
     Finished,
 }
 
-/// A line of framing or of trailers that is longer is nonsense, in bytes.
-const MAX_LINE: usize = 1024;
-/// All trailers together, in bytes: more are nonsense.
-const MAX_TRAILERS: usize = 16 << 10;
+/// Maximum length of a chunk size line or a trailer line. No reasonable peer sends a longer line,
+/// so it is treated as malformed.
+const MAX_LINE_BYTES: usize = 1024;
+/// Maximum length of all trailers together. No reasonable peer sends more, so more are rejected.
+const MAX_TRAILER_BYTES: usize = 16 << 10;
 
-/// Takes the framing off one body.
+/// Decodes the framing of one body.
 #[derive(Debug)]
 pub struct BodyDecoder {
     state: State,
     chunked: bool,
-    /// Bytes of trailers so far.
-    trailers: usize,
+    /// Length of the trailers received so far.
+    trailer_bytes: usize,
 }
 
 impl BodyDecoder {
-    /// A decoder at the body's start.
+    /// Creates a decoder for a body of which nothing has been decoded yet.
     pub fn new(framing: Framing) -> BodyDecoder {
         let state = match framing {
             Framing::Length(0) => State::Finished,
@@ -53,39 +54,40 @@
             Framing::Chunked => State::ChunkSize,
             Framing::UntilClose => State::UntilClose,
         };
-        BodyDecoder { state, chunked: framing == Framing::Chunked, trailers: 0 }
+        BodyDecoder { state, chunked: framing == Framing::Chunked, trailer_bytes: 0 }
     }
 
-    /// Whether all of the body has come.
+    /// Whether the body is complete.
     pub fn is_finished(&self) -> bool {
         self.state == State::Finished
     }
 
-    /// Bytes of the body that are announced to come next.
-    pub fn announced(&self) -> u64 {
-        if let State::Data(left) = self.state { left } else { 0 }
+    /// Number of bytes that the message has announced and that are still to be decoded: the rest of
+    /// the body if its length is known, or else of the current chunk.
+    pub fn announced_bytes(&self) -> u64 {
+        if let State::Data(remaining) = self.state { remaining } else { 0 }
     }
 
-    /// Whether the end of the connection is the end of the body.
+    /// Whether the close of the connection ends the body.
     pub fn ends_at_close(&self) -> bool {
         self.state == State::UntilClose
     }
 
-    /// The connection has ended, and with it a body that goes on until there.
-    pub fn close(&mut self) {
+    /// Handles the close of the connection: it completes a body that is framed by it.
+    pub fn handle_close(&mut self) {
         if self.ends_at_close() {
             self.state = State::Finished;
         }
     }
 
-    /// What of the body is in the buffer, taken out of it. Empty if more has to come first, or at
-    /// the end.
+    /// Removes the next bytes of the body from the buffer and returns them without their framing.
+    /// The result is empty if the buffer holds too little, or if the body is complete.
     pub fn decode(&mut self, buf: &mut Vec<u8>) -> Result<Vec<u8>, HttpError> {
         loop {
             let advanced = match self.state {
                 State::Finished => return Ok(Vec::new()),
                 State::UntilClose => return Ok(std::mem::take(buf)),
-                State::Data(left) => return Ok(self.take_data(left, buf)),
+                State::Data(remaining) => return Ok(self.take_data(remaining, buf)),
                 State::ChunkEnd => self.skip_chunk_end(buf)?,
                 State::ChunkSize => self.read_chunk_size(buf)?,
                 State::Trailers => self.skip_trailer(buf)?,
@@ -96,18 +98,18 @@
         }
     }
 
-    fn take_data(&mut self, left: u64, buf: &mut Vec<u8>) -> Vec<u8> {
-        let len = (buf.len() as u64).min(left);
-        self.state = match left - len {
+    fn take_data(&mut self, remaining: u64, buf: &mut Vec<u8>) -> Vec<u8> {
+        let len = (buf.len() as u64).min(remaining);
+        self.state = match remaining - len {
             0 if self.chunked => State::ChunkEnd,
             0 => State::Finished,
-            left => State::Data(left),
+            remaining => State::Data(remaining),
         };
-        let behind = buf.split_off(len as usize);
-        std::mem::replace(buf, behind)
+        let rest = buf.split_off(len as usize);
+        std::mem::replace(buf, rest)
     }
 
-    // Steps over framing. Each is false while its line is not whole.
+    // Each of these consumes one element of the framing and returns false while it is incomplete.
 
     fn skip_chunk_end(&mut self, buf: &mut Vec<u8>) -> Result<bool, HttpError> {
         match buf.get(..2) {
@@ -128,21 +130,21 @@
                 self.state = if size == 0 { State::Trailers } else { State::Data(size) };
                 Ok(true)
             }
-            Ok(httparse::Status::Partial) if buf.len() < MAX_LINE => Ok(false),
+            Ok(httparse::Status::Partial) if buf.len() < MAX_LINE_BYTES => Ok(false),
             _ => Err(HttpError::Malformed),
         }
     }
 
     fn skip_trailer(&mut self, buf: &mut Vec<u8>) -> Result<bool, HttpError> {
         let Some(len) = buf.windows(2).position(|window| window == b"\r\n") else {
-            return if buf.len() < MAX_LINE { Ok(false) } else { Err(HttpError::Malformed) };
+            return if buf.len() < MAX_LINE_BYTES { Ok(false) } else { Err(HttpError::Malformed) };
         };
         let line_len = len + 2;
         buf.drain(..line_len);
-        self.trailers += line_len;
+        self.trailer_bytes += line_len;
         if len == 0 {
             self.state = State::Finished;
-        } else if self.trailers > MAX_TRAILERS {
+        } else if self.trailer_bytes > MAX_TRAILER_BYTES {
             return Err(HttpError::HeadTooLong);
         }
         Ok(true)
--- a/crates/http1/src/error.rs
+++ b/crates/http1/src/error.rs
@@ -1,32 +1,31 @@
-//! What can be wrong with a message, or with reading it.
+//! Errors of reading a message.
 
-/// Why a message could not be read. Each error stands for the status that a client is answered
-/// with.
+/// Why a message could not be read. Each error maps to the status code that the client receives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HttpError {
-    /// The head or the body's framing breaks the protocol, or the connection ended within a
-    /// request.
-    #[error("malformed message")]
+    /// The head or the framing of the body violates the protocol, or the connection ended before
+    /// the request was complete.
+    #[error("malformed or incomplete message")]
     Malformed,
-    /// The head missed its deadline, or the body came more slowly than a client may send it.
+    /// The head missed its deadline, or the body arrived below the minimum rate.
     #[error("message not received in time")]
     Timeout,
-    /// The body is longer than its limit.
+    /// The body exceeds its limit.
     #[error("body too long")]
     BodyTooLong,
-    /// The head or the trailers are longer than their limit.
-    #[error("head too long")]
+    /// The head or the trailers exceed their limit in bytes, or the head has too many fields.
+    #[error("head or trailers too long")]
     HeadTooLong,
-    /// A response is malformed, or the connection ended within it.
-    #[error("broken response")]
+    /// A response is malformed, or the connection ended before it was complete.
+    #[error("malformed or incomplete response")]
     BrokenResponse,
-    /// No memory for a long body became free in time.
-    #[error("no memory for the body")]
+    /// The memory budget for long bodies had no room for this one within the timeout.
+    #[error("no memory available for the body")]
     NoMemory,
 }
 
 impl HttpError {
-    /// The status that says so.
+    /// The HTTP status code for the error.
     pub fn status(self) -> u16 {
         match self {
             HttpError::Malformed => 400,
--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -1,18 +1,18 @@
-//! The head of a message: its first line, its header fields, and how its body is framed.
+//! The head of a message: its start line, its header fields, and the framing of its body.
 
 use crate::HttpError;
 use crate::body::Framing;
-use crate::limits::MAX_HEAD;
+use crate::limits::MAX_HEAD_BYTES;
 use crate::message::{Header, Message};
 use chalkwalk_sockets::read_more;
 use smol::Async;
 use std::net::TcpStream;
 use std::ops::Range;
 
-/// A head with more header fields is refused.
+/// Maximum number of header fields in a head; a head with more is rejected.
 const MAX_HEADERS: usize = 64;
 
-/// What a head begins.
+/// Whether a message is a request or a response.
 #[derive(Clone, Copy, PartialEq)]
 pub enum MessageKind {
     /// A request, read from a client.
@@ -22,8 +22,8 @@
 }
 
 impl MessageKind {
-    /// What it means that the connection ended within such a message.
-    fn cut_short(self) -> HttpError {
+    /// The error for a connection that ended before a message of this kind was complete.
+    fn truncation_error(self) -> HttpError {
         match self {
             MessageKind::Request => HttpError::Malformed,
             MessageKind::Response => HttpError::BrokenResponse,
@@ -31,34 +31,34 @@
     }
 }
 
-/// A head that was read. Its message holds the head's bytes only.
+/// A parsed head. Its message holds only the bytes of the head so far.
 pub struct Head {
-    /// The message so far.
+    /// The message, still without its body.
     pub message: Message,
-    /// How its body is framed.
+    /// How the body is framed.
     pub framing: Framing,
-    /// Whether a request's client waits for `100 Continue` before it sends the body.
+    /// Whether the client waits for `100 Continue` before it sends the body of a request.
     pub expects_continue: bool,
 }
 
-/// Reads a head off the stream; a response's interim heads (1xx) are skipped. `unread` holds what
-/// was read of the stream and belongs to no message yet, before and after.
+/// Reads a head from the stream and skips interim responses (1xx). `read_ahead` holds the bytes
+/// that were read from the stream but belong to no message yet, both on entry and on return.
 pub async fn read_head(
     stream: &Async<TcpStream>,
-    unread: &mut Vec<u8>,
+    read_ahead: &mut Vec<u8>,
     kind: MessageKind,
     max_body: usize,
 ) -> Result<Head, HttpError> {
     loop {
-        match parse_head(unread, kind, max_body)? {
+        match parse_head(read_ahead, kind, max_body)? {
             Some((mut head, len)) if !is_interim(head.message.status) => {
-                let after_head = unread.split_off(len);
-                head.message.buf = std::mem::replace(unread, after_head);
+                let after_head = read_ahead.split_off(len);
+                head.message.buf = std::mem::replace(read_ahead, after_head);
                 return Ok(head);
             }
-            Some((_, interim_len)) => _ = unread.drain(..interim_len),
-            None if matches!(read_more(stream, unread).await, Ok(1..)) => {}
-            None => return Err(kind.cut_short()),
+            Some((_, interim_len)) => _ = read_ahead.drain(..interim_len),
+            None if matches!(read_more(stream, read_ahead).await, Ok(1..)) => {}
+            None => return Err(kind.truncation_error()),
         }
     }
 }
@@ -67,24 +67,25 @@
     (100..200).contains(&status)
 }
 
-/// The head at the start of the buffer and its length, or `None` while it is not whole.
+/// Parses the head at the start of the buffer. Returns it with its length in bytes, or `None` while
+/// it is incomplete.
 fn parse_head(buf: &[u8], kind: MessageKind, max_body: usize) -> Result<Option<(Head, usize)>, HttpError> {
     let parsed = match kind {
         MessageKind::Request => parse_request(buf)?,
         MessageKind::Response => parse_response(buf)?,
     };
     let Some(Parsed { mut message, len, minor_version }) = parsed else { return Ok(None) };
-    if len > MAX_HEAD {
+    if len > MAX_HEAD_BYTES {
         return Err(HttpError::HeadTooLong);
     }
     message.is_http10 = minor_version == 0;
-    let fields = FramingFields::of(buf, &message.headers)?;
+    let fields = FramingFields::from_headers(buf, &message.headers)?;
     message.close = message.is_http10 || fields.close;
     let framing = fields.framing(kind, &message, max_body)?;
     Ok(Some((Head { message, framing, expects_continue: fields.expects_continue }, len)))
 }
 
-/// What httparse makes of a head.
+/// A head as parsed by httparse.
 struct Parsed {
     message: Message,
     len: usize,
@@ -96,15 +97,15 @@
     let mut request = httparse::Request::new(&mut headers);
     let len = match request.parse(buf) {
         Ok(httparse::Status::Complete(len)) => len,
-        Ok(httparse::Status::Partial) if buf.len() < MAX_HEAD => return Ok(None),
+        Ok(httparse::Status::Partial) if buf.len() < MAX_HEAD_BYTES => return Ok(None),
         Ok(httparse::Status::Partial) | Err(httparse::Error::TooManyHeaders) => {
             return Err(HttpError::HeadTooLong);
         }
         Err(_) => return Err(HttpError::Malformed),
     };
     let message = Message {
-        method: range_in(buf, request.method.unwrap_or("").as_bytes()),
-        target: range_in(buf, request.path.unwrap_or("").as_bytes()),
+        method: subslice_range(buf, request.method.unwrap_or("").as_bytes()),
+        target: subslice_range(buf, request.path.unwrap_or("").as_bytes()),
         headers: header_ranges(buf, request.headers),
         ..Message::default()
     };
@@ -116,7 +117,7 @@
     let mut response = httparse::Response::new(&mut headers);
     let len = match response.parse(buf) {
         Ok(httparse::Status::Complete(len)) => len,
-        Ok(httparse::Status::Partial) if buf.len() < MAX_HEAD => return Ok(None),
+        Ok(httparse::Status::Partial) if buf.len() < MAX_HEAD_BYTES => return Ok(None),
         _ => return Err(HttpError::BrokenResponse),
     };
     let message = Message {
@@ -129,19 +130,20 @@
 
 fn header_ranges(buf: &[u8], headers: &[httparse::Header]) -> Vec<Header> {
     let ranges = |header: &httparse::Header| Header {
-        name: range_in(buf, header.name.as_bytes()),
-        value: range_in(buf, header.value),
+        name: subslice_range(buf, header.name.as_bytes()),
+        value: subslice_range(buf, header.value),
     };
     headers.iter().map(ranges).collect()
 }
 
-/// Where a part of the buffer stands in it. An empty one may be a part of anything.
-fn range_in(buf: &[u8], part: &[u8]) -> Range<usize> {
-    let start = (part.as_ptr() as usize).wrapping_sub(buf.as_ptr() as usize);
-    if part.is_empty() { 0..0 } else { start..start + part.len() }
+/// The range of a subslice within the buffer. The address of an empty subslice may lie outside of
+/// the buffer, so its range is always `0..0`.
+fn subslice_range(buf: &[u8], subslice: &[u8]) -> Range<usize> {
+    let start = (subslice.as_ptr() as usize).wrapping_sub(buf.as_ptr() as usize);
+    if subslice.is_empty() { 0..0 } else { start..start + subslice.len() }
 }
 
-/// What the header fields say of the body and of the connection.
+/// The header fields that determine the framing of the body and the reuse of the connection.
 #[derive(Default)]
 struct FramingFields {
     content_lengths: Vec<usize>,
@@ -151,7 +153,7 @@
 }
 
 impl FramingFields {
-    fn of(buf: &[u8], headers: &[Header]) -> Result<FramingFields, HttpError> {
+    fn from_headers(buf: &[u8], headers: &[Header]) -> Result<FramingFields, HttpError> {
         let mut fields = FramingFields::default();
         let text = |range: &Range<usize>| String::from_utf8_lossy(&buf[range.clone()]).to_ascii_lowercase();
         for header in headers {
@@ -169,14 +171,15 @@
                 _ => {}
             }
         }
-        // Two statements of where a message ends are how one is smuggled into another.
+        // Conflicting indications of the message's length allow request smuggling, so a message
+        // with more than one is rejected, even if they agree.
         if fields.content_lengths.len() + usize::from(fields.chunked) > 1 {
             return Err(HttpError::Malformed);
         }
         Ok(fields)
     }
 
-    /// How the body is framed, by RFC 9112, section 6.3.
+    /// The framing of the body according to RFC 9112, section 6.3.
     fn framing(&self, kind: MessageKind, message: &Message, max_body: usize) -> Result<Framing, HttpError> {
         if is_interim(message.status) || matches!(message.status, 204 | 304) {
             return Ok(Framing::Length(0));
@@ -188,8 +191,8 @@
             Some(length) if *length > max_body => Err(HttpError::BodyTooLong),
             Some(length) => Ok(Framing::Length(*length)),
             None if kind == MessageKind::Request => Ok(Framing::Length(0)),
-            // Cut short, the body would look whole: accepted only from a side that announces that
-            // it closes.
+            // A truncated body would look complete here, so this framing is accepted only from a
+            // peer that announces that it will close the connection.
             None if message.close => Ok(Framing::UntilClose),
             None => Err(HttpError::BrokenResponse),
         }
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,8 +1,9 @@
-//! HTTP/1.1 framing (RFC 9112), shared by all peers: heads parsed in place, lengths and chunks,
-//! requests read whole and responses read whole or in parts.
+//! HTTP/1.1 message framing (RFC 9112), shared by all HTTP connections of the proxy: parses heads
+//! in place, decodes bodies framed by their length or in chunks, and reads requests whole and
+//! responses whole or part by part.
 //!
-//! It depends on `sockets` for bytes and waits. What a message means to a cache or a client is not
-//! known here.
+//! The crate uses `sockets` for I/O and timeouts. It does not interpret what a message means to a
+//! client or a server.
 
 mod body;
 mod error;
@@ -13,7 +14,7 @@
 mod response;
 
 pub use error::HttpError;
-pub use limits::{MAX_BODY, MAX_BUFFERED_BODY, MAX_HEAD, RequestLimits};
+pub use limits::{MAX_BODY, MAX_BUFFERED_BODY_BYTES, MAX_HEAD_BYTES, RequestLimits};
 pub use message::Message;
 pub use request::read_request;
 pub use response::{GetError, ResponseReader, get, reason, send_get};
--- a/crates/http1/src/limits.rs
+++ b/crates/http1/src/limits.rs
@@ -1,24 +1,24 @@
-//! How long messages may be, and how long they may take.
+//! Limits on the length of messages and on the time to read them.
 
 use chalkwalk_sockets::MemoryBudget;
 use std::time::Instant;
 
-/// The longest head, in bytes: twice what common servers accept by default is no use to anyone on
-/// this protocol.
-pub const MAX_HEAD: usize = 16 << 10;
-/// The longest ordinary body, in bytes, as the platform's protocol has it: it is read whole,
-/// without a reservation.
-pub const MAX_BUFFERED_BODY: usize = 64 << 10;
-/// The longest body of all, in bytes.
+/// Maximum length of a head. It is twice the default limit of common HTTP servers; no client of
+/// this protocol needs more.
+pub const MAX_HEAD_BYTES: usize = 16 << 10;
+/// Maximum length of a body that is read whole without reserving memory. The platform's protocol
+/// defines this as the longest ordinary body.
+pub const MAX_BUFFERED_BODY_BYTES: usize = 64 << 10;
+/// Maximum length of any body, in bytes.
 pub const MAX_BODY: usize = 32 << 20;
 
-/// The limits of reading one request.
+/// The limits for reading one request.
 pub struct RequestLimits<'a> {
-    /// When its head has to be there.
+    /// The time by which the head must be complete.
     pub head_deadline: Instant,
-    /// The longest body, in bytes.
+    /// Maximum length of the body, in bytes.
     pub max_body: usize,
-    /// What bodies of over [`MAX_BUFFERED_BODY`] are reserved of; one is not read further while
-    /// nothing is free.
+    /// The budget that bodies longer than [`MAX_BUFFERED_BODY_BYTES`] reserve memory from. Reading
+    /// such a body pauses while the budget has too little free memory.
     pub memory: &'a MemoryBudget,
 }
--- a/crates/http1/src/message.rs
+++ b/crates/http1/src/message.rs
@@ -1,71 +1,72 @@
-//! A message, and where its parts stand in its buffer.
+//! A message as one buffer, with the positions of its parts in that buffer.
 
 use chalkwalk_sockets::MemoryReservation;
 use std::ops::Range;
 
-/// A request or a response. Its parts are ranges of its buffer.
+/// A request or a response. Its parts are stored as ranges of its buffer.
 #[derive(Default)]
 pub struct Message {
-    /// The head's bytes, and the body's behind them once they are read.
+    /// The bytes of the head, followed by the decoded body once it has been read.
     pub buf: Vec<u8>,
-    /// A request's method.
+    /// The method of a request.
     pub method: Range<usize>,
-    /// A request's target.
+    /// The target of a request.
     pub target: Range<usize>,
-    /// A response's status; 0 of a request.
+    /// The status code of a response; 0 for a request.
     pub status: u16,
-    /// The body, its framing taken off.
+    /// The body, without its framing.
     pub body: Range<usize>,
     /// Whether the connection is to be closed after this message or the response to it.
     pub close: bool,
-    /// Whether it is of HTTP/1.0, which knows no chunks.
+    /// Whether the message is HTTP/1.0, which does not support chunked encoding.
     pub is_http10: bool,
-    /// What its body has reserved of the memory for long bodies.
+    /// Memory that the body has reserved from the budget for long bodies.
     pub reservations: Vec<MemoryReservation>,
-    /// The header fields, in their order.
+    /// The header fields, in the order received.
     pub(crate) headers: Vec<Header>,
 }
 
-/// A header field's name and value, as ranges of the buffer.
+/// The name and value of a header field, as ranges of the buffer.
 pub(crate) struct Header {
-    /// The name, in any case.
+    /// The name, in the case in which it was received.
     pub name: Range<usize>,
     /// The value.
     pub value: Range<usize>,
 }
 
 impl Message {
-    /// A part of the buffer.
+    /// The bytes of a range of the buffer.
     pub fn slice(&self, range: &Range<usize>) -> &[u8] {
         &self.buf[range.clone()]
     }
 
-    /// A part of the buffer as text; empty if it is not UTF-8.
+    /// A range of the buffer as text; empty if it is not valid UTF-8.
     pub fn text(&self, range: &Range<usize>) -> &str {
         std::str::from_utf8(self.slice(range)).unwrap_or("")
     }
 
-    /// All values of a header field, in their order.
-    fn values(&self, name: &str) -> impl Iterator<Item = &[u8]> {
+    /// All values of a header field, in the order received.
+    fn header_values(&self, name: &str) -> impl Iterator<Item = &[u8]> {
         self.headers
             .iter()
             .filter(move |header| self.text(&header.name).eq_ignore_ascii_case(name))
             .map(|header| self.slice(&header.value))
     }
 
-    /// The first value of a header field.
+    /// The first value of a header field, as bytes.
     pub fn header_bytes(&self, name: &str) -> Option<&[u8]> {
-        self.values(name).next()
+        self.header_values(name).next()
     }
 
-    /// The first value of a header field as text, trimmed; `None` also if it is not UTF-8.
+    /// The first value of a header field as trimmed text; `None` if the field is absent or its
+    /// value is not valid UTF-8.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.header_bytes(name).and_then(|value| std::str::from_utf8(value).ok()).map(str::trim)
     }
 
-    /// Whether one of these header fields is there more than once: a reader of the first value then
-    /// sees another message than a reader of the last.
+    /// Whether any of these header fields occurs more than once. A recipient that uses the first
+    /// value would then interpret the message differently from one that uses the last.
     pub fn has_duplicate(&self, names: &[&str]) -> bool {
-        names.iter().any(|name| self.values(name).nth(1).is_some())
+        names.iter().any(|name| self.header_values(name).nth(1).is_some())
     }
 }
--- a/crates/http1/src/request/tests.rs
+++ b/crates/http1/src/request/tests.rs
@@ -1,4 +1,4 @@
-//! Time that a request waits for memory.
+//! Tests how the time that a request waits for memory is accounted for.
 
 use super::{BODY_GRACE, MEMORY_TIMEOUT, read_request};
 use crate::{MAX_BODY, RequestLimits};
@@ -8,16 +8,17 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// A body that waited for memory for longer than a slow client may take is read all the same.
+/// Guards against rejecting a client as too slow when the proxy itself delayed the body: here the
+/// body waits for memory for longer than [`BODY_GRACE`], and is read nevertheless.
 #[test]
 fn waiting_for_memory_does_not_count_as_a_slow_client() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let stream = Async::new(listener.accept().unwrap().0).unwrap();
     let memory = MemoryBudget::new(1 << 20);
-    let mut unread = Vec::new();
-    let others = memory.try_reserve(1 << 20);
-    let writing = std::thread::spawn(move || {
+    let mut read_ahead = Vec::new();
+    let other_reservation = memory.try_reserve(1 << 20);
+    let writer = std::thread::spawn(move || {
         let chunk = format!("10000\r\n{}\r\n", "v".repeat(1 << 16));
         let head = "PUT /k HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
         client.write_all(format!("{head}{chunk}1\r\nv\r\n").as_bytes()).unwrap();
@@ -27,12 +28,12 @@
     });
     let limits =
         RequestLimits { head_deadline: Instant::now() + MEMORY_TIMEOUT, max_body: MAX_BODY, memory: &memory };
-    let freed = async {
+    let release_memory = async {
         Timer::after(BODY_GRACE * 5 / 2).await;
-        drop(others);
+        drop(other_reservation);
     };
-    let both = smol::future::zip(read_request(&stream, &mut unread, limits), freed);
+    let both = smol::future::zip(read_request(&stream, &mut read_ahead, limits), release_memory);
     let length = smol::block_on(both).0.map(|message| message.body.len());
     assert_eq!(length, Ok(2 * 65_536 + 1));
-    drop(writing.join());
+    drop(writer.join());
 }
--- a/crates/http1/src/response.rs
+++ b/crates/http1/src/response.rs
@@ -1,4 +1,5 @@
-//! Responses, part by part or whole, and the simple requests that chalkwalk itself sends.
+//! Reads responses part by part or whole, and sends the GET requests that the proxy itself
+//! originates.
 
 use crate::body::{BodyDecoder, Framing};
 use crate::head::{Head, MessageKind, read_head};
@@ -8,27 +9,27 @@
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 
-/// What one read of a body asks for unless the caller sets more, in bytes.
-const DEFAULT_MAX_READ: usize = 4096;
+/// Maximum length of one read of a body, unless the caller sets another.
+const DEFAULT_MAX_READ_BYTES: usize = 4096;
 
-/// A response whose head is there and whose body is still to come.
+/// A response whose head has been read and whose body is read part by part.
 pub struct ResponseReader {
-    /// The head.
+    /// The message, with its head only.
     pub message: Message,
-    /// The body's length in bytes, where the head has it.
+    /// The length of the body in bytes, if the head states it.
     pub content_length: Option<u64>,
-    /// What one read of the body asks for, in bytes.
-    pub max_read: usize,
+    /// Maximum length of one read of the body.
+    pub max_read_bytes: usize,
     decoder: BodyDecoder,
-    /// Read of the stream, and not decoded yet.
-    unread: Vec<u8>,
+    /// Bytes that were read from the stream and are not decoded yet.
+    read_ahead: Vec<u8>,
     max_body: usize,
-    /// Bytes of the body so far.
-    received: usize,
+    /// Length of the body decoded so far.
+    received_bytes: usize,
 }
 
 impl ResponseReader {
-    /// Reads the head of the response to what was just written.
+    /// Reads the head of the response to the request that was just written.
     pub async fn start(stream: &Async<TcpStream>) -> Result<ResponseReader, HttpError> {
         ResponseReader::start_with_limit(stream, usize::MAX).await
     }
@@ -37,9 +38,9 @@
         stream: &Async<TcpStream>,
         max_body: usize,
     ) -> Result<ResponseReader, HttpError> {
-        let mut unread = Vec::new();
+        let mut read_ahead = Vec::new();
         let Head { message, framing, .. } =
-            read_head(stream, &mut unread, MessageKind::Response, max_body).await?;
+            read_head(stream, &mut read_ahead, MessageKind::Response, max_body).await?;
         let content_length = match framing {
             Framing::Length(length) => Some(length as u64),
             Framing::Chunked | Framing::UntilClose => None,
@@ -47,20 +48,23 @@
         Ok(ResponseReader {
             message,
             content_length,
-            max_read: DEFAULT_MAX_READ,
+            max_read_bytes: DEFAULT_MAX_READ_BYTES,
             decoder: BodyDecoder::new(framing),
-            unread,
+            read_ahead,
             max_body,
-            received: 0,
+            received_bytes: 0,
         })
     }
 
-    /// The next part of the body, `None` at its end. A dropped future has lost nothing.
+    /// Returns the next part of the body, or `None` at its end. Cancel-safe: dropping the future
+    /// loses no data.
     pub async fn next_part(&mut self, stream: &Async<TcpStream>) -> Result<Option<Vec<u8>>, HttpError> {
         loop {
-            let part = self.decoder.decode(&mut self.unread)?;
-            self.received += part.len();
-            if (self.received as u64).saturating_add(self.decoder.announced()) > self.max_body as u64 {
+            let part = self.decoder.decode(&mut self.read_ahead)?;
+            self.received_bytes += part.len();
+            if (self.received_bytes as u64).saturating_add(self.decoder.announced_bytes())
+                > self.max_body as u64
+            {
                 return Err(HttpError::BodyTooLong);
             }
             if !part.is_empty() {
@@ -69,21 +73,21 @@
             if self.decoder.is_finished() {
                 return Ok(None);
             }
-            match read_up_to(stream, &mut self.unread, self.max_read).await {
+            match read_up_to(stream, &mut self.read_ahead, self.max_read_bytes).await {
                 Ok(1..) => {}
-                Ok(0) if self.decoder.ends_at_close() => self.decoder.close(),
+                Ok(0) if self.decoder.ends_at_close() => self.decoder.handle_close(),
                 _ => return Err(HttpError::BrokenResponse),
             }
         }
     }
 
-    /// Whether the connection may carry another request: the response has ended, and nothing came
-    /// beyond it.
+    /// Whether the connection may carry another request: the response is complete, does not close
+    /// the connection, and was not followed by further bytes.
     pub fn is_reusable(&self) -> bool {
-        self.decoder.is_finished() && !self.message.close && self.unread.is_empty()
+        self.decoder.is_finished() && !self.message.close && self.read_ahead.is_empty()
     }
 
-    /// Reads the body to its end. The message's `close` is set unless the connection may carry
+    /// Reads the rest of the body. Sets `close` in the message unless the connection may carry
     /// another request.
     async fn read_whole(mut self, stream: &Async<TcpStream>) -> Result<Message, HttpError> {
         let head_len = self.message.buf.len();
@@ -96,18 +100,18 @@
     }
 }
 
-/// Why a request got no response.
+/// Why a GET request failed.
 #[derive(Debug, thiserror::Error)]
 pub enum GetError {
-    /// The request could not be written.
-    #[error("not written: {0}")]
+    /// The request could not be sent.
+    #[error("cannot send the request: {0}")]
     Send(io::Error),
     /// The response could not be read.
-    #[error("a broken response")]
+    #[error("cannot read the response: {0}")]
     Response(HttpError),
 }
 
-/// Sends a GET; its response is still to be read.
+/// Sends a GET request without reading its response.
 pub async fn send_get(stream: &Async<TcpStream>, addr: SocketAddr, target: &str) -> io::Result<()> {
     let host = addr.to_string();
     let parts: [&[u8]; 5] =
@@ -115,8 +119,8 @@
     write_all(stream, &parts).await
 }
 
-/// Sends a GET and reads the response whole. `close` of the response says whether the connection is
-/// of no further use.
+/// Sends a GET request and reads the whole response. `close` of the response tells whether the
+/// connection cannot be reused.
 pub async fn get(
     stream: &Async<TcpStream>,
     addr: SocketAddr,
@@ -128,7 +132,7 @@
     response.read_whole(stream).await.map_err(GetError::Response)
 }
 
-/// The reason phrase of a status, for those that chalkwalk itself responds with.
+/// The reason phrase of a status code, for the codes that the proxy itself sends.
 pub fn reason(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/crates/http1/tests/messages.rs
+++ b/crates/http1/tests/messages.rs
@@ -1,9 +1,9 @@
-//! Requests and responses off a socket: what is read of them, and what is refused with which
-//! status.
+//! Tests reading requests and responses from a socket: what valid messages yield, and which status
+//! code each invalid message maps to.
 
 use chalkwalk_http1::{
-    HttpError, MAX_BODY, MAX_BUFFERED_BODY, MAX_HEAD, Message, RequestLimits, ResponseReader, get,
-    read_request,
+    HttpError, MAX_BODY, MAX_BUFFERED_BODY_BYTES, MAX_HEAD_BYTES, Message, RequestLimits, ResponseReader,
+    get, read_request,
 };
 use chalkwalk_sockets::MemoryBudget;
 use expect_test::expect;
@@ -12,26 +12,26 @@
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// The two ends of one connection.
+/// Opens a connection and returns both ends of it.
 fn connection() -> (Async<TcpStream>, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let near = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    let far = listener.accept().unwrap().0;
-    (Async::new(near).unwrap(), far)
+    let local = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    let peer = listener.accept().unwrap().0;
+    (Async::new(local).unwrap(), peer)
 }
 
-/// What comes of a peer that sends a text and nothing more.
-fn read<T>(text: &str, reader: impl AsyncFnOnce(&Async<TcpStream>) -> T) -> T {
+/// Returns the result of `reader` on a connection whose peer sends `text` and then closes its side.
+fn read_from_peer<T>(text: &str, reader: impl AsyncFnOnce(&Async<TcpStream>) -> T) -> T {
     let (stream, mut peer) = connection();
     let text = text.to_string();
-    let writing = std::thread::spawn(move || {
+    let writer = std::thread::spawn(move || {
         _ = peer.write_all(text.as_bytes());
         _ = peer.shutdown(Shutdown::Write);
         peer
     });
     let result = block_on(reader(&stream));
     drop(stream);
-    drop(writing.join());
+    drop(writer.join());
     result
 }
 
@@ -39,14 +39,14 @@
     let memory = MemoryBudget::new(1 << 20);
     let limits =
         RequestLimits { head_deadline: Instant::now() + Duration::from_secs(5), max_body, memory: &memory };
-    let mut unread = Vec::new();
-    let request = read(text, async |stream| read_request(stream, &mut unread, limits).await);
-    (request, unread)
+    let mut read_ahead = Vec::new();
+    let request = read_from_peer(text, async |stream| read_request(stream, &mut read_ahead, limits).await);
+    (request, read_ahead)
 }
 
-/// One line on a request.
-fn request(text: &str) -> String {
-    let (request, unread) = read_one_request(text, 100);
+/// Summarizes the result of reading a request in one line.
+fn summarize_request(text: &str) -> String {
+    let (request, read_ahead) = read_one_request(text, 100);
     match request {
         Ok(request) => format!(
             "{} {} {:?}{}{}{}{}\n",
@@ -56,15 +56,15 @@
             if request.close { " close" } else { "" },
             if request.is_http10 { " 1.0" } else { "" },
             if request.has_duplicate(&["a", "B"]) { " duplicate" } else { "" },
-            if unread.is_empty() { "" } else { " and more" },
+            if read_ahead.is_empty() { "" } else { " and more" },
         ),
         Err(error) => format!("{} {error}\n", error.status()),
     }
 }
 
 #[test]
-fn requests_are_read_or_refused() {
-    let long_field = format!("GET / HTTP/1.1\r\na: {}\r\n\r\n", "a".repeat(MAX_HEAD));
+fn valid_requests_are_read_and_invalid_ones_rejected() {
+    let long_field = format!("GET / HTTP/1.1\r\na: {}\r\n\r\n", "a".repeat(MAX_HEAD_BYTES));
     let many_fields = format!("GET / HTTP/1.1\r\n{}\r\n", "a: a\r\n".repeat(65));
     let texts = [
         "GET /k HTTP/1.1\r\na: 1\r\n\r\n",
@@ -89,7 +89,7 @@
         &long_field,
         &many_fields,
     ];
-    let outcomes: String = texts.iter().map(|text| request(text)).collect();
+    let outcomes: String = texts.iter().map(|text| summarize_request(text)).collect();
     expect![[r#"
         GET /k ""
         GET /k "" duplicate
@@ -98,33 +98,33 @@
         PUT /k "body"
         PUT /k "body" and more
         PUT /k "body"
-        400 malformed message
-        400 malformed message
-        400 malformed message
-        400 malformed message
-        400 malformed message
-        400 malformed message
+        400 malformed or incomplete message
+        400 malformed or incomplete message
+        400 malformed or incomplete message
+        400 malformed or incomplete message
+        400 malformed or incomplete message
+        400 malformed or incomplete message
         413 body too long
         413 body too long
         413 body too long
-        400 malformed message
-        400 malformed message
-        400 malformed message
-        431 head too long
-        431 head too long
+        400 malformed or incomplete message
+        400 malformed or incomplete message
+        400 malformed or incomplete message
+        431 head or trailers too long
+        431 head or trailers too long
     "#]]
     .assert_eq(&outcomes);
 }
 
 #[test]
-fn a_client_gets_a_continue_only_while_its_body_is_missing() {
-    for (body_at_once, expected) in [(false, "HTTP/1.1 100 Continue\r\n\r\n"), (true, "")] {
+fn continue_is_sent_only_while_the_body_has_not_arrived() {
+    for (body_with_head, expected) in [(false, "HTTP/1.1 100 Continue\r\n\r\n"), (true, "")] {
         let (stream, mut peer) = connection();
         let head = "PUT /k HTTP/1.1\r\nContent-Length: 2\r\nExpect: 100-continue\r\n\r\n";
-        let first = if body_at_once { format!("{head}ab") } else { head.to_string() };
-        peer.write_all(first.as_bytes()).unwrap();
+        let first_bytes = if body_with_head { format!("{head}ab") } else { head.to_string() };
+        peer.write_all(first_bytes.as_bytes()).unwrap();
         let peer_side = std::thread::spawn(move || {
-            if !body_at_once {
+            if !body_with_head {
                 std::thread::sleep(Duration::from_millis(50));
                 peer.write_all(b"ab").unwrap();
             }
@@ -143,14 +143,14 @@
 }
 
 #[test]
-fn only_long_bodies_reserve_memory_and_none_beyond_the_budget() {
-    let sent = |len: usize| {
+fn only_long_bodies_reserve_memory_and_those_above_the_budget_are_rejected() {
+    let reservation_count = |len: usize| {
         let text = format!("PUT /k HTTP/1.1\r\nContent-Length: {len}\r\n\r\n{}", "v".repeat(len));
         read_one_request(&text, MAX_BODY).0.map(|request| request.reservations.len())
     };
-    assert_eq!(sent(MAX_BUFFERED_BODY), Ok(0));
-    assert_eq!(sent(MAX_BUFFERED_BODY + 1), Ok(1));
-    assert_eq!(sent((1 << 20) + 1), Err(HttpError::BodyTooLong));
+    assert_eq!(reservation_count(MAX_BUFFERED_BODY_BYTES), Ok(0));
+    assert_eq!(reservation_count(MAX_BUFFERED_BODY_BYTES + 1), Ok(1));
+    assert_eq!(reservation_count((1 << 20) + 1), Err(HttpError::BodyTooLong));
 }
 
 #[test]
@@ -165,9 +165,9 @@
     assert_eq!(error.map(HttpError::status), Some(408));
 }
 
-/// One line on a response that is read part by part.
-fn response(text: &str) -> String {
-    let parts = read(text, async |stream| {
+/// Summarizes the result of reading a response part by part in one line.
+fn summarize_response(text: &str) -> String {
+    let parts = read_from_peer(text, async |stream| {
         let mut response = ResponseReader::start(stream).await?;
         let mut body = Vec::new();
         while let Some(part) = response.next_part(stream).await? {
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn responses_are_read_in_parts_or_refused() {
+fn valid_responses_are_read_in_parts_and_invalid_ones_rejected() {
     let texts = [
         "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody",
         "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody and more",
@@ -198,7 +198,7 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 4",
         "SIP/2.0 200 OK\r\n\r\n",
     ];
-    let outcomes: String = texts.iter().map(|text| response(text)).collect();
+    let outcomes: String = texts.iter().map(|text| summarize_response(text)).collect();
     expect![[r#"
         200 Some(4) "body" reusable: true
         200 Some(4) "body" reusable: false
@@ -208,12 +208,12 @@
         200 None "body to the end" reusable: false
         204 Some(0) "" reusable: true
         304 Some(0) "" reusable: true
-        502 broken response
-        502 broken response
-        502 broken response
-        502 broken response
-        502 broken response
-        502 broken response
+        502 malformed or incomplete response
+        502 malformed or incomplete response
+        502 malformed or incomplete response
+        502 malformed or incomplete response
+        502 malformed or incomplete response
+        502 malformed or incomplete response
     "#]]
     .assert_eq(&outcomes);
 }
