--- a/crates/http-frontend/src/accept.rs
+++ b/crates/http-frontend/src/accept.rs
@@ -50,9 +50,9 @@
                 last_accept_failed = false;
                 let Ok(stream) = Async::new(stream) else { continue };
                 *awaiting_permit = Some(stream);
-                // The permit is acquired only after a connection has arrived, because acquiring it
-                // may close an idle connection. A client whose connection is closed needlessly
-                // connects again.
+                // Acquiring a permit may close an idle connection, so it happens only once a new
+                // connection needs the permit. A client whose connection is closed needlessly would
+                // only connect again.
                 let (permit, admitted) = engine.budget.acquire_for_client().await;
                 if let Some(stream) = awaiting_permit.take() {
                     spawn_connection(
--- a/crates/http-frontend/src/admit.rs
+++ b/crates/http-frontend/src/admit.rs
@@ -36,7 +36,7 @@
     MethodNotAllowed,
     /// The `X-Service-Class` field is missing.
     NoServiceClass,
-    /// A required header field is missing, malformed or duplicated, or names an unknown namespace.
+    /// A header field is missing, malformed or duplicated, or names an unknown namespace.
     InvalidHeaderField,
     /// The body is longer than the request class allows.
     BodyTooLong,
--- a/crates/http-frontend/src/route.rs
+++ b/crates/http-frontend/src/route.rs
@@ -13,8 +13,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time after a request's expiry at which a missing response is treated as lost. The platform's
-/// rules allow 50 ms after the expiry for the response.
+/// Time after the expiry of a request until a missing response is treated as lost. The platform's
+/// rules allow the response to be sent up to 50 ms after the expiry.
 const LOST_RESPONSE_DELAY: Duration = Duration::from_millis(30);
 
 /// Returns the reply to a request, or `None` if its client has disconnected. A client that sends
--- a/crates/http-frontend/src/write_reply.rs
+++ b/crates/http-frontend/src/write_reply.rs
@@ -111,8 +111,8 @@
     }
 }
 
-/// Writes a long body part by part. Returns `None` if the body was truncated, because of the client
-/// or of the server.
+/// Writes a long body part by part. Returns `None` if the body was truncated, because either the
+/// write to the client or the read from the server failed.
 async fn stream_body(
     stream: &Async<TcpStream>,
     reply: &Reply,
