--- a/crates/resp-frontend/src/arguments.rs
+++ b/crates/resp-frontend/src/arguments.rs
@@ -53,14 +53,14 @@
         let arguments: Vec<&[u8]> =
             std::iter::once(self.get(0)).chain(keys.iter().flat_map(per_key)).collect();
         let mut out = Writer::default();
-        out.array(arguments.len());
+        out.array_header(arguments.len());
         let mut ranges = Vec::with_capacity(arguments.len());
         for argument in arguments {
-            out.bulk(argument);
+            out.bulk_string(argument);
             let end = out.len() - b"\r\n".len();
             ranges.push(end - argument.len()..end);
         }
-        Arguments { bytes: out.take(), ranges }
+        Arguments { bytes: out.take_bytes(), ranges }
     }
 
     /// The command in the form that servers accept: as it came, unless it came inline.
@@ -71,6 +71,6 @@
         let arguments: Vec<&[u8]> = (0..self.len()).map(|index| self.get(index)).collect();
         let mut out = Writer::default();
         out.command(&arguments);
-        out.take()
+        out.take_bytes()
     }
 }
--- a/crates/resp-frontend/src/connection/dispatch.rs
+++ b/crates/resp-frontend/src/connection/dispatch.rs
@@ -89,7 +89,11 @@
     fn execute(&mut self, arguments: &Arguments) -> PendingReply {
         let mut out = Writer::default();
         self.session.execute(arguments, &self.frontend.settings, &mut out);
-        if self.session.closing { PendingReply::Last(out.take()) } else { PendingReply::Ready(out.take()) }
+        if self.session.closing {
+            PendingReply::Last(out.take_bytes())
+        } else {
+            PendingReply::Ready(out.take_bytes())
+        }
     }
 
     async fn start_keyed(
--- a/crates/resp-frontend/src/connection/reply.rs
+++ b/crates/resp-frontend/src/connection/reply.rs
@@ -16,7 +16,7 @@
 pub fn error_reply(text: &str) -> Vec<u8> {
     let mut out = Writer::default();
     out.error(text);
-    out.take()
+    out.take_bytes()
 }
 
 /// The reply to a client for a response; none: the request was dropped.
--- a/crates/resp-frontend/src/health_check.rs
+++ b/crates/resp-frontend/src/health_check.rs
@@ -18,7 +18,7 @@
             out.command(&[b"PING"]);
             write_all(stream, &[out.as_bytes()]).await.ok()?;
             let reply = ServerReply::read(stream, false).await?;
-            (reply.kind() == FrameKind::Simple).then_some(reply.reusable)
+            (reply.kind() == FrameKind::SimpleString).then_some(reply.reusable)
         })
     }
 }
--- a/crates/resp-frontend/src/merge.rs
+++ b/crates/resp-frontend/src/merge.rs
@@ -4,7 +4,7 @@
 mod tests;
 
 use chalkwalk_engine::response::{Response, ResponseStatus};
-use chalkwalk_resp::{Frame, FrameKind, ReadLimits, Reader, Writer, number};
+use chalkwalk_resp::{Frame, FrameKind, ReadLimits, Reader, Writer, parse_integer};
 use chalkwalk_time::Span;
 
 /// How the replies to the parts of a command are merged.
@@ -52,10 +52,10 @@
     let mut out = Writer::new(resp3);
     match rule {
         MergeRule::Values => write_values(&replies, &mut out),
-        MergeRule::Sum => out.number(replies.iter().map(PartReply::number).sum()),
-        MergeRule::AllOk => out.simple("OK"),
+        MergeRule::Sum => out.integer(replies.iter().map(PartReply::integer).sum()),
+        MergeRule::AllOk => out.simple_string("OK"),
     }
-    Ok(out.take())
+    Ok(out.take_bytes())
 }
 
 /// The status of the whole command where it is not served. A write of which a part has run, or may
@@ -91,16 +91,16 @@
 impl PartReply {
     fn parse(part: PartResponse) -> Option<PartReply> {
         let body = part.response.map_or(Vec::new(), |response| response.body);
-        let (frames, _) = Reader::new(ReadLimits::default()).next_frame(&body).ok()??;
+        let (frames, _) = Reader::new(ReadLimits::default()).next_message(&body).ok()??;
         Some(PartReply { body, frames, key_indices: part.key_indices })
     }
 
     fn is_error(&self) -> bool {
-        matches!(self.frames[0].kind, FrameKind::Error | FrameKind::BulkError)
+        matches!(self.frames[0].kind, FrameKind::SimpleError | FrameKind::BulkError)
     }
 
-    fn number(&self) -> i64 {
-        number(&self.body[self.frames[0].range.clone()]).unwrap_or(0)
+    fn integer(&self) -> i64 {
+        parse_integer(&self.body[self.frames[0].range.clone()]).unwrap_or(0)
     }
 }
 
@@ -114,10 +114,10 @@
             }
         }
     }
-    out.array(total);
+    out.array_header(total);
     for value in values {
         match value {
-            Some(value) => out.bulk(value),
+            Some(value) => out.bulk_string(value),
             None => out.null(),
         }
     }
--- a/crates/resp-frontend/src/parse.rs
+++ b/crates/resp-frontend/src/parse.rs
@@ -26,8 +26,8 @@
 }
 
 fn parse_array(reader: &mut Reader, buf: &[u8]) -> Result<Option<ParsedCommand>, ProtocolError> {
-    let Some((frames, len)) = reader.next_frame(buf)? else { return Ok(None) };
-    let bulk = |frame: &Frame| (frame.kind == FrameKind::Bulk).then(|| frame.range.clone());
+    let Some((frames, len)) = reader.next_message(buf)? else { return Ok(None) };
+    let bulk = |frame: &Frame| (frame.kind == FrameKind::BulkString).then(|| frame.range.clone());
     let ranges: Option<Vec<_>> = frames[1..].iter().map(bulk).collect();
     let ranges = ranges.ok_or(ProtocolError::ExpectedBulkStrings)?;
     Ok(Some(parsed(&buf[..len], ranges, len)))
@@ -35,9 +35,9 @@
 
 /// A line, as a person types it.
 fn parse_inline(buf: &[u8]) -> Result<Option<ParsedCommand>, ProtocolError> {
-    let max_line = ReadLimits::default().max_line;
-    let Some(end) = buf.iter().take(max_line).position(|byte| *byte == b'\n') else {
-        return if buf.len() >= max_line { Err(ProtocolError::InlineTooLong) } else { Ok(None) };
+    let max_line_bytes = ReadLimits::default().max_line_bytes;
+    let Some(end) = buf.iter().take(max_line_bytes).position(|byte| *byte == b'\n') else {
+        return if buf.len() >= max_line_bytes { Err(ProtocolError::InlineTooLong) } else { Ok(None) };
     };
     let line = buf[..end].strip_suffix(b"\r").unwrap_or(&buf[..end]);
     Ok(Some(parsed(line, argument_ranges(line), end + 1)))
--- a/crates/resp-frontend/src/server_reply.rs
+++ b/crates/resp-frontend/src/server_reply.rs
@@ -43,7 +43,7 @@
     /// The text of the reply if it is an error.
     pub fn error_text(&self) -> Option<String> {
         match &self.frames[..] {
-            [Frame { kind: FrameKind::Error, range, .. }] => {
+            [Frame { kind: FrameKind::SimpleError, range, .. }] => {
                 Some(String::from_utf8_lossy(&self.bytes[range.clone()]).to_string())
             }
             _ => None,
@@ -55,7 +55,7 @@
 async fn read_message(stream: &Async<TcpStream>, buf: &mut Vec<u8>) -> Option<WholeMessage> {
     let mut reader = Reader::new(ReadLimits::default());
     loop {
-        if let Some((frames, len)) = reader.next_frame(buf).ok()? {
+        if let Some((frames, len)) = reader.next_message(buf).ok()? {
             return Some(WholeMessage { frames, len });
         }
         if read_more(stream, buf).await.ok()? == 0 {
--- a/crates/resp-frontend/src/session/auth.rs
+++ b/crates/resp-frontend/src/session/auth.rs
@@ -46,7 +46,7 @@
             _ => self.authenticate(arguments.get(1), arguments.get(2), settings),
         };
         match authenticated {
-            Ok(()) => out.simple("OK"),
+            Ok(()) => out.simple_string("OK"),
             Err(error) => out.error(&error.to_string()),
         }
     }
@@ -116,15 +116,15 @@
     fn greet(&self, out: &mut Writer) {
         const FIELDS: usize = 7;
         out.resp3 = self.resp3;
-        out.map(FIELDS);
+        out.map_header(FIELDS);
         text_field("server", "redis", out);
         text_field("version", VERSION, out);
         number_field("proto", self.protocol_version(), out);
         number_field("id", self.id as i64, out);
         text_field("mode", "cluster", out);
         text_field("role", "master", out);
-        out.bulk(b"modules");
-        out.array(0);
+        out.bulk_string(b"modules");
+        out.array_header(0);
     }
 
     /// The version of the protocol that the client is answered in.
--- a/crates/resp-frontend/src/session/client_command.rs
+++ b/crates/resp-frontend/src/session/client_command.rs
@@ -27,15 +27,15 @@
     pub(super) fn client_command(&mut self, arguments: &Arguments, out: &mut Writer) {
         let subcommand = arguments.keyword(1);
         match (subcommand.as_str(), arguments.len()) {
-            ("ID", 2) => out.number(self.id as i64),
-            ("GETNAME", 2) => out.bulk(self.name.as_bytes()),
-            ("SETNAME", 3) if self.set_name(arguments.get(2)) => out.simple("OK"),
+            ("ID", 2) => out.integer(self.id as i64),
+            ("GETNAME", 2) => out.bulk_string(self.name.as_bytes()),
+            ("SETNAME", 3) if self.set_name(arguments.get(2)) => out.simple_string("OK"),
             ("SETNAME", 3) => {
                 out.error(INVALID_NAME);
             }
             // Libraries report their names and versions, which nothing here depends on.
-            ("SETINFO", 4) => out.simple("OK"),
-            ("INFO", 2) => out.bulk(self.info_line().as_bytes()),
+            ("SETINFO", 4) => out.simple_string("OK"),
+            ("INFO", 2) => out.bulk_string(self.info_line().as_bytes()),
             _ => unknown_subcommand("CLIENT", &subcommand, out),
         }
     }
--- a/crates/resp-frontend/src/session/cluster_command.rs
+++ b/crates/resp-frontend/src/session/cluster_command.rs
@@ -13,7 +13,7 @@
     let subcommand = arguments.keyword(1);
     let nodes = cluster_nodes(settings);
     match (subcommand.as_str(), arguments.len()) {
-        ("KEYSLOT", 3) => out.number(i64::from(slot_of(arguments.get(2)))),
+        ("KEYSLOT", 3) => out.integer(i64::from(slot_of(arguments.get(2)))),
         ("MYID", 2) => my_id(&nodes, out),
         ("INFO", 2) => info(&nodes, out),
         ("SLOTS", 2) => slots(&nodes, out),
@@ -26,29 +26,29 @@
 /// The id of this instance; of the first where this one is not among them.
 fn my_id(nodes: &[ClusterNode], out: &mut Writer) {
     let own = nodes.iter().find(|node| node.is_self).or(nodes.first());
-    out.bulk(own.map_or("", |node| &node.id).as_bytes());
+    out.bulk_string(own.map_or("", |node| &node.id).as_bytes());
 }
 
 fn info(nodes: &[ClusterNode], out: &mut Writer) {
     let count = nodes.len();
     let state = format!("cluster_enabled:1\r\ncluster_state:ok\r\ncluster_slots_assigned:{SLOT_COUNT}\r\n");
     let size = format!("cluster_known_nodes:{count}\r\ncluster_size:{count}\r\n");
-    out.bulk(format!("{state}{size}").as_bytes());
+    out.bulk_string(format!("{state}{size}").as_bytes());
 }
 
 /// For each range of slots: its first and last slot, and its one node.
 fn slots(nodes: &[ClusterNode], out: &mut Writer) {
     const RANGE_FIELDS: usize = 3;
     const NODE_FIELDS: usize = 3;
-    out.array(nodes.len());
+    out.array_header(nodes.len());
     for node in nodes {
-        out.array(RANGE_FIELDS);
-        out.number(i64::from(node.slots.first));
-        out.number(i64::from(node.slots.last));
-        out.array(NODE_FIELDS);
-        out.bulk(node.addr.ip().to_string().as_bytes());
-        out.number(i64::from(node.addr.port()));
-        out.bulk(node.id.as_bytes());
+        out.array_header(RANGE_FIELDS);
+        out.integer(i64::from(node.slots.first));
+        out.integer(i64::from(node.slots.last));
+        out.array_header(NODE_FIELDS);
+        out.bulk_string(node.addr.ip().to_string().as_bytes());
+        out.integer(i64::from(node.addr.port()));
+        out.bulk_string(node.id.as_bytes());
     }
 }
 
@@ -57,15 +57,15 @@
     const SHARD_FIELDS: usize = 2;
     const RANGE_ENDS: usize = 2;
     const SHARD_NODES: usize = 1;
-    out.array(nodes.len());
+    out.array_header(nodes.len());
     for node in nodes {
-        out.map(SHARD_FIELDS);
-        out.bulk(b"slots");
-        out.array(RANGE_ENDS);
-        out.number(i64::from(node.slots.first));
-        out.number(i64::from(node.slots.last));
-        out.bulk(b"nodes");
-        out.array(SHARD_NODES);
+        out.map_header(SHARD_FIELDS);
+        out.bulk_string(b"slots");
+        out.array_header(RANGE_ENDS);
+        out.integer(i64::from(node.slots.first));
+        out.integer(i64::from(node.slots.last));
+        out.bulk_string(b"nodes");
+        out.array_header(SHARD_NODES);
         shard_node(node, out);
     }
 }
@@ -73,7 +73,7 @@
 fn shard_node(node: &ClusterNode, out: &mut Writer) {
     const FIELDS: usize = 7;
     let ip = node.addr.ip().to_string();
-    out.map(FIELDS);
+    out.map_header(FIELDS);
     text_field("id", &node.id, out);
     text_field("ip", &ip, out);
     text_field("endpoint", &ip, out);
@@ -91,5 +91,5 @@
         let range = format!("{}-{}", slots.first, slots.last);
         text += &format!("{id} {addr}@0 {myself}master - 0 0 1 connected {range}\n");
     }
-    out.bulk(text.as_bytes());
+    out.bulk_string(text.as_bytes());
 }
--- a/crates/resp-frontend/src/session/command_command.rs
+++ b/crates/resp-frontend/src/session/command_command.rs
@@ -14,12 +14,12 @@
     let subcommand = arguments.keyword(1);
     match subcommand.as_str() {
         "" => {
-            out.array(COMMANDS.len());
+            out.array_header(COMMANDS.len());
             COMMANDS.iter().for_each(|spec| row(spec, out));
         }
-        "COUNT" => out.number(COMMANDS.len() as i64),
+        "COUNT" => out.integer(COMMANDS.len() as i64),
         "INFO" => info(arguments, out),
-        "DOCS" => out.map(0),
+        "DOCS" => out.map_header(0),
         _ => unknown_subcommand("COMMAND", &subcommand, out),
     }
 }
@@ -27,7 +27,7 @@
 /// `COMMAND INFO name...`
 fn info(arguments: &Arguments, out: &mut Writer) {
     let names = 2..arguments.len();
-    out.array(names.len());
+    out.array_header(names.len());
     for position in names {
         match CommandSpec::find(&arguments.keyword(position)) {
             Some(spec) => row(spec, out),
@@ -43,12 +43,12 @@
         LastKey::First => spec.keys.first as i64,
         LastKey::LastArgument => LAST_ARGUMENT,
     };
-    out.array(FIELDS);
-    out.bulk(spec.name.to_lowercase().as_bytes());
-    out.number(spec.arity);
-    out.array(1);
-    out.simple(if spec.write { "write" } else { "readonly" });
-    out.number(spec.keys.first as i64);
-    out.number(last_key);
-    out.number(spec.keys.step as i64);
+    out.array_header(FIELDS);
+    out.bulk_string(spec.name.to_lowercase().as_bytes());
+    out.integer(spec.arity);
+    out.array_header(1);
+    out.simple_string(if spec.write { "write" } else { "readonly" });
+    out.integer(spec.keys.first as i64);
+    out.integer(last_key);
+    out.integer(spec.keys.step as i64);
 }
--- a/crates/resp-frontend/src/session/reply_parts.rs
+++ b/crates/resp-frontend/src/session/reply_parts.rs
@@ -14,12 +14,12 @@
 
 /// Writes a key and its value, both as bulk strings.
 pub fn text_field(name: &str, value: &str, out: &mut Writer) {
-    out.bulk(name.as_bytes());
-    out.bulk(value.as_bytes());
+    out.bulk_string(name.as_bytes());
+    out.bulk_string(value.as_bytes());
 }
 
 /// Writes a key and its value, a number.
 pub fn number_field(name: &str, value: i64, out: &mut Writer) {
-    out.bulk(name.as_bytes());
-    out.number(value);
+    out.bulk_string(name.as_bytes());
+    out.integer(value);
 }
--- a/crates/resp-frontend/src/slot_map_poll/fetch.rs
+++ b/crates/resp-frontend/src/slot_map_poll/fetch.rs
@@ -46,10 +46,10 @@
     let mut out = Writer::default();
     out.command(&[b"CLUSTER", b"NODES"]);
     write_all(&stream, &[out.as_bytes()]).await?;
-    let mut reader = Reader::new(ReadLimits { max_bulk: MAX_REPLY, ..ReadLimits::default() });
+    let mut reader = Reader::new(ReadLimits { max_bulk_bytes: MAX_REPLY, ..ReadLimits::default() });
     let mut buf = Vec::new();
     let frames = loop {
-        if let Some((frames, _)) = reader.next_frame(&buf)? {
+        if let Some((frames, _)) = reader.next_message(&buf)? {
             break frames;
         }
         if read_more(&stream, &mut buf).await? == 0 {
@@ -58,7 +58,7 @@
     };
     let text = String::from_utf8_lossy(&buf[frames[0].range.clone()]);
     match frames[0].kind {
-        FrameKind::Bulk | FrameKind::Verbatim => Ok(ClusterView::parse(&text, node)?),
+        FrameKind::BulkString | FrameKind::VerbatimString => Ok(ClusterView::parse(&text, node)?),
         _ => Err(FetchError::Unexpected(text.to_string())),
     }
 }
--- a/crates/resp/src/error.rs
+++ b/crates/resp/src/error.rs
@@ -1,43 +1,43 @@
-//! What can be wrong with bytes that are read as RESP.
+//! Errors in bytes that are read as RESP.
 
-/// How bytes break the protocol or exceed a limit. The text goes into the error that a client is
-/// answered with.
+/// How bytes break the protocol or exceed a limit. The frontend sends the text of the error to the
+/// client in an error reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProtocolError {
-    /// The whole message exceeds its limit.
+    /// The whole message is longer than `ReadLimits::max_message_bytes`.
     #[error("too long")]
-    TooLong,
-    /// A line exceeds its limit.
+    MessageTooLong,
+    /// A line is longer than `ReadLimits::max_line_bytes`.
     #[error("too long a line")]
     LineTooLong,
-    /// A bulk string exceeds its limit.
+    /// A bulk string is longer than `ReadLimits::max_bulk_bytes`.
     #[error("too long a bulk string")]
     BulkTooLong,
-    /// An inline command exceeds the limit of a line.
+    /// An inline command is longer than `ReadLimits::max_line_bytes`.
     #[error("too big inline request")]
     InlineTooLong,
-    /// More frames in one message than allowed.
+    /// A message has more frames than `ReadLimits::max_frames`.
     #[error("too many parts")]
     TooManyFrames,
-    /// Aggregates are nested deeper than allowed.
+    /// Aggregates are nested deeper than `ReadLimits::max_depth`.
     #[error("too deep")]
     TooDeep,
-    /// A number that does not parse.
+    /// An integer does not parse.
     #[error("no number")]
-    InvalidNumber,
-    /// A length that is negative or does not parse.
+    InvalidInteger,
+    /// The length of a bulk string is negative or does not parse.
     #[error("no length")]
     InvalidLength,
-    /// A count of elements that is negative or does not parse.
+    /// The element count of an aggregate is negative or does not parse.
     #[error("no count")]
     InvalidCount,
-    /// A bulk string does not end where its length says.
+    /// A bulk string is not terminated by a line break at the position that its length gives.
     #[error("a bulk string of another length")]
     LengthMismatch,
-    /// A first byte that stands for no type, or a line that its type does not allow.
+    /// The first byte of a frame stands for no type, or its line is invalid for its type.
     #[error("no such type")]
     UnknownType,
-    /// A command that holds something else than bulk strings.
+    /// An element of a command is not a bulk string.
     #[error("expected bulk strings")]
     ExpectedBulkStrings,
 }
--- a/crates/resp/src/frame.rs
+++ b/crates/resp/src/frame.rs
@@ -1,27 +1,27 @@
-//! What a message consists of.
+//! Frames, the parts of a message.
 
 use std::ops::Range;
 
-/// The type of a frame. RESP2 has the first six, RESP3 all.
+/// The type of a frame. RESP2 has the first six types, RESP3 has all of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameKind {
     /// `+`: a line of text.
-    Simple,
-    /// `-`: a line of text, an error.
-    Error,
+    SimpleString,
+    /// `-`: an error, as a line of text.
+    SimpleError,
     /// `:`: a signed 64-bit integer.
-    Number,
-    /// `$`: bytes with their length in front.
-    Bulk,
-    /// `_`, or RESP2's `$-1` and `*-1`.
+    Integer,
+    /// `$`: bytes after a line with their length.
+    BulkString,
+    /// `_` in RESP3, `$-1` and `*-1` in RESP2.
     Null,
-    /// `*`: an aggregate of elements in order.
+    /// `*`: an ordered aggregate of elements.
     Array,
     /// `%`: an aggregate of keys, each followed by its value.
     Map,
-    /// `~`: an aggregate of elements without an order.
+    /// `~`: an unordered aggregate of elements.
     Set,
-    /// `>`: an aggregate that answers no command.
+    /// `>`: an aggregate that is not the reply to a command.
     Push,
     /// `#`: `t` or `f`.
     Boolean,
@@ -29,31 +29,33 @@
     Double,
     /// `(`: an integer of any size, as text.
     BigNumber,
-    /// `!`: an error with its length in front.
+    /// `!`: an error after a line with its length.
     BulkError,
-    /// `=`: text with its length and a format of three letters in front.
-    Verbatim,
+    /// `=`: text that begins with its three-letter format, after a line with its length.
+    VerbatimString,
 }
 
-/// One frame of a message. A message is a list of them, depth first: what an aggregate holds
-/// follows it.
+/// One frame of a message. A message is a list of frames in depth-first order: the elements of an
+/// aggregate follow it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Frame {
-    /// Its type.
+    /// The type of the frame.
     pub kind: FrameKind,
-    /// Where its text or body stands in the buffer. Of an aggregate, its count.
+    /// The position of the frame's text or body in the buffer. For an aggregate it is the position
+    /// of the element count.
     pub range: Range<usize>,
-    /// How many frames an aggregate holds directly; a map's keys and values both count. Of any
-    /// other type, 0.
+    /// The number of direct elements of an aggregate; the keys and the values of a map both count.
+    /// 0 for any other type.
     pub children: usize,
 }
 
-/// An integer as the protocol writes it: digits, with a minus sign where it is negative.
-pub fn number(text: &[u8]) -> Option<i64> {
-    /// As many as the longest that fits has.
+/// Parses an integer in the protocol's notation: decimal digits, after a minus sign if the integer
+/// is negative.
+pub fn parse_integer(text: &[u8]) -> Option<i64> {
+    /// The number of digits of the largest signed 64-bit integer.
     const MAX_DIGITS: usize = 19;
     let digits = text.strip_prefix(b"-").unwrap_or(text);
-    // `parse` alone would allow a plus sign.
+    // `str::parse` would also accept a plus sign.
     if digits.is_empty() || digits.len() > MAX_DIGITS || !digits.iter().all(u8::is_ascii_digit) {
         return None;
     }
--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -1,8 +1,8 @@
-//! RESP2 and RESP3 on the wire, after the public protocol specification, and the hash slots of the
-//! cluster dialect, after the public cluster specification. Reading is incremental: bytes go in as
-//! they come, and whole messages come out as ranges of them, without a copy.
+//! Encoding and decoding of RESP2 and RESP3 by the public protocol specification, and hash slots by
+//! the public cluster specification. Decoding is incremental: the caller passes the bytes received
+//! so far, and a complete message is returned as ranges of these bytes, without a copy.
 //!
-//! It does no I/O and knows no clock, no request and no command's meaning.
+//! This crate does no I/O, reads no clock, and does not interpret commands.
 
 mod error;
 mod frame;
@@ -13,8 +13,8 @@
 mod write;
 
 pub use error::ProtocolError;
-pub use frame::{Frame, FrameKind, number};
+pub use frame::{Frame, FrameKind, parse_integer};
 pub use limits::ReadLimits;
 pub use read::Reader;
-pub use slot::{SLOTS, hash_tag, slot_of};
+pub use slot::{SLOT_COUNT, hash_tag, slot_of};
 pub use write::Writer;
--- a/crates/resp/src/limits.rs
+++ b/crates/resp/src/limits.rs
@@ -1,24 +1,31 @@
-//! How much is read at the most.
+//! Limits on the size of a message.
 
-/// The longest and deepest message that is read; what exceeds a limit is a protocol error.
+/// Limits on the size and the depth of a message. A message that exceeds a limit is a protocol
+/// error.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadLimits {
-    /// Of one bulk string, in bytes.
-    pub max_bulk: usize,
-    /// Of all frames of a message, the aggregates included.
+    /// The maximum length of one bulk string.
+    pub max_bulk_bytes: usize,
+    /// The maximum number of frames in a message, aggregates included.
     pub max_frames: usize,
-    /// Of aggregates nested within each other.
+    /// The maximum depth of nested aggregates.
     pub max_depth: usize,
-    /// Of a line that is no bulk string, inline commands included, in bytes.
-    pub max_line: usize,
-    /// Of a whole message, in bytes.
-    pub max_total: usize,
+    /// The maximum length of a line. An inline command is a line; the body of a bulk string is not.
+    pub max_line_bytes: usize,
+    /// The maximum length of a whole message.
+    pub max_message_bytes: usize,
 }
 
 impl Default for ReadLimits {
-    /// Bulk strings as long as a request's response may be, a thousand keys with their values, and
-    /// lines as long as the errors of the dialect get.
+    /// These limits allow bulk strings as long as the response to a request may be, commands with a
+    /// thousand keys and their values, and lines as long as the errors of cluster servers.
     fn default() -> ReadLimits {
-        ReadLimits { max_bulk: 1 << 20, max_frames: 4096, max_depth: 8, max_line: 8192, max_total: 4 << 20 }
+        ReadLimits {
+            max_bulk_bytes: 1 << 20,
+            max_frames: 4096,
+            max_depth: 8,
+            max_line_bytes: 8192,
+            max_message_bytes: 4 << 20,
+        }
     }
 }
--- a/crates/resp/src/parse.rs
+++ b/crates/resp/src/parse.rs
@@ -1,45 +1,45 @@
-//! One frame out of bytes.
+//! Parses single frames.
 
-use crate::{Frame, FrameKind, ProtocolError, ReadLimits, number};
+use crate::{Frame, FrameKind, ProtocolError, ReadLimits, parse_integer};
 use std::ops::Range;
 
-/// The end of each line, and of each bulk string's body.
+/// The line break that ends each line and the body of each bulk string.
 const CRLF: &[u8] = b"\r\n";
 
-/// What came of parsing: `None` while bytes are missing.
+/// The result of parsing; `None` while the buffer does not hold all the bytes yet.
 type ParseResult<T> = Result<Option<T>, ProtocolError>;
 
-/// A frame, and where in the buffer the next one begins.
-pub struct Parsed {
-    /// The frame.
+/// A frame, and the position in the buffer at which the next one begins.
+pub struct ParsedFrame {
     pub frame: Frame,
-    /// Where the next frame begins.
+    /// The position at which the next frame begins.
     pub end: usize,
 }
 
-/// A line without its end, and where in the buffer the next thing begins.
+/// A line without its line break, and the position of the first byte after the line break.
 struct Line {
     range: Range<usize>,
     end: usize,
 }
 
-/// Parses the frame that begins at `start`. Of an aggregate this is its head alone.
-pub fn parse_frame(buf: &[u8], start: usize, limits: &ReadLimits) -> ParseResult<Parsed> {
-    let Some(first) = buf.get(start) else { return Ok(None) };
+/// Parses the frame that begins at `start`. For an aggregate this is only its header, without the
+/// elements.
+pub fn parse_frame(buf: &[u8], start: usize, limits: &ReadLimits) -> ParseResult<ParsedFrame> {
+    let Some(marker) = buf.get(start) else { return Ok(None) };
     let Some(line) = parse_line(buf, start + 1, limits)? else { return Ok(None) };
     let text = &buf[line.range.clone()];
-    match first {
-        b'+' => single_line(FrameKind::Simple, line),
-        b'-' => single_line(FrameKind::Error, line),
-        b':' if number(text).is_none() => Err(ProtocolError::InvalidNumber),
-        b':' => single_line(FrameKind::Number, line),
-        b'_' if text.is_empty() => single_line(FrameKind::Null, line),
-        b'#' if matches!(text, b"t" | b"f") => single_line(FrameKind::Boolean, line),
-        b',' => single_line(FrameKind::Double, line),
-        b'(' => single_line(FrameKind::BigNumber, line),
-        b'$' => parse_bulk(FrameKind::Bulk, buf, line, limits),
+    match marker {
+        b'+' => line_frame(FrameKind::SimpleString, line),
+        b'-' => line_frame(FrameKind::SimpleError, line),
+        b':' if parse_integer(text).is_none() => Err(ProtocolError::InvalidInteger),
+        b':' => line_frame(FrameKind::Integer, line),
+        b'_' if text.is_empty() => line_frame(FrameKind::Null, line),
+        b'#' if matches!(text, b"t" | b"f") => line_frame(FrameKind::Boolean, line),
+        b',' => line_frame(FrameKind::Double, line),
+        b'(' => line_frame(FrameKind::BigNumber, line),
+        b'$' => parse_bulk(FrameKind::BulkString, buf, line, limits),
         b'!' => parse_bulk(FrameKind::BulkError, buf, line, limits),
-        b'=' => parse_bulk(FrameKind::Verbatim, buf, line, limits),
+        b'=' => parse_bulk(FrameKind::VerbatimString, buf, line, limits),
         b'*' => parse_aggregate(FrameKind::Array, buf, line, limits),
         b'%' => parse_aggregate(FrameKind::Map, buf, line, limits),
         b'~' => parse_aggregate(FrameKind::Set, buf, line, limits),
@@ -50,7 +50,7 @@
 
 fn parse_line(buf: &[u8], start: usize, limits: &ReadLimits) -> ParseResult<Line> {
     let rest = &buf[start..];
-    let max_len = limits.max_line + CRLF.len();
+    let max_len = limits.max_line_bytes + CRLF.len();
     let searched = &rest[..rest.len().min(max_len)];
     match searched.windows(CRLF.len()).position(|window| window == CRLF) {
         Some(len) => Ok(Some(Line { range: start..start + len, end: start + len + CRLF.len() })),
@@ -59,41 +59,41 @@
     }
 }
 
-fn single_line(kind: FrameKind, line: Line) -> ParseResult<Parsed> {
+fn line_frame(kind: FrameKind, line: Line) -> ParseResult<ParsedFrame> {
     let frame = Frame { kind, range: line.range, children: 0 };
-    Ok(Some(Parsed { frame, end: line.end }))
+    Ok(Some(ParsedFrame { frame, end: line.end }))
 }
 
-/// RESP2's null: a bulk string or an array with -1 in place of its length.
-fn null(line: &Line) -> ParseResult<Parsed> {
+/// The null of RESP2: a bulk string or an array whose length is -1.
+fn resp2_null(line: &Line) -> ParseResult<ParsedFrame> {
     let frame = Frame { kind: FrameKind::Null, range: line.end..line.end, children: 0 };
-    Ok(Some(Parsed { frame, end: line.end }))
+    Ok(Some(ParsedFrame { frame, end: line.end }))
 }
 
-/// A frame whose body follows the line with its length.
-fn parse_bulk(kind: FrameKind, buf: &[u8], line: Line, limits: &ReadLimits) -> ParseResult<Parsed> {
-    let len = number(&buf[line.range.clone()]).ok_or(ProtocolError::InvalidLength)?;
-    if len == -1 && kind == FrameKind::Bulk {
-        return null(&line);
+/// Parses a frame whose body follows `line`, which holds the length of the body.
+fn parse_bulk(kind: FrameKind, buf: &[u8], line: Line, limits: &ReadLimits) -> ParseResult<ParsedFrame> {
+    let len = parse_integer(&buf[line.range.clone()]).ok_or(ProtocolError::InvalidLength)?;
+    if len == -1 && kind == FrameKind::BulkString {
+        return resp2_null(&line);
     }
     let len = usize::try_from(len).map_err(|_| ProtocolError::InvalidLength)?;
-    if len > limits.max_bulk {
+    if len > limits.max_bulk_bytes {
         return Err(ProtocolError::BulkTooLong);
     }
     let body = line.end..line.end + len;
     let end = body.end + CRLF.len();
     match buf.get(body.end..end) {
-        Some(CRLF) => Ok(Some(Parsed { frame: Frame { kind, range: body, children: 0 }, end })),
+        Some(CRLF) => Ok(Some(ParsedFrame { frame: Frame { kind, range: body, children: 0 }, end })),
         Some(_) => Err(ProtocolError::LengthMismatch),
         None => Ok(None),
     }
 }
 
-/// The line that begins an aggregate: how many frames follow as part of it.
-fn parse_aggregate(kind: FrameKind, buf: &[u8], line: Line, limits: &ReadLimits) -> ParseResult<Parsed> {
-    let count = number(&buf[line.range.clone()]).ok_or(ProtocolError::InvalidCount)?;
+/// Parses the header of an aggregate, which holds the element count.
+fn parse_aggregate(kind: FrameKind, buf: &[u8], line: Line, limits: &ReadLimits) -> ParseResult<ParsedFrame> {
+    let count = parse_integer(&buf[line.range.clone()]).ok_or(ProtocolError::InvalidCount)?;
     if count == -1 && kind == FrameKind::Array {
-        return null(&line);
+        return resp2_null(&line);
     }
     let frames_per_entry = if kind == FrameKind::Map { 2 } else { 1 };
     let children = usize::try_from(count)
@@ -104,5 +104,5 @@
         return Err(ProtocolError::TooManyFrames);
     }
     let frame = Frame { kind, range: line.range, children };
-    Ok(Some(Parsed { frame, end: line.end }))
+    Ok(Some(ParsedFrame { frame, end: line.end }))
 }
--- a/crates/resp/src/read.rs
+++ b/crates/resp/src/read.rs
@@ -1,52 +1,54 @@
-//! Whole messages out of a stream of bytes.
+//! Reads whole messages from a stream of bytes.
 
-use crate::parse::{Parsed, parse_frame};
+use crate::parse::{ParsedFrame, parse_frame};
 use crate::{Frame, ProtocolError, ReadLimits};
 
-/// Reads whole messages off the start of a buffer. Frames of a message that is not whole yet are
-/// not parsed again.
+/// Reads whole messages from the start of a buffer. While a message is incomplete, the reader keeps
+/// the frames that it has parsed, so that no frame is parsed twice.
 #[derive(Debug)]
 pub struct Reader {
     limits: ReadLimits,
-    /// The message's frames so far.
+    /// The frames of the current message that have been parsed.
     frames: Vec<Frame>,
-    /// How many frames each open aggregate still lacks, the outermost first.
+    /// The number of elements that each incomplete aggregate still lacks, the outermost aggregate
+    /// first.
     open_aggregates: Vec<usize>,
-    /// The bytes of the buffer that the frames take up.
-    parsed: usize,
+    /// The length of the parsed frames, from the start of the buffer.
+    parsed_bytes: usize,
 }
 
 impl Reader {
-    /// A reader at the start of a message.
+    /// Creates a reader at the start of a message.
     pub fn new(limits: ReadLimits) -> Reader {
-        Reader { limits, frames: Vec::new(), open_aggregates: Vec::new(), parsed: 0 }
+        Reader { limits, frames: Vec::new(), open_aggregates: Vec::new(), parsed_bytes: 0 }
     }
 
-    /// The frames of the message at the start of the buffer, and its length in bytes; `None` until
-    /// it is whole. The buffer has to begin with the same bytes as the last time. After an error
-    /// nothing more can be read.
-    pub fn next_frame(&mut self, buf: &[u8]) -> Result<Option<(Vec<Frame>, usize)>, ProtocolError> {
+    /// Returns the frames of the message at the start of the buffer, and the length of the message
+    /// in bytes; `None` while the message is incomplete. After `None`, the next call has to pass the
+    /// same bytes, with further ones appended. After an error the reader can't be used again.
+    pub fn next_message(&mut self, buf: &[u8]) -> Result<Option<(Vec<Frame>, usize)>, ProtocolError> {
         loop {
-            if buf.len() > self.limits.max_total && self.parsed >= self.limits.max_total {
-                return Err(ProtocolError::TooLong);
+            if buf.len() > self.limits.max_message_bytes && self.parsed_bytes >= self.limits.max_message_bytes
+            {
+                return Err(ProtocolError::MessageTooLong);
             }
-            let Some(Parsed { frame, end }) = parse_frame(buf, self.parsed, &self.limits)? else {
-                if buf.len() - self.parsed > self.limits.max_bulk + self.limits.max_line {
-                    return Err(ProtocolError::TooLong);
+            let Some(ParsedFrame { frame, end }) = parse_frame(buf, self.parsed_bytes, &self.limits)? else {
+                if buf.len() - self.parsed_bytes > self.limits.max_bulk_bytes + self.limits.max_line_bytes {
+                    return Err(ProtocolError::MessageTooLong);
                 }
                 return Ok(None);
             };
-            self.parsed = end;
+            self.parsed_bytes = end;
             self.push(frame)?;
             if self.open_aggregates.is_empty() {
-                let len = std::mem::take(&mut self.parsed);
+                let len = std::mem::take(&mut self.parsed_bytes);
                 return Ok(Some((std::mem::take(&mut self.frames), len)));
             }
         }
     }
 
-    /// Appends a frame, opens it if it is an aggregate with children, and closes the aggregates
-    /// that it completes.
+    /// Appends a frame. An aggregate with elements becomes the innermost incomplete aggregate. Any
+    /// other frame is an element of that aggregate and closes the aggregates that it completes.
     fn push(&mut self, frame: Frame) -> Result<(), ProtocolError> {
         let children = frame.children;
         self.frames.push(frame);
@@ -60,9 +62,9 @@
             self.open_aggregates.push(children);
             return Ok(());
         }
-        while let Some(missing) = self.open_aggregates.last_mut() {
-            *missing -= 1;
-            if *missing > 0 {
+        while let Some(missing_frames) = self.open_aggregates.last_mut() {
+            *missing_frames -= 1;
+            if *missing_frames > 0 {
                 break;
             }
             self.open_aggregates.pop();
--- a/crates/resp/src/slot.rs
+++ b/crates/resp/src/slot.rs
@@ -1,9 +1,9 @@
 //! The hash slot of a key: CRC16 (XMODEM) of the key, or of its hash tag, modulo 16384.
 
 /// How many hash slots a cluster has.
-pub const SLOTS: u16 = 16384;
+pub const SLOT_COUNT: u16 = 16384;
 
-/// CRC16 by its polynomial 0x1021, for each value of a byte.
+/// The CRC16 of each byte value, for the polynomial 0x1021.
 const CRC16_TABLE: [u16; 256] = {
     let mut table = [0u16; 256];
     let mut i = 0;
@@ -24,8 +24,8 @@
     bytes.iter().fold(0, |crc, byte| (crc << 8) ^ CRC16_TABLE[usize::from((crc >> 8) as u8 ^ byte)])
 }
 
-/// The part of a key that is hashed: what stands between its first `{` and the next `}`, or the
-/// whole key where nothing does.
+/// The part of a key that is hashed: the text between its first `{` and the next `}`, or the whole
+/// key if there is no such text.
 pub fn hash_tag(key: &[u8]) -> &[u8] {
     let Some(open) = key.iter().position(|byte| *byte == b'{') else { return key };
     let tag = &key[open + 1..];
@@ -35,9 +35,9 @@
     }
 }
 
-/// The hash slot of a key, below [`SLOTS`].
+/// The hash slot of a key, below [`SLOT_COUNT`].
 pub fn slot_of(key: &[u8]) -> u16 {
-    crc16(hash_tag(key)) % SLOTS
+    crc16(hash_tag(key)) % SLOT_COUNT
 }
 
 #[cfg(test)]
--- a/crates/resp/src/write.rs
+++ b/crates/resp/src/write.rs
@@ -1,101 +1,102 @@
-//! Messages into bytes, straight into one buffer.
+//! Encodes messages into one buffer.
 
 use std::io::Write;
 
-/// Appends frames to a buffer, in the version of the protocol that the peer speaks.
+/// Appends encoded frames to a buffer, in the protocol version of the peer.
 #[derive(Debug, Default)]
 pub struct Writer {
-    out: Vec<u8>,
-    /// Whether RESP3 is written; it has types of its own for nulls and maps.
+    buf: Vec<u8>,
+    /// Whether the frames are encoded in RESP3, which has types of its own for nulls and maps.
     pub resp3: bool,
 }
 
 impl Writer {
-    /// An empty buffer.
+    /// Creates a writer with an empty buffer.
     pub fn new(resp3: bool) -> Writer {
-        Writer { out: Vec::new(), resp3 }
+        Writer { buf: Vec::new(), resp3 }
     }
 
-    /// Whether nothing is written yet.
+    /// Whether the buffer is empty.
     pub fn is_empty(&self) -> bool {
-        self.out.is_empty()
+        self.buf.is_empty()
     }
 
-    /// How many bytes are written.
+    /// The length of the buffer in bytes.
     pub fn len(&self) -> usize {
-        self.out.len()
+        self.buf.len()
     }
 
-    /// What is written.
+    /// The bytes written so far.
     pub fn as_bytes(&self) -> &[u8] {
-        &self.out
+        &self.buf
     }
 
-    /// Takes what is written out of the buffer.
-    pub fn take(&mut self) -> Vec<u8> {
-        std::mem::take(&mut self.out)
+    /// Returns the bytes written so far and empties the buffer.
+    pub fn take_bytes(&mut self) -> Vec<u8> {
+        std::mem::take(&mut self.buf)
     }
 
-    /// The line that begins a frame: its type, and its length or count.
-    fn frame_start(&mut self, marker: u8, count: usize) {
-        self.out.push(marker);
-        // A Vec takes any write.
-        _ = write!(self.out, "{count}\r\n");
+    /// Writes the line that begins a frame: the byte for its type, and its length or element count.
+    fn write_header(&mut self, marker: u8, count: usize) {
+        self.buf.push(marker);
+        // Writing to a `Vec` never fails.
+        _ = write!(self.buf, "{count}\r\n");
     }
 
-    /// Begins an array; so many frames have to follow.
-    pub fn array(&mut self, count: usize) {
-        self.frame_start(b'*', count);
+    /// Begins an array; the caller then writes `count` elements.
+    pub fn array_header(&mut self, count: usize) {
+        self.write_header(b'*', count);
     }
 
-    /// Begins a map; keys and values have to follow in turn. RESP2 has no maps and gets an array of
-    /// both.
-    pub fn map(&mut self, pairs: usize) {
-        if self.resp3 { self.frame_start(b'%', pairs) } else { self.frame_start(b'*', 2 * pairs) }
+    /// Begins a map; the caller then writes `pairs` keys, each followed by its value. RESP2 has no
+    /// maps: the keys and values become the elements of an array.
+    pub fn map_header(&mut self, pairs: usize) {
+        if self.resp3 { self.write_header(b'%', pairs) } else { self.write_header(b'*', 2 * pairs) }
     }
 
-    /// A bulk string.
-    pub fn bulk(&mut self, body: &[u8]) {
-        self.frame_start(b'$', body.len());
-        self.out.extend_from_slice(body);
-        self.out.extend_from_slice(b"\r\n");
+    /// Writes a bulk string.
+    pub fn bulk_string(&mut self, body: &[u8]) {
+        self.write_header(b'$', body.len());
+        self.buf.extend_from_slice(body);
+        self.buf.extend_from_slice(b"\r\n");
     }
 
-    /// No value; RESP2 writes it as a bulk string of length -1.
+    /// Writes a null, which in RESP2 is a bulk string of length -1.
     pub fn null(&mut self) {
-        self.out.extend_from_slice(if self.resp3 { b"_\r\n" } else { b"$-1\r\n" });
+        self.buf.extend_from_slice(if self.resp3 { b"_\r\n" } else { b"$-1\r\n" });
     }
 
-    /// An integer.
-    pub fn number(&mut self, n: i64) {
-        _ = write!(self.out, ":{n}\r\n");
+    /// Writes an integer.
+    pub fn integer(&mut self, n: i64) {
+        _ = write!(self.buf, ":{n}\r\n");
     }
 
-    /// A line of text. Line breaks in it are left out, as they would end it.
-    pub fn simple(&mut self, text: &str) {
-        self.out.push(b'+');
-        self.line(text);
+    /// Writes a simple string. Line breaks in the text are left out, as they would end the string.
+    pub fn simple_string(&mut self, text: &str) {
+        self.buf.push(b'+');
+        self.write_line(text);
     }
 
-    /// An error; its first word is its code, by the dialect's convention. Line breaks are left out.
+    /// Writes an error. By convention the first word of the text is the error code. Line breaks in
+    /// the text are left out.
     pub fn error(&mut self, text: &str) {
-        self.out.push(b'-');
-        self.line(text);
+        self.buf.push(b'-');
+        self.write_line(text);
     }
 
-    fn line(&mut self, text: &str) {
-        self.out.extend(text.bytes().filter(|byte| !matches!(byte, b'\r' | b'\n')));
-        self.out.extend_from_slice(b"\r\n");
+    fn write_line(&mut self, text: &str) {
+        self.buf.extend(text.bytes().filter(|byte| !matches!(byte, b'\r' | b'\n')));
+        self.buf.extend_from_slice(b"\r\n");
     }
 
-    /// Bytes that are encoded already.
+    /// Appends bytes that are already encoded.
     pub fn raw(&mut self, bytes: &[u8]) {
-        self.out.extend_from_slice(bytes);
+        self.buf.extend_from_slice(bytes);
     }
 
-    /// A command in the form that servers accept: an array of bulk strings.
+    /// Writes a command in the form that servers accept: an array of bulk strings.
     pub fn command(&mut self, arguments: &[&[u8]]) {
-        self.array(arguments.len());
-        arguments.iter().for_each(|argument| self.bulk(argument));
+        self.array_header(arguments.len());
+        arguments.iter().for_each(|argument| self.bulk_string(argument));
     }
 }
--- a/crates/resp/tests/read.rs
+++ b/crates/resp/tests/read.rs
@@ -1,17 +1,22 @@
-//! Reading: every type, every limit, and any split of the bytes.
+//! The reader handles every frame type, every limit, and any split of the bytes.
 
 use chalkwalk_resp::{Frame, ReadLimits, Reader, Writer};
 use expect_test::expect;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Limits that a short text can exceed.
-const TIGHT: ReadLimits =
-    ReadLimits { max_bulk: 20, max_frames: 6, max_depth: 2, max_line: 30, max_total: 200 };
+/// Limits so low that short texts exceed them.
+const TEST_LIMITS: ReadLimits = ReadLimits {
+    max_bulk_bytes: 20,
+    max_frames: 6,
+    max_depth: 2,
+    max_line_bytes: 30,
+    max_message_bytes: 200,
+};
 
-/// One line on what came of reading a text.
+/// Describes the result of reading a text, in one line.
 fn outcome(text: &[u8]) -> String {
-    match Reader::new(TIGHT).next_frame(text) {
+    match Reader::new(TEST_LIMITS).next_message(text) {
         Ok(Some((frames, len))) => {
             let show =
                 |frame: &Frame| format!("{:?}({})", frame.kind, text[frame.range.clone()].escape_ascii());
@@ -23,7 +28,7 @@
 }
 
 #[test]
-fn every_type_is_read_and_what_exceeds_a_limit_refused() {
+fn every_type_is_read_and_messages_over_a_limit_are_rejected() {
     let texts = [
         "+OK\r\n",
         "-ERR no\r\n",
@@ -43,7 +48,7 @@
         ">1\r\n+x\r\n",
         "*0\r\n+next",
         "*2\r\n:1\r\n",
-        // And nonsense.
+        // Messages that are invalid or exceed a limit.
         "$21\r\n",
         "*7\r\n",
         "*1\r\n*1\r\n*1\r\n:1\r\n",
@@ -58,10 +63,10 @@
     ];
     let outcomes: String = texts.iter().map(|text| outcome(text.as_bytes())).collect();
     expect![[r#"
-        Simple(OK) in 5
-        Error(ERR no) in 9
-        Number(-12) in 6
-        Bulk(a\r\n) in 9
+        SimpleString(OK) in 5
+        SimpleError(ERR no) in 9
+        Integer(-12) in 6
+        BulkString(a\r\n) in 9
         Null() in 5
         Null() in 5
         Null() in 3
@@ -69,11 +74,11 @@
         Double(1.5) in 6
         BigNumber(123) in 6
         BulkError(ERR) in 9
-        Verbatim(txt:a) in 11
-        Array(2) Bulk(a) Array(1) Number(1) in 19
-        Map(1) Simple(a) Number(1) in 12
-        Set(1) Number(1) in 8
-        Push(1) Simple(x) in 8
+        VerbatimString(txt:a) in 11
+        Array(2) BulkString(a) Array(1) Integer(1) in 19
+        Map(1) SimpleString(a) Integer(1) in 12
+        Set(1) Integer(1) in 8
+        Push(1) SimpleString(x) in 8
         Array(0) in 4
         more
         too long a bulk string
@@ -99,34 +104,34 @@
         ..ProptestConfig::default()
     })]
 
-    /// Any split of the bytes gives the same frames.
+    /// The frames are the same for any split of the bytes into chunks.
     #[test]
-    fn any_split_gives_the_same_values(
+    fn any_split_into_chunks_gives_the_same_values(
         values in proptest::collection::vec(
             proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..12), 0..5),
             1..6,
         ),
-        cuts in proptest::collection::vec(1usize..9, 0..60),
+        chunk_lens in proptest::collection::vec(1usize..9, 0..60),
     ) {
-        let mut all = Writer::default();
+        let mut writer = Writer::default();
         for value in &values {
-            all.array(value.len());
-            value.iter().for_each(|v| all.bulk(v));
+            writer.array_header(value.len());
+            value.iter().for_each(|v| writer.bulk_string(v));
         }
-        let bytes = all.take();
+        let bytes = writer.take_bytes();
         let mut reader = Reader::new(ReadLimits::default());
         let mut buf = Vec::new();
         let mut rest = &bytes[..];
-        let mut seen: Vec<Vec<Vec<u8>>> = Vec::new();
-        for cut in cuts.into_iter().chain([usize::MAX]) {
-            let (now, later) = rest.split_at(cut.min(rest.len()));
-            rest = later;
-            buf.extend_from_slice(now);
-            while let Some((frames, len)) = reader.next_frame(&buf).unwrap() {
-                seen.push(frames[1..].iter().map(|frame| buf[frame.range.clone()].to_vec()).collect());
+        let mut read_values: Vec<Vec<Vec<u8>>> = Vec::new();
+        for chunk_len in chunk_lens.into_iter().chain([usize::MAX]) {
+            let (chunk, remaining) = rest.split_at(chunk_len.min(rest.len()));
+            rest = remaining;
+            buf.extend_from_slice(chunk);
+            while let Some((frames, len)) = reader.next_message(&buf).unwrap() {
+                read_values.push(frames[1..].iter().map(|frame| buf[frame.range.clone()].to_vec()).collect());
                 buf.drain(..len);
             }
         }
-        prop_assert_eq!(seen, values);
+        prop_assert_eq!(read_values, values);
     }
 }
