--- a/crates/slot-map/src/lib.rs
+++ b/crates/slot-map/src/lib.rs
@@ -1,9 +1,9 @@
-//! Which server holds a hash slot, and what a server's error means for a request, after the public
-//! cluster specification.
+//! The map from hash slots to servers, and the meaning of a server's error for a request, by the
+//! public cluster specification.
 //!
-//! No socket, no clock and no wire type enters this crate: nodes are their addresses, and times are
-//! passed in. It does not decide which of the servers that may serve a request gets the attempt,
-//! nor whether a request is retried; the balancer does.
+//! This crate uses no sockets, clocks or wire types: nodes are identified by their addresses, and
+//! the caller passes the time. The balancer, not this crate, decides which of the servers that may
+//! serve a request gets the attempt, and whether a request is retried.
 
 mod error_meaning;
 mod node;
--- a/crates/slot-map/src/slot_map.rs
+++ b/crates/slot-map/src/slot_map.rs
@@ -1,4 +1,4 @@
-//! The slot map: which node owns each slot, held as ranges, and its replicas.
+//! The slot map: the owner and the replicas of each slot, stored by slot ranges.
 
 use crate::node::Node;
 use crate::slot_range::{SLOT_COUNT, SlotRange};
@@ -8,48 +8,48 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Redirections that are held until the next view; a cluster that has moved more slots is polled
-/// for one anyway.
-const MAX_MOVED: usize = 1024;
+/// Maximum number of `MOVED` redirections kept until the next view. Each redirection requests a poll
+/// for a new view, so further ones need not be kept.
+const MAX_MOVED_SLOTS: usize = 1024;
 
 /// A range of slots with one owner.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SlotAssignment {
-    /// The slots.
+    /// The range of slots.
     pub slots: SlotRange,
     /// The node that owns them.
     pub owner: SocketAddr,
-    /// The owner's replicas, which may lag behind it.
+    /// The owner's replicas, which may lag behind the owner.
     pub replicas: Vec<SocketAddr>,
     /// The configuration epoch of the owner's claim.
     epoch: u64,
 }
 
-/// A view that is older than one that was applied before: the node that sent it was cut off from
-/// the others.
+/// A view is older than one that was applied before, because the node that sent it was partitioned
+/// from the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("an old view, epoch {epoch} after {applied}")]
+#[error("outdated view of the cluster: its epoch is {epoch}, and epoch {applied_epoch} was applied before")]
 pub struct OutdatedView {
     /// The newest epoch in the view.
     pub epoch: u64,
     /// The newest epoch that was applied before.
-    pub applied: u64,
+    pub applied_epoch: u64,
 }
 
 /// The owner and the replicas of each slot, as far as views and redirections have reported them.
 #[derive(Clone, Debug, Default)]
 pub struct SlotMap {
-    /// By their first slots; they don't overlap, and there may be gaps.
+    /// The assignments by first slot. They don't overlap; there may be gaps between them.
     assignments: Vec<SlotAssignment>,
     /// The targets of `MOVED` redirections since the last view, by slot.
-    moved: BTreeMap<u16, SocketAddr>,
-    /// The newest epoch of the views so far.
-    epoch: u64,
+    moved_slots: BTreeMap<u16, SocketAddr>,
+    /// The newest epoch of the views applied so far.
+    applied_epoch: u64,
 }
 
 impl SlotMap {
-    /// The ranges that views have assigned, in order. Redirections since the last view are not
-    /// among them.
+    /// The assignments reported by views, in the order of their slots, without the redirections
+    /// since the last view.
     pub fn assignments(&self) -> &[SlotAssignment] {
         &self.assignments
     }
@@ -59,54 +59,56 @@
         self.assignments.get(index).filter(|assignment| assignment.slots.contains(slot))
     }
 
-    /// The servers that may serve a slot: its owner, then its replicas, in order. Empty for a slot
-    /// without an owner.
+    /// The servers that may serve a slot: the owner, then the replicas in their order in the view.
+    /// Empty for a slot without an owner.
     pub fn servers_for(&self, slot: u16) -> impl Iterator<Item = SocketAddr> {
         let assignment = self.assignment(slot);
-        let moved = self.moved.get(&slot).copied();
-        // Replicas are the former owner's: they may know nothing of a slot that has moved.
+        let moved = self.moved_slots.get(&slot).copied();
+        // The replicas are those of the former owner, and may not hold a slot that has moved.
         let owner = moved.or(assignment.map(|assignment| assignment.owner));
         let replicas =
             assignment.filter(|_| moved.is_none()).map_or(&[][..], |assignment| &assignment.replicas);
         owner.into_iter().chain(replicas.iter().copied())
     }
 
-    /// The server that owns a slot, if any is known.
+    /// The server that owns a slot, if one is known.
     pub fn owner(&self, slot: u16) -> Option<SocketAddr> {
         self.servers_for(slot).next()
     }
 
-    /// Applies a `MOVED` redirection. The server that sent it knows better: it was the owner, or
-    /// the request was sent by an outdated map. Returns whether the owner was another before.
-    pub fn apply_moved(&mut self, slot: u16, to: SocketAddr) -> bool {
-        if slot >= SLOT_COUNT || self.owner(slot) == Some(to) {
+    /// Applies a `MOVED` redirection, which is newer than the map: the server that sent it has given
+    /// the slot away, or the map was outdated when the request was sent. Returns whether the map had
+    /// a different owner.
+    pub fn apply_moved(&mut self, slot: u16, target: SocketAddr) -> bool {
+        if slot >= SLOT_COUNT || self.owner(slot) == Some(target) {
             return false;
         }
-        if self.moved.len() < MAX_MOVED || self.moved.contains_key(&slot) {
-            self.moved.insert(slot, to);
+        if self.moved_slots.len() < MAX_MOVED_SLOTS || self.moved_slots.contains_key(&slot) {
+            self.moved_slots.insert(slot, target);
         }
         true
     }
 
-    /// Applies a view, slot by slot. A node that was cut off reports an old view, which is an error
-    /// and changes nothing. A slot that nobody claims keeps its owner while that one is live: the
-    /// slot may be in migration.
+    /// Applies a view, slot by slot. An outdated view, which a partitioned node reports, is rejected
+    /// with an error and changes nothing. A slot that no node claims keeps its owner while the owner
+    /// is live, as the slot may be in migration.
     pub fn apply_view(&mut self, view: &ClusterView) -> Result<(), OutdatedView> {
         let epoch = view.newest_epoch();
-        if epoch < self.epoch {
-            return Err(OutdatedView { epoch, applied: self.epoch });
+        if epoch < self.applied_epoch {
+            return Err(OutdatedView { epoch, applied_epoch: self.applied_epoch });
         }
         self.assignments = self.merge(view);
-        self.epoch = epoch;
-        // A view is newer than the redirections before it, except for slots that it leaves without
-        // an owner.
-        let mut moved = std::mem::take(&mut self.moved);
-        moved.retain(|slot, to| view.is_live(*to) && self.assignment(*slot).is_none());
-        self.moved = moved;
+        self.applied_epoch = epoch;
+        // The view replaces the redirections received before it, except for slots to which it
+        // assigns no owner.
+        let mut moved_slots = std::mem::take(&mut self.moved_slots);
+        moved_slots.retain(|slot, target| view.is_live(*target) && self.assignment(*slot).is_none());
+        self.moved_slots = moved_slots;
         Ok(())
     }
 
-    /// The assignments after a view: its claims, and for slots without one the assignment before.
+    /// The assignments after a view: the claims in the view, and for unclaimed slots the previous
+    /// assignment.
     fn merge(&self, view: &ClusterView) -> Vec<SlotAssignment> {
         let claims = winning_claims(view);
         let mut merged: Vec<SlotAssignment> = Vec::new();
@@ -117,13 +119,13 @@
                 replicas: view.live_replicas(owner),
                 epoch: owner.epoch,
             });
-            let before = || {
-                let assignment = self.assignment(slot).filter(|before| view.is_live(before.owner))?;
+            let retained = || {
+                let assignment = self.assignment(slot).filter(|assignment| view.is_live(assignment.owner))?;
                 Some(SlotAssignment { slots: SlotRange { first: slot, last: slot }, ..assignment.clone() })
             };
-            let Some(next) = claimed.or_else(before) else { continue };
+            let Some(next) = claimed.or_else(retained) else { continue };
             match merged.last_mut() {
-                Some(last) if last.continues_in(&next) => last.slots.last = slot,
+                Some(previous) if previous.is_continued_by(&next) => previous.slots.last = slot,
                 _ => merged.push(next),
             }
         }
@@ -132,8 +134,9 @@
 }
 
 impl SlotAssignment {
-    /// Whether the next slots follow at once and are assigned to the same nodes by the same claim.
-    fn continues_in(&self, next: &SlotAssignment) -> bool {
+    /// Whether `next` begins right after these slots and assigns its slots to the same nodes by the
+    /// same claim.
+    fn is_continued_by(&self, next: &SlotAssignment) -> bool {
         self.slots.last + 1 == next.slots.first
             && self.owner == next.owner
             && self.replicas == next.replicas
@@ -141,13 +144,13 @@
     }
 }
 
-/// The node whose claim on each slot wins, by slot.
+/// For each slot, the node whose claim takes precedence.
 fn winning_claims(view: &ClusterView) -> Vec<Option<&Node>> {
     let mut claims: Vec<Option<&Node>> = vec![None; usize::from(SLOT_COUNT)];
     for node in view.live_owners() {
         for range in &node.slots {
             for claim in &mut claims[usize::from(range.first)..=usize::from(range.last)] {
-                if claim.is_none_or(|other| outranks(node, other)) {
+                if claim.is_none_or(|other| takes_precedence(node, other)) {
                     *claim = Some(node);
                 }
             }
@@ -156,8 +159,8 @@
     claims
 }
 
-/// Of two nodes that claim a slot the higher epoch wins, as among the nodes themselves; of equal
-/// ones the lower id.
-fn outranks(node: &Node, other: &Node) -> bool {
+/// Whether the claim of `node` on a slot takes precedence over that of `other`. The higher epoch
+/// does, by the rule that the nodes themselves follow; for equal epochs the lower node id does.
+fn takes_precedence(node: &Node, other: &Node) -> bool {
     (Reverse(node.epoch), &node.id) < (Reverse(other.epoch), &other.id)
 }
--- a/crates/slot-map/src/slot_range.rs
+++ b/crates/slot-map/src/slot_range.rs
@@ -1,4 +1,4 @@
-//! Hash slots and ranges of them, as the cluster specification writes them: first and last slot,
+//! Ranges of hash slots in the notation of the cluster specification: the first and the last slot,
 //! both included.
 
 /// How many hash slots a cluster has.
@@ -22,8 +22,8 @@
         (self.first..=self.last).contains(&slot)
     }
 
-    /// Reads `first-last`, or a single slot. None if it is neither, is reversed or passes the last
-    /// slot of a cluster.
+    /// Parses `first-last` or a single slot. Returns `None` if the text is neither, if the range is
+    /// reversed, or if it exceeds the last slot of a cluster.
     pub(crate) fn parse(text: &str) -> Option<SlotRange> {
         let (first, last) = text.split_once('-').unwrap_or((text, text));
         let range = SlotRange { first: first.parse().ok()?, last: last.parse().ok()? };
--- a/crates/slot-map/src/view.rs
+++ b/crates/slot-map/src/view.rs
@@ -1,34 +1,35 @@
-//! What one node reports of the whole cluster: the reply to `CLUSTER NODES`.
+//! One node's view of the whole cluster: the reply to `CLUSTER NODES`.
 
 use crate::node::Node;
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Nodes that are read of one view: the specification advises a thousand at most.
+/// Maximum number of nodes in a view. The specification recommends at most a thousand nodes in a
+/// cluster.
 const MAX_NODES: usize = 4096;
-/// How much of a malformed line goes into the error.
-const MAX_SHOWN: usize = 80;
+/// Maximum length of the part of a malformed line that goes into the error.
+const MAX_SHOWN_CHARS: usize = 80;
 
-/// What one node reports of the cluster.
+/// The cluster as one node reports it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClusterView {
-    /// The nodes that have an address, in the order of the report.
+    /// The nodes that have an address, in the order in which they are reported.
     pub nodes: Vec<Node>,
 }
 
-/// Why a report could not be read.
+/// Why a reply to `CLUSTER NODES` could not be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ViewError {
-    /// It lists more nodes than any cluster should have.
-    #[error("more than {MAX_NODES} nodes")]
+    /// The reply lists more nodes than a cluster is expected to have.
+    #[error("the reply to CLUSTER NODES lists more than {MAX_NODES} nodes")]
     TooManyNodes,
-    /// It lists no node with an address.
-    #[error("no node")]
-    NoNode,
-    /// The line of a node is malformed.
-    #[error("a node without {missing}: {line}")]
+    /// The reply lists no node with an address.
+    #[error("the reply to CLUSTER NODES lists no node with an address")]
+    NoNodes,
+    /// The line that describes a node is malformed.
+    #[error("line of CLUSTER NODES without {missing}: {line}")]
     MalformedNode {
-        /// What the line lacks.
+        /// The part that is missing or invalid.
         missing: &'static str,
         /// The start of the line.
         line: String,
@@ -36,40 +37,42 @@
 }
 
 impl ClusterView {
-    /// Parses the reply to `CLUSTER NODES`. `from` is the node that sent it: it may not know its
-    /// own address.
-    pub fn parse(text: &str, from: SocketAddr) -> Result<ClusterView, ViewError> {
+    /// Parses the reply to `CLUSTER NODES`. `sender` is the address of the node that sent it, which
+    /// may not know its own address.
+    pub fn parse(text: &str, sender: SocketAddr) -> Result<ClusterView, ViewError> {
         let mut nodes = Vec::new();
         for line in text.lines().map(str::trim).filter(|line| !line.is_empty()) {
             if nodes.len() == MAX_NODES {
                 return Err(ViewError::TooManyNodes);
             }
-            let malformed =
-                |missing| ViewError::MalformedNode { missing, line: line.chars().take(MAX_SHOWN).collect() };
-            nodes.extend(Node::parse(line, from).map_err(malformed)?);
+            let malformed = |missing| ViewError::MalformedNode {
+                missing,
+                line: line.chars().take(MAX_SHOWN_CHARS).collect(),
+            };
+            nodes.extend(Node::parse(line, sender).map_err(malformed)?);
         }
         if nodes.is_empty() {
-            return Err(ViewError::NoNode);
+            return Err(ViewError::NoNodes);
         }
         Ok(ClusterView { nodes })
     }
 
-    /// The newest configuration epoch that any node claims.
+    /// The highest configuration epoch of any node.
     pub(crate) fn newest_epoch(&self) -> u64 {
         self.nodes.iter().map(|node| node.epoch).max().unwrap_or(0)
     }
 
-    /// Whether a node of that address is part of the cluster and has not failed.
+    /// Whether the node with this address is part of the cluster and has not failed.
     pub(crate) fn is_live(&self, addr: SocketAddr) -> bool {
         self.nodes.iter().any(|node| node.addr == addr && !node.failed)
     }
 
-    /// The nodes that own slots, those that failed left out.
+    /// The nodes that may own slots: those that are neither replicas nor failed.
     pub(crate) fn live_owners(&self) -> impl Iterator<Item = &Node> {
         self.nodes.iter().filter(|node| node.replica_of.is_none() && !node.failed)
     }
 
-    /// The addresses of an owner's replicas, those that failed left out.
+    /// The addresses of an owner's replicas that have not failed.
     pub(crate) fn live_replicas(&self, owner: &Node) -> Vec<SocketAddr> {
         let is_replica = |node: &&Node| node.replica_of.as_ref() == Some(&owner.id) && !node.failed;
         self.nodes.iter().filter(is_replica).map(|node| node.addr).collect()
--- a/crates/slot-map/tests/migration.rs
+++ b/crates/slot-map/tests/migration.rs
@@ -1,23 +1,24 @@
-//! A slot migrates and migrates back while two requests for it are under way, in every order of the
-//! steps: no command runs twice, none runs at a server that does not hold the key, and both
+//! A slot migrates to another server and back while two requests for it are in flight. In every order
+//! of the steps, no command runs twice, none runs at a server that does not hold the key, and both
 //! requests end.
 
 use chalkwalk_slot_map::{ClusterView, ErrorMeaning, RequestRoute, SlotMap, classify_error};
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-const A: usize = 0;
-const B: usize = 1;
+const SERVER_A: usize = 0;
+const SERVER_B: usize = 1;
 
 fn addr(server: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 7000 + server as u16))
 }
 
-/// The cluster: which servers believe that they own the slot, and where each request's key is.
+/// The cluster: the servers that consider themselves owners of the slot, and the location of each
+/// request's key.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct Cluster {
     step: usize,
-    key_at: [usize; 2],
+    key_server: [usize; 2],
     owner: [bool; 2],
     migrating: Option<usize>,
     importing: Option<usize>,
@@ -25,18 +26,20 @@
     runs: [Vec<usize>; 2],
 }
 
-/// The new owner prepares, then the old one; each key is copied; the new owner takes the slot, the
-/// old one learns it; and back.
-const STEPS: usize = 12;
+/// The steps of both migrations. Each migration takes six: the new owner starts to import the slot,
+/// the old owner starts to migrate it, the two keys are copied one after the other, the new owner
+/// takes the slot over, and the old owner learns of that.
+const MIGRATION_STEPS: usize = 12;
 
 impl Cluster {
-    fn migrate(&mut self) {
-        let (old, new) = if self.step < STEPS / 2 { (A, B) } else { (B, A) };
-        match self.step % (STEPS / 2) {
+    fn migration_step(&mut self) {
+        let (old, new) =
+            if self.step < MIGRATION_STEPS / 2 { (SERVER_A, SERVER_B) } else { (SERVER_B, SERVER_A) };
+        match self.step % (MIGRATION_STEPS / 2) {
             0 => self.importing = Some(new),
             1 => self.migrating = Some(old),
-            2 => self.key_at[0] = new,
-            3 => self.key_at[1] = new,
+            2 => self.key_server[0] = new,
+            3 => self.key_server[1] = new,
             4 => {
                 self.owner[new] = true;
                 self.importing = None;
@@ -50,13 +53,12 @@
         self.step += 1;
     }
 
-    /// How a server answers a request, by the specification: an error, or none where the command
-    /// runs.
+    /// A server's reply to a request by the specification: an error, or `None` if the command runs.
     fn answer(&mut self, request: usize, server: usize, asking: bool) -> Option<String> {
-        let here = self.key_at[request] == server;
+        let has_key = self.key_server[request] == server;
         let other = addr(1 - server);
         if self.owner[server] {
-            if here {
+            if has_key {
                 self.runs[request].push(server);
                 return None;
             }
@@ -64,7 +66,7 @@
             return Some(format!("ASK 5 {other}"));
         }
         if self.importing == Some(server) && asking {
-            assert!(here, "ASKING for a key that has not been copied");
+            assert!(has_key, "ASKING for a key that has not been copied");
             self.runs[request].push(server);
             return None;
         }
@@ -79,100 +81,105 @@
     routes: [RequestRoute; 2],
     done: [bool; 2],
     attempts: [u32; 2],
-    refreshed: bool,
+    map_refreshed: bool,
 }
 
 impl State {
-    fn key(&self) -> String {
-        format!("{:?}{:?}{:?}{:?}{:?}", self.cluster, self.map, self.routes, self.done, self.refreshed)
+    fn fingerprint(&self) -> String {
+        format!("{:?}{:?}{:?}{:?}{:?}", self.cluster, self.map, self.routes, self.done, self.map_refreshed)
     }
 
-    /// One attempt of a request and its answer.
+    /// Makes one attempt of a request and applies the reply.
     fn start_attempt(&mut self, request: usize) {
         let route = &mut self.routes[request];
-        let to = route.candidates(&self.map).first().copied().expect("a server that may serve it");
-        let server = usize::from(to.port() - 7000);
+        let target = route.candidates(&self.map).first().copied().expect("a server that may serve it");
+        let server = usize::from(target.port() - 7000);
         self.attempts[request] += 1;
-        match self.cluster.answer(request, server, route.needs_asking(to)) {
+        match self.cluster.answer(request, server, route.needs_asking(target)) {
             None => self.done[request] = true,
             Some(error) => {
-                let means = classify_error(&error, to);
-                assert!(!matches!(means, ErrorMeaning::Final | ErrorMeaning::RetryLater));
-                route.on_error(&means, &mut self.map);
+                let meaning = classify_error(&error, target);
+                assert!(!matches!(meaning, ErrorMeaning::Final | ErrorMeaning::RetryLater));
+                route.on_error(&meaning, &mut self.map);
             }
         }
     }
 
-    /// Applies the view that one of the servers reports now.
+    /// Applies the view that `server` reports now.
     fn refresh(&mut self, server: usize) {
-        let owner = |s: usize| self.cluster.owner[s] && (s == server || !self.cluster.owner[server]);
-        let line = |s: usize| {
-            let slots = if owner(s) { " 0-16383" } else { "" };
-            format!("n{s} {}@1 master - 0 0 {} connected{slots}\n", addr(s), self.cluster.epoch[s])
+        let owner =
+            |index: usize| self.cluster.owner[index] && (index == server || !self.cluster.owner[server]);
+        let line = |index: usize| {
+            let slots = if owner(index) { " 0-16383" } else { "" };
+            format!(
+                "n{index} {}@1 master - 0 0 {} connected{slots}\n",
+                addr(index),
+                self.cluster.epoch[index]
+            )
         };
-        let text = line(A) + &line(B);
+        let text = line(SERVER_A) + &line(SERVER_B);
         _ = self.map.apply_view(&ClusterView::parse(&text, addr(server)).expect("a view"));
-        self.refreshed = true;
+        self.map_refreshed = true;
     }
 }
 
 #[test]
 fn every_order_of_a_migration_and_two_requests_runs_each_command_once() {
     let mut map = SlotMap::default();
-    let first = "n0 127.0.0.1:7000@1 master - 0 0 1 connected 0-16383\nn1 127.0.0.1:7001@1 master - 0 0 1 connected\n";
-    map.apply_view(&ClusterView::parse(first, addr(A)).unwrap()).unwrap();
+    let initial_view = "n0 127.0.0.1:7000@1 master - 0 0 1 connected 0-16383\nn1 127.0.0.1:7001@1 master - 0 0 1 connected\n";
+    map.apply_view(&ClusterView::parse(initial_view, addr(SERVER_A)).unwrap()).unwrap();
     let cluster = Cluster {
         step: 0,
-        key_at: [A, A],
+        key_server: [SERVER_A, SERVER_A],
         owner: [true, false],
         migrating: None,
         importing: None,
         epoch: [1, 1],
         runs: [vec![], vec![]],
     };
-    let start = State {
+    let initial_state = State {
         cluster,
         map,
         routes: [RequestRoute::new(5, false), RequestRoute::new(5, false)],
         done: [false; 2],
         attempts: [0; 2],
-        refreshed: false,
+        map_refreshed: false,
     };
-    let mut open = vec![start];
-    let mut seen = HashSet::new();
-    let mut ends = 0;
-    let mut most = 0;
-    while let Some(state) = open.pop() {
-        if !seen.insert(state.key()) {
+    let mut unexplored = vec![initial_state];
+    let mut visited = HashSet::new();
+    let mut end_states = 0;
+    let mut max_attempts = 0;
+    while let Some(state) = unexplored.pop() {
+        if !visited.insert(state.fingerprint()) {
             continue;
         }
         for request in 0..2 {
             assert!(state.cluster.runs[request].len() <= 1, "a command ran twice: {state:?}");
             assert!(state.attempts[request] <= 5, "a redirection loop: {state:?}");
         }
-        most = most.max(state.attempts[0]).max(state.attempts[1]);
-        let mut progressed = false;
-        if state.cluster.step < STEPS {
+        max_attempts = max_attempts.max(state.attempts[0]).max(state.attempts[1]);
+        let mut has_next_step = false;
+        if state.cluster.step < MIGRATION_STEPS {
             let mut next = state.clone();
-            next.cluster.migrate();
-            open.push(next);
-            progressed = true;
+            next.cluster.migration_step();
+            unexplored.push(next);
+            has_next_step = true;
         }
         for request in (0..2).filter(|request| !state.done[*request]) {
             let mut next = state.clone();
             next.start_attempt(request);
-            open.push(next);
-            progressed = true;
+            unexplored.push(next);
+            has_next_step = true;
         }
-        if !state.refreshed {
-            for server in [A, B] {
+        if !state.map_refreshed {
+            for server in [SERVER_A, SERVER_B] {
                 let mut next = state.clone();
                 next.refresh(server);
-                open.push(next);
+                unexplored.push(next);
             }
         }
-        ends += usize::from(!progressed);
+        end_states += usize::from(!has_next_step);
     }
-    assert!(ends > 10 && seen.len() > 200, "{ends} ends of {} states", seen.len());
-    assert!(most >= 3, "no request was redirected twice, {most} attempts at most");
+    assert!(end_states > 10 && visited.len() > 200, "{end_states} end states of {} states", visited.len());
+    assert!(max_attempts >= 3, "no request was redirected twice, {max_attempts} attempts at most");
 }
--- a/crates/slot-map/tests/refresh.rs
+++ b/crates/slot-map/tests/refresh.rs
@@ -1,11 +1,11 @@
-//! The slot map is polled by one call at a time: soon after a redirection, seldom otherwise, with
-//! backoff after failures.
+//! The slot map is polled by one call at a time: soon after a redirection, at the regular interval
+//! otherwise, and with backoff after failures.
 
 use chalkwalk_slot_map::RefreshSchedule;
 use chalkwalk_time::{Span, Timestamp};
 
 #[test]
-fn one_call_at_a_time_soon_after_a_redirection_and_seldom_otherwise() {
+fn one_poll_at_a_time_soon_after_a_redirection_and_with_backoff_after_failures() {
     let mut schedule = RefreshSchedule::default();
     assert_eq!(schedule.next_due(), Some(Timestamp::ZERO));
     assert_eq!(schedule.start(Timestamp::from_ticks(100), 3), 1);
