--- a/crates/resp-frontend/src/arguments.rs
+++ b/crates/resp-frontend/src/arguments.rs
@@ -6,8 +6,8 @@
 use chalkwalk_resp::Writer;
 use std::ops::Range;
 
-/// A command as it came: its bytes, and where its arguments stand in them. The first argument is
-/// the command's name.
+/// A command as received: its bytes, and the positions of its arguments in them. The first argument
+/// is the command's name.
 #[derive(Debug)]
 pub struct Arguments {
     bytes: Vec<u8>,
@@ -15,39 +15,39 @@
 }
 
 impl Arguments {
-    /// `bytes`: the command as it came, in RESP or inline. `ranges`: where its arguments stand, the
-    /// name first.
+    /// Creates the arguments of a command. `bytes` is the command as received, in RESP or inline;
+    /// `ranges` are the positions of its arguments, the name first.
     pub fn new(bytes: Vec<u8>, ranges: Vec<Range<usize>>) -> Arguments {
         Arguments { bytes, ranges }
     }
 
-    /// How many there are, the name included.
+    /// The number of arguments, the name included.
     pub fn len(&self) -> usize {
         self.ranges.len()
     }
 
-    /// How long the command is, as it came.
+    /// The length of the command as received.
     pub fn byte_len(&self) -> usize {
         self.bytes.len()
     }
 
-    /// One argument; empty if there are fewer.
+    /// The argument at an index; empty if there are fewer arguments.
     pub fn get(&self, index: usize) -> &[u8] {
         self.ranges.get(index).map_or(&[], |range| &self.bytes[range.clone()])
     }
 
-    /// One argument in upper case: names and options are not case-sensitive.
+    /// The argument at an index in upper case, as command names and options are not case-sensitive.
     pub fn keyword(&self, index: usize) -> String {
         String::from_utf8_lossy(self.get(index)).to_ascii_uppercase()
     }
 
-    /// Keys as texts, by which they are compared and hashed.
+    /// The keys at these positions as strings, by which keys are compared and hashed.
     pub fn key_texts(&self, keys: &[usize]) -> Vec<String> {
         keys.iter().map(|key| String::from_utf8_lossy(self.get(*key)).to_string()).collect()
     }
 
-    /// The command on some of its keys: its name, and each of these keys with the arguments that
-    /// belong to it, `step` in all.
+    /// The command for some of its keys: its name, then each of these keys with the arguments that
+    /// belong to it. `step` is the number of arguments per key, the key included.
     pub fn with_keys(&self, keys: &[usize], step: usize) -> Arguments {
         let per_key = |key: &usize| (*key..key + step).map(|index| self.get(index));
         let arguments: Vec<&[u8]> =
@@ -63,7 +63,7 @@
         Arguments { bytes: out.take_bytes(), ranges }
     }
 
-    /// The command in the form that servers accept: as it came, unless it came inline.
+    /// The command in the form that servers accept: as received, or as an array if it was inline.
     pub fn into_resp(self) -> Vec<u8> {
         if self.bytes.first() == Some(&b'*') {
             return self.bytes;
--- a/crates/resp-frontend/src/arguments/tests.rs
+++ b/crates/resp-frontend/src/arguments/tests.rs
@@ -1,9 +1,9 @@
-//! Commands are split by key and encoded for servers.
+//! Commands are split by key and encoded for the servers.
 
 use crate::test_support::arguments;
 
 #[test]
-fn a_part_of_a_command_has_its_keys_with_their_values_in_the_form_that_servers_accept() {
+fn a_part_of_a_command_holds_its_keys_with_their_values_and_is_sent_as_an_array() {
     let part = arguments("MSET a 1 b 2 c 3").with_keys(&[1, 5], 2);
     let texts: Vec<&[u8]> = (0..part.len()).map(|index| part.get(index)).collect();
     assert_eq!(texts, [&b"MSET"[..], b"a", b"1", b"c", b"3"]);
--- a/crates/resp-frontend/src/command.rs
+++ b/crates/resp-frontend/src/command.rs
@@ -1,4 +1,5 @@
-//! What is to be done with a command: answered here, sent to one server, or split by slot. No I/O.
+//! Classifies commands: the frontend answers a command itself, sends it to one server, or splits it
+//! by slot. No I/O.
 
 mod error;
 mod set_options;
@@ -9,48 +10,48 @@
 use crate::command_table::{CommandSpec, LOCAL_COMMANDS};
 use crate::merge::MergeRule;
 use chalkwalk_resp::slot_of;
-use error::MAX_SLOTS;
+use error::MAX_SLOTS_PER_COMMAND;
 use set_options::check_set_options;
 
 pub use error::CommandError;
 
-/// How much of an unknown name goes into the error.
-const MAX_SHOWN: usize = 64;
+/// Maximum length of the part of an unknown name that goes into the error.
+const MAX_NAME_CHARS: usize = 64;
 
-/// A command by what is to be done with it.
+/// A command, classified by how the frontend handles it.
 #[derive(Debug, PartialEq)]
 pub enum Command {
-    /// This frontend answers it itself.
+    /// The frontend answers the command itself.
     Local,
-    /// For the server that owns its slot.
+    /// The command is sent to the server that owns the slot of its keys.
     Keyed(KeyedCommand),
-    /// For several servers: its keys are in several slots.
+    /// The keys are in several slots: the command is split and sent to several servers.
     Split(SplitCommand),
 }
 
 /// A command whose keys are all in one slot.
 #[derive(Debug, PartialEq)]
 pub struct KeyedCommand {
-    /// Whether it writes.
+    /// Whether the command writes.
     pub write: bool,
-    /// Its keys in one slot.
+    /// The keys of the command.
     pub keys: SlotKeys,
 }
 
-/// A command that is split into one a slot.
+/// A command that is split into one command per slot.
 #[derive(Debug, PartialEq)]
 pub struct SplitCommand {
-    /// Whether it writes.
+    /// Whether the command writes.
     pub write: bool,
     /// How the replies are merged.
     pub merge: MergeRule,
-    /// A key and the arguments that belong to it.
+    /// The number of arguments per key, the key included.
     pub step: usize,
-    /// Its keys by slot, in the order in which the slots occur.
+    /// The keys by slot, in the order in which the slots first occur.
     pub parts: Vec<SlotKeys>,
 }
 
-/// Keys of a command in one slot.
+/// The keys of a command that are in one slot.
 #[derive(Debug, PartialEq)]
 pub struct SlotKeys {
     /// The slot.
@@ -59,21 +60,21 @@
     pub positions: Vec<usize>,
 }
 
-/// Decides what is to be done with a command. `split`: whether keys in several slots are split into
-/// one command a slot.
+/// Classifies a command. `split` allows a command with keys in several slots to be split into one
+/// command per slot.
 pub fn classify_command(arguments: &Arguments, split: bool) -> Result<Command, CommandError> {
     let name = arguments.keyword(0);
     if LOCAL_COMMANDS.contains(&name.as_str()) {
         return Ok(Command::Local);
     }
     let Some(spec) = CommandSpec::find(&name) else {
-        return Err(CommandError::Unknown(shown(&name)));
+        return Err(CommandError::Unknown(printable_name(&name)));
     };
     if !spec.accepts(arguments.len()) {
         return Err(CommandError::WrongArity(spec.name.to_lowercase()));
     }
-    if let Some(from) = spec.options_from {
-        check_set_options(arguments, from)?;
+    if let Some(start) = spec.set_options_start {
+        check_set_options(arguments, start)?;
     }
     let mut parts = keys_by_slot(arguments, spec.key_positions(arguments.len()));
     if parts.len() == 1
@@ -84,15 +85,15 @@
     let Some(merge) = spec.merge.filter(|_| split) else {
         return Err(CommandError::CrossSlot);
     };
-    if parts.len() > MAX_SLOTS {
+    if parts.len() > MAX_SLOTS_PER_COMMAND {
         return Err(CommandError::TooManySlots);
     }
     Ok(Command::Split(SplitCommand { write: spec.write, merge, step: spec.keys.step, parts }))
 }
 
-/// The start of a name that a client sent, as it may stand in an error.
-pub fn shown(name: &str) -> String {
-    let printable: String = name.chars().take(MAX_SHOWN).filter(|char| !char.is_control()).collect();
+/// The start of a name that a client sent, without control characters, for use in an error.
+pub fn printable_name(name: &str) -> String {
+    let printable: String = name.chars().take(MAX_NAME_CHARS).filter(|char| !char.is_control()).collect();
     printable.to_lowercase()
 }
 
--- a/crates/resp-frontend/src/command/error.rs
+++ b/crates/resp-frontend/src/command/error.rs
@@ -1,17 +1,19 @@
-//! Why a command is rejected before any server gets it.
+//! The errors for commands that are rejected without a request to a server.
 
 use thiserror::Error;
 
-/// Slots that one command may touch: a reading list has some dozens of covers.
-pub const MAX_SLOTS: usize = 64;
+/// Maximum number of slots in one command. A command for the covers of a reading list has some
+/// dozens of keys.
+pub const MAX_SLOTS_PER_COMMAND: usize = 64;
 
-/// Why a command is rejected; the text is the error reply, as the dialect defines it.
+/// Why a command is rejected. The text is the error reply to the client, in the wording that
+/// cluster servers use.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CommandError {
-    /// No command of that name is known.
+    /// The command's name is unknown.
     #[error("ERR unknown command '{0}'")]
     Unknown(String),
-    /// The command of that name takes fewer or more arguments.
+    /// The command takes fewer or more arguments.
     #[error("ERR wrong number of arguments for '{0}' command")]
     WrongArity(String),
     /// An expiry is zero or negative.
@@ -27,6 +29,6 @@
     #[error("CROSSSLOT Keys in request don't hash to the same slot")]
     CrossSlot,
     /// The keys are in more slots than one command may touch.
-    #[error("ERR the keys are in more than {MAX_SLOTS} slots")]
+    #[error("ERR the keys are in more than {MAX_SLOTS_PER_COMMAND} slots")]
     TooManySlots,
 }
--- a/crates/resp-frontend/src/command/set_options.rs
+++ b/crates/resp-frontend/src/command/set_options.rs
@@ -1,13 +1,13 @@
-//! The options of `SET`: an expiry in seconds or milliseconds, and a condition, each once.
+//! The options of `SET`: an expiry in seconds or milliseconds, and a condition, each at most once.
 
 use super::error::CommandError;
 use crate::arguments::Arguments;
 
-/// Checks the options of a `SET` from a position on.
-pub fn check_set_options(arguments: &Arguments, from: usize) -> Result<(), CommandError> {
+/// Checks the options of a `SET`, which begin at the argument `start`.
+pub fn check_set_options(arguments: &Arguments, start: usize) -> Result<(), CommandError> {
     let mut has_expiry = false;
     let mut has_condition = false;
-    let mut position = from;
+    let mut position = start;
     while position < arguments.len() {
         match arguments.keyword(position).as_str() {
             "EX" | "PX" if !has_expiry => {
@@ -29,7 +29,7 @@
     }
     let text = std::str::from_utf8(arguments.get(position)).ok();
     match text.and_then(|text| text.parse::<i64>().ok()) {
-        Some(time) if time > 0 => Ok(()),
+        Some(expiry) if expiry > 0 => Ok(()),
         Some(_) => Err(CommandError::InvalidExpiry),
         None => Err(CommandError::NotAnInteger),
     }
--- a/crates/resp-frontend/src/command/tests.rs
+++ b/crates/resp-frontend/src/command/tests.rs
@@ -1,11 +1,11 @@
-//! Commands are classified, and wrong ones get the dialect's own errors.
+//! Commands are classified, and invalid ones get the errors that cluster servers send.
 
 use super::*;
 use crate::test_support::arguments;
 use expect_test::expect;
 
 #[test]
-fn commands_are_classified_and_wrong_ones_get_the_dialects_errors() {
+fn commands_are_classified_and_invalid_ones_get_the_errors_of_cluster_servers() {
     let lines = [
         "get a",
         "GET a b",
--- a/crates/resp-frontend/src/command_table.rs
+++ b/crates/resp-frontend/src/command_table.rs
@@ -1,59 +1,62 @@
-//! The commands that clients may send: those for servers with their keys, and those that this
-//! frontend answers itself.
+//! The commands that clients may send: commands on keys, which servers answer, and commands that
+//! the frontend answers itself.
 
 use crate::merge::MergeRule;
 
-/// A command for servers.
+/// The specification of a command that servers answer.
 pub struct CommandSpec {
-    /// Its name in upper case.
+    /// The name in upper case.
     pub name: &'static str,
-    /// Its arguments, the name included; negative: at least so many.
+    /// The number of arguments, the name included. If negative, its absolute value is the minimum
+    /// number of arguments.
     pub arity: i64,
-    /// Whether it writes.
+    /// Whether the command writes.
     pub write: bool,
-    /// Where its keys stand.
+    /// The positions of the keys.
     pub keys: KeyPositions,
-    /// From which argument on there are the options of `SET`, which are checked.
-    pub options_from: Option<usize>,
-    /// How the replies are merged where keys in several slots are split into one command a slot;
-    /// none: it can't be split.
+    /// The position of the first option of `SET`; `None` for other commands, which have no options
+    /// to check.
+    pub set_options_start: Option<usize>,
+    /// How the replies are merged if the command is split into one command per slot; `None` if the
+    /// command can't be split.
     pub merge: Option<MergeRule>,
 }
 
-/// Where the keys of a command stand among its arguments.
+/// The positions of the keys among the arguments of a command.
 #[derive(Clone, Copy)]
 pub struct KeyPositions {
-    /// The first key.
+    /// The position of the first key.
     pub first: usize,
     /// The last key.
     pub last: LastKey,
-    /// From one key to the next.
+    /// The distance from one key to the next.
     pub step: usize,
 }
 
-/// Which key is the last.
+/// The position of the last key.
 #[derive(Clone, Copy, PartialEq)]
 pub enum LastKey {
-    /// The first: there is only one.
+    /// The first key is the only one.
     First,
-    /// The last argument, or with a step the last key that has all of its step.
+    /// The keys extend to the last argument. If `step` is above 1, the last key is the one whose
+    /// values end with the last argument.
     LastArgument,
 }
 
 impl CommandSpec {
-    /// Looks a command up by its name in upper case.
+    /// Finds a command by its name in upper case.
     pub fn find(name: &str) -> Option<&'static CommandSpec> {
         COMMANDS.iter().find(|spec| spec.name == name)
     }
 
-    /// Whether it accepts so many arguments, the name included.
+    /// Whether the command accepts this number of arguments, the name included.
     pub fn accepts(&self, argument_count: usize) -> bool {
         let count = argument_count as i64;
         let arity_fits = if self.arity < 0 { count >= -self.arity } else { count == self.arity };
         arity_fits && (argument_count - self.keys.first).is_multiple_of(self.keys.step)
     }
 
-    /// The positions of its keys among so many arguments.
+    /// The positions of the keys among this number of arguments.
     pub fn key_positions(&self, argument_count: usize) -> Vec<usize> {
         let last = match self.keys.last {
             LastKey::First => self.keys.first,
@@ -68,13 +71,13 @@
 const KEYS_AND_VALUES: KeyPositions = KeyPositions { first: 1, last: LastKey::LastArgument, step: 2 };
 
 const fn spec(name: &'static str, arity: i64, write: bool, keys: KeyPositions) -> CommandSpec {
-    CommandSpec { name, arity, write, keys, options_from: None, merge: None }
+    CommandSpec { name, arity, write, keys, set_options_start: None, merge: None }
 }
 
-/// The commands for servers, by the public command reference.
+/// The commands that servers answer, as the public command reference specifies them.
 pub const COMMANDS: [CommandSpec; 9] = [
     spec("GET", 2, false, ONE_KEY),
-    CommandSpec { options_from: Some(3), ..spec("SET", -3, true, ONE_KEY) },
+    CommandSpec { set_options_start: Some(3), ..spec("SET", -3, true, ONE_KEY) },
     CommandSpec { merge: Some(MergeRule::Sum), ..spec("DEL", -2, true, ALL_KEYS) },
     CommandSpec { merge: Some(MergeRule::Sum), ..spec("EXISTS", -2, false, ALL_KEYS) },
     spec("EXPIRE", 3, true, ONE_KEY),
@@ -84,7 +87,7 @@
     spec("STRLEN", 2, false, ONE_KEY),
 ];
 
-/// The commands that this frontend answers itself: connection and cluster commands.
+/// The commands that the frontend answers itself: connection and cluster commands.
 pub const LOCAL_COMMANDS: [&str; 13] = [
     "PING",
     "ECHO",
--- a/crates/resp-frontend/src/connection.rs
+++ b/crates/resp-frontend/src/connection.rs
@@ -1,5 +1,5 @@
-//! Clients' connections. Commands are accepted as they come, their attempts do not wait for each
-//! other, and replies go out in order.
+//! Client connections. Commands are accepted in the order of arrival, their attempts run
+//! concurrently, and the replies are written in the order of the commands.
 
 mod backpressure;
 mod command_reader;
@@ -16,7 +16,7 @@
 use backpressure::{UnreadBytes, reply_queue};
 use chalkwalk_engine::engine::ClientConnection;
 use chalkwalk_engine::lifecycle::Phase;
-use receive::Receiving;
+use receive::CommandReceiver;
 use reply_writer::write_replies;
 use slog::warn;
 use smol::future::FutureExt;
@@ -25,66 +25,66 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// After an accept that failed, as it does when no descriptor is left: short compared with any time
-/// limit.
-const ACCEPT_RETRY: Duration = Duration::from_millis(20);
+/// Delay after a failed accept, which happens when the process has no file descriptors left. The
+/// delay is short compared with any time limit.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Accepts connections until the process finishes.
+/// Accepts connections until the process reaches `Phase::Finishing`.
 pub async fn accept_clients(frontend: Rc<Frontend>, listener: Async<TcpListener>) {
-    let finishing = async { frontend.engine.lifecycle.reached(Phase::Finishing).await };
-    finishing.or(accept_all(&frontend, &listener)).await;
+    let process_finishing = async { frontend.engine.lifecycle.reached(Phase::Finishing).await };
+    process_finishing.or(accept_connections(&frontend, &listener)).await;
 }
 
-async fn accept_all(frontend: &Rc<Frontend>, listener: &Async<TcpListener>) {
+async fn accept_connections(frontend: &Rc<Frontend>, listener: &Async<TcpListener>) {
     let engine = &frontend.engine;
     let mut failing = false;
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 failing = false;
-                accept_one(frontend, stream).await;
+                accept_connection(frontend, stream).await;
             }
             Err(error) => {
-                // One line for a row of failures.
+                // Consecutive failures are logged once.
                 if !failing {
                     warn!(engine.log, "cannot accept"; "fault" => %error);
                 }
                 failing = true;
                 engine.budget.close_idle();
-                Timer::after(ACCEPT_RETRY).await;
+                Timer::after(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Serves a connection in a task of its own, once a descriptor is free for it. Where none is, its
-/// commands are rejected.
-async fn accept_one(frontend: &Rc<Frontend>, stream: Async<TcpStream>) {
+/// Serves a connection in a task of its own, once a file descriptor is available for it. If none
+/// becomes available, the first command of the connection is rejected.
+async fn accept_connection(frontend: &Rc<Frontend>, stream: Async<TcpStream>) {
     let engine = &frontend.engine;
     let (permit, admitted) = engine.budget.acquire_for_client().await;
     _ = stream.get_ref().set_nodelay(true);
     let connection = ClientConnection::new(engine);
     let frontend = frontend.clone();
-    let serving = async move {
-        serve(&frontend, &stream, &connection, admitted).await;
+    let serve_task = async move {
+        serve_connection(&frontend, &stream, &connection, admitted).await;
         drop(permit);
     };
-    engine.executor.spawn(serving).detach();
+    engine.executor.spawn(serve_task).detach();
 }
 
-async fn serve(
+async fn serve_connection(
     frontend: &Rc<Frontend>,
     stream: &Async<TcpStream>,
     connection: &ClientConnection,
     admitted: bool,
 ) {
-    let (replies, queued) = reply_queue();
+    let (replies, queued_replies) = reply_queue();
     let unread = UnreadBytes::default();
-    let receiving = async {
-        let mut receiving = Receiving::new(frontend, stream, connection, unread.clone());
-        receiving.run(admitted, replies).await;
-        // Commands that were accepted are still answered.
+    let receive_commands = async {
+        let mut receiver = CommandReceiver::new(frontend, stream, connection, unread.clone());
+        receiver.run(admitted, replies).await;
+        // The accepted commands are still answered: `write_replies` ends the connection.
         std::future::pending().await
     };
-    write_replies(stream, queued, &unread).or(receiving).await;
+    write_replies(stream, queued_replies, &unread).or(receive_commands).await;
 }
--- a/crates/resp-frontend/src/connection/backpressure.rs
+++ b/crates/resp-frontend/src/connection/backpressure.rs
@@ -1,5 +1,5 @@
-//! The bounds of one connection: how many replies may wait for earlier ones, and how many bytes for
-//! the client to read them.
+//! The limits of one connection: how many replies may wait for earlier ones, and how many bytes may
+//! wait for the client to read them.
 
 use super::pending_reply::PendingReply;
 use chalkwalk_engine::budget::Permit;
@@ -11,70 +11,70 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Replies of one connection that wait for an earlier one.
+/// Maximum number of replies of one connection that wait for an earlier one.
 const MAX_QUEUED_REPLIES: usize = 128;
-/// Bytes of replies of one connection that wait for the client to read them; beyond that no further
-/// command is accepted.
+/// Bytes of replies of one connection that may wait for the client to read them. At this limit no
+/// further command is accepted.
 pub const MAX_UNREAD_BYTES: usize = 256 << 10;
-/// How often it is looked whether the client has read: short compared with any time limit.
-const UNREAD_POLL: Duration = Duration::from_millis(20);
+/// Interval at which the unread bytes are checked, short compared with any time limit.
+const UNREAD_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A reply, and its permit among those that may wait. The permit is returned once the reply is
-/// written.
+/// A reply, and its permit to wait in the queue. The permit is returned once the reply is written.
 pub struct QueuedReply {
-    /// The reply, ready or not.
+    /// The reply, which may not be ready yet.
     pub reply: PendingReply,
-    /// Its permit.
+    /// The permit of the reply.
     pub permit: Permit,
 }
 
-/// The replies of a connection in the order of its commands, at the end where they are added.
+/// The sending end of the queue that holds the replies of a connection in the order of its
+/// commands.
 pub struct ReplyQueue {
     sender: Sender<QueuedReply>,
     permits: Arc<Semaphore>,
 }
 
-/// Both ends of a new queue. It is bounded by permits, not by the channel: that would hold memory
-/// for all replies on every idle connection.
+/// Creates a queue and returns both its ends. Permits bound the queue, as a bounded channel would
+/// allocate memory for the maximum number of replies on every idle connection.
 pub fn reply_queue() -> (ReplyQueue, Receiver<QueuedReply>) {
     let (sender, receiver) = unbounded();
     (ReplyQueue { sender, permits: Arc::new(Semaphore::new(MAX_QUEUED_REPLIES)) }, receiver)
 }
 
 impl ReplyQueue {
-    /// Adds a reply once the queue has space for it. Returns whether more may follow.
+    /// Adds a reply once the queue has space for it. Returns whether further replies may follow.
     pub async fn push(&self, reply: PendingReply) -> bool {
-        let last = matches!(reply, PendingReply::Last(_));
+        let is_last = matches!(reply, PendingReply::Last(_));
         let permit = self.permits.acquire_arc().await;
-        self.sender.send(QueuedReply { reply, permit }).await.is_ok() && !last
+        self.sender.send(QueuedReply { reply, permit }).await.is_ok() && !is_last
     }
 
-    /// Ends the connection after the replies so far.
+    /// Ends the connection after the replies in the queue.
     pub async fn close(&self) {
         self.push(PendingReply::Last(Vec::new())).await;
     }
 
     /// Whether all replies have been written.
     pub fn is_empty(&self) -> bool {
-        // Each permit that is out holds a reference.
+        // Each permit that has been acquired holds a reference to the semaphore.
         Arc::strong_count(&self.permits) == 1
     }
 }
 
-/// How many bytes of replies wait for the client to read them.
+/// The number of bytes of replies that wait for the client to read them.
 #[derive(Clone, Default)]
 pub struct UnreadBytes(Rc<Cell<usize>>);
 
 impl UnreadBytes {
-    /// Sets how many bytes wait now.
+    /// Sets the number of bytes that wait now.
     pub fn set(&self, bytes: usize) {
         self.0.set(bytes);
     }
 
-    /// Waits until the client has read enough for further replies.
-    pub async fn below_limit(&self) {
+    /// Waits until the client has read so much that the number of bytes is below the limit.
+    pub async fn wait_below_limit(&self) {
         while self.0.get() >= MAX_UNREAD_BYTES {
-            Timer::after(UNREAD_POLL).await;
+            Timer::after(UNREAD_POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/resp-frontend/src/connection/command_reader.rs
+++ b/crates/resp-frontend/src/connection/command_reader.rs
@@ -1,4 +1,4 @@
-//! Commands off a connection, one by one.
+//! Reads commands from a connection, one by one.
 
 use crate::arguments::Arguments;
 use crate::parse::parse_command;
@@ -7,56 +7,57 @@
 use smol::Async;
 use std::net::TcpStream;
 
-/// What the bytes that were read so far hold.
-pub enum Input {
-    /// A command.
+/// The content of the bytes that have been read and not parsed.
+pub enum NextCommand {
+    /// The bytes begin with a command.
     Command(Arguments),
-    /// An empty array or a blank line, which is not answered.
+    /// The bytes begin with an empty array or a blank line, which gets no reply.
     Blank,
-    /// No whole command.
+    /// The bytes hold no complete command.
     Incomplete,
 }
 
-/// The bytes of a connection that are not yet parsed.
+/// Reads the commands of one connection.
 pub struct CommandReader<'a> {
     stream: &'a Async<TcpStream>,
     parser: Reader,
     buf: Vec<u8>,
-    /// How much of the buffer is parsed. It is dropped when all whole commands are, so that a
-    /// pipeline is not moved for each.
-    parsed: usize,
+    /// The length of the parsed commands at the start of the buffer. They are dropped once all
+    /// complete commands are parsed, so that pipelined commands are not moved after each command.
+    parsed_bytes: usize,
 }
 
 impl<'a> CommandReader<'a> {
-    /// A reader at the start of a connection.
+    /// Creates a reader for a new connection.
     pub fn new(stream: &'a Async<TcpStream>) -> CommandReader<'a> {
-        CommandReader { stream, parser: Reader::new(ReadLimits::default()), buf: Vec::new(), parsed: 0 }
+        CommandReader { stream, parser: Reader::new(ReadLimits::default()), buf: Vec::new(), parsed_bytes: 0 }
     }
 
-    /// The next command that was read already.
-    pub fn next_command(&mut self) -> Result<Input, ProtocolError> {
-        let Some(command) = parse_command(&mut self.parser, &self.buf[self.parsed..])? else {
-            return Ok(Input::Incomplete);
+    /// Parses the next command among the bytes that have been read.
+    pub fn next_command(&mut self) -> Result<NextCommand, ProtocolError> {
+        let Some(command) = parse_command(&mut self.parser, &self.buf[self.parsed_bytes..])? else {
+            return Ok(NextCommand::Incomplete);
         };
-        self.parsed += command.len;
-        Ok(command.arguments.map_or(Input::Blank, Input::Command))
+        self.parsed_bytes += command.len;
+        Ok(command.arguments.map_or(NextCommand::Blank, NextCommand::Command))
     }
 
-    /// Drops the bytes that are parsed.
+    /// Drops the parsed bytes.
     pub fn discard_parsed(&mut self) {
-        self.buf.drain(..self.parsed);
-        self.parsed = 0;
+        self.buf.drain(..self.parsed_bytes);
+        self.parsed_bytes = 0;
     }
 
-    /// Whether no command has begun. Parsed bytes have to be discarded before.
+    /// Whether no part of a command has been read. The caller has to discard the parsed bytes
+    /// first.
     pub fn is_empty(&self) -> bool {
         self.buf.is_empty()
     }
 
-    /// Waits for more bytes. Returns whether there were any before the end of the stream.
+    /// Waits for more bytes. Returns false at the end of the stream or after an error.
     pub async fn read_more(&mut self) -> bool {
         if self.buf.is_empty() {
-            // An idle connection holds no buffer.
+            // The buffer is freed while the connection is idle.
             self.buf = Vec::new();
             _ = self.stream.readable().await;
         }
--- a/crates/resp-frontend/src/connection/dispatch.rs
+++ b/crates/resp-frontend/src/connection/dispatch.rs
@@ -1,5 +1,5 @@
-//! What happens to each command of a connection: it is answered here, sent to one server, or split
-//! by slot.
+//! Dispatches the commands of a connection: each is answered by the frontend itself, sent to one
+//! server, or split by slot.
 
 use super::backpressure::UnreadBytes;
 use super::key_order::KeyOrder;
@@ -18,57 +18,58 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Requests of one connection that are in flight at once; later commands wait unread. As many as
-/// the concurrency limit of a server that nothing is known of yet, so that a pipeline alone is no
-/// reason to reject its commands.
-const MAX_OPEN_REQUESTS: usize = 8;
+/// Maximum number of requests of one connection that are in flight; later commands are not read
+/// until a request has ended. It equals the concurrency limit of a server about which nothing is
+/// known yet, so that commands are not rejected only because they are pipelined.
+const MAX_IN_FLIGHT_REQUESTS: usize = 8;
 
-/// Why a command is not accepted; the text is the error reply, as the dialect defines it.
+/// Why a command is not accepted. The text is the error reply to the client, in the wording that
+/// cluster servers use.
 #[derive(Debug, Error)]
 enum DispatchError {
-    /// The client has to authenticate first.
+    /// The client has not authenticated.
     #[error("NOAUTH Authentication required.")]
     NotAuthenticated,
-    /// The command itself is wrong.
+    /// The command itself is invalid.
     #[error(transparent)]
     Command(#[from] CommandError),
-    /// Another instance answers for the slot.
+    /// Another proxy instance serves the slot.
     #[error("MOVED {slot} {addr}")]
     Moved {
         /// The slot of the command's keys.
         slot: u16,
-        /// Where clients reach that instance.
+        /// The address at which clients connect to that instance.
         addr: SocketAddr,
     },
-    /// The command is too long.
+    /// The command is longer than its request class allows.
     #[error(transparent)]
     TooLong(#[from] TooLongForClass),
 }
 
-/// The commands of one connection.
+/// Dispatches the commands of one connection.
 pub struct Dispatcher<'a> {
     frontend: &'a Rc<Frontend>,
     session: Session,
     key_order: KeyOrder,
-    open_requests: Arc<Semaphore>,
+    in_flight_permits: Arc<Semaphore>,
     unread: UnreadBytes,
 }
 
 impl<'a> Dispatcher<'a> {
-    /// The commands of a new connection from that peer.
+    /// Creates the dispatcher of a new connection from `peer`.
     pub fn new(frontend: &'a Rc<Frontend>, peer: String, unread: UnreadBytes) -> Dispatcher<'a> {
         Dispatcher {
             frontend,
             session: Session::new(frontend.next_connection_id(), peer, &frontend.settings),
             key_order: KeyOrder::default(),
-            open_requests: Arc::new(Semaphore::new(MAX_OPEN_REQUESTS)),
+            in_flight_permits: Arc::new(Semaphore::new(MAX_IN_FLIGHT_REQUESTS)),
             unread,
         }
     }
 
-    /// Accepts one command, once the client has read enough of the replies before it.
+    /// Accepts a command, once the number of unread bytes of earlier replies is below its limit.
     pub async fn dispatch(&mut self, arguments: Arguments) -> PendingReply {
-        self.unread.below_limit().await;
+        self.unread.wait_below_limit().await;
         match self.try_dispatch(arguments).await {
             Ok(reply) => reply,
             Err(error) => PendingReply::Ready(error_reply(&error.to_string())),
@@ -128,10 +129,11 @@
             parts.push(OpenPart { request, key_indices });
         }
         let resp3 = self.session.resp3;
-        Ok(PendingReply::Split(OpenSplit { parts, rule: command.merge, write: command.write, resp3 }))
+        Ok(PendingReply::Split(OpenSplit { parts, merge_rule: command.merge, write: command.write, resp3 }))
     }
 
-    /// Whether this instance answers for a slot, or no instance does.
+    /// Checks that this instance serves a slot, or that no instance does. If another one does, the
+    /// client is redirected to it.
     fn check_instance(&self, slot: u16) -> Result<(), DispatchError> {
         let settings = &self.frontend.settings;
         match settings.instance_of(slot) {
@@ -142,8 +144,8 @@
         }
     }
 
-    /// Starts a request once earlier commands on its keys are answered and fewer than the limit are
-    /// in flight.
+    /// Starts a request, once the earlier commands on its keys that conflict with it are answered
+    /// and fewer requests than the limit are in flight.
     async fn start(
         &mut self,
         arguments: Arguments,
@@ -152,9 +154,9 @@
         write: bool,
     ) -> Result<OpenRequest, DispatchError> {
         self.key_order.wait_for_earlier(&keys, write).await;
-        let permit = self.open_requests.acquire_arc().await;
-        let new = NewRequest { arguments, key: &keys[0], slot, write, user: &self.session.user };
-        let started = OpenRequest::start(RespRequest::new(self.frontend, new)?, permit);
+        let permit = self.in_flight_permits.acquire_arc().await;
+        let new_request = NewRequest { arguments, key: &keys[0], slot, write, user: &self.session.user };
+        let started = OpenRequest::start(RespRequest::new(self.frontend, new_request)?, permit);
         self.key_order.add(keys, write, &started.done);
         Ok(started.request)
     }
--- a/crates/resp-frontend/src/connection/idle.rs
+++ b/crates/resp-frontend/src/connection/idle.rs
@@ -1,10 +1,10 @@
-//! Idle connections, which are closed when others need their descriptors.
+//! Idle connections, which are closed when other connections need their file descriptors.
 
 use chalkwalk_engine::budget::IdleTicket;
 use chalkwalk_engine::engine::Engine;
 use smol::channel::bounded;
 
-/// Marks the connection idle until dropped.
+/// Marks the connection as idle until the guard is dropped.
 struct IdleGuard<'a> {
     engine: &'a Engine,
     ticket: IdleTicket,
@@ -16,11 +16,11 @@
     }
 }
 
-/// Waits, with the connection marked idle, until it has to be closed for others. `used`: whether it
-/// has sent a command.
-pub async fn evicted_while_idle(engine: &Engine, used: bool) {
-    let (close, closed) = bounded(1);
-    let ticket = engine.budget.mark_idle(close, used);
-    let _idle = IdleGuard { engine, ticket };
-    _ = closed.recv().await;
+/// Marks the connection as idle and waits until it has to be closed to free its file descriptor.
+/// `has_sent_command`: whether the client has sent a command on it.
+pub async fn wait_for_eviction(engine: &Engine, has_sent_command: bool) {
+    let (close_sender, close_receiver) = bounded(1);
+    let ticket = engine.budget.mark_idle(close_sender, has_sent_command);
+    let _idle_guard = IdleGuard { engine, ticket };
+    _ = close_receiver.recv().await;
 }
--- a/crates/resp-frontend/src/connection/key_order.rs
+++ b/crates/resp-frontend/src/connection/key_order.rs
@@ -1,4 +1,4 @@
-//! The order of one connection's commands on the same key.
+//! Keeps the order of one connection's commands on the same key.
 
 #[cfg(test)]
 mod tests;
@@ -6,34 +6,39 @@
 use smol::channel::Receiver;
 use std::collections::VecDeque;
 
-/// The commands of a connection that are not yet answered, by key.
+/// The commands of a connection that are not answered yet, with one entry per key.
 #[derive(Default)]
 pub struct KeyOrder {
-    earlier: VecDeque<EarlierCommand>,
+    unanswered: VecDeque<UnansweredCommand>,
 }
 
-struct EarlierCommand {
+struct UnansweredCommand {
     key: String,
     write: bool,
-    /// Closes once the command is answered.
+    /// A channel that closes once the command is answered.
     done: Receiver<()>,
 }
 
 impl KeyOrder {
-    /// Waits for earlier commands on the same keys, where one of the two writes: a client that
-    /// writes and then reads has to find what it wrote.
+    /// Waits until the earlier commands on any of these keys are answered, except where both
+    /// commands read. A client that writes and then reads has to get the value that it wrote.
     pub async fn wait_for_earlier(&mut self, keys: &[String], write: bool) {
-        self.earlier.retain(|earlier| !earlier.done.is_closed());
-        let conflicts = |earlier: &&EarlierCommand| (earlier.write || write) && keys.contains(&earlier.key);
+        self.unanswered.retain(|earlier| !earlier.done.is_closed());
+        let conflicts =
+            |earlier: &&UnansweredCommand| (earlier.write || write) && keys.contains(&earlier.key);
         let conflicting: Vec<Receiver<()>> =
-            self.earlier.iter().filter(conflicts).map(|earlier| earlier.done.clone()).collect();
+            self.unanswered.iter().filter(conflicts).map(|earlier| earlier.done.clone()).collect();
         for done in conflicting {
             _ = done.recv().await;
         }
     }
 
-    /// Adds a command, which later ones on its keys may have to wait for.
+    /// Adds a command, for which later commands on its keys may have to wait.
     pub fn add(&mut self, keys: Vec<String>, write: bool, done: &Receiver<()>) {
-        self.earlier.extend(keys.into_iter().map(|key| EarlierCommand { key, write, done: done.clone() }));
+        self.unanswered.extend(keys.into_iter().map(|key| UnansweredCommand {
+            key,
+            write,
+            done: done.clone(),
+        }));
     }
 }
--- a/crates/resp-frontend/src/connection/key_order/tests.rs
+++ b/crates/resp-frontend/src/connection/key_order/tests.rs
@@ -1,12 +1,12 @@
-//! A command waits for earlier ones on its keys where one of the two writes.
+//! A command waits for earlier commands on its keys if at least one of the two writes.
 
 use super::*;
 use smol::channel::bounded;
 use smol::future::poll_once;
 
-/// Whether a command may start while one on key `a` is not answered.
-fn may_start(earlier_write: bool, key: &str, write: bool) -> bool {
-    let (_not_done, done) = bounded(1);
+/// Whether a command starts without a wait while an earlier one on key `a` is not answered.
+fn starts_at_once(earlier_write: bool, key: &str, write: bool) -> bool {
+    let (_done_sender, done) = bounded(1);
     let mut order = KeyOrder::default();
     order.add(vec!["a".into()], earlier_write, &done);
     let keys = [key.to_string()];
@@ -15,19 +15,19 @@
 }
 
 #[test]
-fn only_commands_on_the_same_key_of_which_one_writes_wait() {
-    assert!(may_start(false, "a", false));
-    assert!(may_start(true, "b", true));
-    assert!(!may_start(true, "a", false));
-    assert!(!may_start(false, "a", true));
+fn only_commands_on_the_same_key_with_a_write_wait() {
+    assert!(starts_at_once(false, "a", false));
+    assert!(starts_at_once(true, "b", true));
+    assert!(!starts_at_once(true, "a", false));
+    assert!(!starts_at_once(false, "a", true));
 }
 
 #[test]
-fn a_command_that_is_answered_holds_up_no_later_one() {
-    let (not_done, done) = bounded(1);
+fn an_answered_command_does_not_delay_later_ones() {
+    let (done_sender, done) = bounded(1);
     let mut order = KeyOrder::default();
     order.add(vec!["a".into()], true, &done);
-    drop(not_done);
+    drop(done_sender);
     smol::block_on(order.wait_for_earlier(&["a".to_string()], true));
-    assert!(order.earlier.is_empty());
+    assert!(order.unanswered.is_empty());
 }
--- a/crates/resp-frontend/src/connection/open_request.rs
+++ b/crates/resp-frontend/src/connection/open_request.rs
@@ -1,4 +1,4 @@
-//! A request that the engine has accepted, as the connection waits for it.
+//! A request that the engine has accepted and whose response the connection waits for.
 
 use crate::frontend::Frontend;
 use crate::request::RespRequest;
@@ -10,8 +10,8 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A request without a reply yet. Dropped when the client disconnects, it cancels attempts that are
-/// still to be made.
+/// A request whose reply has not been written. If it is dropped before the response arrives, which
+/// happens when the client disconnects, the engine is told to make no further attempts.
 pub struct OpenRequest {
     frontend: Rc<Frontend>,
     request_id: RequestId,
@@ -23,40 +23,41 @@
 pub struct StartedRequest {
     /// The request.
     pub request: OpenRequest,
-    /// Closes once the request is answered, whether or not the client has read the response.
+    /// A channel that closes once the request is answered, whether or not the client has read the
+    /// response.
     pub done: Receiver<()>,
 }
 
 impl OpenRequest {
-    /// Passes a request to the engine. The permit is returned once it is answered.
+    /// Passes a request to the engine. The permit is returned once the request is answered.
     pub fn start(request: RespRequest, permit: Permit) -> StartedRequest {
         let frontend = request.frontend.clone();
-        let (request_id, from_engine) = api::accept_request(&frontend.engine, Rc::new(request));
-        let (not_done, done) = bounded::<()>(1);
+        let (request_id, engine_response) = api::accept_request(&frontend.engine, Rc::new(request));
+        let (done_sender, done) = bounded::<()>(1);
         let (sender, response) = bounded(1);
         let answered = Rc::new(Cell::new(false));
-        let answered_here = answered.clone();
-        let forwarding = async move {
-            if let Ok(response) = from_engine.recv().await {
-                answered_here.set(true);
+        let answered_flag = answered.clone();
+        let forward_response = async move {
+            if let Ok(response) = engine_response.recv().await {
+                answered_flag.set(true);
                 _ = sender.try_send(response);
             }
-            drop((permit, not_done));
+            drop((permit, done_sender));
         };
-        frontend.engine.executor.spawn(forwarding).detach();
+        frontend.engine.executor.spawn(forward_response).detach();
         StartedRequest { request: OpenRequest { frontend, request_id, response, answered }, done }
     }
 
-    /// Whether its response is there.
+    /// Whether the response has arrived.
     pub fn is_answered(&self) -> bool {
         !self.response.is_empty()
     }
 
-    /// Waits for the response; none if the engine has dropped the request.
+    /// Waits for the response; `None` if the engine has dropped the request.
     pub async fn response(&self) -> Option<Response> {
         let response = self.response.recv().await.ok();
         if matches!(response, Some(Response { status: ResponseStatus::Rejected(_), .. })) {
-            // Perhaps no server may serve it because the map is outdated.
+            // An outdated slot map may be the reason that no server could serve the request.
             self.frontend.request_refresh();
         }
         response
--- a/crates/resp-frontend/src/connection/pending_reply.rs
+++ b/crates/resp-frontend/src/connection/pending_reply.rs
@@ -1,4 +1,4 @@
-//! A reply in its turn: ready, or still to come from one server or several.
+//! A reply in the queue of a connection: ready, or pending at one or several servers.
 
 use super::open_request::OpenRequest;
 use super::reply::encode_response;
@@ -7,25 +7,25 @@
 
 /// The reply to one command.
 pub enum PendingReply {
-    /// It is there.
+    /// The reply is ready.
     Ready(Vec<u8>),
-    /// It is the response to one request.
+    /// The reply is the response to one request.
     Request { request: OpenRequest, resp3: bool },
-    /// It is merged from the responses to several.
+    /// The reply is merged from the responses to several requests.
     Split(OpenSplit),
-    /// It is there, and the connection ends with it.
+    /// The reply is ready, and the connection ends after it.
     Last(Vec<u8>),
 }
 
 /// The requests of a command that was split by slot.
 pub struct OpenSplit {
-    /// The requests, one a slot.
+    /// The requests, one per slot.
     pub parts: Vec<OpenPart>,
-    /// How their responses are merged.
-    pub rule: MergeRule,
+    /// How the responses are merged.
+    pub merge_rule: MergeRule,
     /// Whether the command writes.
     pub write: bool,
-    /// Whether the client was answered in RESP3 when it sent the command.
+    /// Whether the connection used RESP3 when the client sent the command.
     pub resp3: bool,
 }
 
@@ -33,20 +33,20 @@
 pub struct OpenPart {
     /// The request.
     pub request: OpenRequest,
-    /// The places of its keys among all keys of the command.
+    /// The indices of the part's keys among all keys of the command.
     pub key_indices: Vec<usize>,
 }
 
-/// The bytes of a reply, and whether the connection ends with them.
+/// The bytes of a reply, and whether the connection ends after them.
 pub struct ResolvedReply {
-    /// What is written.
+    /// The bytes to write.
     pub bytes: Vec<u8>,
-    /// Whether the connection ends then.
+    /// Whether the connection ends after these bytes.
     pub last: bool,
 }
 
 impl PendingReply {
-    /// Whether it can be written without a wait.
+    /// Whether the reply can be written without a wait.
     pub fn is_ready(&self) -> bool {
         match self {
             PendingReply::Ready(_) | PendingReply::Last(_) => true,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Waits for it.
+    /// Waits for the reply and encodes it.
     pub async fn resolve(self) -> ResolvedReply {
         match self {
             PendingReply::Ready(bytes) => ResolvedReply { bytes, last: false },
@@ -74,7 +74,7 @@
         for OpenPart { request, key_indices } in self.parts {
             responses.push(PartResponse { response: request.response().await, key_indices });
         }
-        match merge_responses(responses, self.rule, self.write, self.resp3) {
+        match merge_responses(responses, self.merge_rule, self.write, self.resp3) {
             Ok(bytes) => bytes,
             Err(status) => encode_response(Some(Response::empty(status)), self.resp3),
         }
--- a/crates/resp-frontend/src/connection/receive.rs
+++ b/crates/resp-frontend/src/connection/receive.rs
@@ -1,10 +1,10 @@
-//! Receives a connection's commands until the client ends it, breaks the protocol, or the
-//! connection has to be closed.
+//! Receives the commands of a connection until the client closes it or violates the protocol, or
+//! until the proxy has to close it.
 
 use super::backpressure::{ReplyQueue, UnreadBytes};
-use super::command_reader::{CommandReader, Input};
+use super::command_reader::{CommandReader, NextCommand};
 use super::dispatch::Dispatcher;
-use super::idle::evicted_while_idle;
+use super::idle::wait_for_eviction;
 use super::pending_reply::PendingReply;
 use super::reply::error_reply;
 use crate::frontend::Frontend;
@@ -16,72 +16,72 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// From its first byte to a whole command.
+/// Maximum time to wait for further bytes of an incomplete command.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(3);
-/// Between two commands. Drivers keep pools of connections; idle ones are closed sooner where
-/// descriptors are short.
+/// Maximum time between two commands. It is long, as client libraries keep pools of connections.
+/// When file descriptors are scarce, idle connections are closed sooner.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(300);
 
-/// The reply to the first command of a connection that no descriptor was free for.
-const NOT_ADMITTED: &str = "TRYAGAIN deferred, no place for this connection";
+/// The reply to the first command of a connection for which no file descriptor was available.
+const NOT_ADMITTED_ERROR: &str = "TRYAGAIN deferred, no place for this connection";
 
 /// The receiving side of a connection.
-pub struct Receiving<'a> {
+pub struct CommandReceiver<'a> {
     connection: &'a ClientConnection,
     reader: CommandReader<'a>,
     dispatcher: Dispatcher<'a>,
-    /// Whether the client has sent a command.
-    used: bool,
+    /// Whether the client has sent a command on this connection.
+    has_sent_command: bool,
 }
 
-impl<'a> Receiving<'a> {
-    /// The receiving side of a new connection.
+impl<'a> CommandReceiver<'a> {
+    /// Creates the receiving side of a new connection.
     pub fn new(
         frontend: &'a Rc<Frontend>,
         stream: &'a Async<TcpStream>,
         connection: &'a ClientConnection,
         unread: UnreadBytes,
-    ) -> Receiving<'a> {
+    ) -> CommandReceiver<'a> {
         let peer = stream.get_ref().peer_addr().map_or(String::new(), |addr| addr.to_string());
-        Receiving {
+        CommandReceiver {
             connection,
             reader: CommandReader::new(stream),
             dispatcher: Dispatcher::new(frontend, peer, unread),
-            used: false,
+            has_sent_command: false,
         }
     }
 
-    /// Receives commands until the connection ends. `admitted`: a descriptor was free for it; else
-    /// its first command is rejected.
+    /// Receives commands until the connection ends. `admitted`: whether a file descriptor was
+    /// available for the connection; if not, its first command is rejected.
     pub async fn run(&mut self, admitted: bool, replies: ReplyQueue) {
         loop {
-            let more = match self.reader.next_command() {
-                Ok(Input::Command(arguments)) => {
-                    self.used = true;
+            let keep_open = match self.reader.next_command() {
+                Ok(NextCommand::Command(arguments)) => {
+                    self.has_sent_command = true;
                     let reply = if admitted {
                         self.dispatcher.dispatch(arguments).await
                     } else {
-                        PendingReply::Last(error_reply(NOT_ADMITTED))
+                        PendingReply::Last(error_reply(NOT_ADMITTED_ERROR))
                     };
                     replies.push(reply).await
                 }
-                Ok(Input::Blank) => {
-                    self.used = true;
+                Ok(NextCommand::Blank) => {
+                    self.has_sent_command = true;
                     true
                 }
-                Ok(Input::Incomplete) => self.receive_more(&replies).await,
+                Ok(NextCommand::Incomplete) => self.receive_more(&replies).await,
                 Err(error) => {
                     let reply = error_reply(&format!("ERR Protocol error: {error}"));
                     replies.push(PendingReply::Last(reply)).await
                 }
             };
-            if !more {
+            if !keep_open {
                 return;
             }
         }
     }
 
-    /// Waits for more bytes. Returns false where the connection ends instead.
+    /// Waits for more bytes. Returns false if the connection ends instead.
     async fn receive_more(&mut self, replies: &ReplyQueue) -> bool {
         self.reader.discard_parsed();
         let between_commands = self.reader.is_empty();
@@ -91,11 +91,11 @@
         }
         let timeout = if between_commands { IDLE_TIMEOUT } else { COMMAND_TIMEOUT };
         let idle = between_commands && replies.is_empty();
-        let closed = async {
-            closed_while_idle(self.connection, idle, self.used).await;
+        let close_requested = async {
+            wait_for_close_while_idle(self.connection, idle, self.has_sent_command).await;
             false
         };
-        let received = within(timeout, self.reader.read_more().or(closed)).await.unwrap_or(false);
+        let received = within(timeout, self.reader.read_more().or(close_requested)).await.unwrap_or(false);
         if !received && (idle || self.reader.is_empty()) {
             replies.close().await;
         }
@@ -103,11 +103,11 @@
     }
 }
 
-/// Waits until an idle connection has to be closed; for ever if it is not idle.
-async fn closed_while_idle(connection: &ClientConnection, idle: bool, used: bool) {
+/// Waits until an idle connection has to be closed. Never returns if the connection is not idle.
+async fn wait_for_close_while_idle(connection: &ClientConnection, idle: bool, has_sent_command: bool) {
     if !idle {
         return std::future::pending().await;
     }
-    let evicted = evicted_while_idle(&connection.engine, used);
+    let evicted = wait_for_eviction(&connection.engine, has_sent_command);
     evicted.or(connection.close_due()).await;
 }
--- a/crates/resp-frontend/src/connection/reply.rs
+++ b/crates/resp-frontend/src/connection/reply.rs
@@ -1,4 +1,4 @@
-//! Replies in the dialect: errors, and the engine's response to a request.
+//! Encodes replies to clients: errors, and the engine's responses to requests.
 
 #[cfg(test)]
 mod tests;
@@ -7,23 +7,23 @@
 use chalkwalk_resp::Writer;
 use chalkwalk_time::{Span, TICKS_PER_MILLISECOND};
 
-/// RESP2's nulls, as a bulk string and as an array.
+/// The two nulls of RESP2: a null bulk string and a null array.
 const RESP2_NULLS: [&[u8]; 2] = [b"$-1\r\n", b"*-1\r\n"];
-/// RESP3's one null.
+/// The only null of RESP3.
 const RESP3_NULL: &[u8] = b"_\r\n";
 
-/// The bytes of an error reply.
+/// Encodes an error reply.
 pub fn error_reply(text: &str) -> Vec<u8> {
     let mut out = Writer::default();
     out.error(text);
     out.take_bytes()
 }
 
-/// The reply to a client for a response; none: the request was dropped.
+/// Encodes the reply to a client. `response` is `None` if the engine dropped the request.
 pub fn encode_response(response: Option<Response>, resp3: bool) -> Vec<u8> {
     let Some(response) = response else { return error_reply("ERR abandoned") };
     match response.status {
-        // Servers are spoken to in RESP2.
+        // Servers reply in RESP2, so their nulls are converted.
         ResponseStatus::Served if resp3 && RESP2_NULLS.contains(&response.body.as_slice()) => {
             RESP3_NULL.to_vec()
         }
@@ -33,7 +33,8 @@
     }
 }
 
-/// The error of a request that was rejected. Drivers retry by themselves for its code.
+/// The error for a rejected request. Client libraries retry a command on the code `TRYAGAIN` by
+/// themselves.
 fn rejected_text(retry_after: Option<Span>) -> String {
     match retry_after {
         Some(span) => {
--- a/crates/resp-frontend/src/connection/reply_writer.rs
+++ b/crates/resp-frontend/src/connection/reply_writer.rs
@@ -1,4 +1,4 @@
-//! Writes replies in order, as many at once as are ready.
+//! Writes replies in order, and batches those that are ready.
 
 use super::backpressure::{MAX_UNREAD_BYTES, QueuedReply, UnreadBytes};
 use super::pending_reply::ResolvedReply;
@@ -9,13 +9,14 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// A client that does not read its replies is disconnected after so long.
-const STALL_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum time to write a batch. A client that does not read its replies for so long is
+/// disconnected.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Replies that are written at once.
+/// Replies that are written in one call.
 struct Batch {
     reply: ResolvedReply,
-    /// Returned once the replies are written.
+    /// The permits of the replies, returned once the replies are written.
     permits: Vec<Permit>,
 }
 
@@ -36,29 +37,33 @@
     }
 }
 
-/// Writes replies until the last, or until the client does not read.
-pub async fn write_replies(stream: &Async<TcpStream>, queued: Receiver<QueuedReply>, unread: &UnreadBytes) {
-    let mut waiting: Option<QueuedReply> = None;
+/// Writes replies until the last one, or until the client no longer reads them.
+pub async fn write_replies(
+    stream: &Async<TcpStream>,
+    queued_replies: Receiver<QueuedReply>,
+    unread: &UnreadBytes,
+) {
+    let mut unready: Option<QueuedReply> = None;
     loop {
-        let first = match waiting.take() {
+        let first = match unready.take() {
             Some(first) => first,
-            None => match queued.recv().await {
+            None => match queued_replies.recv().await {
                 Ok(first) => first,
                 Err(_) => return,
             },
         };
         let mut batch = Batch::resolve(first).await;
         while !batch.is_full()
-            && let Ok(next) = queued.try_recv()
+            && let Ok(next) = queued_replies.try_recv()
         {
             if !next.reply.is_ready() {
-                waiting = Some(next);
+                unready = Some(next);
                 break;
             }
             batch.add(next).await;
         }
         unread.set(batch.reply.bytes.len());
-        let written = within(STALL_TIMEOUT, write_all(stream, &[&batch.reply.bytes])).await;
+        let written = within(WRITE_TIMEOUT, write_all(stream, &[&batch.reply.bytes])).await;
         unread.set(0);
         if batch.reply.last || !matches!(written, Some(Ok(()))) {
             return;
--- a/crates/resp-frontend/src/frontend.rs
+++ b/crates/resp-frontend/src/frontend.rs
@@ -1,4 +1,4 @@
-//! What all connections of this frontend share.
+//! The state that all connections of this frontend share.
 
 use crate::settings::Settings;
 use chalkwalk_engine::engine::Engine;
@@ -10,46 +10,48 @@
 /// The name of this frontend in the routes of the operator's file.
 pub const FRONTEND_NAME: &str = "resp";
 
-/// The RESP frontend of one process: its settings, and the slot map that its requests are routed
-/// by.
+/// The RESP frontend of one process: its settings, and the slot map by which its requests are
+/// routed.
 pub struct Frontend {
-    /// Routes the requests.
+    /// The engine, which routes the requests.
     pub(crate) engine: Rc<Engine>,
-    /// What the operator has set.
+    /// The settings from the operator's file.
     pub(crate) settings: Settings,
-    /// Which server owns each slot, as far as views and redirections have reported it.
+    /// The owner and the replicas of each slot, as reported by views and redirections.
     pub(crate) slot_map: RefCell<SlotMap>,
-    /// When the slot map is polled next.
-    pub(crate) refresh: RefCell<RefreshSchedule>,
-    /// Wakes the poll for the slot map. One message is enough, however many request it.
+    /// The schedule for polls of the slot map.
+    pub(crate) refresh_schedule: RefCell<RefreshSchedule>,
+    /// Wakes the task that polls the slot map. The channel holds one message, which is enough for
+    /// any number of requests.
     refresh_sender: Sender<()>,
     refresh_receiver: Receiver<()>,
-    /// Connections so far, which number them.
-    connections: Cell<u64>,
-    /// Whether the cluster's own list of nodes is the endpoint list.
-    pub(crate) lists_servers: bool,
+    /// The number of connections so far, from which connection ids are derived.
+    connection_count: Cell<u64>,
+    /// Whether the nodes that the cluster reports are the endpoint list.
+    pub(crate) discovers_servers: bool,
 }
 
 impl Frontend {
-    /// `lists_servers`: no other source lists the servers, so those that the cluster reports are
-    /// the endpoint list.
-    pub fn new(engine: &Rc<Engine>, settings: Settings, lists_servers: bool) -> Rc<Frontend> {
+    /// Creates the frontend. `discovers_servers`: whether the nodes that the cluster reports are
+    /// the endpoint list, because no other source lists the servers.
+    pub fn new(engine: &Rc<Engine>, settings: Settings, discovers_servers: bool) -> Rc<Frontend> {
         let (refresh_sender, refresh_receiver) = bounded(1);
         Rc::new(Frontend {
             engine: engine.clone(),
             settings,
             slot_map: RefCell::default(),
-            refresh: RefCell::default(),
+            refresh_schedule: RefCell::default(),
             refresh_sender,
             refresh_receiver,
-            connections: Cell::new(0),
-            lists_servers,
+            connection_count: Cell::new(0),
+            discovers_servers,
         })
     }
 
-    /// Requests a poll for the slot map soon: something shows that it is outdated.
+    /// Requests a poll of the slot map soon, because an error or a redirection indicates that the
+    /// map is outdated.
     pub(crate) fn request_refresh(&self) {
-        self.refresh.borrow_mut().request();
+        self.refresh_schedule.borrow_mut().request();
         _ = self.refresh_sender.try_send(());
     }
 
@@ -58,10 +60,10 @@
         _ = self.refresh_receiver.recv().await;
     }
 
-    /// The number of a new connection, from 1.
+    /// Returns the id of a new connection. Ids start at 1.
     pub(crate) fn next_connection_id(&self) -> u64 {
-        let id = self.connections.get() + 1;
-        self.connections.set(id);
+        let id = self.connection_count.get() + 1;
+        self.connection_count.set(id);
         id
     }
 }
--- a/crates/resp-frontend/src/health_check.rs
+++ b/crates/resp-frontend/src/health_check.rs
@@ -1,4 +1,4 @@
-//! The health check of servers that speak RESP.
+//! The health check for RESP servers.
 
 use crate::server_reply::ServerReply;
 use chalkwalk_engine::response::{BoxFuture, HealthCheck};
@@ -7,8 +7,8 @@
 use smol::Async;
 use std::net::TcpStream;
 
-/// `PING`, which any server answers at once. A server that is loading answers with an error, and
-/// gets no requests.
+/// Sends `PING`, which a healthy server answers at once. A server that is loading its data set
+/// replies with an error, counts as unhealthy, and gets no requests.
 pub struct Ping;
 
 impl HealthCheck for Ping {
--- a/crates/resp-frontend/src/lib.rs
+++ b/crates/resp-frontend/src/lib.rs
@@ -1,17 +1,17 @@
-//! The RESP frontend: clients' connections on one side, attempts at servers on the other, both in
-//! the cluster dialect of RESP, as its public specifications define it.
+//! The RESP frontend. It accepts client connections and makes attempts at servers, both with the
+//! cluster commands and redirections of RESP, as the public specifications define them.
 //!
-//! It depends on `engine`, `resp`, `slot-map`, `limits`, `balancer`, `sockets` and `time`, never on
-//! another protocol's frontend nor on a source of the endpoint list, except what the servers report
-//! of themselves. It makes no routing decisions: the balancer does.
+//! This crate depends on `engine`, `resp`, `slot-map`, `limits`, `balancer`, `sockets` and `time`.
+//! It depends neither on the frontend of another protocol nor on a source of the endpoint list; the
+//! only endpoints that it lists itself are the nodes that the servers report. It makes no routing
+//! decisions; the balancer makes them.
 //!
-//! - `parse`, `arguments`, `command_table`, `command`: what a client sent, and what is to be done
-//!   with it;
-//! - `session`: connection and cluster commands, which are answered here;
-//! - `connection`: the commands of one client in order, and their replies;
-//! - `request`, `server_reply`, `merge`: attempts at servers, and the replies to commands over
-//!   several slots;
-//! - `slot_map_poll`, `health_check`: what is learned from the servers.
+//! - `parse`, `arguments`, `command_table`, `command`: parse commands and classify them;
+//! - `session`: answers connection and cluster commands;
+//! - `connection`: receives the commands of one client and writes the replies, in order;
+//! - `request`, `server_reply`, `merge`: write requests to servers, read the replies, and merge the
+//!   replies to commands that were split by slot;
+//! - `slot_map_poll`, `health_check`: poll the servers for the slot map and check their health.
 
 mod arguments;
 mod command;
--- a/crates/resp-frontend/src/merge.rs
+++ b/crates/resp-frontend/src/merge.rs
@@ -1,4 +1,4 @@
-//! One reply out of the replies to a command that was split by slot. No I/O.
+//! Merges the replies to a command that was split by slot into one reply. No I/O.
 
 #[cfg(test)]
 mod tests;
@@ -10,19 +10,19 @@
 /// How the replies to the parts of a command are merged.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum MergeRule {
-    /// Values by key, in the order of the keys.
+    /// The parts reply with values; the values are put into the order of the keys.
     Values,
-    /// Numbers, added up.
+    /// The parts reply with integers, which are added up.
     Sum,
-    /// `OK`, which all have to reply.
+    /// The parts reply with `OK`, and so does the command.
     AllOk,
 }
 
-/// The outcome of one part.
+/// The response to one part of a split command.
 pub struct PartResponse {
-    /// Its response; none if the request was dropped.
+    /// The response; `None` if the engine dropped the request.
     pub response: Option<Response>,
-    /// The places of the part's keys among all keys of the command.
+    /// The indices of the part's keys among all keys of the command.
     pub key_indices: Vec<usize>,
 }
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// Merges the replies, or returns the status of the whole command where not all parts were served.
+/// Merges the replies. If a part was not served, returns the status of the whole command instead.
 pub fn merge_responses(
     parts: Vec<PartResponse>,
     rule: MergeRule,
@@ -44,7 +44,7 @@
     for part in parts {
         let reply = PartReply::parse(part).ok_or(ResponseStatus::Failed)?;
         if reply.is_error() {
-            // The first error is the reply.
+            // The first error is the reply to the whole command.
             return Ok(reply.body);
         }
         replies.push(reply);
@@ -58,8 +58,9 @@
     Ok(out.take_bytes())
 }
 
-/// The status of the whole command where it is not served. A write of which a part has run, or may
-/// have, is never rejected: a retry would run that part again.
+/// Returns the status of the whole command as an error if a part was not served. A write of which a
+/// part has run, or may have run, fails instead of being rejected: a client retries a rejected
+/// command, which would run that part again.
 fn merged_status(parts: &[PartResponse], write: bool) -> Result<(), ResponseStatus> {
     let any_served = parts.iter().any(|part| part.status() == ResponseStatus::Served);
     let mut retry_after: Option<Span> = None;
--- a/crates/resp-frontend/src/merge/tests.rs
+++ b/crates/resp-frontend/src/merge/tests.rs
@@ -1,4 +1,4 @@
-//! Replies to the parts of one command make one reply.
+//! The replies to the parts of a split command are merged into one reply.
 
 use super::*;
 
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn responses_merge_into_one_and_a_write_that_ran_in_part_is_never_rejected() {
+fn replies_are_merged_and_a_partly_run_write_is_never_rejected() {
     let values =
         || vec![served("*2\r\n$1\r\nc\r\n$-1\r\n", vec![2, 0]), served("*1\r\n$1\r\nb\r\n", vec![1])];
     assert_eq!(merged(values(), MergeRule::Values, false), "*3 $-1 $1 b $1 c ");
--- a/crates/resp-frontend/src/parse.rs
+++ b/crates/resp-frontend/src/parse.rs
@@ -1,4 +1,4 @@
-//! Commands out of the bytes that a client sent: arrays of bulk strings, or inline lines. No I/O.
+//! Parses the commands that a client sent: arrays of bulk strings, or inline commands. No I/O.
 
 #[cfg(test)]
 mod tests;
@@ -7,16 +7,16 @@
 use chalkwalk_resp::{Frame, FrameKind, ProtocolError, ReadLimits, Reader};
 use std::ops::Range;
 
-/// A whole command at the start of a buffer.
+/// A complete command at the start of a buffer.
 pub struct ParsedCommand {
-    /// Its arguments; none for an empty array or a blank line, which is not answered.
+    /// The arguments; `None` for an empty array or a blank line, which gets no reply.
     pub arguments: Option<Arguments>,
-    /// How many bytes of the buffer it takes.
+    /// The length of the command in the buffer.
     pub len: usize,
 }
 
-/// The command at the start of the buffer; none until it is whole. `reader` keeps how far an array
-/// has been read.
+/// Parses the command at the start of the buffer. Returns `None` while the command is incomplete;
+/// `reader` keeps the parsed frames of an incomplete array for the next call.
 pub fn parse_command(reader: &mut Reader, buf: &[u8]) -> Result<Option<ParsedCommand>, ProtocolError> {
     match buf.first() {
         None => Ok(None),
@@ -27,36 +27,36 @@
 
 fn parse_array(reader: &mut Reader, buf: &[u8]) -> Result<Option<ParsedCommand>, ProtocolError> {
     let Some((frames, len)) = reader.next_message(buf)? else { return Ok(None) };
-    let bulk = |frame: &Frame| (frame.kind == FrameKind::BulkString).then(|| frame.range.clone());
-    let ranges: Option<Vec<_>> = frames[1..].iter().map(bulk).collect();
+    let bulk_range = |frame: &Frame| (frame.kind == FrameKind::BulkString).then(|| frame.range.clone());
+    let ranges: Option<Vec<_>> = frames[1..].iter().map(bulk_range).collect();
     let ranges = ranges.ok_or(ProtocolError::ExpectedBulkStrings)?;
-    Ok(Some(parsed(&buf[..len], ranges, len)))
+    Ok(Some(parsed_command(&buf[..len], ranges, len)))
 }
 
-/// A line, as a person types it.
+/// Parses an inline command: a line of arguments, as typed into a terminal.
 fn parse_inline(buf: &[u8]) -> Result<Option<ParsedCommand>, ProtocolError> {
     let max_line_bytes = ReadLimits::default().max_line_bytes;
     let Some(end) = buf.iter().take(max_line_bytes).position(|byte| *byte == b'\n') else {
         return if buf.len() >= max_line_bytes { Err(ProtocolError::InlineTooLong) } else { Ok(None) };
     };
     let line = buf[..end].strip_suffix(b"\r").unwrap_or(&buf[..end]);
-    Ok(Some(parsed(line, argument_ranges(line), end + 1)))
+    Ok(Some(parsed_command(line, argument_ranges(line), end + 1)))
 }
 
-fn parsed(bytes: &[u8], ranges: Vec<Range<usize>>, len: usize) -> ParsedCommand {
+fn parsed_command(bytes: &[u8], ranges: Vec<Range<usize>>, len: usize) -> ParsedCommand {
     let arguments = (!ranges.is_empty()).then(|| Arguments::new(bytes.to_vec(), ranges));
     ParsedCommand { arguments, len }
 }
 
-/// Where the arguments stand in a line: white space separates them.
+/// The positions of the arguments in a line. White space separates the arguments.
 fn argument_ranges(line: &[u8]) -> Vec<Range<usize>> {
     let mut ranges = Vec::new();
     let mut start = None;
     for (index, byte) in line.iter().chain(b" ").enumerate() {
         match (byte.is_ascii_whitespace(), start) {
             (false, None) => start = Some(index),
-            (true, Some(first)) => {
-                ranges.push(first..index);
+            (true, Some(start_index)) => {
+                ranges.push(start_index..index);
                 start = None;
             }
             _ => {}
--- a/crates/resp-frontend/src/parse/tests.rs
+++ b/crates/resp-frontend/src/parse/tests.rs
@@ -1,8 +1,9 @@
-//! Commands are parsed off the start of a buffer, whole or not at all.
+//! Commands are parsed from the start of a buffer, and only once they are complete.
 
 use super::*;
 
-/// The arguments with `|` between them and the length in bytes, or what else the bytes are.
+/// Describes the result of parsing: the arguments separated by `|` and the length in bytes, or the
+/// reason that there is no command.
 fn parsed_text(bytes: &[u8]) -> String {
     let command = match parse_command(&mut Reader::new(ReadLimits::default()), bytes) {
         Ok(Some(command)) => command,
@@ -16,7 +17,7 @@
 }
 
 #[test]
-fn arrays_are_parsed_once_whole_and_only_of_bulk_strings() {
+fn arrays_are_parsed_once_complete_and_hold_only_bulk_strings() {
     assert_eq!(parsed_text(b"*2\r\n$3\r\nGET\r\n$1\r\na\r\n*1\r\n"), "GET|a, 20 bytes");
     assert_eq!(parsed_text(b"*2\r\n$3\r\nGET\r\n$1\r\na\r"), "incomplete");
     assert_eq!(parsed_text(b"*0\r\n"), "blank, 4 bytes");
--- a/crates/resp-frontend/src/request.rs
+++ b/crates/resp-frontend/src/request.rs
@@ -1,5 +1,5 @@
-//! A request as this frontend accepted it: how it is written to a server, and what the server's
-//! reply means.
+//! A request that this frontend has accepted: how it is written to a server, and how the server's
+//! reply is interpreted.
 
 use crate::arguments::Arguments;
 use crate::frontend::{FRONTEND_NAME, Frontend};
@@ -19,70 +19,73 @@
 use std::rc::Rc;
 use thiserror::Error;
 
-/// Replies up to so many bytes need no memory reservation, as those of an HTTP server.
-const MAX_UNRESERVED: usize = 64 << 10;
-/// Commands up to so many bytes are accepted by every class: a class's limit is on the body of a
-/// request, which a short command does not have.
-const MIN_COMMAND_LIMIT: u64 = 64;
-/// Allows the one next command for a slot that the server imports.
+/// Replies up to this length need no memory reservation. The limit is the same as for the responses
+/// of HTTP servers.
+const MAX_UNRESERVED_BYTES: usize = 64 << 10;
+/// Commands up to this length are accepted in every request class. The limit of a class applies to
+/// the body of a request, and a short command has none.
+const MIN_COMMAND_LIMIT_BYTES: u64 = 64;
+/// Allows the next command, and only that one, to access a slot that the server imports.
 const ASKING: &[u8] = b"*1\r\n$6\r\nASKING\r\n";
 /// Allows reads from a replica on this connection.
 const READONLY: &[u8] = b"*1\r\n$8\r\nREADONLY\r\n";
 
-/// A command as it came, on keys of one slot.
+/// A command from a client, with keys in one slot.
 pub struct NewRequest<'a> {
-    /// The command.
+    /// The arguments of the command.
     pub arguments: Arguments,
-    /// Its first key, by which its class is found.
+    /// The first key, which determines the request class.
     pub key: &'a str,
-    /// The slot of its keys.
+    /// The slot of the keys.
     pub slot: u16,
-    /// Whether it writes.
+    /// Whether the command writes.
     pub write: bool,
-    /// The user that sent it.
+    /// The user that sent the command.
     pub user: &'a str,
 }
 
-/// A command is longer than the limit of its class; the text is the error that the client gets.
+/// A command is longer than its request class allows. The text is the error reply to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("ERR the command is longer than its class allows")]
 pub struct TooLongForClass;
 
 /// A request that the engine routes.
 pub struct RespRequest {
-    /// The frontend that accepted it.
+    /// The frontend that accepted the request.
     pub(crate) frontend: Rc<Frontend>,
-    /// The command as servers accept it.
+    /// The command in the form that servers accept.
     command: Vec<u8>,
     key: String,
-    /// The request class that the operator set for the key, by its index in the settings.
+    /// The index of the namespace that the settings assign to the key.
     namespace: usize,
-    /// The class whose limits apply.
+    /// The request class whose limits apply.
     class: usize,
     write: bool,
-    /// The user that sent it.
+    /// The user that sent the command.
     user: String,
     received_at: Timestamp,
-    expires: Timestamp,
+    expires_at: Timestamp,
     route: RefCell<RequestRoute>,
-    /// Servers whose attempt began with `ASKING` or `READONLY`, the reply to which comes first.
-    prefixed: RefCell<Vec<SocketAddr>>,
+    /// The servers at which the attempt began with `ASKING` or `READONLY`. The reply to that
+    /// command precedes the reply to the request.
+    prefixed_servers: RefCell<Vec<SocketAddr>>,
 }
 
 impl RespRequest {
-    /// A request under the limits of its class.
-    pub fn new(frontend: &Rc<Frontend>, new: NewRequest<'_>) -> Result<RespRequest, TooLongForClass> {
-        let NewRequest { arguments, key, slot, write, user } = new;
+    /// Creates a request with the limits of its request class.
+    pub fn new(frontend: &Rc<Frontend>, new_request: NewRequest<'_>) -> Result<RespRequest, TooLongForClass> {
+        let NewRequest { arguments, key, slot, write, user } = new_request;
         let engine = &frontend.engine;
         let settings = &frontend.settings;
         let namespace = settings.class_of(key.as_bytes(), write);
         let ClassLimits { class, time_limit, longest_body } =
             engine.classes.find(attributes(namespace, key, user));
-        if arguments.byte_len() as u64 > longest_body.max(MIN_COMMAND_LIMIT) {
+        if arguments.byte_len() as u64 > longest_body.max(MIN_COMMAND_LIMIT_BYTES) {
             return Err(TooLongForClass);
         }
         let received_at = engine.clock.earliest_arrival();
-        // One that is past its deadline is rejected by the balancer, at once.
+        // A request whose deadline has passed is accepted here, and rejected by the balancer at
+        // once.
         let deadline = may_start(engine.clock.now(), received_at + time_limit, engine.response_deadline());
         let stale_reads = !write && settings.stale_reads.get(namespace) == Some(&true);
         Ok(RespRequest {
@@ -94,39 +97,39 @@
             write,
             user: user.to_string(),
             received_at,
-            expires: deadline.unwrap_or(received_at),
+            expires_at: deadline.unwrap_or(received_at),
             route: RefCell::new(RequestRoute::new(slot, stale_reads)),
-            prefixed: RefCell::default(),
+            prefixed_servers: RefCell::default(),
         })
     }
 
-    /// The command that an attempt at a server has to begin with, if any.
-    fn prefix(&self, to: SocketAddr) -> &'static [u8] {
+    /// The command with which an attempt at a server has to begin; empty if there is none.
+    fn prefix(&self, server: SocketAddr) -> &'static [u8] {
         let route = self.route.borrow();
-        if route.needs_asking(to) {
+        if route.needs_asking(server) {
             ASKING
-        } else if route.needs_readonly(to, &self.frontend.slot_map.borrow()) {
+        } else if route.needs_readonly(server, &self.frontend.slot_map.borrow()) {
             READONLY
         } else {
             b""
         }
     }
 
-    /// Remembers whether the attempt at a server began with a prefix.
-    fn set_prefixed(&self, to: SocketAddr, is_prefixed: bool) {
-        let mut prefixed = self.prefixed.borrow_mut();
-        prefixed.retain(|other| *other != to);
-        prefixed.extend(is_prefixed.then_some(to));
+    /// Records whether the attempt at a server began with a prefix.
+    fn record_prefix(&self, server: SocketAddr, is_prefixed: bool) {
+        let mut prefixed_servers = self.prefixed_servers.borrow_mut();
+        prefixed_servers.retain(|other| *other != server);
+        prefixed_servers.extend(is_prefixed.then_some(server));
     }
 
-    /// What a server's reply means for the request.
-    fn interpret(&self, from: SocketAddr, reply: ServerReply) -> ServerResponse {
-        if let Some(outcome) = reply.error_text().and_then(|error| self.apply_error(&error, from)) {
+    /// Interprets a server's reply to the request.
+    fn interpret(&self, server: SocketAddr, reply: ServerReply) -> ServerResponse {
+        if let Some(outcome) = reply.error_text().and_then(|error| self.apply_error(&error, server)) {
             return without_response(outcome, reply.reusable);
         }
         let memory = self.frontend.engine.response_memory.try_reserve(reply.bytes.len());
-        if reply.bytes.len() > MAX_UNRESERVED && memory.is_none() {
-            // It has been read, but there is no memory to hold it beside the others.
+        if reply.bytes.len() > MAX_UNRESERVED_BYTES && memory.is_none() {
+            // The reply has been read, but the memory budget for responses has no room for it.
             return without_response(AttemptOutcome::ServerError, false);
         }
         let response = Response {
@@ -144,18 +147,18 @@
         }
     }
 
-    /// Applies an error to the route and the slot map. Returns how the attempt ended, unless the
-    /// error is the reply itself.
-    fn apply_error(&self, error: &str, from: SocketAddr) -> Option<AttemptOutcome> {
-        let meaning = classify_error(error, from);
+    /// Applies an error to the route and the slot map. Returns the outcome of the attempt, or
+    /// `None` if the error is the reply to the client.
+    fn apply_error(&self, error: &str, server: SocketAddr) -> Option<AttemptOutcome> {
+        let meaning = classify_error(error, server);
         let map_outdated =
             self.route.borrow_mut().on_error(&meaning, &mut self.frontend.slot_map.borrow_mut());
         if map_outdated {
             self.frontend.request_refresh();
         }
         match meaning {
-            // The command has not run, which says nothing of the server's health: it is sent
-            // elsewhere.
+            // The command has not run and is sent to another server. The redirection says nothing
+            // about the health of this one.
             ErrorMeaning::Moved { .. } | ErrorMeaning::Ask { .. } => Some(AttemptOutcome::CacheMiss),
             ErrorMeaning::RetryLater | ErrorMeaning::MapOutdated => Some(AttemptOutcome::Overloaded),
             ErrorMeaning::Final => None,
@@ -193,7 +196,7 @@
     }
 
     fn expires(&self) -> Timestamp {
-        self.expires
+        self.expires_at
     }
 
     fn allowed_servers(&self) -> Option<Vec<SocketAddr>> {
@@ -205,8 +208,8 @@
             outcome,
             AttemptOutcome::Unreachable | AttemptOutcome::ConnectionLost | AttemptOutcome::TimedOut
         ) {
-            // After an `ASK` the next attempt goes to the owner again, and another may own the slot
-            // by now.
+            // After an `ASK`, the next attempt goes to the owner again. The slot may have a new
+            // owner by now, so the map is refreshed.
             self.route.borrow_mut().on_no_answer();
             self.frontend.request_refresh();
         }
@@ -214,19 +217,19 @@
 
     fn write_to<'a>(&'a self, stream: &'a Async<TcpStream>, _left: Span) -> BoxFuture<'a, io::Result<()>> {
         Box::pin(async move {
-            let to = stream.get_ref().peer_addr()?;
-            let prefix = self.prefix(to);
-            self.set_prefixed(to, !prefix.is_empty());
+            let server = stream.get_ref().peer_addr()?;
+            let prefix = self.prefix(server);
+            self.record_prefix(server, !prefix.is_empty());
             write_all(stream, &[prefix, &self.command]).await
         })
     }
 
     fn read_response<'a>(&'a self, stream: &'a Async<TcpStream>) -> BoxFuture<'a, Option<ServerResponse>> {
         Box::pin(async move {
-            let from = stream.get_ref().peer_addr().ok()?;
-            let is_prefixed = self.prefixed.borrow().contains(&from);
+            let server = stream.get_ref().peer_addr().ok()?;
+            let is_prefixed = self.prefixed_servers.borrow().contains(&server);
             let reply = ServerReply::read(stream, is_prefixed).await?;
-            Some(self.interpret(from, reply))
+            Some(self.interpret(server, reply))
         })
     }
 }
--- a/crates/resp-frontend/src/server_reply.rs
+++ b/crates/resp-frontend/src/server_reply.rs
@@ -5,42 +5,42 @@
 use smol::Async;
 use std::net::TcpStream;
 
-/// A whole reply.
+/// A complete reply.
 pub struct ServerReply {
     frames: Vec<Frame>,
-    /// The reply as it came.
+    /// The reply as received.
     pub bytes: Vec<u8>,
-    /// Whether the connection may carry another command: nothing follows the reply, of which it
-    /// would not be known what it belongs to.
+    /// Whether the connection can be reused for another command. It can't if further bytes follow
+    /// the reply, as these belong to no command.
     pub reusable: bool,
 }
 
-/// A reply in a buffer.
+/// A complete message at the start of a buffer.
 struct WholeMessage {
     frames: Vec<Frame>,
     len: usize,
 }
 
 impl ServerReply {
-    /// Reads a reply; none if the connection breaks, or its bytes are no RESP. `skip_first`: the
-    /// command followed another, the reply to which comes first and is not looked at.
-    pub async fn read(stream: &Async<TcpStream>, skip_first: bool) -> Option<ServerReply> {
+    /// Reads a reply. Returns `None` if the connection fails or the bytes are not valid RESP. With
+    /// `skip_first_reply`, the reply to a preceding command is read and discarded first.
+    pub async fn read(stream: &Async<TcpStream>, skip_first_reply: bool) -> Option<ServerReply> {
         let mut bytes = Vec::new();
-        if skip_first {
-            let first = read_message(stream, &mut bytes).await?;
-            bytes.drain(..first.len);
+        if skip_first_reply {
+            let skipped = read_message(stream, &mut bytes).await?;
+            bytes.drain(..skipped.len);
         }
         let message = read_message(stream, &mut bytes).await?;
         let reusable = bytes.len() == message.len;
         Some(ServerReply { frames: message.frames, bytes, reusable })
     }
 
-    /// The type of the reply, or of the aggregate that it is.
+    /// The type of the reply.
     pub fn kind(&self) -> FrameKind {
         self.frames[0].kind
     }
 
-    /// The text of the reply if it is an error.
+    /// The text of the reply, if the reply is an error.
     pub fn error_text(&self) -> Option<String> {
         match &self.frames[..] {
             [Frame { kind: FrameKind::SimpleError, range, .. }] => {
@@ -51,7 +51,7 @@
     }
 }
 
-/// Reads until the message at the start of the buffer is whole.
+/// Reads until the message at the start of the buffer is complete.
 async fn read_message(stream: &Async<TcpStream>, buf: &mut Vec<u8>) -> Option<WholeMessage> {
     let mut reader = Reader::new(ReadLimits::default());
     loop {
--- a/crates/resp-frontend/src/session.rs
+++ b/crates/resp-frontend/src/session.rs
@@ -1,5 +1,5 @@
-//! One client's connection as it has been set up, and the commands that are answered without a
-//! server. No I/O: arguments in, bytes out.
+//! The state of one client's connection, and the commands that are answered without a server. No
+//! I/O: commands are passed in, and replies are written to a buffer.
 
 mod auth;
 mod client_command;
@@ -20,7 +20,7 @@
 pub use state::Session;
 
 impl Session {
-    /// Answers a local command.
+    /// Executes a local command and writes its reply.
     pub fn execute(&mut self, arguments: &Arguments, settings: &Settings, out: &mut Writer) {
         out.resp3 = self.resp3;
         let name = arguments.keyword(0);
@@ -33,21 +33,22 @@
             }
             ("HELLO", _) => self.hello(arguments, settings, out),
             ("AUTH", 2 | 3) => self.auth(arguments, settings, out),
-            ("SELECT", 2) => select(arguments.get(1), out),
-            // Which reads replicas may answer is set by the operator, by request class.
+            ("SELECT", 2) => write_select_reply(arguments.get(1), out),
+            // These commands have no effect: the operator sets by request class whether replicas
+            // may answer reads.
             ("READONLY" | "READWRITE", 1) => out.simple_string("OK"),
-            // Slots migrate between servers, never between instances.
+            // `ASKING` has no effect: slots migrate between servers, never between proxy instances.
             ("ASKING", 1) => out.simple_string("OK"),
             ("CLIENT", _) => self.client_command(arguments, out),
             ("COMMAND", _) => command_command::reply(arguments, out),
             ("CLUSTER", _) => cluster_command::reply(arguments, settings, out),
-            ("INFO", _) => info(out),
+            ("INFO", _) => write_info(out),
             _ => out.error(&CommandError::WrongArity(name.to_lowercase()).to_string()),
         }
     }
 }
 
-fn select(database: &[u8], out: &mut Writer) {
+fn write_select_reply(database: &[u8], out: &mut Writer) {
     if database == b"0" {
         out.simple_string("OK")
     } else {
@@ -55,7 +56,7 @@
     }
 }
 
-fn info(out: &mut Writer) {
+fn write_info(out: &mut Writer) {
     let server = format!("# Server\r\nredis_version:{VERSION}\r\nredis_mode:cluster\r\n");
     let cluster = "# Cluster\r\ncluster_enabled:1\r\n";
     out.bulk_string(format!("{server}{cluster}").as_bytes());
--- a/crates/resp-frontend/src/session/auth.rs
+++ b/crates/resp-frontend/src/session/auth.rs
@@ -1,4 +1,4 @@
-//! `AUTH` and `HELLO`: who the client is, and which version of the protocol it is answered in.
+//! `AUTH` and `HELLO`, which authenticate the client and negotiate the protocol version.
 
 use super::client_command::INVALID_NAME;
 use super::reply_parts::{VERSION, number_field, text_field};
@@ -8,30 +8,31 @@
 use chalkwalk_resp::Writer;
 use thiserror::Error;
 
-/// The user that `AUTH` with a secret alone means.
+/// The user for `AUTH` with only a secret.
 const DEFAULT_USER: &[u8] = b"default";
 
-/// Why a client is not greeted; the text is the error reply, as the dialect defines it.
+/// Why `AUTH` or `HELLO` fails. The text is the error reply to the client, in the wording that
+/// cluster servers use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 enum HelloError {
-    /// No users are set, so there is nothing to authenticate against.
+    /// No users are configured, so no client can authenticate.
     #[error(
         "ERR AUTH <password> called without any password configured for the default user. Are you sure your configuration is correct?"
     )]
     NoUsers,
-    /// No user of that name and secret.
+    /// No user has this name and this secret.
     #[error("WRONGPASS invalid username-password pair or user is disabled.")]
     WrongSecret,
-    /// The version of the protocol is neither 2 nor 3.
+    /// The protocol version is neither 2 nor 3.
     #[error("NOPROTO unsupported protocol version")]
     UnsupportedVersion,
-    /// The name has characters that names may not have.
+    /// The connection name is too long or has characters that are not allowed.
     #[error("{INVALID_NAME}")]
     InvalidName,
     /// An option is unknown or lacks its values.
     #[error("ERR Syntax error in HELLO option")]
     Syntax,
-    /// The client has not authenticated, neither before nor with this command.
+    /// The client has not authenticated, either before or with this command.
     #[error(
         "NOAUTH HELLO must be called with the client already authenticated, otherwise the HELLO <proto> AUTH <user> <pass> option can be used to authenticate the client and select the RESP protocol version at the same time"
     )]
@@ -66,12 +67,13 @@
     /// `HELLO [version [AUTH user secret] [SETNAME name]]`
     pub(super) fn hello(&mut self, arguments: &Arguments, settings: &Settings, out: &mut Writer) {
         match self.negotiate(arguments, settings) {
-            Ok(()) => self.greet(out),
+            Ok(()) => self.write_hello_reply(out),
             Err(error) => out.error(&error.to_string()),
         }
     }
 
-    /// Applies the options in order, then the version. Options before a wrong one stay applied.
+    /// Applies the options in order, then the protocol version. Options before an invalid one stay
+    /// applied.
     fn negotiate(&mut self, arguments: &Arguments, settings: &Settings) -> Result<(), HelloError> {
         let resp3 = match arguments.get(1) {
             b"" => self.resp3,
@@ -90,7 +92,7 @@
         Ok(())
     }
 
-    /// Applies the option at a position and returns how many arguments it takes.
+    /// Applies the option at `position` and returns the number of arguments that it takes.
     fn apply_hello_option(
         &mut self,
         arguments: &Arguments,
@@ -101,19 +103,21 @@
             ("AUTH", 3..) => {
                 let (user, secret) = (arguments.get(position + 1), arguments.get(position + 2));
                 match self.authenticate(user, secret, settings) {
-                    // A client that has authenticated before stays so.
+                    // A client that has authenticated before stays authenticated, and the command
+                    // succeeds.
                     Err(HelloError::WrongSecret) if self.authenticated => Ok(3),
                     authenticated => authenticated.map(|()| 3),
                 }
             }
-            ("SETNAME", 2..) if self.set_name(arguments.get(position + 1)) => Ok(2),
+            ("SETNAME", 2..) if self.try_set_name(arguments.get(position + 1)) => Ok(2),
             ("SETNAME", 2..) => Err(HelloError::InvalidName),
             _ => Err(HelloError::Syntax),
         }
     }
 
-    /// What this server is, in the version of the protocol that was agreed on.
-    fn greet(&self, out: &mut Writer) {
+    /// Writes the reply to `HELLO`, which describes this server, in the negotiated protocol
+    /// version.
+    fn write_hello_reply(&self, out: &mut Writer) {
         const FIELDS: usize = 7;
         out.resp3 = self.resp3;
         out.map_header(FIELDS);
@@ -127,7 +131,7 @@
         out.array_header(0);
     }
 
-    /// The version of the protocol that the client is answered in.
+    /// The protocol version of the replies to the client.
     pub(super) fn protocol_version(&self) -> i64 {
         if self.resp3 { 3 } else { 2 }
     }
--- a/crates/resp-frontend/src/session/cluster_command.rs
+++ b/crates/resp-frontend/src/session/cluster_command.rs
@@ -1,5 +1,5 @@
-//! `CLUSTER`: the fleet as a cluster whose nodes are the instances, so that drivers send each key
-//! to the instance that answers for its slot.
+//! `CLUSTER`: the fleet is presented as a cluster whose nodes are the proxy instances, so that
+//! client libraries send each key to the instance that serves its slot.
 
 use super::cluster_node::{ClusterNode, cluster_nodes};
 use super::reply_parts::{number_field, text_field, unknown_subcommand};
@@ -14,30 +14,30 @@
     let nodes = cluster_nodes(settings);
     match (subcommand.as_str(), arguments.len()) {
         ("KEYSLOT", 3) => out.integer(i64::from(slot_of(arguments.get(2)))),
-        ("MYID", 2) => my_id(&nodes, out),
-        ("INFO", 2) => info(&nodes, out),
-        ("SLOTS", 2) => slots(&nodes, out),
-        ("SHARDS", 2) => shards(&nodes, out),
-        ("NODES", 2) => node_lines(&nodes, out),
+        ("MYID", 2) => write_my_id(&nodes, out),
+        ("INFO", 2) => write_info(&nodes, out),
+        ("SLOTS", 2) => write_slots(&nodes, out),
+        ("SHARDS", 2) => write_shards(&nodes, out),
+        ("NODES", 2) => write_node_lines(&nodes, out),
         _ => unknown_subcommand("CLUSTER", &subcommand, out),
     }
 }
 
-/// The id of this instance; of the first where this one is not among them.
-fn my_id(nodes: &[ClusterNode], out: &mut Writer) {
+/// Writes the node id of this instance, or of the first instance if this one is not in the list.
+fn write_my_id(nodes: &[ClusterNode], out: &mut Writer) {
     let own = nodes.iter().find(|node| node.is_self).or(nodes.first());
     out.bulk_string(own.map_or("", |node| &node.id).as_bytes());
 }
 
-fn info(nodes: &[ClusterNode], out: &mut Writer) {
+fn write_info(nodes: &[ClusterNode], out: &mut Writer) {
     let count = nodes.len();
     let state = format!("cluster_enabled:1\r\ncluster_state:ok\r\ncluster_slots_assigned:{SLOT_COUNT}\r\n");
     let size = format!("cluster_known_nodes:{count}\r\ncluster_size:{count}\r\n");
     out.bulk_string(format!("{state}{size}").as_bytes());
 }
 
-/// For each range of slots: its first and last slot, and its one node.
-fn slots(nodes: &[ClusterNode], out: &mut Writer) {
+/// Writes for each range of slots its first slot, its last slot and its only node.
+fn write_slots(nodes: &[ClusterNode], out: &mut Writer) {
     const RANGE_FIELDS: usize = 3;
     const NODE_FIELDS: usize = 3;
     out.array_header(nodes.len());
@@ -52,8 +52,8 @@
     }
 }
 
-/// For each shard: its slots, and its one node.
-fn shards(nodes: &[ClusterNode], out: &mut Writer) {
+/// Writes for each shard its slots and its only node.
+fn write_shards(nodes: &[ClusterNode], out: &mut Writer) {
     const SHARD_FIELDS: usize = 2;
     const RANGE_ENDS: usize = 2;
     const SHARD_NODES: usize = 1;
@@ -66,11 +66,11 @@
         out.integer(i64::from(node.slots.last));
         out.bulk_string(b"nodes");
         out.array_header(SHARD_NODES);
-        shard_node(node, out);
+        write_shard_node(node, out);
     }
 }
 
-fn shard_node(node: &ClusterNode, out: &mut Writer) {
+fn write_shard_node(node: &ClusterNode, out: &mut Writer) {
     const FIELDS: usize = 7;
     let ip = node.addr.ip().to_string();
     out.map_header(FIELDS);
@@ -83,8 +83,8 @@
     number_field("replication-offset", 0, out);
 }
 
-/// A line a node: `id addr@bus flags master ping pong epoch link slots`.
-fn node_lines(nodes: &[ClusterNode], out: &mut Writer) {
+/// Writes one line per node: `id addr@bus flags master ping pong epoch link slots`.
+fn write_node_lines(nodes: &[ClusterNode], out: &mut Writer) {
     let mut text = String::new();
     for ClusterNode { id, addr, slots, is_self } in nodes {
         let myself = if *is_self { "myself," } else { "" };
--- a/crates/resp-frontend/src/session/command_command.rs
+++ b/crates/resp-frontend/src/session/command_command.rs
@@ -1,12 +1,12 @@
-//! `COMMAND`, as drivers send it when they connect: the table of commands, its length, or rows of
-//! it.
+//! `COMMAND`, which client libraries send when they connect: the specifications of all or some
+//! commands, or the number of commands.
 
 use super::reply_parts::unknown_subcommand;
 use crate::arguments::Arguments;
 use crate::command_table::{COMMANDS, CommandSpec, LastKey};
 use chalkwalk_resp::Writer;
 
-/// The last argument, as the dialect counts positions from the end.
+/// The position of the last argument. Negative positions count from the end.
 const LAST_ARGUMENT: i64 = -1;
 
 /// `COMMAND [subcommand ...]`
@@ -15,29 +15,29 @@
     match subcommand.as_str() {
         "" => {
             out.array_header(COMMANDS.len());
-            COMMANDS.iter().for_each(|spec| row(spec, out));
+            COMMANDS.iter().for_each(|spec| write_command_spec(spec, out));
         }
         "COUNT" => out.integer(COMMANDS.len() as i64),
-        "INFO" => info(arguments, out),
+        "INFO" => write_info(arguments, out),
         "DOCS" => out.map_header(0),
         _ => unknown_subcommand("COMMAND", &subcommand, out),
     }
 }
 
 /// `COMMAND INFO name...`
-fn info(arguments: &Arguments, out: &mut Writer) {
+fn write_info(arguments: &Arguments, out: &mut Writer) {
     let names = 2..arguments.len();
     out.array_header(names.len());
     for position in names {
         match CommandSpec::find(&arguments.keyword(position)) {
-            Some(spec) => row(spec, out),
+            Some(spec) => write_command_spec(spec, out),
             None => out.null(),
         }
     }
 }
 
-/// Name, arity, flags, first key, last key and step.
-fn row(spec: &CommandSpec, out: &mut Writer) {
+/// Writes a command's name, arity, flags, first key, last key and step.
+fn write_command_spec(spec: &CommandSpec, out: &mut Writer) {
     const FIELDS: usize = 6;
     let last_key = match spec.keys.last {
         LastKey::First => spec.keys.first as i64,
--- a/crates/resp-frontend/src/session/state.rs
+++ b/crates/resp-frontend/src/session/state.rs
@@ -1,33 +1,34 @@
-//! What a connection has agreed on so far.
+//! The state of one client's connection.
 
 use crate::settings::Settings;
 
 /// The state of one client's connection.
 #[derive(Debug, Default)]
 pub struct Session {
-    /// The connection's number, which clients see as their id.
+    /// The id of the connection, which `CLIENT ID` reports.
     pub id: u64,
-    /// The client's address.
+    /// The client's address, as text.
     pub peer: String,
     /// The name that the client gave its connection.
     pub name: String,
-    /// The user that it authenticated as; empty where nobody has to.
+    /// The user as which the client authenticated; empty before, or if no authentication is needed.
     pub user: String,
-    /// Whether it may send any command.
+    /// Whether the client may send any command.
     pub authenticated: bool,
-    /// Whether it is answered in RESP3.
+    /// Whether replies to the client are encoded in RESP3.
     pub resp3: bool,
-    /// Whether the connection ends with the next reply.
+    /// Whether the connection ends after the next reply.
     pub closing: bool,
 }
 
 impl Session {
-    /// The state of a new connection.
+    /// Creates the state of a new connection.
     pub fn new(id: u64, peer: String, settings: &Settings) -> Session {
         Session { id, peer, authenticated: settings.users.is_empty(), ..Session::default() }
     }
 
-    /// Whether a command may be sent now: before authentication only few may.
+    /// Whether the client may run a command now. Before authentication only a few commands are
+    /// allowed.
     pub fn may_run(&self, name: &str) -> bool {
         self.authenticated || matches!(name, "AUTH" | "HELLO" | "QUIT")
     }
--- a/crates/resp-frontend/src/session/tests.rs
+++ b/crates/resp-frontend/src/session/tests.rs
@@ -1,4 +1,4 @@
-//! Connection and cluster commands are answered byte for byte as drivers expect.
+//! The replies to connection and cluster commands are exactly those that client libraries expect.
 
 use super::Session;
 use crate::settings::{Instance, Settings, User, hash_secret};
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn connections_are_made_as_drivers_make_them() {
+fn commands_that_client_libraries_send_on_connect_are_answered() {
     let settings = settings();
     let mut session = Session::new(7, "c".into(), &settings);
     let lines = [
@@ -77,7 +77,7 @@
     "#]].assert_eq(&replies);
 }
 
-/// What each command is answered with, line breaks as spaces.
+/// The reply to each command, with spaces instead of line breaks.
 fn replies(session: &mut Session, settings: &Settings, lines: &[&str]) -> String {
     let reply = |line: &&str| {
         let mut out = Writer::default();
--- a/crates/resp-frontend/src/settings.rs
+++ b/crates/resp-frontend/src/settings.rs
@@ -1,73 +1,75 @@
-//! What an operator sets for this frontend: who may connect, how keys map to request classes, and
-//! what clients see of the fleet.
+//! The settings of this frontend: the users that may connect, the request classes of keys, and the
+//! instances that are reported to clients.
 
 use chalkwalk_slot_map::SlotRange;
 use sha2::{Digest, Sha256};
 use std::net::SocketAddr;
 use subtle::ConstantTimeEq;
 
-/// The request classes of keys that begin with a prefix.
+/// The request classes for the keys that begin with a prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PrefixRule {
-    /// What such keys begin with.
+    /// The prefix of the keys.
     pub prefix: String,
-    /// The class of commands that read, by its index in the settings.
+    /// The request class of commands that read: the index of a namespace.
     pub read_class: usize,
-    /// The class of commands that write.
+    /// The request class of commands that write: the index of a namespace.
     pub write_class: usize,
 }
 
-/// An instance of the fleet, as clients see it: as a node of a cluster.
+/// A proxy instance of the fleet, which clients see as a node of a cluster.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Instance {
-    /// Its name, from which its node id is derived.
+    /// The name of the instance, from which its node id is derived.
     pub name: String,
-    /// Where clients reach it.
+    /// The address that clients connect to.
     pub addr: SocketAddr,
-    /// The slots that it answers for.
+    /// The slots that the instance serves.
     pub slots: SlotRange,
 }
 
-/// Somebody who may authenticate.
+/// A user that may authenticate.
 #[derive(Clone, Debug, PartialEq)]
 pub struct User {
-    /// The name that `AUTH` and `HELLO` send.
+    /// The name in `AUTH` and `HELLO`.
     pub name: String,
-    /// SHA-256 of the secret; the secret itself is never stored.
+    /// The SHA-256 hash of the secret. The secret itself is never stored.
     pub secret_sha256: [u8; 32],
 }
 
 /// The settings of this frontend.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The address that clients connect to, by which this instance finds itself among `instances`.
+    /// The address that clients connect to. This process is the instance with this address in
+    /// `instances`.
     pub listen: SocketAddr,
-    /// Servers that are polled for the slot map first.
+    /// The servers that are polled for the first slot map, and later in rotation with the owners of
+    /// slots.
     pub seeds: Vec<SocketAddr>,
-    /// The class of reads of keys without a prefix rule, by its index in the settings.
+    /// The request class of reads of keys without a prefix rule: the index of a namespace.
     pub read_class: usize,
-    /// The class of writes of keys without a prefix rule.
+    /// The request class of writes to keys without a prefix rule: the index of a namespace.
     pub write_class: usize,
-    /// Rules by key prefix; the first that matches applies.
+    /// The rules by key prefix. The first rule that matches a key applies.
     pub prefixes: Vec<PrefixRule>,
-    /// Whether replicas may answer a class's reads, by class.
+    /// For each request class, whether replicas may answer its reads.
     pub stale_reads: Vec<bool>,
-    /// Whether commands with keys in several slots are split into one command a slot.
+    /// Whether commands with keys in several slots are split into one command per slot.
     pub split_multi_slot: bool,
-    /// The instances that clients see; none: this one alone, for all slots.
+    /// The instances that clients see. If empty, clients see only this instance, with all slots.
     pub instances: Vec<Instance>,
-    /// Who may connect; none: no authentication.
+    /// The users that may authenticate. If empty, clients need no authentication.
     pub users: Vec<User>,
 }
 
-/// The hash that is stored of a secret.
+/// The hash under which a secret is stored.
 pub fn hash_secret(secret: &[u8]) -> [u8; 32] {
     Sha256::digest(secret).into()
 }
 
 impl Settings {
-    /// The request class of a command on a key: by the key's prefix, and by whether the command
-    /// writes.
+    /// The request class of a command on a key. It depends on the key's prefix, and on whether the
+    /// command writes.
     pub fn class_of(&self, key: &[u8], write: bool) -> usize {
         let rule = self.prefixes.iter().find(|rule| key.starts_with(rule.prefix.as_bytes()));
         match (rule, write) {
@@ -78,8 +80,8 @@
         }
     }
 
-    /// Whether a name and a secret belong together. The check takes the same time for any name and
-    /// any secret: every user is compared, in constant time.
+    /// Whether `secret` is the secret of the user `name`. The check compares every user in constant
+    /// time, so that its duration does not depend on whether the name or the secret is right.
     pub fn authenticates(&self, name: &[u8], secret: &[u8]) -> bool {
         let secret_hash = hash_secret(secret);
         let name_hash = hash_secret(name);
@@ -90,10 +92,11 @@
         })
     }
 
-    /// The instance that answers for a slot: this one if it does, else the first that does.
+    /// The instance that serves a slot: this one if it serves the slot, else the first one that
+    /// does.
     pub fn instance_of(&self, slot: u16) -> Option<&Instance> {
-        let mut candidates = self.instances.iter().filter(|instance| instance.slots.contains(slot));
-        let own = candidates.clone().find(|instance| instance.addr == self.listen);
-        own.or_else(|| candidates.next())
+        let mut answering = self.instances.iter().filter(|instance| instance.slots.contains(slot));
+        let own = answering.clone().find(|instance| instance.addr == self.listen);
+        own.or_else(|| answering.next())
     }
 }
--- a/crates/resp-frontend/src/slot_map_poll.rs
+++ b/crates/resp-frontend/src/slot_map_poll.rs
@@ -1,4 +1,4 @@
-//! The slot map is polled from the servers: by one call at a time, from one server after the other.
+//! Polls the servers for the slot map, in rotation and with one call at a time.
 
 mod fetch;
 
@@ -16,20 +16,20 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// For one call: a server that takes longer is passed over.
-const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// The size of every server: the cluster reports none, so all count as equal.
+/// Maximum time for one poll. If a server takes longer, the next server is polled.
+const POLL_TIMEOUT: Duration = Duration::from_secs(1);
+/// The size of every server. The cluster reports no sizes, so all servers count as equal.
 const DEFAULT_SIZE: u64 = 100;
 
-/// Puts the seeds on the endpoint list until the cluster has reported its nodes, where its report
-/// is the list.
+/// Applies the seeds as the endpoint list until the cluster has reported its nodes. Does nothing if
+/// another source lists the servers.
 pub fn list_seeds(frontend: &Rc<Frontend>) {
-    if frontend.lists_servers {
-        apply_list(frontend, frontend.settings.seeds.iter().copied());
+    if frontend.discovers_servers {
+        apply_endpoints(frontend, frontend.settings.seeds.iter().copied());
     }
 }
 
-/// Keeps the slot map up to date; never ends.
+/// Keeps the slot map up to date. Never returns.
 pub async fn follow_slot_map(frontend: Rc<Frontend>) {
     let mut loaded = false;
     loop {
@@ -37,14 +37,14 @@
         let engine = &frontend.engine;
         let now = engine.clock.now();
         let nodes = nodes_to_poll(&frontend);
-        let turn = frontend.refresh.borrow_mut().start(now, nodes.len());
-        let Some(node) = nodes.get(turn).copied() else {
-            frontend.refresh.borrow_mut().finish(now, false);
+        let node_index = frontend.refresh_schedule.borrow_mut().start(now, nodes.len());
+        let Some(node) = nodes.get(node_index).copied() else {
+            frontend.refresh_schedule.borrow_mut().finish(now, false);
             continue;
         };
-        let polled = poll(&frontend, node).await;
-        frontend.refresh.borrow_mut().finish(engine.clock.now(), polled.is_ok());
-        match polled {
+        let poll_result = poll_node(&frontend, node).await;
+        frontend.refresh_schedule.borrow_mut().finish(engine.clock.now(), poll_result.is_ok());
+        match poll_result {
             Ok(()) if loaded => {}
             Ok(()) => {
                 loaded = true;
@@ -58,12 +58,12 @@
     }
 }
 
-/// Waits until the next poll is due, which a request for one may bring forward.
+/// Waits until the next poll is due. A request for a poll may bring it forward.
 async fn wait_until_due(frontend: &Frontend) {
     let clock = &frontend.engine.clock;
     loop {
         let now = clock.now();
-        let due = frontend.refresh.borrow().next_due().unwrap_or(now);
+        let due = frontend.refresh_schedule.borrow().next_due().unwrap_or(now);
         if due <= now {
             return;
         }
@@ -72,7 +72,7 @@
     }
 }
 
-/// The nodes that are polled in turn: the owners of slots, and the seeds.
+/// The nodes that are polled in rotation: the owners of slots, and the seeds.
 fn nodes_to_poll(frontend: &Frontend) -> Vec<SocketAddr> {
     let slot_map = frontend.slot_map.borrow();
     let mut nodes: Vec<SocketAddr> =
@@ -83,12 +83,12 @@
     nodes
 }
 
-/// Polls one node and applies its view.
-async fn poll(frontend: &Rc<Frontend>, node: SocketAddr) -> Result<(), FetchError> {
-    let view = within(CALL_TIMEOUT, fetch_view(node)).await.unwrap_or(Err(FetchError::TimedOut))?;
+/// Polls a node and applies its view of the cluster.
+async fn poll_node(frontend: &Rc<Frontend>, node: SocketAddr) -> Result<(), FetchError> {
+    let view = within(POLL_TIMEOUT, fetch_view(node)).await.unwrap_or(Err(FetchError::TimedOut))?;
     frontend.slot_map.borrow_mut().apply_view(&view)?;
-    if frontend.lists_servers {
-        apply_list(frontend, live_nodes(&view));
+    if frontend.discovers_servers {
+        apply_endpoints(frontend, live_nodes(&view));
     }
     Ok(())
 }
@@ -97,13 +97,13 @@
     view.nodes.iter().filter(|node| !node.failed).map(|node| node.addr)
 }
 
-fn apply_list(frontend: &Rc<Frontend>, addrs: impl Iterator<Item = SocketAddr>) {
+fn apply_endpoints(frontend: &Rc<Frontend>, addrs: impl Iterator<Item = SocketAddr>) {
     let endpoints: Vec<ListedEndpoint> = addrs.map(|addr| endpoint(frontend, addr)).collect();
     api::apply_endpoint_list(&frontend.engine, &endpoints, true, false);
 }
 
 fn endpoint(frontend: &Frontend, addr: SocketAddr) -> ListedEndpoint {
-    // The cluster does not report zones: all servers count as near.
+    // The cluster does not report zones, so all servers are listed in the zone of this proxy.
     let engine = &frontend.engine;
     let zone = engine.config.zones.get(engine.classes.zone()).cloned().unwrap_or_default();
     ListedEndpoint {
--- a/crates/resp-frontend/src/slot_map_poll/fetch.rs
+++ b/crates/resp-frontend/src/slot_map_poll/fetch.rs
@@ -1,4 +1,4 @@
-//! One call of `CLUSTER NODES`.
+//! Fetches one reply to `CLUSTER NODES`.
 
 use chalkwalk_resp::{FrameKind, ProtocolError, ReadLimits, Reader, Writer};
 use chalkwalk_slot_map::{ClusterView, OutdatedView, ViewError};
@@ -8,45 +8,46 @@
 use std::net::{SocketAddr, TcpStream};
 use thiserror::Error;
 
-/// The longest reply: a thousand nodes take some 200 bytes each, and their slots as many again.
-const MAX_REPLY: usize = 1 << 20;
+/// Maximum length of the reply. A thousand nodes take some 200 bytes each, and their slots as many
+/// again.
+const MAX_REPLY_BYTES: usize = 1 << 20;
 
-/// Why a poll brought no new view.
+/// Why a poll returned no new view.
 #[derive(Debug, Error)]
 pub enum FetchError {
-    /// The node took too long.
-    #[error("no answer in time")]
+    /// The node did not reply within the time limit.
+    #[error("timed out waiting for the reply to CLUSTER NODES")]
     TimedOut,
-    /// The node could not be reached.
-    #[error("no connection: {0}")]
+    /// The connection could not be established.
+    #[error("cannot connect: {0}")]
     Connect(io::Error),
-    /// The connection broke.
+    /// The connection failed.
     #[error(transparent)]
     Connection(#[from] io::Error),
-    /// The node closed the connection before it replied.
-    #[error("it closed")]
+    /// The node closed the connection before the reply was complete.
+    #[error("the node closed the connection before the reply was complete")]
     Closed,
-    /// The reply is no RESP.
+    /// The reply is not valid RESP.
     #[error(transparent)]
     Protocol(#[from] ProtocolError),
-    /// The reply is of another type, such as an error.
-    #[error("it answered {0}")]
+    /// The reply is not a string, but for example an error.
+    #[error("unexpected reply to CLUSTER NODES: {0}")]
     Unexpected(String),
-    /// The reply is no report of a cluster.
+    /// The reply does not describe a cluster.
     #[error(transparent)]
     View(#[from] ViewError),
-    /// The view is older than the one before.
+    /// The view is older than one that was applied before.
     #[error(transparent)]
     Outdated(#[from] OutdatedView),
 }
 
-/// Fetches a node's view of the cluster, on a connection of its own.
+/// Fetches a node's view of the cluster over a new connection.
 pub async fn fetch_view(node: SocketAddr) -> Result<ClusterView, FetchError> {
     let stream = Async::<TcpStream>::connect(node).await.map_err(FetchError::Connect)?;
     let mut out = Writer::default();
     out.command(&[b"CLUSTER", b"NODES"]);
     write_all(&stream, &[out.as_bytes()]).await?;
-    let mut reader = Reader::new(ReadLimits { max_bulk_bytes: MAX_REPLY, ..ReadLimits::default() });
+    let mut reader = Reader::new(ReadLimits { max_bulk_bytes: MAX_REPLY_BYTES, ..ReadLimits::default() });
     let mut buf = Vec::new();
     let frames = loop {
         if let Some((frames, _)) = reader.next_message(&buf)? {
--- a/crates/resp-frontend/src/test_support.rs
+++ b/crates/resp-frontend/src/test_support.rs
@@ -1,8 +1,8 @@
-//! What several test modules use.
+//! Helpers for several test modules.
 
 use crate::arguments::Arguments;
 
-/// The arguments of a line, as an inline command has them.
+/// Splits a line into arguments, as in an inline command.
 pub fn arguments(line: &str) -> Arguments {
     let mut bytes = Vec::new();
     let mut ranges = Vec::new();
--- a/crates/resp-frontend/tests/settings.rs
+++ b/crates/resp-frontend/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Keys find their request class, users authenticate, and slots find the instance that answers for
-//! them.
+//! The settings determine the request class of a key, the users that authenticate, and the instance
+//! that serves a slot.
 
 use chalkwalk_resp_frontend::{Instance, PrefixRule, Settings, User, hash_secret};
 use chalkwalk_slot_map::SlotRange;
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn the_first_prefix_that_matches_decides_the_class() {
+fn the_first_matching_prefix_determines_the_class() {
     let settings = settings();
     let classes = |key: &[u8]| [settings.class_of(key, false), settings.class_of(key, true)];
     assert_eq!(classes(b"loan:7"), [2, 3]);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_secret_is_good_only_with_its_own_users_name() {
+fn a_secret_authenticates_only_its_own_user() {
     let settings = settings();
     assert!(settings.authenticates(b"ann", b"one") && settings.authenticates(b"bob", b"two"));
     for (name, secret) in [("ann", "two"), ("bob", "one"), ("ann", ""), ("", "one"), ("eve", "one")] {
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn this_instance_answers_where_it_can_and_else_the_first_that_does() {
+fn this_instance_serves_its_own_slots_and_else_the_first_that_has_the_slot() {
     let settings = settings();
     let port = |slot| settings.instance_of(slot).map(|instance| instance.addr.port());
     assert_eq!([10, 70, 120, 170].map(port), [Some(1), Some(2), Some(2), Some(3)]);
--- a/crates/resp/src/read.rs
+++ b/crates/resp/src/read.rs
@@ -24,8 +24,8 @@
     }
 
     /// Returns the frames of the message at the start of the buffer, and the length of the message
-    /// in bytes; `None` while the message is incomplete. After `None`, the next call has to pass the
-    /// same bytes, with further ones appended. After an error the reader can't be used again.
+    /// in bytes; `None` while the message is incomplete. After `None`, the next call has to pass
+    /// the same bytes, with further ones appended. After an error the reader can't be used again.
     pub fn next_message(&mut self, buf: &[u8]) -> Result<Option<(Vec<Frame>, usize)>, ProtocolError> {
         loop {
             if buf.len() > self.limits.max_message_bytes && self.parsed_bytes >= self.limits.max_message_bytes
--- a/crates/slot-map/src/node.rs
+++ b/crates/slot-map/src/node.rs
@@ -52,8 +52,8 @@
 }
 
 fn parse_slots(fields: &[&str]) -> Option<Vec<SlotRange>> {
-    // Slots in migration are listed again in brackets. They are skipped here, as the owner stays the
-    // same until the migration ends.
+    // Slots in migration are listed again in brackets. They are skipped here, as the owner stays
+    // the same until the migration ends.
     let stable_fields = fields.iter().filter(|field| !field.starts_with('[') && !field.is_empty());
     stable_fields.map(|field| SlotRange::parse(field)).collect()
 }
--- a/crates/slot-map/src/route.rs
+++ b/crates/slot-map/src/route.rs
@@ -21,7 +21,8 @@
 }
 
 impl RequestRoute {
-    /// Creates the route of a request for a slot. `stale_reads` allows replicas to serve the request.
+    /// Creates the route of a request for a slot. `stale_reads` allows replicas to serve the
+    /// request.
     pub fn new(slot: u16, stale_reads: bool) -> RequestRoute {
         RequestRoute { slot, stale_reads, redirection_count: 0, ask_target: None }
     }
@@ -50,8 +51,8 @@
         !self.needs_asking(server) && map.owner(self.slot) != Some(server)
     }
 
-    /// Applies a server's error to the route, and a `MOVED` also to the map. Returns whether the map
-    /// has to be refreshed.
+    /// Applies a server's error to the route, and a `MOVED` also to the map. Returns whether the
+    /// map has to be refreshed.
     pub fn on_error(&mut self, meaning: &ErrorMeaning, map: &mut SlotMap) -> bool {
         // An `ASK` holds only for one attempt.
         self.ask_target = None;
@@ -75,8 +76,8 @@
         }
     }
 
-    /// Records that an attempt ended without a reply. If it followed an `ASK`, the next attempt goes
-    /// to the owner again.
+    /// Records that an attempt ended without a reply. If it followed an `ASK`, the next attempt
+    /// goes to the owner again.
     pub fn on_no_answer(&mut self) {
         self.ask_target = None;
     }
--- a/crates/slot-map/src/slot_map.rs
+++ b/crates/slot-map/src/slot_map.rs
@@ -8,8 +8,8 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Maximum number of `MOVED` redirections kept until the next view. Each redirection requests a poll
-/// for a new view, so further ones need not be kept.
+/// Maximum number of `MOVED` redirections kept until the next view. Each redirection requests a
+/// poll for a new view, so further ones need not be kept.
 const MAX_MOVED_SLOTS: usize = 1024;
 
 /// A range of slots with one owner.
@@ -76,9 +76,9 @@
         self.servers_for(slot).next()
     }
 
-    /// Applies a `MOVED` redirection, which is newer than the map: the server that sent it has given
-    /// the slot away, or the map was outdated when the request was sent. Returns whether the map had
-    /// a different owner.
+    /// Applies a `MOVED` redirection, which is newer than the map: the server that sent it has
+    /// given the slot away, or the map was outdated when the request was sent. Returns whether the
+    /// map had a different owner.
     pub fn apply_moved(&mut self, slot: u16, target: SocketAddr) -> bool {
         if slot >= SLOT_COUNT || self.owner(slot) == Some(target) {
             return false;
@@ -89,9 +89,9 @@
         true
     }
 
-    /// Applies a view, slot by slot. An outdated view, which a partitioned node reports, is rejected
-    /// with an error and changes nothing. A slot that no node claims keeps its owner while the owner
-    /// is live, as the slot may be in migration.
+    /// Applies a view, slot by slot. An outdated view, which a partitioned node reports, is
+    /// rejected with an error and changes nothing. A slot that no node claims keeps its owner while
+    /// the owner is live, as the slot may be in migration.
     pub fn apply_view(&mut self, view: &ClusterView) -> Result<(), OutdatedView> {
         let epoch = view.newest_epoch();
         if epoch < self.applied_epoch {
--- a/crates/slot-map/tests/migration.rs
+++ b/crates/slot-map/tests/migration.rs
@@ -1,6 +1,6 @@
-//! A slot migrates to another server and back while two requests for it are in flight. In every order
-//! of the steps, no command runs twice, none runs at a server that does not hold the key, and both
-//! requests end.
+//! A slot migrates to another server and back while two requests for it are in flight. In every
+//! order of the steps, no command runs twice, none runs at a server that does not hold the key, and
+//! both requests end.
 
 use chalkwalk_slot_map::{ClusterView, ErrorMeaning, RequestRoute, SlotMap, classify_error};
 use std::collections::HashSet;
--- a/crates/slot-map/tests/route.rs
+++ b/crates/slot-map/tests/route.rs
@@ -1,4 +1,5 @@
-//! A request follows an `ASK` for one attempt and a `MOVED` for all, up to the limit on redirections.
+//! A request follows an `ASK` for one attempt and a `MOVED` for all, up to the limit on
+//! redirections.
 
 use chalkwalk_slot_map::{ErrorMeaning, RequestRoute, SlotMap};
 use std::net::SocketAddr;
