--- a/crates/resp-frontend/src/command_table.rs
+++ b/crates/resp-frontend/src/command_table.rs
@@ -27,7 +27,7 @@
 pub struct KeyPositions {
     /// The position of the first key.
     pub first: usize,
-    /// The last key.
+    /// The position of the last key.
     pub last: LastKey,
     /// The distance from one key to the next.
     pub step: usize,
--- a/crates/resp-frontend/src/slot_map_poll.rs
+++ b/crates/resp-frontend/src/slot_map_poll.rs
@@ -98,11 +98,11 @@
 }
 
 fn apply_endpoints(frontend: &Rc<Frontend>, addrs: impl Iterator<Item = SocketAddr>) {
-    let endpoints: Vec<ListedEndpoint> = addrs.map(|addr| endpoint(frontend, addr)).collect();
+    let endpoints: Vec<ListedEndpoint> = addrs.map(|addr| listed_endpoint(frontend, addr)).collect();
     api::apply_endpoint_list(&frontend.engine, &endpoints, true, false);
 }
 
-fn endpoint(frontend: &Frontend, addr: SocketAddr) -> ListedEndpoint {
+fn listed_endpoint(frontend: &Frontend, addr: SocketAddr) -> ListedEndpoint {
     // The cluster does not report zones, so all servers are listed in the zone of this proxy.
     let engine = &frontend.engine;
     let zone = engine.config.zones.get(engine.classes.zone()).cloned().unwrap_or_default();
--- a/crates/resp/src/error.rs
+++ b/crates/resp/src/error.rs
@@ -4,7 +4,8 @@
 /// client in an error reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProtocolError {
-    /// The whole message is longer than `ReadLimits::max_message_bytes`.
+    /// The message is longer than `ReadLimits::max_message_bytes`, or an incomplete frame in it is
+    /// longer than a frame may be.
     #[error("too long")]
     MessageTooLong,
     /// A line is longer than `ReadLimits::max_line_bytes`.
--- a/crates/slot-map/tests/migration.rs
+++ b/crates/slot-map/tests/migration.rs
@@ -19,7 +19,7 @@
 struct Cluster {
     step: usize,
     key_server: [usize; 2],
-    owner: [bool; 2],
+    owners: [bool; 2],
     migrating: Option<usize>,
     importing: Option<usize>,
     epoch: [u64; 2],
@@ -41,12 +41,12 @@
             2 => self.key_server[0] = new,
             3 => self.key_server[1] = new,
             4 => {
-                self.owner[new] = true;
+                self.owners[new] = true;
                 self.importing = None;
                 self.epoch[new] = self.epoch[old] + 1;
             }
             _ => {
-                self.owner[old] = false;
+                self.owners[old] = false;
                 self.migrating = None;
             }
         }
@@ -57,7 +57,7 @@
     fn answer(&mut self, request: usize, server: usize, asking: bool) -> Option<String> {
         let has_key = self.key_server[request] == server;
         let other = addr(1 - server);
-        if self.owner[server] {
+        if self.owners[server] {
             if has_key {
                 self.runs[request].push(server);
                 return None;
@@ -107,10 +107,10 @@
 
     /// Applies the view that `server` reports now.
     fn refresh(&mut self, server: usize) {
-        let owner =
-            |index: usize| self.cluster.owner[index] && (index == server || !self.cluster.owner[server]);
+        let is_owner =
+            |index: usize| self.cluster.owners[index] && (index == server || !self.cluster.owners[server]);
         let line = |index: usize| {
-            let slots = if owner(index) { " 0-16383" } else { "" };
+            let slots = if is_owner(index) { " 0-16383" } else { "" };
             format!(
                 "n{index} {}@1 master - 0 0 {} connected{slots}\n",
                 addr(index),
@@ -131,7 +131,7 @@
     let cluster = Cluster {
         step: 0,
         key_server: [SERVER_A, SERVER_A],
-        owner: [true, false],
+        owners: [true, false],
         migrating: None,
         importing: None,
         epoch: [1, 1],
