--- a/crates/resp-frontend/src/request.rs
+++ b/crates/resp-frontend/src/request.rs
@@ -87,7 +87,7 @@
         // A request whose deadline has passed is accepted here, and rejected by the balancer at
         // once.
         let deadline = may_start(engine.clock.now(), received_at + time_limit, engine.response_deadline());
-        let stale_reads = !write && settings.stale_reads.get(namespace) == Some(&true);
+        let allow_stale_reads = !write && settings.stale_reads.get(namespace) == Some(&true);
         Ok(RespRequest {
             frontend: frontend.clone(),
             command: arguments.into_resp(),
@@ -98,7 +98,7 @@
             user: user.to_string(),
             received_at,
             expires_at: deadline.unwrap_or(received_at),
-            route: RefCell::new(RequestRoute::new(slot, stale_reads)),
+            route: RefCell::new(RequestRoute::new(slot, allow_stale_reads)),
             prefixed_servers: RefCell::default(),
         })
     }
--- a/crates/slot-map/src/route.rs
+++ b/crates/slot-map/src/route.rs
@@ -14,17 +14,17 @@
 pub struct RequestRoute {
     slot: u16,
     /// Whether replicas, which may lag behind the owner, may serve the request.
-    stale_reads: bool,
+    allow_stale_reads: bool,
     redirection_count: u32,
     /// The target of an `ASK`: the only server for the next attempt, which begins with `ASKING`.
     ask_target: Option<SocketAddr>,
 }
 
 impl RequestRoute {
-    /// Creates the route of a request for a slot. `stale_reads` allows replicas to serve the
+    /// Creates the route of a request for a slot. With `allow_stale_reads`, replicas may serve the
     /// request.
-    pub fn new(slot: u16, stale_reads: bool) -> RequestRoute {
-        RequestRoute { slot, stale_reads, redirection_count: 0, ask_target: None }
+    pub fn new(slot: u16, allow_stale_reads: bool) -> RequestRoute {
+        RequestRoute { slot, allow_stale_reads, redirection_count: 0, ask_target: None }
     }
 
     /// The servers that may serve the request now, the preferred one first. The list is empty if no
@@ -37,7 +37,7 @@
             return vec![target];
         }
         let servers = map.servers_for(self.slot);
-        if self.stale_reads { servers.collect() } else { servers.take(1).collect() }
+        if self.allow_stale_reads { servers.collect() } else { servers.take(1).collect() }
     }
 
     /// Whether an attempt at `server` has to begin with `ASKING`.
