--- a/crates/balancer/tests/decisions/concurrency_limit.rs
+++ b/crates/balancer/tests/decisions/concurrency_limit.rs
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn servers_that_reject_half_still_get_attempts_and_the_others_are_not_limited_to_the_mean() {
+fn servers_that_reject_half_get_attempts_and_the_others_are_not_limited_to_the_mean_of_all() {
     // At least half of those servers still get one attempt at a time; the fourth server gets what
     // its limit allows.
     expect!["[2, 2, 2, 5] sent, 0 rejected"]
