--- a/crates/capture/src/event.rs
+++ b/crates/capture/src/event.rs
@@ -1,164 +1,168 @@
-//! What a capture is made of: events, decisions, calls and blocks.
+//! The types that a capture stores: events, decisions, calls and blocks.
 //!
-//! Postcard writes no names: the order of fields and of variants is stored data. A new variant goes to the end of its enum.
+//! Postcard stores no names, so the order of fields and variants is part of the stored format. A
+//! new variant goes to the end of its enum.
 
 use chalkwalk_balancer::ServerIndex;
 use chalkwalk_time::{Span, Timestamp};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// One endpoint of the list, as the balancer was given it.
+/// One entry of the endpoint list, as it was passed to the balancer.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RecordedEndpoint {
     /// The server's index in the balancer.
     pub server: ServerIndex,
-    /// The server's id in the list.
+    /// The server's id in the endpoint list.
     pub id: String,
-    /// The index of its zone.
+    /// The index of the server's zone.
     pub zone: usize,
-    /// The index of its kind.
+    /// The index of the server's kind. The origin has a kind of its own.
     pub kind: usize,
-    /// Its cell.
+    /// The server's cell. Servers of one cell drop repeats of the same request.
     pub cell: u64,
-    /// Its weight.
+    /// The server's weight as listed, in hundredths.
     pub size: u64,
-    /// The number of its status.
+    /// The server's status, by its number in captures.
     pub status: u8,
-    /// When its process started.
+    /// When the server's process started.
     pub born: Timestamp,
 }
 
-/// What the balancer was notified of: one call into it.
+/// What the balancer was notified of by one call.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Event {
     /// The balancer was created.
     Start {
-        /// The seed of its random numbers.
+        /// The seed of the balancer's random numbers.
         seed: u64,
-        /// Its settings, by name.
+        /// The balancer's settings, by name.
         settings: BTreeMap<String, String>,
     },
     /// A request was accepted and routed.
     RequestAccepted {
-        /// The index of its class.
+        /// The index of the request class.
         class: usize,
-        /// The point of its key on the ring.
+        /// The position of the request's key on the ring.
         point: u64,
-        /// The text of its key, empty unless the operator has keys recorded.
+        /// The request's key; empty unless the operator has enabled the recording of keys.
         key: String,
-        /// Whether it writes.
+        /// Whether the request is a write.
         write: bool,
-        /// Its deadline.
+        /// The request's deadline.
         expires: Timestamp,
-        /// The servers that it is restricted to, if any.
+        /// The only servers that may serve the request, in the order to try them; `None` if it is
+        /// not restricted.
         order: Option<Vec<ServerIndex>>,
     },
     /// An attempt ended.
     AttemptEnded {
         /// The request's id.
         request_id: u64,
-        /// The attempt's number in the request.
+        /// The attempt's index among those of the request.
         attempt: usize,
-        /// The number of its outcome.
+        /// The attempt's outcome, by its number in captures.
         outcome: u8,
-        /// How long it took.
+        /// How long the attempt took.
         took: Span,
-        /// Whether the client has its answer.
+        /// Whether the client has received its response, from this attempt or an earlier one.
         finished: bool,
-        /// The servers that the request is restricted to from now on, if any.
+        /// The only servers that may serve the request from now on, in the order to try them;
+        /// `None` if nothing changes.
         order: Option<Vec<ServerIndex>>,
     },
     /// The timer with this token fired.
     TimerFired(u64),
-    /// A health check ended.
+    /// A health check of a server ended.
     HealthCheckFinished {
         /// The server that was checked.
         server: ServerIndex,
-        /// Whether it answered.
+        /// Whether the server answered.
         answered: bool,
     },
-    /// Discovery delivered endpoints.
+    /// Service discovery delivered endpoints.
     EndpointsListed {
-        /// Whether they are the whole list, or changes to it.
+        /// Whether `endpoints` is the whole list; otherwise it holds only changes to the list.
         whole: bool,
         /// The endpoints.
         endpoints: Vec<RecordedEndpoint>,
     },
-    /// A call to discovery failed, in captures of versions that did not record how long it took.
+    /// A call to service discovery failed. Written only by older versions, which did not record how
+    /// long the call took.
     DiscoveryLost,
-    /// The client of this request left.
+    /// The client of the request with this id disconnected.
     ClientLeft(u64),
-    /// New settings are in force.
+    /// New settings took effect.
     SettingsChanged(BTreeMap<String, String>),
-    /// New limits hold for a request that is open.
+    /// New limits apply to an open request.
     LimitsRenewed {
         /// The request's id.
         request_id: u64,
-        /// The index of its class.
+        /// The index of the request class.
         class: usize,
-        /// Its deadline.
+        /// The request's new deadline.
         expires: Timestamp,
     },
-    /// How many proxies share the servers.
+    /// The number of proxies that share the servers.
     ProxyCount(u64),
-    /// The balancer's whole state and its settings: a replay may start here.
+    /// The balancer's complete state and its settings. A replay can start here.
     Snapshot {
         /// The settings, by name.
         settings: BTreeMap<String, String>,
-        /// The numbers of the state.
+        /// The numbers of the state, in the order of `chalkwalk_balancer::Snapshot`.
         words: Vec<u64>,
-        /// The texts of the state.
+        /// The texts of the state, in the order of `chalkwalk_balancer::Snapshot`.
         texts: Vec<String>,
     },
-    /// Operators disabled a server or enabled it again.
+    /// An operator disabled a server or enabled it again.
     ServerDisabled {
-        /// The server's id in the list.
+        /// The server's id in the endpoint list.
         id: String,
-        /// Whether it is disabled.
+        /// Whether the server is now disabled.
         out: bool,
         /// When the operator's call was made.
         at: Timestamp,
     },
-    /// The response to an attempt has begun, and goes to the client.
+    /// The first part of an attempt's response arrived and is being forwarded to the client.
     ResponseStarted {
         /// The request's id.
         request_id: u64,
-        /// The attempt's number in the request.
+        /// The attempt's index among those of the request.
         attempt: usize,
     },
-    /// A call to discovery failed.
+    /// A call to service discovery failed.
     DiscoveryCallFailed {
-        /// How long it took.
+        /// How long the call took.
         took: Span,
     },
 }
 
-/// What the balancer wanted done.
+/// An action that the balancer requested.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Decision {
     /// Start an attempt.
     StartAttempt {
         /// The request's id.
         request_id: u64,
-        /// The server to send it to.
+        /// The server to send the request to.
         server: ServerIndex,
         /// When the attempt times out.
         until: Timestamp,
-        /// When the request has to be written at the latest.
+        /// The latest time at which the request may still be written to the server.
         by: Timestamp,
     },
     /// Cancel an attempt.
     CancelAttempt {
         /// The request's id.
         request_id: u64,
-        /// The attempt's number in the request.
+        /// The attempt's index among those of the request.
         attempt: usize,
     },
-    /// Reject a request.
+    /// Reject a request without having served it.
     Reject {
         /// The request's id.
         request_id: u64,
-        /// When the client may retry.
+        /// How long the client is asked to wait before it retries; zero if the response names no time.
         back_in: Span,
     },
     /// Fail the request with this id.
@@ -167,26 +171,28 @@
     CheckHealth(ServerIndex),
     /// Set a timer.
     SetTimer {
-        /// Passed back when it fires.
+        /// Passed back to the balancer when the timer fires.
         token: u64,
-        /// When it fires, from now.
+        /// The time from now until the timer fires.
         after: Span,
     },
     /// Watch the endpoint list.
     WatchEndpoints,
     /// Write a log line.
     Log {
-        /// What happened.
+        /// The stored name of the state change that is logged.
         event: String,
-        /// The server's id, or empty.
+        /// The id of the server concerned; empty if there is none.
         server: String,
     },
-    /// Give a connection back. Only in captures of versions from before connections were pooled outside the balancer.
+    /// Release a connection to this server. Written only by older versions, in which the balancer
+    /// pooled the connections.
     ReleaseConnection(ServerIndex),
 }
 
 impl Event {
-    /// The request that it is about.
+    /// The id of the request that the event concerns. A new request has no id yet, so
+    /// `RequestAccepted` returns `None`.
     pub fn request_id(&self) -> Option<u64> {
         match self {
             Event::AttemptEnded { request_id, .. }
@@ -199,7 +205,7 @@
 }
 
 impl Decision {
-    /// The request that it is about.
+    /// The id of the request that the decision concerns.
     pub fn request_id(&self) -> Option<u64> {
         match self {
             Decision::StartAttempt { request_id, .. }
@@ -211,31 +217,31 @@
     }
 }
 
-/// One call into the balancer.
+/// One call into the balancer and the decisions that it led to.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RecordedCall {
-    /// The time since the call before it.
+    /// The time since the previous call; for the first call of a block, since [`CallBlock::from`].
     pub after: Span,
     /// What the balancer was notified of.
     pub event: Event,
-    /// What it decided, in order.
+    /// What the balancer decided, in order.
     pub decisions: Vec<Decision>,
 }
 
-/// Calls in a row.
+/// Consecutive calls that are stored together.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct CallBlock {
-    /// When the first call is counted from.
+    /// The time that the first call's `after` is relative to.
     pub from: Timestamp,
-    /// The calls.
+    /// The calls, in order.
     pub calls: Vec<RecordedCall>,
 }
 
 /// One item of a capture.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum CaptureItem {
-    /// Calls in a row.
+    /// Consecutive calls.
     Calls(CallBlock),
-    /// So many calls are missing here, because the disk was slow, or full.
+    /// The number of calls that are missing here because the disk was too slow or full.
     Gap(u64),
 }
--- a/crates/capture/src/excerpt.rs
+++ b/crates/capture/src/excerpt.rs
@@ -1,12 +1,14 @@
-//! The smallest part of a capture that still shows one call.
+//! Cuts a capture down to the smallest part from which one call can be replayed.
 
 use crate::event::{CallBlock, CaptureItem, Event, RecordedCall};
 use chalkwalk_time::Span;
 
-/// The items from the last snapshot or start before a call up to that call: all that a replay needs to make it again. Calls are
-/// numbered from 0. `None` where no snapshot or start stands before it.
-pub fn excerpt(items: &[CaptureItem], until: u64) -> Option<Vec<CaptureItem>> {
-    let mut number = 0;
+/// Returns the items from the last snapshot or start of the balancer up to and including one call:
+/// all that a replay of the call needs. Calls are numbered from 0, and calls lost in a gap count.
+/// Returns `None` if the capture does not hold the call, or if neither a snapshot nor a start
+/// precedes it without a gap.
+pub fn excerpt(items: &[CaptureItem], call_number: u64) -> Option<Vec<CaptureItem>> {
+    let mut next_number = 0;
     let mut has_start = false;
     let mut selected = Vec::new();
     for item in items {
@@ -15,28 +17,32 @@
             CaptureItem::Gap(calls) => {
                 selected.clear();
                 has_start = false;
-                number += calls;
+                next_number += calls;
                 continue;
             }
         };
-        let mut at = block.from;
-        let mut part = CallBlock { from: at, calls: Vec::new() };
+        let mut call_time = block.from;
+        let mut selected_block = CallBlock { from: call_time, calls: Vec::new() };
         for call in &block.calls {
-            at += call.after;
+            call_time += call.after;
             if matches!(call.event, Event::Snapshot { .. } | Event::Start { .. }) {
                 selected.clear();
-                part = CallBlock { from: at, calls: Vec::new() };
+                selected_block = CallBlock { from: call_time, calls: Vec::new() };
                 has_start = true;
             }
-            let after = if part.calls.is_empty() && part.from == at { Span::ZERO } else { call.after };
-            part.calls.push(RecordedCall { after, ..call.clone() });
-            if number == until {
-                selected.push(CaptureItem::Calls(part));
+            let after = if selected_block.calls.is_empty() && selected_block.from == call_time {
+                Span::ZERO
+            } else {
+                call.after
+            };
+            selected_block.calls.push(RecordedCall { after, ..call.clone() });
+            if next_number == call_number {
+                selected.push(CaptureItem::Calls(selected_block));
                 return has_start.then_some(selected);
             }
-            number += 1;
+            next_number += 1;
         }
-        selected.push(CaptureItem::Calls(part));
+        selected.push(CaptureItem::Calls(selected_block));
     }
     None
 }
--- a/crates/capture/src/format.rs
+++ b/crates/capture/src/format.rs
@@ -1,69 +1,71 @@
-//! The format of a capture, version 2 (1 had no sizes of servers): a mark, then items, each with its length and checksum.
+//! The file format of a capture, version 2 (version 1 stored no server weights): a signature, then
+//! items, each preceded by its length and checksum.
 
 use crate::event::CaptureItem;
 
-/// What each segment begins with.
+/// The signature that each segment begins with.
 pub const FILE_MARK: &[u8] = b"chalkwalk capture 2\n";
 
-/// An item's head: its length and its checksum, four bytes each, little-endian.
-const HEAD_BYTES: usize = 8;
-const CHECKSUM_AT: usize = 4;
+/// The length of an item's header: the body's length and CRC-32, four bytes each, little-endian.
+const HEADER_BYTES: usize = 8;
+const CHECKSUM_OFFSET: usize = 4;
 
-/// Longer items are no capture's: a block is some kilobytes, a list of ten thousand servers a megabyte.
+/// A longer length is treated as damage: a block takes a few kilobytes, and a list of ten thousand
+/// servers one megabyte.
 const MAX_ITEM_BYTES: usize = 16 << 20;
 
-/// The bytes are no capture of a known version.
+/// The bytes are not a capture, or are one of an unsupported version.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
-#[error("no capture of a form that is known")]
+#[error("expected a capture of a supported version, found another file signature")]
 pub struct NotACapture;
 
-/// Why an item can't be read.
+/// Why an item of a segment can't be read.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub enum ItemError {
-    /// The segment ends within it.
-    #[error("cut short")]
+    /// The segment ends within the item.
+    #[error("item is truncated")]
     Truncated,
-    /// Its length is that of no item.
-    #[error("an item longer than any")]
+    /// The length in the item's header exceeds the maximum.
+    #[error("item length exceeds the maximum")]
     TooLong,
-    /// It was changed after it was written.
-    #[error("a checksum that is another")]
+    /// The item's bytes were changed after they were written.
+    #[error("item does not match its checksum")]
     WrongChecksum,
-    /// Its bytes are no item.
-    #[error("an item that makes no sense")]
+    /// The checksum is right, but the bytes can't be decoded as an item.
+    #[error("item cannot be decoded")]
     Invalid,
 }
 
-/// Where a segment can't be read on, and why.
+/// Where a segment stops being readable, and why.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Damage {
-    /// The first byte that can't be read.
+    /// The offset in the segment of the first item that can't be read, in bytes.
     pub at: usize,
-    /// What is wrong there.
+    /// What is wrong with that item.
     pub error: ItemError,
 }
 
-/// What a capture holds, up to its last whole item.
+/// What one segment holds, up to its first item that can't be read.
 #[derive(Debug, Default)]
 pub struct CaptureContents {
-    /// The items that could be read.
+    /// The items that could be read, in order.
     pub items: Vec<CaptureItem>,
-    /// What is wrong with the rest, if there is one.
+    /// What is wrong after the last of `items`; `None` if the whole segment could be read.
     pub damage: Option<Damage>,
 }
 
-/// The bytes of an item, with its length and checksum.
+/// Encodes an item as a header with its length and checksum, followed by its body.
 pub fn encode_item(item: &CaptureItem) -> Vec<u8> {
     let body = postcard::to_stdvec(item).unwrap_or_default();
-    let mut out = Vec::with_capacity(HEAD_BYTES + body.len());
-    out.extend((body.len() as u32).to_le_bytes());
-    out.extend(crc32fast::hash(&body).to_le_bytes());
-    out.extend(body);
-    out
+    let mut encoded = Vec::with_capacity(HEADER_BYTES + body.len());
+    encoded.extend((body.len() as u32).to_le_bytes());
+    encoded.extend(crc32fast::hash(&body).to_le_bytes());
+    encoded.extend(body);
+    encoded
 }
 
-/// Reads one segment. Only bytes that are no capture at all are an error; a segment that is truncated or damaged is read up to
-/// there.
+/// Reads one segment. A segment that is truncated or damaged is read up to that point. The only
+/// error is a wrong signature.
 pub fn read(bytes: &[u8]) -> Result<CaptureContents, NotACapture> {
     let mut contents = CaptureContents::default();
     let Some(mut rest) = bytes.strip_prefix(FILE_MARK) else {
@@ -88,18 +90,18 @@
     Ok(contents)
 }
 
-/// The first item, and its length with its head.
+/// Decodes the first item, and returns it with its encoded length, which includes the header.
 fn decode_item(bytes: &[u8]) -> Result<(CaptureItem, usize), ItemError> {
-    let (head, rest) = bytes.split_at_checked(HEAD_BYTES).ok_or(ItemError::Truncated)?;
-    let number = |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
-    let length = number(0) as usize;
+    let (header, rest) = bytes.split_at_checked(HEADER_BYTES).ok_or(ItemError::Truncated)?;
+    let u32_at = |at: usize| u32::from_le_bytes([header[at], header[at + 1], header[at + 2], header[at + 3]]);
+    let length = u32_at(0) as usize;
     if length > MAX_ITEM_BYTES {
         return Err(ItemError::TooLong);
     }
     let body = rest.get(..length).ok_or(ItemError::Truncated)?;
-    if crc32fast::hash(body) != number(CHECKSUM_AT) {
+    if crc32fast::hash(body) != u32_at(CHECKSUM_OFFSET) {
         return Err(ItemError::WrongChecksum);
     }
     let item = postcard::from_bytes(body).map_err(|_| ItemError::Invalid)?;
-    Ok((item, HEAD_BYTES + length))
+    Ok((item, HEADER_BYTES + length))
 }
--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -1,7 +1,8 @@
-//! Capture and replay: every call into the balancer and what it decided, as bytes; and the same calls made again.
+//! Records every call into the balancer with the decisions that it led to, and replays recorded calls.
 //!
-//! It may use `balancer`, serde with postcard, and crc32fast. `format`, `outcome`, `recorder`, `replay` and `excerpt` do no I/O;
-//! `writer` and `segments` alone know files and a thread. Nothing of a protocol enters the crate.
+//! The crate may depend on `balancer`, serde with postcard, and crc32fast. `event`, `format`,
+//! `outcome`, `recorder`, `replay` and `excerpt` do no I/O; only `writer` uses a thread and only
+//! `segments` uses files. The crate depends on no network protocol.
 
 mod event;
 mod excerpt;
@@ -17,5 +18,5 @@
 pub use format::{CaptureContents, Damage, FILE_MARK, ItemError, NotACapture, encode_item, read};
 pub use recorder::{Recorder, Sink};
 pub use replay::{Difference, Replay, replay};
-pub use segments::{Retention, segments};
+pub use segments::{Retention, segment_paths};
 pub use writer::{CaptureWriter, OpenError};
--- a/crates/capture/src/outcome.rs
+++ b/crates/capture/src/outcome.rs
@@ -1,4 +1,5 @@
-//! The numbers by which captures have the balancer's enums. They never change, whatever the order in the balancer.
+//! The numbers that captures store for the balancer's enums. They are stored data, so they stay the
+//! same when the order of the variants in the balancer changes.
 
 use crate::event::RecordedEndpoint;
 use chalkwalk_balancer::{AttemptOutcome, Endpoint, EndpointStatus};
@@ -18,21 +19,21 @@
     AttemptOutcome::NotSent,
 ];
 
-/// The number of an outcome in captures.
+/// Returns the number that captures store for an outcome.
 pub(crate) fn outcome_number(outcome: AttemptOutcome) -> u8 {
     OUTCOMES.iter().position(|known| *known == outcome).unwrap_or(0) as u8
 }
 
-/// The outcome with a number of a capture.
-pub(crate) fn outcome_of_number(number: u8) -> Option<AttemptOutcome> {
+/// Returns the outcome for a number in a capture; `None` if the number is unknown.
+pub(crate) fn outcome_from_number(number: u8) -> Option<AttemptOutcome> {
     OUTCOMES.get(usize::from(number)).copied()
 }
 
 const STATUSES: [EndpointStatus; 3] = [EndpointStatus::Ready, EndpointStatus::Draining, EndpointStatus::Gone];
 
 impl RecordedEndpoint {
-    /// An endpoint as captures have it.
-    pub(crate) fn of(endpoint: &Endpoint) -> RecordedEndpoint {
+    /// Converts an endpoint of the balancer to its form in captures.
+    pub(crate) fn from_endpoint(endpoint: &Endpoint) -> RecordedEndpoint {
         let status = STATUSES.iter().position(|known| *known == endpoint.status).unwrap_or(0) as u8;
         RecordedEndpoint {
             server: endpoint.server,
@@ -46,7 +47,7 @@
         }
     }
 
-    /// The endpoint for the balancer; `None` if the status is unknown.
+    /// Converts the endpoint back to the balancer's type; `None` if the status number is unknown.
     pub(crate) fn to_endpoint(&self) -> Option<Endpoint<'_>> {
         let status = *STATUSES.get(usize::from(self.status))?;
         let RecordedEndpoint { server, zone, kind, cell, size, born, .. } = *self;
--- a/crates/capture/src/replay.rs
+++ b/crates/capture/src/replay.rs
@@ -1,4 +1,4 @@
-//! The calls of a capture made again to today's balancer, and where it decides otherwise.
+//! Replays the calls of a capture against the current balancer and reports decisions that differ.
 
 mod apply;
 mod difference;
@@ -9,37 +9,40 @@
 pub use difference::Difference;
 use std::collections::BTreeMap;
 
-/// What a replay found.
+/// The result of a replay.
 #[derive(Debug, Default)]
 pub struct Replay {
-    /// Calls that were replayed.
+    /// The number of calls that were replayed.
     pub calls: u64,
-    /// Recorded decisions of these calls.
+    /// The number of recorded decisions of these calls.
     pub decisions: u64,
-    /// Starts of the balancer, each replayed from there.
+    /// The number of starts of the balancer. The replay continues from each with a new balancer.
     pub starts: u64,
-    /// Snapshots that a replay resumed from.
+    /// The number of snapshots from which the replay resumed.
     pub resumed: u64,
-    /// Snapshots that were compared with the state that the replay had reached.
+    /// The number of snapshots that were compared with the state that the replay had reached.
     pub compared: u64,
-    /// Calls that could not be replayed: before the first start or snapshot, or behind a gap.
+    /// The number of calls that could not be replayed: those before the first start or snapshot, in
+    /// a gap, or after a gap up to the next start or snapshot, and those with an invalid event.
     pub skipped: u64,
-    /// Gaps in the capture.
+    /// The number of gaps in the capture.
     pub gaps: u64,
-    /// The first call that was decided otherwise.
+    /// The first call whose decisions differ.
     pub first_difference: Option<Difference>,
-    /// How many calls were decided otherwise.
+    /// The number of calls whose decisions differ.
     pub differences: u64,
-    /// How many of them are of each kind: the first decisions that differ, as recorded and as replayed.
+    /// The number of these calls by the kind of difference, which is named after the first decision
+    /// that differs.
     pub difference_kinds: BTreeMap<String, u64>,
     /// When the first block begins.
-    pub from: Timestamp,
+    pub started_at: Timestamp,
     /// When the last call was made.
-    pub to: Timestamp,
+    pub last_call_at: Timestamp,
 }
 
-/// Replays items in their order. It goes on behind a difference: from there on the two states differ, and more differences are
-/// likely to follow, up to the next snapshot, from which the balancer goes on as recorded.
+/// Replays items in order. The replay continues after a difference. The replayed state then differs
+/// from the recorded one, so more differences are likely to follow until the next snapshot, from
+/// which the balancer is restored.
 pub fn replay<'a>(items: impl Iterator<Item = &'a CaptureItem>) -> Replay {
     let mut replayer = Replayer::default();
     for item in items {
@@ -55,14 +58,16 @@
 struct Replayer {
     report: Replay,
     balancer: Option<Balancer>,
-    /// The number of the next call, from 0.
+    /// The number of the next call. Calls are numbered from 0.
     next_call: u64,
-    /// The balancer has decided otherwise since the last start or snapshot.
+    /// Whether the balancer's decisions have differed from the recorded ones since the last start
+    /// or snapshot.
     diverged: bool,
 }
 
 impl Replayer {
-    /// What the balancer was notified of in a gap is not known: only a start or a snapshot can be replayed behind it.
+    /// Discards the balancer: the events in a gap are unknown, so only a start or a snapshot can be
+    /// replayed after it.
     fn skip_gap(&mut self, calls: u64) {
         self.balancer = None;
         self.report.gaps += 1;
@@ -72,12 +77,12 @@
 
     fn replay_block(&mut self, block: &CallBlock) {
         let mut at = block.from;
-        if self.report.from == Timestamp::ZERO {
-            self.report.from = at;
+        if self.report.started_at == Timestamp::ZERO {
+            self.report.started_at = at;
         }
         for call in &block.calls {
             at += call.after;
-            self.report.to = at;
+            self.report.last_call_at = at;
             self.replay_call(at, call);
             self.next_call += 1;
         }
--- a/crates/capture/src/replay/apply.rs
+++ b/crates/capture/src/replay/apply.rs
@@ -1,12 +1,13 @@
-//! One event of a capture, made again as a call into the balancer.
+//! Replays one recorded event as a call into the balancer.
 
 use crate::event::{Decision, Event, RecordedEndpoint};
-use crate::outcome::outcome_of_number;
+use crate::outcome::outcome_from_number;
 use chalkwalk_balancer::{Balancer, Effects, RequestId, ServerIndex, Snapshot, StateChange};
 use chalkwalk_time::{Span, Timestamp};
 
-/// Makes one call, and returns what the balancer decides; `None` where there is no balancer to call, or the event is invalid.
-pub(super) fn apply(balancer: &mut Option<Balancer>, at: Timestamp, event: &Event) -> Option<Vec<Decision>> {
+/// Replays one event and returns the balancer's decisions. A start or a snapshot creates the
+/// balancer. Returns `None` if there is no balancer yet or the event is invalid.
+pub(super) fn apply(balancer: &mut Option<Balancer>, now: Timestamp, event: &Event) -> Option<Vec<Decision>> {
     let mut log = DecisionLog::default();
     match (event, balancer.as_mut()) {
         (Event::Start { seed, settings }, _) => *balancer = Some(Balancer::new(*seed, settings, &mut log)),
@@ -16,31 +17,38 @@
         }
         (_, None) => return None,
         (_, Some(running)) => {
-            running.advance_clock(at);
-            call(running, event, &mut log)?;
+            running.advance_clock(now);
+            apply_event(running, event, &mut log)?;
         }
     }
     Some(log.0)
 }
 
-/// Makes one call to a balancer that runs.
-fn call(balancer: &mut Balancer, event: &Event, log: &mut DecisionLog) -> Option<()> {
+/// Replays one event to an existing balancer. Returns `None` if the event is invalid.
+fn apply_event(balancer: &mut Balancer, event: &Event, log: &mut DecisionLog) -> Option<()> {
     match event {
         Event::Start { .. } => {}
         Event::Snapshot { words, texts, .. } => compare_state(balancer, words, texts, log),
-        Event::RequestAccepted { .. } | Event::LimitsRenewed { .. } => admit(balancer, event, log)?,
+        Event::RequestAccepted { .. } | Event::LimitsRenewed { .. } => apply_in_class(balancer, event, log)?,
         Event::AttemptEnded { request_id, attempt, outcome, took, finished, order } => {
             let request_id = RequestId(*request_id);
             if let Some(order) = order {
                 balancer.restrict_to(request_id, order.clone());
             }
-            balancer.attempt_ended(request_id, *attempt, outcome_of_number(*outcome)?, *took, *finished, log);
+            balancer.attempt_ended(
+                request_id,
+                *attempt,
+                outcome_from_number(*outcome)?,
+                *took,
+                *finished,
+                log,
+            );
         }
         Event::TimerFired(token) => balancer.timer_fired(*token, log),
         Event::HealthCheckFinished { server, answered } => {
             balancer.health_check_finished(*server, *answered, log)
         }
-        Event::EndpointsListed { whole, endpoints } => list_endpoints(balancer, *whole, endpoints, log)?,
+        Event::EndpointsListed { whole, endpoints } => apply_endpoints(balancer, *whole, endpoints, log)?,
         Event::DiscoveryLost => balancer.discovery_call_failed(Span::ZERO, log),
         Event::DiscoveryCallFailed { took } => balancer.discovery_call_failed(*took, log),
         Event::ClientLeft(request_id) => balancer.client_left(RequestId(*request_id), log),
@@ -54,11 +62,11 @@
     Some(())
 }
 
-/// The events that name a class of requests: one that the balancer does not have is invalid.
-fn admit(balancer: &mut Balancer, event: &Event, log: &mut DecisionLog) -> Option<()> {
+/// Replays an event that names a request class. Returns `None` if the balancer does not have the class.
+fn apply_in_class(balancer: &mut Balancer, event: &Event, log: &mut DecisionLog) -> Option<()> {
     match event {
         Event::RequestAccepted { class, point, write, expires, order, .. } => {
-            let class = known_class(balancer, *class)?;
+            let class = valid_class(balancer, *class)?;
             let request_id = balancer.accept_request_at(class, *point, *write, *expires);
             if let Some(order) = order {
                 balancer.restrict_to(request_id, order.clone());
@@ -66,7 +74,7 @@
             balancer.route_request(request_id, log);
         }
         Event::LimitsRenewed { request_id, class, expires } => {
-            let class = known_class(balancer, *class)?;
+            let class = valid_class(balancer, *class)?;
             balancer.renew_limits(RequestId(*request_id), class, *expires, log);
         }
         _ => {}
@@ -74,11 +82,11 @@
     Some(())
 }
 
-fn known_class(balancer: &Balancer, class: usize) -> Option<usize> {
+fn valid_class(balancer: &Balancer, class: usize) -> Option<usize> {
     (class < balancer.class_count()).then_some(class)
 }
 
-fn list_endpoints(
+fn apply_endpoints(
     balancer: &mut Balancer,
     whole: bool,
     endpoints: &[RecordedEndpoint],
@@ -93,16 +101,20 @@
     Some(())
 }
 
-/// The recorded state has to be what the calls so far have led to. A difference shows as a decision that no capture holds.
+/// Compares a recorded snapshot with the state that the replayed calls have led to. If they differ,
+/// a log decision is added that no capture contains, so that the replay reports the call as a
+/// difference.
 fn compare_state(balancer: &Balancer, words: &[u64], texts: &[String], log: &mut DecisionLog) {
     let recorded = Snapshot { numbers: words.to_vec(), texts: texts.to_vec() };
     if balancer.snapshot() != Some(recorded) {
-        log.0
-            .push(Decision::Log { event: "another state than the snapshot's".into(), server: String::new() });
+        log.0.push(Decision::Log {
+            event: "replayed state differs from the recorded snapshot".into(),
+            server: String::new(),
+        });
     }
 }
 
-/// Collects what the balancer decides.
+/// Collects the balancer's decisions during one call.
 #[derive(Default)]
 struct DecisionLog(Vec<Decision>);
 
--- a/crates/capture/src/replay/difference.rs
+++ b/crates/capture/src/replay/difference.rs
@@ -1,33 +1,38 @@
-//! A call that the balancer decides otherwise than recorded, and of what kind the difference is.
+//! A replayed call whose decisions differ from the recorded ones, and the kind of the difference.
 
 use crate::event::{Decision, Event};
 use chalkwalk_time::Timestamp;
 
-/// A call that the balancer decides otherwise than it did.
+/// A replayed call whose decisions differ from the recorded ones.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
-    /// The number among all calls, from 0.
+    /// The call's number in the capture. Calls are numbered from 0, and calls lost in a gap count.
     pub call: u64,
     /// When the call was made.
     pub at: Timestamp,
     /// What the balancer was notified of.
     pub event: Event,
-    /// What it decided then.
+    /// The decisions that the capture holds.
     pub recorded: Vec<Decision>,
-    /// What it decides now.
+    /// The decisions of the replay.
     pub replayed: Vec<Decision>,
 }
 
 impl Difference {
-    /// The kind: the first decisions that differ, by their names.
+    /// The kind of the difference: the names of the first recorded and replayed decision that differ.
     pub(super) fn kind(&self) -> String {
-        let alike = self.recorded.iter().zip(&self.replayed).take_while(|(then, now)| then == now).count();
-        let recorded = decision_name(self.recorded.get(alike));
-        let replayed = decision_name(self.replayed.get(alike));
+        let equal_count = self
+            .recorded
+            .iter()
+            .zip(&self.replayed)
+            .take_while(|(recorded, replayed)| recorded == replayed)
+            .count();
+        let recorded = decision_name(self.recorded.get(equal_count));
+        let replayed = decision_name(self.replayed.get(equal_count));
         if recorded == replayed {
-            format!("another {recorded}")
+            format!("different {recorded}")
         } else {
-            format!("{replayed} for {recorded}")
+            format!("{replayed} instead of {recorded}")
         }
     }
 }
--- a/crates/capture/src/segments.rs
+++ b/crates/capture/src/segments.rs
@@ -1,4 +1,5 @@
-//! Captures as files: segments in the order of their names, the oldest deleted first.
+//! The files of a capture: segments, whose names sort in the order in which they were written. The
+//! oldest segments are deleted first.
 
 use crate::format::FILE_MARK;
 use std::fs::File;
@@ -6,25 +7,25 @@
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Where captures are kept, and how much.
+/// Where captures are stored, and how much disk space they may take.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Retention {
-    /// The folder. Many instances may share it.
+    /// The folder for segments. Several instances may share it.
     pub folder: PathBuf,
-    /// The length of a segment.
+    /// The maximum length of a segment, in bytes.
     pub segment_bytes: u64,
-    /// The length of all segments of one instance.
+    /// The maximum total length of the segments of one instance, in bytes.
     pub max_bytes: u64,
 }
 
-/// The segments of one instance, with the one that is being written.
+/// Writes the segments of one instance.
 pub(crate) struct SegmentFiles {
     retention: Retention,
-    /// The instance's name in file names.
+    /// The instance's name as used in file names.
     instance: String,
-    /// The instance's name and its start: what the names of this process's segments begin with.
+    /// The prefix of the file names of this process's segments: the instance's name and the start time.
     prefix: String,
-    next_number: u32,
+    next_segment_number: u32,
     current: Option<File>,
     written_bytes: u64,
 }
@@ -33,29 +34,31 @@
     /// Creates the folder and the first segment.
     pub(crate) fn open(retention: Retention, instance: &str) -> io::Result<SegmentFiles> {
         std::fs::create_dir_all(&retention.folder)?;
-        let safe = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
-        let instance: String = instance.chars().map(safe).collect();
-        let started_ms = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |unix| unix.as_millis());
+        let sanitize = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
+        let instance: String = instance.chars().map(sanitize).collect();
+        let started_ms =
+            SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since_epoch| since_epoch.as_millis());
         let mut files = SegmentFiles {
             retention,
             prefix: format!("{instance}.{started_ms:013}"),
             instance,
-            next_number: 0,
+            next_segment_number: 0,
             current: None,
             written_bytes: 0,
         };
-        files.open_next()?;
+        files.open_next_segment()?;
         Ok(files)
     }
 
-    /// Writes a block into the current segment, or into the next if the current one is full. While the disk is full or gone,
-    /// blocks are lost; the next segment begins once it can.
+    /// Writes a block to the current segment, or to the next one if the current segment is full.
+    /// While the disk is full or unavailable, blocks are lost, and each further block retries to open
+    /// the next segment.
     pub(crate) fn write(&mut self, block: &[u8]) {
         let bytes = block.len() as u64;
         if self.written_bytes + bytes > self.retention.segment_bytes {
             self.current = None;
         }
-        if self.current.is_none() && self.open_next().is_err() {
+        if self.current.is_none() && self.open_next_segment().is_err() {
             return;
         }
         if let Some(file) = &mut self.current {
@@ -66,40 +69,41 @@
         }
     }
 
-    fn open_next(&mut self) -> io::Result<()> {
-        self.delete_oldest();
-        let name = format!("{}.{:06}.capture", self.prefix, self.next_number);
+    fn open_next_segment(&mut self) -> io::Result<()> {
+        self.delete_oldest_segments();
+        let name = format!("{}.{:06}.capture", self.prefix, self.next_segment_number);
         let mut file = File::create(self.retention.folder.join(name))?;
         file.write_all(FILE_MARK)?;
-        self.next_number += 1;
+        self.next_segment_number += 1;
         self.written_bytes = FILE_MARK.len() as u64;
         self.current = Some(file);
         Ok(())
     }
 
-    /// Deletes the oldest segments until there is room for one more.
-    fn delete_oldest(&self) {
-        let length = |path: &PathBuf| path.metadata().map_or(0, |metadata| metadata.len());
-        let own = segments(&self.retention.folder, &self.instance);
-        let mut total: u64 = own.iter().map(length).sum();
-        for path in own {
+    /// Deletes the oldest segments until there is room for a full new one.
+    fn delete_oldest_segments(&self) {
+        let file_length = |path: &PathBuf| path.metadata().map_or(0, |metadata| metadata.len());
+        let paths = segment_paths(&self.retention.folder, &self.instance);
+        let mut total: u64 = paths.iter().map(file_length).sum();
+        for path in paths {
             if total + self.retention.segment_bytes <= self.retention.max_bytes {
                 return;
             }
-            total -= length(&path);
+            total -= file_length(&path);
             _ = std::fs::remove_file(path);
         }
     }
 }
 
-/// The segments of an instance in their order, of all of its starts.
-pub fn segments(folder: &Path, instance: &str) -> Vec<PathBuf> {
-    let is_own = |path: &PathBuf| {
-        let file = path.file_name().and_then(|name| name.to_str()).unwrap_or("");
-        file.strip_prefix(instance).is_some_and(|rest| rest.starts_with('.')) && file.ends_with(".capture")
+/// Returns the paths of an instance's segments, from all of its starts, oldest first.
+pub fn segment_paths(folder: &Path, instance: &str) -> Vec<PathBuf> {
+    let is_instance_segment = |path: &PathBuf| {
+        let file_name = path.file_name().and_then(|name| name.to_str()).unwrap_or("");
+        file_name.strip_prefix(instance).is_some_and(|rest| rest.starts_with('.'))
+            && file_name.ends_with(".capture")
     };
-    let listed = std::fs::read_dir(folder).into_iter().flatten().flatten().map(|entry| entry.path());
-    let mut paths: Vec<PathBuf> = listed.filter(is_own).collect();
+    let entries = std::fs::read_dir(folder).into_iter().flatten().flatten().map(|entry| entry.path());
+    let mut paths: Vec<PathBuf> = entries.filter(is_instance_segment).collect();
     paths.sort();
     paths
 }
--- a/crates/capture/src/writer.rs
+++ b/crates/capture/src/writer.rs
@@ -7,51 +7,55 @@
 use std::sync::mpsc::{SyncSender, sync_channel};
 use std::thread::JoinHandle;
 
-/// Blocks that wait for the disk: some seconds' worth of a busy proxy, and two megabytes at the most.
-const QUEUED_BLOCKS: usize = 128;
+/// The maximum number of blocks that wait to be written: a few seconds' worth on a busy proxy, and
+/// at most two megabytes.
+const MAX_QUEUED_BLOCKS: usize = 128;
 
-/// Why no capture can be written.
+/// Why a capture can't be started.
 #[derive(Debug, thiserror::Error)]
 pub enum OpenError {
     /// The folder or the first segment can't be created.
-    #[error("{}: {error}", folder.display())]
+    #[error("cannot create a segment in {}: {error}", folder.display())]
     Folder {
-        /// The folder of captures.
+        /// The folder for segments.
         folder: PathBuf,
-        /// What the system says.
+        /// The error of the operating system.
         error: io::Error,
     },
-    /// The thread can't be started.
-    #[error("{0}")]
+    /// The thread that writes can't be started.
+    #[error("cannot start the capture thread: {0}")]
     Thread(io::Error),
 }
 
-/// The thread that writes, and the queue to it.
+/// The thread that writes segments, and the queue of blocks for it.
 pub struct CaptureWriter {
     queue: SyncSender<Vec<u8>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl CaptureWriter {
-    /// Opens the first segment. The name of the instance is part of every file's name, so that many may share a folder.
+    /// Opens the first segment and starts the thread. The instance's name is part of every file
+    /// name, so several instances may share a folder.
     pub fn open(retention: Retention, instance: &str) -> Result<CaptureWriter, OpenError> {
         let folder = retention.folder.clone();
         let files = SegmentFiles::open(retention, instance);
         let mut files = files.map_err(|error| OpenError::Folder { folder, error })?;
-        let (queue, blocks) = sync_channel::<Vec<u8>>(QUEUED_BLOCKS);
-        let write_all = move || blocks.iter().for_each(|block| files.write(&block));
-        let thread = std::thread::Builder::new().name("capture".into()).spawn(write_all);
+        let (queue, blocks) = sync_channel::<Vec<u8>>(MAX_QUEUED_BLOCKS);
+        let write_blocks = move || blocks.iter().for_each(|block| files.write(&block));
+        let thread = std::thread::Builder::new().name("capture".into()).spawn(write_blocks);
         let thread = thread.map_err(OpenError::Thread)?;
         Ok(CaptureWriter { queue, thread: Some(thread) })
     }
 
-    /// Queues blocks without ever waiting; one for which the queue has no room is refused.
+    /// Returns a sink that queues items for the thread. It never waits: it refuses an item if the
+    /// queue is full.
     pub fn sink(&self) -> Sink {
         let queue = self.queue.clone();
         Box::new(move |block| queue.try_send(block).is_ok())
     }
 
-    /// Waits until every queued block is written. Every sink has to be dropped by then.
+    /// Waits until every queued block is written. It waits until all sinks are dropped, as the
+    /// thread ends only then.
     pub fn close(mut self) {
         let thread = self.thread.take();
         drop(self);
--- a/crates/capture/tests/replay.rs
+++ b/crates/capture/tests/replay.rs
@@ -1,4 +1,5 @@
-//! A random run of calls into the balancer, captured, truncated at any byte, and replayed.
+//! Records random calls into a balancer and replays the capture: whole, truncated, damaged, from a
+//! snapshot and with a gap.
 
 use chalkwalk_balancer::{
     AttemptOutcome, Balancer, Effects, Endpoint, EndpointStatus, RequestId, ServerIndex, StateChange,
@@ -13,23 +14,27 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-const FILE_MARK: &[u8] = b"chalkwalk capture 2\n";
+const FILE_SIGNATURE: &[u8] = b"chalkwalk capture 2\n";
 
-/// What surrounds a balancer in a proxy: attempts in flight, timers that are due, and the recorder.
-struct Surroundings {
+/// The part of a proxy that surrounds the balancer: attempts in flight, timers, and the recorder.
+struct TestProxy {
     recorder: Recorder,
     now: Timestamp,
+    /// The attempts in flight: the request, the attempt's index in it, and when it was sent.
     attempts: Vec<(RequestId, usize, Timestamp)>,
+    /// The number of attempts of each request so far.
     attempt_counts: BTreeMap<u64, usize>,
+    /// When each timer or health check is due, and its token. The token of a health check is
+    /// `u64::MAX` minus the server's index.
     timers: Vec<(Timestamp, u64)>,
 }
 
-impl Effects for Surroundings {
+impl Effects for TestProxy {
     fn start_attempt(&mut self, request_id: RequestId, server: ServerIndex, until: Timestamp, by: Timestamp) {
         self.recorder.record_decision(Decision::StartAttempt { request_id: request_id.0, server, until, by });
-        let nth = self.attempt_counts.entry(request_id.0).or_default();
-        self.attempts.push((request_id, *nth, self.now));
-        *nth += 1;
+        let attempt_count = self.attempt_counts.entry(request_id.0).or_default();
+        self.attempts.push((request_id, *attempt_count, self.now));
+        *attempt_count += 1;
     }
     fn cancel_attempt(&mut self, request_id: RequestId, attempt: usize) {
         self.recorder.record_decision(Decision::CancelAttempt { request_id: request_id.0, attempt });
@@ -79,38 +84,39 @@
         ("namespace 1 group", "all"),
         ("namespace 1 window", "15000"),
     ];
-    values.iter().map(|(k, v)| (k.to_string(), v.to_string())).collect()
+    values.iter().map(|(name, value)| (name.to_string(), value.to_string())).collect()
 }
 
-/// Makes random calls for so many steps, and returns the capture's bytes. A failing disk accepts no block.
-fn random_run(seed: u64, steps: usize, disk_fails: impl Fn(usize) -> bool + 'static) -> Vec<u8> {
-    let bytes = Rc::new(RefCell::new(FILE_MARK.to_vec()));
-    let (into, count) = (bytes.clone(), RefCell::new(0));
+/// Makes random calls for `steps` steps and returns the capture's bytes. The sink refuses the nth
+/// item if `disk_fails(nth)`.
+fn record_random_calls(seed: u64, steps: usize, disk_fails: impl Fn(usize) -> bool + 'static) -> Vec<u8> {
+    let bytes = Rc::new(RefCell::new(FILE_SIGNATURE.to_vec()));
+    let (written, count) = (bytes.clone(), RefCell::new(0));
     let sink = Box::new(move |block: Vec<u8>| {
         let nth = count.replace_with(|n| *n + 1);
         if disk_fails(nth) {
             return false;
         }
-        into.borrow_mut().extend(block);
+        written.borrow_mut().extend(block);
         true
     });
     let mut random = seed | 1;
-    let mut below = move |end: u64| {
+    let mut random_below = move |end: u64| {
         random ^= random << 13;
         random ^= random >> 7;
         random ^= random << 17;
         random % end
     };
     let start = 17_000_000_000_000;
-    let mut outside = Surroundings {
-        recorder: Recorder::new(sink, seed.is_multiple_of(2)).snapshots_each(Span::from_ticks(2_000)),
+    let mut proxy = TestProxy {
+        recorder: Recorder::new(sink, seed.is_multiple_of(2)).with_snapshot_interval(Span::from_ticks(2_000)),
         now: Timestamp::from_ticks(start),
         attempts: vec![],
         attempt_counts: BTreeMap::new(),
         timers: vec![],
     };
-    outside.recorder.record_event(Timestamp::from_ticks(start), Event::Start { seed, settings: settings() });
-    let mut balancer = Balancer::new(seed, &settings(), &mut outside);
+    proxy.recorder.record_event(Timestamp::from_ticks(start), Event::Start { seed, settings: settings() });
+    let mut balancer = Balancer::new(seed, &settings(), &mut proxy);
     let ids: Vec<String> = (0..9).map(|i| format!("c{i}")).collect();
     let outcomes = [
         AttemptOutcome::Completed,
@@ -125,24 +131,30 @@
         AttemptOutcome::NotSent,
     ];
     for step in 0..steps {
-        outside.now += Span::from_ticks(below(60));
-        let now = outside.now;
+        proxy.now += Span::from_ticks(random_below(60));
+        let now = proxy.now;
         balancer.advance_clock(now);
-        if outside.recorder.wants_snapshot(now) {
-            outside.recorder.snapshot(
+        if proxy.recorder.wants_snapshot(now) {
+            proxy.recorder.snapshot(
                 now,
                 &settings(),
-                balancer.snapshot().expect("no reload, so each request has the settings in force"),
+                balancer.snapshot().expect("settings are never reloaded, so a snapshot is always possible"),
             );
         }
-        match below(20) {
-            _ if step == 0 || below(200) == 0 => {
+        match random_below(20) {
+            _ if step == 0 || random_below(200) == 0 => {
                 let endpoint = |i: usize| {
                     let kind = usize::from(i == 8);
-                    let status =
-                        if i == 8 || below(6) > 0 { EndpointStatus::Ready } else { EndpointStatus::Draining };
-                    let born =
-                        if below(4) == 0 { now - Span::from_ticks(below(60_000)) } else { Timestamp::ZERO };
+                    let status = if i == 8 || random_below(6) > 0 {
+                        EndpointStatus::Ready
+                    } else {
+                        EndpointStatus::Draining
+                    };
+                    let born = if random_below(4) == 0 {
+                        now - Span::from_ticks(random_below(60_000))
+                    } else {
+                        Timestamp::ZERO
+                    };
                     Endpoint {
                         server: i,
                         id: &ids[i],
@@ -155,13 +167,15 @@
                     }
                 };
                 let endpoints: Vec<Endpoint> = (0..9).map(endpoint).collect();
-                outside.recorder.endpoints_listed(now, true, &endpoints);
-                balancer.replace_endpoints(&endpoints, &mut outside);
+                proxy.recorder.endpoints_listed(now, true, &endpoints);
+                balancer.replace_endpoints(&endpoints, &mut proxy);
             }
             0..7 => {
-                let (class, key, write) = (below(2) as usize, format!("k{}", below(60)), below(10) == 0);
-                let order = (below(9) == 0).then(|| vec![below(8) as usize, below(8) as usize]);
-                outside.recorder.request_accepted(
+                let (class, key, write) =
+                    (random_below(2) as usize, format!("k{}", random_below(60)), random_below(10) == 0);
+                let order =
+                    (random_below(9) == 0).then(|| vec![random_below(8) as usize, random_below(8) as usize]);
+                proxy.recorder.request_accepted(
                     now,
                     class,
                     &key,
@@ -173,54 +187,49 @@
                 if let Some(order) = order {
                     balancer.restrict_to(request_id, order);
                 }
-                balancer.route_request(request_id, &mut outside);
+                balancer.route_request(request_id, &mut proxy);
             }
-            7..17 if !outside.attempts.is_empty() => {
+            7..17 if !proxy.attempts.is_empty() => {
                 let (request_id, attempt, sent) =
-                    outside.attempts.swap_remove(below(outside.attempts.len() as u64) as usize);
-                let outcome =
-                    if below(4) > 0 { AttemptOutcome::Completed } else { outcomes[below(10) as usize] };
+                    proxy.attempts.swap_remove(random_below(proxy.attempts.len() as u64) as usize);
+                let outcome = if random_below(4) > 0 {
+                    AttemptOutcome::Completed
+                } else {
+                    outcomes[random_below(10) as usize]
+                };
                 let finished =
                     matches!(outcome, AttemptOutcome::Completed | AttemptOutcome::CompletedFromCache);
-                outside.recorder.attempt_ended(
-                    now,
-                    request_id.0,
-                    attempt,
-                    outcome,
-                    now - sent,
-                    finished,
-                    None,
-                );
-                balancer.attempt_ended(request_id, attempt, outcome, now - sent, finished, &mut outside);
+                proxy.recorder.attempt_ended(now, request_id.0, attempt, outcome, now - sent, finished, None);
+                balancer.attempt_ended(request_id, attempt, outcome, now - sent, finished, &mut proxy);
             }
             17 => {
-                let request_id = below(1 + step as u64 / 3);
-                outside.recorder.record_event(now, Event::ClientLeft(request_id));
-                balancer.client_left(RequestId(request_id), &mut outside);
+                let request_id = random_below(1 + step as u64 / 3);
+                proxy.recorder.record_event(now, Event::ClientLeft(request_id));
+                balancer.client_left(RequestId(request_id), &mut proxy);
             }
             _ => {
-                let Some(i) = (0..outside.timers.len()).find(|i| outside.timers[*i].0 <= now) else {
+                let Some(i) = (0..proxy.timers.len()).find(|i| proxy.timers[*i].0 <= now) else {
                     continue;
                 };
-                let (_, token) = outside.timers.swap_remove(i);
+                let (_, token) = proxy.timers.swap_remove(i);
                 if token > u64::MAX - 100 {
-                    let (server, answered) = ((u64::MAX - token) as usize, below(2) == 0);
-                    outside.recorder.record_event(now, Event::HealthCheckFinished { server, answered });
-                    balancer.health_check_finished(server, answered, &mut outside);
+                    let (server, answered) = ((u64::MAX - token) as usize, random_below(2) == 0);
+                    proxy.recorder.record_event(now, Event::HealthCheckFinished { server, answered });
+                    balancer.health_check_finished(server, answered, &mut proxy);
                 } else {
-                    outside.recorder.record_event(now, Event::TimerFired(token));
-                    balancer.timer_fired(token, &mut outside);
+                    proxy.recorder.record_event(now, Event::TimerFired(token));
+                    balancer.timer_fired(token, &mut proxy);
                 }
             }
         }
     }
-    drop(outside);
-    Rc::try_unwrap(bytes).expect("the recorder is gone").into_inner()
+    drop(proxy);
+    Rc::try_unwrap(bytes).expect("the recorder has been dropped").into_inner()
 }
 
 #[test]
-fn a_replay_decides_the_same_twice_and_truncated_at_a_thousand_bytes() {
-    let bytes = random_run(7, 2_500, |_| false);
+fn a_replay_is_repeatable_and_reads_a_capture_truncated_at_any_of_1000_offsets() {
+    let bytes = record_random_calls(7, 2_500, |_| false);
     let CaptureContents { items, damage } = read(&bytes).unwrap();
     let whole = replay(items.iter());
     assert_eq!((damage, &whole.first_difference, whole.differences, whole.skipped), (None, &None, 0, 0));
@@ -228,42 +237,42 @@
     assert!(whole.compared > 20 && whole.resumed == 0, "{whole:?}");
     let again = replay(items.iter());
     assert_eq!((again.calls, again.decisions, again.differences), (whole.calls, whole.decisions, 0));
-    // Truncated by a crash at any byte: what is there replays, and nothing fails.
+    // A crash can truncate the capture at any byte. What remains has to replay without a difference.
     for nth in 0..1000 {
-        let cut = bytes.len() * nth / 1000;
-        let found = read(&bytes[..cut]).unwrap();
-        let part = replay(found.items.iter());
-        assert!(part.differences == 0 && part.calls <= whole.calls);
-        assert_eq!(part.calls == 0, found.items.is_empty());
+        let offset = bytes.len() * nth / 1000;
+        let truncated = read(&bytes[..offset]).unwrap();
+        let replayed = replay(truncated.items.iter());
+        assert!(replayed.differences == 0 && replayed.calls <= whole.calls);
+        assert_eq!(replayed.calls == 0, truncated.items.is_empty());
     }
 }
 
-/// The items from the nth snapshot on.
+/// Returns the items from the nth snapshot on. Snapshots are numbered from 0.
 fn items_from_snapshot(items: &[CaptureItem], nth: usize) -> Vec<CaptureItem> {
-    let mut left = nth;
-    for (i, item) in items.iter().enumerate() {
+    let mut snapshots_left = nth;
+    for (item_index, item) in items.iter().enumerate() {
         let CaptureItem::Calls(block) = item else { continue };
-        let mut at = block.from;
-        for (c, call) in block.calls.iter().enumerate() {
-            at += call.after;
+        let mut call_time = block.from;
+        for (call_index, call) in block.calls.iter().enumerate() {
+            call_time += call.after;
             if !matches!(call.event, Event::Snapshot { .. }) {
                 continue;
             }
-            if left == 0 {
-                let mut calls = block.calls[c..].to_vec();
+            if snapshots_left == 0 {
+                let mut calls = block.calls[call_index..].to_vec();
                 calls[0].after = Span::ZERO;
-                let first = CaptureItem::Calls(chalkwalk_capture::CallBlock { from: at, calls });
-                return std::iter::once(first).chain(items[i + 1..].iter().cloned()).collect();
+                let first = CaptureItem::Calls(chalkwalk_capture::CallBlock { from: call_time, calls });
+                return std::iter::once(first).chain(items[item_index + 1..].iter().cloned()).collect();
             }
-            left -= 1;
+            snapshots_left -= 1;
         }
     }
     Vec::new()
 }
 
 #[test]
-fn a_replay_from_any_snapshot_decides_the_same_as_from_the_start() {
-    let bytes = random_run(11, 2_500, |_| false);
+fn a_replay_from_any_snapshot_makes_the_recorded_decisions() {
+    let bytes = record_random_calls(11, 2_500, |_| false);
     let items = read(&bytes).unwrap().items;
     for nth in 0..20 {
         let part = items_from_snapshot(&items, nth);
@@ -275,37 +284,38 @@
         );
         assert!(replayed.calls > 100 && replayed.compared > 0, "{nth} {replayed:?}");
     }
-    // A state with a number changed is another state, or none at all, and the next snapshot shows it.
-    let mut part = items_from_snapshot(&items, 3);
-    let CaptureItem::Calls(block) = &mut part[0] else { unreachable!() };
+    // A snapshot with a changed number is a different state or an invalid one, and the comparison
+    // with the next snapshot shows it.
+    let mut changed = items_from_snapshot(&items, 3);
+    let CaptureItem::Calls(block) = &mut changed[0] else { unreachable!() };
     let Event::Snapshot { words, .. } = &mut block.calls[0].event else { unreachable!() };
     words[4] += 1;
-    assert!(replay(part.iter()).differences > 0);
+    assert!(replay(changed.iter()).differences > 0);
 }
 
 #[test]
-fn an_excerpt_holds_all_that_a_replay_of_a_call_needs() {
-    let items = read(&random_run(12, 2_500, |_| false)).unwrap().items;
-    for until in [0, 5, 400, 1_200] {
-        let part = excerpt(&items, until).expect("a start stands before it");
+fn an_excerpt_holds_everything_that_a_replay_of_the_call_needs() {
+    let items = read(&record_random_calls(12, 2_500, |_| false)).unwrap().items;
+    for call_number in [0, 5, 400, 1_200] {
+        let part = excerpt(&items, call_number).expect("a start precedes the call");
         let (whole, replayed) = (replay(items.iter()), replay(part.iter()));
-        assert_eq!((replayed.differences, replayed.skipped), (0, 0), "{until}");
-        assert!(replayed.calls <= whole.calls && replayed.calls < 400, "{until}: {replayed:?}");
+        assert_eq!((replayed.differences, replayed.skipped), (0, 0), "{call_number}");
+        assert!(replayed.calls <= whole.calls && replayed.calls < 400, "{call_number}: {replayed:?}");
     }
     assert_eq!(excerpt(&items, 1 << 40), None);
 }
 
 #[test]
-fn a_decision_that_differs_is_reported_with_the_event_before_it() {
-    let bytes = random_run(8, 2_000, |_| false);
+fn a_decision_that_differs_is_reported_with_the_event_that_led_to_it() {
+    let bytes = record_random_calls(8, 2_000, |_| false);
     let mut items = read(&bytes).unwrap().items;
-    let Some(CaptureItem::Calls(block)) = items.get_mut(5) else { panic!("no block") };
-    let at = block
+    let Some(CaptureItem::Calls(block)) = items.get_mut(5) else { panic!("item 5 is not a block of calls") };
+    let call_index = block
         .calls
         .iter()
-        .position(|c| c.decisions.iter().any(|d| matches!(d, Decision::StartAttempt { .. })))
-        .expect("an attempt");
-    let call = &mut block.calls[at];
+        .position(|call| call.decisions.iter().any(|d| matches!(d, Decision::StartAttempt { .. })))
+        .expect("a call that starts an attempt");
+    let call = &mut block.calls[call_index];
     for decision in &mut call.decisions {
         if let Decision::StartAttempt { server, .. } = decision {
             *server += 1;
@@ -313,20 +323,22 @@
     }
     let (event, recorded) = (call.event.clone(), call.decisions.clone());
     let replayed = replay(items.iter());
-    let first = replayed.first_difference.expect("a difference");
-    assert_eq!((replayed.differences, first.event, first.recorded), (1, event, recorded));
+    let difference = replayed.first_difference.expect("a difference");
+    assert_eq!((replayed.differences, difference.event, difference.recorded), (1, event, recorded));
     assert_eq!(
         replayed.difference_kinds.into_iter().collect::<Vec<_>>(),
-        [("another attempt".to_string(), 1)]
+        [("different attempt".to_string(), 1)]
     );
 }
 
 #[test]
-fn blocks_refused_by_the_disk_are_a_gap_and_a_replay_resumes_at_the_next_snapshot() {
-    let bytes = random_run(9, 6_000, |nth| (10..14).contains(&nth));
+fn blocks_refused_by_the_sink_become_a_gap_and_a_replay_resumes_at_the_next_snapshot() {
+    let bytes = record_random_calls(9, 6_000, |nth| (10..14).contains(&nth));
     let items = read(&bytes).unwrap().items;
-    let gaps: Vec<u64> =
-        items.iter().filter_map(|i| if let CaptureItem::Gap(n) = i { Some(*n) } else { None }).collect();
+    let gaps: Vec<u64> = items
+        .iter()
+        .filter_map(|item| if let CaptureItem::Gap(calls) = item { Some(*calls) } else { None })
+        .collect();
     let replayed = replay(items.iter());
     assert!(gaps.len() == 1 && gaps[0] > 200, "{gaps:?}");
     assert!(replayed.differences == 0 && replayed.calls > 3_000 && replayed.resumed == 1, "{replayed:?}");
@@ -334,20 +346,30 @@
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { cases: 400, rng_seed: RngSeed::Fixed(1), failure_persistence: None, ..ProptestConfig::default() })]
+    #![proptest_config(ProptestConfig {
+        cases: 400,
+        rng_seed: RngSeed::Fixed(1),
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    })]
 
-    /// Any bytes are read without a panic, and a good capture with any byte changed is read up to there, and no more.
+    /// Arbitrary bytes are read without a panic. An intact capture with any one byte changed is
+    /// read at most up to that byte.
     #[test]
-    fn damaged_bytes_are_reported(noise in proptest::collection::vec(any::<u8>(), 0..300), at in any::<usize>(), with in 1u8..) {
+    fn damaged_bytes_are_reported(
+        noise in proptest::collection::vec(any::<u8>(), 0..300),
+        position in any::<usize>(),
+        xor_mask in 1u8..
+    ) {
         _ = read(&noise);
-        _ = read(&[FILE_MARK, &noise].concat());
-        let good = random_run(3, 400, |_| false);
-        let mut bytes = good.clone();
-        let at = FILE_MARK.len() + at % (bytes.len() - FILE_MARK.len());
-        bytes[at] ^= with;
-        let (damaged, whole) = (read(&bytes).unwrap(), read(&good).unwrap());
-        prop_assert!(damaged.damage.is_some_and(|damage| damage.at <= at));
+        _ = read(&[FILE_SIGNATURE, &noise].concat());
+        let intact = record_random_calls(3, 400, |_| false);
+        let mut bytes = intact.clone();
+        let position = FILE_SIGNATURE.len() + position % (bytes.len() - FILE_SIGNATURE.len());
+        bytes[position] ^= xor_mask;
+        let (damaged, whole) = (read(&bytes).unwrap(), read(&intact).unwrap());
+        prop_assert!(damaged.damage.is_some_and(|damage| damage.at <= position));
         prop_assert!(whole.items.starts_with(&damaged.items));
-        prop_assert_eq!(encode_item(&whole.items[0]).len() + FILE_MARK.len() <= good.len(), true);
+        prop_assert_eq!(encode_item(&whole.items[0]).len() + FILE_SIGNATURE.len() <= intact.len(), true);
     }
 }
--- a/crates/simulator-adapter/src/actions.rs
+++ b/crates/simulator-adapter/src/actions.rs
@@ -1,4 +1,4 @@
-//! The effects of the balancer, as actions of the wire.
+//! Translates the balancer's effects into actions of the simulator's protocol.
 
 use crate::fields::NANOSECONDS_PER_TICK;
 use crate::names::Names;
@@ -6,14 +6,14 @@
 use chalkwalk_time::{Span, Timestamp};
 use serde_json::{Value, json};
 
-/// Appends an action for each effect.
+/// Appends an action to `actions` for each effect of the balancer.
 pub struct ActionWriter<'a> {
     names: &'a Names,
     actions: &'a mut Vec<Value>,
 }
 
 impl<'a> ActionWriter<'a> {
-    /// A writer for one call of the balancer.
+    /// Creates a writer for the effects of one call into the balancer.
     pub fn new(names: &'a Names, actions: &'a mut Vec<Value>) -> ActionWriter<'a> {
         ActionWriter { names, actions }
     }
@@ -28,14 +28,14 @@
         &mut self,
         request_id: RequestId,
         server: ServerIndex,
-        until: Timestamp,
-        _by: Timestamp,
+        deadline: Timestamp,
+        _write_deadline: Timestamp,
     ) {
         self.actions.push(json!({
             "kind": "ROUTE",
             "req": self.number(request_id),
             "node": self.names.servers.name(server),
-            "notPastNs": until.ticks() * NANOSECONDS_PER_TICK,
+            "notPastNs": deadline.ticks() * NANOSECONDS_PER_TICK,
         }));
     }
     fn cancel_attempt(&mut self, request_id: RequestId, attempt: usize) {
@@ -61,10 +61,10 @@
         self.actions.push(json!({"kind": "SUBSCRIBE", "active": true}));
     }
     fn report(&mut self, change: StateChange) {
-        let text = match change.server() {
+        let note_text = match change.server() {
             Some(server) => format!("{} {server}", change.stored_name()),
             None => change.stored_name().to_string(),
         };
-        self.actions.push(json!({"kind": "REMARK", "noteText": text}));
+        self.actions.push(json!({"kind": "REMARK", "noteText": note_text}));
     }
 }
--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -1,22 +1,23 @@
-//! The instances of one simulator, which share nothing, and the batches of events that it sends them.
+//! The simulated proxies of one simulator, which share no state, and the batches of events that it
+//! sends them.
 
 use crate::fields::{list_entries, timestamp};
-use crate::instance::{Instance, Lists};
+use crate::instance::{EndpointLists, Instance};
 use chalkwalk_settings::fields::{FieldResult, JsonObject, integer, list, object, text};
 use chalkwalk_time::Timestamp;
 use serde_json::{Value, json};
 use std::collections::HashMap;
 
-/// The instances by their number.
+/// All instances, and the endpoint lists that the simulator has declared for them.
 #[derive(Default)]
 pub struct Instances {
-    /// One that was killed stays declared, so that a stray event for it is no error.
+    /// The instances by number. A crashed instance stays as `None`, so that a late event for it is no error.
     instances: HashMap<u64, Option<Instance>>,
-    lists: Lists,
+    lists: EndpointLists,
 }
 
 impl Instances {
-    /// Takes a line of the wire, and returns the reply: the actions of each group of events.
+    /// Handles one line of the protocol and returns the reply: the actions for each group of events.
     pub fn handle_batch(&mut self, line: &str) -> FieldResult<Value> {
         let batch: Value = serde_json::from_str(line).map_err(|error| format!("not JSON: {error}"))?;
         let batch = object(&batch, "batch")?;
--- a/crates/simulator-adapter/src/names.rs
+++ b/crates/simulator-adapter/src/names.rs
@@ -1,9 +1,9 @@
-//! The wire's names and numbers, and what the balancer calls the same: small indices and ids of its own.
+//! Maps names and numbers of the simulator's protocol to the balancer's indices and ids, and back.
 
 use chalkwalk_balancer::RequestId;
 use std::collections::HashMap;
 
-/// Names met so far, in order of appearance, each with an index.
+/// The names seen so far. A name's index is its position in order of first appearance.
 #[derive(Default)]
 pub struct NameIndex {
     indices: HashMap<String, usize>,
@@ -11,8 +11,8 @@
 }
 
 impl NameIndex {
-    /// The index of a name, which has one from then on.
-    pub fn index_of(&mut self, name: &str) -> usize {
+    /// Returns the index of a name, and assigns the next index to a new name.
+    pub fn get_or_insert(&mut self, name: &str) -> usize {
         if let Some(index) = self.indices.get(name) {
             return *index;
         }
@@ -22,18 +22,18 @@
         index
     }
 
-    /// The index of a name that was met before.
-    pub fn known(&self, name: &str) -> Option<usize> {
+    /// Returns the index of a name if the name has been seen before.
+    pub fn get(&self, name: &str) -> Option<usize> {
         self.indices.get(name).copied()
     }
 
-    /// The name with an index.
+    /// Returns the name with an index. The index must have been assigned.
     pub fn name(&self, index: usize) -> &str {
         &self.names[index]
     }
 }
 
-/// The open requests by their number on the wire and by their id at the balancer.
+/// The requests, by their number in the simulator's protocol and by their id in the balancer.
 #[derive(Default)]
 pub struct RequestNumbers {
     ids: HashMap<u64, RequestId>,
@@ -41,41 +41,41 @@
 }
 
 impl RequestNumbers {
-    /// A request is open.
+    /// Adds a request that the balancer has accepted.
     pub fn insert(&mut self, number: u64, id: RequestId) {
         self.ids.insert(number, id);
         self.numbers.insert(id, number);
     }
 
-    /// A request is done with.
+    /// Removes a finished request.
     pub fn remove(&mut self, number: u64, id: RequestId) {
         self.ids.remove(&number);
         self.numbers.remove(&id);
     }
 
-    /// The id of a request, if it is open.
+    /// Returns the id of a request, if the request is known.
     pub fn id(&self, number: u64) -> Option<RequestId> {
         self.ids.get(&number).copied()
     }
 
-    /// The number of an open request.
+    /// Returns the number of a request, which must be known.
     pub fn number(&self, id: RequestId) -> u64 {
         self.numbers[&id]
     }
 
-    /// How many there are, with those that are done with and were not removed.
+    /// Returns the number of requests, including finished ones that were not removed yet.
     pub fn len(&self) -> usize {
         self.numbers.len()
     }
 
-    /// Keeps those that are still open.
+    /// Removes the requests for which `is_open` is false.
     pub fn retain(&mut self, is_open: impl Fn(RequestId) -> bool) {
         self.numbers.retain(|id, _| is_open(*id));
         self.ids.retain(|_, id| is_open(*id));
     }
 }
 
-/// All that the wire names and the balancer numbers.
+/// The servers, zones and requests that the protocol names and the balancer knows by index or id.
 #[derive(Default)]
 pub struct Names {
     pub servers: NameIndex,
