--- a/crates/capture/src/segments.rs
+++ b/crates/capture/src/segments.rs
@@ -12,9 +12,9 @@
 pub struct Retention {
     /// The folder for segments. Several instances may share it.
     pub folder: PathBuf,
-    /// The maximum length of a segment, in bytes.
+    /// The length in bytes beyond which the next segment is started.
     pub segment_bytes: u64,
-    /// The maximum total length of the segments of one instance, in bytes.
+    /// The total length in bytes beyond which the oldest segments of the instance are deleted.
     pub max_bytes: u64,
 }
 
--- a/crates/capture/src/writer.rs
+++ b/crates/capture/src/writer.rs
@@ -54,8 +54,8 @@
         Box::new(move |block| queue.try_send(block).is_ok())
     }
 
-    /// Waits until every queued block is written. It waits until all sinks are dropped, as the
-    /// thread ends only then.
+    /// Waits until every queued block is written. The thread ends only after all sinks are dropped,
+    /// so the caller has to drop them first.
     pub fn close(mut self) {
         let thread = self.thread.take();
         drop(self);
