--- a/crates/proxy/tests/discovery_outage.rs
+++ b/crates/proxy/tests/discovery_outage.rs
@@ -1,8 +1,9 @@
-//! A fleet of proxy processes whose discovery service fails and returns, with a server that begins to drain in the very
-//! moment of the return.
+//! A fleet of proxy processes whose discovery service fails and recovers, while one server starts
+//! draining at the moment of recovery.
 //!
-//! Whatever was allowed after the failed calls, the drain counts as notified to every process 6 s after discovery had it and
-//! could be reached; from then on the grace runs, and after it nothing new may reach the draining server.
+//! The drain counts as notified to every process 6 s after discovery has it and is reachable again,
+//! whatever retry delay the failed calls have led to. The drain grace runs from then on, and after
+//! it no new request may reach the draining server.
 
 use serde_json::{Value, json};
 use std::io::{Read, Write};
@@ -14,38 +15,38 @@
 use std::time::{Duration, Instant};
 
 const PROCESSES: usize = 16;
-/// Long enough for a rest that doubles with each failure to be at its longest.
-const OUTAGE: Duration = Duration::from_secs(21);
-/// A change counts as notified so long after discovery had it and could be reached.
-const NOTIFIED_BY: Duration = Duration::from_secs(6);
-const GRACE: Duration = Duration::from_secs(1);
-/// What a loaded machine may add between a proxy's write and the stand-in's read.
-const SLACK: Duration = Duration::from_millis(200);
-const BETWEEN_REQUESTS: Duration = Duration::from_millis(40);
+/// Long enough for a retry delay that doubles with each failure to reach its maximum.
+const OUTAGE_DURATION: Duration = Duration::from_secs(21);
+/// A change counts as notified this long after discovery has it and is reachable.
+const NOTIFY_DEADLINE: Duration = Duration::from_secs(6);
+const DRAIN_GRACE: Duration = Duration::from_secs(1);
+/// Delay that a loaded machine may add between a proxy's write and the stand-in's read.
+const LOAD_SLACK: Duration = Duration::from_millis(200);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(40);
 const SERVERS: [&str; 3] = ["draining", "steady-1", "steady-2"];
 
 /// How discovery fails.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Outage {
-    /// Nothing listens.
+    /// Nothing listens on the address.
     Refuses,
     /// Connections are accepted and reset.
     Resets,
-    /// Calls are answered 503 at once.
+    /// Calls are answered with status 503 at once.
     Unavailable,
     /// Calls are read and never answered.
     Silent,
-    /// The head and a part of the body come, and nothing more.
+    /// The head and a part of the body are sent, then nothing more.
     HalfAnswer,
 }
 
-/// The service's state, which the stand-ins of all processes share.
+/// State of the discovery service, shared by the stand-ins of all processes.
 struct Discovery {
     outage: Outage,
     down: AtomicBool,
-    returned: Mutex<Option<Instant>>,
-    /// When each process was first answered after the return, by its number.
-    answered: Mutex<Vec<Option<Instant>>>,
+    recovered_at: Mutex<Option<Instant>>,
+    /// When each process got its first response after the recovery, by process number.
+    first_answers: Mutex<Vec<Option<Instant>>>,
 }
 
 impl Discovery {
@@ -53,40 +54,41 @@
         self.down.load(Ordering::SeqCst)
     }
 
-    /// Version 2 has the drain.
+    /// Version of the current list. Version 2 contains the drain.
     fn version(&self) -> u64 {
-        1 + u64::from(self.returned.lock().unwrap().is_some())
+        1 + u64::from(self.recovered_at.lock().unwrap().is_some())
     }
 }
 
-/// Reads one message without a body; `None` at the end of the connection.
+/// Reads one message without a body. Returns `None` at the end of the connection.
 fn read_head(stream: &mut TcpStream) -> Option<String> {
-    let (mut seen, mut buffer) = (Vec::new(), [0; 4096]);
-    while !seen.windows(4).any(|end| end == b"\r\n\r\n") {
+    let (mut received, mut buffer) = (Vec::new(), [0; 4096]);
+    while !received.windows(4).any(|end| end == b"\r\n\r\n") {
         match stream.read(&mut buffer) {
-            Ok(count @ 1..) => seen.extend(&buffer[..count]),
+            Ok(count @ 1..) => received.extend(&buffer[..count]),
             _ => return None,
         }
     }
-    Some(String::from_utf8_lossy(&seen).to_string())
+    Some(String::from_utf8_lossy(&received).to_string())
 }
 
-fn query(head: &str, name: &str) -> Option<u64> {
+fn query_parameter(head: &str, name: &str) -> Option<u64> {
     let target = head.split_whitespace().nth(1)?;
     let found = target.split(['?', '&']).find_map(|part| part.strip_prefix(name)?.strip_prefix('='));
     found?.parse().ok()
 }
 
 fn server_list(servers: &[SocketAddr], version: u64) -> String {
-    let line = |(i, addr): (usize, &SocketAddr)| {
+    let entry = |(i, addr): (usize, &SocketAddr)| {
         let state = if i == 0 && version > 1 { "DRAINING" } else { "SERVING" };
         json!({"id": SERVERS[i], "addr": addr.to_string(), "zone": "here", "kind": "cache", "state": state})
     };
-    let lines: Vec<Value> = servers.iter().enumerate().map(line).collect();
-    json!({"version": version, "full": true, "servers": lines}).to_string()
+    let entries: Vec<Value> = servers.iter().enumerate().map(entry).collect();
+    json!({"version": version, "full": true, "servers": entries}).to_string()
 }
 
-/// Answers one call, or fails it as the outage has it; whether the connection goes on.
+/// Answers one call, or fails it in the way of the outage. Returns whether the connection stays
+/// open.
 fn answer_call(
     discovery: &Discovery,
     process: usize,
@@ -94,8 +96,8 @@
     stream: &mut TcpStream,
 ) -> bool {
     let Some(head) = read_head(stream) else { return false };
-    if let Some(index) = query(&head, "index") {
-        let wait = Duration::from_millis(query(&head, "wait").unwrap_or(0));
+    if let Some(index) = query_parameter(&head, "index") {
+        let wait = Duration::from_millis(query_parameter(&head, "wait").unwrap_or(0));
         let end = Instant::now() + wait;
         while index >= discovery.version() && Instant::now() < end && !discovery.is_down() {
             sleep(Duration::from_millis(5));
@@ -103,11 +105,11 @@
     }
     let version = discovery.version();
     let body = server_list(servers, version);
-    let whole = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
     if !discovery.is_down() {
-        let written = stream.write_all(whole.as_bytes()).is_ok();
+        let written = stream.write_all(response.as_bytes()).is_ok();
         if written && version > 1 {
-            discovery.answered.lock().unwrap()[process].get_or_insert_with(Instant::now);
+            discovery.first_answers.lock().unwrap()[process].get_or_insert_with(Instant::now);
         }
         return written;
     }
@@ -118,17 +120,22 @@
         }
         Outage::Silent => read_head(stream).is_some(),
         Outage::HalfAnswer => {
-            _ = stream.write_all(&whole.as_bytes()[..whole.len() / 2]);
+            _ = stream.write_all(&response.as_bytes()[..response.len() / 2]);
             read_head(stream).is_some()
         }
     }
 }
 
-/// The service as one process reaches it.
-fn serve_discovery(discovery: Arc<Discovery>, process: usize, servers: Arc<Vec<SocketAddr>>, at: SocketAddr) {
+/// Runs the discovery service as one process reaches it.
+fn serve_discovery(
+    discovery: Arc<Discovery>,
+    process: usize,
+    servers: Arc<Vec<SocketAddr>>,
+    listen_addr: SocketAddr,
+) {
     spawn(move || {
         loop {
-            let Ok(listener) = TcpListener::bind(at) else {
+            let Ok(listener) = TcpListener::bind(listen_addr) else {
                 sleep(Duration::from_millis(2));
                 continue;
             };
@@ -140,7 +147,7 @@
                 };
                 stream.set_nonblocking(false).unwrap();
                 if discovery.is_down() && discovery.outage == Outage::Resets {
-                    // Closed over unread bytes, it is reset.
+                    // Closing a socket with unread bytes resets the connection.
                     _ = stream.peek(&mut [0]);
                     continue;
                 }
@@ -155,24 +162,24 @@
     });
 }
 
-/// When each process last sent to the draining server, by its number.
+/// When each process last sent a request to the draining server, by process number.
 type LastSends = Arc<Mutex<Vec<Option<Instant>>>>;
 
-/// A server that notes who sent to it, and turns everything away once it drains.
-fn serve_requests(discovery: Arc<Discovery>, drains: bool, last: LastSends) -> SocketAddr {
+/// Runs a server that records which process sent to it, and rejects every request once it drains.
+fn serve_requests(discovery: Arc<Discovery>, will_drain: bool, last_sends: LastSends) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     spawn(move || {
         for mut stream in listener.incoming().flatten() {
-            let (discovery, last) = (discovery.clone(), last.clone());
+            let (discovery, last_sends) = (discovery.clone(), last_sends.clone());
             spawn(move || {
                 while let Some(head) = read_head(&mut stream) {
-                    let draining = drains && discovery.version() > 1;
+                    let draining = will_drain && discovery.version() > 1;
                     let process = head.lines().find_map(|line| {
                         line.strip_prefix("X-Correlation-Id: ")?.split('x').next()?.parse::<usize>().ok()
                     });
                     if let Some(process) = process.filter(|_| draining) {
-                        last.lock().unwrap()[process] = Some(Instant::now());
+                        last_sends.lock().unwrap()[process] = Some(Instant::now());
                     }
                     let answer = match draining {
                         true => "HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n",
@@ -188,7 +195,7 @@
     addr
 }
 
-/// An address of this test's own; other tests use other ports on these.
+/// Returns an address that is unique to this test. Other tests use other ports on these hosts.
 fn process_address(outage: Outage, process: usize, port: u16) -> SocketAddr {
     let pid = std::process::id() as usize;
     let host = 1 + outage as usize * 40 + process;
@@ -196,15 +203,15 @@
 }
 
 fn configuration(process: usize, listen: SocketAddr, discovery: SocketAddr, servers: &[SocketAddr]) -> Value {
-    let known: Value = serde_json::from_str(&server_list(servers, 1)).unwrap();
+    let initial_list: Value = serde_json::from_str(&server_list(servers, 1)).unwrap();
     json!({"name": format!("process-{process}"), "listen": listen.to_string(),
         "discovery": discovery.to_string(), "seed": format!("{:x}", 7919 * (process + 1)),
-        "limits": {"sockets": 256}, "known": known,
+        "limits": {"sockets": 256}, "known": initial_list,
         "settings": {"az": "here", "zones": ["here"], "kinds": ["cache", "origin"], "discovery": "subscribe",
             "familyInfo": {"mode": "through"},
             "ceilings": {"mostShots": 4, "secondCopies": true, "connIdleNs": 30_000_000_000u64,
                 "connectTimeoutNs": 150_000_000},
-            "rules": {"drainGraceNs": GRACE.as_nanos() as u64, "askEveryNs": 10_000_000_000u64},
+            "rules": {"drainGraceNs": DRAIN_GRACE.as_nanos() as u64, "askEveryNs": 10_000_000_000u64},
             "namespaces": [{"name": "page", "idempotency": "free", "group": "all", "dedupWindowNs": 0,
                 "targetTimeNs": 500_000_000u64, "timeLimitNs": 900_000_000u64, "utility": 1.0,
                 "overdueUtility": 0.0}]}})
@@ -227,19 +234,19 @@
     (start(&path, &configuration(process, listen, discovery, servers)), listen)
 }
 
-/// Sends requests one after the other, each with a key of its own, until it is stopped.
+/// Sends requests one after the other, each with a different key, until `stop` is set.
 fn send_requests(process: usize, addr: SocketAddr, stop: Arc<AtomicBool>) {
     spawn(move || {
         let mut connection: Option<TcpStream> = None;
-        for number in 0.. {
+        for id in 0.. {
             if stop.load(Ordering::SeqCst) {
                 return;
             }
-            sleep(BETWEEN_REQUESTS);
+            sleep(REQUEST_INTERVAL);
             let stream = connection.take().or_else(|| TcpStream::connect(addr).ok());
             let Some(mut stream) = stream else { continue };
             let request = format!(
-                "GET /api/key-{number} HTTP/1.1\r\nX-Correlation-Id: {process}x{number}\r\n\
+                "GET /api/key-{id} HTTP/1.1\r\nX-Correlation-Id: {process}x{id}\r\n\
                  X-Service-Class: page\r\nX-Time-Left: 0.8\r\n\r\n"
             );
             let mut buffer = [0; 4096];
@@ -250,7 +257,7 @@
     });
 }
 
-/// Ends the processes whatever becomes of the test.
+/// Kills the processes when the test ends, also when it fails.
 struct Processes(Vec<Child>);
 
 impl Drop for Processes {
@@ -262,17 +269,18 @@
     }
 }
 
-/// Plays one outage, and requires that no process sends to the draining server after the grace.
+/// Runs one outage. Fails unless every process is notified of the drain in time and none sends to
+/// the draining server after the grace.
 fn run_outage(outage: Outage) {
     let discovery = Arc::new(Discovery {
         outage,
         down: AtomicBool::new(false),
-        returned: Mutex::new(None),
-        answered: Mutex::new(vec![None; PROCESSES]),
+        recovered_at: Mutex::new(None),
+        first_answers: Mutex::new(vec![None; PROCESSES]),
     });
-    let last: LastSends = Arc::new(Mutex::new(vec![None; PROCESSES]));
+    let last_sends: LastSends = Arc::new(Mutex::new(vec![None; PROCESSES]));
     let servers: Vec<SocketAddr> =
-        (0..SERVERS.len()).map(|i| serve_requests(discovery.clone(), i == 0, last.clone())).collect();
+        (0..SERVERS.len()).map(|i| serve_requests(discovery.clone(), i == 0, last_sends.clone())).collect();
     let servers = Arc::new(servers);
     let stop = Arc::new(AtomicBool::new(false));
     let mut processes = Processes(Vec::new());
@@ -282,106 +290,110 @@
         processes.0.push(child);
         send_requests(process, addr, stop.clone());
     }
-    // First calls are spread over 3 s.
+    // The processes spread their first calls over 3 s.
     sleep(Duration::from_secs(4));
     discovery.down.store(true, Ordering::SeqCst);
-    sleep(OUTAGE);
-    let returned = Instant::now();
-    *discovery.returned.lock().unwrap() = Some(returned);
+    sleep(OUTAGE_DURATION);
+    let recovered_at = Instant::now();
+    *discovery.recovered_at.lock().unwrap() = Some(recovered_at);
     discovery.down.store(false, Ordering::SeqCst);
-    sleep(NOTIFIED_BY + GRACE + SLACK + Duration::from_secs(2));
+    sleep(NOTIFY_DEADLINE + DRAIN_GRACE + LOAD_SLACK + Duration::from_secs(2));
     stop.store(true, Ordering::SeqCst);
-    let after = |times: &Mutex<Vec<Option<Instant>>>| -> Vec<Option<Duration>> {
-        times.lock().unwrap().iter().map(|at| at.map(|at| at.duration_since(returned))).collect()
+    let since_recovery = |times: &Mutex<Vec<Option<Instant>>>| -> Vec<Option<Duration>> {
+        times.lock().unwrap().iter().map(|time| time.map(|time| time.duration_since(recovered_at))).collect()
     };
-    let (notified, sent) = (after(&discovery.answered), after(&last));
-    assert!(sent.iter().any(Option::is_some), "nobody ever sent to the draining server: nothing is shown");
+    let (notified, sent) = (since_recovery(&discovery.first_answers), since_recovery(&last_sends));
+    assert!(
+        sent.iter().any(Option::is_some),
+        "no process ever sent to the draining server, so the test shows nothing"
+    );
     let late_notified: Vec<_> = notified
         .iter()
         .enumerate()
-        .filter(|(_, after)| after.is_none_or(|after| after > NOTIFIED_BY))
+        .filter(|(_, delay)| delay.is_none_or(|delay| delay > NOTIFY_DEADLINE))
         .collect();
     let late_sent: Vec<_> = sent
         .iter()
         .enumerate()
-        .filter(|(_, after)| after.is_some_and(|after| after > NOTIFIED_BY + GRACE + SLACK))
+        .filter(|(_, delay)| delay.is_some_and(|delay| delay > NOTIFY_DEADLINE + DRAIN_GRACE + LOAD_SLACK))
         .collect();
     assert!(
         late_notified.is_empty() && late_sent.is_empty(),
-        "{outage:?}: after the return, notified late: {late_notified:?}, sent to the draining server late: {late_sent:?}"
+        "{outage:?}: after the recovery, notified late: {late_notified:?}, sent to the draining server late: {late_sent:?}"
     );
 }
 
 #[test]
-fn after_refused_connections_a_drain_is_known_in_time() {
+fn after_refused_connections_a_drain_is_notified_in_time() {
     run_outage(Outage::Refuses);
 }
 
 #[test]
-fn after_reset_connections_a_drain_is_known_in_time() {
+fn after_reset_connections_a_drain_is_notified_in_time() {
     run_outage(Outage::Resets);
 }
 
 #[test]
-fn after_answers_that_refuse_a_drain_is_known_in_time() {
+fn after_error_responses_a_drain_is_notified_in_time() {
     run_outage(Outage::Unavailable);
 }
 
 #[test]
-fn after_calls_without_an_answer_a_drain_is_known_in_time() {
+fn after_unanswered_calls_a_drain_is_notified_in_time() {
     run_outage(Outage::Silent);
 }
 
 #[test]
-fn after_half_answers_a_drain_is_known_in_time() {
+fn after_partial_responses_a_drain_is_notified_in_time() {
     run_outage(Outage::HalfAnswer);
 }
 
-/// Discovery is moved by a new configuration while a call waits at the old address, and the new one refuses calls. What the old one
-/// writes just after that counts as notified.
+/// A new configuration moves discovery to another address while a call waits at the old one, and
+/// the new address rejects calls. A list that the old address sends just after that counts as
+/// notified.
 #[test]
-fn what_a_call_at_the_old_address_brings_after_a_move_is_applied() {
+fn a_list_from_the_old_address_after_a_move_is_applied() {
     let discovery = Arc::new(Discovery {
         outage: Outage::Unavailable,
         down: AtomicBool::new(false),
-        returned: Mutex::new(None),
-        answered: Mutex::new(vec![None]),
+        recovered_at: Mutex::new(None),
+        first_answers: Mutex::new(vec![None]),
     });
-    let last: LastSends = Arc::new(Mutex::new(vec![None]));
+    let last_sends: LastSends = Arc::new(Mutex::new(vec![None]));
     let servers: Vec<SocketAddr> =
-        (0..SERVERS.len()).map(|i| serve_requests(discovery.clone(), i == 0, last.clone())).collect();
+        (0..SERVERS.len()).map(|i| serve_requests(discovery.clone(), i == 0, last_sends.clone())).collect();
     let servers = Arc::new(servers);
-    let refusing = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (moved_to, calls) = (refusing.local_addr().unwrap(), Arc::new(AtomicUsize::new(0)));
-    let refused = calls.clone();
+    let rejecting = TcpListener::bind("127.0.0.1:0").unwrap();
+    let (moved_to, calls) = (rejecting.local_addr().unwrap(), Arc::new(AtomicUsize::new(0)));
+    let rejected = calls.clone();
     spawn(move || {
-        for mut stream in refusing.incoming().flatten() {
+        for mut stream in rejecting.incoming().flatten() {
             while read_head(&mut stream).is_some() {
-                refused.fetch_add(1, Ordering::SeqCst);
+                rejected.fetch_add(1, Ordering::SeqCst);
                 _ = stream.write_all(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
             }
         }
     });
-    let at = |port| process_address(Outage::HalfAnswer, PROCESSES, port);
-    serve_discovery(discovery.clone(), 0, servers.clone(), at(3401));
+    let address = |port| process_address(Outage::HalfAnswer, PROCESSES, port);
+    serve_discovery(discovery.clone(), 0, servers.clone(), address(3401));
     let path = format!("{}/moved-{}.json", env!("CARGO_TARGET_TMPDIR"), std::process::id());
-    let process = start(&path, &configuration(0, at(3400), at(3401), &servers));
-    let id = process.id().to_string();
+    let process = start(&path, &configuration(0, address(3400), address(3401), &servers));
+    let pid = process.id().to_string();
     let _processes = Processes(vec![process]);
-    // Its first call is made within 3 s, and waits for news.
+    // The process makes its first call within 3 s, and that call waits for a change.
     sleep(Duration::from_secs(4));
-    std::fs::write(&path, configuration(0, at(3400), moved_to, &servers).to_string()).unwrap();
-    Command::new("kill").args(["-HUP", &id]).status().unwrap();
+    std::fs::write(&path, configuration(0, address(3400), moved_to, &servers).to_string()).unwrap();
+    Command::new("kill").args(["-HUP", &pid]).status().unwrap();
     let end = Instant::now() + Duration::from_secs(5);
     while calls.load(Ordering::SeqCst) == 0 && Instant::now() < end {
         sleep(Duration::from_millis(1));
     }
-    assert!(calls.load(Ordering::SeqCst) > 0, "the new address was never called");
-    *discovery.returned.lock().unwrap() = Some(Instant::now());
+    assert!(calls.load(Ordering::SeqCst) > 0, "the proxy never called the new address");
+    *discovery.recovered_at.lock().unwrap() = Some(Instant::now());
     sleep(Duration::from_millis(200));
     let stop = Arc::new(AtomicBool::new(false));
-    send_requests(0, at(3400), stop.clone());
+    send_requests(0, address(3400), stop.clone());
     sleep(Duration::from_secs(2));
     stop.store(true, Ordering::SeqCst);
-    assert!(last.lock().unwrap()[0].is_none(), "sent to the draining server");
+    assert!(last_sends.lock().unwrap()[0].is_none(), "the proxy sent to the draining server");
 }
--- a/crates/proxy/tests/resp.rs
+++ b/crates/proxy/tests/resp.rs
@@ -1,4 +1,5 @@
-//! The RESP door of one proxy process on loopback, between two scripted servers and clients that are not always polite.
+//! The RESP frontend of one proxy process on loopback, between two scripted servers and clients
+//! that also send malformed commands, disconnect early or never read.
 
 use expect_test::expect;
 use serde_json::json;
@@ -10,10 +11,10 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-type Seen = Arc<Mutex<Vec<String>>>;
+type CommandLog = Arc<Mutex<Vec<String>>>;
 
-/// Words of one command off a stream; these servers are sent arrays alone.
-fn command(stream: &mut TcpStream, buf: &mut Vec<u8>) -> Option<Vec<String>> {
+/// Reads the words of one command. The proxy sends these servers nothing but arrays.
+fn read_command(stream: &mut TcpStream, buf: &mut Vec<u8>) -> Option<Vec<String>> {
     loop {
         let text = String::from_utf8_lossy(buf).to_string();
         let parts: Vec<&str> = text.split("\r\n").collect();
@@ -25,27 +26,28 @@
             buf.drain(..len);
             return Some(words);
         }
-        let mut more = [0; 4096];
-        match stream.read(&mut more) {
-            Ok(n @ 1..) => buf.extend(&more[..n]),
+        let mut chunk = [0; 4096];
+        match stream.read(&mut chunk) {
+            Ok(n @ 1..) => buf.extend(&chunk[..n]),
             _ => return None,
         }
     }
 }
 
-/// A server that owns every slot if it is the first, and does by the key what the test wants of it.
-fn server(listener: TcpListener, name: &'static str, other: SocketAddr, owns: bool, seen: Seen) {
+/// Runs a scripted server, whose response depends on the prefix of the key. It owns every slot
+/// if `owns` is set.
+fn server(listener: TcpListener, name: &'static str, other: SocketAddr, owns: bool, commands: CommandLog) {
     let own = listener.local_addr().unwrap();
     let (first, second) = if owns { (own, other) } else { (other, own) };
     spawn(move || {
         for mut stream in listener.incoming().flatten() {
-            let seen = seen.clone();
+            let commands = commands.clone();
             spawn(move || {
                 let (mut buf, mut asking) = (Vec::new(), false);
-                while let Some(words) = command(&mut stream, &mut buf) {
+                while let Some(words) = read_command(&mut stream, &mut buf) {
                     let key = words.get(1).cloned().unwrap_or_default();
                     if words[0] != "CLUSTER" && words[0] != "PING" {
-                        seen.lock().unwrap().push(format!("{name}: {}", words.join(" ")));
+                        commands.lock().unwrap().push(format!("{name}: {}", words.join(" ")));
                     }
                     let answer = match words[0].as_str() {
                         "CLUSTER" => {
@@ -96,7 +98,7 @@
     });
 }
 
-/// CRC16 by its polynomial, a bit at a time: the test's own.
+/// Returns the slot of a key: CRC16 bit by bit, independent of the implementation under test.
 fn slot(key: &str) -> u16 {
     let tag = key.split_once('{').and_then(|(_, k)| k.split_once('}')).map_or(key, |(k, _)| k);
     tag.bytes().fold(0u16, |crc, b| {
@@ -107,41 +109,41 @@
 
 struct ProxySetup {
     proxy: Child,
-    door: SocketAddr,
-    seen: Seen,
+    resp_addr: SocketAddr,
+    commands: CommandLog,
 }
 
-fn addr(nth: usize) -> SocketAddr {
+fn unique_addr(nth: usize) -> SocketAddr {
     let pid = std::process::id() as usize;
     format!("127.{}.{}.{}:3100", 1 + pid % 250, pid / 250 % 250, 1 + nth % 250).parse().unwrap()
 }
 
 impl ProxySetup {
-    fn new(more: &str) -> ProxySetup {
+    fn new(extra_operator_toml: &str) -> ProxySetup {
         static NTH: AtomicUsize = AtomicUsize::new(0);
         let nth = NTH.fetch_add(2, Ordering::SeqCst);
-        let seen = Seen::default();
+        let commands = CommandLog::default();
         let (a, b) = (TcpListener::bind("127.0.0.1:0").unwrap(), TcpListener::bind("127.0.0.1:0").unwrap());
-        let (at_a, at_b) = (a.local_addr().unwrap(), b.local_addr().unwrap());
-        server(a, "a", at_b, true, seen.clone());
-        server(b, "b", at_a, false, seen.clone());
+        let (addr_a, addr_b) = (a.local_addr().unwrap(), b.local_addr().unwrap());
+        server(a, "a", addr_b, true, commands.clone());
+        server(b, "b", addr_a, false, commands.clone());
         let namespace = |name: &str, repeats: &str| {
             json!({"name": name, "idempotency": repeats, "group": "all", "dedupWindowNs": 300_000_000u64,
                 "targetTimeNs": 500_000_000u64, "timeLimitNs": 600_000_000u64, "utility": 1.0, "overdueUtility": 0.0})
         };
-        let configuration = json!({"name": "p", "listen": addr(nth).to_string(), "seed": "5eed", "limits": {"sockets": 1024},
+        let configuration = json!({"name": "p", "listen": unique_addr(nth).to_string(), "seed": "5eed", "limits": {"sockets": 1024},
             "settings": {"az": "here", "zones": ["here"], "kinds": ["cache", "origin"], "discovery": "subscribe",
                 "familyInfo": {"mode": "aside", "originKind": 1},
                 "ceilings": {"mostShots": 6, "secondCopies": false, "cancelling": true, "probes": true, "retryAfter": true,
                     "maxRetryAfterNs": 2_000_000_000u64, "connIdleNs": 30_000_000_000u64, "connectTimeoutNs": 150_000_000},
                 "rules": {"drainGraceNs": 1_000_000_000},
                 "namespaces": [namespace("page", "free"), namespace("once", "single_shot")]}});
-        let door = addr(nth + 1);
+        let resp_addr = unique_addr(nth + 1);
         let operator = format!(
-            "version = 1\n[resp]\nlisten = \"{door}\"\nseeds = [\"{at_a}\"]\nnamespace = \"page\"\n{}[[resp.prefix]]\n\
+            "version = 1\n[resp]\nlisten = \"{resp_addr}\"\nseeds = [\"{addr_a}\"]\nnamespace = \"page\"\n{}[[resp.prefix]]\n\
              prefix = \"breaks:once\"\nnamespace = \"once\"\n{}[end]\n",
-            if more.starts_with('[') { "" } else { more },
-            if more.starts_with('[') { more } else { "" },
+            if extra_operator_toml.starts_with('[') { "" } else { extra_operator_toml },
+            if extra_operator_toml.starts_with('[') { extra_operator_toml } else { "" },
         );
         let file = |name: &str, text: String| {
             let path = format!("{}/{}-resp-{nth}.{name}", env!("CARGO_TARGET_TMPDIR"), std::process::id());
@@ -154,24 +156,24 @@
             .stderr(std::process::Stdio::null())
             .spawn()
             .unwrap();
-        let setup = ProxySetup { proxy, door, seen };
+        let setup = ProxySetup { proxy, resp_addr, commands };
         let end = Instant::now() + Duration::from_secs(20);
-        // Until the map is known: before, everything is deferred.
-        while !setup.ask("AUTH lib s3\r\nGET ready\r\n").contains("\r\n$5\r\n") && Instant::now() < end {
+        // Until the proxy has loaded the slot map, it rejects every command.
+        while !setup.request("AUTH lib s3\r\nGET ready\r\n").contains("\r\n$5\r\n") && Instant::now() < end {
             sleep(Duration::from_millis(10));
         }
-        setup.seen.lock().unwrap().clear();
+        setup.commands.lock().unwrap().clear();
         setup
     }
 
     fn connect(&self) -> Option<TcpStream> {
-        let stream = TcpStream::connect(self.door).ok()?;
+        let stream = TcpStream::connect(self.resp_addr).ok()?;
         stream.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
         Some(stream)
     }
 
-    /// Writes, says that it writes no more, and reads all that comes.
-    fn ask(&self, text: &str) -> String {
+    /// Sends the text, shuts down the sending side, and reads until the proxy closes.
+    fn request(&self, text: &str) -> String {
         let Some(mut stream) = self.connect() else { return String::new() };
         stream.write_all(text.as_bytes()).unwrap();
         stream.shutdown(std::net::Shutdown::Write).unwrap();
@@ -180,8 +182,8 @@
         String::from_utf8_lossy(&output).to_string()
     }
 
-    fn seen(&self) -> String {
-        std::mem::take(&mut *self.seen.lock().unwrap()).join("\n") + "\n"
+    fn take_commands(&self) -> String {
+        std::mem::take(&mut *self.commands.lock().unwrap()).join("\n") + "\n"
     }
 }
 
@@ -192,8 +194,8 @@
     }
 }
 
-/// What is left of a deferral's text without its time, which is by chance.
-fn plain(text: &str) -> String {
+/// Removes the retry delay, which is random, from the text of a rejection, and joins the lines.
+fn without_retry_delay(text: &str) -> String {
     let lines = text.split("\r\n").map(|l| match l.split_once(", come back in ") {
         Some((head, _)) => format!("{head}, come back later"),
         None => l.to_string(),
@@ -201,11 +203,11 @@
     lines.collect::<Vec<_>>().join("\n")
 }
 
-/// Each line asked of a new day, with what was seen of it.
-fn redirected() -> String {
+/// Sends each line to a new proxy, and returns the responses and what the servers received.
+fn run_redirections() -> String {
     let setup = ProxySetup::new("");
     let mut observed = String::new();
-    for line in [
+    for command in [
         "SET a 1",
         "GET a",
         "GET none",
@@ -218,21 +220,26 @@
         "MGET {x}a {y}b",
         "FLUSHALL",
     ] {
-        observed += &format!("> {line}\n{}{}", plain(&setup.ask(&format!("{line}\r\n"))), setup.seen());
+        observed += &format!(
+            "> {command}\n{}{}",
+            without_retry_delay(&setup.request(&format!("{command}\r\n"))),
+            setup.take_commands()
+        );
     }
     observed
 }
 
 #[test]
-fn redirections_are_followed_and_the_dialects_own_errors_passed_on() {
-    // A stand-in that a busy machine holds up for 50 ms is given up like any silent server, and its request deferred: then
-    // the day is played again. One deferral belongs to it.
-    let mut observed = redirected();
+fn redirections_are_followed_and_other_resp_errors_are_passed_on() {
+    // On a busy machine a server may be held up for 50 ms. The proxy then gives up on it like on
+    // any silent server and rejects the request. In that case the whole sequence runs again. One
+    // rejection is expected.
+    let mut observed = run_redirections();
     for _ in 0..5 {
         if observed.matches("deferred").count() == 1 {
             break;
         }
-        observed = redirected();
+        observed = run_redirections();
     }
     expect![[r#"
         > SET a 1
@@ -283,11 +290,11 @@
 }
 
 #[test]
-fn a_circle_of_redirections_ends_and_what_may_have_run_is_not_sent_again() {
+fn a_redirection_loop_ends_and_a_command_that_may_have_run_is_not_retried() {
     let setup = ProxySetup::new("");
-    let circle = plain(&setup.ask("GET circle:1\r\n"));
-    let attempts = setup.seen().lines().count();
-    let broken = setup.ask("SET breaks:once:1 x\r\n") + &setup.ask("GET breaks:1\r\n");
+    let redirection_loop = without_retry_delay(&setup.request("GET circle:1\r\n"));
+    let attempts = setup.take_commands().lines().count();
+    let broken = setup.request("SET breaks:once:1 x\r\n") + &setup.request("GET breaks:1\r\n");
     expect![[r#"
         -TRYAGAIN deferred, come back later
         6 attempts
@@ -299,15 +306,20 @@
         a: GET breaks:1
         a: GET breaks:1
     "#]]
-    .assert_eq(&format!("{circle}{attempts} attempts\n{}{}", plain(&broken), setup.seen()));
+    .assert_eq(&format!(
+        "{redirection_loop}{attempts} attempts\n{}{}",
+        without_retry_delay(&broken),
+        setup.take_commands()
+    ));
 }
 
 #[test]
 fn a_command_over_several_slots_is_split_where_the_operator_allows_it() {
     let setup = ProxySetup::new("split = true\n");
     let mut observed = String::new();
-    for line in ["MGET a {a}b c", "MGET a again:1", "MSET {q}a 1 breaks:once:1 2"] {
-        observed += &format!("> {line}\n{}", plain(&setup.ask(&format!("{line}\r\n"))));
+    for command in ["MGET a {a}b c", "MGET a again:1", "MSET {q}a 1 breaks:once:1 2"] {
+        observed +=
+            &format!("> {command}\n{}", without_retry_delay(&setup.request(&format!("{command}\r\n"))));
     }
     expect![[r#"
         > MGET a {a}b c
@@ -327,12 +339,13 @@
 }
 
 #[test]
-fn a_pipeline_is_answered_in_order_and_a_slow_one_holds_up_no_attempt() {
+fn a_pipeline_is_answered_in_order_and_a_slow_command_delays_no_attempt() {
     let setup = ProxySetup::new("");
-    let begun = Instant::now();
-    let output = setup.ask("GET slow:1\r\nGET b\r\nGET slow:2\r\nSET c 1\r\nGET c\r\nPING\r\nGET slow:3\r\n");
-    let took = begun.elapsed();
-    assert!(took < Duration::from_millis(400), "three slow ones took {took:?}");
+    let started = Instant::now();
+    let output =
+        setup.request("GET slow:1\r\nGET b\r\nGET slow:2\r\nSET c 1\r\nGET c\r\nPING\r\nGET slow:3\r\n");
+    let elapsed = started.elapsed();
+    assert!(elapsed < Duration::from_millis(400), "three slow commands took {elapsed:?}");
     expect![[r#"
         +slow
         $1
@@ -344,30 +357,31 @@
         +PONG
         +slow
     "#]]
-    .assert_eq(&plain(&output));
-    // A thousand, and all of their answers.
+    .assert_eq(&without_retry_delay(&output));
+    // A pipeline of a thousand commands gets all of its responses.
     let many: String = (0..1000).map(|i| format!("GET k{i}\r\n")).collect();
-    let output = setup.ask(&many);
-    let want: String = (0..1000).map(|i| format!("${}\r\nk{i}\r\n", format!("k{i}").len())).collect();
-    assert!(output == want, "{} bytes of {}", output.len(), want.len());
+    let output = setup.request(&many);
+    let expected: String = (0..1000).map(|i| format!("${}\r\nk{i}\r\n", format!("k{i}").len())).collect();
+    assert!(output == expected, "received {} bytes, expected {}", output.len(), expected.len());
 }
 
 #[test]
-fn a_client_that_leaves_or_never_reads_blocks_no_other() {
+fn a_client_that_disconnects_or_never_reads_blocks_no_other() {
     let setup = ProxySetup::new("");
-    // A thousand commands whose server hangs (the other one), and their client gone; and one that reads nothing of what it asks for.
-    let mut gone = setup.connect().unwrap();
-    gone.write_all("GET moved:hangs\r\n".repeat(1000).as_bytes()).unwrap();
+    // One client sends a thousand commands to a server that hangs (the one that does not own the
+    // slots) and disconnects. Another sends commands and never reads a response.
+    let mut disconnected = setup.connect().unwrap();
+    disconnected.write_all("GET moved:hangs\r\n".repeat(1000).as_bytes()).unwrap();
     let mut stalled = setup.connect().unwrap();
     stalled.set_write_timeout(Some(Duration::from_millis(300))).unwrap();
     let long = format!("GET {}\r\n", "x".repeat(4000));
     while stalled.write_all(long.as_bytes()).is_ok() {}
-    drop(gone);
-    let begun = Instant::now();
-    assert_eq!(setup.ask("GET a\r\n"), "$1\r\na\r\n");
-    assert!(begun.elapsed() < Duration::from_millis(300));
+    drop(disconnected);
+    let started = Instant::now();
+    assert_eq!(setup.request("GET a\r\n"), "$1\r\na\r\n");
+    assert!(started.elapsed() < Duration::from_millis(300));
     let status = std::fs::read_to_string(format!("/proc/{}/status", setup.proxy.id())).unwrap();
-    let kb: usize = status
+    let resident_kb: usize = status
         .lines()
         .find_map(|l| l.strip_prefix("VmRSS:"))
         .unwrap()
@@ -375,11 +389,11 @@
         .trim_end_matches(" kB")
         .parse()
         .unwrap();
-    assert!(kb < 40_000, "{kb} kB");
+    assert!(resident_kb < 40_000, "resident memory is {resident_kb} kB");
 }
 
 #[test]
-fn nonsense_gets_an_error_and_a_close_and_users_have_to_be_known() {
+fn malformed_commands_get_an_error_and_a_close_and_users_must_authenticate() {
     let setup = ProxySetup::new(
         "[[resp.user]]\nname = \"lib\"\nsecret = \"sha256:41242b9fae56fad4e6e77dfe33cb18d1c3fc583f988cf25ef9f2d9be0d440bbb\"\n",
     );
@@ -394,9 +408,10 @@
         "*99999\r\n",
         "*1\r\n$1\r\nxyz\r\n",
     ] {
-        observed += &format!("> {}\n{}", text.replace("\r\n", " "), plain(&setup.ask(text)));
+        observed +=
+            &format!("> {}\n{}", text.replace("\r\n", " "), without_retry_delay(&setup.request(text)));
     }
-    assert!(setup.ask(&"x".repeat(10_000)).starts_with("-ERR Protocol error"));
+    assert!(setup.request(&"x".repeat(10_000)).starts_with("-ERR Protocol error"));
     expect![[r#"
         > GET a 
         -NOAUTH Authentication required.
--- a/crates/proxy/tests/sockets/bad_input.rs
+++ b/crates/proxy/tests/sockets/bad_input.rs
@@ -24,8 +24,11 @@
         ("no namespace", "GET /k HTTP/1.1\r\nX-Correlation-Id: c\r\nX-Time-Left: 1\r\n\r\n".into()),
         ("unknown namespace", format!("GET /k HTTP/1.1\r\n{}\r\n", id.replace("page", "pag"))),
         ("no time left", format!("GET /k HTTP/1.1\r\n{}\r\n", id.replace("Left: 1", "Left: 0"))),
-        ("odd time left", format!("GET /k HTTP/1.1\r\n{}\r\n", id.replace("Left: 1", "Left: NaN"))),
-        ("no number", format!("GET /k HTTP/1.1\r\n{}\r\n", id.replace("Left: 1", "Left: inf"))),
+        (
+            "time left is not a number",
+            format!("GET /k HTTP/1.1\r\n{}\r\n", id.replace("Left: 1", "Left: NaN")),
+        ),
+        ("infinite time left", format!("GET /k HTTP/1.1\r\n{}\r\n", id.replace("Left: 1", "Left: inf"))),
         ("an exponent", format!("GET /k HTTP/1.1\r\n{}\r\n", id.replace("Left: 1", "Left: 1e0"))),
         ("ages", format!("GET /k HTTP/1.1\r\n{}\r\n", id.replace("Left: 1", "Left: 99999999999999999999"))),
         ("two ids", format!("GET /k HTTP/1.1\r\nX-Correlation-Id: d\r\n{id}\r\n")),
@@ -48,8 +51,8 @@
         ),
         ("nothing wrong", format!("GET /k HTTP/1.1\r\n{id}\r\n")),
     ];
-    for (what, text) in cases {
-        setup.observed.record(format!("{what}:"));
+    for (description, text) in cases {
+        setup.observed.record(format!("{description}:"));
         let mut client = setup.client();
         client.write_all(text.as_bytes()).unwrap();
         setup.record_response(&mut client);
@@ -75,9 +78,9 @@
         client: 400 Connection: close
         no time left:
         client: 400 Connection: close
-        odd time left:
+        time left is not a number:
         client: 400 Connection: close
-        no number:
+        infinite time left:
         client: 400 Connection: close
         an exponent:
         client: 400 Connection: close
@@ -116,14 +119,14 @@
             "GET /k HTTP/1.1\r\nX-Correlation-Id: {id}\r\nX-Time-Left: 1\r\nX-Service-Class: page\r\n\r\n"
         )
     };
-    let [mut owner, mut other, mut hasty] = [(); 3].map(|()| setup.client());
+    let [mut owner, mut other, mut pipelining] = [(); 3].map(|()| setup.client());
     owner.write_all(text("c").as_bytes()).unwrap();
-    hasty.write_all(text("d").as_bytes()).unwrap();
+    pipelining.write_all(text("d").as_bytes()).unwrap();
     sleep(Duration::from_millis(100));
     other.write_all(text("c").as_bytes()).unwrap();
     setup.record_response(&mut other);
-    hasty.write_all(text("e").as_bytes()).unwrap();
-    setup.record_response(&mut hasty);
+    pipelining.write_all(text("e").as_bytes()).unwrap();
+    setup.record_response(&mut pipelining);
     setup.record_response(&mut owner);
     other = setup.client();
     other.write_all(text("c").as_bytes()).unwrap();
--- a/crates/proxy/tests/sockets/command_line.rs
+++ b/crates/proxy/tests/sockets/command_line.rs
@@ -1,67 +1,73 @@
-//! The command line, the operator's file, the log, and starts that fail.
+//! The command line, the operator's file, the log, and failing starts.
 
 use super::*;
 
-const SHORTER: &str = "version = 1\n[[class]]\nnamespace = 'page'\n[class.limits]\ntime_limit_ms = 500\ntarget_ms = 400\n[end]\n";
+const SHORTER_LIMITS: &str = "version = 1\n[[class]]\nnamespace = 'page'\n[class.limits]\ntime_limit_ms = 500\ntarget_ms = 400\n[end]\n";
 
 #[test]
-fn a_reload_that_tightens_a_class_holds_for_what_is_open_and_a_bad_one_changes_nothing() {
-    let operator = a_file();
+fn a_reload_that_tightens_a_class_applies_to_open_requests_and_an_invalid_one_changes_nothing() {
+    let operator = unique_path();
     std::fs::write(&operator, "version = 1\n[end]").unwrap();
     let hang: ServerScript = |_| ("", false);
-    let before = format!("MORE='--operator {operator}';");
-    let setup = ProxySetup::with(&[("a", hang)], 1024, &before, |lines| vec![whole(2, lines)]);
+    let shell_prefix = format!("EXTRA_ARGS='--operator {operator}';");
+    let setup =
+        ProxySetup::with_options(&[("a", hang)], 1024, &shell_prefix, |entries| vec![full_list(2, entries)]);
     let mut client = setup.client();
-    let begun = Instant::now();
-    setup.write(&mut client, "GET", "once", "k");
+    let started = Instant::now();
+    setup.send_request(&mut client, "GET", "once", "k");
     let mut other = setup.client();
-    setup.write(&mut other, "GET", "page", "k");
+    setup.send_request(&mut other, "GET", "page", "k");
     sleep(Duration::from_millis(100));
-    std::fs::write(&operator, SHORTER).unwrap();
+    std::fs::write(&operator, SHORTER_LIMITS).unwrap();
     setup.signal("-HUP");
     setup.record_response(&mut other);
     setup.observed.record(format!(
-        "the tightened class within 0.9 s: {}",
-        begun.elapsed() < Duration::from_millis(900)
+        "class with the shorter limit answered within 0.9 s: {}",
+        started.elapsed() < Duration::from_millis(900)
     ));
-    // Written in halves, and against the platform's settings: the one before holds.
-    for bad in [&SHORTER[..40], "version = 1\n[defaults]\nmost_shots = 50\n[end]"] {
-        std::fs::write(&operator, bad).unwrap();
+    // A truncated file and one that contradicts the platform's settings are rejected: the previous
+    // file stays in force.
+    for rejected in [&SHORTER_LIMITS[..40], "version = 1\n[defaults]\nmost_shots = 50\n[end]"] {
+        std::fs::write(&operator, rejected).unwrap();
         setup.signal("-HUP");
         sleep(Duration::from_millis(50));
     }
-    let again = Instant::now();
-    setup.ask(&mut other, "GET", "page", "k");
-    setup.observed.record(format!("and so it stays: {}", again.elapsed() < Duration::from_millis(900)));
+    let resent_at = Instant::now();
+    setup.request(&mut other, "GET", "page", "k");
+    setup.observed.record(format!(
+        "still within 0.9 s after rejected files: {}",
+        resent_at.elapsed() < Duration::from_millis(900)
+    ));
     setup.record_response(&mut client);
-    setup
-        .observed
-        .record(format!("the other as promised: {}", begun.elapsed() > Duration::from_millis(1300)));
+    setup.observed.record(format!(
+        "class without a new limit keeps its own: {}",
+        started.elapsed() > Duration::from_millis(1300)
+    ));
     setup.assert_observed(expect![[r#"
         a: GET /api/k?part=1
         a: GET /api/k?part=1
         client: 503 Retry-After
-        the tightened class within 0.9 s: true
+        class with the shorter limit answered within 0.9 s: true
         a: GET /api/k?part=1
         client: 503 Retry-After
-        and so it stays: true
+        still within 0.9 s after rejected files: true
         client: 500
-        the other as promised: true
+        class without a new limit keeps its own: true
     "#]]);
 }
 
 #[test]
-fn the_log_is_a_json_object_a_line_where_that_is_asked_for() {
-    let (list, addr) = a_listener();
+fn the_json_log_has_one_object_per_line() {
+    let (list, addr) = bind_listener();
     drop(list);
-    let mut child = run(&configuration(own_address(), addr, &[], 64), "MORE='--log json';");
+    let mut child = run(&configuration(unique_address(), addr, &[], 64), "EXTRA_ARGS='--log json';");
     sleep(Duration::from_millis(300));
     Command::new("kill").args(["-TERM", &child.id().to_string()]).status().unwrap();
     child.wait().unwrap();
     let mut output = String::new();
     child.stderr.take().unwrap().read_to_string(&mut output).unwrap();
     let lines: Vec<Value> = output.lines().map(|l| serde_json::from_str(l).expect(l)).collect();
-    let seen = |event: &str| {
+    let describe = |event: &str| {
         let line = lines.iter().find(|l| l["event"] == event).expect(event);
         let mut names: Vec<&str> = line.as_object().unwrap().keys().map(String::as_str).collect();
         names.sort();
@@ -73,13 +79,13 @@
         draining of "p": at_ms event level open proxy succeeded
         stopped of "p": at_ms event left_waiting level proxy violations withheld
     "#]]
-    .assert_eq(&["serving", "discovery call failed", "draining", "stopped"].map(seen).concat());
+    .assert_eq(&["serving", "discovery call failed", "draining", "stopped"].map(describe).concat());
 }
 
 #[test]
 fn an_operators_file_is_checked_with_the_configuration_and_explained() {
-    let (config, operator) = (a_file(), a_file());
-    let addr = own_address();
+    let (config, operator) = (unique_path(), unique_path());
+    let addr = unique_address();
     std::fs::write(&config, configuration(addr, addr, &[], 64).to_string()).unwrap();
     let mut output = String::new();
     let mut run_command = |file: &str, args: &[&str]| {
@@ -89,10 +95,10 @@
         let text = [out.stdout, out.stderr].map(|o| String::from_utf8_lossy(&o).to_string()).concat();
         output += &format!("{}\n{}", out.status, text.replace(&operator, "FILE"));
     };
-    run_command(SHORTER, &["check"]);
+    run_command(SHORTER_LIMITS, &["check"]);
     run_command("version = 1\n[defaults]\nmost_shots = 50\nopen = 0\n[end]", &["check"]);
-    run_command(SHORTER, &["explain", "--namespace", "page", "--route", "/api/k"]);
-    run_command(SHORTER, &["explain", "--namespace", "pages"]);
+    run_command(SHORTER_LIMITS, &["explain", "--namespace", "page", "--route", "/api/k"]);
+    run_command(SHORTER_LIMITS, &["explain", "--namespace", "pages"]);
     expect![[r#"
         exit status: 0
         p: fine
@@ -117,7 +123,7 @@
     .assert_eq(&output);
 }
 
-/// How a start ends that is wrong, and what it says.
+/// Returns the exit status and the error output of a process that fails to start.
 fn outcome(mut child: Child) -> String {
     let mut output = String::new();
     child.stderr.take().unwrap().read_to_string(&mut output).unwrap();
@@ -129,14 +135,14 @@
 }
 
 #[test]
-fn a_wrong_start_is_one_plain_line_and_exit_2() {
-    let (taken, addr) = a_listener();
+fn a_failing_start_prints_one_line_and_exits_with_2() {
+    let (occupied, addr) = bind_listener();
     let mut lines = Vec::new();
-    let mut wrong = configuration(addr, addr, &[], 64);
-    lines.push(outcome(run(&wrong, "")).replace(&addr.to_string(), "ADDRESS"));
-    drop(taken);
-    wrong["settings"]["ceilings"]["mostShots"] = json!("many");
-    lines.push(outcome(run(&wrong, "")));
+    let mut invalid = configuration(addr, addr, &[], 64);
+    lines.push(outcome(run(&invalid, "")).replace(&addr.to_string(), "ADDRESS"));
+    drop(occupied);
+    invalid["settings"]["ceilings"]["mostShots"] = json!("many");
+    lines.push(outcome(run(&invalid, "")));
     for args in [&[][..], &["serve"], &["check", "--config", "/nowhere"], &["srve"], &["check", "--all"]] {
         let out = command(args);
         lines.push(format!("{} {}", out.status, String::from_utf8_lossy(&out.stderr)));
--- a/crates/proxy/tests/sockets/discovery.rs
+++ b/crates/proxy/tests/sockets/discovery.rs
@@ -1,29 +1,32 @@
-//! The endpoint list by polls and watches: what is off stays off, whatever the service answers.
+//! The endpoint list by polls and watches. A server that is draining stays so, whatever the
+//! discovery service answers.
 
 use super::*;
 
 #[test]
-fn old_broken_and_silent_lists_change_nothing_and_an_address_may_move() {
-    let moved = |lines: &[Value]| {
-        let at = |i: usize| line("a", lines[i]["addr"].as_str().unwrap().parse().unwrap(), "SERVING");
-        let mut bad = at(0);
-        bad["addr"] = json!("nowhere");
+fn old_broken_and_missing_lists_change_nothing_and_an_address_may_change() {
+    let moved = |entries: &[Value]| {
+        let entry =
+            |i: usize| list_entry("a", entries[i]["addr"].as_str().unwrap().parse().unwrap(), "SERVING");
+        let mut invalid = entry(0);
+        invalid["addr"] = json!("nowhere");
         vec![
-            whole(9, &[at(1)]),
-            whole(3, &[at(0)]),
+            full_list(9, &[entry(1)]),
+            full_list(3, &[entry(0)]),
             "{\"version\": 10, \"full\": true".into(),
-            whole(11, &[bad]),
+            full_list(11, &[invalid]),
             String::new(),
-            whole(12, &[at(0)]),
+            full_list(12, &[entry(0)]),
         ]
     };
-    let setup = ProxySetup::with(&[("a", hit), ("b", hit)], 1024, "", moved);
+    let setup = ProxySetup::with_options(&[("a", hit), ("b", hit)], 1024, "", moved);
     let mut client = setup.client();
     let at_a = || setup.observed.lines.lock().unwrap().iter().any(|line| line.starts_with("a:"));
-    // Five calls with rests of up to 3.25 s: some 10 s in all, twice that at the most.
+    // The list takes five calls with delays of up to 3.25 s: about 10 s in all, and at most twice
+    // that.
     let end = Instant::now() + Duration::from_secs(60);
     while !at_a() && Instant::now() < end {
-        setup.ask(&mut client, "GET", "page", "k");
+        setup.request(&mut client, "GET", "page", "k");
         sleep(Duration::from_millis(100));
     }
     let mut seen = setup.observed.lines.lock().unwrap().clone();
@@ -35,23 +38,24 @@
     .assert_eq(&seen.join("\n"));
 }
 
-/// What an answer says is off is off, though it has a wrong line, a state that nobody knows, or an older version than before.
+/// A server that a response lists as out of service stays so, even if the response has an invalid
+/// entry, an unknown state, or an older version than the one before.
 #[test]
-fn no_drain_is_lost_by_an_answer_that_makes_no_sense() {
+fn no_drain_is_lost_by_an_invalid_response() {
     let observed = [("WRONG", 10), ("RESTING", 10), ("DRAINING", 3)].map(|(state, version)| {
-        let listed = |lines: &[Value]| {
-            let mut bad = lines.to_vec();
-            bad[0]["state"] = json!(if state == "WRONG" { "DRAINING" } else { state });
-            bad[1]["addr"] = if state == "WRONG" { json!("nowhere") } else { bad[1]["addr"].clone() };
-            vec![whole(9, lines), whole(version, &bad), String::new()]
+        let listed = |entries: &[Value]| {
+            let mut invalid = entries.to_vec();
+            invalid[0]["state"] = json!(if state == "WRONG" { "DRAINING" } else { state });
+            invalid[1]["addr"] = if state == "WRONG" { json!("nowhere") } else { invalid[1]["addr"].clone() };
+            vec![full_list(9, entries), full_list(version, &invalid), String::new()]
         };
-        let setup = ProxySetup::with(&[("a", hit), ("b", hit)], 1024, "", listed);
-        wait_for(|| setup.calls.load(Ordering::SeqCst) >= 3);
+        let setup = ProxySetup::with_options(&[("a", hit), ("b", hit)], 1024, "", listed);
+        wait_for(|| setup.list_calls.load(Ordering::SeqCst) >= 3);
         let mut client = setup.client();
-        (0..20).for_each(|i| setup.ask(&mut client, "GET", "page", &format!("k{i}")));
-        let of =
+        (0..20).for_each(|i| setup.request(&mut client, "GET", "page", &format!("k{i}")));
+        let attempts_at =
             |name| setup.observed.lines.lock().unwrap().iter().filter(|line| line.starts_with(name)).count();
-        format!("{state}: {} to a, {} to b", of("a:"), of("b:"))
+        format!("{state}: {} to a, {} to b", attempts_at("a:"), attempts_at("b:"))
     });
     expect![[r#"
         WRONG: 0 to a, 20 to b
@@ -60,50 +64,60 @@
     .assert_eq(&observed.join("\n"));
 }
 
-/// One of a hundred proxies polls a busy service for no more than it needs, and reads out a call that was admitted; what broke
-/// may be another service by now. After an answer, whatever it is and whatever failed before, it calls within the 200 ms for
-/// which a watch goes on, as changes in that time count as notified; and a silent call is made anew within the grace of its wait.
+/// One proxy of a hundred polls a busy discovery service only for what it needs, and waits for a
+/// response to a call that was admitted. A broken response is followed by a call for the full list,
+/// because another service may answer by now.
+///
+/// After a response of any kind, and whatever failed before, the proxy calls again within the
+/// 200 ms for which a watch is kept open, because changes in that time count as notified. A call
+/// without a response is repeated within 1 s after its wait is over.
 #[test]
-fn a_busy_list_is_asked_for_changes_and_waited_for_and_a_broken_one_for_all() {
-    let (listener, list_addr) = a_listener();
+fn a_busy_service_is_polled_for_changes_and_a_broken_response_leads_to_a_full_poll() {
+    let (listener, list_addr) = bind_listener();
     let observed = Observed::default();
-    let (calls, asked) = (Arc::new(AtomicUsize::new(0)), observed.clone());
-    let next = Arc::new(Mutex::new(None::<(Instant, Duration, &str)>)); // from when on, for how long, the next call is so
+    let (calls, log) = (Arc::new(AtomicUsize::new(0)), observed.clone());
+    // Start, length and label of a time span: the next call gets the label if it arrives in the span.
+    let next = Arc::new(Mutex::new(None::<(Instant, Duration, &str)>));
     spawn(move || {
         for mut stream in listener.incoming().flatten() {
-            let (calls, asked, next) = (calls.clone(), asked.clone(), next.clone());
+            let (calls, log, next) = (calls.clone(), log.clone(), next.clone());
             spawn(move || {
-                while let Some((head, _)) = message(&mut stream) {
+                while let Some((head, _)) = read_message(&mut stream) {
                     let now = Instant::now();
-                    let expected = next.lock().unwrap().take();
-                    let comes = expected.filter(|(from, lasts, _)| (*from..*from + *lasts).contains(&now));
+                    let span = next.lock().unwrap().take();
+                    let matching_span =
+                        span.filter(|(from, duration, _)| (*from..*from + *duration).contains(&now));
                     let call = head.lines().next().unwrap().trim_end_matches(" HTTP/1.1");
-                    // How long a watch waits is by chance.
+                    // The wait of a watch is random.
                     let (call, wait) = call.split_once("&wait=").unwrap_or((call, "0"));
-                    asked.record(format!("{call}{}", comes.map_or("", |(.., word)| word)));
+                    log.record(format!("{call}{}", matching_span.map_or("", |(.., label)| label)));
                     let body =
                         |version| json!({"version": version, "full": false, "servers": []}).to_string();
-                    let (status, body, short, after_ms) = match calls.fetch_add(1, Ordering::SeqCst) {
+                    let (status, body, missing_bytes, after_ms) = match calls.fetch_add(1, Ordering::SeqCst) {
                         0 => ("503 Busy", String::new(), 0, 0),
                         1 => ("200 OK", body(7), 1, 0),
-                        // Longer than the 2 s that the platform's service allows.
+                        // Longer than the 2 s that the platform's discovery service allows.
                         2 => ("200 OK", body(7), 0, 2500),
                         _ => ("200 OK", body(8), 0, 60_000),
                     };
-                    let over = now + Duration::from_millis(wait.parse().unwrap());
-                    *next.lock().unwrap() = Some((over, Duration::from_secs(1), ", anew in time"));
+                    let wait_end = now + Duration::from_millis(wait.parse().unwrap());
+                    *next.lock().unwrap() = Some((wait_end, Duration::from_secs(1), ", repeated in time"));
                     sleep(Duration::from_millis(after_ms));
-                    *next.lock().unwrap() = Some((Instant::now(), Duration::from_millis(200), ", going on"));
-                    let head = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n", body.len() + short);
-                    if stream.write_all((head + &body).as_bytes()).is_err() || short > 0 {
+                    *next.lock().unwrap() =
+                        Some((Instant::now(), Duration::from_millis(200), ", watch continued"));
+                    let head = format!(
+                        "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n",
+                        body.len() + missing_bytes
+                    );
+                    if stream.write_all((head + &body).as_bytes()).is_err() || missing_bytes > 0 {
                         return;
                     }
                 }
             });
         }
     });
-    let (_, addr) = a_listener();
-    let configuration = configuration(own_address(), list_addr, &[line("a", addr, "SERVING")], 1024);
+    let (_, addr) = bind_listener();
+    let configuration = configuration(unique_address(), list_addr, &[list_entry("a", addr, "SERVING")], 1024);
     let mut proxy = run(&configuration, "");
     wait_for(|| observed.lines.lock().unwrap().len() >= 5);
     proxy.kill().unwrap();
@@ -111,28 +125,30 @@
     expect![[r#"
         GET /discovery/hosts?index=1
         GET /discovery/hosts?index=1
-        GET /discovery/hosts, going on
-        GET /discovery/hosts?index=7, going on
-        GET /discovery/hosts?index=7, anew in time"#]]
+        GET /discovery/hosts, watch continued
+        GET /discovery/hosts?index=7, watch continued
+        GET /discovery/hosts?index=7, repeated in time"#]]
     .assert_eq(&observed.lines.lock().unwrap()[..].join("\n"));
 }
 
 #[test]
-fn a_new_configuration_moves_the_list_and_a_bad_one_changes_nothing() {
-    let setup = ProxySetup::with(&[("a", hit), ("b", hit)], 1024, "", |lines| vec![whole(2, &lines[..1])]);
+fn a_new_configuration_moves_discovery_and_an_invalid_one_changes_nothing() {
+    let setup = ProxySetup::with_options(&[("a", hit), ("b", hit)], 1024, "", |entries| {
+        vec![full_list(2, &entries[..1])]
+    });
     let mut client = setup.client();
-    std::fs::write(&setup.path, "{\"discovery\": ").unwrap();
+    std::fs::write(&setup.config_path, "{\"discovery\": ").unwrap();
     setup.signal("-HUP");
-    setup.ask(&mut client, "GET", "page", "k");
-    let (listener, addr) = a_listener();
+    setup.request(&mut client, "GET", "page", "k");
+    let (listener, addr) = bind_listener();
     let calls = Arc::new(AtomicUsize::new(0));
-    list(listener, vec![whole(3, &setup.lines[1..])], calls.clone());
-    // The list that the configuration has is older than the one that was delivered.
-    let moved = configuration(setup.addr, addr, &setup.lines[..1], 1024);
-    std::fs::write(&setup.path, moved.to_string()).unwrap();
+    serve_list(listener, vec![full_list(3, &setup.entries[1..])], calls.clone());
+    // The list in the new configuration is older than the one that was delivered.
+    let moved = configuration(setup.addr, addr, &setup.entries[..1], 1024);
+    std::fs::write(&setup.config_path, moved.to_string()).unwrap();
     setup.signal("-HUP");
     wait_for(|| calls.load(Ordering::SeqCst) >= 2);
-    setup.ask(&mut client, "GET", "page", "k");
+    setup.request(&mut client, "GET", "page", "k");
     setup.assert_observed(expect![[r#"
         a: GET /api/k?part=1
         client: 200 value
@@ -143,47 +159,50 @@
 
 #[test]
 fn a_list_that_starts_again_from_an_old_state_brings_no_drained_server_back() {
-    let again = |lines: &[Value]| {
-        let mut off = lines.to_vec();
-        off[0]["state"] = json!("DRAINING");
-        let mut born = lines.to_vec();
-        born[0]["started_ms"] = json!(1_800_000_000_000u64);
-        // Drained, then five answers of before that, and at last one in which it has started since.
-        let mut output = vec![whole(9, &off)];
-        output.extend([4, 4, 4, 4, 4].map(|version| whole(version, lines)));
-        output.extend([whole(5, lines), whole(6, &born)]);
+    let lists = |entries: &[Value]| {
+        let mut draining = entries.to_vec();
+        draining[0]["state"] = json!("DRAINING");
+        let mut restarted = entries.to_vec();
+        restarted[0]["started_ms"] = json!(1_800_000_000_000u64);
+        // The server is drained, then five responses have the state from before the drain, and the
+        // last one lists it as started since.
+        let mut output = vec![full_list(9, &draining)];
+        output.extend([4, 4, 4, 4, 4].map(|version| full_list(version, entries)));
+        output.extend([full_list(5, entries), full_list(6, &restarted)]);
         output
     };
-    let setup = ProxySetup::with(&[("a", hit), ("b", hit)], 1024, "", again);
-    let ask =
-        |client: &mut TcpStream| (0..20).for_each(|i| setup.ask(client, "GET", "page", &format!("k{i}")));
-    wait_for(|| setup.calls.load(Ordering::SeqCst) >= 7);
+    let setup = ProxySetup::with_options(&[("a", hit), ("b", hit)], 1024, "", lists);
+    let request_keys =
+        |client: &mut TcpStream| (0..20).for_each(|i| setup.request(client, "GET", "page", &format!("k{i}")));
+    wait_for(|| setup.list_calls.load(Ordering::SeqCst) >= 7);
     let mut client = setup.client();
-    ask(&mut client);
-    let of_a = || setup.observed.lines.lock().unwrap().iter().filter(|line| line.starts_with("a:")).count();
-    let drained = of_a();
-    wait_for(|| setup.calls.load(Ordering::SeqCst) >= 9);
+    request_keys(&mut client);
+    let attempts_at_a =
+        || setup.observed.lines.lock().unwrap().iter().filter(|line| line.starts_with("a:")).count();
+    let drained = attempts_at_a();
+    wait_for(|| setup.list_calls.load(Ordering::SeqCst) >= 9);
     sleep(Duration::from_millis(50));
-    ask(&mut client);
-    expect!["0 attempts while off, 8 after its start"]
-        .assert_eq(&format!("{drained} attempts while off, {} after its start", of_a()));
+    request_keys(&mut client);
+    expect!["0 attempts while draining, 8 after its restart"]
+        .assert_eq(&format!("{drained} attempts while draining, {} after its restart", attempts_at_a()));
 }
 
 #[test]
 fn a_drain_notified_while_the_process_is_stopped_counts_from_then() {
-    let drained = |lines: &[Value]| {
-        let mut a = lines[0].clone();
+    let drained = |entries: &[Value]| {
+        let mut a = entries[0].clone();
         a["state"] = json!("DRAINING");
-        let changed = |lines: &[Value]| json!({"version": 3, "full": false, "servers": lines}).to_string();
-        vec![whole(2, lines), changed(&[]), changed(&[a])]
+        let changed =
+            |entries: &[Value]| json!({"version": 3, "full": false, "servers": entries}).to_string();
+        vec![full_list(2, entries), changed(&[]), changed(&[a])]
     };
-    let setup = ProxySetup::with(&[("a", hit), ("b", hit)], 1024, "", drained);
+    let setup = ProxySetup::with_options(&[("a", hit), ("b", hit)], 1024, "", drained);
     let mut clients: Vec<TcpStream> = (0..9).map(|_| setup.client()).collect();
-    // The drain is the answer to the third call.
-    wait_for(|| setup.calls.load(Ordering::SeqCst) >= 3);
+    // The drain is in the response to the third call.
+    wait_for(|| setup.list_calls.load(Ordering::SeqCst) >= 3);
     setup.signal("-STOP");
     for (i, client) in clients.iter_mut().enumerate() {
-        setup.write(client, "GET", "page", &format!("k{i}"));
+        setup.send_request(client, "GET", "page", &format!("k{i}"));
     }
     sleep(Duration::from_millis(1300));
     setup.signal("-CONT");
--- a/crates/proxy/tests/sockets/large.rs
+++ b/crates/proxy/tests/sockets/large.rs
@@ -1,32 +1,34 @@
-//! Long bodies, both ways, and slow clients: each test prints what was seen of them.
+//! Long request and response bodies, and slow clients. Each test compares what was observed with
+//! the expected text.
 
 use super::*;
 use std::sync::OnceLock;
 
-const LONG: usize = 300_000;
+const LONG_BODY_BYTES: usize = 300_000;
 
-fn leaked(of: &'static OnceLock<String>, text: impl Fn() -> String) -> &'static str {
-    of.get_or_init(text)
+fn static_text(cell: &'static OnceLock<String>, text: impl Fn() -> String) -> &'static str {
+    cell.get_or_init(text)
 }
 
-/// Whole and broken off, with a length and in chunks.
-fn long(nth: usize) -> (&'static str, bool) {
-    static TEXTS: [OnceLock<String>; 4] = [const { OnceLock::new() }; 4];
+/// Complete and truncated responses, with a length and in chunks.
+fn long_response(nth: usize) -> (&'static str, bool) {
+    static RESPONSES: [OnceLock<String>; 4] = [const { OnceLock::new() }; 4];
     let body = |n: usize| "v".repeat(n);
-    let with_length = |n: usize| format!("HTTP/1.1 200 OK\r\nContent-Length: {LONG}\r\n\r\n{}", body(n));
+    let with_length =
+        |n: usize| format!("HTTP/1.1 200 OK\r\nContent-Length: {LONG_BODY_BYTES}\r\n\r\n{}", body(n));
     let chunked = |n: usize, end: &str| {
         let chunk = format!("{:x};of=a-value\r\n{}\r\n", n / 10, body(n / 10));
         format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}{end}", chunk.repeat(10))
     };
     match nth % 4 {
-        0 => (leaked(&TEXTS[0], || with_length(LONG)), false),
-        1 => (leaked(&TEXTS[1], || with_length(LONG / 3)), true),
-        2 => (leaked(&TEXTS[2], || chunked(LONG, "0\r\nT: t\r\n\r\n")), false),
-        _ => (leaked(&TEXTS[3], || chunked(LONG / 3, "8000\r\nvvv")), true),
+        0 => (static_text(&RESPONSES[0], || with_length(LONG_BODY_BYTES)), false),
+        1 => (static_text(&RESPONSES[1], || with_length(LONG_BODY_BYTES / 3)), true),
+        2 => (static_text(&RESPONSES[2], || chunked(LONG_BODY_BYTES, "0\r\nT: t\r\n\r\n")), false),
+        _ => (static_text(&RESPONSES[3], || chunked(LONG_BODY_BYTES / 3, "8000\r\nvvv")), true),
     }
 }
 
-/// Reads until the proxy has no more to say, and tells it in short.
+/// Reads until the proxy closes or is silent for 300 ms, and returns a summary.
 fn outcome(stream: &mut TcpStream) -> String {
     stream.set_read_timeout(Some(Duration::from_millis(300))).unwrap();
     let (mut seen, mut buf) = (Vec::new(), [0; 65_536]);
@@ -39,15 +41,15 @@
     };
     let text = String::from_utf8_lossy(&seen);
     let (head, body) = text.split_once("\r\n\r\n").unwrap_or((&text, ""));
-    let framed =
+    let framing =
         ["Content-Length: 300000", "Transfer-Encoding: chunked"].into_iter().find(|f| head.contains(f));
-    let values = body.bytes().filter(|b| *b == b'v').count();
+    let value_bytes = body.bytes().filter(|b| *b == b'v').count();
     let ended = if body.ends_with("0\r\n\r\n") { ", last chunk" } else { "" };
     let end = if closed { "closed" } else { "kept" };
-    format!("{} {}: {values} bytes{ended}, {end}", &head[9..12], framed.unwrap_or("-"))
+    format!("{} {}: {value_bytes} bytes{ended}, {end}", &head[9..12], framing.unwrap_or("-"))
 }
 
-fn question(setup: &ProxySetup, method: &str, id: &str, body: &str) -> TcpStream {
+fn send_request(setup: &ProxySetup, method: &str, id: &str, body: &str) -> TcpStream {
     let mut stream = setup.client();
     let ns = "page";
     let head = format!("{method} /api/{id} HTTP/1.1\r\nX-Correlation-Id: {id}\r\nX-Service-Class: {ns}\r\n");
@@ -55,12 +57,13 @@
     stream
 }
 
-/// A long answer goes on as it comes, and one that breaks off looks broken: nothing is asked again.
+/// A long response is forwarded as it arrives. If it is truncated, the client sees a truncated
+/// response, and the request is not retried.
 #[test]
-fn a_long_answer_flows_and_one_that_breaks_off_looks_broken() {
-    let setup = ProxySetup::new(&[("amber", long)]);
+fn a_long_response_is_streamed_and_a_truncated_one_is_passed_on_truncated() {
+    let setup = ProxySetup::new(&[("amber", long_response)]);
     for i in 0..4 {
-        let mut client = question(&setup, "GET", &format!("l{i}"), "\r\n");
+        let mut client = send_request(&setup, "GET", &format!("l{i}"), "\r\n");
         setup.observed.record(outcome(&mut client));
     }
     setup.assert_observed(expect![[r#"
@@ -75,34 +78,35 @@
     "#]]);
 }
 
-/// The first half of an answer, and nothing more for a second.
-fn halting(_: usize) -> (&'static str, bool) {
+/// Responds with the head and the first 1000 bytes of the body, and then stalls.
+fn stalling_response(_: usize) -> (&'static str, bool) {
     static TEXT: OnceLock<String> = OnceLock::new();
-    let text = || format!("HTTP/1.1 200 OK\r\nContent-Length: {LONG}\r\n\r\n{}", "v".repeat(1000));
-    (leaked(&TEXT, text), false)
+    let text = || format!("HTTP/1.1 200 OK\r\nContent-Length: {LONG_BODY_BYTES}\r\n\r\n{}", "v".repeat(1000));
+    (static_text(&TEXT, text), false)
 }
 
-/// Its first bytes are the client's at once, past the time limit it is not cut off, and when its client goes the server's
-/// connection is closed too.
+/// The client gets the first bytes of a response at once, the response is not cut off past the time
+/// limit, and when the client disconnects, the connection to the server is closed too.
 #[test]
-fn the_first_bytes_of_a_long_answer_do_not_wait_for_the_rest() {
-    let setup = ProxySetup::new(&[("amber", halting)]);
-    let mut client = question(&setup, "GET", "h", "\r\n");
+fn the_first_bytes_of_a_long_response_do_not_wait_for_the_rest() {
+    let setup = ProxySetup::new(&[("amber", stalling_response)]);
+    let mut client = send_request(&setup, "GET", "h", "\r\n");
     setup.observed.record(outcome(&mut client));
-    sleep(Duration::from_millis(900)); // beyond the request's second
+    sleep(Duration::from_millis(900)); // past the request's time limit of 1 s
     client.set_read_timeout(Some(Duration::from_millis(100))).unwrap();
     let open = matches!(client.read(&mut [0; 8]), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock);
-    setup.observed.record(format!("open past its time: {open}"));
+    setup.observed.record(format!("open past the time limit: {open}"));
     setup.assert_observed(expect![[r#"
         amber: GET /api/h
         200 Content-Length: 300000: 1000 bytes, kept
-        open past its time: true
+        open past the time limit: true
     "#]]);
 }
 
-/// A body of 200 kB, in chunks or with a length, reaches the origin whole; one beyond all bounds is turned down at once.
+/// A body of 200 kB, in chunks or with a length, reaches the origin whole. One beyond every limit
+/// is rejected at once.
 #[test]
-fn long_bodies_are_taken_whole() {
+fn long_bodies_are_accepted_whole() {
     let setup = ProxySetup::new(&[("origin", hit)]);
     let body = "v".repeat(200_000);
     let bodies = [
@@ -111,15 +115,15 @@
         "Content-Length: 99000000000\r\n\r\n".to_string(),
     ];
     for (i, body) in bodies.iter().enumerate() {
-        let mut client = question(&setup, "PUT", &format!("b{i}"), body);
-        let answer = message(&mut client).map_or("none".into(), |(head, _)| head[9..12].to_string());
+        let mut client = send_request(&setup, "PUT", &format!("b{i}"), body);
+        let answer = read_message(&mut client).map_or("none".into(), |(head, _)| head[9..12].to_string());
         setup.observed.record(format!("client: {answer}"));
     }
     let mut lines = setup.observed.lines.lock().unwrap();
     lines.iter_mut().for_each(|line| {
-        let values = line.matches('v').count();
-        if values > 1000 {
-            *line = format!("{} and {values} bytes", line.split(" v").next().unwrap());
+        let value_bytes = line.matches('v').count();
+        if value_bytes > 1000 {
+            *line = format!("{} and {value_bytes} bytes", line.split(" v").next().unwrap());
         }
     });
     drop(lines);
@@ -132,9 +136,9 @@
     "#]]);
 }
 
-/// A request's time begins with its last byte, however slowly its head came.
+/// The time limit of a request runs from its last byte, however slowly its head arrives.
 #[test]
-fn a_slow_head_takes_no_time_from_its_request() {
+fn a_slow_head_does_not_shorten_the_time_limit() {
     let setup = ProxySetup::new(&[("amber", hit)]);
     let mut client = setup.client();
     let (first, last) = (
--- a/crates/proxy/tests/sockets/responses.rs
+++ b/crates/proxy/tests/sockets/responses.rs
@@ -1,13 +1,13 @@
-//! Hits, misses, failures of servers, and what the client gets.
+//! Hits, misses, server failures, and the responses that clients get.
 
 use super::*;
 
 #[test]
 fn a_hit_comes_back_unchanged_on_one_reused_connection() {
-    let setup = ProxySetup::new(&[("a", |n| (if n == 0 { HIT_RESPONSE } else { CHUNKED }, false))]);
+    let setup = ProxySetup::new(&[("a", |n| (if n == 0 { HIT_RESPONSE } else { CHUNKED_RESPONSE }, false))]);
     let mut client = setup.client();
-    setup.ask(&mut client, "GET", "page", "k");
-    setup.ask(&mut client, "GET", "page", "k");
+    setup.request(&mut client, "GET", "page", "k");
+    setup.request(&mut client, "GET", "page", "k");
     setup.assert_observed(expect![[r#"
         a: GET /api/k?part=1
         client: 200 value
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_value_longer_than_the_protocol_has_it_is_passed_on_whole() {
+fn a_value_longer_than_the_protocol_allows_is_passed_on_whole() {
     let long: ServerScript = |n| {
         let length = if n == 0 { 300_000 } else { 2_000_000 };
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{}", "v".repeat(length));
@@ -26,8 +26,8 @@
     let setup = ProxySetup::new(&[("a", long)]);
     let mut client = setup.client();
     for _ in 0..2 {
-        setup.write(&mut client, "GET", "once", "k");
-        let (head, body) = message(&mut client).unwrap();
+        setup.send_request(&mut client, "GET", "once", "k");
+        let (head, body) = read_message(&mut client).unwrap();
         setup.observed.record(format!("client: {} {}", &head[9..12], body.len()));
     }
     setup.assert_observed(expect![[r#"
@@ -39,13 +39,13 @@
 }
 
 #[test]
-fn interim_answers_ahead_of_one_are_passed_over() {
+fn interim_responses_are_skipped() {
     let hints: ServerScript = |_| {
         let interim = "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n";
         (format!("{interim}{HIT_RESPONSE}").leak(), false)
     };
     let setup = ProxySetup::new(&[("a", hints)]);
-    setup.ask(&mut setup.client(), "GET", "once", "k");
+    setup.request(&mut setup.client(), "GET", "once", "k");
     setup.assert_observed(expect![[r#"
         a: GET /api/k?part=1
         client: 200 value
@@ -54,10 +54,10 @@
 
 #[test]
 fn a_miss_goes_to_the_origin_and_so_does_a_write() {
-    let setup = ProxySetup::new(&[("a", |_| (MISS, false)), ("origin", hit)]);
+    let setup = ProxySetup::new(&[("a", |_| (MISS_RESPONSE, false)), ("origin", hit)]);
     let mut client = setup.client();
-    setup.ask(&mut client, "GET", "page", "k");
-    setup.ask(&mut client, "PUT", "once", "k");
+    setup.request(&mut client, "GET", "page", "k");
+    setup.request(&mut client, "PUT", "once", "k");
     setup.assert_observed(expect![[r#"
         a: GET /api/k?part=1
         origin: GET /api/k?part=1
@@ -72,7 +72,7 @@
     let setup = ProxySetup::new(&[("a", |_| (HIT_RESPONSE, true))]);
     let mut client = setup.client();
     for _ in 0..3 {
-        setup.ask(&mut client, "GET", "page", "k");
+        setup.request(&mut client, "GET", "page", "k");
         sleep(Duration::from_millis(20));
     }
     setup.assert_observed(expect![[r#"
@@ -86,11 +86,11 @@
 }
 
 #[test]
-fn where_nothing_listens_nothing_has_run_and_a_single_use_request_goes_on() {
+fn a_refused_connection_has_run_nothing_and_a_single_use_request_is_retried() {
     let setup = ProxySetup::new(&[("nobody", hit), ("a", hit)]);
     let mut client = setup.client();
     for key in ["k1", "k2", "k3", "k4", "k5", "k6"] {
-        setup.ask(&mut client, "GET", "once", key);
+        setup.request(&mut client, "GET", "once", key);
     }
     setup.assert_observed(expect![[r#"
         a: GET /api/k1?part=1
@@ -109,10 +109,10 @@
 }
 
 #[test]
-fn a_reset_after_the_last_byte_may_have_run() {
+fn a_request_reset_after_its_last_byte_may_have_run() {
     let setup = ProxySetup::new(&[("a", |_| ("", true)), ("b", |_| ("", true))]);
     let mut client = setup.client();
-    setup.ask(&mut client, "GET", "once", "k");
+    setup.request(&mut client, "GET", "once", "k");
     setup.assert_observed(expect![[r#"
         a: GET /api/k?part=1
         client: 500
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn answers_that_break_off_or_make_no_sense_are_failed_attempts() {
+fn truncated_and_malformed_responses_are_failed_attempts() {
     let broken: ServerScript = |n| match n {
         0 => ("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", true),
         1 => ("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", false),
@@ -128,18 +128,18 @@
     };
     for key in ["k1", "k2", "k3"] {
         let setup = ProxySetup::new(&[("a", broken), ("b", hit)]);
-        setup.ask(&mut setup.client(), "GET", "page", key);
+        setup.request(&mut setup.client(), "GET", "page", key);
         assert!(setup.observed.lines.lock().unwrap().contains(&"client: 200 value".to_string()));
     }
-    let endless = ProxySetup::new(&[("a", |_| ("HTTP/1.1 200 OK\r\n\r\nhalf", true))]);
-    endless.ask(&mut endless.client(), "GET", "once", "k");
-    endless.assert_observed(expect![[r#"
+    let unframed = ProxySetup::new(&[("a", |_| ("HTTP/1.1 200 OK\r\n\r\nhalf", true))]);
+    unframed.request(&mut unframed.client(), "GET", "once", "k");
+    unframed.assert_observed(expect![[r#"
         a: GET /api/k?part=1
         client: 500
     "#]]);
     let setup = ProxySetup::new(&[("a", broken)]);
     for _ in 0..3 {
-        setup.ask(&mut setup.client(), "GET", "page", "k");
+        setup.request(&mut setup.client(), "GET", "page", "k");
     }
     setup.assert_observed(expect![[r#"
         a: GET /api/k?part=1
@@ -152,11 +152,11 @@
 }
 
 #[test]
-fn a_silent_server_is_passed_and_its_connection_closed_after_the_answer() {
+fn a_silent_server_is_bypassed_and_its_connection_closed_after_the_response() {
     let setup = ProxySetup::new(&[("a", |_| ("", false)), ("b", hit)]);
     let mut client = setup.client();
     for key in ["k1", "k2", "k3"] {
-        setup.ask(&mut client, "GET", "page", key);
+        setup.request(&mut client, "GET", "page", key);
     }
     setup.record_closings(1);
     setup.assert_observed(expect![[r#"
@@ -175,9 +175,9 @@
 fn an_ejected_server_is_health_checked_and_readmitted() {
     let setup = ProxySetup::new(&[("a", |n| if n < 3 { ("", true) } else { (HIT_RESPONSE, false) })]);
     let mut client = setup.client();
-    (0..3).for_each(|_| setup.ask(&mut client, "GET", "once", "k"));
+    (0..3).for_each(|_| setup.request(&mut client, "GET", "once", "k"));
     wait_for(|| setup.observed.lines.lock().unwrap().iter().any(|line| line == "a: GET /alive"));
-    setup.ask(&mut client, "GET", "once", "k");
+    setup.request(&mut client, "GET", "once", "k");
     setup.assert_observed(expect![[r#"
         a: GET /api/k?part=1
         client: 500
@@ -193,19 +193,19 @@
 
 #[test]
 fn without_a_server_a_request_is_rejected_at_once() {
-    let gone = |lines: &[Value]| vec![whole(2, &lines[..0])];
-    let setup = ProxySetup::with(&[("a", hit)], 1024, "", gone);
-    setup.ask(&mut setup.client(), "GET", "page", "k");
+    let empty_list = |entries: &[Value]| vec![full_list(2, &entries[..0])];
+    let setup = ProxySetup::with_options(&[("a", hit)], 1024, "", empty_list);
+    setup.request(&mut setup.client(), "GET", "page", "k");
     setup.assert_observed(expect![[r#"
         client: 503 Retry-After
     "#]]);
 }
 
 #[test]
-fn a_client_that_goes_away_takes_its_attempt_along() {
+fn the_attempt_of_a_client_that_disconnects_is_cancelled() {
     let setup = ProxySetup::new(&[("a", |_| ("", false))]);
     let mut client = setup.client();
-    setup.write(&mut client, "GET", "page", "k");
+    setup.send_request(&mut client, "GET", "page", "k");
     sleep(Duration::from_millis(50));
     drop(client);
     setup.record_closings(1);
--- a/crates/proxy/tests/sources.rs
+++ b/crates/proxy/tests/sources.rs
@@ -1,4 +1,5 @@
-//! Lists from files, on one proxy process on loopback: taken whole or not at all, kept on disk, and captured.
+//! Endpoint lists from files, on one proxy process on loopback: accepted whole or not at all,
+//! persisted, and captured.
 
 use serde_json::json;
 use std::io::{Read, Write};
@@ -9,7 +10,7 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// A server that answers everything with its name.
+/// Runs a server that answers every request with its name.
 fn server(name: &'static str) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
@@ -51,26 +52,26 @@
                 "rules": {"drainGraceNs": 1_000_000_000},
                 "namespaces": [{"name": "page", "idempotency": "free", "group": "all", "dedupWindowNs": 0,
                     "targetTimeNs": 500_000_000u64, "timeLimitNs": 900_000_000u64, "utility": 1.0, "overdueUtility": 0.0}]}});
-        let shown = |name: &str| folder.join(name).display().to_string();
+        let path_of = |name: &str| folder.join(name).display().to_string();
         let operator = format!(
             "version = 1\n[membership]\nsource = \"file\"\nfile = \"{}\"\nkeep = \"{}\"\n[capture]\nfolder = \"{}\"\nkeys = true\n[end]\n",
-            shown("list.toml"),
-            shown("kept"),
-            shown("captures")
+            path_of("list.toml"),
+            path_of("kept"),
+            path_of("captures")
         );
         std::fs::write(folder.join("config.json"), configuration.to_string()).unwrap();
         std::fs::write(folder.join("operator.toml"), operator).unwrap();
         let log = std::fs::OpenOptions::new().create(true).append(true).open(folder.join("log")).unwrap();
         let proxy = Command::new(env!("CARGO_BIN_EXE_chalkwalk"))
-            .args(["serve", "--config", &shown("config.json"), "--operator", &shown("operator.toml")])
+            .args(["serve", "--config", &path_of("config.json"), "--operator", &path_of("operator.toml")])
             .stderr(Stdio::from(log))
             .spawn()
             .unwrap();
         ProxySetup { proxy, addr, folder: folder.to_path_buf() }
     }
 
-    /// Who answers a request, if anybody does.
-    fn ask(&self, id: usize) -> Option<String> {
+    /// Returns the name of the server that answers a request, or `None` if none does.
+    fn request(&self, id: usize) -> Option<String> {
         let mut stream = TcpStream::connect(self.addr).ok()?;
         stream.set_read_timeout(Some(Duration::from_secs(2))).ok()?;
         let text = format!(
@@ -83,12 +84,16 @@
         head.starts_with("HTTP/1.1 200").then(|| body.to_string())
     }
 
-    /// Waits until one of these answers, and every request of ten then.
-    fn answered_by(&self, name: &str) {
+    /// Waits until this server answers ten requests in a row.
+    fn wait_for_answers_by(&self, name: &str) {
         let end = Instant::now() + Duration::from_secs(20);
-        let all = || (0..10).all(|i| self.ask(i).as_deref() == Some(name));
+        let all = || (0..10).all(|i| self.request(i).as_deref() == Some(name));
         while !all() {
-            assert!(Instant::now() < end, "never by {name}:\n{}", self.log());
+            assert!(
+                Instant::now() < end,
+                "{name} did not answer ten requests in a row within 20 s; log:\n{}",
+                self.log()
+            );
             sleep(Duration::from_millis(20));
         }
     }
@@ -97,7 +102,7 @@
         std::fs::read_to_string(self.folder.join("log")).unwrap()
     }
 
-    fn end(mut self) {
+    fn stop(mut self) {
         _ = Command::new("kill").args(["-TERM", &self.proxy.id().to_string()]).status();
         assert!(self.proxy.wait().unwrap().success());
     }
@@ -110,7 +115,7 @@
     }
 }
 
-fn line(id: &str, addr: SocketAddr, state: &str) -> String {
+fn list_entry(id: &str, addr: SocketAddr, state: &str) -> String {
     format!(
         "[[cache]]\nid = \"{id}\"\naddr = \"{addr}\"\nzone = \"here\"\nkind = \"cache\"\nstate = \"{state}\"\n"
     )
@@ -121,44 +126,47 @@
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("sources-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let (a, b) = (server("amber"), server("birch"));
-    let write = |text: String| std::fs::write(folder.join("list.toml"), text).unwrap();
-    let list = |a_is, b_is| format!("version = 1\n{}{}[end]\n", line("a", a, a_is), line("b", b, b_is));
-    write(list("serving", "draining"));
+    let write_list = |text: String| std::fs::write(folder.join("list.toml"), text).unwrap();
+    let list = |state_of_a, state_of_b| {
+        format!("version = 1\n{}{}[end]\n", list_entry("a", a, state_of_a), list_entry("b", b, state_of_b))
+    };
+    write_list(list("serving", "draining"));
     let setup = ProxySetup::new(&folder);
-    setup.answered_by("amber");
-    // A broken version and one without its end change nothing, and say so; a drained server that is listed again stays off.
-    write(list("serving", "tired"));
+    setup.wait_for_answers_by("amber");
+    // An invalid file and one without its end marker change nothing, and the log says so. A drained
+    // server that is listed again stays drained.
+    write_list(list("serving", "tired"));
     sleep(Duration::from_millis(250));
-    write(list("draining", "serving").replace("[end]\n", ""));
+    write_list(list("draining", "serving").replace("[end]\n", ""));
     sleep(Duration::from_millis(250));
-    write(list("serving", "serving"));
+    write_list(list("serving", "serving"));
     sleep(Duration::from_millis(250));
-    setup.answered_by("amber");
-    // A new start of b's process, and a drain.
-    write(format!(
+    setup.wait_for_answers_by("amber");
+    // The process of server b has started anew, and server a drains.
+    write_list(format!(
         "version = 1\n{}{}started_ms = 7\n[end]\n",
-        line("a", a, "draining"),
-        line("b", b, "serving")
+        list_entry("a", a, "draining"),
+        list_entry("b", b, "serving")
     ));
-    setup.answered_by("birch");
+    setup.wait_for_answers_by("birch");
     let log = setup.log();
-    for output in [
+    for expected in [
         "state is serving or draining, not \"tired\"",
         "it may have been cut short",
         "stays drained",
         "list file accepted",
     ] {
-        assert!(log.contains(output), "no \"{output}\" in\n{log}");
+        assert!(log.contains(expected), "\"{expected}\" is not in the log:\n{log}");
     }
     sleep(Duration::from_millis(1500));
-    setup.end();
-    // No file any more: the list as it was last kept, drains included.
+    setup.stop();
+    // The file is gone: the proxy loads the list as it was last persisted, including drains.
     std::fs::remove_file(folder.join("list.toml")).unwrap();
     let setup = ProxySetup::new(&folder);
-    setup.answered_by("birch");
+    setup.wait_for_answers_by("birch");
     assert!(setup.log().contains("persisted list loaded"));
-    setup.end();
-    // Both lives of the process, made again.
+    setup.stop();
+    // The capture replays both runs of the process.
     let captures = folder.join("captures").display().to_string();
     let run = |args: &[&str]| {
         let out = Command::new(env!("CARGO_BIN_EXE_chalkwalk"))
