--- a/crates/testbed/src/model/cluster/build.rs
+++ b/crates/testbed/src/model/cluster/build.rs
@@ -1,28 +1,30 @@
-//! How the cluster's state follows from an experiment's faults.
+//! Derives the cluster's state over a run from an experiment's faults.
 
 use super::{BLOCKS, Cluster, Loading, Migration, Ownership, StaleMap};
 use crate::clock::{Micros, SECOND, micros};
 use crate::experiment::{Experiment, Fault, FaultKind};
 
-/// Of the time to the next migration, the part that one takes.
+/// Duration of a block's migration, as a share of the interval between two migrations.
 const MIGRATION_PART: f64 = 0.8;
-/// Blocks migrate in steps of 37, which pass through all of 64.
+/// Distance between successive migrating blocks. 37 has no common factor with 64, so the steps
+/// reach all 64 blocks.
 const BLOCK_STEP: usize = 37;
-/// A replica takes over so long after its primary is gone: a node time-out and an election.
+/// Time from the loss of a primary until its replica takes over: a node timeout and an election.
 const FAILOVER_DELAY: Micros = 800_000;
-/// A server that is back loads for so long before it answers.
+/// Time for which a restarted server loads its data before it answers.
 const LOADING_TIME: Micros = SECOND;
-/// Stands in for a time that a kind of fault requires; the experiment's check has refused a fault without it.
+/// Fallback for a duration that a kind of fault requires; the experiment's check has already
+/// rejected a fault without it.
 const DEFAULT_SECONDS: f64 = 1.0;
 
-/// A change of owners, at a moment.
+/// A scheduled change of the owner of one or more blocks.
 enum Change {
     Migrate { block: usize, from: Micros, until: Micros },
     FailOver { server: usize, at: Micros },
 }
 
 impl Change {
-    /// When it happens, and to which block or server: the order in which changes are applied.
+    /// Sort key in which changes are applied: the time, then the block or server.
     fn order(&self) -> (Micros, usize) {
         match self {
             Change::Migrate { block, from, .. } => (*from, *block),
@@ -32,7 +34,7 @@
 }
 
 impl Cluster {
-    /// Works out what happens in an experiment.
+    /// Computes the cluster's state over the run of an experiment.
     pub fn new(experiment: &Experiment) -> Cluster {
         let servers = experiment.world.servers;
         let primaries = servers.div_ceil(2);
@@ -47,7 +49,8 @@
         for fault in experiment.each_fault() {
             changes.extend(cluster.apply(experiment, fault));
         }
-        // In order of time: a failover's owner is who had the block then.
+        // Changes are applied in order of time, because a failover affects the blocks that the
+        // server owns at that time.
         changes.sort_by_key(Change::order);
         for change in changes {
             match change {
@@ -59,7 +62,8 @@
         cluster
     }
 
-    /// Takes up what a fault does to single servers, and returns the changes of owners that it brings.
+    /// Records what a fault does to single servers, and returns the changes of owners that it
+    /// causes.
     fn apply(&mut self, experiment: &Experiment, fault: &Fault) -> Vec<Change> {
         let targets = experiment.targets(fault);
         let at = micros(fault.at);
@@ -90,7 +94,7 @@
         self.loading.extend(servers.iter().map(loading));
     }
 
-    /// A block goes over to the next primary.
+    /// Migrates a block to the next primary.
     fn migrate(&mut self, block: usize, from: Micros, until: Micros) {
         let owner = self.owner(block, from);
         let to = (owner % self.primaries + 1) % self.primaries;
@@ -99,14 +103,15 @@
         self.changes.push(until);
     }
 
-    /// A server's replica gets all its blocks.
+    /// Gives all blocks of a server to its replica.
     fn fail_over(&mut self, server: usize, at: Micros, servers: usize) {
         let is_primary = server < self.primaries;
         let replica = if is_primary { self.primaries + (server + 1) % self.primaries } else { server };
         let replica = replica.min(servers - 1);
         for block in 0..BLOCKS {
             if self.owner(block, at) == server {
-                // What was migrating stays with who took over.
+                // A migration in progress is abandoned: the block stays with the replica that took
+                // over.
                 self.migrations[block].retain(|migration| migration.until <= at);
                 self.owners[block].retain(|ownership| ownership.since <= at);
                 self.owners[block].push(Ownership { since: at, owner: replica });
@@ -116,7 +121,7 @@
     }
 }
 
-/// One block after the other, for as long as the fault lasts.
+/// The migrations of a fault: one block per interval, for as long as the fault lasts.
 fn migrations(fault: &Fault) -> Vec<Change> {
     let span = fault.span();
     let every = micros(fault.every.unwrap_or(DEFAULT_SECONDS)).max(1);
--- a/crates/testbed/src/model/cluster/mod.rs
+++ b/crates/testbed/src/model/cluster/mod.rs
@@ -1,20 +1,22 @@
-//! A cluster of servers that hold hash slots, over a run: who owns which block of slots, what migrates, which replica took over.
-//! Functions of time, worked out ahead from the experiment. The first half of the servers are primaries, the second their
-//! replicas, one each, beside their primary's neighbour.
+//! A cluster of servers that hold hash slots, over a run: which server owns which block of slots,
+//! which blocks migrate, and which replicas take over. All of it is computed in advance from the
+//! experiment, as functions of time. The first half of the servers are primaries, the second half
+//! are their replicas, one for each primary. A replica's position in the second half is that of its
+//! primary's successor in the first.
 
 mod build;
 
 use crate::clock::Micros;
 use std::ops::Range;
 
-/// Hash slots, as the public specification has them.
+/// Number of hash slots, as in the public cluster specification.
 pub const SLOTS: u16 = 16384;
-/// Slots migrate in blocks of 256.
+/// Number of blocks in which slots migrate: 256 slots per block.
 pub const BLOCKS: usize = 64;
-/// Keys of a block migrate one after the other, by a rank below this.
+/// Number of ranks. The keys of a block migrate in order of their rank, which is below this number.
 pub const RANKS: u64 = 1000;
 
-/// A block of slots is on its way to another primary.
+/// The migration of a block to another primary.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Migration {
     from: Micros,
@@ -22,21 +24,21 @@
     to: usize,
 }
 
-/// A server owns a block from a moment on.
+/// The owner of a block from a point in time on.
 #[derive(Clone, Copy, Debug)]
 struct Ownership {
     since: Micros,
     owner: usize,
 }
 
-/// A server that is back loads its data.
+/// A span in which a restarted server loads its data.
 #[derive(Clone, Debug)]
 struct Loading {
     server: usize,
     span: Range<Micros>,
 }
 
-/// A server's map is that of an earlier moment.
+/// A span in which a server uses an outdated slot map.
 #[derive(Clone, Debug)]
 struct StaleMap {
     server: usize,
@@ -44,57 +46,57 @@
     by: Micros,
 }
 
-/// The cluster's state at any moment.
+/// The cluster's state over a run.
 #[derive(Clone, Debug, Default)]
 pub struct Cluster {
     primaries: usize,
-    /// By block, in order of time.
+    /// Indexed by block; each list is in order of time.
     owners: Vec<Vec<Ownership>>,
-    /// By block.
+    /// Indexed by block.
     migrations: Vec<Vec<Migration>>,
-    /// Moments at which the map changed: each is an epoch.
+    /// Times at which the slot map changes; each starts a new epoch.
     changes: Vec<Micros>,
     loading: Vec<Loading>,
     stale_maps: Vec<StaleMap>,
 }
 
-/// What a server does with a command.
+/// How a server handles a command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CommandOutcome {
-    /// Executes it.
+    /// It executes the command.
     Serves,
-    /// Redirects to the owner of its slot.
+    /// It redirects the client to the owner of the slot.
     Moved(usize),
-    /// Redirects, for this command alone, to the server that its key has migrated to.
+    /// It redirects the client, for this command only, to the server that the key has migrated to.
     Ask(usize),
-    /// Refuses, as its key has not arrived.
+    /// It rejects the command because the key has not arrived yet.
     TryAgain,
-    /// Refuses, as it loads its data.
+    /// It rejects the command because it is still loading its data.
     Loading,
 }
 
-/// What matters of a command.
+/// The properties of a command on which its outcome depends.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Command {
     /// The slot of its key.
     pub slot: u16,
-    /// A number below [`RANKS`] that is the key's own.
+    /// The key's rank, below [`RANKS`]: its position in a migration.
     pub rank: u64,
-    /// Whether it came with ASKING.
+    /// Whether an ASKING command preceded it.
     pub asking: bool,
-    /// Whether its connection is READONLY.
+    /// Whether READONLY was sent on its connection.
     pub readonly: bool,
-    /// Whether it writes.
+    /// Whether it is a write.
     pub write: bool,
 }
 
-/// The block of a slot.
+/// The block that a slot belongs to.
 pub fn block_of(slot: u16) -> usize {
     usize::from(slot) * BLOCKS / usize::from(SLOTS)
 }
 
 impl Migration {
-    /// Whether a key has arrived.
+    /// Whether a key has already moved to the migration's target.
     fn has_moved(&self, rank: u64, now: Micros) -> bool {
         (now - self.from) * RANKS / (self.until - self.from) > rank
     }
@@ -107,25 +109,27 @@
         owners[i.max(1) - 1].owner
     }
 
-    /// The moment that a server's map is of.
+    /// The time whose slot map a server uses: earlier than now where its map is stale.
     fn map_time(&self, server: usize, now: Micros) -> Micros {
         let stale = self.stale_maps.iter().filter(|map| map.server == server && map.span.contains(&now));
         now.saturating_sub(stale.map(|map| map.by).max().unwrap_or(0))
     }
 
-    /// The primary that a server is the replica of, as long as it has not taken over.
+    /// The primary whose replica a server is, if it is a replica. Failovers are not taken into
+    /// account.
     fn replica_of(&self, server: usize) -> Option<usize> {
-        // Not in its primary's zone, where zones are dealt out in turn.
+        // Zones are assigned to servers in turn, so the shift by one places a replica in another
+        // zone than its primary.
         let nth = server.checked_sub(self.primaries)?;
         Some((nth + self.primaries - 1) % self.primaries)
     }
 
-    /// Whether a server loads its data.
+    /// Whether a server is loading its data.
     pub fn is_loading(&self, server: usize, now: Micros) -> bool {
         self.loading.iter().any(|loading| loading.server == server && loading.span.contains(&now))
     }
 
-    /// What a server does with a command.
+    /// Decides how a server handles a command.
     pub fn handle(&self, server: usize, now: Micros, command: Command) -> CommandOutcome {
         if self.is_loading(server, now) {
             return CommandOutcome::Loading;
@@ -147,7 +151,8 @@
         if owner == server || replicates { CommandOutcome::Serves } else { CommandOutcome::Moved(owner) }
     }
 
-    /// A server's reply to `CLUSTER NODES`, with addresses as the caller is to use them.
+    /// A server's reply to `CLUSTER NODES`; `addr` returns the address at which the caller reaches
+    /// a node.
     pub fn nodes(
         &self,
         server: usize,
@@ -172,7 +177,7 @@
     }
 }
 
-/// The slots of a block as `CLUSTER NODES` has them.
+/// The slot range of a block in the format of `CLUSTER NODES`.
 fn slots_of(block: usize) -> String {
     let per_block = usize::from(SLOTS) / BLOCKS;
     format!(" {}-{}", block * per_block, (block + 1) * per_block - 1)
--- a/crates/testbed/src/model/etcd.rs
+++ b/crates/testbed/src/model/etcd.rs
@@ -1,61 +1,63 @@
-//! A cluster of three endpoints over one store: what happens to it over a run, and how each endpoint sees the store.
+//! An etcd cluster of three endpoints over one store: its faults over a run, and which state of the
+//! store each endpoint sees.
 
 use crate::clock::{Micros, SECOND, micros};
 use crate::experiment::{Experiment, FaultKind};
 use std::ops::Range;
 
-/// Endpoints of the cluster.
+/// Number of endpoints in the cluster.
 pub const ENDPOINTS: usize = 3;
-/// The endpoint that is behind where one is.
+/// The endpoint that lags in a fault that makes one endpoint lag.
 const BEHIND: usize = 2;
-/// Calls that need a majority fail after so long where there is none, as the server's own time-out does.
+/// Calls that need a quorum fail after this time where there is none, as with the timeout of an
+/// etcd server.
 pub const NO_MAJORITY: Micros = 2 * SECOND;
 
-/// Something is late for a time.
+/// A delay that applies within a span.
 #[derive(Clone, Debug)]
 struct Lag {
     span: Range<Micros>,
     by: Micros,
 }
 
-/// The longest of the lags that are on.
+/// The longest of the delays that apply now.
 fn longest<'a>(lags: impl Iterator<Item = &'a Lag>, now: Micros) -> Micros {
     lags.filter(|lag| lag.span.contains(&now)).map(|lag| lag.by).max().unwrap_or(0)
 }
 
-/// What happens to the cluster.
+/// The faults of the cluster over a run.
 #[derive(Clone, Debug, Default)]
 pub struct EtcdTimeline {
     down: Vec<Range<Micros>>,
     stalls: Vec<Range<Micros>>,
     behind: Vec<Lag>,
     slow_leases: Vec<Lag>,
-    /// Moments at which every connection is reset.
+    /// Times at which every connection is reset.
     breaks: Vec<Micros>,
-    /// What is done to the store, in order of time.
+    /// Compactions and restores of the store, in order of time.
     pub actions: Vec<TimedAction>,
 }
 
-/// What is done to the store.
+/// An operation on the whole store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum StoreAction {
-    /// Its history goes.
+    /// Drops the store's history.
     Compact,
-    /// It is restored to its state of so long ago.
+    /// Restores the store to its state of this long ago.
     Restore(Micros),
 }
 
-/// An action and its time.
+/// An operation on the store and its time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TimedAction {
-    /// When.
+    /// The time of the operation.
     pub at: Micros,
-    /// What.
+    /// The operation.
     pub action: StoreAction,
 }
 
 impl EtcdTimeline {
-    /// Works out what happens in an experiment.
+    /// Computes the faults of the cluster from an experiment.
     pub fn new(experiment: &Experiment) -> EtcdTimeline {
         let mut timeline = EtcdTimeline::default();
         for fault in experiment.each_fault() {
@@ -84,33 +86,33 @@
         timeline
     }
 
-    /// Whether it is down.
+    /// Whether the cluster is down.
     pub fn is_down(&self, now: Micros) -> bool {
         self.down.iter().any(|span| span.contains(&now))
     }
 
-    /// When it goes down or comes up next.
+    /// The next time at which the cluster goes down or comes up; `Micros::MAX` if there is none.
     pub fn next_transition(&self, now: Micros) -> Micros {
         let ends = self.down.iter().flat_map(|span| [span.start, span.end]);
         ends.filter(|at| *at > now).min().unwrap_or(Micros::MAX)
     }
 
-    /// The end of the stall that is on.
+    /// The end of the current stall, if the cluster stalls.
     pub fn stalled_until(&self, now: Micros) -> Option<Micros> {
         self.stalls.iter().filter(|span| span.contains(&now)).map(|span| span.end).max()
     }
 
-    /// How far an endpoint lags.
+    /// How far the state that an endpoint sees is behind the store.
     pub fn lag(&self, endpoint: usize, now: Micros) -> Micros {
         longest(self.behind.iter().filter(|_| endpoint == BEHIND), now)
     }
 
-    /// How long calls about leases wait.
+    /// The delay of calls about leases.
     pub fn lease_lag(&self, now: Micros) -> Micros {
         longest(self.slow_leases.iter(), now)
     }
 
-    /// When connections are reset next.
+    /// The next time at which all connections are reset.
     pub fn next_break(&self, now: Micros) -> Option<Micros> {
         self.breaks.iter().copied().filter(|at| *at > now).min()
     }
--- a/crates/testbed/src/model/mod.rs
+++ b/crates/testbed/src/model/mod.rs
@@ -1,5 +1,6 @@
-//! What the stand-ins are models of. Nothing in here has a socket, a clock or randomness of its own: time and luck are passed
-//! in, so that what happens can be worked out, and tested, ahead of playing it.
+//! Models of the systems that the stand-ins imitate. The models have no sockets, no clock and no
+//! source of randomness: times and random numbers are passed in, so that a run's course can be
+//! computed, and tested, in advance.
 
 pub mod cluster;
 pub mod etcd;
--- a/crates/testbed/src/model/server.rs
+++ b/crates/testbed/src/model/server.rs
@@ -1,4 +1,5 @@
-//! One server's process, and the origin's: what becomes of an attempt that reaches them, and when.
+//! Models of one server process and of the origin: the outcome of each attempt that reaches them,
+//! and its time.
 
 use crate::clock::Micros;
 use crate::model::speed::{Cores, RecentWork, SpeedProfile};
@@ -11,81 +12,83 @@
 pub enum Reply {
     /// The cached value.
     Hit,
-    /// The value, fetched by the server, or made by the origin.
+    /// The value, which the server fetched from the origin or the origin produced.
     Fetched,
     /// The key is not cached.
     Miss,
-    /// An error.
+    /// An error response.
     Error,
-    /// Refused, and surely not run.
+    /// A rejection which states that the request was not executed.
     Unprocessed,
-    /// None, ever.
+    /// No reply at all.
     Silence,
     /// A reset of the connection.
     Reset,
-    /// Half of the value.
+    /// A response that ends after half of the value.
     Truncated,
-    /// Noise.
+    /// Bytes that are not a valid response.
     Garbage,
 }
 
-/// What becomes of an attempt.
+/// The outcome of an attempt, decided when the attempt arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlannedReply {
     /// The reply.
     pub reply: Reply,
-    /// When.
+    /// When it is sent.
     pub at: Micros,
-    /// Whether an interim response goes ahead.
+    /// Whether an interim response is sent before it.
     pub interim: bool,
-    /// Whether its effect, if it has one, comes about.
+    /// Whether the request's effect, if it has one, is applied.
     pub takes_effect: bool,
-    /// Whether the server collapsed under this attempt.
+    /// Whether this attempt makes the server collapse.
     pub collapses: bool,
 }
 
 impl PlannedReply {
-    /// A reply without interim response and effect.
+    /// A reply without an interim response and without an effect.
     pub fn plain(reply: Reply, at: Micros) -> PlannedReply {
         PlannedReply { reply, at, interim: false, takes_effect: false, collapses: false }
     }
 }
 
-/// What the model needs to know of an attempt.
+/// The properties of an attempt that its outcome depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptInput {
-    /// Its key.
+    /// The key that is requested.
     pub key: u64,
-    /// Whether it writes.
+    /// Whether it is a write.
     pub write: bool,
-    /// How long it takes at the usual speed.
+    /// Processing time at normal speed.
     pub work: Micros,
-    /// From 0 to 1: decides where a fault affects only a share of the attempts.
+    /// A random number from 0 to 1. It decides whether a fault that affects only a share of the
+    /// attempts affects this one.
     pub luck: f64,
 }
 
-/// What all servers have in common.
+/// The settings that all servers have in common.
 #[derive(Clone, Debug)]
 pub struct ServerSpec {
-    /// Cores of each.
+    /// Number of cores.
     pub cores: usize,
-    /// Requests that wait for one.
+    /// Maximum number of requests that wait for a core.
     pub queue: usize,
-    /// Values that are cached.
+    /// Maximum number of cached values.
     pub values: usize,
-    /// The speed just after a start, as a share of the full speed.
+    /// Speed just after a start, as a share of full speed.
     pub slow_start_share: f64,
-    /// From a start to full speed.
+    /// Time from a start to full speed.
     pub slow_start: Micros,
-    /// In slow start a server collapses when it is sent more than so many times what it can do, ...
+    /// In slow start, a server collapses if it receives more than this multiple of the work that it
+    /// can do ...
     pub collapse_multiple: f64,
-    /// ... over this window.
+    /// ... within this window.
     pub collapse_window: Micros,
-    /// Whether it fetches what it lacks by itself.
+    /// Whether it fetches values that it has not cached from the origin itself (read-through).
     pub through: bool,
 }
 
-/// One process of a server.
+/// The model of one server process.
 pub struct ServerModel {
     spec: ServerSpec,
     cores: Cores,
@@ -96,12 +99,14 @@
     collapsed: bool,
 }
 
-/// Refusing, missing and failing take an eighth of the work: the request is read and the key looked up.
+/// A rejection, a miss and an error take an eighth of the work: the server reads the request and
+/// looks the key up.
 const SMALL_WORK_DIVISOR: Micros = 8;
-/// Above the budget of a server in slow start, as arrivals are random: so many requests of the size that comes.
+/// Tolerance above the work budget of a server in slow start, as a number of requests of the
+/// arriving size: arrivals are random.
 const COLLAPSE_SLACK: Micros = 8;
 
-/// Misbehaviors that affect one attempt.
+/// The misbehaviors that affect one attempt.
 struct Affecting(Vec<Misbehavior>);
 
 impl Affecting {
@@ -119,10 +124,10 @@
         self.has(Misbehavior::Hangs) || self.has(Misbehavior::Loses)
     }
 
-    /// The reply to an attempt whose work is done, where a misbehavior changes it.
+    /// The reply and its time for an attempt that was executed, where a misbehavior changes them.
     fn after_work(&self, done: Micros) -> Option<(Reply, Micros)> {
         if self.is_unanswered() {
-            // Whether it ran will never be known to anybody: it did.
+            // The caller cannot learn whether the request was executed. In the model, it was.
             return Some((Reply::Silence, Micros::MAX));
         }
         if self.has(Misbehavior::Half) {
@@ -133,7 +138,7 @@
 }
 
 impl ServerModel {
-    /// A process that started then, with nothing cached.
+    /// A process that started at the given time, with an empty cache.
     pub fn new(spec: ServerSpec, started: Micros) -> ServerModel {
         ServerModel {
             cores: Cores::new(spec.cores, spec.queue),
@@ -151,7 +156,7 @@
         self.cached.put(key, ());
     }
 
-    /// Drops a key's value.
+    /// Removes a key's value from the cache.
     pub fn remove(&mut self, key: u64) {
         self.cached.pop(&key);
     }
@@ -161,7 +166,8 @@
         self.cached.contains(&key)
     }
 
-    /// Whether a process in slow start is sent more than it bears; counts what is sent now.
+    /// Whether a process in slow start has received more work than it can bear. Adds the attempt's
+    /// work to the window.
     fn collapses_under(&mut self, now: Micros, attempt: &AttemptInput) -> bool {
         let spec = &self.spec;
         if self.started == 0 || now >= self.started + spec.slow_start {
@@ -181,7 +187,9 @@
         }
     }
 
-    /// What becomes of an attempt that comes now. `fetch` is the origin's model, where the server fetches by itself.
+    /// Decides the outcome of an attempt that arrives now. `fetch` returns when the origin has
+    /// answered a request sent at the given time, or `None` if the origin fails; it is called only
+    /// where the server fetches the value itself.
     pub fn handle(
         &mut self,
         now: Micros,
@@ -201,7 +209,7 @@
         PlannedReply { interim, collapses, ..plan }
     }
 
-    /// The reply to what is not even looked up.
+    /// The reply to an attempt that is rejected before its key is looked up.
     fn refusal(
         &self,
         now: Micros,
@@ -229,7 +237,7 @@
     ) -> PlannedReply {
         let small_work = attempt.work / SMALL_WORK_DIVISOR;
         let cached = self.cached.get(&attempt.key).is_some();
-        // Writes are the origin's where servers only cache.
+        // Servers that only cache answer writes with a miss: the origin executes them.
         let is_miss = !self.spec.through && (attempt.write || !cached);
         let work = if is_miss { small_work } else { attempt.work };
         let Some(done) = self.cores.schedule(now, work, &timeline.speed) else {
@@ -257,19 +265,20 @@
     }
 }
 
-/// The origin: few slots, slower the more of them are in use.
+/// The model of the origin: it has few slots, and gets slower the more of them are in use.
 pub struct OriginModel {
     cores: Cores,
     contention: f64,
 }
 
 impl OriginModel {
-    /// So many slots, so many places to wait, and how much longer work takes for each request in progress.
+    /// An origin with that many slots and queue places. `contention` is the share by which each
+    /// request in progress or queued lengthens the work of a new one.
     pub fn new(slots: usize, queue: usize, contention: f64) -> OriginModel {
         OriginModel { cores: Cores::new(slots, queue), contention }
     }
 
-    /// When it has done a request that comes now, or `None` where its queue is full.
+    /// When a request that arrives now is done, or `None` if the queue is full.
     pub fn handle(&mut self, now: Micros, work: Micros, speed: &SpeedProfile) -> Option<Micros> {
         let slowdown = 1.0 + self.contention * self.cores.busy(now) as f64;
         self.cores.schedule(now, (work as f64 * slowdown) as Micros, speed)
--- a/crates/testbed/src/model/server_list.rs
+++ b/crates/testbed/src/model/server_list.rs
@@ -1,40 +1,40 @@
-//! The platform's endpoint list: its versions, the whole of it, and what changed since one.
+//! The platform's endpoint list: its versions, snapshots, and the changes between versions.
 
 use crate::clock::Micros;
 use crate::model::timeline::{EndpointStatus, ListUpdate};
 
-/// One server's entry.
+/// One server's entry in the list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ListedServer {
-    /// Which server; the origin is the one after the last.
+    /// The server's index; the origin's index is the one after the last server's.
     pub server: usize,
-    /// Its status.
+    /// The server's status.
     pub status: EndpointStatus,
-    /// When its process started; 0: long ago.
+    /// When its process started; 0 if it started before the run.
     pub started: Micros,
 }
 
-/// The list over a run.
+/// The endpoint list over a run.
 pub struct ServerList {
     updates: Vec<ListUpdate>,
     servers: usize,
 }
 
-/// Every list begins with one version before its first change.
+/// The version of the list before its first change.
 pub const FIRST_VERSION: u64 = 1;
 
-/// How many changes a version includes.
+/// The number of changes that a version includes.
 fn changes_in(version: u64) -> usize {
     (version.max(FIRST_VERSION) - FIRST_VERSION) as usize
 }
 
 impl ServerList {
-    /// Of so many servers and the origin, with its changes in order of time.
+    /// A list of that many servers and the origin; `updates` are its changes in order of time.
     pub fn new(servers: usize, updates: Vec<ListUpdate>) -> ServerList {
         ServerList { updates, servers }
     }
 
-    /// The version at a moment.
+    /// The version at a point in time.
     pub fn version(&self, now: Micros) -> u64 {
         FIRST_VERSION + self.updates.partition_point(|update| update.published <= now) as u64
     }
@@ -54,7 +54,7 @@
         entries
     }
 
-    /// What changed after one version, up to another, in order.
+    /// The changes after one version, up to and including another, in order.
     pub fn changes_since(&self, version: u64, to: u64) -> Vec<ListedServer> {
         let entry = |update: &ListUpdate| ListedServer {
             server: update.server,
@@ -65,7 +65,7 @@
         changes.iter().map(entry).collect()
     }
 
-    /// When there will be a newer version.
+    /// When the next version after this one is published, if there is one.
     pub fn next_change(&self, version: u64) -> Option<Micros> {
         self.updates.get(changes_in(version)).map(|update| update.published)
     }
--- a/crates/testbed/src/model/speed.rs
+++ b/crates/testbed/src/model/speed.rs
@@ -1,24 +1,25 @@
-//! How fast something works over time, and the cores that do the work.
+//! Processing speed over time, and the cores that process work.
 
 use crate::clock::{Micros, SECOND};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::ops::Range;
 
-/// The speed from one moment on.
+/// The speed from a point in time until the next step.
 #[derive(Clone, Copy, Debug)]
 struct SpeedStep {
     from: Micros,
     speed: f64,
 }
 
-/// Speed as steps over time, 1 being the usual; 0 is standing still.
+/// Speed as a step function of time: 1 is normal speed, 0 is standstill.
 #[derive(Clone, Debug)]
 pub struct SpeedProfile {
     steps: Vec<SpeedStep>,
 }
 
-/// A slow start rises in so many steps: finer than any window that is judged.
+/// Number of steps in which the speed rises in a slow start; a step is shorter than any window that
+/// is evaluated.
 const RAMP_STEPS: u64 = 20;
 
 impl Default for SpeedProfile {
@@ -28,7 +29,7 @@
 }
 
 impl SpeedProfile {
-    /// Makes a step begin at a moment, and returns its index.
+    /// Makes a step start at a point in time, and returns its index.
     fn split_at(&mut self, at: Micros) -> usize {
         match self.steps.binary_search_by_key(&at, |step| step.from) {
             Ok(i) => i,
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Makes it so many times as fast within a span.
+    /// Multiplies the speed within a span by a factor.
     pub fn scale(&mut self, span: Range<Micros>, factor: f64) {
         if span.is_empty() {
             return;
@@ -52,7 +53,7 @@
         }
     }
 
-    /// A slow start: rises evenly from a share of the speed to all of it.
+    /// Adds a slow start: the speed rises evenly from a share of its value to all of it.
     pub fn slow_start(&mut self, started: Micros, first_share: f64, duration: Micros) {
         for i in 0..RAMP_STEPS {
             let progress = (i as f64 + 0.5) / RAMP_STEPS as f64;
@@ -65,12 +66,13 @@
         self.steps.partition_point(|step| step.from <= at) - 1
     }
 
-    /// The speed at a moment.
+    /// The speed at a point in time.
     pub fn speed(&self, at: Micros) -> f64 {
         self.steps[self.step(at)].speed
     }
 
-    /// When work that begins now, and takes so long at the usual speed, is done; `Micros::MAX` where it never is.
+    /// When work that starts at `begun` is done, given its duration at normal speed; `Micros::MAX`
+    /// if it is never done.
     pub fn completion(&self, begun: Micros, work: Micros) -> Micros {
         let mut at = begun;
         let mut left = work as f64;
@@ -86,29 +88,29 @@
             }
             at = next.unwrap_or(Micros::MAX);
         }
-        // It stands still for good.
+        // The speed remains 0 until the end of the run.
         Micros::MAX
     }
 }
 
-/// Cores with a bounded queue before them; the end of each piece of work is known when it comes.
+/// Cores with a bounded queue. The end of each piece of work is computed when it arrives.
 #[derive(Clone, Debug)]
 pub struct Cores {
     /// When each core is free.
     free: BinaryHeap<Reverse<Micros>>,
-    /// When all that is in progress or waits is done.
+    /// Ends of all work that is in progress or queued.
     ends: BinaryHeap<Reverse<Micros>>,
     cores: usize,
     queue: usize,
 }
 
 impl Cores {
-    /// So many cores, and so many places to wait.
+    /// That many cores, with a queue of that many places.
     pub fn new(cores: usize, queue: usize) -> Cores {
         Cores { free: vec![Reverse(0); cores].into(), ends: BinaryHeap::new(), cores, queue }
     }
 
-    /// How much is in progress or waits.
+    /// The number of requests in progress or queued.
     pub fn busy(&mut self, now: Micros) -> usize {
         while self.ends.peek().is_some_and(|Reverse(end)| *end <= now) {
             self.ends.pop();
@@ -116,7 +118,7 @@
         self.ends.len()
     }
 
-    /// Accepts work and returns when it is done, or `None` where the queue is full.
+    /// Accepts work and returns when it is done, or `None` if the queue is full.
     pub fn schedule(&mut self, now: Micros, work: Micros, speed: &SpeedProfile) -> Option<Micros> {
         if self.busy(now) >= self.cores + self.queue {
             return None;
@@ -129,32 +131,32 @@
     }
 }
 
-/// Work that was sent in a part of the window.
+/// The work that arrived in one bucket of the window.
 #[derive(Clone, Copy, Debug)]
 struct WorkPart {
     from: Micros,
     work: Micros,
 }
 
-/// Work that was sent within a window up to now.
+/// The work that arrived within a sliding window.
 #[derive(Clone, Debug)]
 pub struct RecentWork {
     parts: Vec<WorkPart>,
     window: Micros,
 }
 
-/// The window moves on in so many parts.
+/// Number of buckets in a window; the window advances by one bucket at a time.
 const WINDOW_PARTS: Micros = 20;
-/// A shorter window would have parts of no length.
+/// A shorter window could have buckets of length 0.
 const MIN_WINDOW: Micros = SECOND / 100;
 
 impl RecentWork {
-    /// None yet, with a window of that length.
+    /// An empty window of that length.
     pub fn new(window: Micros) -> RecentWork {
         RecentWork { parts: Vec::new(), window: window.max(MIN_WINDOW) }
     }
 
-    /// Adds work, and returns how much came within the window.
+    /// Adds work, and returns the sum of the work within the window.
     pub fn add(&mut self, now: Micros, work: Micros) -> Micros {
         let part_length = self.window / WINDOW_PARTS;
         let from = now / part_length * part_length;
--- a/crates/testbed/src/model/store/leases.rs
+++ b/crates/testbed/src/model/store/leases.rs
@@ -1,10 +1,10 @@
-//! Leases: their time, and the keys that go with them.
+//! Leases: their expiry, and the keys attached to them.
 
 use super::{Store, StoreError, Write};
 use crate::clock::{Micros, SECOND};
 use std::collections::BTreeSet;
 
-/// A lease and its keys.
+/// A lease and the keys attached to it.
 #[derive(Clone, Debug)]
 pub(super) struct Lease {
     pub ttl: Micros,
@@ -12,17 +12,17 @@
     pub keys: BTreeSet<Vec<u8>>,
 }
 
-/// A new lease.
+/// A lease that was granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GrantedLease {
-    /// Its number.
+    /// The lease's id.
     pub id: i64,
-    /// Its time in seconds.
+    /// The lease's time to live in seconds.
     pub ttl_s: i64,
 }
 
 impl Store {
-    /// A new lease, of a second at the least.
+    /// Grants a lease with a time to live of at least one second.
     pub fn grant(&mut self, now: Micros, ttl_s: i64) -> GrantedLease {
         let id = self.next_lease;
         self.next_lease += 1;
@@ -32,7 +32,7 @@
         GrantedLease { id, ttl_s }
     }
 
-    /// Renews a lease. Its time in seconds from now on; 0 where there is none.
+    /// Renews a lease. Returns its time to live in seconds; 0 if there is no such lease.
     pub fn keep_alive(&mut self, now: Micros, id: i64) -> i64 {
         self.expire(now);
         let Some(lease) = self.leases.get_mut(&id) else { return 0 };
@@ -40,7 +40,7 @@
         (lease.ttl / SECOND) as i64
     }
 
-    /// Ends a lease, and deletes its keys.
+    /// Revokes a lease and deletes its keys.
     pub fn revoke(&mut self, now: Micros, id: i64) -> Result<(), StoreError> {
         let lease = self.leases.remove(&id).ok_or(StoreError::LeaseNotFound)?;
         let writes: Vec<Write> =
@@ -49,7 +49,7 @@
         Ok(())
     }
 
-    /// Ends the leases that have run out.
+    /// Revokes the leases that have expired.
     pub fn expire(&mut self, now: Micros) {
         let expired: Vec<i64> =
             self.leases.iter().filter(|(_, lease)| lease.until <= now).map(|(id, _)| *id).collect();
@@ -58,7 +58,7 @@
         }
     }
 
-    /// When the next lease runs out.
+    /// When the next lease expires.
     pub fn next_expiry(&self) -> Option<Micros> {
         self.leases.values().map(|lease| lease.until).min()
     }
--- a/crates/testbed/src/model/store/mod.rs
+++ b/crates/testbed/src/model/store/mod.rs
@@ -1,5 +1,6 @@
-//! A store of keys with revisions, as etcd's public API describes it: every write has a revision, older states can be read
-//! until they are compacted, keys of a lease go with it. No I/O, and time is passed in.
+//! A key-value store with revisions, as etcd's public API describes it: every write has a revision,
+//! older states can be read until they are compacted, and the keys of a lease are deleted with it.
+//! The store does no I/O, and times are passed in.
 
 mod leases;
 
@@ -9,30 +10,30 @@
 use leases::Lease;
 use std::collections::BTreeMap;
 
-/// A key's state from one revision on; gone where it has no value.
+/// A key's state from one revision on; the key is deleted if there is no value.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Item {
-    /// Its key.
+    /// The key.
     pub key: Vec<u8>,
-    /// Its value; none where the key was deleted.
+    /// The value; `None` if the key was deleted.
     pub value: Option<Vec<u8>>,
     /// The revision that created the key.
     pub created: i64,
     /// The revision of this state.
     pub modified: i64,
-    /// How often it was written since it was created.
+    /// Number of writes to the key since it was created.
     pub version: i64,
-    /// Its lease; 0: none.
+    /// The id of the key's lease; 0 if it has none.
     pub lease: i64,
 }
 
-/// Why a call is refused; the texts are those of etcd.
+/// Why a call is rejected. The messages are those of etcd.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum StoreError {
-    /// The revision is gone: the store is compacted up to the one that is named.
+    /// The revision is compacted. The field is the revision up to which the store is compacted.
     #[error("etcdserver: mvcc: required revision has been compacted")]
     Compacted(i64),
-    /// The revision is not there yet.
+    /// The revision does not exist yet.
     #[error("etcdserver: mvcc: required revision is a future revision")]
     FutureRevision,
     /// There is no such lease.
@@ -40,16 +41,16 @@
     LeaseNotFound,
 }
 
-/// What a write compares first.
+/// A condition of a transaction on one key.
 #[derive(Clone, Debug)]
 pub enum Condition {
-    /// The key was written so often; 0: it is not there.
+    /// The key's version, which is the number of its writes; 0 if the key does not exist.
     Version(i64),
-    /// It was created by this revision; 0: it is not there.
+    /// The revision that created the key; 0 if the key does not exist.
     Created(i64),
-    /// It was last written by this revision; 0: it is not there.
+    /// The revision that last wrote the key; 0 if the key does not exist.
     Modified(i64),
-    /// It has this value.
+    /// The key's value.
     Value(Vec<u8>),
 }
 
@@ -58,23 +59,23 @@
 pub enum Write {
     /// Sets a key's value and lease.
     Put {
-        /// Which key.
+        /// The key to write.
         key: Vec<u8>,
-        /// Its value.
+        /// The new value.
         value: Vec<u8>,
-        /// Its lease; 0: none.
+        /// The id of the key's lease; 0 for none.
         lease: i64,
     },
     /// Deletes the keys of a range.
     Delete {
         /// The first key.
         key: Vec<u8>,
-        /// The end of the range, as the API has it.
+        /// The end of the range, in the form described at [`within`].
         end: Vec<u8>,
     },
 }
 
-/// When a revision came about.
+/// The time at which a revision was written.
 #[derive(Clone, Copy, Debug)]
 struct RevisionTime {
     at: Micros,
@@ -86,17 +87,17 @@
 pub struct Store {
     revision: i64,
     compacted: i64,
-    /// Every state of every key, in order of revisions.
+    /// All states of all keys, in order of revision.
     log: Vec<Item>,
-    /// The indexes of a key's states in the log.
+    /// By key, the indexes of its states in the log.
     keys: BTreeMap<Vec<u8>, Vec<usize>>,
     leases: BTreeMap<i64, Lease>,
     next_lease: i64,
     times: Vec<RevisionTime>,
 }
 
-/// Whether a key is within a range as the API has it: one key where the end is empty, all keys from the first on where it is a
-/// zero byte.
+/// Whether a key is within a range as etcd's API defines it: a single key if the end is empty, or
+/// all keys from the first on if the end is one zero byte.
 pub fn within(key: &[u8], from: &[u8], end: &[u8]) -> bool {
     match end {
         [] => key == from,
@@ -120,29 +121,30 @@
 }
 
 impl Store {
-    /// The newest revision.
+    /// The latest revision.
     pub fn revision(&self) -> i64 {
         self.revision
     }
 
-    /// The revision that the store is compacted up to.
+    /// The revision up to which the store is compacted.
     pub fn compacted(&self) -> i64 {
         self.compacted
     }
 
-    /// The revision as of a moment.
+    /// The latest revision at a point in time.
     pub fn revision_at(&self, at: Micros) -> i64 {
         let i = self.times.partition_point(|time| time.at <= at);
         i.checked_sub(1).map_or(1, |i| self.times[i].revision)
     }
 
-    /// A key as of a revision, unless it is gone by then.
+    /// A key's state as of a revision; `None` if the key does not exist at that revision.
     fn at(&self, log_indexes: &[usize], revision: i64) -> Option<&Item> {
         let items = log_indexes.iter().rev().map(|i| &self.log[*i]);
         items.into_iter().find(|item| item.modified <= revision).filter(|item| item.value.is_some())
     }
 
-    /// The keys of a range as of a revision, 0 for the present one; and whether there are more than the limit.
+    /// The keys of a range as of a revision, where 0 stands for the latest; and whether there are
+    /// more keys than the limit. A limit of 0 means no limit.
     pub fn range(
         &self,
         from: &[u8],
@@ -164,7 +166,7 @@
         Ok((items, more))
     }
 
-    /// What changed within a range from one revision to another, both included, in order.
+    /// The changes within a range from one revision to another, both included, in order.
     pub fn changes(&self, from: &[u8], end: &[u8], first: i64, last: i64) -> Result<Vec<&Item>, StoreError> {
         if first <= self.compacted {
             return Err(StoreError::Compacted(self.compacted));
@@ -174,7 +176,7 @@
         Ok(self.log[start..].iter().take_while(|item| item.modified <= last).filter(own).collect())
     }
 
-    /// Drops the states before a revision.
+    /// Compacts the store: states before the revision can no longer be read.
     pub fn compact(&mut self, revision: i64) -> Result<(), StoreError> {
         if revision > self.revision {
             return Err(StoreError::FutureRevision);
@@ -186,7 +188,8 @@
         Ok(())
     }
 
-    /// All writes of one transaction have one revision; with none that changes anything there is no new one.
+    /// Applies the writes of a transaction, which all get one revision. If no write changes
+    /// anything, there is no new revision. Returns the latest revision.
     pub fn write(&mut self, now: Micros, writes: &[Write]) -> Result<i64, StoreError> {
         let next = self.revision + 1;
         let mut items = Vec::new();
@@ -206,7 +209,7 @@
         Ok(self.revision)
     }
 
-    /// The state that a put makes.
+    /// The key's state that a put results in.
     fn put(&self, revision: i64, key: &[u8], value: &[u8], lease: i64) -> Result<Item, StoreError> {
         if lease != 0 && !self.leases.contains_key(&lease) {
             return Err(StoreError::LeaseNotFound);
@@ -222,7 +225,7 @@
         })
     }
 
-    /// The states that the delete of a range makes.
+    /// The states that the deletion of a range results in.
     fn delete(&self, revision: i64, key: &[u8], end: &[u8]) -> Result<Vec<Item>, StoreError> {
         let (deleted, _) = self.range(key, end, 0, 0)?;
         let gone =
@@ -230,7 +233,7 @@
         Ok(deleted.into_iter().map(gone).collect())
     }
 
-    /// A key as it is now.
+    /// A key's latest state; `None` if the key does not exist.
     fn present(&self, key: &[u8]) -> Option<&Item> {
         self.keys.get(key).and_then(|log_indexes| self.at(log_indexes, self.revision))
     }
@@ -244,7 +247,7 @@
         self.log.push(item);
     }
 
-    /// Whether a key is as a condition has it.
+    /// Whether a key satisfies a condition.
     pub fn satisfies(&self, key: &[u8], condition: &Condition) -> bool {
         let item = self.present(key);
         match condition {
@@ -255,7 +258,8 @@
         }
     }
 
-    /// As it was at an earlier moment, as from a backup: later revisions never were, and leases are as they are now.
+    /// Restores the store to its state at an earlier time, as from a backup: later revisions are
+    /// dropped, but leases stay as they are now.
     pub fn restore(&mut self, at: Micros) {
         let revision = self.revision_at(at).max(self.compacted);
         self.log.retain(|item| item.modified <= revision);
--- a/crates/testbed/src/model/timeline/build.rs
+++ b/crates/testbed/src/model/timeline/build.rs
@@ -1,4 +1,4 @@
-//! How the timelines follow from an experiment's faults.
+//! Derives the timelines from an experiment's faults.
 
 use super::{
     EndpointStatus, Incarnation, ListOutage, ListUpdate, Misbehavior, MisbehaviorSpan, OriginFailure,
@@ -8,12 +8,14 @@
 use crate::experiment::{Experiment, Fault, FaultKind};
 use std::ops::Range;
 
-/// The list finds out by its own calls that a machine is gone: some of those and a second more.
+/// Time until the list detects with its own calls that a machine is gone: several of these calls,
+/// and a second more.
 const DETECTION_DELAY: Micros = 2 * SECOND;
-/// Stands in for a time that a kind of fault requires; the experiment's check has refused a fault without it.
+/// Fallback for a duration that a kind of fault requires; the experiment's check has already
+/// rejected a fault without it.
 const DEFAULT_SECONDS: f64 = 1.0;
 
-/// A time of a fault that its kind requires.
+/// A duration of a fault that its kind requires.
 fn required(seconds: Option<f64>) -> Micros {
     micros(seconds.unwrap_or(DEFAULT_SECONDS))
 }
@@ -33,13 +35,13 @@
 }
 
 impl ServerTimeline {
-    /// One process that has run since long ago and goes on.
+    /// A single process that started before the run and does not end.
     fn new() -> ServerTimeline {
         let always = Incarnation { started: 0, ended: Micros::MAX, after: Reachability::Refused };
         ServerTimeline { incarnations: vec![always], ..ServerTimeline::default() }
     }
 
-    /// Ends the process that runs at a moment; the next one starts when the server returns.
+    /// Ends the process that runs at the given time. The next one starts when the server returns.
     fn end(&mut self, at: Micros, after: Reachability, returns: Micros) {
         let running = self.incarnations.last_mut();
         if let Some(running) = running.filter(|process| process.started <= at && at < process.ended) {
@@ -51,7 +53,7 @@
     }
 }
 
-/// The list shows changes within a span later.
+/// A span in which the list publishes changes late.
 struct ListDelay {
     span: Range<Micros>,
     by: Micros,
@@ -60,13 +62,13 @@
 struct Builder<'a> {
     experiment: &'a Experiment,
     timelines: Timelines,
-    /// From a change to the moment the list shows it.
+    /// Time from a change until the list publishes it.
     list_delay: Micros,
     list_delays: Vec<ListDelay>,
 }
 
 impl Timelines {
-    /// Works out what happens in an experiment.
+    /// Computes the timelines of an experiment.
     pub fn new(experiment: &Experiment) -> Timelines {
         let world = &experiment.world;
         let servers = (0..world.servers).map(|_| ServerTimeline::new()).collect();
@@ -118,7 +120,7 @@
         }
     }
 
-    /// Faults of the origin, the links and the list.
+    /// Applies faults of the origin, the links and the list.
     fn apply_beside_servers(&mut self, fault: &Fault) {
         let timelines = &mut self.timelines;
         let span = fault.span();
@@ -142,7 +144,7 @@
             FaultKind::ListLate => {
                 self.list_delays.push(ListDelay { span, by: micros(fault.by.unwrap_or(0.0)) });
             }
-            // Those of proxies, etcd and hash slots have timelines of their own.
+            // Faults of proxies, etcd and hash slots are in other timelines.
             _ => {}
         }
     }
@@ -161,7 +163,7 @@
         }
     }
 
-    /// The list is not notified: who took over is the servers' own matter.
+    /// The list does not publish a failover: which replica takes over is known only to the servers.
     fn fail_over(&mut self, fault: &Fault) {
         let start = fault.span().start;
         let returns = start + required(fault.down);
@@ -185,7 +187,9 @@
         self.timelines.updates.push(ListUpdate { published, server, status, started });
     }
 
-    /// A server is gone for a time, and returns in slow start; the list shows both, the first so much later.
+    /// Takes a server down for a span, after which it returns in slow start. The list publishes
+    /// both changes; it publishes the first after `gone_delay`, unless the server has returned by
+    /// then.
     fn take_away(&mut self, server: usize, after: Reachability, span: Range<Micros>, gone_delay: Micros) {
         self.timelines.servers[server].end(span.start, after, span.end);
         if span.start + gone_delay < span.end {
--- a/crates/testbed/src/model/timeline/mod.rs
+++ b/crates/testbed/src/model/timeline/mod.rs
@@ -1,5 +1,5 @@
-//! What happens to each server, the origin, the list and the links over a run, worked out from the experiment before it is
-//! played.
+//! The states and faults of each server, the origin, the list and the links over a run, computed
+//! from the experiment before the run starts.
 
 mod build;
 
@@ -8,70 +8,70 @@
 use crate::model::speed::SpeedProfile;
 use std::ops::Range;
 
-/// Whether something can be reached.
+/// Whether a peer can be reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reachability {
-    /// It is there.
+    /// Connections are accepted.
     Up,
-    /// The process is gone: its connections are reset, and new ones refused.
+    /// The process is gone: its connections are reset, and new ones are refused.
     Refused,
-    /// The machine, or the link to it, is gone: nothing comes, not even an end.
+    /// The machine or the link to it is gone: no packets arrive, not even the end of a connection.
     Silent,
 }
 
-/// How a server that is up misbehaves.
+/// How a running server misbehaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Misbehavior {
-    /// Answers with an error at once.
+    /// Answers with an error immediately.
     Fails,
-    /// Accepts everything and answers nothing.
+    /// Accepts all requests and answers none.
     Hangs,
-    /// Accepts the request and never answers it, while others are answered.
+    /// Accepts a request and never answers it, while it answers others.
     Loses,
-    /// Refuses it unprocessed.
+    /// Rejects the request without processing it.
     TurnsAway,
     /// Resets the connection.
     Resets,
-    /// Sends half of the response.
+    /// Sends only half of the response.
     Half,
-    /// Sends noise.
+    /// Sends bytes that are not a valid response.
     Spoils,
     /// Sends an interim response first.
     Interim,
 }
 
-/// A misbehavior, its time, and the share of the attempts that it affects.
+/// A misbehavior, its span, and the share of the attempts that it affects.
 #[derive(Clone, Debug)]
 pub struct MisbehaviorSpan {
-    /// When.
+    /// When the server misbehaves.
     pub span: Range<Micros>,
-    /// Which.
+    /// How the server misbehaves.
     pub misbehavior: Misbehavior,
-    /// From 0 to 1.
+    /// Share of the attempts that are affected, from 0 to 1.
     pub share: f64,
 }
 
 /// One process of a server, from its start to its end.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Incarnation {
-    /// 0: since long ago, and past its slow start.
+    /// When it starts; 0 if it started before the run and is past its slow start.
     pub started: Micros,
-    /// When it ends; `Micros::MAX` if it does not.
+    /// When it ends; `Micros::MAX` if it does not end.
     pub ended: Micros,
-    /// How the server can be reached from then on, until the next one starts.
+    /// Whether the server can be reached after the end, until the next process starts.
     pub after: Reachability,
 }
 
-/// What happens to one server.
+/// The states and faults of one server over a run.
 #[derive(Clone, Debug, Default)]
 pub struct ServerTimeline {
-    /// Its processes, one after the other.
+    /// Its processes, in order of time.
     pub incarnations: Vec<Incarnation>,
     /// How fast it works.
     pub speed: SpeedProfile,
-    /// When it misbehaves.
+    /// Its misbehaviors.
     pub misbehaviors: Vec<MisbehaviorSpan>,
-    /// Moments at which all that it caches is dropped.
+    /// Times at which its cache is cleared.
     pub purges: Vec<Micros>,
 }
 
@@ -80,14 +80,14 @@
 pub enum EndpointStatus {
     /// In service.
     Ready,
-    /// About to end.
+    /// About to be shut down.
     Draining,
-    /// Ended.
+    /// No longer running.
     Gone,
 }
 
 impl EndpointStatus {
-    /// As the platform's list has it.
+    /// The status in the platform's list.
     pub fn wire_name(self) -> &'static str {
         match self {
             EndpointStatus::Ready => "SERVING",
@@ -97,76 +97,77 @@
     }
 }
 
-/// A change of a server's entry in the list, and when the list shows it.
+/// A change of a server's entry in the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListUpdate {
-    /// When the list shows it.
+    /// When the list publishes the change.
     pub published: Micros,
-    /// Of which server.
+    /// The server whose entry changes.
     pub server: usize,
-    /// Its status from then on.
+    /// The server's new status.
     pub status: EndpointStatus,
-    /// When its process started, where it is ready.
+    /// When the server's process started, if its status is ready.
     pub started: Micros,
 }
 
-/// The list is down.
+/// A span in which the list is down.
 #[derive(Clone, Debug)]
 pub struct ListOutage {
-    /// When.
+    /// When the list is down.
     pub span: Range<Micros>,
-    /// In which way.
+    /// How the list fails.
     pub outage: Outage,
 }
 
-/// The origin fails a share of what it gets.
+/// A span in which the origin fails a share of its requests.
 #[derive(Clone, Debug)]
 pub struct OriginFailure {
-    /// When.
+    /// When the origin fails.
     pub span: Range<Micros>,
-    /// From 0 to 1.
+    /// Share of the requests that fail, from 0 to 1.
     pub share: f64,
 }
 
-/// A zone is cut off from the others.
+/// A span in which a zone is cut off from the others.
 #[derive(Clone, Debug)]
 pub struct ZoneCut {
-    /// When.
+    /// When the zone is cut off.
     pub span: Range<Micros>,
-    /// Which, by number.
+    /// The zone's index.
     pub zone: usize,
 }
 
 impl ZoneCut {
-    /// Whether it cuts the link between two zones.
+    /// Whether the cut separates two zones.
     fn is_between(&self, one: usize, other: usize) -> bool {
         one != other && (self.zone == one || self.zone == other)
     }
 }
 
-/// What happens to everything but the proxies.
+/// The states and faults of everything except the proxies.
 #[derive(Clone, Debug, Default)]
 pub struct Timelines {
-    /// To each server.
+    /// Indexed by server.
     pub servers: Vec<ServerTimeline>,
-    /// How fast the origin works.
+    /// The origin's speed.
     pub origin: SpeedProfile,
-    /// When it fails, at once, a share of what it gets.
+    /// When the origin fails a share of its requests immediately.
     pub origin_failures: Vec<OriginFailure>,
     /// When zones are cut off.
     pub zone_cuts: Vec<ZoneCut>,
-    /// Changes of the list, in order of time.
+    /// Changes of the list, in order of publication.
     pub updates: Vec<ListUpdate>,
     /// When the list is down.
     pub list_down: Vec<ListOutage>,
-    /// When it answers with an earlier state.
+    /// When the list answers with an earlier state.
     pub list_old: Vec<Range<Micros>>,
-    /// Moments at which the calls that wait there fall silent.
+    /// Times at which the list stops answering the calls that wait there.
     pub list_silences: Vec<Micros>,
 }
 
 impl ServerTimeline {
-    /// The process that runs at a moment, by its index, or how the server can be reached without one.
+    /// The index of the process that runs at a point in time. Where none runs, the error says how
+    /// connections to the server fail.
     pub fn at(&self, now: Micros) -> Result<usize, Reachability> {
         let started = |incarnation: &Incarnation| incarnation.started <= now;
         let i = self.incarnations.iter().rposition(started).unwrap_or(0);
@@ -176,7 +177,8 @@
 }
 
 impl Timelines {
-    /// Whether the origin fails what comes now, by its luck from 0 to 1.
+    /// Whether the origin fails a request that arrives now; `luck` is the request's random number
+    /// from 0 to 1.
     pub fn origin_fails(&self, now: Micros, luck: f64) -> bool {
         self.origin_failures.iter().any(|failure| failure.span.contains(&now) && luck < failure.share)
     }
@@ -186,7 +188,8 @@
         self.zone_cuts.iter().any(|cut| cut.span.contains(&now) && cut.is_between(one, other))
     }
 
-    /// Whether a server in one zone can be reached by a proxy in another, from that moment until the one that is returned.
+    /// Whether a server in the first of the two zones can be reached by a proxy in the second one,
+    /// and until when this holds.
     pub fn reachability(&self, server: usize, zones: (usize, usize), now: Micros) -> (Reachability, Micros) {
         let timeline = &self.servers[server];
         let reachability = match timeline.at(now) {
@@ -199,23 +202,24 @@
         (reachability, next.unwrap_or(Micros::MAX))
     }
 
-    /// When the link between two zones is cut or comes back.
+    /// Times at which the link between two zones is cut or restored.
     fn cut_transitions(&self, one: usize, other: usize) -> impl Iterator<Item = Micros> + '_ {
         let cuts = self.zone_cuts.iter().filter(move |cut| cut.is_between(one, other));
         cuts.flat_map(|cut| [cut.span.start, cut.span.end])
     }
 
-    /// In which way the list is down at a moment, if it is.
+    /// How the list fails at a point in time, if it is down.
     pub fn list_outage(&self, now: Micros) -> Option<Outage> {
         self.list_down.iter().find(|down| down.span.contains(&now)).map(|down| down.outage)
     }
 
-    /// Like `reachability`, for the origin or the list, which stand in the first zone.
+    /// Like `reachability`, for the origin or the list, which are in the first zone.
     pub fn origin_reachability(&self, zone: usize, now: Micros) -> (Reachability, Micros) {
         self.zone_reachability(0, zone, now)
     }
 
-    /// Like `reachability`, for what stands in one zone and is called from another, and is never down itself.
+    /// Like `reachability`, for a peer in one zone that is called from another and has no outages
+    /// of its own.
     pub fn zone_reachability(&self, stands_in: usize, zone: usize, now: Micros) -> (Reachability, Micros) {
         let is_cut = self.is_cut(stands_in, zone, now);
         let reachability = if is_cut { Reachability::Silent } else { Reachability::Up };
--- a/crates/testbed/src/notified.rs
+++ b/crates/testbed/src/notified.rs
@@ -1,5 +1,7 @@
-//! When each proxy counts as notified that a server is off, whatever was written to it: 6 s after the list had the change and
-//! could be reached, the proxy running meanwhile. The judge holds proxies to this beside what the list has written.
+//! When each proxy is presumed to be notified that a server is off, whatever the list sent to it: 6
+//! s after the list had the change, if the list could be reached and the proxy was running
+//! throughout. The oracle holds proxies to these notifications as well as to those that the list
+//! has sent.
 
 use crate::clock::{Micros, SECOND};
 use crate::evidence::{Event, EventKind, Index};
@@ -7,24 +9,25 @@
 use crate::model::timeline::{EndpointStatus, ListUpdate, Reachability, Timelines};
 use std::ops::Range;
 
-/// For so long in a row the list has to be reachable for a running proxy.
+/// Uninterrupted time for which the list has to be reachable by a running proxy.
 pub const NOTIFIED_WITHIN: Micros = 6 * SECOND;
 
-/// A proxy counts as notified, from a moment on, that a server is off, or that it is back.
+/// The time from which a proxy is presumed to be notified that a server is off or back in service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Notified {
-    /// From when on.
+    /// The time of the notification.
     pub at: Micros,
-    /// Which proxy.
+    /// The proxy that is notified.
     pub proxy: Index,
-    /// Of which server.
+    /// The server that is off or back in service.
     pub server: Index,
-    /// Whether the server is off, or back.
+    /// Whether the server is off; otherwise it is back in service.
     pub off: bool,
 }
 
-/// Of all proxies and changes, in order of time. Sources other than the platform's list and files have outages of other kinds,
-/// and are held to what they have written.
+/// The presumed notifications of all proxies about all changes, in order of time. Empty for etcd as
+/// the list source, which has other kinds of outages: there, proxies are held only to the
+/// notifications that were sent.
 pub fn presumed(experiment: &Experiment, timelines: &Timelines, events: &[Event]) -> Vec<Notified> {
     if experiment.fleet.list_source() == ListSource::Etcd {
         return Vec::new();
@@ -41,7 +44,7 @@
     all
 }
 
-/// When one proxy counts as notified of one change; `later` are the changes after it.
+/// The notifications of one proxy about one change; `later` are the changes after it.
 fn of_update(
     update: &ListUpdate,
     later: &[ListUpdate],
@@ -54,7 +57,7 @@
     }
     let is_back = |next: &&ListUpdate| next.server == update.server && next.status == EndpointStatus::Ready;
     let back = later.iter().find(is_back).map_or(Micros::MAX, |next| next.published);
-    // A process that starts anew while the server is off is given the same time.
+    // A proxy process that is restarted while the server is off gets the same time again.
     reachable_for_long_enough(unreachable, update.published)
         .into_iter()
         .filter(|at| *at < back)
@@ -62,7 +65,8 @@
         .collect()
 }
 
-/// When discovery can't notify a proxy of anything: it is down, stale or cut off, or the proxy does not run.
+/// Spans in which discovery cannot notify a proxy: the list is down, stale or cut off, or the proxy
+/// is not running.
 fn unreachable(
     experiment: &Experiment,
     timelines: &Timelines,
@@ -77,7 +81,7 @@
     spans
 }
 
-/// When a zone is cut off from the list.
+/// Spans in which a zone is cut off from the list.
 fn cut_off(timelines: &Timelines, zone: usize) -> Vec<Range<Micros>> {
     let mut spans = Vec::new();
     let mut at = 0;
@@ -91,7 +95,7 @@
     spans
 }
 
-/// When a proxy was ended or stopped, until it was ready or went on.
+/// Spans in which a proxy is killed, terminated or stopped, until it is ready or continues.
 fn not_running(events: &[Event], proxy: usize) -> Vec<Range<Micros>> {
     let mut spans = Vec::new();
     let mut since = None;
@@ -108,8 +112,9 @@
     spans
 }
 
-/// The ends of all stretches of that length, from a moment on, in which the list was reachable; one for each time that the
-/// proxy or the list came back.
+/// The ends of all spans of length [`NOTIFIED_WITHIN`], from a point in time on, in which the list
+/// was reachable throughout. There is one span from the start, and one each time that the proxy or
+/// the list comes back.
 fn reachable_for_long_enough(unreachable: &[Range<Micros>], from: Micros) -> Vec<Micros> {
     let comes_back = unreachable.iter().map(|span| span.end).filter(|end| *end > from);
     let starts = std::iter::once(from).chain(comes_back);
--- a/crates/testbed/src/resp.rs
+++ b/crates/testbed/src/resp.rs
@@ -1,30 +1,32 @@
-//! RESP as the testbed's own stand-ins and clients speak it: commands as arrays, answers that are no aggregates. It shares
-//! nothing with the proxy, so that a bug in its codec cannot hide itself.
+//! RESP for the testbed's stand-ins and clients: commands are arrays of bulk strings, and answers
+//! are never aggregates. It shares no code with the proxy, so that a bug in the proxy's codec
+//! cannot hide itself.
 
 use crate::clock::{MILLI, Micros};
 use crate::model::cluster::SLOTS;
 use crate::wire::{Connection, ReadError};
 
-/// A command or answer may be as long as the longest value, and some words.
+/// Maximum length of a command or answer in bytes: the longest value, with room for the rest of the
+/// message.
 const MAX_MESSAGE: usize = 4 << 20;
-/// More arguments are not read: a command of the testbed's has three.
+/// Maximum number of arguments that are read; the testbed's commands have three.
 const MAX_ARGUMENTS: i64 = 1024;
 const LINE_END: &[u8] = b"\r\n";
 
-/// CRC16 by its polynomial, a bit at a time.
+/// CRC16 with the polynomial 0x1021 (XMODEM), computed bit by bit.
 fn crc16(bytes: &[u8]) -> u16 {
     let shift = |crc: u16, _| if crc & 0x8000 != 0 { (crc << 1) ^ 0x1021 } else { crc << 1 };
     bytes.iter().fold(0, |crc: u16, byte| (0..8).fold(crc ^ (u16::from(*byte) << 8), shift))
 }
 
-/// The slot of a key whose tag stands in braces, as all of the testbed's do.
+/// The hash slot of a key. The hash tag in braces determines it; all keys of the testbed have one.
 pub fn slot(key: &[u8]) -> u16 {
     let open = key.iter().position(|byte| *byte == b'{').map_or(0, |i| i + 1);
     let close = key.iter().position(|byte| *byte == b'}').unwrap_or(key.len());
     crc16(key.get(open..close).unwrap_or(key)) % SLOTS
 }
 
-/// The line that begins at an index, and the index after it; none where it is not whole yet.
+/// The line that starts at an index, and the index after its end; `None` if the line is incomplete.
 fn line(buffer: &[u8], from: usize) -> Option<(&[u8], usize)> {
     let length = buffer.get(from..)?.windows(LINE_END.len()).position(|end| end == LINE_END)?;
     Some((&buffer[from..from + length], from + length + LINE_END.len()))
@@ -37,7 +39,7 @@
 /// A command's name and arguments.
 pub type Arguments = Vec<Vec<u8>>;
 
-/// What was parsed, and how long it is; none where it is not whole yet.
+/// A parsed value and its length in bytes; `None` if it is incomplete.
 type Parsed<T> = Result<Option<(T, usize)>, ReadError>;
 
 fn parse_command(buffer: &[u8]) -> Parsed<Arguments> {
@@ -63,11 +65,11 @@
 /// An answer to a client.
 #[derive(Debug, PartialEq)]
 pub enum RespAnswer {
-    /// A value, or a status.
+    /// A value, a status or an integer.
     Value(Vec<u8>),
-    /// There is no value.
+    /// The null reply: there is no value.
     Nil,
-    /// An error's text.
+    /// An error with its text.
     Error(String),
 }
 
@@ -103,17 +105,17 @@
     }
 }
 
-/// The next command.
+/// Reads the next command.
 pub async fn read_command(connection: &mut Connection) -> Result<Arguments, ReadError> {
     read(connection, parse_command).await
 }
 
-/// The next answer.
+/// Reads the next answer.
 pub async fn read_answer(connection: &mut Connection) -> Result<RespAnswer, ReadError> {
     read(connection, parse_answer).await
 }
 
-/// A command's bytes.
+/// Encodes a command.
 pub fn encode_command(arguments: &[&[u8]]) -> Vec<u8> {
     let mut out = format!("*{}\r\n", arguments.len()).into_bytes();
     for argument in arguments {
@@ -122,13 +124,14 @@
     out
 }
 
-/// A bulk string's bytes.
+/// Encodes a bulk string.
 pub fn bulk(body: &[u8]) -> Vec<u8> {
     [format!("${}\r\n", body.len()).as_bytes(), body, LINE_END].concat()
 }
 
 impl RespAnswer {
-    /// The same as a status of HTTP, by which the testbed counts; and when to retry, where that is in it.
+    /// The equivalent HTTP status, which the testbed's figures are based on; and the time after
+    /// which to retry, if the text states one.
     pub fn status(&self) -> (u16, Option<Micros>) {
         match self {
             RespAnswer::Value(_) => (200, None),
@@ -142,7 +145,7 @@
     }
 }
 
-/// The number before `ms` in an error's text.
+/// The time given in milliseconds before the word `ms` in an error's text.
 fn retry_after(text: &str) -> Option<Micros> {
     let words: Vec<&str> = text.split(' ').collect();
     let before_ms = words.windows(2).find(|pair| pair[1] == "ms")?;
--- a/crates/testbed/src/resp/tests.rs
+++ b/crates/testbed/src/resp/tests.rs
@@ -1,4 +1,4 @@
-//! The codec against itself, and slots against the public specification.
+//! Round trips of the codec, and hash slots checked against the public specification.
 
 use super::{encode_command, parse_answer, parse_command, slot};
 
--- a/crates/testbed/src/stand_ins/body.rs
+++ b/crates/testbed/src/stand_ins/body.rs
@@ -1,12 +1,14 @@
-//! Bodies of responses: made for one request, so that another's or a broken one is recognised.
+//! Response bodies, each made for one request, so that a body of another request or a damaged one
+//! is detected.
 
 use crate::evidence::Id;
 
-/// The checksum at the end, as hexadecimal digits.
+/// Length of the checksum at the end, in hexadecimal digits.
 const CHECKSUM_LENGTH: usize = 8;
 const FILLER: u8 = b'v';
 
-/// A body made for one request: for whom, by whom, filled up to its length, and its own checksum.
+/// Makes a body of `bytes` bytes for one request: the request's id, its key, the server that sends
+/// it, filler and a checksum.
 pub fn body(id: Id, key: u64, by: usize, bytes: usize) -> Vec<u8> {
     let mut body = format!("{id:016x} {key} {by} ").into_bytes();
     body.resize(bytes.max(body.len() + CHECKSUM_LENGTH) - CHECKSUM_LENGTH, FILLER);
@@ -15,7 +17,7 @@
     body
 }
 
-/// Whether a body is whole and made for that request.
+/// Whether a body is complete and was made for that request.
 pub fn is_for(body: &[u8], id: Id) -> bool {
     let length = body.len().saturating_sub(CHECKSUM_LENGTH);
     let Some((content, sum)) = body.split_at_checked(length) else { return false };
--- a/crates/testbed/src/stand_ins/decide.rs
+++ b/crates/testbed/src/stand_ins/decide.rs
@@ -1,4 +1,4 @@
-//! What becomes of an attempt: asks the models, and records what follows from their answer.
+//! Decides the outcome of an attempt: asks the models, and records the effects of their answer.
 
 use super::{MissedAt, RunningServer, Site, TagKey};
 use crate::clock::{MILLI, Micros, micros};
@@ -7,29 +7,31 @@
 use crate::model::server::{AttemptInput, PlannedReply, Reply, ServerModel};
 use crate::sync::lock;
 
-/// Of the servers that missed for a request so many store what the origin answered, the first ones.
+/// Maximum number of servers that store the origin's response: the first ones that missed for the
+/// request.
 const STORE_COPIES: usize = 2;
-/// Repeats of a tagged request are known by its tag for its window; older tags are dropped once there are so many.
+/// Maximum number of remembered tags. A repeat of a tagged request is recognised by its tag within
+/// the class's window; expired tags are dropped once this number is reached.
 const MAX_TAGS: usize = 1 << 16;
 
-/// An attempt that has come whole.
+/// An attempt that was received completely.
 pub(super) struct Attempt<'a> {
-    /// At which server; the origin is the one after the last.
+    /// The index of the server; the origin's index is the one after the last server's.
     pub server: usize,
     pub proxy: usize,
     pub now: Micros,
     pub id: Id,
     pub request: &'a ClientRequest,
     pub write: bool,
-    /// By which servers know a repeat of it.
+    /// The tag by which servers recognise a repeat of the request.
     pub tag: Option<&'a [u8]>,
 }
 
 impl Site {
-    /// Asks the models what becomes of an attempt, and does what follows from it here.
+    /// Decides the outcome of an attempt with the models, and records its effects.
     pub(super) fn decide(&self, attempt: &Attempt) -> PlannedReply {
         let class = &self.experiment.classes[attempt.request.class];
-        // In this order: each draws from the run's random numbers.
+        // The order of these calls matters: each draws from the run's random number generator.
         let input = AttemptInput {
             key: attempt.request.key,
             write: attempt.write,
@@ -53,7 +55,8 @@
         plan
     }
 
-    /// When the origin has done what is sent to it, if it accepts it.
+    /// When the origin has processed a request that is sent to it at `from`; `None` if it fails or
+    /// rejects it.
     fn fetch(&self, from: Micros, origin_fails: bool) -> Option<Micros> {
         if origin_fails {
             return None;
@@ -68,7 +71,7 @@
     fn decide_at_origin(&self, now: Micros, origin_fails: bool) -> PlannedReply {
         match self.fetch(now, origin_fails) {
             Some(at) => PlannedReply { takes_effect: true, ..PlannedReply::plain(Reply::Fetched, at) },
-            // It read the request, and whether its effect came about is not known: it did not.
+            // The caller cannot learn whether the effect was applied. In the model, it was not.
             None if origin_fails => PlannedReply::plain(Reply::Error, now + MILLI),
             None => PlannedReply::plain(Reply::Unprocessed, now),
         }
@@ -77,7 +80,7 @@
     fn decide_at_server(&self, attempt: &Attempt, input: AttemptInput, origin_fails: bool) -> PlannedReply {
         let timeline = &self.timelines.servers[attempt.server];
         let mut running = lock(&self.servers[attempt.server]);
-        // A new process has nothing of the one before.
+        // A new process starts with nothing of the previous one's state.
         let incarnation = timeline.at(attempt.now).unwrap_or(running.incarnation);
         if incarnation != running.incarnation {
             let started = timeline.incarnations[incarnation].started;
@@ -92,7 +95,7 @@
         plan
     }
 
-    /// Whether this is a repeat of a tagged request that its group of servers drops.
+    /// Whether this is a repeat of a tagged request that the server's deduplication group drops.
     fn drops_repeat(&self, attempt: &Attempt, class: &RequestClass) -> bool {
         let Some(tag) = attempt.tag.filter(|_| class.repeats() == Repeats::Tagged) else {
             return false;
@@ -115,7 +118,8 @@
         false
     }
 
-    /// The origin has answered a request: its value is stored where it was missed, and a write drops all copies.
+    /// Called when the origin answers a request: stores the value on servers that missed for it; a
+    /// write removes the key from all servers instead.
     pub(super) fn store_fetched(&self, id: Id, request: &ClientRequest) {
         let missed = lock(&self.missed).remove(&id).unwrap_or_default();
         if self.experiment.classes[request.class].write {
--- a/crates/testbed/src/stand_ins/etcd/call.rs
+++ b/crates/testbed/src/stand_ins/etcd/call.rs
@@ -1,4 +1,4 @@
-//! A call: where it came from, and what its endpoint sees of the store.
+//! A call: its caller, and which state of the store its endpoint sees.
 
 use super::stream::{RequestStream, ResponseStream};
 use super::writer::value_for;
@@ -15,7 +15,7 @@
 use http::{Request, Response};
 use std::sync::{Arc, MutexGuard};
 
-/// What a call needs to know of where it came from.
+/// The proxy that made a call and the endpoint that serves it.
 #[derive(Clone)]
 pub(super) struct CallContext {
     pub site: Arc<Site>,
@@ -39,7 +39,7 @@
         self.site.etcd.header(revision)
     }
 
-    /// Up to which revision this endpoint sees.
+    /// The latest revision that the endpoint sees.
     pub fn visible_revision(&self) -> i64 {
         let now = self.now();
         let lag = self.site.etcd.timeline.lag(self.endpoint, now);
@@ -47,7 +47,7 @@
         if lag == 0 { store.revision() } else { store.revision_at(now.saturating_sub(lag)) }
     }
 
-    /// Whether what is written now reaches the proxy: not across a link that is cut.
+    /// Whether a response written now reaches the proxy: the link must not be cut.
     pub fn can_reach_proxy(&self) -> bool {
         let zones = self.site.zones();
         let (endpoint, proxy) = (self.endpoint % zones, self.proxy % zones);
@@ -55,14 +55,14 @@
         reachability == Reachability::Up
     }
 
-    /// Waits while the cluster stalls.
+    /// Waits until the cluster no longer stalls.
     pub async fn wait_stalled(&self) {
         while let Some(until) = self.site.etcd.timeline.stalled_until(self.now()) {
             self.site.clock.sleep_until(until).await;
         }
     }
 
-    /// A key's state as this proxy reads it.
+    /// A key's state in the form that this proxy reads.
     pub fn key_value(&self, item: &Item) -> api::KeyValue {
         let value = item.value.clone().unwrap_or_default();
         api::KeyValue {
@@ -76,7 +76,7 @@
     }
 }
 
-/// One call, from its head to its trailers.
+/// Serves one call, from its headers to its trailers.
 pub(super) async fn serve_call(
     context: CallContext,
     request: Request<RecvStream>,
--- a/crates/testbed/src/stand_ins/etcd/mod.rs
+++ b/crates/testbed/src/stand_ins/etcd/mod.rs
@@ -1,5 +1,6 @@
-//! A stand-in for a cluster of etcd on sockets, after its public v3 API: gRPC over HTTP/2 without TLS, three endpoints for each
-//! proxy over one store. Who calls is known by the address, and values hold the addresses that this proxy is to use.
+//! A stand-in for an etcd cluster on sockets, which implements its public v3 API: gRPC over HTTP/2
+//! without TLS, with three endpoints for each proxy over one store. The address identifies the
+//! calling proxy, and values contain the addresses that this proxy uses.
 
 mod call;
 mod stream;
@@ -26,36 +27,36 @@
 use std::time::Duration;
 use tokio_util::compat::FuturesAsyncReadCompatExt;
 
-/// Every key begins with it. Proxies get it by their operator's file.
+/// The prefix of all keys. Proxies get it in their operator's file.
 pub const PREFIX: &str = "/lab/";
-/// The state of a server in service, in values.
+/// The state of a server in service, as it is stored in values.
 const SERVING: &str = "serving";
 
-/// The cluster's state.
+/// The state of the cluster.
 pub struct Etcd {
-    /// What happens to it.
+    /// The faults of the cluster.
     pub timeline: EtcdTimeline,
     store: Mutex<Store>,
-    /// Which cluster it is: a restored one is another.
+    /// The cluster's id; restoring the store makes it another cluster.
     cluster: Mutex<u64>,
     watchers: Mutex<Vec<Sender<()>>>,
-    /// What each proxy was notified of last, by proxy and server.
+    /// The last notification of each proxy about each server, by proxy and server.
     notified: Mutex<HashMap<(usize, usize), LastNotified>>,
     calls: Mutex<u64>,
-    /// Which cluster each proxy has read from last.
+    /// The id of the cluster that each proxy last read from.
     known_cluster: Mutex<HashMap<usize, u64>>,
-    /// Since when a proxy is without its watch.
+    /// When each proxy lost its watch, for proxies that have none.
     watch_lost_at: Mutex<HashMap<usize, Micros>>,
-    /// How long each loss of a watch lasted.
+    /// Durations between the loss of a watch and its recovery.
     recovery_times: Mutex<Vec<Micros>>,
 }
 
-/// How much a run called etcd, and how long watches were lost.
+/// The load that a run put on etcd, and its losses of watches.
 #[derive(Clone, Debug, Default)]
 pub struct EtcdLoad {
-    /// Calls in all.
+    /// Total number of calls.
     pub calls: u64,
-    /// How long each loss of a watch lasted.
+    /// Durations between the loss of a watch and its recovery.
     pub recovery_times: Vec<Micros>,
 }
 
@@ -66,7 +67,7 @@
 }
 
 impl Etcd {
-    /// An empty store.
+    /// A cluster with an empty store.
     pub fn new(timeline: EtcdTimeline) -> Etcd {
         Etcd {
             timeline,
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Wakes the watchers; those that are gone are forgotten.
+    /// Wakes all watchers, and drops those that are gone.
     fn wake_watchers(&self) {
         let is_open = |wake: &Sender<()>| !wake.try_send(()).is_err_and(|error| error.is_closed());
         lock(&self.watchers).retain(|wake| !wake.is_closed() && is_open(wake));
@@ -97,14 +98,15 @@
         Some(api::ResponseHeader { cluster_id: *lock(&self.cluster), member_id: 1, revision, raft_term: 2 })
     }
 
-    /// What the run asked of it so far.
+    /// The load of the run so far.
     pub fn load(&self) -> EtcdLoad {
         EtcdLoad { calls: *lock(&self.calls), recovery_times: lock(&self.recovery_times).clone() }
     }
 }
 
 impl Site {
-    /// Records what a proxy is notified of. An older state than one it had takes no drain back, but for a later start.
+    /// Records a notification of a proxy. A state older than the last one does not revoke a drain,
+    /// unless it shows a later start.
     fn record_notified(&self, proxy: usize, server: usize, revision: i64, value: Option<&[u8]>) {
         let fields: Option<Value> = value.and_then(|value| serde_json::from_slice(value).ok());
         let off = fields.as_ref().is_none_or(|fields| fields["state"] != SERVING);
@@ -122,7 +124,7 @@
     }
 }
 
-/// One connection, until it ends or every connection is reset.
+/// Serves a connection until it ends or all connections are reset.
 pub(super) async fn serve(
     site: Arc<Site>,
     executor: Weak<Executor<'static>>,
--- a/crates/testbed/src/stand_ins/etcd/stream.rs
+++ b/crates/testbed/src/stand_ins/etcd/stream.rs
@@ -1,4 +1,4 @@
-//! Messages of a call in both directions, and how a call ends.
+//! The messages of a call in both directions, and the end of a call.
 
 use crate::model::store::StoreError;
 use bytes::Bytes;
@@ -6,24 +6,24 @@
 use h2::{RecvStream, SendStream};
 use http::{HeaderMap, HeaderValue};
 
-/// The longest message that is read.
+/// Maximum length in bytes of a message that is read.
 const MAX_MESSAGE: usize = 2 << 20;
 
-/// How a call fails.
+/// The error with which a call fails.
 #[derive(Debug)]
 pub(super) struct GrpcError {
-    /// The status code as gRPC has it.
+    /// The gRPC status code.
     pub code: &'static str,
     pub reason: String,
 }
 
 impl GrpcError {
-    /// It may be tried again.
+    /// An error after which the call may be retried.
     pub fn unavailable(reason: &str) -> GrpcError {
         GrpcError { code: code::UNAVAILABLE, reason: reason.into() }
     }
 
-    /// The stand-in has no such call.
+    /// The stand-in does not implement the call.
     pub fn unimplemented(reason: &str) -> GrpcError {
         GrpcError { code: code::UNIMPLEMENTED, reason: reason.into() }
     }
@@ -39,11 +39,11 @@
     }
 }
 
-/// Where the responses of one call go.
+/// The responses of one call.
 pub(super) struct ResponseStream(pub SendStream<Bytes>);
 
 impl ResponseStream {
-    /// Writes a message, and waits until the peer accepts it; `None` where the peer is gone.
+    /// Writes a message, and waits until the peer accepts it; `None` if the peer is gone.
     pub async fn send(&mut self, message: &impl Message) -> Option<()> {
         let mut bytes = encode_frame(message);
         while !bytes.is_empty() {
@@ -55,7 +55,7 @@
         Some(())
     }
 
-    /// Ends the call.
+    /// Ends the call with its status.
     pub fn end(mut self, result: Result<(), GrpcError>) {
         let (code, reason) = match &result {
             Ok(()) => (code::OK, ""),
@@ -71,19 +71,19 @@
     }
 }
 
-/// The requests of one call as they come.
+/// The requests of one call, read as they arrive.
 pub(super) struct RequestStream {
     body: RecvStream,
     frames: FrameDecoder,
 }
 
 impl RequestStream {
-    /// Nothing read yet.
+    /// A stream of which nothing has been read.
     pub fn new(body: RecvStream) -> RequestStream {
         RequestStream { body, frames: FrameDecoder::new(MAX_MESSAGE) }
     }
 
-    /// The next one; `None` where the peer is gone.
+    /// Reads the next request; `None` if the peer is gone.
     pub async fn next<M: Message + Default>(&mut self) -> Option<M> {
         loop {
             if let Some(message) = self.frames.next_message().ok()? {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// The request of a call that has one.
+    /// Reads the request of a call that has exactly one.
     pub async fn only<M: Message + Default>(&mut self) -> Result<M, GrpcError> {
         self.next().await.ok_or_else(|| GrpcError::unavailable("no question"))
     }
--- a/crates/testbed/src/stand_ins/etcd/txn.rs
+++ b/crates/testbed/src/stand_ins/etcd/txn.rs
@@ -1,4 +1,4 @@
-//! Transactions, as far as proxies use them: equal comparisons, puts and deletes.
+//! Transactions, with the features that proxies use: comparisons for equality, puts and deletes.
 
 use super::call::CallContext;
 use super::stream::GrpcError;
--- a/crates/testbed/src/stand_ins/etcd/unary.rs
+++ b/crates/testbed/src/stand_ins/etcd/unary.rs
@@ -1,4 +1,4 @@
-//! Calls of one request and one response, and the renewal of leases.
+//! Calls with one request and one response, and the renewal of leases, which is a stream.
 
 use super::PREFIX;
 use super::call::CallContext;
@@ -12,10 +12,10 @@
 use chalkwalk_etcd_wire::{Message, api, path};
 use std::time::Duration;
 
-/// An endpoint that is behind looks again after so long.
+/// Interval at which an endpoint that lags checks the store.
 const LOOK_AGAIN: Duration = Duration::from_millis(5);
 
-/// Serves a call by its path.
+/// Serves the call that a path names.
 pub(super) async fn serve(
     context: &CallContext,
     path: &str,
@@ -46,7 +46,7 @@
     }
 }
 
-/// Sends responses, unless the cluster stalls.
+/// Sends responses, and holds them back while the cluster stalls.
 struct Responder<'a> {
     context: &'a CallContext,
     responses: &'a mut ResponseStream,
@@ -129,7 +129,8 @@
         (items.into_iter().cloned().collect::<Vec<Item>>(), more)
     };
     let kvs: Vec<api::KeyValue> = items.iter().map(|item| context.key_value(item)).collect();
-    // Notified from when it is written: what is missing in the whole of it is gone.
+    // The proxy is notified when the response is written: servers that are missing from the whole
+    // list are gone.
     if request.key.as_ref() == PREFIX.as_bytes() && !more && context.can_reach_proxy() {
         record_snapshot(context, &items, visible);
     }
@@ -137,7 +138,8 @@
     Ok(api::RangeResponse { header: context.header(visible), kvs, more, count })
 }
 
-/// By a majority: an endpoint that is behind has to learn all that was written before.
+/// Waits until the endpoint sees all that was written before, as a linearizable read does. Fails
+/// after [`NO_MAJORITY`].
 async fn wait_for_newest(context: &CallContext) -> Result<(), GrpcError> {
     let began = context.now();
     let newest = context.store().revision();
@@ -150,7 +152,7 @@
     Ok(())
 }
 
-/// What the whole list notifies a proxy of.
+/// Records the notifications of a proxy by the whole list.
 fn record_snapshot(context: &CallContext, items: &[Item], revision: i64) {
     let (site, proxy) = (&context.site, context.proxy);
     let cluster = *lock(&site.etcd.cluster);
@@ -159,7 +161,8 @@
     for server in 0..site.origin() {
         let key = key_of(site, server);
         let item = items.iter().find(|item| item.key == key);
-        // What is missing in an older state was not taken away: nothing has been written of that.
+        // A server that is missing after a restore was not deleted: the older state does not have
+        // it yet.
         if other_cluster && item.is_none() {
             continue;
         }
--- a/crates/testbed/src/stand_ins/etcd/watch.rs
+++ b/crates/testbed/src/stand_ins/etcd/watch.rs
@@ -1,5 +1,5 @@
-//! A watch: the changes of a range from one revision on, as its endpoint sees them. One watch a call, which is what chalkwalk
-//! opens.
+//! A watch: the changes of a range from one revision on, as its endpoint sees them. Each call has
+//! one watch, as chalkwalk opens them.
 
 use super::call::CallContext;
 use super::stream::{GrpcError, RequestStream, ResponseStream};
@@ -11,20 +11,20 @@
 use smol::future::or;
 use std::time::Duration;
 
-/// Events a response at the most, where the watcher accepts fragments.
+/// Maximum number of events in a response, where the watcher accepts fragments.
 const FRAGMENT: usize = 40;
-/// Without a change, a watch looks again after so long ...
+/// Without a change, a watch checks the store again after this time ...
 const LOOK_AGAIN: Duration = Duration::from_millis(1000);
-/// ... or after so long where its endpoint is behind.
+/// ... or after this time if its endpoint lags.
 const LOOK_AGAIN_BEHIND: Duration = Duration::from_millis(5);
 
-/// What a watch waits for.
+/// Why a watch stops waiting.
 enum Wake {
-    /// A change, or time.
+    /// A change was written, or the check interval has passed.
     Changed,
-    /// A request on the open watch.
+    /// A request arrived on the watch's stream.
     Request(Option<RequestUnion>),
-    /// The watcher is gone.
+    /// The watcher closed the stream.
     Closed,
 }
 
@@ -32,7 +32,7 @@
     context: &'a CallContext,
     responses: &'a mut ResponseStream,
     create: api::WatchCreateRequest,
-    /// The next revision that is to be sent.
+    /// The next revision to send.
     next: i64,
 }
 
@@ -61,12 +61,13 @@
     Watch { context, responses, create, next }.run(requests, &woken).await
 }
 
-/// A response that holds nothing but what its endpoint sees.
+/// A response without events, whose header has the revision that the endpoint sees.
 fn response(context: &CallContext) -> api::WatchResponse {
     api::WatchResponse { header: context.header(context.visible_revision()), ..Default::default() }
 }
 
-/// A proxy that was without its watch has one again, unless its history is gone.
+/// Records how long a proxy was without its watch, once it has one again; a watch from a compacted
+/// revision does not count.
 fn record_recovery(context: &CallContext, create: &api::WatchCreateRequest) {
     let etcd = &context.site.etcd;
     if context.store().compacted() < create.start_revision
@@ -106,7 +107,7 @@
         Ok(items.into_iter().cloned().collect())
     }
 
-    /// Waits for a change, a request, or, where the endpoint is behind, time.
+    /// Waits for a change, a request, or the next check of the store.
     async fn wait(&self, requests: &mut RequestStream, woken: &Receiver<()>) -> Wake {
         let lag = self.context.site.etcd.timeline.lag(self.context.endpoint, self.context.now());
         let step = if lag > 0 { LOOK_AGAIN_BEHIND } else { LOOK_AGAIN };
@@ -123,14 +124,15 @@
         or(request, changed).await
     }
 
-    /// The last response: the watch ends, at a compaction with its revision.
+    /// Sends the last response, which ends the watch; after a compaction, it has the revision of
+    /// the compaction, otherwise 0.
     async fn cancel(self, compact_revision: i64) -> Result<(), GrpcError> {
         let last = api::WatchResponse { canceled: true, compact_revision, ..response(self.context) };
         self.responses.send(&last).await.ok_or_else(watcher_gone)
     }
 
-    /// All up to the revision of a progress response has been sent; where the endpoint is behind, it can't go beyond what it
-    /// sees.
+    /// Sends a progress response: all events up to its revision have been sent. The revision is
+    /// never later than what the endpoint sees.
     async fn send_progress(&mut self) -> Result<(), GrpcError> {
         if self.context.visible_revision() >= self.next {
             return Ok(());
@@ -144,7 +146,7 @@
         self.responses.send(&progress).await.ok_or_else(watcher_gone)
     }
 
-    /// Sends changes, in fragments where the watcher accepts them; `None` where it is gone.
+    /// Sends changes, in fragments if the watcher accepts them; `None` if the watcher is gone.
     async fn send_events(&mut self, visible: i64, items: &[Item]) -> Option<()> {
         let limit = if self.create.fragment { FRAGMENT } else { usize::MAX };
         let fragments = items.len().div_ceil(limit);
@@ -167,7 +169,7 @@
     api::Event { r#type: kind.into(), kv: Some(context.key_value(item)) }
 }
 
-/// What events notify a proxy of, if they reach it.
+/// Records the notifications of a proxy by events, if the events reach it.
 fn record_events(context: &CallContext, items: &[Item]) {
     let site = &context.site;
     for item in items.iter().filter(|_| context.can_reach_proxy()) {
--- a/crates/testbed/src/stand_ins/etcd/writer.rs
+++ b/crates/testbed/src/stand_ins/etcd/writer.rs
@@ -1,4 +1,5 @@
-//! What is written to the store: the list as it becomes known, and what is done to the store itself.
+//! Writes to the store: changes of the list when they are published, and operations on the store
+//! itself.
 
 use super::{PREFIX, SERVING};
 use crate::clock::{MILLI, Micros};
@@ -12,16 +13,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// In values, in place of the proxy that is to read them.
+/// Placeholder in values for the number of the proxy that reads them.
 pub(super) const PROXY: &str = "@PROXY@";
-/// A lease may be renewed meanwhile, and new ones come: the writer looks again after so long.
+/// Maximum time that the writer sleeps, because leases may be renewed and new ones granted in the
+/// meantime.
 const LOOK_AGAIN: Micros = 100 * MILLI;
 
 pub(super) fn key_of(site: &Site, server: usize) -> Vec<u8> {
     format!("{PREFIX}caches/{}", site.endpoint_id(server)).into_bytes()
 }
 
-/// An entry's value, for any proxy.
+/// An entry's value, with a placeholder for the proxy.
 fn value_of(site: &Site, entry: &ListedServer) -> Vec<u8> {
     let mut value = site.list_entry(0, entry);
     let state = if entry.status == EndpointStatus::Ready { SERVING } else { "draining" };
@@ -36,7 +38,8 @@
     value.to_string().into_bytes()
 }
 
-/// Addresses are 127.block.proxy.peer, the proxy counted from 1.
+/// Puts the placeholder in an address, which has the form 127.block.proxy.peer; proxies are counted
+/// from 1.
 fn for_any_proxy(addr: &str) -> String {
     match addr.splitn(4, '.').collect::<Vec<_>>()[..] {
         [net, block, _, peer] => format!("{net}.{block}.{PROXY}.{peer}"),
@@ -44,7 +47,7 @@
     }
 }
 
-/// A proxy's own form of a value.
+/// Replaces the placeholder in a value with a proxy's number.
 pub(super) fn value_for(value: Vec<u8>, proxy: usize) -> Vec<u8> {
     match String::from_utf8(value) {
         Ok(text) => text.replace(PROXY, &(proxy + 1).to_string()).into_bytes(),
@@ -53,7 +56,7 @@
 }
 
 impl Site {
-    /// Writes the list as of the beginning.
+    /// Writes the list as it is at the start of the run.
     pub fn seed_etcd(&self) {
         let put = |entry: &ListedServer| Write::Put {
             key: key_of(self, entry.server),
@@ -64,7 +67,8 @@
         _ = lock(&self.etcd.store).write(0, &writes);
     }
 
-    /// Writes what becomes known at the time at which it does, and does to the store what its timeline has; never ends.
+    /// Writes changes of the list when they are published, and applies the operations of the
+    /// timeline to the store; never returns.
     pub async fn write_etcd(self: Arc<Site>) {
         let mut updates = self.timelines.updates.iter().peekable();
         let mut actions = self.etcd.timeline.actions.iter().peekable();
@@ -83,7 +87,8 @@
             while let Some(timed) = actions.next_if(|timed| timed.at <= now) {
                 self.act_on_store(timed.action, now);
             }
-            // What becomes known at one moment is one transaction, as far as each server is in it once.
+            // Changes that are published at the same time are one transaction, which changes each
+            // server at most once.
             let mut batch: Vec<&ListUpdate> = Vec::new();
             while let Some(update) = updates.next_if(|update| {
                 update.published <= now && !batch.iter().any(|before| before.server == update.server)
@@ -109,7 +114,8 @@
         }
     }
 
-    /// Writes changes in one transaction; `started` is when each server's process started, as far as it is written.
+    /// Writes changes in one transaction; `started` holds the start of each server's process as
+    /// last written.
     fn write_updates(&self, updates: &[&ListUpdate], started: &mut [Micros], now: Micros) {
         let mut writes = Vec::new();
         for update in updates {
--- a/crates/testbed/src/stand_ins/file.rs
+++ b/crates/testbed/src/stand_ins/file.rs
@@ -1,5 +1,5 @@
-//! The list as a file, one for each proxy with the addresses that it is to use: whole, renamed into place, or as a careless
-//! writer would have it.
+//! The endpoint list as a file, one for each proxy with the addresses that the proxy uses. It is
+//! replaced atomically with a rename, or overwritten in place as by a careless writer.
 
 use super::Site;
 use crate::clock::Micros;
@@ -13,31 +13,32 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-/// Between the halves of a file that is written in place.
+/// Pause between the halves of a file that is overwritten in place.
 const BETWEEN_HALVES: Duration = Duration::from_millis(20);
 
-/// One proxy's list file.
+/// The list file of one proxy.
 pub struct ListFile {
     path: PathBuf,
     proxy: usize,
-    /// Whether each server was off in the file as it was written last.
+    /// By server, whether it was off in the file as it was last written.
     notified_off: Mutex<HashMap<usize, bool>>,
     writing: smol::lock::Mutex<()>,
 }
 
-/// How a file is written over.
+/// How a file is overwritten.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum WriteMode {
-    /// Beside it, and renamed.
+    /// A new file is written beside it, and renamed over it.
     Replaced,
-    /// A file that cannot be read, in place.
+    /// The file is overwritten in place with content that cannot be parsed.
     Broken,
-    /// In place, the second half later than the first.
+    /// The file is overwritten in place: first with the first half of the content, later with all
+    /// of it.
     InHalves,
 }
 
 impl ListFile {
-    /// A file that is still to be written.
+    /// A list file that is not written yet.
     pub fn new(path: &Path, proxy: usize) -> ListFile {
         ListFile {
             path: path.to_path_buf(),
@@ -47,7 +48,7 @@
         }
     }
 
-    /// The list as of now.
+    /// The current content of the file.
     fn text(&self, site: &Site) -> String {
         let now = site.clock.now();
         let mut text = format!("version = 1\nserial = {now}\n");
@@ -67,9 +68,9 @@
         text + "[end]\n"
     }
 
-    /// Writes the list as of now.
+    /// Writes the current list.
     pub async fn write(&self, site: &Site, mode: WriteMode) {
-        // One writer at a time, or the second half of an old list would stand over a new one.
+        // One writer at a time. Otherwise the second half of an old list could overwrite a new one.
         let _one = self.writing.lock().await;
         let text = self.text(site);
         let written = match mode {
@@ -95,7 +96,7 @@
         std::fs::rename(&beside, &self.path)
     }
 
-    /// Notified from now on: whoever reads the file finds it.
+    /// Records that the proxy is notified from now on, because the file can be read.
     fn record_notified(&self, site: &Site) {
         let now = site.clock.now();
         let entries = entries_at(site, now);
--- a/crates/testbed/src/stand_ins/list.rs
+++ b/crates/testbed/src/stand_ins/list.rs
@@ -1,4 +1,5 @@
-//! The platform's list on sockets: the whole list, and a watch that waits for what is newer.
+//! The platform's endpoint list on sockets: calls that get the whole list, and watches that wait
+//! for newer versions.
 
 use super::Site;
 use crate::clock::{MILLI, Micros, SECOND, micros};
@@ -12,27 +13,29 @@
 use smol::future::or;
 use std::sync::atomic::Ordering;
 
-/// A call that would wait longer for its turn is refused.
+/// Maximum time that a call waits for its turn; a call that would wait longer is rejected.
 const QUEUE_TIMEOUT: Micros = 2 * SECOND;
-/// How far behind a stale response is.
+/// Age of the list in a stale response.
 const STALE_BY: Micros = 5 * SECOND;
-/// The longest that a watch waits, as the platform has it.
+/// Maximum wait of a watch, as on the platform.
 const LONGEST_WATCH: Micros = 60 * SECOND;
-/// A watch goes on for so long after a response, whether or not the next call comes, and what changes counts as notified.
+/// A watch continues for this long after a response, whether or not the next call arrives: changes
+/// in this time count as notified.
 const WATCH_GRACE: Micros = 200 * MILLI;
-/// What a silent call misses counts as notified so long after it fell silent, ...
+/// Changes that a call misses because the list no longer answers it count as notified this long
+/// after it stopped answering, ...
 const SILENT_CALL_GRACE: Micros = 6 * SECOND;
-/// ... or so long after its wait, if that is later.
+/// ... or this long after the end of the call's wait, if that is later.
 const SILENT_WAIT_GRACE: Micros = 2 * SECOND;
 const JSON: &str = "Content-Type: application/json\r\n";
 
-/// A call, as far as it matters.
+/// A call's parameters.
 struct Call {
-    /// When it was read.
+    /// When the call was read.
     at: Micros,
-    /// The version that the caller has; none where it wants the whole list.
+    /// The version that the caller has; `None` for a call that gets the whole list.
     index: Option<u64>,
-    /// How long it waits for a newer one.
+    /// How long the call waits for a newer version.
     wait: Micros,
 }
 
@@ -48,23 +51,24 @@
     }
 }
 
-/// A watch's response.
+/// A response to a watch.
 #[derive(Clone, Copy)]
 struct WatchAnswer {
     version: u64,
     called: Micros,
     answered: Micros,
-    /// Calls that its proxy had made by then.
+    /// Number of calls that the proxy had made by the time of the response.
     calls: usize,
 }
 
-/// What follows a call.
+/// How a connection continues after a call.
 enum Next {
-    /// The connection goes on; the response, if it was a watch's.
+    /// The connection continues. The response is given if the call was a watch.
     Call(Option<WatchAnswer>),
-    /// As before: the call failed, which takes nothing back.
+    /// The connection continues, and the previous response is kept: the call failed, which revokes
+    /// no notification.
     Unchanged,
-    /// The connection ends.
+    /// The connection is closed.
     End,
 }
 
@@ -89,7 +93,8 @@
 }
 
 impl ListConnection<'_> {
-    /// The next call; meanwhile, the grace of the last response goes on.
+    /// Reads the next call. In the meantime, changes within the grace period of the last response
+    /// are recorded.
     async fn next_message(
         &self,
         connection: &mut Connection,
@@ -120,7 +125,7 @@
         };
         site.clock.sleep_until(slot).await;
         if connection.is_closed() {
-            // Given up before its turn: it notifies of nothing.
+            // The caller gave up before its turn: the call notifies the proxy of nothing.
             return Next::End;
         }
         let newer_exists = |index: u64| index < site.server_list.version(site.clock.now());
@@ -139,7 +144,8 @@
         Next::Call(call.index.map(|_| answer))
     }
 
-    /// Calls are answered one after the other.
+    /// The time at which a call is answered, as calls are answered one at a time; `None` if it
+    /// would wait longer than [`QUEUE_TIMEOUT`].
     fn queue_slot(&self, now: Micros) -> Option<Micros> {
         let mut free_at = lock(&self.site.list_free_at);
         let at = (*free_at).max(now);
@@ -150,7 +156,8 @@
         Some(*free_at)
     }
 
-    /// Waits for a newer version, or until the call's wait or the service ends; false where nothing is to be answered.
+    /// Waits for a newer version, or until the call's wait ends or the list goes down. Returns
+    /// false if the call gets no answer.
     async fn wait(&self, connection: &mut Connection, call: &Call, index: u64) -> bool {
         let site = self.site;
         let newer = site.server_list.next_change(index).unwrap_or(Micros::MAX);
@@ -175,7 +182,7 @@
         or(waited, closed).await
     }
 
-    /// Fails a call that was read, as an outage has it.
+    /// Fails a call in the way of an outage.
     async fn fail(&self, connection: &mut Connection, outage: Outage) -> Next {
         let clock = &self.site.clock;
         match outage {
@@ -200,7 +207,8 @@
         }
     }
 
-    /// A call that has fallen silent: what it misses counts as notified from a moment on.
+    /// Records the changes that a call misses because the list no longer answers it; they count as
+    /// notified from the time `from`, at the earliest.
     async fn silent_call(&self, called: Micros, index: u64, from: Micros) {
         let site = self.site;
         let mut version = index;
@@ -214,9 +222,11 @@
         std::future::pending().await
     }
 
-    /// After a watch's response: what changes while the watch goes on counts as notified, to the process that called. One that
-    /// was killed between its call and the response was notified of nothing by it, and neither is the process that was started
-    /// after it. Once the proxy's next call has come, on whichever connection, what it misses is that call's.
+    /// Records changes after a watch's response: as long as the watch continues, they count as
+    /// notified to the process that called. A process that was killed between its call and the
+    /// response was not notified by the response, and neither is the process that was started after
+    /// it. Once the proxy's next call has arrived, on any connection, that call covers all later
+    /// changes.
     async fn watch_grace(&self, answer: WatchAnswer) {
         let site = self.site;
         let end = answer.answered + WATCH_GRACE;
@@ -232,8 +242,8 @@
         }
     }
 
-    /// Entries count as notified to a proxy at that moment, unless the process that called then has ended by now: what is
-    /// written to it reaches nobody.
+    /// Records entries as notified to a proxy at that time, unless the process that called has
+    /// ended since: what is written to it is not read.
     fn record_notified(&self, called: Micros, entries: &[ListedServer], at: Micros) {
         let site = self.site;
         if site.evidence.ended_since(self.proxy, called) {
@@ -246,7 +256,7 @@
         }
     }
 
-    /// Answers, and returns the version that was written; none where the connection is gone.
+    /// Answers a call and returns the version that was sent; `None` if the connection is closed.
     async fn answer(&self, connection: &Connection, call: &Call) -> Option<u64> {
         let site = self.site;
         let now = site.clock.now();
@@ -262,7 +272,8 @@
         let head = response_head(200, text.len(), JSON);
         connection.write(&[head.as_bytes(), text.as_bytes()]).await.ok()?;
         if stale {
-            // It notifies of nothing new, and takes back nothing that was.
+            // A stale response notifies the proxy of nothing new and revokes no earlier
+            // notification.
             return Some(version);
         }
         let now = site.clock.now();
@@ -274,7 +285,7 @@
     }
 }
 
-/// What is not in the whole list is gone.
+/// The servers that are missing from the whole list, as entries that say that they are gone.
 fn missing(entries: &[ListedServer], servers: usize) -> Vec<ListedServer> {
     (0..servers)
         .filter(|server| !entries.iter().any(|entry| entry.server == *server))
--- a/crates/testbed/src/stand_ins/list_entries.rs
+++ b/crates/testbed/src/stand_ins/list_entries.rs
@@ -1,4 +1,4 @@
-//! Entries of the list as proxies read them.
+//! Entries of the endpoint list in the form that proxies read.
 
 use super::Site;
 use crate::clock::MILLI;
@@ -6,18 +6,18 @@
 use serde_json::{Value, json};
 
 impl Site {
-    /// The name of a server, or of the origin, in the list.
+    /// The id of a server, or of the origin, in the list.
     pub(super) fn endpoint_id(&self, server: usize) -> String {
         if server == self.origin() { "origin".to_string() } else { format!("cache-{server:03}") }
     }
 
-    /// The whole list before any change, as a proxy gets it with its configuration.
+    /// The whole list before its first change, which a proxy gets with its configuration.
     pub fn known(&self, proxy: usize) -> Vec<Value> {
         let entries = self.server_list.snapshot(FIRST_VERSION);
         entries.iter().map(|entry| self.list_entry(proxy, entry)).collect()
     }
 
-    /// An entry of the list as one proxy reads it.
+    /// An entry of the list, with the address that one proxy uses.
     pub fn list_entry(&self, proxy: usize, entry: &ListedServer) -> Value {
         let is_origin = entry.server == self.origin();
         let started = if entry.started == 0 { 0 } else { self.clock.unix_start_ms() + entry.started / MILLI };
--- a/crates/testbed/src/stand_ins/listener.rs
+++ b/crates/testbed/src/stand_ins/listener.rs
@@ -1,5 +1,5 @@
-//! Listeners and connections that come and go with their peer: open while it is up, refused while its process is gone, silent
-//! while its machine or link is.
+//! Listeners and connections that follow the state of their peer: they accept while the peer is up,
+//! refuse while its process is gone, and are silent while its machine or the link to it is gone.
 
 use super::peer::{Link, Peer};
 use super::{Site, etcd, list, resp, server};
@@ -15,22 +15,24 @@
 use std::sync::{Arc, Weak};
 use std::time::Duration;
 
-/// All proxies connect at once after a restart.
+/// Length of the listen queue. After a restart, all proxies connect at once.
 const BACKLOG: i32 = 1024;
-/// Before an address is bound, or a connection accepted, again after a failure.
+/// Pause after a failure before an address is bound, or a connection accepted, again.
 const RETRY_AFTER: Duration = Duration::from_millis(5);
-/// Linux lets one connection into a queue of no length; one more fills it.
+/// Number of connections that fill a listen queue of length 0: Linux accepts one, and a second one
+/// fills the queue.
 const FILLING_CONNECTIONS: usize = 2;
 
 impl Site {
-    /// Binds every address that proxies are given, and serves on them.
+    /// Binds every address that proxies connect to, and serves connections on them.
     pub fn open(self: &Arc<Site>, executor: &Arc<Executor<'static>>) -> io::Result<()> {
         for proxy in 0..self.experiment.fleet.proxies {
             for peer in self.peers() {
                 let link = Link { peer, proxy };
                 let addr = self.address(link);
                 let listener = listen(addr)?;
-                // Weak, or the executor would hold itself by its own tasks.
+                // A weak reference, because the executor owns this task: a strong one would keep it
+                // alive forever.
                 let listening =
                     Listening { site: self.clone(), executor: Arc::downgrade(executor), link, addr };
                 executor.spawn(listening.run(listener)).detach();
@@ -46,7 +48,7 @@
     Async::new(listener)
 }
 
-/// Ends when a stretch of time does.
+/// Waits until a point in time; `Micros::MAX` waits forever.
 async fn until_or_forever(clock: &Clock, until: Micros) {
     match until {
         Micros::MAX => std::future::pending().await,
@@ -54,7 +56,7 @@
     }
 }
 
-/// One peer's address for one proxy.
+/// The listener of one peer for one proxy.
 struct Listening {
     site: Arc<Site>,
     executor: Weak<Executor<'static>>,
@@ -63,7 +65,8 @@
 }
 
 impl Listening {
-    /// Accepts while the peer is up; refuses while its process is gone; and lets nothing come up while it is silent.
+    /// Accepts connections while the peer is up, refuses them while its process is gone, and lets
+    /// none be established while it is silent.
     async fn run(self, listener: Async<TcpListener>) {
         let mut bound = Some(listener);
         loop {
@@ -75,7 +78,7 @@
             }
             let listener = match bound.take().map_or_else(|| listen(self.addr), Ok) {
                 Ok(listener) => listener,
-                // The address is still being released.
+                // The address has not been released yet.
                 Err(_) => {
                     smol::Timer::after(RETRY_AFTER).await;
                     continue;
@@ -94,7 +97,8 @@
         let filling = fill_backlog(listener, self.addr);
         until_or_forever(&self.site.clock, until).await;
         drop(filling);
-        // What came meanwhile is reset: the machine knows nothing of it.
+        // Connections that were queued in the meantime are reset, because the machine that returns
+        // knows nothing of them.
         while let Ok((stream, _)) = listener.get_ref().accept() {
             _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
         }
@@ -122,8 +126,8 @@
     }
 }
 
-/// A listen queue of no length, filled: from then on the kernel drops what would open a connection, as a machine that is gone
-/// does.
+/// Shortens the listen queue to length 0 and fills it. From then on the kernel drops packets that
+/// would open a connection, as happens with a machine that is gone.
 fn fill_backlog(listener: &Async<TcpListener>, addr: SocketAddr) -> Vec<socket2::Socket> {
     _ = socket2::SockRef::from(listener.get_ref()).listen(0);
     let connect = |_| {
@@ -135,7 +139,7 @@
     (0..FILLING_CONNECTIONS).filter_map(connect).collect()
 }
 
-/// Runs until its end, or until a moment; whether it ended.
+/// Runs a future until it ends or a point in time is reached. Returns whether the future ended.
 async fn ends_before(clock: &Clock, until: Micros, serving: impl Future<Output = ()>) -> bool {
     let served = async {
         serving.await;
@@ -148,15 +152,15 @@
     or(served, gone).await
 }
 
-/// One connection, until it ends or the stretch does in which the peer is up.
+/// Serves a connection until it ends or the peer is no longer up.
 async fn serve(site: Arc<Site>, link: Link, stream: Async<TcpStream>, until: Micros) {
     let mut connection = Connection::new(stream);
     let serving = serve_peer(&site, link, &mut connection);
     if ends_before(&site.clock, until, serving).await {
         return;
     }
-    // Open and silent, until the peer is back and knows nothing of it. An attempt that is open ends with the connection,
-    // whichever side ends it.
+    // The connection stays open and silent until the peer is back and knows nothing of it. An
+    // attempt in progress ends with the connection, whichever side closes it.
     loop {
         let (reachability, until) = site.reachability(link);
         if reachability != Reachability::Silent {
@@ -182,25 +186,26 @@
         }
         Peer::Server(index) => server::serve_attempts(site, index, link.proxy, connection).await,
         Peer::List { .. } => list::serve_calls(site, link.proxy, connection).await,
-        // Its connections are not of this kind: `etcd::serve` has them.
+        // Connections to etcd are served by `etcd::serve`.
         Peer::Etcd(_) => {}
     }
 }
 
-/// The attempt that was open on a connection ends with it.
+/// Records that the attempt in progress on a connection was aborted.
 fn abort_attempt(site: &Site, link: Link, connection: &mut Connection) {
     if let (Some(id), Peer::Server(server)) = (connection.open_attempt.take(), link.peer) {
         site.evidence.record(id, link.proxy, EventKind::AttemptAborted { server: server as u16 });
     }
 }
 
-/// The same for a connection to etcd.
+/// Serves a connection to etcd until it ends or the peer is no longer up.
 async fn serve_etcd(site: Arc<Site>, link: Link, serving: impl Future<Output = ()>, until: Micros) {
     let mut serving = std::pin::pin!(serving);
     if ends_before(&site.clock, until, serving.as_mut()).await {
         return;
     }
-    // Not played on, it is silent; it is reset by the end of this.
+    // While the peer is silent, the future is not polled, so the connection is silent. The
+    // connection is reset when the future is dropped at the end of this function.
     while let (Reachability::Silent, until) = site.reachability(link) {
         until_or_forever(&site.clock, until).await;
     }
--- a/crates/testbed/src/stand_ins/mod.rs
+++ b/crates/testbed/src/stand_ins/mod.rs
@@ -1,5 +1,6 @@
-//! The stand-ins on sockets: servers, the origin and the list, each at an address of its own for each proxy, so that it is known
-//! who sent an attempt. The models decide what is replied; what is here reads, waits and writes.
+//! The stand-ins on sockets: servers, the origin and the list. Each has an address of its own for
+//! each proxy, which identifies the proxy that sent an attempt. The models decide the replies; the
+//! code in this module reads, waits and writes.
 
 pub mod body;
 mod decide;
@@ -31,61 +32,62 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// The process of a server that runs now.
+/// The current process of a server.
 struct RunningServer {
-    /// Which of its timeline's.
+    /// The process's index in the server's timeline.
     incarnation: usize,
     model: ServerModel,
 }
 
-/// A server missed for a request.
+/// A server process that answered a request with a miss.
 struct MissedAt {
     server: usize,
     incarnation: usize,
 }
 
-/// A tagged request, and the group of servers that drops its repeats.
+/// A tagged request, and the deduplication group of servers that drops its repeats.
 #[derive(PartialEq, Eq, Hash)]
 struct TagKey {
     tag: Vec<u8>,
     group: u64,
 }
 
-/// All that the stand-ins share.
+/// The state that all stand-ins share.
 pub struct Site {
-    /// What is played.
+    /// The experiment that is run.
     pub experiment: Experiment,
-    /// What happens to servers, origin, links and list.
+    /// The states and faults of the servers, the origin, the links and the list.
     pub timelines: Timelines,
     /// The run's clock.
     pub clock: Clock,
-    /// The run's recorder.
+    /// The recorder of the run's events.
     pub evidence: Evidence,
-    /// The run's addresses.
+    /// The addresses of the run.
     pub net: Net,
     /// The stand-in for etcd.
     pub etcd: etcd::Etcd,
-    /// Who holds which hash slots.
+    /// The owners of the hash slots.
     pub cluster: Cluster,
     /// The endpoint list.
     pub server_list: ServerList,
     spec: ServerSpec,
     servers: Vec<Mutex<RunningServer>>,
-    /// To each server, the origin last.
+    /// Number of open connections, by server; the origin is last.
     connections: Vec<AtomicUsize>,
     origin: Mutex<OriginModel>,
-    /// Which servers missed for a request, until the origin has answered it.
+    /// The servers that missed for a request, until the origin has answered it.
     missed: Mutex<HashMap<Id, Vec<MissedAt>>>,
-    /// When the effect of a tagged request came about.
+    /// When the effect of a tagged request was applied.
     tags: Mutex<HashMap<TagKey, Micros>>,
-    /// From when on the list answers another call.
+    /// The time from which the list can answer another call.
     list_free_at: Mutex<Micros>,
-    /// Calls to the list that each proxy has made.
+    /// Number of calls that each proxy has made to the list.
     list_calls: Vec<AtomicUsize>,
     random: Mutex<ChaCha8Rng>,
 }
 
-/// The work of requests differs from its mean by up to this part, evenly: half, as with people's requests to a busy service.
+/// Maximum deviation of a request's work from its class's mean, as a share of the mean; deviations
+/// are distributed evenly. A half corresponds to people's requests to a busy service.
 const WORK_SPREAD: f64 = 0.5;
 
 fn server_spec(experiment: &Experiment) -> ServerSpec {
@@ -98,12 +100,12 @@
         slow_start: micros(world.slow_start_s),
         collapse_multiple: world.collapse_multiple,
         collapse_window: micros(world.collapse_window_s),
-        // Servers that speak RESP hold every key that is requested.
+        // Servers that speak RESP have the value of every key that is requested.
         through: world.cache_mode() == CacheMode::Through || experiment.fleet.protocol() == Protocol::Resp,
     }
 }
 
-/// A server that has run since long ago, with its share of the keys cached.
+/// The process of a server that started before the run, with its share of the keys cached.
 fn warm_server(experiment: &Experiment, spec: &ServerSpec) -> RunningServer {
     let world = &experiment.world;
     let mut model = ServerModel::new(spec.clone(), 0);
@@ -115,7 +117,7 @@
 }
 
 impl Site {
-    /// The stand-ins of an experiment, not yet on sockets.
+    /// The stand-ins of an experiment, before their addresses are bound.
     pub fn new(experiment: Experiment, clock: Clock, net: Net) -> Arc<Site> {
         let world = &experiment.world;
         let timelines = Timelines::new(&experiment);
@@ -142,7 +144,7 @@
         })
     }
 
-    /// The number of the origin: the one after the last server.
+    /// The index of the origin: the one after the last server's.
     pub fn origin(&self) -> usize {
         self.experiment.world.servers
     }
@@ -155,16 +157,16 @@
         lock(&self.random).random()
     }
 
-    /// The work of a request, spread evenly about its class's mean.
+    /// Draws the work of a request, evenly distributed around its class's mean.
     fn draw_work(&self, mean_ms: f64) -> Micros {
         (mean_ms * MILLI as f64 * (1.0 - WORK_SPREAD + 2.0 * WORK_SPREAD * self.draw_luck())) as Micros
     }
 }
 
-/// One of the connections that a peer holds, counted until it is dropped.
+/// A connection of a peer; it is counted as open until this is dropped.
 struct ConnectionCount<'a> {
     counter: &'a AtomicUsize,
-    /// So many there were before it.
+    /// Number of open connections before this one.
     before: usize,
 }
 
--- a/crates/testbed/src/stand_ins/net.rs
+++ b/crates/testbed/src/stand_ins/net.rs
@@ -1,34 +1,37 @@
-//! The addresses of a run on loopback.
+//! The loopback addresses of a run.
 
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
 
-/// Every address of a run: 127.`block`.proxy.peer, all on one port.
+/// The block of addresses of a run: 127.`block`.proxy.peer, all on one port.
 #[derive(Clone, Copy, Debug)]
 pub struct Net {
     block: u8,
 }
 
 const PORT: u16 = 3000;
-/// Addresses of one proxy's view: itself, its list, the origin, and servers from 10 on.
+/// Last byte of a proxy's own address; the addresses that the proxy connects to differ from it in
+/// this byte: its list, the origin, etcd's endpoints, and the servers from 10 on.
 const PROXY: u8 = 1;
 const LIST: u8 = 2;
 const ORIGIN: u8 = 3;
-/// Where the list is once it has moved.
+/// The list's address after it has moved.
 const MOVED_LIST: u8 = 4;
 const ETCD: u8 = 5;
-/// Where a proxy listens for RESP.
+/// The address on which a proxy listens for RESP.
 const RESP_LISTENER: u8 = 8;
 const SERVERS: u8 = 10;
-/// From 127.16 on: what lies below is used by hand.
+/// The first block is 127.16; those below it are left for manual use.
 const FIRST_BLOCK: u8 = 16;
-/// Blocks from there on to 127.239.
+/// Number of blocks: from the first one to 127.239.
 const BLOCKS: u8 = 224;
-/// The address by which a run claims its block; no proxy has that number.
+/// The last two bytes of the address that a run binds to claim its block; no proxy has that number.
 const CLAIM: [u8; 2] = [255, 1];
 
 impl Net {
-    /// A block of addresses that no other run on this machine has now: who holds its first address has it.
+    /// Claims a block of addresses that no other run on this machine uses. A run holds its block
+    /// for as long as it keeps the returned listener, which is bound to one of the block's
+    /// addresses.
     pub fn claim() -> io::Result<(Net, TcpListener)> {
         let start = std::process::id() as u8;
         for i in 0..=u8::MAX {
@@ -45,27 +48,28 @@
         SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, self.block, 1 + proxy as u8, last)), PORT)
     }
 
-    /// Where a proxy listens for HTTP.
+    /// The address on which a proxy listens for HTTP.
     pub fn proxy(&self, proxy: usize) -> SocketAddr {
         self.addr(proxy, PROXY)
     }
 
-    /// The list as a proxy sees it, at its first or its second address.
+    /// The address at which a proxy reaches the list: the second one if the list has moved.
     pub fn list(&self, proxy: usize, moved: bool) -> SocketAddr {
         self.addr(proxy, if moved { MOVED_LIST } else { LIST })
     }
 
-    /// Where a proxy listens for RESP.
+    /// The address on which a proxy listens for RESP.
     pub fn resp(&self, proxy: usize) -> SocketAddr {
         self.addr(proxy, RESP_LISTENER)
     }
 
-    /// One of etcd's endpoints as a proxy sees it.
+    /// The address at which a proxy reaches one of etcd's endpoints.
     pub fn etcd(&self, proxy: usize, endpoint: usize) -> SocketAddr {
         self.addr(proxy, ETCD + endpoint as u8)
     }
 
-    /// A server as a proxy sees it; the origin is the one after the last.
+    /// The address at which a proxy reaches a server; the origin's index is the one after the last
+    /// server's.
     pub fn server(&self, proxy: usize, server: usize, servers: usize) -> SocketAddr {
         self.addr(proxy, if server == servers { ORIGIN } else { SERVERS + server as u8 })
     }
--- a/crates/testbed/src/stand_ins/peer.rs
+++ b/crates/testbed/src/stand_ins/peer.rs
@@ -1,4 +1,4 @@
-//! What a proxy connects to: where it listens, and whether it can be reached.
+//! The peers that a proxy connects to: their addresses, and whether they can be reached.
 
 use super::Site;
 use crate::clock::Micros;
@@ -10,15 +10,15 @@
 /// A stand-in that proxies connect to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Peer {
-    /// A server by its number, or the origin as the one after the last.
+    /// A server by its index; the origin's index is the one after the last server's.
     Server(usize),
-    /// The list, at its first address or at the one it moves to.
+    /// The list, at its first address or the one that it moves to.
     List { moved: bool },
-    /// An endpoint of etcd.
+    /// An endpoint of etcd, by its index.
     Etcd(usize),
 }
 
-/// A peer as one proxy sees it.
+/// The link between a proxy and a peer.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Link {
     pub peer: Peer,
@@ -26,7 +26,7 @@
 }
 
 impl Site {
-    /// All that a proxy may connect to.
+    /// All peers that a proxy may connect to.
     pub(super) fn peers(&self) -> Vec<Peer> {
         let mut peers: Vec<Peer> = (0..=self.origin()).map(Peer::Server).collect();
         peers.push(Peer::List { moved: false });
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Whether a proxy can reach a peer, and until when that holds.
+    /// Whether a proxy can reach a peer, and until when this holds.
     pub(super) fn reachability(&self, link: Link) -> (Reachability, Micros) {
         let zones = self.zones();
         let zone = link.proxy % zones;
@@ -60,7 +60,8 @@
         }
     }
 
-    /// The list has outages of its own in which nothing listens.
+    /// Whether the list can be reached. It has outages of its own, in some of which nothing
+    /// listens.
     fn list_reachability(&self, zone: usize, now: Micros) -> (Reachability, Micros) {
         let (reachability, until) = self.timelines.origin_reachability(zone, now);
         let refuses = |down: &&ListOutage| down.outage == Outage::Refuses;
--- a/crates/testbed/src/stand_ins/resp.rs
+++ b/crates/testbed/src/stand_ins/resp.rs
@@ -1,4 +1,5 @@
-//! Servers that speak the cluster dialect of RESP, after its public specification: slots, redirections, replicas, loading.
+//! Servers that speak RESP as cluster nodes, following the public specification: slots,
+//! redirections, replicas, loading.
 
 use super::body::body;
 use super::decide::Attempt;
@@ -11,16 +12,17 @@
 use crate::resp::{Arguments, bulk, read_command, slot};
 use crate::wire::Connection;
 
-/// The work of a health check.
+/// Processing time of a health check.
 const HEALTH_CHECK_WORK: Micros = MILLI / 2;
-/// Spreads keys evenly over the ranks in which they migrate: 2^64 by the golden ratio.
+/// Multiplier that spreads keys evenly over the ranks in which they migrate: 2^64 divided by the
+/// golden ratio.
 const RANK_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
 const LOADING: &[u8] = b"-LOADING the data set is loaded\r\n";
 
-/// What a key of the testbed's holds: `namespace:{kN}:ID:FIRST`.
+/// The contents of a key of the testbed: `namespace:{kN}:ID:FIRST`.
 struct RequestKey {
     id: Id,
-    /// The id of the client's first try.
+    /// The id of the client's first try (FIRST), as text.
     tag: Vec<u8>,
 }
 
@@ -34,17 +36,17 @@
     }
 }
 
-/// One end of a connection between a proxy and a server.
+/// The server's end of a connection from a proxy.
 struct RespConnection<'a> {
     site: &'a Site,
     server: usize,
     proxy: usize,
-    /// Whether the next command came with ASKING.
+    /// Whether ASKING was sent for the next command.
     asking: bool,
     readonly: bool,
 }
 
-/// A command on a key, and the request that it belongs to.
+/// A command on a key, and the client request that it belongs to.
 struct KeyCommand {
     name: String,
     key: RequestKey,
@@ -60,7 +62,7 @@
 }
 
 impl RespConnection<'_> {
-    /// One command and its answer; `None` where the connection ends.
+    /// Serves one command; `None` if the connection ends.
     async fn serve_next(&mut self, connection: &mut Connection) -> Option<()> {
         let arguments = read_command(connection).await.ok()?;
         let started = self.site.clock.now();
@@ -84,7 +86,7 @@
         self.site.net.server(self.proxy, node, self.site.origin()).to_string()
     }
 
-    /// The answer to a command that is about no key.
+    /// The answer to a command that has no key.
     async fn answer_without_key(&mut self, name: &str, now: Micros) -> Option<Vec<u8>> {
         let site = self.site;
         match name {
@@ -111,7 +113,8 @@
         }
     }
 
-    /// Which request a command is for; where it is for none, that is recorded and refused.
+    /// Finds the client request that a command belongs to. A command that belongs to none is
+    /// recorded and rejected.
     async fn identify(
         &self,
         connection: &Connection,
@@ -132,7 +135,7 @@
         Some(KeyCommand { name, key, slot: slot(key_text), request })
     }
 
-    /// What becomes of a command that has come whole now, and its answer.
+    /// Decides the outcome of a command that was received completely, and its answer.
     fn plan(&mut self, command: &KeyCommand) -> (PlannedReply, Vec<u8>) {
         let now = self.site.clock.now();
         let write = command.name == "SET";
@@ -153,7 +156,7 @@
         (plan, self.answer(command, write, plan.reply))
     }
 
-    /// The answer of a server that does not hold the key, or not yet.
+    /// The answer of a server that does not hold the key, or does not hold it yet.
     fn refusal(&mut self, command: &KeyCommand, write: bool, now: Micros) -> Option<(Reply, Vec<u8>)> {
         let slot = command.slot;
         let rank = (command.request.key.wrapping_mul(RANK_FACTOR) >> 32) % RANKS;
@@ -173,7 +176,7 @@
         Some((reply, answer))
     }
 
-    /// The bytes of a reply.
+    /// The encoded reply.
     fn answer(&self, command: &KeyCommand, write: bool, reply: Reply) -> Vec<u8> {
         let request = &command.request;
         let bytes = self.site.experiment.classes[request.class].bytes;
@@ -205,7 +208,8 @@
             self.site.evidence.record(id, self.proxy, aborted);
             return None;
         }
-        // Recorded with the time ahead of the write: the proxy may act on it before the write returns.
+        // Recorded with the time before the write, because the proxy may act on the reply before
+        // the write returns.
         let replied = self.site.clock.now();
         if connection.write(&[answer]).await.is_err() {
             self.site.evidence.record(id, self.proxy, aborted);
--- a/crates/testbed/src/stand_ins/server.rs
+++ b/crates/testbed/src/stand_ins/server.rs
@@ -1,4 +1,4 @@
-//! What servers and the origin do with an HTTP connection: attempts one at a time, health checks, and the end of both.
+//! HTTP connections to servers and the origin: attempts, one at a time, and health checks.
 
 use super::body::body;
 use super::decide::Attempt;
@@ -11,23 +11,23 @@
 use smol::future::or;
 use std::time::Duration;
 
-/// The work of a health check.
+/// Processing time of a health check.
 const HEALTH_CHECK_WORK: Micros = MILLI / 2;
 const HIT: &str = "X-Lookup: hit\r\n";
 const MISS: &str = "X-Lookup: miss\r\n";
-/// Noise where a response should be.
+/// Bytes that are sent in place of a response and are no valid response.
 const GARBAGE: &[u8] = b"HTP/7.1 OK 200\x00\x01\r\n\r\n";
-/// So much of a value follows the noise.
+/// Number of bytes of the value that follow the garbage.
 const GARBAGE_VALUE: usize = 32;
 
-/// One end of a connection between a proxy and a server.
+/// The server's end of a connection from a proxy.
 struct ServerConnection<'a> {
     site: &'a Site,
     server: usize,
     proxy: usize,
-    /// Whether the server had all the connections that it accepts before this one.
+    /// Whether the server's connection limit was reached before this connection.
     over_limit: bool,
-    /// Whether nothing has been attempted on it yet.
+    /// Whether no attempt has been received on the connection yet.
     is_first: bool,
 }
 
@@ -41,7 +41,7 @@
     while serving.serve_next(connection).await.is_some() {}
 }
 
-/// Waits until what was planned is due; false where the other side ends the connection before.
+/// Waits until the planned reply is due. Returns false if the peer closes the connection first.
 pub(super) async fn wait_until_due(site: &Site, connection: &mut Connection, plan: &PlannedReply) -> bool {
     let waited = async {
         match plan.reply {
@@ -57,7 +57,8 @@
     or(waited, closed).await
 }
 
-/// Whether the connection ends with a reply; prepares the reset where it ends by one.
+/// Whether the connection is closed after a reply. If it ends with a reset, this prepares the
+/// socket for it.
 pub(super) fn closes_connection(connection: &Connection, plan: &PlannedReply) -> bool {
     if plan.reply == Reply::Reset {
         _ = socket2::SockRef::from(connection.stream.get_ref()).set_linger(Some(Duration::ZERO));
@@ -70,7 +71,7 @@
 }
 
 impl ServerConnection<'_> {
-    /// One message and its reply; `None` where the connection ends.
+    /// Serves one request; `None` if the connection ends.
     async fn serve_next(&mut self, connection: &mut Connection) -> Option<()> {
         self.wait_for_bytes(connection).await?;
         let started = self.site.clock.now();
@@ -96,7 +97,8 @@
         self.site.evidence.record_at(at, id, self.proxy, kind);
     }
 
-    /// Waits for the next message, for as long as a server keeps an idle connection.
+    /// Waits for the first bytes of the next message, at most for the time after which a server
+    /// closes an idle connection.
     async fn wait_for_bytes(&self, connection: &mut Connection) -> Option<()> {
         if !connection.buffered.is_empty() {
             return Some(());
@@ -118,7 +120,8 @@
         respond(connection, 200, "", b"").await.ok()
     }
 
-    /// Which request an attempt is for; where it is for none, that is recorded and refused.
+    /// Finds the client request that an attempt belongs to. An attempt that belongs to none is
+    /// recorded and rejected.
     async fn identify(&self, connection: &Connection, message: &Message) -> Option<(Id, ClientRequest)> {
         let id = message.field("X-Correlation-Id").and_then(|id| Id::from_str_radix(id, 16).ok());
         if let Some((id, request)) = id.and_then(|id| Some((id, self.site.evidence.request(id)?))) {
@@ -130,7 +133,7 @@
         None
     }
 
-    /// What becomes of an attempt that has come whole now.
+    /// Decides the outcome of an attempt that was received completely.
     fn plan(&mut self, message: &Message, id: Id, request: &ClientRequest) -> PlannedReply {
         let now = self.site.clock.now();
         let server = self.server;
@@ -164,7 +167,8 @@
             site.evidence.record(id, self.proxy, EventKind::AttemptAborted { server });
             return None;
         }
-        // Recorded with the time ahead of the write: the proxy may act on it before the write returns.
+        // Recorded with the time before the write, because the proxy may act on the reply before
+        // the write returns.
         let replied = site.clock.now();
         if self.write_reply(connection, id, request, &plan).await.is_err() {
             site.evidence.record(id, self.proxy, EventKind::AttemptAborted { server });
@@ -174,7 +178,7 @@
         (!closes_connection(connection, &plan) && !self.over_limit).then_some(())
     }
 
-    /// Writes what was planned; an error where the other side was gone.
+    /// Writes the planned reply; fails if the peer has closed the connection.
     async fn write_reply(
         &self,
         connection: &Connection,
--- a/crates/testbed/src/sync.rs
+++ b/crates/testbed/src/sync.rs
@@ -1,8 +1,9 @@
-//! The lock that all shared state of a run is behind.
+//! Locking of the state that the parts of a run share.
 
 use std::sync::{Mutex, MutexGuard};
 
-/// The lock, also where a thread panicked while it held it: the run is over then, and what is there is still read.
+/// Locks a mutex, even if it is poisoned: once a thread has panicked, the run is over, and its
+/// recorded state is still read.
 pub(crate) fn lock<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
     of.lock().unwrap_or_else(|broken| broken.into_inner())
 }
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -1,5 +1,6 @@
-//! HTTP/1.1 framing for stand-ins, clients and the baselines: bodies by length only, as all of them write it. It is the
-//! testbed's own, so that a bug in the proxy's framing cannot hide itself.
+//! HTTP/1.1 framing for stand-ins, clients and baseline proxies. Bodies are delimited by
+//! Content-Length only, as all of them write it. It shares no code with the proxy, so that a bug in
+//! the proxy's framing cannot hide itself.
 
 use crate::evidence::Id;
 use smol::Async;
@@ -7,43 +8,43 @@
 use std::net::TcpStream;
 use std::ops::Range;
 
-/// Longer messages are refused: no experiment has longer values.
+/// Maximum message length in bytes: no experiment has longer values.
 const MAX_MESSAGE: usize = 4 << 20;
-/// More header fields are refused: a proxy sends a dozen.
+/// Maximum number of header fields: a proxy sends a dozen.
 const MAX_FIELDS: usize = 48;
-/// A longer head is refused.
+/// Maximum length of a message head in bytes.
 const MAX_HEAD: usize = 64 << 10;
-/// Read at once, at the least.
+/// Minimum number of bytes that a read asks for.
 const MIN_READ: usize = 4096;
 
-/// Why no message could be read.
+/// Why a message could not be read.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// The connection ended between two messages.
+    /// The connection was closed between two messages.
     #[error("the connection was closed")]
     Closed,
-    /// It ended, or broke, within one.
+    /// The connection was closed or failed within a message.
     #[error("the connection broke within a message")]
     Truncated,
-    /// What came is no message.
+    /// The bytes received are not a valid message.
     #[error("malformed message")]
     Malformed,
 }
 
-/// A header field's name and value, by where they stand in the message.
+/// The positions of a header field's name and value in the message.
 struct Field {
     name: Range<usize>,
     value: Range<usize>,
 }
 
-/// One message, and where its parts stand in it.
+/// A message, and the positions of its parts in its bytes.
 #[derive(Default)]
 pub struct Message {
-    /// The whole of it.
+    /// The whole message.
     pub bytes: Vec<u8>,
-    /// Of a response; 0 for a request.
+    /// The status code of a response; 0 for a request.
     pub status: u16,
-    /// Whether the connection ends with it.
+    /// Whether the connection is closed after the message.
     pub close: bool,
     body: Range<usize>,
     method: Range<usize>,
@@ -56,12 +57,12 @@
         std::str::from_utf8(&self.bytes[at.clone()]).unwrap_or("")
     }
 
-    /// Of a request.
+    /// The method of a request.
     pub fn method(&self) -> &str {
         self.text(&self.method)
     }
 
-    /// Of a request.
+    /// The target of a request.
     pub fn target(&self) -> &str {
         self.text(&self.target)
     }
@@ -78,27 +79,27 @@
     }
 }
 
-/// Which messages are read.
+/// The kind of message to parse.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum MessageKind {
     Request,
     Response,
 }
 
-/// A message's head, and the lengths of its parts.
+/// A parsed head, with the lengths of the head and the body.
 struct Head {
     message: Message,
     length: usize,
     body_length: usize,
 }
 
-/// Where a part of a buffer stands in it.
+/// The position of a part of a buffer.
 fn range_of(buffer: &[u8], part: &[u8]) -> Range<usize> {
     let start = (part.as_ptr() as usize).wrapping_sub(buffer.as_ptr() as usize);
     if part.is_empty() { 0..0 } else { start..start + part.len() }
 }
 
-/// The head at the start of the buffer; none where it is not whole yet.
+/// Parses the head at the start of the buffer; `None` if it is incomplete.
 fn parse_head(buffer: &[u8], kind: MessageKind) -> Result<Option<Head>, ReadError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut message = Message::default();
@@ -142,13 +143,13 @@
     length.filter(|length| *length <= MAX_MESSAGE).ok_or(ReadError::Malformed)
 }
 
-/// A connection and what was read from it ahead.
+/// A connection and the bytes that were read from it ahead.
 pub struct Connection {
-    /// Its socket.
+    /// The connection's socket.
     pub stream: Async<TcpStream>,
-    /// Read, and not yet a message.
+    /// Bytes that were read and not yet consumed by a message.
     pub buffered: Vec<u8>,
-    /// The request whose attempt is open on it.
+    /// The id of the request whose attempt is in progress on the connection.
     pub open_attempt: Option<Id>,
 }
 
@@ -159,7 +160,8 @@
         Connection { stream, buffered: Vec::new(), open_attempt: None }
     }
 
-    /// Reads some more; `Ok(0)` is the end. Dropped while it waits, it has read nothing.
+    /// Reads more bytes into the buffer; `Ok(0)` is the end of the stream. Cancel safe: a future
+    /// that is dropped while it waits has read nothing.
     pub async fn fill(&mut self) -> io::Result<usize> {
         loop {
             let old = self.buffered.len();
@@ -174,7 +176,7 @@
         }
     }
 
-    /// The next message; interim responses are passed over.
+    /// Reads the next message; interim responses are skipped.
     async fn read_message(&mut self, kind: MessageKind) -> Result<Message, ReadError> {
         loop {
             if let Some(message) = self.buffered_message(kind)? {
@@ -190,7 +192,7 @@
         }
     }
 
-    /// The message at the start of the buffer, if it is there whole.
+    /// Takes the message at the start of the buffer, if it is complete.
     fn buffered_message(&mut self, kind: MessageKind) -> Result<Option<Message>, ReadError> {
         if self.buffered.is_empty() {
             return Ok(None);
@@ -207,17 +209,17 @@
         Ok(Some(message))
     }
 
-    /// The next request.
+    /// Reads the next request.
     pub async fn read_request(&mut self) -> Result<Message, ReadError> {
         self.read_message(MessageKind::Request).await
     }
 
-    /// The next response; interim ones are passed over.
+    /// Reads the next response; interim responses are skipped.
     pub async fn read_response(&mut self) -> Result<Message, ReadError> {
         self.read_message(MessageKind::Response).await
     }
 
-    /// Writes all parts, gathered.
+    /// Writes all parts with vectored writes.
     pub async fn write(&self, parts: &[&[u8]]) -> io::Result<()> {
         let mut slices: Vec<IoSlice> =
             parts.iter().filter(|p| !p.is_empty()).map(|p| IoSlice::new(p)).collect();
@@ -239,18 +241,18 @@
         Ok(())
     }
 
-    /// Whether nothing has come that should not have, its end included.
+    /// Whether nothing is to be read: neither unexpected bytes nor the end of the stream.
     pub fn is_idle(&self) -> bool {
         let nothing = |e: &io::Error| e.kind() == io::ErrorKind::WouldBlock;
         self.buffered.is_empty() && self.stream.get_ref().peek(&mut [0]).is_err_and(|e| nothing(&e))
     }
 
-    /// Ends it with a reset, whatever is still to be read or written.
+    /// Closes the connection with a reset, even if bytes are still to be read or written.
     pub fn reset(self) {
         _ = socket2::SockRef::from(self.stream.get_ref()).set_linger(Some(std::time::Duration::ZERO));
     }
 
-    /// Whether the other side has ended the connection by now, and sent nothing before that.
+    /// Whether the peer has closed the connection and no bytes are left to be read.
     pub fn is_closed(&self) -> bool {
         let mut one = [0];
         match self.stream.get_ref().peek(&mut one) {
@@ -259,7 +261,8 @@
         }
     }
 
-    /// Comes to an end when the other side ends the connection; what it sends meanwhile stays in `buffered`.
+    /// Waits until the peer closes the connection, or sends too much; bytes that it sends meanwhile
+    /// stay in `buffered`.
     pub async fn wait_closed(&mut self) {
         while matches!(self.fill().await, Ok(1..)) {
             if self.buffered.len() > MAX_MESSAGE {
@@ -269,7 +272,7 @@
     }
 }
 
-/// A response's head; `extra` lines end with a line break each.
+/// Encodes the head of a response; each line in `extra` ends with a line break.
 pub fn response_head(status: u16, length: usize, extra: &str) -> String {
     let reason = match status {
         200 => "OK",
--- a/crates/testbed/tests/models/cluster.rs
+++ b/crates/testbed/tests/models/cluster.rs
@@ -1,4 +1,4 @@
-//! Hash slots that migrate, replicas that take over, and stale maps.
+//! Migrations of hash slots, failovers to replicas, and stale slot maps.
 
 use chalkwalk_testbed::clock::micros;
 use chalkwalk_testbed::experiment::Experiment;
@@ -29,7 +29,7 @@
         (at(1, 3.7, command(900)), at(0, 3.7, command(0))),
         (CommandOutcome::Serves, CommandOutcome::Moved(1))
     );
-    // Block 1 was node 0's, whose replica is node 3.
+    // Block 1 belongs to node 0 at first; node 0's replica is node 3.
     let other = Command { slot: 300, ..Command::default() };
     assert_eq!(
         (at(3, 9.0, other), at(3, 9.0, Command { readonly: true, ..other })),
--- a/crates/testbed/tests/models/etcd.rs
+++ b/crates/testbed/tests/models/etcd.rs
@@ -1,4 +1,4 @@
-//! What happens to the cluster of etcd.
+//! Faults of the etcd cluster.
 
 use chalkwalk_testbed::clock::SECOND;
 use chalkwalk_testbed::experiment::Experiment;
--- a/crates/testbed/tests/models/main.rs
+++ b/crates/testbed/tests/models/main.rs
@@ -1,4 +1,5 @@
-//! The models behind the stand-ins: no sockets, and time and luck are passed in.
+//! Tests of the models behind the stand-ins. They use no sockets, and pass in times and random
+//! numbers.
 
 mod cluster;
 mod etcd;
--- a/crates/testbed/tests/models/server.rs
+++ b/crates/testbed/tests/models/server.rs
@@ -1,4 +1,4 @@
-//! What becomes of an attempt at a server.
+//! Outcomes of attempts at a server.
 
 use chalkwalk_testbed::clock::{MILLI, Micros, SECOND};
 use chalkwalk_testbed::model::server::{AttemptInput, Reply, ServerModel, ServerSpec};
@@ -54,7 +54,8 @@
     let timeline = timeline();
     let collapsed = [SECOND, 0].map(|started| {
         let mut server = ServerModel::new(spec(), started);
-        // A fifth of two cores, twice: 0.8 s of work a second, and 80 ms for chance.
+        // The budget is twice a fifth of two cores, 0.8 s of work per second, plus 80 ms as
+        // tolerance for random arrivals.
         (0..100).position(|i| server.handle(SECOND + i, attempt(1), &timeline, nobody).collapses)
     });
     assert_eq!(collapsed, [Some(88), None]);
--- a/crates/testbed/tests/models/server_list.rs
+++ b/crates/testbed/tests/models/server_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list by snapshots and by changes.
+//! Snapshots and changes of the endpoint list.
 
 use chalkwalk_testbed::model::server_list::{ListedServer, ServerList};
 use chalkwalk_testbed::model::timeline::{EndpointStatus, ListUpdate};
--- a/crates/testbed/tests/models/speed.rs
+++ b/crates/testbed/tests/models/speed.rs
@@ -19,7 +19,7 @@
 fn a_slow_start_rises_evenly_to_full_speed() {
     let mut speed = SpeedProfile::default();
     speed.slow_start(1000, 0.2, 1000);
-    // A fifth at first, all at last, three fifths in the mean.
+    // The speed is a fifth at first, full at the end, and three fifths on average.
     let mean = (0..1000).map(|i| speed.speed(1000 + i)).sum::<f64>() / 1000.0;
     assert!((mean - 0.6).abs() < 0.01, "{mean}");
     assert!(speed.speed(1000) < 0.25 && speed.speed(1990) > 0.95 && speed.speed(2000) == 1.0);
--- a/crates/testbed/tests/models/store.rs
+++ b/crates/testbed/tests/models/store.rs
@@ -1,4 +1,4 @@
-//! The store of keys with revisions and leases.
+//! The key-value store with revisions and leases.
 
 use chalkwalk_testbed::clock::SECOND;
 use chalkwalk_testbed::model::store::{Condition, Item, Store, StoreError, Write};
@@ -46,7 +46,7 @@
     let id = lease.id;
     s.write(0, &[put("a", "1", id), put("b", "1", id)]).unwrap();
     assert_eq!((lease.ttl_s, s.keep_alive(5 * SECOND, id), s.next_expiry()), (10, 10, Some(15 * SECOND)));
-    // Written again without it: the lease has no more part in it.
+    // The key is written again without the lease, so it no longer belongs to the lease.
     s.write(6 * SECOND, &[put("b", "2", 0)]).unwrap();
     s.expire(15 * SECOND);
     assert_eq!(names(s.range(b"a", b"z", 0, 0).unwrap().0), ["b=2@3"]);
--- a/crates/testbed/tests/models/timeline.rs
+++ b/crates/testbed/tests/models/timeline.rs
@@ -1,4 +1,4 @@
-//! What happens to servers, links and the list.
+//! Timelines of servers, links and the list.
 
 use chalkwalk_testbed::clock::SECOND;
 use chalkwalk_testbed::experiment::Experiment;
