--- a/crates/testbed/src/model/cluster/mod.rs
+++ b/crates/testbed/src/model/cluster/mod.rs
@@ -10,18 +10,18 @@
 use std::ops::Range;
 
 /// Number of hash slots, as in the public cluster specification.
-pub const SLOTS: u16 = 16384;
+pub const SLOT_COUNT: u16 = 16384;
 /// Number of blocks in which slots migrate: 256 slots per block.
-pub const BLOCKS: usize = 64;
+pub const BLOCK_COUNT: usize = 64;
 /// Number of ranks. The keys of a block migrate in order of their rank, which is below this number.
-pub const RANKS: u64 = 1000;
+pub const RANK_COUNT: u64 = 1000;
 
 /// The migration of a block to another primary.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Migration {
-    from: Micros,
-    until: Micros,
-    to: usize,
+    start: Micros,
+    end: Micros,
+    target: usize,
 }
 
 /// The owner of a block from a point in time on.
@@ -43,7 +43,7 @@
 struct StaleMap {
     server: usize,
     span: Range<Micros>,
-    by: Micros,
+    lag: Micros,
 }
 
 /// The cluster's state over a run.
@@ -55,7 +55,7 @@
     /// Indexed by block.
     migrations: Vec<Vec<Migration>>,
     /// Times at which the slot map changes; each starts a new epoch.
-    changes: Vec<Micros>,
+    epoch_starts: Vec<Micros>,
     loading: Vec<Loading>,
     stale_maps: Vec<StaleMap>,
 }
@@ -64,7 +64,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum CommandOutcome {
     /// It executes the command.
-    Serves,
+    Execute,
     /// It redirects the client to the owner of the slot.
     Moved(usize),
     /// It redirects the client, for this command only, to the server that the key has migrated to.
@@ -80,7 +80,7 @@
 pub struct Command {
     /// The slot of its key.
     pub slot: u16,
-    /// The key's rank, below [`RANKS`]: its position in a migration.
+    /// The key's rank, below [`RANK_COUNT`]: its position in a migration.
     pub rank: u64,
     /// Whether an ASKING command preceded it.
     pub asking: bool,
@@ -92,27 +92,27 @@
 
 /// The block that a slot belongs to.
 pub fn block_of(slot: u16) -> usize {
-    usize::from(slot) * BLOCKS / usize::from(SLOTS)
+    usize::from(slot) * BLOCK_COUNT / usize::from(SLOT_COUNT)
 }
 
 impl Migration {
     /// Whether a key has already moved to the migration's target.
     fn has_moved(&self, rank: u64, now: Micros) -> bool {
-        (now - self.from) * RANKS / (self.until - self.from) > rank
+        (now - self.start) * RANK_COUNT / (self.end - self.start) > rank
     }
 }
 
 impl Cluster {
     fn owner(&self, block: usize, now: Micros) -> usize {
         let owners = &self.owners[block];
-        let i = owners.partition_point(|ownership| ownership.since <= now);
-        owners[i.max(1) - 1].owner
+        let count = owners.partition_point(|ownership| ownership.since <= now);
+        owners[count.max(1) - 1].owner
     }
 
     /// The time whose slot map a server uses: earlier than now where its map is stale.
     fn map_time(&self, server: usize, now: Micros) -> Micros {
         let stale = self.stale_maps.iter().filter(|map| map.server == server && map.span.contains(&now));
-        now.saturating_sub(stale.map(|map| map.by).max().unwrap_or(0))
+        now.saturating_sub(stale.map(|map| map.lag).max().unwrap_or(0))
     }
 
     /// The primary whose replica a server is, if it is a replica. Failovers are not taken into
@@ -137,18 +137,24 @@
         let block = block_of(command.slot);
         let now = self.map_time(server, now);
         let owner = self.owner(block, now);
-        let migration = self.migrations[block].iter().find(|move_| (move_.from..move_.until).contains(&now));
+        let migration =
+            self.migrations[block].iter().find(|migration| (migration.start..migration.end).contains(&now));
         if let Some(migration) = migration {
             let moved = migration.has_moved(command.rank, now);
             if owner == server && moved {
-                return CommandOutcome::Ask(migration.to);
+                return CommandOutcome::Ask(migration.target);
             }
-            if migration.to == server && command.asking {
-                return if moved { CommandOutcome::Serves } else { CommandOutcome::TryAgain };
+            if migration.target == server && command.asking {
+                return if moved { CommandOutcome::Execute } else { CommandOutcome::TryAgain };
             }
         }
-        let replicates = self.replica_of(server) == Some(owner) && command.readonly && !command.write;
-        if owner == server || replicates { CommandOutcome::Serves } else { CommandOutcome::Moved(owner) }
+        let serves_replica_read =
+            self.replica_of(server) == Some(owner) && command.readonly && !command.write;
+        if owner == server || serves_replica_read {
+            CommandOutcome::Execute
+        } else {
+            CommandOutcome::Moved(owner)
+        }
     }
 
     /// A server's reply to `CLUSTER NODES`; `addr` returns the address at which the caller reaches
@@ -161,17 +167,18 @@
         addr: impl Fn(usize) -> String,
     ) -> String {
         let now = self.map_time(server, now);
-        let epoch = self.changes.partition_point(|at| *at <= now) + 1;
+        let epoch = self.epoch_starts.partition_point(|at| *at <= now) + 1;
         let mut text = String::new();
         for node in 0..servers {
-            let owned: Vec<usize> = (0..BLOCKS).filter(|block| self.owner(*block, now) == node).collect();
+            let owned: Vec<usize> =
+                (0..BLOCK_COUNT).filter(|block| self.owner(*block, now) == node).collect();
             let role = match self.replica_of(node).filter(|_| owned.is_empty()) {
                 Some(primary) => format!("slave node{primary:02}"),
                 None => "master -".into(),
             };
-            let me = if node == server { "myself," } else { "" };
+            let flags = if node == server { "myself," } else { "" };
             let slots: String = owned.iter().map(|block| slots_of(*block)).collect();
-            text += &format!("node{node:02} {}@0 {me}{role} 0 0 {epoch} connected{slots}\n", addr(node));
+            text += &format!("node{node:02} {}@0 {flags}{role} 0 0 {epoch} connected{slots}\n", addr(node));
         }
         text
     }
@@ -179,6 +186,6 @@
 
 /// The slot range of a block in the format of `CLUSTER NODES`.
 fn slots_of(block: usize) -> String {
-    let per_block = usize::from(SLOTS) / BLOCKS;
+    let per_block = usize::from(SLOT_COUNT) / BLOCK_COUNT;
     format!(" {}-{}", block * per_block, (block + 1) * per_block - 1)
 }
--- a/crates/testbed/src/model/etcd.rs
+++ b/crates/testbed/src/model/etcd.rs
@@ -8,21 +8,21 @@
 /// Number of endpoints in the cluster.
 pub const ENDPOINTS: usize = 3;
 /// The endpoint that lags in a fault that makes one endpoint lag.
-const BEHIND: usize = 2;
+const LAGGING_ENDPOINT: usize = 2;
 /// Calls that need a quorum fail after this time where there is none, as with the timeout of an
 /// etcd server.
-pub const NO_MAJORITY: Micros = 2 * SECOND;
+pub const QUORUM_TIMEOUT: Micros = 2 * SECOND;
 
 /// A delay that applies within a span.
 #[derive(Clone, Debug)]
 struct Lag {
     span: Range<Micros>,
-    by: Micros,
+    offset: Micros,
 }
 
 /// The longest of the delays that apply now.
-fn longest<'a>(lags: impl Iterator<Item = &'a Lag>, now: Micros) -> Micros {
-    lags.filter(|lag| lag.span.contains(&now)).map(|lag| lag.by).max().unwrap_or(0)
+fn max_lag<'a>(lags: impl Iterator<Item = &'a Lag>, now: Micros) -> Micros {
+    lags.filter(|lag| lag.span.contains(&now)).map(|lag| lag.offset).max().unwrap_or(0)
 }
 
 /// The faults of the cluster over a run.
@@ -30,10 +30,10 @@
 pub struct EtcdTimeline {
     down: Vec<Range<Micros>>,
     stalls: Vec<Range<Micros>>,
-    behind: Vec<Lag>,
-    slow_leases: Vec<Lag>,
+    lags: Vec<Lag>,
+    lease_delays: Vec<Lag>,
     /// Times at which every connection is reset.
-    breaks: Vec<Micros>,
+    connection_resets: Vec<Micros>,
     /// Compactions and restores of the store, in order of time.
     pub actions: Vec<TimedAction>,
 }
@@ -63,25 +63,25 @@
         for fault in experiment.each_fault() {
             let span = fault.span();
             let at = span.start;
-            let by = micros(fault.by.unwrap_or(0.0));
+            let offset = micros(fault.by.unwrap_or(0.0));
             match fault.kind {
                 FaultKind::EtcdDown => timeline.down.push(span),
                 FaultKind::EtcdStall => timeline.stalls.push(span),
-                FaultKind::EtcdBehind => timeline.behind.push(Lag { span, by }),
-                FaultKind::EtcdSlowLeases => timeline.slow_leases.push(Lag { span, by }),
-                FaultKind::EtcdBreak => timeline.breaks.push(at),
+                FaultKind::EtcdBehind => timeline.lags.push(Lag { span, offset }),
+                FaultKind::EtcdSlowLeases => timeline.lease_delays.push(Lag { span, offset }),
+                FaultKind::EtcdBreak => timeline.connection_resets.push(at),
                 FaultKind::EtcdCompact => {
                     timeline.actions.push(TimedAction { at, action: StoreAction::Compact });
                 }
                 FaultKind::EtcdRestore => {
-                    timeline.actions.push(TimedAction { at, action: StoreAction::Restore(by) });
-                    timeline.breaks.push(at);
+                    timeline.actions.push(TimedAction { at, action: StoreAction::Restore(offset) });
+                    timeline.connection_resets.push(at);
                 }
                 _ => {}
             }
         }
-        let goes_down = timeline.down.iter().map(|span| span.start);
-        timeline.breaks.extend(goes_down);
+        let outage_starts = timeline.down.iter().map(|span| span.start);
+        timeline.connection_resets.extend(outage_starts);
         timeline.actions.sort_by_key(|timed| timed.at);
         timeline
     }
@@ -93,8 +93,8 @@
 
     /// The next time at which the cluster goes down or comes up; `Micros::MAX` if there is none.
     pub fn next_transition(&self, now: Micros) -> Micros {
-        let ends = self.down.iter().flat_map(|span| [span.start, span.end]);
-        ends.filter(|at| *at > now).min().unwrap_or(Micros::MAX)
+        let transitions = self.down.iter().flat_map(|span| [span.start, span.end]);
+        transitions.filter(|at| *at > now).min().unwrap_or(Micros::MAX)
     }
 
     /// The end of the current stall, if the cluster stalls.
@@ -104,16 +104,16 @@
 
     /// How far the state that an endpoint sees is behind the store.
     pub fn lag(&self, endpoint: usize, now: Micros) -> Micros {
-        longest(self.behind.iter().filter(|_| endpoint == BEHIND), now)
+        max_lag(self.lags.iter().filter(|_| endpoint == LAGGING_ENDPOINT), now)
     }
 
     /// The delay of calls about leases.
-    pub fn lease_lag(&self, now: Micros) -> Micros {
-        longest(self.slow_leases.iter(), now)
+    pub fn lease_delay(&self, now: Micros) -> Micros {
+        max_lag(self.lease_delays.iter(), now)
     }
 
     /// The next time at which all connections are reset.
-    pub fn next_break(&self, now: Micros) -> Option<Micros> {
-        self.breaks.iter().copied().filter(|at| *at > now).min()
+    pub fn next_connection_reset(&self, now: Micros) -> Option<Micros> {
+        self.connection_resets.iter().copied().filter(|at| *at > now).min()
     }
 }
--- a/crates/testbed/src/model/server.rs
+++ b/crates/testbed/src/model/server.rs
@@ -47,7 +47,7 @@
 
 impl PlannedReply {
     /// A reply without an interim response and without an effect.
-    pub fn plain(reply: Reply, at: Micros) -> PlannedReply {
+    pub fn no_effect(reply: Reply, at: Micros) -> PlannedReply {
         PlannedReply { reply, at, interim: false, takes_effect: false, collapses: false }
     }
 }
@@ -63,7 +63,7 @@
     pub work: Micros,
     /// A random number from 0 to 1. It decides whether a fault that affects only a share of the
     /// attempts affects this one.
-    pub luck: f64,
+    pub sample: f64,
 }
 
 /// The settings that all servers have in common.
@@ -72,9 +72,9 @@
     /// Number of cores.
     pub cores: usize,
     /// Maximum number of requests that wait for a core.
-    pub queue: usize,
+    pub max_queued: usize,
     /// Maximum number of cached values.
-    pub values: usize,
+    pub max_values: usize,
     /// Speed just after a start, as a share of full speed.
     pub slow_start_share: f64,
     /// Time from a start to full speed.
@@ -85,7 +85,7 @@
     /// ... within this window.
     pub collapse_window: Micros,
     /// Whether it fetches values that it has not cached from the origin itself (read-through).
-    pub through: bool,
+    pub read_through: bool,
 }
 
 /// The model of one server process.
@@ -101,19 +101,19 @@
 
 /// A rejection, a miss and an error take an eighth of the work: the server reads the request and
 /// looks the key up.
-const SMALL_WORK_DIVISOR: Micros = 8;
+const LOOKUP_WORK_DIVISOR: Micros = 8;
 /// Tolerance above the work budget of a server in slow start, as a number of requests of the
 /// arriving size: arrivals are random.
-const COLLAPSE_SLACK: Micros = 8;
+const COLLAPSE_SLACK_REQUESTS: Micros = 8;
 
 /// The misbehaviors that affect one attempt.
-struct Affecting(Vec<Misbehavior>);
+struct ActiveMisbehaviors(Vec<Misbehavior>);
 
-impl Affecting {
-    fn new(timeline: &ServerTimeline, now: Micros, luck: f64) -> Affecting {
-        let on = timeline.misbehaviors.iter();
-        let on = on.filter(|on| on.span.contains(&now) && luck < on.share);
-        Affecting(on.map(|on| on.misbehavior).collect())
+impl ActiveMisbehaviors {
+    fn new(timeline: &ServerTimeline, now: Micros, sample: f64) -> ActiveMisbehaviors {
+        let active = timeline.misbehaviors.iter();
+        let active = active.filter(|active| active.span.contains(&now) && sample < active.share);
+        ActiveMisbehaviors(active.map(|active| active.misbehavior).collect())
     }
 
     fn has(&self, misbehavior: Misbehavior) -> bool {
@@ -121,7 +121,7 @@
     }
 
     fn is_unanswered(&self) -> bool {
-        self.has(Misbehavior::Hangs) || self.has(Misbehavior::Loses)
+        self.has(Misbehavior::Hangs) || self.has(Misbehavior::DropsRequests)
     }
 
     /// The reply and its time for an attempt that was executed, where a misbehavior changes them.
@@ -130,10 +130,10 @@
             // The caller cannot learn whether the request was executed. In the model, it was.
             return Some((Reply::Silence, Micros::MAX));
         }
-        if self.has(Misbehavior::Half) {
+        if self.has(Misbehavior::Truncates) {
             return Some((Reply::Truncated, done));
         }
-        self.has(Misbehavior::Spoils).then_some((Reply::Garbage, done))
+        self.has(Misbehavior::SendsGarbage).then_some((Reply::Garbage, done))
     }
 }
 
@@ -141,8 +141,8 @@
     /// A process that started at the given time, with an empty cache.
     pub fn new(spec: ServerSpec, started: Micros) -> ServerModel {
         ServerModel {
-            cores: Cores::new(spec.cores, spec.queue),
-            cached: LruCache::new(NonZeroUsize::new(spec.values).unwrap_or(NonZeroUsize::MIN)),
+            cores: Cores::new(spec.cores, spec.max_queued),
+            cached: LruCache::new(NonZeroUsize::new(spec.max_values).unwrap_or(NonZeroUsize::MIN)),
             recent_work: RecentWork::new(spec.collapse_window),
             started,
             purges_applied: 0,
@@ -173,11 +173,12 @@
         if self.started == 0 || now >= self.started + spec.slow_start {
             return false;
         }
-        let sent = self.recent_work.add(now, attempt.work);
+        let recent_work = self.recent_work.add(now, attempt.work);
         let progress = (now - self.started) as f64 / spec.slow_start as f64;
         let speed = spec.slow_start_share + (1.0 - spec.slow_start_share) * progress;
         let capacity = speed * spec.cores as f64 * spec.collapse_window as f64;
-        sent as f64 > capacity * spec.collapse_multiple + (COLLAPSE_SLACK * attempt.work) as f64
+        recent_work as f64
+            > capacity * spec.collapse_multiple + (COLLAPSE_SLACK_REQUESTS * attempt.work) as f64
     }
 
     fn apply_purges(&mut self, now: Micros, timeline: &ServerTimeline) {
@@ -200,11 +201,11 @@
         self.apply_purges(now, timeline);
         let collapses = !self.collapsed && self.collapses_under(now, &attempt);
         self.collapsed |= collapses;
-        let affecting = Affecting::new(timeline, now, attempt.luck);
-        let interim = affecting.has(Misbehavior::Interim);
-        let plan = match self.refusal(now, &attempt, timeline, &affecting) {
+        let misbehaviors = ActiveMisbehaviors::new(timeline, now, attempt.sample);
+        let interim = misbehaviors.has(Misbehavior::Interim);
+        let plan = match self.refusal(now, &attempt, timeline, &misbehaviors) {
             Some(refusal) => refusal,
-            None => self.process(now, &attempt, timeline, &affecting, fetch),
+            None => self.process(now, &attempt, timeline, &misbehaviors, fetch),
         };
         PlannedReply { interim, collapses, ..plan }
     }
@@ -215,16 +216,16 @@
         now: Micros,
         attempt: &AttemptInput,
         timeline: &ServerTimeline,
-        affecting: &Affecting,
+        misbehaviors: &ActiveMisbehaviors,
     ) -> Option<PlannedReply> {
-        if self.collapsed || affecting.has(Misbehavior::Resets) {
-            return Some(PlannedReply::plain(Reply::Reset, now));
+        if self.collapsed || misbehaviors.has(Misbehavior::Resets) {
+            return Some(PlannedReply::no_effect(Reply::Reset, now));
         }
-        let soon = timeline.speed.completion(now, attempt.work / SMALL_WORK_DIVISOR);
-        if affecting.has(Misbehavior::TurnsAway) {
-            return Some(PlannedReply::plain(Reply::Unprocessed, soon));
+        let replied_at = timeline.speed.completion(now, attempt.work / LOOKUP_WORK_DIVISOR);
+        if misbehaviors.has(Misbehavior::Rejects) {
+            return Some(PlannedReply::no_effect(Reply::Unprocessed, replied_at));
         }
-        affecting.has(Misbehavior::Fails).then(|| PlannedReply::plain(Reply::Error, soon))
+        misbehaviors.has(Misbehavior::Fails).then(|| PlannedReply::no_effect(Reply::Error, replied_at))
     }
 
     fn process(
@@ -232,36 +233,36 @@
         now: Micros,
         attempt: &AttemptInput,
         timeline: &ServerTimeline,
-        affecting: &Affecting,
+        misbehaviors: &ActiveMisbehaviors,
         fetch: impl FnOnce(Micros) -> Option<Micros>,
     ) -> PlannedReply {
-        let small_work = attempt.work / SMALL_WORK_DIVISOR;
+        let lookup_work = attempt.work / LOOKUP_WORK_DIVISOR;
         let cached = self.cached.get(&attempt.key).is_some();
         // Servers that only cache answer writes with a miss: the origin executes them.
-        let is_miss = !self.spec.through && (attempt.write || !cached);
-        let work = if is_miss { small_work } else { attempt.work };
+        let is_miss = !self.spec.read_through && (attempt.write || !cached);
+        let work = if is_miss { lookup_work } else { attempt.work };
         let Some(done) = self.cores.schedule(now, work, &timeline.speed) else {
-            return PlannedReply::plain(Reply::Unprocessed, timeline.speed.completion(now, small_work));
+            return PlannedReply::no_effect(Reply::Unprocessed, timeline.speed.completion(now, lookup_work));
         };
         if is_miss {
-            let silent = affecting.is_unanswered();
+            let silent = misbehaviors.is_unanswered();
             let (reply, at) = if silent { (Reply::Silence, Micros::MAX) } else { (Reply::Miss, done) };
-            return PlannedReply::plain(reply, at);
+            return PlannedReply::no_effect(reply, at);
         }
-        let ran = |reply, at| PlannedReply { takes_effect: true, ..PlannedReply::plain(reply, at) };
-        if let Some((reply, at)) = affecting.after_work(done) {
-            return ran(reply, at);
+        let executed = |reply, at| PlannedReply { takes_effect: true, ..PlannedReply::no_effect(reply, at) };
+        if let Some((reply, at)) = misbehaviors.after_work(done) {
+            return executed(reply, at);
         }
         if cached && !attempt.write {
-            return ran(Reply::Hit, done);
+            return executed(Reply::Hit, done);
         }
-        let Some(fetched) = fetch(done) else { return PlannedReply::plain(Reply::Error, done) };
+        let Some(fetched) = fetch(done) else { return PlannedReply::no_effect(Reply::Error, done) };
         if attempt.write {
             self.remove(attempt.key);
         } else {
             self.store(attempt.key);
         }
-        ran(Reply::Fetched, fetched)
+        executed(Reply::Fetched, fetched)
     }
 }
 
@@ -274,13 +275,13 @@
 impl OriginModel {
     /// An origin with that many slots and queue places. `contention` is the share by which each
     /// request in progress or queued lengthens the work of a new one.
-    pub fn new(slots: usize, queue: usize, contention: f64) -> OriginModel {
-        OriginModel { cores: Cores::new(slots, queue), contention }
+    pub fn new(slots: usize, max_queued: usize, contention: f64) -> OriginModel {
+        OriginModel { cores: Cores::new(slots, max_queued), contention }
     }
 
     /// When a request that arrives now is done, or `None` if the queue is full.
     pub fn handle(&mut self, now: Micros, work: Micros, speed: &SpeedProfile) -> Option<Micros> {
-        let slowdown = 1.0 + self.contention * self.cores.busy(now) as f64;
+        let slowdown = 1.0 + self.contention * self.cores.pending(now) as f64;
         self.cores.schedule(now, (work as f64 * slowdown) as Micros, speed)
     }
 }
--- a/crates/testbed/src/model/server_list.rs
+++ b/crates/testbed/src/model/server_list.rs
@@ -24,7 +24,7 @@
 pub const FIRST_VERSION: u64 = 1;
 
 /// The number of changes that a version includes.
-fn changes_in(version: u64) -> usize {
+fn change_count(version: u64) -> usize {
     (version.max(FIRST_VERSION) - FIRST_VERSION) as usize
 }
 
@@ -41,9 +41,9 @@
 
     /// The whole list as of a version, without servers that are gone.
     pub fn snapshot(&self, version: u64) -> Vec<ListedServer> {
-        let first = |server| ListedServer { server, status: EndpointStatus::Ready, started: 0 };
-        let mut entries: Vec<ListedServer> = (0..=self.servers).map(first).collect();
-        for update in self.updates.iter().take(changes_in(version)) {
+        let initial_entry = |server| ListedServer { server, status: EndpointStatus::Ready, started: 0 };
+        let mut entries: Vec<ListedServer> = (0..=self.servers).map(initial_entry).collect();
+        for update in self.updates.iter().take(change_count(version)) {
             let entry = &mut entries[update.server];
             entry.status = update.status;
             if update.status == EndpointStatus::Ready {
@@ -55,18 +55,18 @@
     }
 
     /// The changes after one version, up to and including another, in order.
-    pub fn changes_since(&self, version: u64, to: u64) -> Vec<ListedServer> {
+    pub fn changes_since(&self, from_version: u64, to_version: u64) -> Vec<ListedServer> {
         let entry = |update: &ListUpdate| ListedServer {
             server: update.server,
             status: update.status,
             started: update.started,
         };
-        let changes = self.updates.get(changes_in(version)..changes_in(to)).unwrap_or(&[]);
+        let changes = self.updates.get(change_count(from_version)..change_count(to_version)).unwrap_or(&[]);
         changes.iter().map(entry).collect()
     }
 
     /// When the next version after this one is published, if there is one.
     pub fn next_change(&self, version: u64) -> Option<Micros> {
-        self.updates.get(changes_in(version)).map(|update| update.published)
+        self.updates.get(change_count(version)).map(|update| update.published)
     }
 }
--- a/crates/testbed/src/model/speed.rs
+++ b/crates/testbed/src/model/speed.rs
@@ -71,18 +71,18 @@
         self.steps[self.step(at)].speed
     }
 
-    /// When work that starts at `begun` is done, given its duration at normal speed; `Micros::MAX`
+    /// When work that starts at `start` is done, given its duration at normal speed; `Micros::MAX`
     /// if it is never done.
-    pub fn completion(&self, begun: Micros, work: Micros) -> Micros {
-        let mut at = begun;
-        let mut left = work as f64;
-        for i in self.step(begun)..self.steps.len() {
+    pub fn completion(&self, start: Micros, work: Micros) -> Micros {
+        let mut at = start;
+        let mut remaining = work as f64;
+        for i in self.step(start)..self.steps.len() {
             let speed = self.steps[i].speed;
             let next = self.steps.get(i + 1).map(|step| step.from);
             if speed > 0.0 {
-                let end = at as f64 + left / speed;
+                let end = at as f64 + remaining / speed;
                 match next {
-                    Some(next) if end > next as f64 => left -= (next - at) as f64 * speed,
+                    Some(next) if end > next as f64 => remaining -= (next - at) as f64 * speed,
                     _ => return end.round() as Micros,
                 }
             }
@@ -97,9 +97,9 @@
 #[derive(Clone, Debug)]
 pub struct Cores {
     /// When each core is free.
-    free: BinaryHeap<Reverse<Micros>>,
+    core_free_at: BinaryHeap<Reverse<Micros>>,
     /// Ends of all work that is in progress or queued.
-    ends: BinaryHeap<Reverse<Micros>>,
+    completions: BinaryHeap<Reverse<Micros>>,
     cores: usize,
     queue: usize,
 }
@@ -107,33 +107,33 @@
 impl Cores {
     /// That many cores, with a queue of that many places.
     pub fn new(cores: usize, queue: usize) -> Cores {
-        Cores { free: vec![Reverse(0); cores].into(), ends: BinaryHeap::new(), cores, queue }
+        Cores { core_free_at: vec![Reverse(0); cores].into(), completions: BinaryHeap::new(), cores, queue }
     }
 
     /// The number of requests in progress or queued.
-    pub fn busy(&mut self, now: Micros) -> usize {
-        while self.ends.peek().is_some_and(|Reverse(end)| *end <= now) {
-            self.ends.pop();
+    pub fn pending(&mut self, now: Micros) -> usize {
+        while self.completions.peek().is_some_and(|Reverse(end)| *end <= now) {
+            self.completions.pop();
         }
-        self.ends.len()
+        self.completions.len()
     }
 
     /// Accepts work and returns when it is done, or `None` if the queue is full.
     pub fn schedule(&mut self, now: Micros, work: Micros, speed: &SpeedProfile) -> Option<Micros> {
-        if self.busy(now) >= self.cores + self.queue {
+        if self.pending(now) >= self.cores + self.queue {
             return None;
         }
-        let Reverse(free) = self.free.pop().unwrap_or(Reverse(0));
-        let end = speed.completion(free.max(now), work);
-        self.free.push(Reverse(end));
-        self.ends.push(Reverse(end));
+        let Reverse(core_free_at) = self.core_free_at.pop().unwrap_or(Reverse(0));
+        let end = speed.completion(core_free_at.max(now), work);
+        self.core_free_at.push(Reverse(end));
+        self.completions.push(Reverse(end));
         Some(end)
     }
 }
 
 /// The work that arrived in one bucket of the window.
 #[derive(Clone, Copy, Debug)]
-struct WorkPart {
+struct WorkBucket {
     from: Micros,
     work: Micros,
 }
@@ -141,30 +141,30 @@
 /// The work that arrived within a sliding window.
 #[derive(Clone, Debug)]
 pub struct RecentWork {
-    parts: Vec<WorkPart>,
+    buckets: Vec<WorkBucket>,
     window: Micros,
 }
 
 /// Number of buckets in a window; the window advances by one bucket at a time.
-const WINDOW_PARTS: Micros = 20;
+const WINDOW_BUCKETS: Micros = 20;
 /// A shorter window could have buckets of length 0.
 const MIN_WINDOW: Micros = SECOND / 100;
 
 impl RecentWork {
     /// An empty window of that length.
     pub fn new(window: Micros) -> RecentWork {
-        RecentWork { parts: Vec::new(), window: window.max(MIN_WINDOW) }
+        RecentWork { buckets: Vec::new(), window: window.max(MIN_WINDOW) }
     }
 
     /// Adds work, and returns the sum of the work within the window.
     pub fn add(&mut self, now: Micros, work: Micros) -> Micros {
-        let part_length = self.window / WINDOW_PARTS;
-        let from = now / part_length * part_length;
-        self.parts.retain(|part| part.from + self.window > now);
-        match self.parts.last_mut().filter(|part| part.from == from) {
-            Some(part) => part.work += work,
-            None => self.parts.push(WorkPart { from, work }),
+        let bucket_length = self.window / WINDOW_BUCKETS;
+        let from = now / bucket_length * bucket_length;
+        self.buckets.retain(|bucket| bucket.from + self.window > now);
+        match self.buckets.last_mut().filter(|bucket| bucket.from == from) {
+            Some(bucket) => bucket.work += work,
+            None => self.buckets.push(WorkBucket { from, work }),
         }
-        self.parts.iter().map(|part| part.work).sum()
+        self.buckets.iter().map(|bucket| bucket.work).sum()
     }
 }
--- a/crates/testbed/src/model/store/leases.rs
+++ b/crates/testbed/src/model/store/leases.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Lease {
     pub ttl: Micros,
-    pub until: Micros,
+    pub expires_at: Micros,
     pub keys: BTreeSet<Vec<u8>>,
 }
 
@@ -28,7 +28,7 @@
         self.next_lease += 1;
         let ttl_s = ttl_s.max(1);
         let ttl = ttl_s as Micros * SECOND;
-        self.leases.insert(id, Lease { ttl, until: now + ttl, keys: BTreeSet::new() });
+        self.leases.insert(id, Lease { ttl, expires_at: now + ttl, keys: BTreeSet::new() });
         GrantedLease { id, ttl_s }
     }
 
@@ -36,7 +36,7 @@
     pub fn keep_alive(&mut self, now: Micros, id: i64) -> i64 {
         self.expire(now);
         let Some(lease) = self.leases.get_mut(&id) else { return 0 };
-        lease.until = now + lease.ttl;
+        lease.expires_at = now + lease.ttl;
         (lease.ttl / SECOND) as i64
     }
 
@@ -52,7 +52,7 @@
     /// Revokes the leases that have expired.
     pub fn expire(&mut self, now: Micros) {
         let expired: Vec<i64> =
-            self.leases.iter().filter(|(_, lease)| lease.until <= now).map(|(id, _)| *id).collect();
+            self.leases.iter().filter(|(_, lease)| lease.expires_at <= now).map(|(id, _)| *id).collect();
         for id in expired {
             _ = self.revoke(now, id);
         }
@@ -60,6 +60,6 @@
 
     /// When the next lease expires.
     pub fn next_expiry(&self) -> Option<Micros> {
-        self.leases.values().map(|lease| lease.until).min()
+        self.leases.values().map(|lease| lease.expires_at).min()
     }
 }
--- a/crates/testbed/src/model/store/mod.rs
+++ b/crates/testbed/src/model/store/mod.rs
@@ -18,9 +18,9 @@
     /// The value; `None` if the key was deleted.
     pub value: Option<Vec<u8>>,
     /// The revision that created the key.
-    pub created: i64,
+    pub create_revision: i64,
     /// The revision of this state.
-    pub modified: i64,
+    pub mod_revision: i64,
     /// Number of writes to the key since it was created.
     pub version: i64,
     /// The id of the key's lease; 0 if it has none.
@@ -47,9 +47,9 @@
     /// The key's version, which is the number of its writes; 0 if the key does not exist.
     Version(i64),
     /// The revision that created the key; 0 if the key does not exist.
-    Created(i64),
+    CreateRevision(i64),
     /// The revision that last wrote the key; 0 if the key does not exist.
-    Modified(i64),
+    ModRevision(i64),
     /// The key's value.
     Value(Vec<u8>),
 }
@@ -70,7 +70,7 @@
     Delete {
         /// The first key.
         key: Vec<u8>,
-        /// The end of the range, in the form described at [`within`].
+        /// The end of the range, in the form described at [`is_in_range`].
         end: Vec<u8>,
     },
 }
@@ -93,12 +93,12 @@
     keys: BTreeMap<Vec<u8>, Vec<usize>>,
     leases: BTreeMap<i64, Lease>,
     next_lease: i64,
-    times: Vec<RevisionTime>,
+    revision_times: Vec<RevisionTime>,
 }
 
 /// Whether a key is within a range as etcd's API defines it: a single key if the end is empty, or
 /// all keys from the first on if the end is one zero byte.
-pub fn within(key: &[u8], from: &[u8], end: &[u8]) -> bool {
+pub fn is_in_range(key: &[u8], from: &[u8], end: &[u8]) -> bool {
     match end {
         [] => key == from,
         [0] => key >= from,
@@ -115,7 +115,7 @@
             keys: BTreeMap::new(),
             leases: BTreeMap::new(),
             next_lease: 1,
-            times: vec![RevisionTime { at: 0, revision: 1 }],
+            revision_times: vec![RevisionTime { at: 0, revision: 1 }],
         }
     }
 }
@@ -133,14 +133,14 @@
 
     /// The latest revision at a point in time.
     pub fn revision_at(&self, at: Micros) -> i64 {
-        let i = self.times.partition_point(|time| time.at <= at);
-        i.checked_sub(1).map_or(1, |i| self.times[i].revision)
+        let i = self.revision_times.partition_point(|time| time.at <= at);
+        i.checked_sub(1).map_or(1, |i| self.revision_times[i].revision)
     }
 
     /// A key's state as of a revision; `None` if the key does not exist at that revision.
     fn at(&self, log_indexes: &[usize], revision: i64) -> Option<&Item> {
         let items = log_indexes.iter().rev().map(|i| &self.log[*i]);
-        items.into_iter().find(|item| item.modified <= revision).filter(|item| item.value.is_some())
+        items.into_iter().find(|item| item.mod_revision <= revision).filter(|item| item.value.is_some())
     }
 
     /// The keys of a range as of a revision, where 0 stands for the latest; and whether there are
@@ -159,7 +159,7 @@
         if revision < self.compacted {
             return Err(StoreError::Compacted(self.compacted));
         }
-        let keys = self.keys.range(from.to_vec()..).take_while(|(key, _)| within(key, from, end));
+        let keys = self.keys.range(from.to_vec()..).take_while(|(key, _)| is_in_range(key, from, end));
         let mut found = keys.filter_map(|(_, log_indexes)| self.at(log_indexes, revision));
         let items: Vec<&Item> = found.by_ref().take(if limit == 0 { usize::MAX } else { limit }).collect();
         let more = found.next().is_some();
@@ -171,9 +171,13 @@
         if first <= self.compacted {
             return Err(StoreError::Compacted(self.compacted));
         }
-        let start = self.log.partition_point(|item| item.modified < first);
-        let own = |item: &&Item| item.modified <= last && within(&item.key, from, end);
-        Ok(self.log[start..].iter().take_while(|item| item.modified <= last).filter(own).collect())
+        let start = self.log.partition_point(|item| item.mod_revision < first);
+        let is_in_changes = |item: &&Item| item.mod_revision <= last && is_in_range(&item.key, from, end);
+        Ok(self.log[start..]
+            .iter()
+            .take_while(|item| item.mod_revision <= last)
+            .filter(is_in_changes)
+            .collect())
     }
 
     /// Compacts the store: states before the revision can no longer be read.
@@ -201,7 +205,7 @@
         }
         if !items.is_empty() {
             self.revision = next;
-            self.times.push(RevisionTime { at: now, revision: next });
+            self.revision_times.push(RevisionTime { at: now, revision: next });
             for item in items {
                 self.append(item);
             }
@@ -214,13 +218,13 @@
         if lease != 0 && !self.leases.contains_key(&lease) {
             return Err(StoreError::LeaseNotFound);
         }
-        let before = self.present(key);
+        let previous = self.current(key);
         Ok(Item {
             key: key.to_vec(),
             value: Some(value.to_vec()),
-            created: before.map_or(revision, |item| item.created),
-            modified: revision,
-            version: before.map_or(1, |item| item.version + 1),
+            create_revision: previous.map_or(revision, |item| item.create_revision),
+            mod_revision: revision,
+            version: previous.map_or(1, |item| item.version + 1),
             lease,
         })
     }
@@ -228,13 +232,13 @@
     /// The states that the deletion of a range results in.
     fn delete(&self, revision: i64, key: &[u8], end: &[u8]) -> Result<Vec<Item>, StoreError> {
         let (deleted, _) = self.range(key, end, 0, 0)?;
-        let gone =
-            |item: &Item| Item { value: None, modified: revision, version: 0, lease: 0, ..item.clone() };
-        Ok(deleted.into_iter().map(gone).collect())
+        let tombstone =
+            |item: &Item| Item { value: None, mod_revision: revision, version: 0, lease: 0, ..item.clone() };
+        Ok(deleted.into_iter().map(tombstone).collect())
     }
 
     /// A key's latest state; `None` if the key does not exist.
-    fn present(&self, key: &[u8]) -> Option<&Item> {
+    fn current(&self, key: &[u8]) -> Option<&Item> {
         self.keys.get(key).and_then(|log_indexes| self.at(log_indexes, self.revision))
     }
 
@@ -249,11 +253,11 @@
 
     /// Whether a key satisfies a condition.
     pub fn satisfies(&self, key: &[u8], condition: &Condition) -> bool {
-        let item = self.present(key);
+        let item = self.current(key);
         match condition {
             Condition::Version(n) => item.map_or(0, |i| i.version) == *n,
-            Condition::Created(n) => item.map_or(0, |i| i.created) == *n,
-            Condition::Modified(n) => item.map_or(0, |i| i.modified) == *n,
+            Condition::CreateRevision(n) => item.map_or(0, |i| i.create_revision) == *n,
+            Condition::ModRevision(n) => item.map_or(0, |i| i.mod_revision) == *n,
             Condition::Value(value) => item.is_some_and(|i| i.value.as_ref() == Some(value)),
         }
     }
@@ -262,8 +266,8 @@
     /// dropped, but leases stay as they are now.
     pub fn restore(&mut self, at: Micros) {
         let revision = self.revision_at(at).max(self.compacted);
-        self.log.retain(|item| item.modified <= revision);
-        self.times.retain(|time| time.revision <= revision);
+        self.log.retain(|item| item.mod_revision <= revision);
+        self.revision_times.retain(|time| time.revision <= revision);
         self.revision = revision;
         self.keys.clear();
         for (i, item) in self.log.iter().enumerate() {
--- a/crates/testbed/src/model/timeline/build.rs
+++ b/crates/testbed/src/model/timeline/build.rs
@@ -16,7 +16,7 @@
 const DEFAULT_SECONDS: f64 = 1.0;
 
 /// A duration of a fault that its kind requires.
-fn required(seconds: Option<f64>) -> Micros {
+fn required_duration(seconds: Option<f64>) -> Micros {
     micros(seconds.unwrap_or(DEFAULT_SECONDS))
 }
 
@@ -24,11 +24,11 @@
     Some(match kind {
         FaultKind::Fails => Misbehavior::Fails,
         FaultKind::Hangs => Misbehavior::Hangs,
-        FaultKind::Loses => Misbehavior::Loses,
-        FaultKind::TurnsAway => Misbehavior::TurnsAway,
+        FaultKind::Loses => Misbehavior::DropsRequests,
+        FaultKind::TurnsAway => Misbehavior::Rejects,
         FaultKind::Resets => Misbehavior::Resets,
-        FaultKind::HalfAnswers => Misbehavior::Half,
-        FaultKind::Spoils => Misbehavior::Spoils,
+        FaultKind::HalfAnswers => Misbehavior::Truncates,
+        FaultKind::Spoils => Misbehavior::SendsGarbage,
         FaultKind::Interim => Misbehavior::Interim,
         _ => return None,
     })
@@ -37,17 +37,22 @@
 impl ServerTimeline {
     /// A single process that started before the run and does not end.
     fn new() -> ServerTimeline {
-        let always = Incarnation { started: 0, ended: Micros::MAX, after: Reachability::Refused };
+        let always =
+            Incarnation { started: 0, ended: Micros::MAX, reachability_after: Reachability::Refused };
         ServerTimeline { incarnations: vec![always], ..ServerTimeline::default() }
     }
 
     /// Ends the process that runs at the given time. The next one starts when the server returns.
-    fn end(&mut self, at: Micros, after: Reachability, returns: Micros) {
+    fn end_process(&mut self, at: Micros, reachability_after: Reachability, returns: Micros) {
         let running = self.incarnations.last_mut();
         if let Some(running) = running.filter(|process| process.started <= at && at < process.ended) {
             running.ended = at;
-            running.after = after;
-            let next = Incarnation { started: returns, ended: Micros::MAX, after: Reachability::Refused };
+            running.reachability_after = reachability_after;
+            let next = Incarnation {
+                started: returns,
+                ended: Micros::MAX,
+                reachability_after: Reachability::Refused,
+            };
             self.incarnations.push(next);
         }
     }
@@ -56,7 +61,7 @@
 /// A span in which the list publishes changes late.
 struct ListDelay {
     span: Range<Micros>,
-    by: Micros,
+    delay: Micros,
 }
 
 struct Builder<'a> {
@@ -100,14 +105,14 @@
             FaultKind::Vanishes | FaultKind::ZoneLost => {
                 let gone_delay = self.list_delay + DETECTION_DELAY;
                 for server in self.experiment.targets(fault) {
-                    self.take_away(server, Reachability::Silent, span.clone(), gone_delay);
+                    self.take_down(server, Reachability::Silent, span.clone(), gone_delay);
                 }
             }
             FaultKind::Failover => self.fail_over(fault),
             FaultKind::Restarts => {
-                let returns = span.start + required(fault.down);
+                let returns = span.start + required_duration(fault.down);
                 for server in self.experiment.targets(fault) {
-                    self.take_away(server, Reachability::Refused, span.start..returns, self.list_delay);
+                    self.take_down(server, Reachability::Refused, span.start..returns, self.list_delay);
                 }
             }
             FaultKind::RollingDeploy => self.deploy(fault),
@@ -131,18 +136,19 @@
                 timelines.origin_failures.push(OriginFailure { span, share });
             }
             FaultKind::ZoneCut => {
-                let named = |zone: &String| self.experiment.world.zones.iter().position(|own| own == zone);
-                let zone = fault.zone.as_ref().and_then(named);
+                let zone_index =
+                    |zone: &String| self.experiment.world.zones.iter().position(|name| name == zone);
+                let zone = fault.zone.as_ref().and_then(zone_index);
                 timelines.zone_cuts.extend(zone.map(|zone| ZoneCut { span, zone }));
             }
             FaultKind::ListDown => {
                 let outage = fault.outage.unwrap_or_default();
-                timelines.list_down.push(ListOutage { span, outage });
+                timelines.list_outages.push(ListOutage { span, outage });
             }
-            FaultKind::ListOld => timelines.list_old.push(span),
+            FaultKind::ListOld => timelines.stale_list_spans.push(span),
             FaultKind::ListSilent => timelines.list_silences.push(span.start),
             FaultKind::ListLate => {
-                self.list_delays.push(ListDelay { span, by: micros(fault.by.unwrap_or(0.0)) });
+                self.list_delays.push(ListDelay { span, delay: micros(fault.by.unwrap_or(0.0)) });
             }
             // Faults of proxies, etcd and hash slots are in other timelines.
             _ => {}
@@ -166,20 +172,20 @@
     /// The list does not publish a failover: which replica takes over is known only to the servers.
     fn fail_over(&mut self, fault: &Fault) {
         let start = fault.span().start;
-        let returns = start + required(fault.down);
+        let returns = start + required_duration(fault.down);
         for server in self.experiment.targets(fault) {
-            self.timelines.servers[server].end(start, Reachability::Refused, returns);
+            self.timelines.servers[server].end_process(start, Reachability::Refused, returns);
         }
     }
 
     fn deploy(&mut self, fault: &Fault) {
-        let every = required(fault.every);
+        let interval = required_duration(fault.every);
         for (i, server) in self.experiment.targets(fault).into_iter().enumerate() {
-            let notice = fault.span().start + every * i as Micros;
-            let end = notice + required(fault.drain);
-            let returns = end + required(fault.down);
+            let notice = fault.span().start + interval * i as Micros;
+            let end = notice + required_duration(fault.drain);
+            let returns = end + required_duration(fault.down);
             self.publish(notice + self.list_delay, server, EndpointStatus::Draining, 0);
-            self.take_away(server, Reachability::Refused, end..returns, self.list_delay);
+            self.take_down(server, Reachability::Refused, end..returns, self.list_delay);
         }
     }
 
@@ -190,8 +196,14 @@
     /// Takes a server down for a span, after which it returns in slow start. The list publishes
     /// both changes; it publishes the first after `gone_delay`, unless the server has returned by
     /// then.
-    fn take_away(&mut self, server: usize, after: Reachability, span: Range<Micros>, gone_delay: Micros) {
-        self.timelines.servers[server].end(span.start, after, span.end);
+    fn take_down(
+        &mut self,
+        server: usize,
+        reachability_after: Reachability,
+        span: Range<Micros>,
+        gone_delay: Micros,
+    ) {
+        self.timelines.servers[server].end_process(span.start, reachability_after, span.end);
         if span.start + gone_delay < span.end {
             self.publish(span.start + gone_delay, server, EndpointStatus::Gone, 0);
         }
@@ -202,7 +214,7 @@
         let mut timelines = self.timelines;
         for update in &mut timelines.updates {
             let delays = self.list_delays.iter().filter(|delay| delay.span.contains(&update.published));
-            let delay = delays.map(|delay| delay.by).max();
+            let delay = delays.map(|delay| delay.delay).max();
             update.published += delay.unwrap_or(0);
         }
         timelines.updates.sort_by_key(|update| (update.published, update.server));
--- a/crates/testbed/src/model/timeline/mod.rs
+++ b/crates/testbed/src/model/timeline/mod.rs
@@ -27,15 +27,15 @@
     /// Accepts all requests and answers none.
     Hangs,
     /// Accepts a request and never answers it, while it answers others.
-    Loses,
+    DropsRequests,
     /// Rejects the request without processing it.
-    TurnsAway,
+    Rejects,
     /// Resets the connection.
     Resets,
     /// Sends only half of the response.
-    Half,
+    Truncates,
     /// Sends bytes that are not a valid response.
-    Spoils,
+    SendsGarbage,
     /// Sends an interim response first.
     Interim,
 }
@@ -59,7 +59,7 @@
     /// When it ends; `Micros::MAX` if it does not end.
     pub ended: Micros,
     /// Whether the server can be reached after the end, until the next process starts.
-    pub after: Reachability,
+    pub reachability_after: Reachability,
 }
 
 /// The states and faults of one server over a run.
@@ -139,8 +139,8 @@
 
 impl ZoneCut {
     /// Whether the cut separates two zones.
-    fn is_between(&self, one: usize, other: usize) -> bool {
-        one != other && (self.zone == one || self.zone == other)
+    fn separates(&self, zone: usize, other_zone: usize) -> bool {
+        zone != other_zone && (self.zone == zone || self.zone == other_zone)
     }
 }
 
@@ -158,9 +158,9 @@
     /// Changes of the list, in order of publication.
     pub updates: Vec<ListUpdate>,
     /// When the list is down.
-    pub list_down: Vec<ListOutage>,
+    pub list_outages: Vec<ListOutage>,
     /// When the list answers with an earlier state.
-    pub list_old: Vec<Range<Micros>>,
+    pub stale_list_spans: Vec<Range<Micros>>,
     /// Times at which the list stops answering the calls that wait there.
     pub list_silences: Vec<Micros>,
 }
@@ -168,31 +168,31 @@
 impl ServerTimeline {
     /// The index of the process that runs at a point in time. Where none runs, the error says how
     /// connections to the server fail.
-    pub fn at(&self, now: Micros) -> Result<usize, Reachability> {
+    pub fn incarnation_at(&self, now: Micros) -> Result<usize, Reachability> {
         let started = |incarnation: &Incarnation| incarnation.started <= now;
         let i = self.incarnations.iter().rposition(started).unwrap_or(0);
         let incarnation = &self.incarnations[i];
-        if now < incarnation.ended { Ok(i) } else { Err(incarnation.after) }
+        if now < incarnation.ended { Ok(i) } else { Err(incarnation.reachability_after) }
     }
 }
 
 impl Timelines {
-    /// Whether the origin fails a request that arrives now; `luck` is the request's random number
+    /// Whether the origin fails a request that arrives now; `sample` is the request's random number
     /// from 0 to 1.
-    pub fn origin_fails(&self, now: Micros, luck: f64) -> bool {
-        self.origin_failures.iter().any(|failure| failure.span.contains(&now) && luck < failure.share)
+    pub fn origin_fails(&self, now: Micros, sample: f64) -> bool {
+        self.origin_failures.iter().any(|failure| failure.span.contains(&now) && sample < failure.share)
     }
 
     /// Whether the link between two zones is cut.
-    fn is_cut(&self, one: usize, other: usize, now: Micros) -> bool {
-        self.zone_cuts.iter().any(|cut| cut.span.contains(&now) && cut.is_between(one, other))
+    fn is_cut(&self, zone: usize, other_zone: usize, now: Micros) -> bool {
+        self.zone_cuts.iter().any(|cut| cut.span.contains(&now) && cut.separates(zone, other_zone))
     }
 
     /// Whether a server in the first of the two zones can be reached by a proxy in the second one,
     /// and until when this holds.
     pub fn reachability(&self, server: usize, zones: (usize, usize), now: Micros) -> (Reachability, Micros) {
         let timeline = &self.servers[server];
-        let reachability = match timeline.at(now) {
+        let reachability = match timeline.incarnation_at(now) {
             Ok(_) if self.is_cut(zones.0, zones.1, now) => Reachability::Silent,
             Ok(_) => Reachability::Up,
             Err(reachability) => reachability,
@@ -203,14 +203,14 @@
     }
 
     /// Times at which the link between two zones is cut or restored.
-    fn cut_transitions(&self, one: usize, other: usize) -> impl Iterator<Item = Micros> + '_ {
-        let cuts = self.zone_cuts.iter().filter(move |cut| cut.is_between(one, other));
+    fn cut_transitions(&self, zone: usize, other_zone: usize) -> impl Iterator<Item = Micros> + '_ {
+        let cuts = self.zone_cuts.iter().filter(move |cut| cut.separates(zone, other_zone));
         cuts.flat_map(|cut| [cut.span.start, cut.span.end])
     }
 
     /// How the list fails at a point in time, if it is down.
     pub fn list_outage(&self, now: Micros) -> Option<Outage> {
-        self.list_down.iter().find(|down| down.span.contains(&now)).map(|down| down.outage)
+        self.list_outages.iter().find(|outage| outage.span.contains(&now)).map(|outage| outage.outage)
     }
 
     /// Like `reachability`, for the origin or the list, which are in the first zone.
@@ -220,10 +220,10 @@
 
     /// Like `reachability`, for a peer in one zone that is called from another and has no outages
     /// of its own.
-    pub fn zone_reachability(&self, stands_in: usize, zone: usize, now: Micros) -> (Reachability, Micros) {
-        let is_cut = self.is_cut(stands_in, zone, now);
+    pub fn zone_reachability(&self, peer_zone: usize, zone: usize, now: Micros) -> (Reachability, Micros) {
+        let is_cut = self.is_cut(peer_zone, zone, now);
         let reachability = if is_cut { Reachability::Silent } else { Reachability::Up };
-        let next = self.cut_transitions(stands_in, zone).filter(|at| *at > now).min();
+        let next = self.cut_transitions(peer_zone, zone).filter(|at| *at > now).min();
         (reachability, next.unwrap_or(Micros::MAX))
     }
 }
--- a/crates/testbed/src/notified.rs
+++ b/crates/testbed/src/notified.rs
@@ -32,20 +32,20 @@
     if experiment.fleet.list_source() == ListSource::Etcd {
         return Vec::new();
     }
-    let mut all = Vec::new();
+    let mut notifications = Vec::new();
     for proxy in 0..experiment.fleet.proxies {
         let unreachable = unreachable(experiment, timelines, events, proxy);
         for (i, update) in timelines.updates.iter().enumerate() {
             let later = &timelines.updates[i + 1..];
-            all.extend(of_update(update, later, proxy as Index, &unreachable));
+            notifications.extend(notifications_of(update, later, proxy as Index, &unreachable));
         }
     }
-    all.sort_by_key(|notified| notified.at);
-    all
+    notifications.sort_by_key(|notified| notified.at);
+    notifications
 }
 
 /// The notifications of one proxy about one change; `later` are the changes after it.
-fn of_update(
+fn notifications_of(
     update: &ListUpdate,
     later: &[ListUpdate],
     proxy: Index,
@@ -56,11 +56,11 @@
         return vec![Notified { at: update.published, proxy, server, off: false }];
     }
     let is_back = |next: &&ListUpdate| next.server == update.server && next.status == EndpointStatus::Ready;
-    let back = later.iter().find(is_back).map_or(Micros::MAX, |next| next.published);
+    let back_at = later.iter().find(is_back).map_or(Micros::MAX, |next| next.published);
     // A proxy process that is restarted while the server is off gets the same time again.
     reachable_for_long_enough(unreachable, update.published)
         .into_iter()
-        .filter(|at| *at < back)
+        .filter(|at| *at < back_at)
         .map(|at| Notified { at, proxy, server, off: true })
         .collect()
 }
@@ -73,8 +73,8 @@
     events: &[Event],
     proxy: usize,
 ) -> Vec<Range<Micros>> {
-    let mut spans: Vec<Range<Micros>> = timelines.list_old.clone();
-    spans.extend(timelines.list_down.iter().map(|down| down.span.clone()));
+    let mut spans: Vec<Range<Micros>> = timelines.stale_list_spans.clone();
+    spans.extend(timelines.list_outages.iter().map(|down| down.span.clone()));
     spans.extend(cut_off(timelines, proxy % experiment.world.zones.len()));
     spans.extend(not_running(events, proxy));
     spans.sort_by_key(|span| span.start);
@@ -98,17 +98,17 @@
 /// Spans in which a proxy is killed, terminated or stopped, until it is ready or continues.
 fn not_running(events: &[Event], proxy: usize) -> Vec<Range<Micros>> {
     let mut spans = Vec::new();
-    let mut since = None;
+    let mut down_at = None;
     for event in events.iter().filter(|event| usize::from(event.proxy) == proxy) {
         match event.kind {
-            EventKind::Signalled { signal: "KILL" | "TERM" | "STOP" } => since = since.or(Some(event.at)),
+            EventKind::Signalled { signal: "KILL" | "TERM" | "STOP" } => down_at = down_at.or(Some(event.at)),
             EventKind::Signalled { signal: "CONT" } | EventKind::ProcessReady => {
-                spans.extend(since.take().map(|since| since..event.at));
+                spans.extend(down_at.take().map(|down_at| down_at..event.at));
             }
             _ => {}
         }
     }
-    spans.extend(since.map(|since| since..Micros::MAX));
+    spans.extend(down_at.map(|down_at| down_at..Micros::MAX));
     spans
 }
 
@@ -116,14 +116,14 @@
 /// was reachable throughout. There is one span from the start, and one each time that the proxy or
 /// the list comes back.
 fn reachable_for_long_enough(unreachable: &[Range<Micros>], from: Micros) -> Vec<Micros> {
-    let comes_back = unreachable.iter().map(|span| span.end).filter(|end| *end > from);
-    let starts = std::iter::once(from).chain(comes_back);
-    let undisturbed = |start: &Micros| {
+    let reachable_again = unreachable.iter().map(|span| span.end).filter(|end| *end > from);
+    let starts = std::iter::once(from).chain(reachable_again);
+    let is_undisturbed = |start: &Micros| {
         let end = start.saturating_add(NOTIFIED_WITHIN);
         !unreachable.iter().any(|span| span.start < end && span.end > *start)
     };
     starts
-        .filter(|start| *start < Micros::MAX && undisturbed(start))
+        .filter(|start| *start < Micros::MAX && is_undisturbed(start))
         .map(|start| start + NOTIFIED_WITHIN)
         .collect()
 }
--- a/crates/testbed/src/resp.rs
+++ b/crates/testbed/src/resp.rs
@@ -3,12 +3,12 @@
 //! cannot hide itself.
 
 use crate::clock::{MILLI, Micros};
-use crate::model::cluster::SLOTS;
+use crate::model::cluster::SLOT_COUNT;
 use crate::wire::{Connection, ReadError};
 
 /// Maximum length of a command or answer in bytes: the longest value, with room for the rest of the
 /// message.
-const MAX_MESSAGE: usize = 4 << 20;
+const MAX_MESSAGE_BYTES: usize = 4 << 20;
 /// Maximum number of arguments that are read; the testbed's commands have three.
 const MAX_ARGUMENTS: i64 = 1024;
 const LINE_END: &[u8] = b"\r\n";
@@ -23,16 +23,16 @@
 pub fn slot(key: &[u8]) -> u16 {
     let open = key.iter().position(|byte| *byte == b'{').map_or(0, |i| i + 1);
     let close = key.iter().position(|byte| *byte == b'}').unwrap_or(key.len());
-    crc16(key.get(open..close).unwrap_or(key)) % SLOTS
+    crc16(key.get(open..close).unwrap_or(key)) % SLOT_COUNT
 }
 
 /// The line that starts at an index, and the index after its end; `None` if the line is incomplete.
-fn line(buffer: &[u8], from: usize) -> Option<(&[u8], usize)> {
+fn parse_line(buffer: &[u8], from: usize) -> Option<(&[u8], usize)> {
     let length = buffer.get(from..)?.windows(LINE_END.len()).position(|end| end == LINE_END)?;
     Some((&buffer[from..from + length], from + length + LINE_END.len()))
 }
 
-fn number(text: &[u8]) -> Result<i64, ReadError> {
+fn parse_integer(text: &[u8]) -> Result<i64, ReadError> {
     std::str::from_utf8(text).ok().and_then(|text| text.parse().ok()).ok_or(ReadError::Malformed)
 }
 
@@ -46,14 +46,14 @@
     if buffer.first().is_some_and(|byte| *byte != b'*') {
         return Err(ReadError::Malformed);
     }
-    let Some((count, mut at)) = line(buffer, 1) else { return Ok(None) };
+    let Some((count, mut at)) = parse_line(buffer, 1) else { return Ok(None) };
     let mut arguments = Vec::new();
-    for _ in 0..number(count)?.clamp(0, MAX_ARGUMENTS) {
-        let Some((length, body)) = line(buffer, at + 1) else { return Ok(None) };
+    for _ in 0..parse_integer(count)?.clamp(0, MAX_ARGUMENTS) {
+        let Some((length, body)) = parse_line(buffer, at + 1) else { return Ok(None) };
         if buffer[at] != b'$' {
             return Err(ReadError::Malformed);
         }
-        let length = usize::try_from(number(length)?).map_err(|_| ReadError::Malformed)?;
+        let length = usize::try_from(parse_integer(length)?).map_err(|_| ReadError::Malformed)?;
         let end = body + length + LINE_END.len();
         let Some(argument) = buffer.get(body..end) else { return Ok(None) };
         arguments.push(argument[..length].to_vec());
@@ -74,12 +74,12 @@
 }
 
 fn parse_answer(buffer: &[u8]) -> Parsed<RespAnswer> {
-    let Some((text, at)) = line(buffer, 1) else { return Ok(None) };
+    let Some((text, at)) = parse_line(buffer, 1) else { return Ok(None) };
     match buffer[0] {
         b'+' | b':' => Ok(Some((RespAnswer::Value(text.to_vec()), at))),
         b'-' => Ok(Some((RespAnswer::Error(String::from_utf8_lossy(text).to_string()), at))),
         b'$' => {
-            let Ok(length) = usize::try_from(number(text)?) else {
+            let Ok(length) = usize::try_from(parse_integer(text)?) else {
                 return Ok(Some((RespAnswer::Nil, at)));
             };
             let end = at + length + LINE_END.len();
@@ -90,16 +90,19 @@
     }
 }
 
-async fn read<T>(connection: &mut Connection, parse: impl Fn(&[u8]) -> Parsed<T>) -> Result<T, ReadError> {
+async fn read_message<T>(
+    connection: &mut Connection,
+    parse: impl Fn(&[u8]) -> Parsed<T>,
+) -> Result<T, ReadError> {
     loop {
         if !connection.buffered.is_empty()
-            && let Some((read, length)) = parse(&connection.buffered)?
+            && let Some((message, length)) = parse(&connection.buffered)?
         {
             connection.buffered.drain(..length);
-            return Ok(read);
+            return Ok(message);
         }
         let partial = !connection.buffered.is_empty();
-        if connection.buffered.len() > MAX_MESSAGE || !matches!(connection.fill().await, Ok(1..)) {
+        if connection.buffered.len() > MAX_MESSAGE_BYTES || !matches!(connection.fill().await, Ok(1..)) {
             return Err(if partial { ReadError::Truncated } else { ReadError::Closed });
         }
     }
@@ -107,12 +110,12 @@
 
 /// Reads the next command.
 pub async fn read_command(connection: &mut Connection) -> Result<Arguments, ReadError> {
-    read(connection, parse_command).await
+    read_message(connection, parse_command).await
 }
 
 /// Reads the next answer.
 pub async fn read_answer(connection: &mut Connection) -> Result<RespAnswer, ReadError> {
-    read(connection, parse_answer).await
+    read_message(connection, parse_answer).await
 }
 
 /// Encodes a command.
--- a/crates/testbed/src/resp/tests.rs
+++ b/crates/testbed/src/resp/tests.rs
@@ -4,10 +4,10 @@
 
 #[test]
 fn commands_round_trip_and_slots_follow_the_cluster_specification() {
-    let command_ = encode_command(&[b"SET", b"a{k1}", b"x\r\ny"]);
-    let (arguments, len) = parse_command(&command_).unwrap().unwrap();
-    assert_eq!((arguments[2].as_slice(), len), (&b"x\r\ny"[..], command_.len()));
-    assert!((0..len).all(|n| matches!(parse_command(&command_[..n]), Ok(None))));
+    let command = encode_command(&[b"SET", b"a{k1}", b"x\r\ny"]);
+    let (arguments, length) = parse_command(&command).unwrap().unwrap();
+    assert_eq!((arguments[2].as_slice(), length), (&b"x\r\ny"[..], command.len()));
+    assert!((0..length).all(|n| matches!(parse_command(&command[..n]), Ok(None))));
     assert_eq!((slot(b"x{foo}y"), slot(b"foo")), (12182, 12182));
     let status_of = |text: &[u8]| parse_answer(text).unwrap().unwrap().0.status();
     assert_eq!(status_of(b"-TRYAGAIN deferred, come back in 70 ms\r\n"), (503, Some(70_000)));
--- a/crates/testbed/src/stand_ins/body.rs
+++ b/crates/testbed/src/stand_ins/body.rs
@@ -7,20 +7,20 @@
 const CHECKSUM_LENGTH: usize = 8;
 const FILLER: u8 = b'v';
 
-/// Makes a body of `bytes` bytes for one request: the request's id, its key, the server that sends
+/// Makes a body of `length` bytes for one request: the request's id, its key, the server that sends
 /// it, filler and a checksum.
-pub fn body(id: Id, key: u64, by: usize, bytes: usize) -> Vec<u8> {
-    let mut body = format!("{id:016x} {key} {by} ").into_bytes();
-    body.resize(bytes.max(body.len() + CHECKSUM_LENGTH) - CHECKSUM_LENGTH, FILLER);
-    let sum = crc32fast::hash(&body);
-    body.extend(format!("{sum:08x}").into_bytes());
+pub fn body(id: Id, key: u64, server: usize, length: usize) -> Vec<u8> {
+    let mut body = format!("{id:016x} {key} {server} ").into_bytes();
+    body.resize(length.max(body.len() + CHECKSUM_LENGTH) - CHECKSUM_LENGTH, FILLER);
+    let checksum = crc32fast::hash(&body);
+    body.extend(format!("{checksum:08x}").into_bytes());
     body
 }
 
 /// Whether a body is complete and was made for that request.
 pub fn is_for(body: &[u8], id: Id) -> bool {
     let length = body.len().saturating_sub(CHECKSUM_LENGTH);
-    let Some((content, sum)) = body.split_at_checked(length) else { return false };
+    let Some((content, checksum)) = body.split_at_checked(length) else { return false };
     content.starts_with(format!("{id:016x} ").as_bytes())
-        && sum == format!("{:08x}", crc32fast::hash(content)).as_bytes()
+        && checksum == format!("{:08x}", crc32fast::hash(content)).as_bytes()
 }
--- a/crates/testbed/src/stand_ins/decide.rs
+++ b/crates/testbed/src/stand_ins/decide.rs
@@ -9,7 +9,7 @@
 
 /// Maximum number of servers that store the origin's response: the first ones that missed for the
 /// request.
-const STORE_COPIES: usize = 2;
+const MAX_STORE_COPIES: usize = 2;
 /// Maximum number of remembered tags. A repeat of a tagged request is recognised by its tag within
 /// the class's window; expired tags are dropped once this number is reached.
 const MAX_TAGS: usize = 1 << 16;
@@ -36,9 +36,9 @@
             key: attempt.request.key,
             write: attempt.write,
             work: self.draw_work(class.work_ms),
-            luck: self.draw_luck(),
+            sample: self.draw_sample(),
         };
-        let origin_fails = self.timelines.origin_fails(attempt.now, self.draw_luck());
+        let origin_fails = self.timelines.origin_fails(attempt.now, self.draw_sample());
         let plan = if attempt.server == self.origin() {
             self.decide_at_origin(attempt.now, origin_fails)
         } else {
@@ -70,10 +70,10 @@
 
     fn decide_at_origin(&self, now: Micros, origin_fails: bool) -> PlannedReply {
         match self.fetch(now, origin_fails) {
-            Some(at) => PlannedReply { takes_effect: true, ..PlannedReply::plain(Reply::Fetched, at) },
+            Some(at) => PlannedReply { takes_effect: true, ..PlannedReply::no_effect(Reply::Fetched, at) },
             // The caller cannot learn whether the effect was applied. In the model, it was not.
-            None if origin_fails => PlannedReply::plain(Reply::Error, now + MILLI),
-            None => PlannedReply::plain(Reply::Unprocessed, now),
+            None if origin_fails => PlannedReply::no_effect(Reply::Error, now + MILLI),
+            None => PlannedReply::no_effect(Reply::Unprocessed, now),
         }
     }
 
@@ -81,7 +81,7 @@
         let timeline = &self.timelines.servers[attempt.server];
         let mut running = lock(&self.servers[attempt.server]);
         // A new process starts with nothing of the previous one's state.
-        let incarnation = timeline.at(attempt.now).unwrap_or(running.incarnation);
+        let incarnation = timeline.incarnation_at(attempt.now).unwrap_or(running.incarnation);
         if incarnation != running.incarnation {
             let started = timeline.incarnations[incarnation].started;
             *running = RunningServer { incarnation, model: ServerModel::new(self.spec.clone(), started) };
@@ -106,15 +106,15 @@
             DedupGroup::Cell => self.experiment.cell_of(attempt.server),
         };
         let (now, window) = (attempt.now, micros(class.window_ms / 1e3));
-        let mut tags = lock(&self.tags);
-        if tags.len() >= MAX_TAGS {
-            tags.retain(|_, ran| now < *ran + window);
+        let mut tagged_effects = lock(&self.tagged_effects);
+        if tagged_effects.len() >= MAX_TAGS {
+            tagged_effects.retain(|_, applied_at| now < *applied_at + window);
         }
         let key = TagKey { tag: tag.to_vec(), group };
-        if tags.get(&key).is_some_and(|ran| now < *ran + window) {
+        if tagged_effects.get(&key).is_some_and(|applied_at| now < *applied_at + window) {
             return true;
         }
-        tags.insert(key, now);
+        tagged_effects.insert(key, now);
         false
     }
 
@@ -128,7 +128,7 @@
             }
             return;
         }
-        for missed in missed.into_iter().take(STORE_COPIES) {
+        for missed in missed.into_iter().take(MAX_STORE_COPIES) {
             let mut running = lock(&self.servers[missed.server]);
             if running.incarnation == missed.incarnation {
                 running.model.store(request.key);
--- a/crates/testbed/src/stand_ins/etcd/call.rs
+++ b/crates/testbed/src/stand_ins/etcd/call.rs
@@ -67,8 +67,8 @@
         let value = item.value.clone().unwrap_or_default();
         api::KeyValue {
             key: item.key.clone().into(),
-            create_revision: item.created,
-            mod_revision: item.modified,
+            create_revision: item.create_revision,
+            mod_revision: item.mod_revision,
             version: item.version,
             value: value_for(value, self.proxy).into(),
             lease: item.lease,
--- a/crates/testbed/src/stand_ins/etcd/mod.rs
+++ b/crates/testbed/src/stand_ins/etcd/mod.rs
@@ -30,7 +30,7 @@
 /// The prefix of all keys. Proxies get it in their operator's file.
 pub const PREFIX: &str = "/lab/";
 /// The state of a server in service, as it is stored in values.
-const SERVING: &str = "serving";
+const SERVING_STATE: &str = "serving";
 
 /// The state of the cluster.
 pub struct Etcd {
@@ -38,13 +38,13 @@
     pub timeline: EtcdTimeline,
     store: Mutex<Store>,
     /// The cluster's id; restoring the store makes it another cluster.
-    cluster: Mutex<u64>,
+    cluster_id: Mutex<u64>,
     watchers: Mutex<Vec<Sender<()>>>,
     /// The last notification of each proxy about each server, by proxy and server.
     notified: Mutex<HashMap<(usize, usize), LastNotified>>,
     calls: Mutex<u64>,
     /// The id of the cluster that each proxy last read from.
-    known_cluster: Mutex<HashMap<usize, u64>>,
+    known_cluster_ids: Mutex<HashMap<usize, u64>>,
     /// When each proxy lost its watch, for proxies that have none.
     watch_lost_at: Mutex<HashMap<usize, Micros>>,
     /// Durations between the loss of a watch and its recovery.
@@ -72,11 +72,11 @@
         Etcd {
             timeline,
             store: Mutex::default(),
-            cluster: Mutex::new(1),
+            cluster_id: Mutex::new(1),
             watchers: Mutex::default(),
             notified: Mutex::default(),
             calls: Mutex::default(),
-            known_cluster: Mutex::default(),
+            known_cluster_ids: Mutex::default(),
             watch_lost_at: Mutex::default(),
             recovery_times: Mutex::default(),
         }
@@ -84,18 +84,24 @@
 
     /// Wakes all watchers, and drops those that are gone.
     fn wake_watchers(&self) {
-        let is_open = |wake: &Sender<()>| !wake.try_send(()).is_err_and(|error| error.is_closed());
-        lock(&self.watchers).retain(|wake| !wake.is_closed() && is_open(wake));
+        let is_open =
+            |wake_sender: &Sender<()>| !wake_sender.try_send(()).is_err_and(|error| error.is_closed());
+        lock(&self.watchers).retain(|wake_sender| !wake_sender.is_closed() && is_open(wake_sender));
     }
 
     fn add_watcher(&self) -> Receiver<()> {
-        let (wake, woken) = bounded(1);
-        lock(&self.watchers).push(wake);
-        woken
+        let (wake_sender, wake_receiver) = bounded(1);
+        lock(&self.watchers).push(wake_sender);
+        wake_receiver
     }
 
     fn header(&self, revision: i64) -> Option<api::ResponseHeader> {
-        Some(api::ResponseHeader { cluster_id: *lock(&self.cluster), member_id: 1, revision, raft_term: 2 })
+        Some(api::ResponseHeader {
+            cluster_id: *lock(&self.cluster_id),
+            member_id: 1,
+            revision,
+            raft_term: 2,
+        })
     }
 
     /// The load of the run so far.
@@ -109,7 +115,7 @@
     /// unless it shows a later start.
     fn record_notified(&self, proxy: usize, server: usize, revision: i64, value: Option<&[u8]>) {
         let fields: Option<Value> = value.and_then(|value| serde_json::from_slice(value).ok());
-        let off = fields.as_ref().is_none_or(|fields| fields["state"] != SERVING);
+        let off = fields.as_ref().is_none_or(|fields| fields["state"] != SERVING_STATE);
         let started = fields.as_ref().and_then(|fields| fields["started_ms"].as_u64()).unwrap_or(0);
         let mut notified = lock(&self.etcd.notified);
         let last = notified.entry((proxy, server)).or_default();
@@ -132,9 +138,9 @@
     stream: Async<TcpStream>,
 ) {
     let context = CallContext { site: site.clone(), proxy, endpoint };
-    let reset = stream.get_ref().try_clone();
+    let socket = stream.get_ref().try_clone();
     _ = stream.get_ref().set_nodelay(true);
-    let begun = site.clock.now();
+    let accepted_at = site.clock.now();
     let serving = async {
         let Ok(mut connection) = handshake(stream.compat()).await else { return false };
         while let Some(Ok((request, respond))) = connection.accept().await {
@@ -145,16 +151,16 @@
         }
         false
     };
-    let broken = async {
-        match site.etcd.timeline.next_break(begun) {
+    let reset = async {
+        match site.etcd.timeline.next_connection_reset(accepted_at) {
             Some(at) => site.clock.sleep_until(at).await,
             None => std::future::pending().await,
         }
         true
     };
-    let was_broken = smol::future::or(serving, broken).await;
+    let was_reset = smol::future::or(serving, reset).await;
     lock(&site.etcd.watch_lost_at).entry(proxy).or_insert_with(|| site.clock.now());
-    if was_broken && let Ok(stream) = reset {
+    if was_reset && let Ok(stream) = socket {
         _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
     }
 }
--- a/crates/testbed/src/stand_ins/etcd/stream.rs
+++ b/crates/testbed/src/stand_ins/etcd/stream.rs
@@ -7,7 +7,7 @@
 use http::{HeaderMap, HeaderValue};
 
 /// Maximum length in bytes of a message that is read.
-const MAX_MESSAGE: usize = 2 << 20;
+const MAX_MESSAGE_BYTES: usize = 2 << 20;
 
 /// The error with which a call fails.
 #[derive(Debug)]
@@ -80,7 +80,7 @@
 impl RequestStream {
     /// A stream of which nothing has been read.
     pub fn new(body: RecvStream) -> RequestStream {
-        RequestStream { body, frames: FrameDecoder::new(MAX_MESSAGE) }
+        RequestStream { body, frames: FrameDecoder::new(MAX_MESSAGE_BYTES) }
     }
 
     /// Reads the next request; `None` if the peer is gone.
@@ -96,7 +96,7 @@
     }
 
     /// Reads the request of a call that has exactly one.
-    pub async fn only<M: Message + Default>(&mut self) -> Result<M, GrpcError> {
-        self.next().await.ok_or_else(|| GrpcError::unavailable("no question"))
+    pub async fn single<M: Message + Default>(&mut self) -> Result<M, GrpcError> {
+        self.next().await.ok_or_else(|| GrpcError::unavailable("the call ended without a request"))
     }
 }
--- a/crates/testbed/src/stand_ins/etcd/txn.rs
+++ b/crates/testbed/src/stand_ins/etcd/txn.rs
@@ -9,15 +9,15 @@
 use chalkwalk_etcd_wire::api::request_op::Request;
 
 fn unsupported() -> GrpcError {
-    GrpcError::unimplemented("only EQUAL, and puts and deletes")
+    GrpcError::unimplemented("a transaction may contain only EQUAL comparisons, puts and deletes")
 }
 
 fn condition(compare: &api::Compare) -> Result<Condition, GrpcError> {
     let is_equal = compare.result() == api::compare::Result::Equal;
     match compare.target_union.clone().filter(|_| is_equal) {
         Some(TargetUnion::Version(version)) => Ok(Condition::Version(version)),
-        Some(TargetUnion::CreateRevision(revision)) => Ok(Condition::Created(revision)),
-        Some(TargetUnion::ModRevision(revision)) => Ok(Condition::Modified(revision)),
+        Some(TargetUnion::CreateRevision(revision)) => Ok(Condition::CreateRevision(revision)),
+        Some(TargetUnion::ModRevision(revision)) => Ok(Condition::ModRevision(revision)),
         Some(TargetUnion::Value(value)) => Ok(Condition::Value(value.to_vec())),
         _ => Err(unsupported()),
     }
--- a/crates/testbed/src/stand_ins/etcd/unary.rs
+++ b/crates/testbed/src/stand_ins/etcd/unary.rs
@@ -6,14 +6,14 @@
 use super::txn;
 use super::writer::key_of;
 use crate::clock::Micros;
-use crate::model::etcd::NO_MAJORITY;
+use crate::model::etcd::QUORUM_TIMEOUT;
 use crate::model::store::{Item, Write};
 use crate::sync::lock;
 use chalkwalk_etcd_wire::{Message, api, path};
 use std::time::Duration;
 
 /// Interval at which an endpoint that lags checks the store.
-const LOOK_AGAIN: Duration = Duration::from_millis(5);
+const LAG_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Serves the call that a path names.
 pub(super) async fn serve(
@@ -24,21 +24,21 @@
 ) -> Result<(), GrpcError> {
     let now = context.now();
     if path.starts_with("/etcdserverpb.Lease/") {
-        let lag = context.site.etcd.timeline.lease_lag(now);
+        let lag = context.site.etcd.timeline.lease_delay(now);
         context.site.clock.sleep_until(now + lag).await;
     }
-    let mut out = Responder { context, responses };
+    let mut responder = Responder { context, responses };
     match path {
-        path::RANGE => out.send(range(context, &requests.only().await?).await?).await,
-        path::PUT => out.send(put(context, requests.only().await?, now)?).await,
-        path::DELETE_RANGE => out.send(delete_range(context, requests.only().await?, now)?).await,
-        path::TXN => out.send(txn::run(context, requests.only().await?, now)?).await,
-        path::COMPACT => out.send(compact(context, requests.only().await?)?).await,
-        path::LEASE_GRANT => out.send(grant(context, requests.only().await?)).await,
-        path::LEASE_REVOKE => out.send(revoke(context, requests.only().await?, now)?).await,
+        path::RANGE => responder.send(range(context, &requests.single().await?).await?).await,
+        path::PUT => responder.send(put(context, requests.single().await?, now)?).await,
+        path::DELETE_RANGE => responder.send(delete_range(context, requests.single().await?, now)?).await,
+        path::TXN => responder.send(txn::run(context, requests.single().await?, now)?).await,
+        path::COMPACT => responder.send(compact(context, requests.single().await?)?).await,
+        path::LEASE_GRANT => responder.send(grant(context, requests.single().await?)).await,
+        path::LEASE_REVOKE => responder.send(revoke(context, requests.single().await?, now)?).await,
         path::LEASE_KEEP_ALIVE => {
             while let Some(request) = requests.next::<api::LeaseKeepAliveRequest>().await {
-                out.send(keep_alive(context, request)).await?;
+                responder.send(keep_alive(context, request)).await?;
             }
             Ok(())
         }
@@ -56,7 +56,7 @@
     async fn send(&mut self, response: impl Message) -> Result<(), GrpcError> {
         self.context.wait_stalled().await;
         let sent = self.responses.send(&response).await;
-        sent.ok_or_else(|| GrpcError::unavailable("no question"))
+        sent.ok_or_else(|| GrpcError::unavailable("the caller closed the call"))
     }
 }
 
@@ -139,15 +139,15 @@
 }
 
 /// Waits until the endpoint sees all that was written before, as a linearizable read does. Fails
-/// after [`NO_MAJORITY`].
+/// after [`QUORUM_TIMEOUT`].
 async fn wait_for_newest(context: &CallContext) -> Result<(), GrpcError> {
-    let began = context.now();
+    let start = context.now();
     let newest = context.store().revision();
     while context.visible_revision() < newest {
-        if context.now() > began + NO_MAJORITY {
+        if context.now() > start + QUORUM_TIMEOUT {
             return Err(GrpcError::unavailable("etcdserver: request timed out"));
         }
-        smol::Timer::after(LOOK_AGAIN).await;
+        smol::Timer::after(LAG_POLL_INTERVAL).await;
     }
     Ok(())
 }
@@ -155,15 +155,15 @@
 /// Records the notifications of a proxy by the whole list.
 fn record_snapshot(context: &CallContext, items: &[Item], revision: i64) {
     let (site, proxy) = (&context.site, context.proxy);
-    let cluster = *lock(&site.etcd.cluster);
-    let before = lock(&site.etcd.known_cluster).insert(proxy, cluster);
-    let other_cluster = before.is_some_and(|before| before != cluster);
+    let cluster_id = *lock(&site.etcd.cluster_id);
+    let last_cluster_id = lock(&site.etcd.known_cluster_ids).insert(proxy, cluster_id);
+    let cluster_changed = last_cluster_id.is_some_and(|last_cluster_id| last_cluster_id != cluster_id);
     for server in 0..site.origin() {
         let key = key_of(site, server);
         let item = items.iter().find(|item| item.key == key);
         // A server that is missing after a restore was not deleted: the older state does not have
         // it yet.
-        if other_cluster && item.is_none() {
+        if cluster_changed && item.is_none() {
             continue;
         }
         let value = item.and_then(|item| item.value.as_deref());
--- a/crates/testbed/src/stand_ins/etcd/watch.rs
+++ b/crates/testbed/src/stand_ins/etcd/watch.rs
@@ -12,11 +12,11 @@
 use std::time::Duration;
 
 /// Maximum number of events in a response, where the watcher accepts fragments.
-const FRAGMENT: usize = 40;
+const MAX_FRAGMENT_EVENTS: usize = 40;
 /// Without a change, a watch checks the store again after this time ...
-const LOOK_AGAIN: Duration = Duration::from_millis(1000);
+const POLL_INTERVAL: Duration = Duration::from_millis(1000);
 /// ... or after this time if its endpoint lags.
-const LOOK_AGAIN_BEHIND: Duration = Duration::from_millis(5);
+const LAGGING_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Why a watch stops waiting.
 enum Wake {
@@ -36,8 +36,8 @@
     next: i64,
 }
 
-fn watcher_gone() -> GrpcError {
-    GrpcError::unavailable("the watcher is gone")
+fn watcher_closed() -> GrpcError {
+    GrpcError::unavailable("the watcher closed the stream")
 }
 
 /// Serves a watch until it ends.
@@ -47,18 +47,18 @@
     responses: &mut ResponseStream,
 ) -> Result<(), GrpcError> {
     let create = loop {
-        let request = requests.next::<api::WatchRequest>().await.ok_or_else(watcher_gone)?;
+        let request = requests.next::<api::WatchRequest>().await.ok_or_else(watcher_closed)?;
         if let Some(RequestUnion::CreateRequest(create)) = request.request_union {
             break create;
         }
     };
-    let woken = context.site.etcd.add_watcher();
+    let wake_receiver = context.site.etcd.add_watcher();
     context.wait_stalled().await;
     let created = api::WatchResponse { created: true, ..response(context) };
-    responses.send(&created).await.ok_or_else(watcher_gone)?;
+    responses.send(&created).await.ok_or_else(watcher_closed)?;
     record_recovery(context, &create);
     let next = if create.start_revision > 0 { create.start_revision } else { context.visible_revision() + 1 };
-    Watch { context, responses, create, next }.run(requests, &woken).await
+    Watch { context, responses, create, next }.run(requests, &wake_receiver).await
 }
 
 /// A response without events, whose header has the revision that the endpoint sees.
@@ -78,19 +78,23 @@
 }
 
 impl Watch<'_> {
-    async fn run(mut self, requests: &mut RequestStream, woken: &Receiver<()>) -> Result<(), GrpcError> {
+    async fn run(
+        mut self,
+        requests: &mut RequestStream,
+        wake_receiver: &Receiver<()>,
+    ) -> Result<(), GrpcError> {
         loop {
             self.context.wait_stalled().await;
             let visible = self.context.visible_revision();
             match self.changes(visible) {
                 Ok(items) => {
                     self.next = self.next.max(visible + 1);
-                    self.send_events(visible, &items).await.ok_or_else(watcher_gone)?;
+                    self.send_events(visible, &items).await.ok_or_else(watcher_closed)?;
                 }
                 Err(StoreError::Compacted(revision)) => return self.cancel(revision).await,
                 Err(other) => return Err(other.into()),
             }
-            match self.wait(requests, woken).await {
+            match self.wait(requests, wake_receiver).await {
                 Wake::Changed => {}
                 Wake::Closed => return Ok(()),
                 Wake::Request(Some(RequestUnion::CancelRequest(_))) => return self.cancel(0).await,
@@ -108,11 +112,12 @@
     }
 
     /// Waits for a change, a request, or the next check of the store.
-    async fn wait(&self, requests: &mut RequestStream, woken: &Receiver<()>) -> Wake {
+    async fn wait(&self, requests: &mut RequestStream, wake_receiver: &Receiver<()>) -> Wake {
         let lag = self.context.site.etcd.timeline.lag(self.context.endpoint, self.context.now());
-        let step = if lag > 0 { LOOK_AGAIN_BEHIND } else { LOOK_AGAIN };
+        let interval = if lag > 0 { LAGGING_POLL_INTERVAL } else { POLL_INTERVAL };
         let changed = async {
-            or(async { _ = woken.recv().await }, async { _ = smol::Timer::after(step).await }).await;
+            or(async { _ = wake_receiver.recv().await }, async { _ = smol::Timer::after(interval).await })
+                .await;
             Wake::Changed
         };
         let request = async {
@@ -128,7 +133,7 @@
     /// the compaction, otherwise 0.
     async fn cancel(self, compact_revision: i64) -> Result<(), GrpcError> {
         let last = api::WatchResponse { canceled: true, compact_revision, ..response(self.context) };
-        self.responses.send(&last).await.ok_or_else(watcher_gone)
+        self.responses.send(&last).await.ok_or_else(watcher_closed)
     }
 
     /// Sends a progress response: all events up to its revision have been sent. The revision is
@@ -143,12 +148,12 @@
         } else {
             api::WatchResponse { header: self.context.header(self.next - 1), ..Default::default() }
         };
-        self.responses.send(&progress).await.ok_or_else(watcher_gone)
+        self.responses.send(&progress).await.ok_or_else(watcher_closed)
     }
 
     /// Sends changes, in fragments if the watcher accepts them; `None` if the watcher is gone.
     async fn send_events(&mut self, visible: i64, items: &[Item]) -> Option<()> {
-        let limit = if self.create.fragment { FRAGMENT } else { usize::MAX };
+        let limit = if self.create.fragment { MAX_FRAGMENT_EVENTS } else { usize::MAX };
         let fragments = items.len().div_ceil(limit);
         for (i, fragment) in items.chunks(limit.min(items.len().max(1))).enumerate() {
             let response = api::WatchResponse {
@@ -175,7 +180,7 @@
     for item in items.iter().filter(|_| context.can_reach_proxy()) {
         let servers = &mut (0..site.origin());
         if let Some(server) = servers.find(|server| super::writer::key_of(site, *server) == item.key) {
-            site.record_notified(context.proxy, server, item.modified, item.value.as_deref());
+            site.record_notified(context.proxy, server, item.mod_revision, item.value.as_deref());
         }
     }
 }
--- a/crates/testbed/src/stand_ins/etcd/writer.rs
+++ b/crates/testbed/src/stand_ins/etcd/writer.rs
@@ -1,7 +1,7 @@
 //! Writes to the store: changes of the list when they are published, and operations on the store
 //! itself.
 
-use super::{PREFIX, SERVING};
+use super::{PREFIX, SERVING_STATE};
 use crate::clock::{MILLI, Micros};
 use crate::model::etcd::StoreAction;
 use crate::model::server_list::{FIRST_VERSION, ListedServer};
@@ -14,10 +14,10 @@
 use std::time::Duration;
 
 /// Placeholder in values for the number of the proxy that reads them.
-pub(super) const PROXY: &str = "@PROXY@";
+pub(super) const PROXY_PLACEHOLDER: &str = "@PROXY@";
 /// Maximum time that the writer sleeps, because leases may be renewed and new ones granted in the
 /// meantime.
-const LOOK_AGAIN: Micros = 100 * MILLI;
+const MAX_SLEEP: Micros = 100 * MILLI;
 
 pub(super) fn key_of(site: &Site, server: usize) -> Vec<u8> {
     format!("{PREFIX}caches/{}", site.endpoint_id(server)).into_bytes()
@@ -26,7 +26,7 @@
 /// An entry's value, with a placeholder for the proxy.
 fn value_of(site: &Site, entry: &ListedServer) -> Vec<u8> {
     let mut value = site.list_entry(0, entry);
-    let state = if entry.status == EndpointStatus::Ready { SERVING } else { "draining" };
+    let state = if entry.status == EndpointStatus::Ready { SERVING_STATE } else { "draining" };
     let addr = for_any_proxy(value["addr"].as_str().unwrap_or(""));
     if let Some(fields) = value.as_object_mut() {
         fields.remove("id");
@@ -42,7 +42,7 @@
 /// from 1.
 fn for_any_proxy(addr: &str) -> String {
     match addr.splitn(4, '.').collect::<Vec<_>>()[..] {
-        [net, block, _, peer] => format!("{net}.{block}.{PROXY}.{peer}"),
+        [net, block, _, peer] => format!("{net}.{block}.{PROXY_PLACEHOLDER}.{peer}"),
         _ => addr.to_string(),
     }
 }
@@ -50,7 +50,7 @@
 /// Replaces the placeholder in a value with a proxy's number.
 pub(super) fn value_for(value: Vec<u8>, proxy: usize) -> Vec<u8> {
     match String::from_utf8(value) {
-        Ok(text) => text.replace(PROXY, &(proxy + 1).to_string()).into_bytes(),
+        Ok(text) => text.replace(PROXY_PLACEHOLDER, &(proxy + 1).to_string()).into_bytes(),
         Err(error) => error.into_bytes(),
     }
 }
@@ -78,10 +78,10 @@
             let next_update = updates.peek().map(|update| update.published);
             let next_action = actions.peek().map(|timed| timed.at);
             let Some(at) = [next_update, next_action, expiry].into_iter().flatten().min() else {
-                smol::Timer::after(Duration::from_micros(LOOK_AGAIN)).await;
+                smol::Timer::after(Duration::from_micros(MAX_SLEEP)).await;
                 continue;
             };
-            self.clock.sleep_until(at.min(self.clock.now() + LOOK_AGAIN)).await;
+            self.clock.sleep_until(at.min(self.clock.now() + MAX_SLEEP)).await;
             let now = self.clock.now();
             lock(&self.etcd.store).expire(now);
             while let Some(timed) = actions.next_if(|timed| timed.at <= now) {
@@ -109,7 +109,7 @@
             }
             StoreAction::Restore(by) => {
                 store.restore(now.saturating_sub(by));
-                *lock(&self.etcd.cluster) += 1;
+                *lock(&self.etcd.cluster_id) += 1;
             }
         }
     }
--- a/crates/testbed/src/stand_ins/file.rs
+++ b/crates/testbed/src/stand_ins/file.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 /// Pause between the halves of a file that is overwritten in place.
-const BETWEEN_HALVES: Duration = Duration::from_millis(20);
+const HALVES_PAUSE: Duration = Duration::from_millis(20);
 
 /// The list file of one proxy.
 pub struct ListFile {
@@ -22,7 +22,7 @@
     proxy: usize,
     /// By server, whether it was off in the file as it was last written.
     notified_off: Mutex<HashMap<usize, bool>>,
-    writing: smol::lock::Mutex<()>,
+    write_lock: smol::lock::Mutex<()>,
 }
 
 /// How a file is overwritten.
@@ -44,7 +44,7 @@
             path: path.to_path_buf(),
             proxy,
             notified_off: Mutex::default(),
-            writing: smol::lock::Mutex::new(()),
+            write_lock: smol::lock::Mutex::new(()),
         }
     }
 
@@ -71,7 +71,7 @@
     /// Writes the current list.
     pub async fn write(&self, site: &Site, mode: WriteMode) {
         // One writer at a time. Otherwise the second half of an old list could overwrite a new one.
-        let _one = self.writing.lock().await;
+        let _guard = self.write_lock.lock().await;
         let text = self.text(site);
         let written = match mode {
             WriteMode::Replaced => self.replace(&text),
@@ -81,7 +81,7 @@
             }
             WriteMode::InHalves => {
                 _ = std::fs::write(&self.path, &text.as_bytes()[..text.len() / 2]);
-                smol::Timer::after(BETWEEN_HALVES).await;
+                smol::Timer::after(HALVES_PAUSE).await;
                 std::fs::write(&self.path, &text)
             }
         };
@@ -91,9 +91,9 @@
     }
 
     fn replace(&self, text: &str) -> io::Result<()> {
-        let beside = self.path.with_extension("new");
-        std::fs::write(&beside, text)?;
-        std::fs::rename(&beside, &self.path)
+        let new_file = self.path.with_extension("new");
+        std::fs::write(&new_file, text)?;
+        std::fs::rename(&new_file, &self.path)
     }
 
     /// Records that the proxy is notified from now on, because the file can be read.
--- a/crates/testbed/src/stand_ins/list.rs
+++ b/crates/testbed/src/stand_ins/list.rs
@@ -16,9 +16,9 @@
 /// Maximum time that a call waits for its turn; a call that would wait longer is rejected.
 const QUEUE_TIMEOUT: Micros = 2 * SECOND;
 /// Age of the list in a stale response.
-const STALE_BY: Micros = 5 * SECOND;
+const STALE_AGE: Micros = 5 * SECOND;
 /// Maximum wait of a watch, as on the platform.
-const LONGEST_WATCH: Micros = 60 * SECOND;
+const MAX_WATCH_WAIT: Micros = 60 * SECOND;
 /// A watch continues for this long after a response, whether or not the next call arrives: changes
 /// in this time count as notified.
 const WATCH_GRACE: Micros = 200 * MILLI;
@@ -27,7 +27,7 @@
 const SILENT_CALL_GRACE: Micros = 6 * SECOND;
 /// ... or this long after the end of the call's wait, if that is later.
 const SILENT_WAIT_GRACE: Micros = 2 * SECOND;
-const JSON: &str = "Content-Type: application/json\r\n";
+const JSON_HEADER: &str = "Content-Type: application/json\r\n";
 
 /// A call's parameters.
 struct Call {
@@ -43,7 +43,8 @@
     fn new(message: &Message, at: Micros) -> Call {
         let parameter = |name: &str| {
             let mut parts = message.target().split(['?', '&']);
-            let found = parts.find_map(|part| part.strip_prefix(name)?.strip_prefix('='));
+            let found =
+                parts.find_map(|partial_response| partial_response.strip_prefix(name)?.strip_prefix('='));
             found.and_then(|value| value.parse::<u64>().ok())
         };
         let wait = parameter("wait").unwrap_or(0).saturating_mul(MILLI);
@@ -55,21 +56,21 @@
 #[derive(Clone, Copy)]
 struct WatchAnswer {
     version: u64,
-    called: Micros,
-    answered: Micros,
+    called_at: Micros,
+    answered_at: Micros,
     /// Number of calls that the proxy had made by the time of the response.
-    calls: usize,
+    call_count: usize,
 }
 
 /// How a connection continues after a call.
-enum Next {
+enum AfterCall {
     /// The connection continues. The response is given if the call was a watch.
-    Call(Option<WatchAnswer>),
+    Answered(Option<WatchAnswer>),
     /// The connection continues, and the previous response is kept: the call failed, which revokes
     /// no notification.
-    Unchanged,
+    Failed,
     /// The connection is closed.
-    End,
+    Close,
 }
 
 /// One proxy's connection to the list.
@@ -85,9 +86,9 @@
     loop {
         let Some(message) = serving.next_message(connection, last_answer).await else { return };
         match serving.serve_call(connection, &message).await {
-            Next::Call(answer) => last_answer = answer,
-            Next::Unchanged => {}
-            Next::End => return,
+            AfterCall::Answered(answer) => last_answer = answer,
+            AfterCall::Failed => {}
+            AfterCall::Close => return,
         }
     }
 }
@@ -112,7 +113,7 @@
         message.ok()
     }
 
-    async fn serve_call(&self, connection: &mut Connection, message: &Message) -> Next {
+    async fn serve_call(&self, connection: &mut Connection, message: &Message) -> AfterCall {
         let site = self.site;
         site.list_calls[self.proxy].fetch_add(1, Ordering::Relaxed);
         let call = Call::new(message, site.clock.now());
@@ -121,27 +122,27 @@
         }
         let Some(slot) = self.queue_slot(call.at) else {
             _ = connection.write(&[response_head(503, 0, "").as_bytes()]).await;
-            return Next::Call(None);
+            return AfterCall::Answered(None);
         };
         site.clock.sleep_until(slot).await;
         if connection.is_closed() {
             // The caller gave up before its turn: the call notifies the proxy of nothing.
-            return Next::End;
+            return AfterCall::Close;
         }
         let newer_exists = |index: u64| index < site.server_list.version(site.clock.now());
         if let Some(index) = call.index.filter(|index| !newer_exists(*index)) {
             if !self.wait(connection, &call, index).await {
-                return Next::End;
+                return AfterCall::Close;
             }
             if let Some(outage) = site.timelines.list_outage(site.clock.now()) {
                 return self.fail(connection, outage).await;
             }
         }
-        let Some(version) = self.answer(connection, &call).await else { return Next::End };
-        let answered = site.clock.now();
-        let calls = site.list_calls[self.proxy].load(Ordering::Relaxed);
-        let answer = WatchAnswer { version, called: call.at, answered, calls };
-        Next::Call(call.index.map(|_| answer))
+        let Some(version) = self.answer(connection, &call).await else { return AfterCall::Close };
+        let answered_at = site.clock.now();
+        let call_count = site.list_calls[self.proxy].load(Ordering::Relaxed);
+        let answer = WatchAnswer { version, called_at: call.at, answered_at, call_count };
+        AfterCall::Answered(call.index.map(|_| answer))
     }
 
     /// The time at which a call is answered, as calls are answered one at a time; `None` if it
@@ -161,14 +162,14 @@
     async fn wait(&self, connection: &mut Connection, call: &Call, index: u64) -> bool {
         let site = self.site;
         let newer = site.server_list.next_change(index).unwrap_or(Micros::MAX);
-        let outages = site.timelines.list_down.iter().map(|down| down.span.start);
-        let ends = outages.filter(|at| *at > call.at).min().unwrap_or(Micros::MAX);
-        let wait = call.wait.min(LONGEST_WATCH);
-        let until = newer.min(call.at + wait).min(ends);
+        let outages = site.timelines.list_outages.iter().map(|outage| outage.span.start);
+        let next_outage = outages.filter(|at| *at > call.at).min().unwrap_or(Micros::MAX);
+        let wait = call.wait.min(MAX_WATCH_WAIT);
+        let until = newer.min(call.at + wait).min(next_outage);
         let silent = site.timelines.list_silences.iter().find(|at| (call.at..until).contains(at));
         if let Some(from) = silent {
-            let counts_from = (from + SILENT_CALL_GRACE).max(call.at + wait + SILENT_WAIT_GRACE);
-            or(self.silent_call(call.at, index, counts_from), connection.wait_closed()).await;
+            let notified_from = (from + SILENT_CALL_GRACE).max(call.at + wait + SILENT_WAIT_GRACE);
+            or(self.silent_call(call.at, index, notified_from), connection.wait_closed()).await;
             return false;
         }
         let waited = async {
@@ -183,40 +184,40 @@
     }
 
     /// Fails a call in the way of an outage.
-    async fn fail(&self, connection: &mut Connection, outage: Outage) -> Next {
+    async fn fail(&self, connection: &mut Connection, outage: Outage) -> AfterCall {
         let clock = &self.site.clock;
         match outage {
-            Outage::Closes | Outage::Refuses => Next::End,
+            Outage::Closes | Outage::Refuses => AfterCall::Close,
             Outage::Unavailable | Outage::UnavailableLate => {
                 if outage == Outage::UnavailableLate {
                     clock.sleep_until(clock.now() + QUEUE_TIMEOUT).await;
                 }
                 let written = connection.write(&[response_head(503, 0, "").as_bytes()]).await;
-                if written.is_ok() { Next::Unchanged } else { Next::End }
+                if written.is_ok() { AfterCall::Failed } else { AfterCall::Close }
             }
             Outage::Silent => {
                 connection.wait_closed().await;
-                Next::End
+                AfterCall::Close
             }
             Outage::HalfAnswer => {
-                let part = response_head(200, 1000, JSON) + "{\"version\":";
-                _ = connection.write(&[part.as_bytes()]).await;
+                let partial_response = response_head(200, 1000, JSON_HEADER) + "{\"version\":";
+                _ = connection.write(&[partial_response.as_bytes()]).await;
                 connection.wait_closed().await;
-                Next::End
+                AfterCall::Close
             }
         }
     }
 
     /// Records the changes that a call misses because the list no longer answers it; they count as
     /// notified from the time `from`, at the earliest.
-    async fn silent_call(&self, called: Micros, index: u64, from: Micros) {
+    async fn silent_call(&self, called_at: Micros, index: u64, from: Micros) {
         let site = self.site;
         let mut version = index;
         while let Some(change) = site.server_list.next_change(version) {
             site.clock.sleep_until(change.max(from)).await;
             let now_version = site.server_list.version(site.clock.now());
             let changes = site.server_list.changes_since(version, now_version);
-            self.record_notified(called, &changes, site.clock.now());
+            self.record_notified(called_at, &changes, site.clock.now());
             version = now_version;
         }
         std::future::pending().await
@@ -229,24 +230,24 @@
     /// changes.
     async fn watch_grace(&self, answer: WatchAnswer) {
         let site = self.site;
-        let end = answer.answered + WATCH_GRACE;
+        let end = answer.answered_at + WATCH_GRACE;
         let mut version = answer.version;
         while let Some(change) = site.server_list.next_change(version).filter(|change| *change <= end) {
             site.clock.sleep_until(change).await;
-            if site.list_calls[self.proxy].load(Ordering::Relaxed) != answer.calls {
+            if site.list_calls[self.proxy].load(Ordering::Relaxed) != answer.call_count {
                 return;
             }
             let next = site.server_list.version(change);
-            self.record_notified(answer.called, &site.server_list.changes_since(version, next), change);
+            self.record_notified(answer.called_at, &site.server_list.changes_since(version, next), change);
             version = next;
         }
     }
 
     /// Records entries as notified to a proxy at that time, unless the process that called has
     /// ended since: what is written to it is not read.
-    fn record_notified(&self, called: Micros, entries: &[ListedServer], at: Micros) {
+    fn record_notified(&self, called_at: Micros, entries: &[ListedServer], at: Micros) {
         let site = self.site;
-        if site.evidence.ended_since(self.proxy, called) {
+        if site.evidence.ended_since(self.proxy, called_at) {
             return;
         }
         for entry in entries.iter().filter(|entry| entry.server < site.origin()) {
@@ -260,8 +261,8 @@
     async fn answer(&self, connection: &Connection, call: &Call) -> Option<u64> {
         let site = self.site;
         let now = site.clock.now();
-        let stale = site.timelines.list_old.iter().any(|span| span.contains(&now));
-        let version = site.server_list.version(if stale { now.saturating_sub(STALE_BY) } else { now });
+        let stale = site.timelines.stale_list_spans.iter().any(|span| span.contains(&now));
+        let version = site.server_list.version(if stale { now.saturating_sub(STALE_AGE) } else { now });
         let full = stale || call.index.is_none_or(|index| index > version);
         let entries = match call.index {
             Some(index) if !full => site.server_list.changes_since(index, version),
@@ -269,7 +270,7 @@
         };
         let servers: Vec<_> = entries.iter().map(|entry| site.list_entry(self.proxy, entry)).collect();
         let text = json!({"version": version, "full": full, "servers": servers}).to_string();
-        let head = response_head(200, text.len(), JSON);
+        let head = response_head(200, text.len(), JSON_HEADER);
         connection.write(&[head.as_bytes(), text.as_bytes()]).await.ok()?;
         if stale {
             // A stale response notifies the proxy of nothing new and revokes no earlier
@@ -279,14 +280,14 @@
         let now = site.clock.now();
         self.record_notified(call.at, &entries, now);
         if full {
-            self.record_notified(call.at, &missing(&entries, site.origin()), now);
+            self.record_notified(call.at, &missing_servers(&entries, site.origin()), now);
         }
         Some(version)
     }
 }
 
 /// The servers that are missing from the whole list, as entries that say that they are gone.
-fn missing(entries: &[ListedServer], servers: usize) -> Vec<ListedServer> {
+fn missing_servers(entries: &[ListedServer], servers: usize) -> Vec<ListedServer> {
     (0..servers)
         .filter(|server| !entries.iter().any(|entry| entry.server == *server))
         .map(|server| ListedServer { server, status: EndpointStatus::Gone, started: 0 })
--- a/crates/testbed/src/stand_ins/listener.rs
+++ b/crates/testbed/src/stand_ins/listener.rs
@@ -18,10 +18,10 @@
 /// Length of the listen queue. After a restart, all proxies connect at once.
 const BACKLOG: i32 = 1024;
 /// Pause after a failure before an address is bound, or a connection accepted, again.
-const RETRY_AFTER: Duration = Duration::from_millis(5);
+const RETRY_PAUSE: Duration = Duration::from_millis(5);
 /// Number of connections that fill a listen queue of length 0: Linux accepts one, and a second one
 /// fills the queue.
-const FILLING_CONNECTIONS: usize = 2;
+const BACKLOG_FILL_CONNECTIONS: usize = 2;
 
 impl Site {
     /// Binds every address that proxies connect to, and serves connections on them.
@@ -33,9 +33,9 @@
                 let listener = listen(addr)?;
                 // A weak reference, because the executor owns this task: a strong one would keep it
                 // alive forever.
-                let listening =
-                    Listening { site: self.clone(), executor: Arc::downgrade(executor), link, addr };
-                executor.spawn(listening.run(listener)).detach();
+                let peer_listener =
+                    PeerListener { site: self.clone(), executor: Arc::downgrade(executor), link, addr };
+                executor.spawn(peer_listener.run(listener)).detach();
             }
         }
         Ok(())
@@ -49,7 +49,7 @@
 }
 
 /// Waits until a point in time; `Micros::MAX` waits forever.
-async fn until_or_forever(clock: &Clock, until: Micros) {
+async fn wait_until(clock: &Clock, until: Micros) {
     match until {
         Micros::MAX => std::future::pending().await,
         until => clock.sleep_until(until).await,
@@ -57,14 +57,14 @@
 }
 
 /// The listener of one peer for one proxy.
-struct Listening {
+struct PeerListener {
     site: Arc<Site>,
     executor: Weak<Executor<'static>>,
     link: Link,
     addr: SocketAddr,
 }
 
-impl Listening {
+impl PeerListener {
     /// Accepts connections while the peer is up, refuses them while its process is gone, and lets
     /// none be established while it is silent.
     async fn run(self, listener: Async<TcpListener>) {
@@ -73,30 +73,30 @@
             let (reachability, until) = self.site.reachability(self.link);
             if reachability == Reachability::Refused {
                 bound = None;
-                until_or_forever(&self.site.clock, until).await;
+                wait_until(&self.site.clock, until).await;
                 continue;
             }
             let listener = match bound.take().map_or_else(|| listen(self.addr), Ok) {
                 Ok(listener) => listener,
                 // The address has not been released yet.
                 Err(_) => {
-                    smol::Timer::after(RETRY_AFTER).await;
+                    smol::Timer::after(RETRY_PAUSE).await;
                     continue;
                 }
             };
             if reachability == Reachability::Silent {
                 self.stay_silent(&listener, until).await;
             } else {
-                or(self.accept(&listener, until), until_or_forever(&self.site.clock, until)).await;
+                or(self.accept(&listener, until), wait_until(&self.site.clock, until)).await;
             }
             bound = Some(listener);
         }
     }
 
     async fn stay_silent(&self, listener: &Async<TcpListener>, until: Micros) {
-        let filling = fill_backlog(listener, self.addr);
-        until_or_forever(&self.site.clock, until).await;
-        drop(filling);
+        let backlog_connections = fill_backlog(listener, self.addr);
+        wait_until(&self.site.clock, until).await;
+        drop(backlog_connections);
         // Connections that were queued in the meantime are reset, because the machine that returns
         // knows nothing of them.
         while let Ok((stream, _)) = listener.get_ref().accept() {
@@ -108,7 +108,7 @@
     async fn accept(&self, listener: &Async<TcpListener>, until: Micros) {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                smol::Timer::after(RETRY_AFTER).await;
+                smol::Timer::after(RETRY_PAUSE).await;
                 continue;
             };
             let Some(executor) = self.executor.upgrade() else { return };
@@ -136,7 +136,7 @@
         _ = socket.connect(&addr.into());
         Some(socket)
     };
-    (0..FILLING_CONNECTIONS).filter_map(connect).collect()
+    (0..BACKLOG_FILL_CONNECTIONS).filter_map(connect).collect()
 }
 
 /// Runs a future until it ends or a point in time is reached. Returns whether the future ended.
@@ -145,11 +145,11 @@
         serving.await;
         true
     };
-    let gone = async {
-        until_or_forever(clock, until).await;
+    let timed_out = async {
+        wait_until(clock, until).await;
         false
     };
-    or(served, gone).await
+    or(served, timed_out).await
 }
 
 /// Serves a connection until it ends or the peer is no longer up.
@@ -207,6 +207,6 @@
     // While the peer is silent, the future is not polled, so the connection is silent. The
     // connection is reset when the future is dropped at the end of this function.
     while let (Reachability::Silent, until) = site.reachability(link) {
-        until_or_forever(&site.clock, until).await;
+        wait_until(&site.clock, until).await;
     }
 }
--- a/crates/testbed/src/stand_ins/mod.rs
+++ b/crates/testbed/src/stand_ins/mod.rs
@@ -78,7 +78,7 @@
     /// The servers that missed for a request, until the origin has answered it.
     missed: Mutex<HashMap<Id, Vec<MissedAt>>>,
     /// When the effect of a tagged request was applied.
-    tags: Mutex<HashMap<TagKey, Micros>>,
+    tagged_effects: Mutex<HashMap<TagKey, Micros>>,
     /// The time from which the list can answer another call.
     list_free_at: Mutex<Micros>,
     /// Number of calls that each proxy has made to the list.
@@ -94,14 +94,15 @@
     let world = &experiment.world;
     ServerSpec {
         cores: world.cores,
-        queue: world.queue,
-        values: world.values,
+        max_queued: world.queue,
+        max_values: world.values,
         slow_start_share: world.slow_start_share,
         slow_start: micros(world.slow_start_s),
         collapse_multiple: world.collapse_multiple,
         collapse_window: micros(world.collapse_window_s),
         // Servers that speak RESP have the value of every key that is requested.
-        through: world.cache_mode() == CacheMode::Through || experiment.fleet.protocol() == Protocol::Resp,
+        read_through: world.cache_mode() == CacheMode::Through
+            || experiment.fleet.protocol() == Protocol::Resp,
     }
 }
 
@@ -129,7 +130,7 @@
             connections: (0..=world.servers).map(|_| AtomicUsize::new(0)).collect(),
             origin: Mutex::new(origin),
             missed: Mutex::default(),
-            tags: Mutex::default(),
+            tagged_effects: Mutex::default(),
             list_free_at: Mutex::default(),
             list_calls: (0..experiment.fleet.proxies).map(|_| AtomicUsize::new(0)).collect(),
             random: Mutex::new(ChaCha8Rng::seed_from_u64(experiment.seed)),
@@ -153,13 +154,13 @@
         self.experiment.world.zones.len()
     }
 
-    fn draw_luck(&self) -> f64 {
+    fn draw_sample(&self) -> f64 {
         lock(&self.random).random()
     }
 
     /// Draws the work of a request, evenly distributed around its class's mean.
     fn draw_work(&self, mean_ms: f64) -> Micros {
-        (mean_ms * MILLI as f64 * (1.0 - WORK_SPREAD + 2.0 * WORK_SPREAD * self.draw_luck())) as Micros
+        (mean_ms * MILLI as f64 * (1.0 - WORK_SPREAD + 2.0 * WORK_SPREAD * self.draw_sample())) as Micros
     }
 }
 
@@ -167,12 +168,12 @@
 struct ConnectionCount<'a> {
     counter: &'a AtomicUsize,
     /// Number of open connections before this one.
-    before: usize,
+    open_before: usize,
 }
 
 impl ConnectionCount<'_> {
     fn new(counter: &AtomicUsize) -> ConnectionCount<'_> {
-        ConnectionCount { counter, before: counter.fetch_add(1, Ordering::Relaxed) }
+        ConnectionCount { counter, open_before: counter.fetch_add(1, Ordering::Relaxed) }
     }
 }
 
--- a/crates/testbed/src/stand_ins/peer.rs
+++ b/crates/testbed/src/stand_ins/peer.rs
@@ -65,7 +65,7 @@
     fn list_reachability(&self, zone: usize, now: Micros) -> (Reachability, Micros) {
         let (reachability, until) = self.timelines.origin_reachability(zone, now);
         let refuses = |down: &&ListOutage| down.outage == Outage::Refuses;
-        let spans = self.timelines.list_down.iter().filter(refuses).map(|down| &down.span);
+        let spans = self.timelines.list_outages.iter().filter(refuses).map(|down| &down.span);
         let transitions = spans.clone().flat_map(|span| [span.start, span.end]);
         let next = transitions.filter(|at| *at > now).min().unwrap_or(Micros::MAX);
         let is_down = spans.clone().any(|span| span.contains(&now));
--- a/crates/testbed/src/stand_ins/resp.rs
+++ b/crates/testbed/src/stand_ins/resp.rs
@@ -7,7 +7,7 @@
 use super::{ConnectionCount, Site};
 use crate::clock::{MILLI, Micros};
 use crate::evidence::{ClientRequest, EventKind, Id};
-use crate::model::cluster::{Command, CommandOutcome, RANKS};
+use crate::model::cluster::{Command, CommandOutcome, RANK_COUNT};
 use crate::model::server::{PlannedReply, Reply};
 use crate::resp::{Arguments, bulk, read_command, slot};
 use crate::wire::Connection;
@@ -17,7 +17,7 @@
 /// Multiplier that spreads keys evenly over the ranks in which they migrate: 2^64 divided by the
 /// golden ratio.
 const RANK_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
-const LOADING: &[u8] = b"-LOADING the data set is loaded\r\n";
+const LOADING_ERROR: &[u8] = b"-LOADING the data set is loaded\r\n";
 
 /// The contents of a key of the testbed: `namespace:{kN}:ID:FIRST`.
 struct RequestKey {
@@ -30,9 +30,9 @@
     fn parse(text: &[u8]) -> Option<RequestKey> {
         let text = std::str::from_utf8(text).ok()?;
         let mut parts = text.rsplit(':');
-        let first = parts.next()?;
+        let first_try = parts.next()?;
         let id = parts.next()?;
-        Some(RequestKey { id: Id::from_str_radix(id, 16).ok()?, tag: first.as_bytes().to_vec() })
+        Some(RequestKey { id: Id::from_str_radix(id, 16).ok()?, tag: first_try.as_bytes().to_vec() })
     }
 }
 
@@ -66,8 +66,8 @@
     async fn serve_next(&mut self, connection: &mut Connection) -> Option<()> {
         let arguments = read_command(connection).await.ok()?;
         let started = self.site.clock.now();
-        let first = arguments.first().map_or(&[][..], Vec::as_slice);
-        let name = String::from_utf8_lossy(first).to_uppercase();
+        let command_name = arguments.first().map_or(&[][..], Vec::as_slice);
+        let name = String::from_utf8_lossy(command_name).to_uppercase();
         if let Some(answer) = self.answer_without_key(&name, started).await {
             return connection.write(&[&answer]).await.ok();
         }
@@ -94,7 +94,7 @@
                 let done = site.timelines.servers[self.server].speed.completion(now, HEALTH_CHECK_WORK);
                 site.clock.sleep_until(done).await;
                 let loading = site.cluster.is_loading(self.server, done);
-                Some(if loading { LOADING.to_vec() } else { b"+PONG\r\n".to_vec() })
+                Some(if loading { LOADING_ERROR.to_vec() } else { b"+PONG\r\n".to_vec() })
             }
             "ASKING" => {
                 self.asking = true;
@@ -142,7 +142,7 @@
         let server = self.server as u16;
         self.record_at(now, command.key.id, EventKind::AttemptReceived { server, write });
         if let Some((reply, answer)) = self.refusal(command, write, now) {
-            return (PlannedReply::plain(reply, now), answer);
+            return (PlannedReply::no_effect(reply, now), answer);
         }
         let plan = self.site.decide(&Attempt {
             server: self.server,
@@ -159,11 +159,11 @@
     /// The answer of a server that does not hold the key, or does not hold it yet.
     fn refusal(&mut self, command: &KeyCommand, write: bool, now: Micros) -> Option<(Reply, Vec<u8>)> {
         let slot = command.slot;
-        let rank = (command.request.key.wrapping_mul(RANK_FACTOR) >> 32) % RANKS;
+        let rank = (command.request.key.wrapping_mul(RANK_FACTOR) >> 32) % RANK_COUNT;
         let asking = std::mem::take(&mut self.asking);
         let on_slot = Command { slot, rank, asking, readonly: self.readonly, write };
         let (reply, answer) = match self.site.cluster.handle(self.server, now, on_slot) {
-            CommandOutcome::Serves => return None,
+            CommandOutcome::Execute => return None,
             CommandOutcome::Moved(to) => {
                 (Reply::Miss, format!("-MOVED {slot} {}\r\n", self.address(to)).into_bytes())
             }
@@ -171,7 +171,7 @@
                 (Reply::Miss, format!("-ASK {slot} {}\r\n", self.address(to)).into_bytes())
             }
             CommandOutcome::TryAgain => (Reply::Unprocessed, b"-TRYAGAIN the key is on its way\r\n".to_vec()),
-            CommandOutcome::Loading => (Reply::Unprocessed, LOADING.to_vec()),
+            CommandOutcome::Loading => (Reply::Unprocessed, LOADING_ERROR.to_vec()),
         };
         Some((reply, answer))
     }
--- a/crates/testbed/src/stand_ins/server.rs
+++ b/crates/testbed/src/stand_ins/server.rs
@@ -18,7 +18,7 @@
 /// Bytes that are sent in place of a response and are no valid response.
 const GARBAGE: &[u8] = b"HTP/7.1 OK 200\x00\x01\r\n\r\n";
 /// Number of bytes of the value that follow the garbage.
-const GARBAGE_VALUE: usize = 32;
+const GARBAGE_VALUE_BYTES: usize = 32;
 
 /// The server's end of a connection from a proxy.
 struct ServerConnection<'a> {
@@ -28,7 +28,7 @@
     /// Whether the server's connection limit was reached before this connection.
     over_limit: bool,
     /// Whether no attempt has been received on the connection yet.
-    is_first: bool,
+    is_first_attempt: bool,
 }
 
 /// Serves attempts on a connection until it ends.
@@ -36,14 +36,14 @@
     let world = &site.experiment.world;
     let limit = if server == site.origin() { world.origin_connections } else { world.connections };
     let count = ConnectionCount::new(&site.connections[server]);
-    let over_limit = count.before >= limit;
-    let mut serving = ServerConnection { site, server, proxy, over_limit, is_first: true };
+    let over_limit = count.open_before >= limit;
+    let mut serving = ServerConnection { site, server, proxy, over_limit, is_first_attempt: true };
     while serving.serve_next(connection).await.is_some() {}
 }
 
 /// Waits until the planned reply is due. Returns false if the peer closes the connection first.
 pub(super) async fn wait_until_due(site: &Site, connection: &mut Connection, plan: &PlannedReply) -> bool {
-    let waited = async {
+    let due = async {
         match plan.reply {
             Reply::Silence => std::future::pending().await,
             _ => site.clock.sleep_until(plan.at).await,
@@ -54,7 +54,7 @@
         connection.wait_closed().await;
         false
     };
-    or(waited, closed).await
+    or(due, closed).await
 }
 
 /// Whether the connection is closed after a reply. If it ends with a reset, this prepares the
@@ -66,8 +66,13 @@
     matches!(plan.reply, Reply::Reset | Reply::Truncated | Reply::Garbage)
 }
 
-async fn respond(connection: &Connection, status: u16, extra: &str, body: &[u8]) -> std::io::Result<()> {
-    connection.write(&[response_head(status, body.len(), extra).as_bytes(), body]).await
+async fn respond(
+    connection: &Connection,
+    status: u16,
+    extra_lines: &str,
+    body: &[u8],
+) -> std::io::Result<()> {
+    connection.write(&[response_head(status, body.len(), extra_lines).as_bytes(), body]).await
 }
 
 impl ServerConnection<'_> {
@@ -104,11 +109,11 @@
             return Some(());
         }
         let idle = Duration::from_secs_f64(self.site.experiment.world.idle_s);
-        let idled = async {
+        let idle_timeout = async {
             Timer::after(idle).await;
             Ok(0)
         };
-        matches!(or(connection.fill(), idled).await, Ok(1..)).then_some(())
+        matches!(or(connection.fill(), idle_timeout).await, Ok(1..)).then_some(())
     }
 
     async fn answer_health_check(&self, connection: &Connection) -> Option<()> {
@@ -140,12 +145,12 @@
         let write = message.method() == "PUT";
         self.record_at(now, id, EventKind::AttemptReceived { server: server as u16, write });
         let mut plan = if self.over_limit {
-            PlannedReply::plain(Reply::Unprocessed, now)
+            PlannedReply::no_effect(Reply::Unprocessed, now)
         } else {
             let tag = message.field("Idempotency-Key").map(str::as_bytes);
             self.site.decide(&Attempt { server, proxy: self.proxy, now, id, request, write, tag })
         };
-        if std::mem::take(&mut self.is_first) {
+        if std::mem::take(&mut self.is_first_attempt) {
             let handshake = micros(self.site.experiment.world.handshake_ms / 1e3);
             plan.at = plan.at.saturating_add(handshake);
         }
@@ -207,7 +212,7 @@
                 let head = response_head(200, value.len(), HIT);
                 connection.write(&[head.as_bytes(), &value[..value.len() / 2]]).await
             }
-            Reply::Garbage => connection.write(&[GARBAGE, &value()[..GARBAGE_VALUE]]).await,
+            Reply::Garbage => connection.write(&[GARBAGE, &value()[..GARBAGE_VALUE_BYTES]]).await,
             Reply::Silence | Reply::Reset => Ok(()),
         }
     }
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -9,25 +9,25 @@
 use std::ops::Range;
 
 /// Maximum message length in bytes: no experiment has longer values.
-const MAX_MESSAGE: usize = 4 << 20;
+const MAX_MESSAGE_BYTES: usize = 4 << 20;
 /// Maximum number of header fields: a proxy sends a dozen.
 const MAX_FIELDS: usize = 48;
 /// Maximum length of a message head in bytes.
-const MAX_HEAD: usize = 64 << 10;
+const MAX_HEAD_BYTES: usize = 64 << 10;
 /// Minimum number of bytes that a read asks for.
-const MIN_READ: usize = 4096;
+const MIN_READ_BYTES: usize = 4096;
 
 /// Why a message could not be read.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
     /// The connection was closed between two messages.
-    #[error("the connection was closed")]
+    #[error("the connection was closed between two messages")]
     Closed,
     /// The connection was closed or failed within a message.
-    #[error("the connection broke within a message")]
+    #[error("the connection was closed or failed within a message")]
     Truncated,
     /// The bytes received are not a valid message.
-    #[error("malformed message")]
+    #[error("the received bytes are not a valid message")]
     Malformed,
 }
 
@@ -69,8 +69,8 @@
 
     /// A header field's value.
     pub fn field(&self, name: &str) -> Option<&str> {
-        let named = |field: &&Field| self.text(&field.name).eq_ignore_ascii_case(name);
-        self.fields.iter().find(named).map(|field| self.text(&field.value).trim())
+        let has_name = |field: &&Field| self.text(&field.name).eq_ignore_ascii_case(name);
+        self.fields.iter().find(has_name).map(|field| self.text(&field.value).trim())
     }
 
     /// The body.
@@ -120,7 +120,7 @@
     };
     let length = match parsed {
         Ok(httparse::Status::Complete(length)) => length,
-        Ok(httparse::Status::Partial) if buffer.len() < MAX_HEAD => return Ok(None),
+        Ok(httparse::Status::Partial) if buffer.len() < MAX_HEAD_BYTES => return Ok(None),
         _ => return Err(ReadError::Malformed),
     };
     let mut body_length = 0;
@@ -140,7 +140,7 @@
 
 fn content_length(value: &[u8]) -> Result<usize, ReadError> {
     let length = std::str::from_utf8(value).ok().and_then(|text| text.trim().parse().ok());
-    length.filter(|length| *length <= MAX_MESSAGE).ok_or(ReadError::Malformed)
+    length.filter(|length| *length <= MAX_MESSAGE_BYTES).ok_or(ReadError::Malformed)
 }
 
 /// A connection and the bytes that were read from it ahead.
@@ -164,14 +164,14 @@
     /// that is dropped while it waits has read nothing.
     pub async fn fill(&mut self) -> io::Result<usize> {
         loop {
-            let old = self.buffered.len();
-            self.buffered.resize(old + MIN_READ.max(old), 0);
-            let got = self.stream.get_ref().read(&mut self.buffered[old..]);
-            self.buffered.truncate(old + got.as_ref().copied().unwrap_or(0));
-            match got {
+            let old_length = self.buffered.len();
+            self.buffered.resize(old_length + MIN_READ_BYTES.max(old_length), 0);
+            let result = self.stream.get_ref().read(&mut self.buffered[old_length..]);
+            self.buffered.truncate(old_length + result.as_ref().copied().unwrap_or(0));
+            match result {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => self.stream.readable().await?,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                got => return got,
+                result => return result,
             }
         }
     }
@@ -222,29 +222,29 @@
     /// Writes all parts with vectored writes.
     pub async fn write(&self, parts: &[&[u8]]) -> io::Result<()> {
         let mut slices: Vec<IoSlice> =
-            parts.iter().filter(|p| !p.is_empty()).map(|p| IoSlice::new(p)).collect();
-        let mut left = &mut slices[..];
-        while !left.is_empty() {
-            let wrote = match self.stream.get_ref().write_vectored(left) {
+            parts.iter().filter(|part| !part.is_empty()).map(|part| IoSlice::new(part)).collect();
+        let mut remaining = &mut slices[..];
+        while !remaining.is_empty() {
+            let written = match self.stream.get_ref().write_vectored(remaining) {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                     self.stream.writable().await?;
                     continue;
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
-                wrote => wrote?,
+                written => written?,
             };
-            if wrote == 0 {
+            if written == 0 {
                 return Err(io::ErrorKind::WriteZero.into());
             }
-            IoSlice::advance_slices(&mut left, wrote);
+            IoSlice::advance_slices(&mut remaining, written);
         }
         Ok(())
     }
 
     /// Whether nothing is to be read: neither unexpected bytes nor the end of the stream.
     pub fn is_idle(&self) -> bool {
-        let nothing = |e: &io::Error| e.kind() == io::ErrorKind::WouldBlock;
-        self.buffered.is_empty() && self.stream.get_ref().peek(&mut [0]).is_err_and(|e| nothing(&e))
+        let would_block = |e: &io::Error| e.kind() == io::ErrorKind::WouldBlock;
+        self.buffered.is_empty() && self.stream.get_ref().peek(&mut [0]).is_err_and(|e| would_block(&e))
     }
 
     /// Closes the connection with a reset, even if bytes are still to be read or written.
@@ -254,8 +254,8 @@
 
     /// Whether the peer has closed the connection and no bytes are left to be read.
     pub fn is_closed(&self) -> bool {
-        let mut one = [0];
-        match self.stream.get_ref().peek(&mut one) {
+        let mut byte = [0];
+        match self.stream.get_ref().peek(&mut byte) {
             Ok(count) => count == 0,
             Err(e) => e.kind() != io::ErrorKind::WouldBlock,
         }
@@ -265,15 +265,15 @@
     /// stay in `buffered`.
     pub async fn wait_closed(&mut self) {
         while matches!(self.fill().await, Ok(1..)) {
-            if self.buffered.len() > MAX_MESSAGE {
+            if self.buffered.len() > MAX_MESSAGE_BYTES {
                 return;
             }
         }
     }
 }
 
-/// Encodes the head of a response; each line in `extra` ends with a line break.
-pub fn response_head(status: u16, length: usize, extra: &str) -> String {
+/// Encodes the head of a response; each line in `extra_lines` ends with a line break.
+pub fn response_head(status: u16, length: usize, extra_lines: &str) -> String {
     let reason = match status {
         200 => "OK",
         400 => "Bad Request",
@@ -282,5 +282,5 @@
         503 => "Service Unavailable",
         _ => "Said",
     };
-    format!("HTTP/1.1 {status} {reason}\r\nContent-Length: {length}\r\n{extra}\r\n")
+    format!("HTTP/1.1 {status} {reason}\r\nContent-Length: {length}\r\n{extra_lines}\r\n")
 }
--- a/crates/testbed/tests/models/cluster.rs
+++ b/crates/testbed/tests/models/cluster.rs
@@ -5,45 +5,45 @@
 use chalkwalk_testbed::model::cluster::{Cluster, Command, CommandOutcome};
 
 #[test]
-fn slots_move_replicas_take_over_and_a_stale_map_shows_the_past() {
+fn slots_migrate_replicas_take_over_and_a_stale_map_is_outdated() {
     let text = "title='t'\nseconds=40\nworld={caches=4}\nfleet={door='resp'}\nload={rate=1}\n[[namespace]]\nname='a'\ntarget_ms=9\n\
         limit_ms=10\nwork_ms=1\n[[trouble]]\nkind='slots-move'\nat=2\nfor=2\nevery=2\n[[trouble]]\nkind='failover'\nat=10\n\
         down=5\ncaches=[0]\n[[trouble]]\nkind='old-map'\nat=20\nfor=5\nby=15\ncaches=[1]";
-    let all = Cluster::new(&Experiment::read(text).unwrap());
+    let cluster = Cluster::new(&Experiment::read(text).unwrap());
     let command = |rank| Command { slot: 5, rank, ..Command::default() };
-    let at = |server, s: f64, command| all.handle(server, micros(s), command);
+    let handle = |server, s: f64, command| cluster.handle(server, micros(s), command);
     assert_eq!(
-        (at(0, 1.0, command(0)), at(1, 1.0, command(0))),
-        (CommandOutcome::Serves, CommandOutcome::Moved(0))
+        (handle(0, 1.0, command(0)), handle(1, 1.0, command(0))),
+        (CommandOutcome::Execute, CommandOutcome::Moved(0))
     );
     assert_eq!(
-        (at(0, 2.8, command(100)), at(0, 2.8, command(900))),
-        (CommandOutcome::Ask(1), CommandOutcome::Serves)
+        (handle(0, 2.8, command(100)), handle(0, 2.8, command(900))),
+        (CommandOutcome::Ask(1), CommandOutcome::Execute)
     );
     let asking = Command { asking: true, ..command(100) };
     assert_eq!(
-        (at(1, 2.8, asking), at(1, 2.8, command(100))),
-        (CommandOutcome::Serves, CommandOutcome::Moved(0))
+        (handle(1, 2.8, asking), handle(1, 2.8, command(100))),
+        (CommandOutcome::Execute, CommandOutcome::Moved(0))
     );
     assert_eq!(
-        (at(1, 3.7, command(900)), at(0, 3.7, command(0))),
-        (CommandOutcome::Serves, CommandOutcome::Moved(1))
+        (handle(1, 3.7, command(900)), handle(0, 3.7, command(0))),
+        (CommandOutcome::Execute, CommandOutcome::Moved(1))
     );
     // Block 1 belongs to node 0 at first; node 0's replica is node 3.
     let other = Command { slot: 300, ..Command::default() };
     assert_eq!(
-        (at(3, 9.0, other), at(3, 9.0, Command { readonly: true, ..other })),
-        (CommandOutcome::Moved(0), CommandOutcome::Serves)
+        (handle(3, 9.0, other), handle(3, 9.0, Command { readonly: true, ..other })),
+        (CommandOutcome::Moved(0), CommandOutcome::Execute)
     );
     assert_eq!(
-        (at(3, 10.9, other), at(0, 15.5, other), at(0, 16.5, other)),
-        (CommandOutcome::Serves, CommandOutcome::Loading, CommandOutcome::Moved(3))
+        (handle(3, 10.9, other), handle(0, 15.5, other), handle(0, 16.5, other)),
+        (CommandOutcome::Execute, CommandOutcome::Loading, CommandOutcome::Moved(3))
     );
     assert_eq!(
-        (at(1, 21.0, other), at(1, 26.0, other)),
+        (handle(1, 21.0, other), handle(1, 26.0, other)),
         (CommandOutcome::Moved(0), CommandOutcome::Moved(3))
     );
-    let nodes = all.nodes(2, micros(11.0), 4, |n| format!("h:{n}"));
+    let nodes = cluster.nodes(2, micros(11.0), 4, |n| format!("h:{n}"));
     let heads: Vec<&str> = nodes.lines().map(|l| l.split(" connected").next().unwrap()).collect();
     assert_eq!(
         heads,
--- a/crates/testbed/tests/models/server.rs
+++ b/crates/testbed/tests/models/server.rs
@@ -7,26 +7,27 @@
 fn spec() -> ServerSpec {
     ServerSpec {
         cores: 2,
-        queue: 2,
-        values: 2,
+        max_queued: 2,
+        max_values: 2,
         slow_start_share: 0.2,
         slow_start: 10 * SECOND,
         collapse_multiple: 2.0,
         collapse_window: SECOND,
-        through: false,
+        read_through: false,
     }
 }
 
 fn timeline() -> ServerTimeline {
-    let incarnations = vec![Incarnation { started: 0, ended: Micros::MAX, after: Reachability::Refused }];
+    let incarnations =
+        vec![Incarnation { started: 0, ended: Micros::MAX, reachability_after: Reachability::Refused }];
     ServerTimeline { incarnations, ..ServerTimeline::default() }
 }
 
 fn attempt(key: u64) -> AttemptInput {
-    AttemptInput { key, write: false, work: 10 * MILLI, luck: 0.5 }
+    AttemptInput { key, write: false, work: 10 * MILLI, sample: 0.5 }
 }
 
-fn nobody(_: Micros) -> Option<Micros> {
+fn failing_origin(_: Micros) -> Option<Micros> {
     None
 }
 
@@ -34,29 +35,33 @@
 fn values_stored_last_are_hits_and_the_rest_and_writes_are_misses() {
     let (mut server, timeline) = (ServerModel::new(spec(), 0), timeline());
     [1, 2, 3].into_iter().for_each(|key| server.store(key));
-    let mut reply = |now, a| server.handle(now, a, &timeline, nobody).reply;
+    let mut reply = |now, attempt| server.handle(now, attempt, &timeline, failing_origin).reply;
     let write = AttemptInput { write: true, ..attempt(3) };
-    let replies = [(0, attempt(1)), (0, attempt(3)), (20_000, write)].map(|(now, a)| reply(now, a));
+    let replies =
+        [(0, attempt(1)), (0, attempt(3)), (20_000, write)].map(|(now, attempt)| reply(now, attempt));
     assert_eq!(replies, [Reply::Miss, Reply::Hit, Reply::Miss]);
 }
 
 #[test]
-fn a_full_queue_refuses_unprocessed() {
+fn a_full_queue_rejects_without_processing() {
     let (mut server, timeline) = (ServerModel::new(spec(), 0), timeline());
     server.store(1);
-    let plans = [(); 5].map(|()| server.handle(0, attempt(1), &timeline, nobody));
-    assert_eq!(plans.map(|p| p.reply), [Reply::Hit, Reply::Hit, Reply::Hit, Reply::Hit, Reply::Unprocessed]);
+    let plans = [(); 5].map(|()| server.handle(0, attempt(1), &timeline, failing_origin));
+    assert_eq!(
+        plans.map(|plan| plan.reply),
+        [Reply::Hit, Reply::Hit, Reply::Hit, Reply::Hit, Reply::Unprocessed]
+    );
     assert!(!plans[4].takes_effect && plans[3].at == 20 * MILLI);
 }
 
 #[test]
-fn a_server_in_slow_start_collapses_under_load_that_a_warm_one_bears() {
+fn a_server_in_slow_start_collapses_under_load_that_a_warm_server_sustains() {
     let timeline = timeline();
     let collapsed = [SECOND, 0].map(|started| {
         let mut server = ServerModel::new(spec(), started);
         // The budget is twice a fifth of two cores, 0.8 s of work per second, plus 80 ms as
         // tolerance for random arrivals.
-        (0..100).position(|i| server.handle(SECOND + i, attempt(1), &timeline, nobody).collapses)
+        (0..100).position(|i| server.handle(SECOND + i, attempt(1), &timeline, failing_origin).collapses)
     });
     assert_eq!(collapsed, [Some(88), None]);
 }
@@ -64,7 +69,7 @@
 #[test]
 fn read_through_servers_fetch_and_cache_or_fail_with_the_origin() {
     let timeline = timeline();
-    let mut server = ServerModel::new(ServerSpec { through: true, ..spec() }, 0);
+    let mut server = ServerModel::new(ServerSpec { read_through: true, ..spec() }, 0);
     let replies =
         [None, Some(90_000), None].map(|fetched| server.handle(0, attempt(1), &timeline, |_| fetched).reply);
     assert_eq!(replies, [Reply::Error, Reply::Fetched, Reply::Hit]);
@@ -75,6 +80,6 @@
     let (mut server, mut timeline) = (ServerModel::new(spec(), 0), timeline());
     timeline.purges = vec![500];
     server.store(1);
-    let replies = [0, 600].map(|now| server.handle(now, attempt(1), &timeline, nobody).reply);
+    let replies = [0, 600].map(|now| server.handle(now, attempt(1), &timeline, failing_origin).reply);
     assert_eq!(replies, [Reply::Hit, Reply::Miss]);
 }
--- a/crates/testbed/tests/models/server_list.rs
+++ b/crates/testbed/tests/models/server_list.rs
@@ -4,7 +4,7 @@
 use chalkwalk_testbed::model::timeline::{EndpointStatus, ListUpdate};
 
 #[test]
-fn the_snapshot_and_the_changes_agree() {
+fn snapshots_and_changes_agree() {
     let update = |published, server, status, started| ListUpdate { published, server, status, started };
     let updates = vec![
         update(5, 0, EndpointStatus::Draining, 0),
--- a/crates/testbed/tests/models/speed.rs
+++ b/crates/testbed/tests/models/speed.rs
@@ -8,9 +8,9 @@
     let mut speed = SpeedProfile::default();
     speed.scale(100..200, 0.0);
     speed.scale(300..Micros::MAX, 0.5);
-    let ends =
+    let completions =
         [(0, 50), (50, 100), (150, 10), (250, 100), (400, 10)].map(|(at, work)| speed.completion(at, work));
-    assert_eq!(ends, [50, 250, 210, 400, 420]);
+    assert_eq!(completions, [50, 250, 210, 400, 420]);
     speed.scale(500..Micros::MAX, 0.0);
     assert_eq!(speed.completion(490, 100), Micros::MAX);
 }
@@ -34,7 +34,8 @@
 
 #[test]
 fn recent_work_is_forgotten_with_its_window() {
-    let mut sent = RecentWork::new(SECOND);
-    let sums = [(0, 5), (SECOND / 2, 5), (SECOND * 3 / 2, 1), (SECOND * 5, 1)].map(|(at, w)| sent.add(at, w));
+    let mut recent_work = RecentWork::new(SECOND);
+    let sums = [(0, 5), (SECOND / 2, 5), (SECOND * 3 / 2, 1), (SECOND * 5, 1)]
+        .map(|(at, work)| recent_work.add(at, work));
     assert_eq!(sums, [5, 10, 1, 1]);
 }
--- a/crates/testbed/tests/models/timeline.rs
+++ b/crates/testbed/tests/models/timeline.rs
@@ -22,20 +22,25 @@
 
 #[test]
 fn a_rolling_deploy_drains_each_in_turn_and_restarts_it_in_slow_start() {
-    let all = timelines("[[trouble]]\nkind='rolling-deploy'\nat=2\nevery=4\ndrain=1\ndown=1\ncaches=[1,2]");
-    let seen: Vec<_> = all.updates.iter().map(|n| (n.published / 100_000, n.server, n.status)).collect();
+    let timelines =
+        timelines("[[trouble]]\nkind='rolling-deploy'\nat=2\nevery=4\ndrain=1\ndown=1\ncaches=[1,2]");
+    let seen: Vec<_> =
+        timelines.updates.iter().map(|n| (n.published / 100_000, n.server, n.status)).collect();
     let (d, g, s) = (EndpointStatus::Draining, EndpointStatus::Gone, EndpointStatus::Ready);
     assert_eq!(seen, [(25, 1, d), (35, 1, g), (45, 1, s), (65, 2, d), (75, 2, g), (85, 2, s)]);
-    assert_eq!(all.reachability(1, (1, 0), 3 * SECOND), (Reachability::Refused, 4 * SECOND));
-    assert!(all.servers[1].speed.speed(4 * SECOND) < 0.3 && all.servers[0].speed.speed(4 * SECOND) == 1.0);
+    assert_eq!(timelines.reachability(1, (1, 0), 3 * SECOND), (Reachability::Refused, 4 * SECOND));
+    assert!(
+        timelines.servers[1].speed.speed(4 * SECOND) < 0.3
+            && timelines.servers[0].speed.speed(4 * SECOND) == 1.0
+    );
 }
 
 #[test]
-fn a_cut_zone_is_silent_across_and_up_within_and_a_lost_one_is_silent_for_all() {
-    let all = timelines(
+fn a_cut_zone_is_silent_for_other_zones_and_a_lost_zone_is_silent_for_all() {
+    let timelines = timelines(
         "[[trouble]]\nkind='zone-cut'\nat=2\nfor=2\nzone='b'\n[[trouble]]\nkind='zone-lost'\nat=10\nfor=9\nzone='b'",
     );
-    let reachability = |server, zones, at| all.reachability(server, zones, at * SECOND).0;
+    let reachability = |server, zones, at| timelines.reachability(server, zones, at * SECOND).0;
     assert_eq!(reachability(1, (1, 0), 3), Reachability::Silent);
     assert_eq!(
         (reachability(1, (1, 1), 3), reachability(0, (0, 0), 3), reachability(1, (1, 0), 4)),
@@ -45,13 +50,13 @@
         (reachability(3, (1, 1), 12), reachability(3, (1, 1), 19)),
         (Reachability::Silent, Reachability::Up)
     );
-    assert_eq!(all.origin_reachability(1, 3 * SECOND), (Reachability::Silent, 4 * SECOND));
+    assert_eq!(timelines.origin_reachability(1, 3 * SECOND), (Reachability::Silent, 4 * SECOND));
 }
 
 #[test]
 fn a_late_list_delays_the_changes_within_its_span() {
     let delay = "[[trouble]]\nkind='list-late'\nat=0\nfor=3\nby=5\n";
-    let all = timelines(&format!("{delay}[[trouble]]\nkind='restarts'\nat=1\ndown=6\ncaches=[0]"));
-    let seen: Vec<_> = all.updates.iter().map(|n| (n.published / 100_000, n.status)).collect();
+    let timelines = timelines(&format!("{delay}[[trouble]]\nkind='restarts'\nat=1\ndown=6\ncaches=[0]"));
+    let seen: Vec<_> = timelines.updates.iter().map(|n| (n.published / 100_000, n.status)).collect();
     assert_eq!(seen, [(65, EndpointStatus::Gone), (75, EndpointStatus::Ready)]);
 }
