--- a/crates/testbed/src/model/cluster/mod.rs
+++ b/crates/testbed/src/model/cluster/mod.rs
@@ -159,7 +159,7 @@
 
     /// A server's reply to `CLUSTER NODES`; `addr` returns the address at which the caller reaches
     /// a node.
-    pub fn nodes(
+    pub fn nodes_reply(
         &self,
         server: usize,
         now: Micros,
--- a/crates/testbed/src/model/etcd.rs
+++ b/crates/testbed/src/model/etcd.rs
@@ -28,7 +28,7 @@
 /// The faults of the cluster over a run.
 #[derive(Clone, Debug, Default)]
 pub struct EtcdTimeline {
-    down: Vec<Range<Micros>>,
+    outages: Vec<Range<Micros>>,
     stalls: Vec<Range<Micros>>,
     lags: Vec<Lag>,
     lease_delays: Vec<Lag>,
@@ -65,7 +65,7 @@
             let at = span.start;
             let offset = micros(fault.by.unwrap_or(0.0));
             match fault.kind {
-                FaultKind::EtcdDown => timeline.down.push(span),
+                FaultKind::EtcdDown => timeline.outages.push(span),
                 FaultKind::EtcdStall => timeline.stalls.push(span),
                 FaultKind::EtcdBehind => timeline.lags.push(Lag { span, offset }),
                 FaultKind::EtcdSlowLeases => timeline.lease_delays.push(Lag { span, offset }),
@@ -80,7 +80,7 @@
                 _ => {}
             }
         }
-        let outage_starts = timeline.down.iter().map(|span| span.start);
+        let outage_starts = timeline.outages.iter().map(|span| span.start);
         timeline.connection_resets.extend(outage_starts);
         timeline.actions.sort_by_key(|timed| timed.at);
         timeline
@@ -88,12 +88,12 @@
 
     /// Whether the cluster is down.
     pub fn is_down(&self, now: Micros) -> bool {
-        self.down.iter().any(|span| span.contains(&now))
+        self.outages.iter().any(|span| span.contains(&now))
     }
 
     /// The next time at which the cluster goes down or comes up; `Micros::MAX` if there is none.
     pub fn next_transition(&self, now: Micros) -> Micros {
-        let transitions = self.down.iter().flat_map(|span| [span.start, span.end]);
+        let transitions = self.outages.iter().flat_map(|span| [span.start, span.end]);
         transitions.filter(|at| *at > now).min().unwrap_or(Micros::MAX)
     }
 
--- a/crates/testbed/src/model/server.rs
+++ b/crates/testbed/src/model/server.rs
@@ -36,7 +36,7 @@
     /// The reply.
     pub reply: Reply,
     /// When it is sent.
-    pub at: Micros,
+    pub due: Micros,
     /// Whether an interim response is sent before it.
     pub interim: bool,
     /// Whether the request's effect, if it has one, is applied.
@@ -47,8 +47,8 @@
 
 impl PlannedReply {
     /// A reply without an interim response and without an effect.
-    pub fn no_effect(reply: Reply, at: Micros) -> PlannedReply {
-        PlannedReply { reply, at, interim: false, takes_effect: false, collapses: false }
+    pub fn no_effect(reply: Reply, due: Micros) -> PlannedReply {
+        PlannedReply { reply, due, interim: false, takes_effect: false, collapses: false }
     }
 }
 
@@ -92,7 +92,7 @@
 pub struct ServerModel {
     spec: ServerSpec,
     cores: Cores,
-    cached: LruCache<u64, ()>,
+    cache: LruCache<u64, ()>,
     recent_work: RecentWork,
     started: Micros,
     purges_applied: usize,
@@ -142,7 +142,7 @@
     pub fn new(spec: ServerSpec, started: Micros) -> ServerModel {
         ServerModel {
             cores: Cores::new(spec.cores, spec.max_queued),
-            cached: LruCache::new(NonZeroUsize::new(spec.max_values).unwrap_or(NonZeroUsize::MIN)),
+            cache: LruCache::new(NonZeroUsize::new(spec.max_values).unwrap_or(NonZeroUsize::MIN)),
             recent_work: RecentWork::new(spec.collapse_window),
             started,
             purges_applied: 0,
@@ -153,22 +153,22 @@
 
     /// Caches a key's value.
     pub fn store(&mut self, key: u64) {
-        self.cached.put(key, ());
+        self.cache.put(key, ());
     }
 
     /// Removes a key's value from the cache.
     pub fn remove(&mut self, key: u64) {
-        self.cached.pop(&key);
+        self.cache.pop(&key);
     }
 
     /// Whether a key's value is cached.
     pub fn contains(&self, key: u64) -> bool {
-        self.cached.contains(&key)
+        self.cache.contains(&key)
     }
 
     /// Whether a process in slow start has received more work than it can bear. Adds the attempt's
     /// work to the window.
-    fn collapses_under(&mut self, now: Micros, attempt: &AttemptInput) -> bool {
+    fn is_overloaded_by(&mut self, now: Micros, attempt: &AttemptInput) -> bool {
         let spec = &self.spec;
         if self.started == 0 || now >= self.started + spec.slow_start {
             return false;
@@ -184,7 +184,7 @@
     fn apply_purges(&mut self, now: Micros, timeline: &ServerTimeline) {
         while timeline.purges.get(self.purges_applied).is_some_and(|at| *at <= now) {
             self.purges_applied += 1;
-            self.cached.clear();
+            self.cache.clear();
         }
     }
 
@@ -199,7 +199,7 @@
         fetch: impl FnOnce(Micros) -> Option<Micros>,
     ) -> PlannedReply {
         self.apply_purges(now, timeline);
-        let collapses = !self.collapsed && self.collapses_under(now, &attempt);
+        let collapses = !self.collapsed && self.is_overloaded_by(now, &attempt);
         self.collapsed |= collapses;
         let misbehaviors = ActiveMisbehaviors::new(timeline, now, attempt.sample);
         let interim = misbehaviors.has(Misbehavior::Interim);
@@ -237,7 +237,7 @@
         fetch: impl FnOnce(Micros) -> Option<Micros>,
     ) -> PlannedReply {
         let lookup_work = attempt.work / LOOKUP_WORK_DIVISOR;
-        let cached = self.cached.get(&attempt.key).is_some();
+        let cached = self.cache.get(&attempt.key).is_some();
         // Servers that only cache answer writes with a miss: the origin executes them.
         let is_miss = !self.spec.read_through && (attempt.write || !cached);
         let work = if is_miss { lookup_work } else { attempt.work };
--- a/crates/testbed/src/model/speed.rs
+++ b/crates/testbed/src/model/speed.rs
@@ -8,7 +8,7 @@
 /// The speed from a point in time until the next step.
 #[derive(Clone, Copy, Debug)]
 struct SpeedStep {
-    from: Micros,
+    start: Micros,
     speed: f64,
 }
 
@@ -24,18 +24,18 @@
 
 impl Default for SpeedProfile {
     fn default() -> SpeedProfile {
-        SpeedProfile { steps: vec![SpeedStep { from: 0, speed: 1.0 }] }
+        SpeedProfile { steps: vec![SpeedStep { start: 0, speed: 1.0 }] }
     }
 }
 
 impl SpeedProfile {
     /// Makes a step start at a point in time, and returns its index.
     fn split_at(&mut self, at: Micros) -> usize {
-        match self.steps.binary_search_by_key(&at, |step| step.from) {
+        match self.steps.binary_search_by_key(&at, |step| step.start) {
             Ok(i) => i,
             Err(i) => {
                 let speed = self.steps[i - 1].speed;
-                self.steps.insert(i, SpeedStep { from: at, speed });
+                self.steps.insert(i, SpeedStep { start: at, speed });
                 i
             }
         }
@@ -54,21 +54,21 @@
     }
 
     /// Adds a slow start: the speed rises evenly from a share of its value to all of it.
-    pub fn slow_start(&mut self, started: Micros, first_share: f64, duration: Micros) {
+    pub fn slow_start(&mut self, started: Micros, initial_share: f64, duration: Micros) {
         for i in 0..RAMP_STEPS {
             let progress = (i as f64 + 0.5) / RAMP_STEPS as f64;
             let span = started + duration * i / RAMP_STEPS..started + duration * (i + 1) / RAMP_STEPS;
-            self.scale(span, first_share + (1.0 - first_share) * progress);
+            self.scale(span, initial_share + (1.0 - initial_share) * progress);
         }
     }
 
-    fn step(&self, at: Micros) -> usize {
-        self.steps.partition_point(|step| step.from <= at) - 1
+    fn step_index(&self, at: Micros) -> usize {
+        self.steps.partition_point(|step| step.start <= at) - 1
     }
 
     /// The speed at a point in time.
     pub fn speed(&self, at: Micros) -> f64 {
-        self.steps[self.step(at)].speed
+        self.steps[self.step_index(at)].speed
     }
 
     /// When work that starts at `start` is done, given its duration at normal speed; `Micros::MAX`
@@ -76,9 +76,9 @@
     pub fn completion(&self, start: Micros, work: Micros) -> Micros {
         let mut at = start;
         let mut remaining = work as f64;
-        for i in self.step(start)..self.steps.len() {
+        for i in self.step_index(start)..self.steps.len() {
             let speed = self.steps[i].speed;
-            let next = self.steps.get(i + 1).map(|step| step.from);
+            let next = self.steps.get(i + 1).map(|step| step.start);
             if speed > 0.0 {
                 let end = at as f64 + remaining / speed;
                 match next {
@@ -134,7 +134,7 @@
 /// The work that arrived in one bucket of the window.
 #[derive(Clone, Copy, Debug)]
 struct WorkBucket {
-    from: Micros,
+    start: Micros,
     work: Micros,
 }
 
@@ -159,11 +159,11 @@
     /// Adds work, and returns the sum of the work within the window.
     pub fn add(&mut self, now: Micros, work: Micros) -> Micros {
         let bucket_length = self.window / WINDOW_BUCKETS;
-        let from = now / bucket_length * bucket_length;
-        self.buckets.retain(|bucket| bucket.from + self.window > now);
-        match self.buckets.last_mut().filter(|bucket| bucket.from == from) {
+        let start = now / bucket_length * bucket_length;
+        self.buckets.retain(|bucket| bucket.start + self.window > now);
+        match self.buckets.last_mut().filter(|bucket| bucket.start == start) {
             Some(bucket) => bucket.work += work,
-            None => self.buckets.push(WorkBucket { from, work }),
+            None => self.buckets.push(WorkBucket { start, work }),
         }
         self.buckets.iter().map(|bucket| bucket.work).sum()
     }
--- a/crates/testbed/src/model/timeline/build.rs
+++ b/crates/testbed/src/model/timeline/build.rs
@@ -37,19 +37,19 @@
 impl ServerTimeline {
     /// A single process that started before the run and does not end.
     fn new() -> ServerTimeline {
-        let always =
+        let initial_process =
             Incarnation { started: 0, ended: Micros::MAX, reachability_after: Reachability::Refused };
-        ServerTimeline { incarnations: vec![always], ..ServerTimeline::default() }
+        ServerTimeline { incarnations: vec![initial_process], ..ServerTimeline::default() }
     }
 
     /// Ends the process that runs at the given time. The next one starts when the server returns.
-    fn end_process(&mut self, at: Micros, reachability_after: Reachability, returns: Micros) {
+    fn end_process(&mut self, at: Micros, reachability_after: Reachability, returns_at: Micros) {
         let running = self.incarnations.last_mut();
         if let Some(running) = running.filter(|process| process.started <= at && at < process.ended) {
             running.ended = at;
             running.reachability_after = reachability_after;
             let next = Incarnation {
-                started: returns,
+                started: returns_at,
                 ended: Micros::MAX,
                 reachability_after: Reachability::Refused,
             };
@@ -95,7 +95,7 @@
 impl Builder<'_> {
     fn apply(&mut self, fault: &Fault) {
         if let Some(misbehavior) = misbehavior(fault.kind) {
-            self.misbehave(fault, misbehavior);
+            self.add_misbehavior(fault, misbehavior);
             return;
         }
         let span = fault.span();
@@ -108,25 +108,25 @@
                     self.take_down(server, Reachability::Silent, span.clone(), gone_delay);
                 }
             }
-            FaultKind::Failover => self.fail_over(fault),
+            FaultKind::Failover => self.apply_failover(fault),
             FaultKind::Restarts => {
-                let returns = span.start + required_duration(fault.down);
+                let returns_at = span.start + required_duration(fault.down);
                 for server in self.experiment.targets(fault) {
-                    self.take_down(server, Reachability::Refused, span.start..returns, self.list_delay);
+                    self.take_down(server, Reachability::Refused, span.start..returns_at, self.list_delay);
                 }
             }
-            FaultKind::RollingDeploy => self.deploy(fault),
+            FaultKind::RollingDeploy => self.apply_rolling_deploy(fault),
             FaultKind::CopiesVoid => {
                 for server in self.experiment.targets(fault) {
                     self.timelines.servers[server].purges.push(span.start);
                 }
             }
-            _ => self.apply_beside_servers(fault),
+            _ => self.apply_to_other_parts(fault),
         }
     }
 
     /// Applies faults of the origin, the links and the list.
-    fn apply_beside_servers(&mut self, fault: &Fault) {
+    fn apply_to_other_parts(&mut self, fault: &Fault) {
         let timelines = &mut self.timelines;
         let span = fault.span();
         match fault.kind {
@@ -155,7 +155,7 @@
         }
     }
 
-    fn misbehave(&mut self, fault: &Fault, misbehavior: Misbehavior) {
+    fn add_misbehavior(&mut self, fault: &Fault, misbehavior: Misbehavior) {
         let share = fault.share.unwrap_or(1.0);
         for server in self.experiment.targets(fault) {
             let span = MisbehaviorSpan { span: fault.span(), misbehavior, share };
@@ -170,22 +170,22 @@
     }
 
     /// The list does not publish a failover: which replica takes over is known only to the servers.
-    fn fail_over(&mut self, fault: &Fault) {
+    fn apply_failover(&mut self, fault: &Fault) {
         let start = fault.span().start;
-        let returns = start + required_duration(fault.down);
+        let returns_at = start + required_duration(fault.down);
         for server in self.experiment.targets(fault) {
-            self.timelines.servers[server].end_process(start, Reachability::Refused, returns);
+            self.timelines.servers[server].end_process(start, Reachability::Refused, returns_at);
         }
     }
 
-    fn deploy(&mut self, fault: &Fault) {
+    fn apply_rolling_deploy(&mut self, fault: &Fault) {
         let interval = required_duration(fault.every);
         for (i, server) in self.experiment.targets(fault).into_iter().enumerate() {
-            let notice = fault.span().start + interval * i as Micros;
-            let end = notice + required_duration(fault.drain);
-            let returns = end + required_duration(fault.down);
-            self.publish(notice + self.list_delay, server, EndpointStatus::Draining, 0);
-            self.take_down(server, Reachability::Refused, end..returns, self.list_delay);
+            let drain_start = fault.span().start + interval * i as Micros;
+            let end = drain_start + required_duration(fault.drain);
+            let returns_at = end + required_duration(fault.down);
+            self.publish(drain_start + self.list_delay, server, EndpointStatus::Draining, 0);
+            self.take_down(server, Reachability::Refused, end..returns_at, self.list_delay);
         }
     }
 
--- a/crates/testbed/src/resp.rs
+++ b/crates/testbed/src/resp.rs
@@ -20,7 +20,7 @@
 }
 
 /// The hash slot of a key. The hash tag in braces determines it; all keys of the testbed have one.
-pub fn slot(key: &[u8]) -> u16 {
+pub fn key_slot(key: &[u8]) -> u16 {
     let open = key.iter().position(|byte| *byte == b'{').map_or(0, |i| i + 1);
     let close = key.iter().position(|byte| *byte == b'}').unwrap_or(key.len());
     crc16(key.get(open..close).unwrap_or(key)) % SLOT_COUNT
--- a/crates/testbed/src/stand_ins/decide.rs
+++ b/crates/testbed/src/stand_ins/decide.rs
@@ -1,6 +1,6 @@
 //! Decides the outcome of an attempt: asks the models, and records the effects of their answer.
 
-use super::{MissedAt, RunningServer, Site, TagKey};
+use super::{MissedServer, RunningServer, Site, TagKey};
 use crate::clock::{MILLI, Micros, micros};
 use crate::evidence::{ClientRequest, EventKind, Id};
 use crate::experiment::{DedupGroup, Protocol, Repeats, RequestClass};
@@ -55,17 +55,17 @@
         plan
     }
 
-    /// When the origin has processed a request that is sent to it at `from`; `None` if it fails or
+    /// When the origin has processed a request that is sent to it at `sent_at`; `None` if it fails or
     /// rejects it.
-    fn fetch(&self, from: Micros, origin_fails: bool) -> Option<Micros> {
+    fn fetch(&self, sent_at: Micros, origin_fails: bool) -> Option<Micros> {
         if origin_fails {
             return None;
         }
         if self.experiment.fleet.protocol() == Protocol::Resp {
-            return Some(from);
+            return Some(sent_at);
         }
         let work = self.draw_work(self.experiment.world.origin_ms);
-        lock(&self.origin).handle(from, work, &self.timelines.origin)
+        lock(&self.origin).handle(sent_at, work, &self.timelines.origin)
     }
 
     fn decide_at_origin(&self, now: Micros, origin_fails: bool) -> PlannedReply {
@@ -86,11 +86,11 @@
             let started = timeline.incarnations[incarnation].started;
             *running = RunningServer { incarnation, model: ServerModel::new(self.spec.clone(), started) };
         }
-        let fetch = |from| self.fetch(from, origin_fails);
+        let fetch = |sent_at| self.fetch(sent_at, origin_fails);
         let plan = running.model.handle(attempt.now, input, timeline, fetch);
         if plan.reply == Reply::Miss && !attempt.write {
-            let missed = MissedAt { server: attempt.server, incarnation };
-            lock(&self.missed).entry(attempt.id).or_default().push(missed);
+            let missed = MissedServer { server: attempt.server, incarnation };
+            lock(&self.missed_servers).entry(attempt.id).or_default().push(missed);
         }
         plan
     }
@@ -121,7 +121,7 @@
     /// Called when the origin answers a request: stores the value on servers that missed for it; a
     /// write removes the key from all servers instead.
     pub(super) fn store_fetched(&self, id: Id, request: &ClientRequest) {
-        let missed = lock(&self.missed).remove(&id).unwrap_or_default();
+        let missed = lock(&self.missed_servers).remove(&id).unwrap_or_default();
         if self.experiment.classes[request.class].write {
             for server in &self.servers {
                 lock(server).model.remove(request.key);
--- a/crates/testbed/src/stand_ins/etcd/call.rs
+++ b/crates/testbed/src/stand_ins/etcd/call.rs
@@ -56,7 +56,7 @@
     }
 
     /// Waits until the cluster no longer stalls.
-    pub async fn wait_stalled(&self) {
+    pub async fn wait_while_stalled(&self) {
         while let Some(until) = self.site.etcd.timeline.stalled_until(self.now()) {
             self.site.clock.sleep_until(until).await;
         }
@@ -84,7 +84,7 @@
 ) {
     let path = request.uri().path().to_string();
     let mut requests = RequestStream::new(request.into_body());
-    context.wait_stalled().await;
+    context.wait_while_stalled().await;
     let head = Response::builder().header("content-type", CONTENT_TYPE).body(());
     let Some(Ok(stream)) = head.ok().map(|head| respond.send_response(head, false)) else { return };
     let mut responses = ResponseStream(stream);
--- a/crates/testbed/src/stand_ins/etcd/unary.rs
+++ b/crates/testbed/src/stand_ins/etcd/unary.rs
@@ -24,8 +24,8 @@
 ) -> Result<(), GrpcError> {
     let now = context.now();
     if path.starts_with("/etcdserverpb.Lease/") {
-        let lag = context.site.etcd.timeline.lease_delay(now);
-        context.site.clock.sleep_until(now + lag).await;
+        let delay = context.site.etcd.timeline.lease_delay(now);
+        context.site.clock.sleep_until(now + delay).await;
     }
     let mut responder = Responder { context, responses };
     match path {
@@ -54,7 +54,7 @@
 
 impl Responder<'_> {
     async fn send(&mut self, response: impl Message) -> Result<(), GrpcError> {
-        self.context.wait_stalled().await;
+        self.context.wait_while_stalled().await;
         let sent = self.responses.send(&response).await;
         sent.ok_or_else(|| GrpcError::unavailable("the caller closed the call"))
     }
@@ -161,8 +161,8 @@
     for server in 0..site.origin() {
         let key = key_of(site, server);
         let item = items.iter().find(|item| item.key == key);
-        // A server that is missing after a restore was not deleted: the older state does not have
-        // it yet.
+        // A server that is missing after a restore was not deleted, because no delete of it was
+        // written.
         if cluster_changed && item.is_none() {
             continue;
         }
--- a/crates/testbed/src/stand_ins/etcd/watch.rs
+++ b/crates/testbed/src/stand_ins/etcd/watch.rs
@@ -53,7 +53,7 @@
         }
     };
     let wake_receiver = context.site.etcd.add_watcher();
-    context.wait_stalled().await;
+    context.wait_while_stalled().await;
     let created = api::WatchResponse { created: true, ..response(context) };
     responses.send(&created).await.ok_or_else(watcher_closed)?;
     record_recovery(context, &create);
@@ -84,7 +84,7 @@
         wake_receiver: &Receiver<()>,
     ) -> Result<(), GrpcError> {
         loop {
-            self.context.wait_stalled().await;
+            self.context.wait_while_stalled().await;
             let visible = self.context.visible_revision();
             match self.changes(visible) {
                 Ok(items) => {
--- a/crates/testbed/src/stand_ins/list.rs
+++ b/crates/testbed/src/stand_ins/list.rs
@@ -32,7 +32,7 @@
 /// A call's parameters.
 struct Call {
     /// When the call was read.
-    at: Micros,
+    received_at: Micros,
     /// The version that the caller has; `None` for a call that gets the whole list.
     index: Option<u64>,
     /// How long the call waits for a newer version.
@@ -40,15 +40,14 @@
 }
 
 impl Call {
-    fn new(message: &Message, at: Micros) -> Call {
+    fn new(message: &Message, received_at: Micros) -> Call {
         let parameter = |name: &str| {
             let mut parts = message.target().split(['?', '&']);
-            let found =
-                parts.find_map(|partial_response| partial_response.strip_prefix(name)?.strip_prefix('='));
+            let found = parts.find_map(|part| part.strip_prefix(name)?.strip_prefix('='));
             found.and_then(|value| value.parse::<u64>().ok())
         };
         let wait = parameter("wait").unwrap_or(0).saturating_mul(MILLI);
-        Call { at, index: parameter("index"), wait }
+        Call { received_at, index: parameter("index"), wait }
     }
 }
 
@@ -81,11 +80,11 @@
 
 /// Serves calls on a connection until it ends.
 pub(super) async fn serve_calls(site: &Site, proxy: usize, connection: &mut Connection) {
-    let serving = ListConnection { site, proxy };
+    let list_connection = ListConnection { site, proxy };
     let mut last_answer = None;
     loop {
-        let Some(message) = serving.next_message(connection, last_answer).await else { return };
-        match serving.serve_call(connection, &message).await {
+        let Some(message) = list_connection.next_message(connection, last_answer).await else { return };
+        match list_connection.serve_call(connection, &message).await {
             AfterCall::Answered(answer) => last_answer = answer,
             AfterCall::Failed => {}
             AfterCall::Close => return,
@@ -103,12 +102,12 @@
     ) -> Option<Message> {
         let Some(answer) = last_answer else { return connection.read_request().await.ok() };
         let grace = async {
-            self.watch_grace(answer).await;
+            self.record_grace_changes(answer).await;
             std::future::pending().await
         };
         let message = or(connection.read_request(), grace).await;
         if message.is_err() {
-            self.watch_grace(answer).await;
+            self.record_grace_changes(answer).await;
         }
         message.ok()
     }
@@ -117,10 +116,10 @@
         let site = self.site;
         site.list_calls[self.proxy].fetch_add(1, Ordering::Relaxed);
         let call = Call::new(message, site.clock.now());
-        if let Some(outage) = site.timelines.list_outage(call.at) {
+        if let Some(outage) = site.timelines.list_outage(call.received_at) {
             return self.fail(connection, outage).await;
         }
-        let Some(slot) = self.queue_slot(call.at) else {
+        let Some(slot) = self.queue_slot(call.received_at) else {
             _ = connection.write(&[response_head(503, 0, "").as_bytes()]).await;
             return AfterCall::Answered(None);
         };
@@ -141,7 +140,7 @@
         let Some(version) = self.answer(connection, &call).await else { return AfterCall::Close };
         let answered_at = site.clock.now();
         let call_count = site.list_calls[self.proxy].load(Ordering::Relaxed);
-        let answer = WatchAnswer { version, called_at: call.at, answered_at, call_count };
+        let answer = WatchAnswer { version, called_at: call.received_at, answered_at, call_count };
         AfterCall::Answered(call.index.map(|_| answer))
     }
 
@@ -163,13 +162,14 @@
         let site = self.site;
         let newer = site.server_list.next_change(index).unwrap_or(Micros::MAX);
         let outages = site.timelines.list_outages.iter().map(|outage| outage.span.start);
-        let next_outage = outages.filter(|at| *at > call.at).min().unwrap_or(Micros::MAX);
+        let next_outage = outages.filter(|at| *at > call.received_at).min().unwrap_or(Micros::MAX);
         let wait = call.wait.min(MAX_WATCH_WAIT);
-        let until = newer.min(call.at + wait).min(next_outage);
-        let silent = site.timelines.list_silences.iter().find(|at| (call.at..until).contains(at));
+        let until = newer.min(call.received_at + wait).min(next_outage);
+        let silent = site.timelines.list_silences.iter().find(|at| (call.received_at..until).contains(at));
         if let Some(from) = silent {
-            let notified_from = (from + SILENT_CALL_GRACE).max(call.at + wait + SILENT_WAIT_GRACE);
-            or(self.silent_call(call.at, index, notified_from), connection.wait_closed()).await;
+            let notified_from = (from + SILENT_CALL_GRACE).max(call.received_at + wait + SILENT_WAIT_GRACE);
+            or(self.record_missed_changes(call.received_at, index, notified_from), connection.wait_closed())
+                .await;
             return false;
         }
         let waited = async {
@@ -209,12 +209,12 @@
     }
 
     /// Records the changes that a call misses because the list no longer answers it; they count as
-    /// notified from the time `from`, at the earliest.
-    async fn silent_call(&self, called_at: Micros, index: u64, from: Micros) {
+    /// notified from the time `notified_from`, at the earliest.
+    async fn record_missed_changes(&self, called_at: Micros, index: u64, notified_from: Micros) {
         let site = self.site;
         let mut version = index;
         while let Some(change) = site.server_list.next_change(version) {
-            site.clock.sleep_until(change.max(from)).await;
+            site.clock.sleep_until(change.max(notified_from)).await;
             let now_version = site.server_list.version(site.clock.now());
             let changes = site.server_list.changes_since(version, now_version);
             self.record_notified(called_at, &changes, site.clock.now());
@@ -228,7 +228,7 @@
     /// response was not notified by the response, and neither is the process that was started after
     /// it. Once the proxy's next call has arrived, on any connection, that call covers all later
     /// changes.
-    async fn watch_grace(&self, answer: WatchAnswer) {
+    async fn record_grace_changes(&self, answer: WatchAnswer) {
         let site = self.site;
         let end = answer.answered_at + WATCH_GRACE;
         let mut version = answer.version;
@@ -278,9 +278,9 @@
             return Some(version);
         }
         let now = site.clock.now();
-        self.record_notified(call.at, &entries, now);
+        self.record_notified(call.received_at, &entries, now);
         if full {
-            self.record_notified(call.at, &missing_servers(&entries, site.origin()), now);
+            self.record_notified(call.received_at, &missing_servers(&entries, site.origin()), now);
         }
         Some(version)
     }
--- a/crates/testbed/src/stand_ins/mod.rs
+++ b/crates/testbed/src/stand_ins/mod.rs
@@ -40,7 +40,7 @@
 }
 
 /// A server process that answered a request with a miss.
-struct MissedAt {
+struct MissedServer {
     server: usize,
     incarnation: usize,
 }
@@ -76,7 +76,7 @@
     connections: Vec<AtomicUsize>,
     origin: Mutex<OriginModel>,
     /// The servers that missed for a request, until the origin has answered it.
-    missed: Mutex<HashMap<Id, Vec<MissedAt>>>,
+    missed_servers: Mutex<HashMap<Id, Vec<MissedServer>>>,
     /// When the effect of a tagged request was applied.
     tagged_effects: Mutex<HashMap<TagKey, Micros>>,
     /// The time from which the list can answer another call.
@@ -129,7 +129,7 @@
             servers: (0..world.servers).map(|_| Mutex::new(warm_server(&experiment, &spec))).collect(),
             connections: (0..=world.servers).map(|_| AtomicUsize::new(0)).collect(),
             origin: Mutex::new(origin),
-            missed: Mutex::default(),
+            missed_servers: Mutex::default(),
             tagged_effects: Mutex::default(),
             list_free_at: Mutex::default(),
             list_calls: (0..experiment.fleet.proxies).map(|_| AtomicUsize::new(0)).collect(),
--- a/crates/testbed/src/stand_ins/resp.rs
+++ b/crates/testbed/src/stand_ins/resp.rs
@@ -9,7 +9,7 @@
 use crate::evidence::{ClientRequest, EventKind, Id};
 use crate::model::cluster::{Command, CommandOutcome, RANK_COUNT};
 use crate::model::server::{PlannedReply, Reply};
-use crate::resp::{Arguments, bulk, read_command, slot};
+use crate::resp::{Arguments, bulk, key_slot, read_command};
 use crate::wire::Connection;
 
 /// Processing time of a health check.
@@ -57,8 +57,8 @@
 /// Serves commands on a connection until it ends.
 pub(super) async fn serve_attempts(site: &Site, server: usize, proxy: usize, connection: &mut Connection) {
     let _count = ConnectionCount::new(&site.connections[server]);
-    let mut serving = RespConnection { site, server, proxy, asking: false, readonly: false };
-    while serving.serve_next(connection).await.is_some() {}
+    let mut resp_connection = RespConnection { site, server, proxy, asking: false, readonly: false };
+    while resp_connection.serve_next(connection).await.is_some() {}
 }
 
 impl RespConnection<'_> {
@@ -106,7 +106,7 @@
             }
             "CLUSTER" => {
                 let addr = |node| self.address(node);
-                let text = site.cluster.nodes(self.server, now, site.origin(), addr);
+                let text = site.cluster.nodes_reply(self.server, now, site.origin(), addr);
                 Some(bulk(text.as_bytes()))
             }
             _ => None,
@@ -132,7 +132,7 @@
             _ = connection.write(&[b"-ERR an id that nobody sent\r\n"]).await;
             return None;
         };
-        Some(KeyCommand { name, key, slot: slot(key_text), request })
+        Some(KeyCommand { name, key, slot: key_slot(key_text), request })
     }
 
     /// Decides the outcome of a command that was received completely, and its answer.
@@ -161,14 +161,14 @@
         let slot = command.slot;
         let rank = (command.request.key.wrapping_mul(RANK_FACTOR) >> 32) % RANK_COUNT;
         let asking = std::mem::take(&mut self.asking);
-        let on_slot = Command { slot, rank, asking, readonly: self.readonly, write };
-        let (reply, answer) = match self.site.cluster.handle(self.server, now, on_slot) {
+        let cluster_command = Command { slot, rank, asking, readonly: self.readonly, write };
+        let (reply, answer) = match self.site.cluster.handle(self.server, now, cluster_command) {
             CommandOutcome::Execute => return None,
-            CommandOutcome::Moved(to) => {
-                (Reply::Miss, format!("-MOVED {slot} {}\r\n", self.address(to)).into_bytes())
+            CommandOutcome::Moved(target) => {
+                (Reply::Miss, format!("-MOVED {slot} {}\r\n", self.address(target)).into_bytes())
             }
-            CommandOutcome::Ask(to) => {
-                (Reply::Miss, format!("-ASK {slot} {}\r\n", self.address(to)).into_bytes())
+            CommandOutcome::Ask(target) => {
+                (Reply::Miss, format!("-ASK {slot} {}\r\n", self.address(target)).into_bytes())
             }
             CommandOutcome::TryAgain => (Reply::Unprocessed, b"-TRYAGAIN the key is on its way\r\n".to_vec()),
             CommandOutcome::Loading => (Reply::Unprocessed, LOADING_ERROR.to_vec()),
--- a/crates/testbed/src/stand_ins/server.rs
+++ b/crates/testbed/src/stand_ins/server.rs
@@ -37,8 +37,8 @@
     let limit = if server == site.origin() { world.origin_connections } else { world.connections };
     let count = ConnectionCount::new(&site.connections[server]);
     let over_limit = count.open_before >= limit;
-    let mut serving = ServerConnection { site, server, proxy, over_limit, is_first_attempt: true };
-    while serving.serve_next(connection).await.is_some() {}
+    let mut server_connection = ServerConnection { site, server, proxy, over_limit, is_first_attempt: true };
+    while server_connection.serve_next(connection).await.is_some() {}
 }
 
 /// Waits until the planned reply is due. Returns false if the peer closes the connection first.
@@ -46,7 +46,7 @@
     let due = async {
         match plan.reply {
             Reply::Silence => std::future::pending().await,
-            _ => site.clock.sleep_until(plan.at).await,
+            _ => site.clock.sleep_until(plan.due).await,
         }
         true
     };
@@ -152,7 +152,7 @@
         };
         if std::mem::take(&mut self.is_first_attempt) {
             let handshake = micros(self.site.experiment.world.handshake_ms / 1e3);
-            plan.at = plan.at.saturating_add(handshake);
+            plan.due = plan.due.saturating_add(handshake);
         }
         plan
     }
--- a/crates/testbed/tests/models/cluster.rs
+++ b/crates/testbed/tests/models/cluster.rs
@@ -43,7 +43,7 @@
         (handle(1, 21.0, other), handle(1, 26.0, other)),
         (CommandOutcome::Moved(0), CommandOutcome::Moved(3))
     );
-    let nodes = cluster.nodes(2, micros(11.0), 4, |n| format!("h:{n}"));
+    let nodes = cluster.nodes_reply(2, micros(11.0), 4, |n| format!("h:{n}"));
     let heads: Vec<&str> = nodes.lines().map(|l| l.split(" connected").next().unwrap()).collect();
     assert_eq!(
         heads,
--- a/crates/testbed/tests/models/server.rs
+++ b/crates/testbed/tests/models/server.rs
@@ -51,7 +51,7 @@
         plans.map(|plan| plan.reply),
         [Reply::Hit, Reply::Hit, Reply::Hit, Reply::Hit, Reply::Unprocessed]
     );
-    assert!(!plans[4].takes_effect && plans[3].at == 20 * MILLI);
+    assert!(!plans[4].takes_effect && plans[3].due == 20 * MILLI);
 }
 
 #[test]
--- a/crates/testbed/tests/models/server_list.rs
+++ b/crates/testbed/tests/models/server_list.rs
@@ -13,7 +13,7 @@
     ];
     let list = ServerList::new(1, updates);
     let states = |entries: Vec<ListedServer>| {
-        entries.iter().map(|l| (l.server, l.status, l.started)).collect::<Vec<_>>()
+        entries.iter().map(|entry| (entry.server, entry.status, entry.started)).collect::<Vec<_>>()
     };
     assert_eq!([4, 5, 8, 9].map(|at| list.version(at)), [1, 2, 3, 4]);
     assert_eq!(states(list.snapshot(1)), [(0, EndpointStatus::Ready, 0), (1, EndpointStatus::Ready, 0)]);
--- a/crates/testbed/tests/models/timeline.rs
+++ b/crates/testbed/tests/models/timeline.rs
@@ -24,8 +24,11 @@
 fn a_rolling_deploy_drains_each_in_turn_and_restarts_it_in_slow_start() {
     let timelines =
         timelines("[[trouble]]\nkind='rolling-deploy'\nat=2\nevery=4\ndrain=1\ndown=1\ncaches=[1,2]");
-    let seen: Vec<_> =
-        timelines.updates.iter().map(|n| (n.published / 100_000, n.server, n.status)).collect();
+    let seen: Vec<_> = timelines
+        .updates
+        .iter()
+        .map(|update| (update.published / 100_000, update.server, update.status))
+        .collect();
     let (d, g, s) = (EndpointStatus::Draining, EndpointStatus::Gone, EndpointStatus::Ready);
     assert_eq!(seen, [(25, 1, d), (35, 1, g), (45, 1, s), (65, 2, d), (75, 2, g), (85, 2, s)]);
     assert_eq!(timelines.reachability(1, (1, 0), 3 * SECOND), (Reachability::Refused, 4 * SECOND));
@@ -57,6 +60,7 @@
 fn a_late_list_delays_the_changes_within_its_span() {
     let delay = "[[trouble]]\nkind='list-late'\nat=0\nfor=3\nby=5\n";
     let timelines = timelines(&format!("{delay}[[trouble]]\nkind='restarts'\nat=1\ndown=6\ncaches=[0]"));
-    let seen: Vec<_> = timelines.updates.iter().map(|n| (n.published / 100_000, n.status)).collect();
+    let seen: Vec<_> =
+        timelines.updates.iter().map(|update| (update.published / 100_000, update.status)).collect();
     assert_eq!(seen, [(65, EndpointStatus::Gone), (75, EndpointStatus::Ready)]);
 }
