--- a/crates/testbed/src/notified.rs
+++ b/crates/testbed/src/notified.rs
@@ -34,31 +34,31 @@
     }
     let mut notifications = Vec::new();
     for proxy in 0..experiment.fleet.proxies {
-        let unreachable = unreachable(experiment, timelines, events, proxy);
+        let unreachable_spans = unreachable_spans(experiment, timelines, events, proxy);
         for (i, update) in timelines.updates.iter().enumerate() {
-            let later = &timelines.updates[i + 1..];
-            notifications.extend(notifications_of(update, later, proxy as Index, &unreachable));
+            let later_updates = &timelines.updates[i + 1..];
+            notifications.extend(notifications_of(update, later_updates, proxy as Index, &unreachable_spans));
         }
     }
     notifications.sort_by_key(|notified| notified.at);
     notifications
 }
 
-/// The notifications of one proxy about one change; `later` are the changes after it.
+/// The notifications of one proxy about one change; `later_updates` are the changes after it.
 fn notifications_of(
     update: &ListUpdate,
-    later: &[ListUpdate],
+    later_updates: &[ListUpdate],
     proxy: Index,
-    unreachable: &[Range<Micros>],
+    unreachable_spans: &[Range<Micros>],
 ) -> Vec<Notified> {
     let server = update.server as Index;
     if update.status == EndpointStatus::Ready {
         return vec![Notified { at: update.published, proxy, server, off: false }];
     }
     let is_back = |next: &&ListUpdate| next.server == update.server && next.status == EndpointStatus::Ready;
-    let back_at = later.iter().find(is_back).map_or(Micros::MAX, |next| next.published);
-    // A proxy process that is restarted while the server is off gets the same time again.
-    reachable_for_long_enough(unreachable, update.published)
+    let back_at = later_updates.iter().find(is_back).map_or(Micros::MAX, |next| next.published);
+    // A proxy process that is restarted while the server is off is given the full time again.
+    reachable_for_long_enough(unreachable_spans, update.published)
         .into_iter()
         .filter(|at| *at < back_at)
         .map(|at| Notified { at, proxy, server, off: true })
@@ -67,7 +67,7 @@
 
 /// Spans in which discovery cannot notify a proxy: the list is down, stale or cut off, or the proxy
 /// is not running.
-fn unreachable(
+fn unreachable_spans(
     experiment: &Experiment,
     timelines: &Timelines,
     events: &[Event],
@@ -75,14 +75,14 @@
 ) -> Vec<Range<Micros>> {
     let mut spans: Vec<Range<Micros>> = timelines.stale_list_spans.clone();
     spans.extend(timelines.list_outages.iter().map(|down| down.span.clone()));
-    spans.extend(cut_off(timelines, proxy % experiment.world.zones.len()));
-    spans.extend(not_running(events, proxy));
+    spans.extend(cut_off_spans(timelines, proxy % experiment.world.zones.len()));
+    spans.extend(down_spans(events, proxy));
     spans.sort_by_key(|span| span.start);
     spans
 }
 
 /// Spans in which a zone is cut off from the list.
-fn cut_off(timelines: &Timelines, zone: usize) -> Vec<Range<Micros>> {
+fn cut_off_spans(timelines: &Timelines, zone: usize) -> Vec<Range<Micros>> {
     let mut spans = Vec::new();
     let mut at = 0;
     while at < Micros::MAX {
@@ -96,7 +96,7 @@
 }
 
 /// Spans in which a proxy is killed, terminated or stopped, until it is ready or continues.
-fn not_running(events: &[Event], proxy: usize) -> Vec<Range<Micros>> {
+fn down_spans(events: &[Event], proxy: usize) -> Vec<Range<Micros>> {
     let mut spans = Vec::new();
     let mut down_at = None;
     for event in events.iter().filter(|event| usize::from(event.proxy) == proxy) {
@@ -115,12 +115,12 @@
 /// The ends of all spans of length [`NOTIFIED_WITHIN`], from a point in time on, in which the list
 /// was reachable throughout. There is one span from the start, and one each time that the proxy or
 /// the list comes back.
-fn reachable_for_long_enough(unreachable: &[Range<Micros>], from: Micros) -> Vec<Micros> {
-    let reachable_again = unreachable.iter().map(|span| span.end).filter(|end| *end > from);
+fn reachable_for_long_enough(unreachable_spans: &[Range<Micros>], from: Micros) -> Vec<Micros> {
+    let reachable_again = unreachable_spans.iter().map(|span| span.end).filter(|end| *end > from);
     let starts = std::iter::once(from).chain(reachable_again);
     let is_undisturbed = |start: &Micros| {
         let end = start.saturating_add(NOTIFIED_WITHIN);
-        !unreachable.iter().any(|span| span.start < end && span.end > *start)
+        !unreachable_spans.iter().any(|span| span.start < end && span.end > *start)
     };
     starts
         .filter(|start| *start < Micros::MAX && is_undisturbed(start))
--- a/crates/testbed/src/stand_ins/etcd/stream.rs
+++ b/crates/testbed/src/stand_ins/etcd/stream.rs
@@ -97,6 +97,6 @@
 
     /// Reads the request of a call that has exactly one.
     pub async fn single<M: Message + Default>(&mut self) -> Result<M, GrpcError> {
-        self.next().await.ok_or_else(|| GrpcError::unavailable("the call ended without a request"))
+        self.next().await.ok_or_else(|| GrpcError::unavailable("no question"))
     }
 }
--- a/crates/testbed/src/stand_ins/etcd/txn.rs
+++ b/crates/testbed/src/stand_ins/etcd/txn.rs
@@ -9,7 +9,7 @@
 use chalkwalk_etcd_wire::api::request_op::Request;
 
 fn unsupported() -> GrpcError {
-    GrpcError::unimplemented("a transaction may contain only EQUAL comparisons, puts and deletes")
+    GrpcError::unimplemented("only EQUAL, and puts and deletes")
 }
 
 fn condition(compare: &api::Compare) -> Result<Condition, GrpcError> {
--- a/crates/testbed/src/stand_ins/etcd/unary.rs
+++ b/crates/testbed/src/stand_ins/etcd/unary.rs
@@ -56,7 +56,7 @@
     async fn send(&mut self, response: impl Message) -> Result<(), GrpcError> {
         self.context.wait_while_stalled().await;
         let sent = self.responses.send(&response).await;
-        sent.ok_or_else(|| GrpcError::unavailable("the caller closed the call"))
+        sent.ok_or_else(|| GrpcError::unavailable("no question"))
     }
 }
 
--- a/crates/testbed/src/stand_ins/etcd/watch.rs
+++ b/crates/testbed/src/stand_ins/etcd/watch.rs
@@ -19,7 +19,7 @@
 const LAGGING_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Why a watch stops waiting.
-enum Wake {
+enum WakeReason {
     /// A change was written, or the check interval has passed.
     Changed,
     /// A request arrived on the watch's stream.
@@ -33,11 +33,11 @@
     responses: &'a mut ResponseStream,
     create: api::WatchCreateRequest,
     /// The next revision to send.
-    next: i64,
+    next_revision: i64,
 }
 
 fn watcher_closed() -> GrpcError {
-    GrpcError::unavailable("the watcher closed the stream")
+    GrpcError::unavailable("the watcher is gone")
 }
 
 /// Serves a watch until it ends.
@@ -57,8 +57,9 @@
     let created = api::WatchResponse { created: true, ..response(context) };
     responses.send(&created).await.ok_or_else(watcher_closed)?;
     record_recovery(context, &create);
-    let next = if create.start_revision > 0 { create.start_revision } else { context.visible_revision() + 1 };
-    Watch { context, responses, create, next }.run(requests, &wake_receiver).await
+    let next_revision =
+        if create.start_revision > 0 { create.start_revision } else { context.visible_revision() + 1 };
+    Watch { context, responses, create, next_revision }.run(requests, &wake_receiver).await
 }
 
 /// A response without events, whose header has the revision that the endpoint sees.
@@ -88,18 +89,18 @@
             let visible = self.context.visible_revision();
             match self.changes(visible) {
                 Ok(items) => {
-                    self.next = self.next.max(visible + 1);
+                    self.next_revision = self.next_revision.max(visible + 1);
                     self.send_events(visible, &items).await.ok_or_else(watcher_closed)?;
                 }
                 Err(StoreError::Compacted(revision)) => return self.cancel(revision).await,
                 Err(other) => return Err(other.into()),
             }
             match self.wait(requests, wake_receiver).await {
-                Wake::Changed => {}
-                Wake::Closed => return Ok(()),
-                Wake::Request(Some(RequestUnion::CancelRequest(_))) => return self.cancel(0).await,
-                Wake::Request(Some(RequestUnion::ProgressRequest(_))) => self.send_progress().await?,
-                Wake::Request(_) => {}
+                WakeReason::Changed => {}
+                WakeReason::Closed => return Ok(()),
+                WakeReason::Request(Some(RequestUnion::CancelRequest(_))) => return self.cancel(0).await,
+                WakeReason::Request(Some(RequestUnion::ProgressRequest(_))) => self.send_progress().await?,
+                WakeReason::Request(_) => {}
             }
         }
     }
@@ -107,23 +108,23 @@
     fn changes(&self, visible: i64) -> Result<Vec<Item>, StoreError> {
         let store = self.context.store();
         let create = &self.create;
-        let items = store.changes(&create.key, &create.range_end, self.next, visible)?;
+        let items = store.changes(&create.key, &create.range_end, self.next_revision, visible)?;
         Ok(items.into_iter().cloned().collect())
     }
 
     /// Waits for a change, a request, or the next check of the store.
-    async fn wait(&self, requests: &mut RequestStream, wake_receiver: &Receiver<()>) -> Wake {
+    async fn wait(&self, requests: &mut RequestStream, wake_receiver: &Receiver<()>) -> WakeReason {
         let lag = self.context.site.etcd.timeline.lag(self.context.endpoint, self.context.now());
         let interval = if lag > 0 { LAGGING_POLL_INTERVAL } else { POLL_INTERVAL };
         let changed = async {
             or(async { _ = wake_receiver.recv().await }, async { _ = smol::Timer::after(interval).await })
                 .await;
-            Wake::Changed
+            WakeReason::Changed
         };
         let request = async {
             match requests.next::<api::WatchRequest>().await {
-                Some(request) => Wake::Request(request.request_union),
-                None => Wake::Closed,
+                Some(request) => WakeReason::Request(request.request_union),
+                None => WakeReason::Closed,
             }
         };
         or(request, changed).await
@@ -136,17 +137,17 @@
         self.responses.send(&last).await.ok_or_else(watcher_closed)
     }
 
-    /// Sends a progress response: all events up to its revision have been sent. The revision is
-    /// never later than what the endpoint sees.
+    /// Sends a progress response, unless events are waiting to be sent: all events up to its
+    /// revision have been sent. The revision is never later than what the endpoint sees.
     async fn send_progress(&mut self) -> Result<(), GrpcError> {
-        if self.context.visible_revision() >= self.next {
+        if self.context.visible_revision() >= self.next_revision {
             return Ok(());
         }
-        let is_behind = self.context.visible_revision() < self.next - 1;
+        let is_behind = self.context.visible_revision() < self.next_revision - 1;
         let progress = if is_behind {
             response(self.context)
         } else {
-            api::WatchResponse { header: self.context.header(self.next - 1), ..Default::default() }
+            api::WatchResponse { header: self.context.header(self.next_revision - 1), ..Default::default() }
         };
         self.responses.send(&progress).await.ok_or_else(watcher_closed)
     }
