--- a/crates/testbed/src/model/etcd.rs
+++ b/crates/testbed/src/model/etcd.rs
@@ -1,117 +1,119 @@
-//! A cluster of three endpoints over one store: what happens to it over a run, and how each endpoint sees the store.
+//! An etcd cluster of three endpoints over one store: its faults over a run, and which state of the
+//! store each endpoint sees.
 
 use crate::clock::{Micros, SECOND, micros};
 use crate::experiment::{Experiment, FaultKind};
 use std::ops::Range;
 
-/// Endpoints of the cluster.
+/// Number of endpoints in the cluster.
 pub const ENDPOINTS: usize = 3;
-/// The endpoint that is behind where one is.
-const BEHIND: usize = 2;
-/// Calls that need a majority fail after so long where there is none, as the server's own time-out does.
-pub const NO_MAJORITY: Micros = 2 * SECOND;
+/// The endpoint that lags in a fault that makes one endpoint lag.
+const LAGGING_ENDPOINT: usize = 2;
+/// Calls that need a quorum fail after this time where there is none, as with the timeout of an
+/// etcd server.
+pub const QUORUM_TIMEOUT: Micros = 2 * SECOND;
 
-/// Something is late for a time.
+/// A delay that applies within a span.
 #[derive(Clone, Debug)]
 struct Lag {
     span: Range<Micros>,
-    by: Micros,
+    offset: Micros,
 }
 
-/// The longest of the lags that are on.
-fn longest<'a>(lags: impl Iterator<Item = &'a Lag>, now: Micros) -> Micros {
-    lags.filter(|lag| lag.span.contains(&now)).map(|lag| lag.by).max().unwrap_or(0)
+/// The longest of the delays that apply now.
+fn max_lag<'a>(lags: impl Iterator<Item = &'a Lag>, now: Micros) -> Micros {
+    lags.filter(|lag| lag.span.contains(&now)).map(|lag| lag.offset).max().unwrap_or(0)
 }
 
-/// What happens to the cluster.
+/// The faults of the cluster over a run.
 #[derive(Clone, Debug, Default)]
 pub struct EtcdTimeline {
-    down: Vec<Range<Micros>>,
+    outages: Vec<Range<Micros>>,
     stalls: Vec<Range<Micros>>,
-    behind: Vec<Lag>,
-    slow_leases: Vec<Lag>,
-    /// Moments at which every connection is reset.
-    breaks: Vec<Micros>,
-    /// What is done to the store, in order of time.
+    lags: Vec<Lag>,
+    lease_delays: Vec<Lag>,
+    /// Times at which every connection is reset.
+    connection_resets: Vec<Micros>,
+    /// Compactions and restores of the store, in order of time.
     pub actions: Vec<TimedAction>,
 }
 
-/// What is done to the store.
+/// An operation on the whole store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum StoreAction {
-    /// Its history goes.
+    /// Drops the store's history.
     Compact,
-    /// It is restored to its state of so long ago.
+    /// Restores the store to its state of this long ago.
     Restore(Micros),
 }
 
-/// An action and its time.
+/// An operation on the store and its time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TimedAction {
-    /// When.
+    /// The time of the operation.
     pub at: Micros,
-    /// What.
+    /// The operation.
     pub action: StoreAction,
 }
 
 impl EtcdTimeline {
-    /// Works out what happens in an experiment.
+    /// Computes the faults of the cluster from an experiment.
     pub fn new(experiment: &Experiment) -> EtcdTimeline {
         let mut timeline = EtcdTimeline::default();
         for fault in experiment.each_fault() {
             let span = fault.span();
             let at = span.start;
-            let by = micros(fault.by.unwrap_or(0.0));
+            let offset = micros(fault.by.unwrap_or(0.0));
             match fault.kind {
-                FaultKind::EtcdDown => timeline.down.push(span),
+                FaultKind::EtcdDown => timeline.outages.push(span),
                 FaultKind::EtcdStall => timeline.stalls.push(span),
-                FaultKind::EtcdBehind => timeline.behind.push(Lag { span, by }),
-                FaultKind::EtcdSlowLeases => timeline.slow_leases.push(Lag { span, by }),
-                FaultKind::EtcdBreak => timeline.breaks.push(at),
+                FaultKind::EtcdBehind => timeline.lags.push(Lag { span, offset }),
+                FaultKind::EtcdSlowLeases => timeline.lease_delays.push(Lag { span, offset }),
+                FaultKind::EtcdBreak => timeline.connection_resets.push(at),
                 FaultKind::EtcdCompact => {
                     timeline.actions.push(TimedAction { at, action: StoreAction::Compact });
                 }
                 FaultKind::EtcdRestore => {
-                    timeline.actions.push(TimedAction { at, action: StoreAction::Restore(by) });
-                    timeline.breaks.push(at);
+                    timeline.actions.push(TimedAction { at, action: StoreAction::Restore(offset) });
+                    timeline.connection_resets.push(at);
                 }
                 _ => {}
             }
         }
-        let goes_down = timeline.down.iter().map(|span| span.start);
-        timeline.breaks.extend(goes_down);
+        let outage_starts = timeline.outages.iter().map(|span| span.start);
+        timeline.connection_resets.extend(outage_starts);
         timeline.actions.sort_by_key(|timed| timed.at);
         timeline
     }
 
-    /// Whether it is down.
+    /// Whether the cluster is down.
     pub fn is_down(&self, now: Micros) -> bool {
-        self.down.iter().any(|span| span.contains(&now))
+        self.outages.iter().any(|span| span.contains(&now))
     }
 
-    /// When it goes down or comes up next.
+    /// The next time at which the cluster goes down or comes up; `Micros::MAX` if there is none.
     pub fn next_transition(&self, now: Micros) -> Micros {
-        let ends = self.down.iter().flat_map(|span| [span.start, span.end]);
-        ends.filter(|at| *at > now).min().unwrap_or(Micros::MAX)
+        let transitions = self.outages.iter().flat_map(|span| [span.start, span.end]);
+        transitions.filter(|at| *at > now).min().unwrap_or(Micros::MAX)
     }
 
-    /// The end of the stall that is on.
+    /// The end of the current stall, if the cluster stalls.
     pub fn stalled_until(&self, now: Micros) -> Option<Micros> {
         self.stalls.iter().filter(|span| span.contains(&now)).map(|span| span.end).max()
     }
 
-    /// How far an endpoint lags.
+    /// How far the state that an endpoint sees is behind the store.
     pub fn lag(&self, endpoint: usize, now: Micros) -> Micros {
-        longest(self.behind.iter().filter(|_| endpoint == BEHIND), now)
+        max_lag(self.lags.iter().filter(|_| endpoint == LAGGING_ENDPOINT), now)
     }
 
-    /// How long calls about leases wait.
-    pub fn lease_lag(&self, now: Micros) -> Micros {
-        longest(self.slow_leases.iter(), now)
+    /// The delay of calls about leases.
+    pub fn lease_delay(&self, now: Micros) -> Micros {
+        max_lag(self.lease_delays.iter(), now)
     }
 
-    /// When connections are reset next.
-    pub fn next_break(&self, now: Micros) -> Option<Micros> {
-        self.breaks.iter().copied().filter(|at| *at > now).min()
+    /// The next time at which all connections are reset.
+    pub fn next_connection_reset(&self, now: Micros) -> Option<Micros> {
+        self.connection_resets.iter().copied().filter(|at| *at > now).min()
     }
 }
--- a/crates/testbed/src/model/server.rs
+++ b/crates/testbed/src/model/server.rs
@@ -1,4 +1,5 @@
-//! One server's process, and the origin's: what becomes of an attempt that reaches them, and when.
+//! Models of one server process and of the origin: the outcome of each attempt that reaches them,
+//! and its time.
 
 use crate::clock::Micros;
 use crate::model::speed::{Cores, RecentWork, SpeedProfile};
@@ -11,104 +12,108 @@
 pub enum Reply {
     /// The cached value.
     Hit,
-    /// The value, fetched by the server, or made by the origin.
+    /// The value, which the server fetched from the origin or the origin produced.
     Fetched,
     /// The key is not cached.
     Miss,
-    /// An error.
+    /// An error response.
     Error,
-    /// Refused, and surely not run.
+    /// A rejection which states that the request was not executed.
     Unprocessed,
-    /// None, ever.
+    /// No reply at all.
     Silence,
     /// A reset of the connection.
     Reset,
-    /// Half of the value.
+    /// A response that ends after half of the value.
     Truncated,
-    /// Noise.
+    /// Bytes that are not a valid response.
     Garbage,
 }
 
-/// What becomes of an attempt.
+/// The outcome of an attempt, decided when the attempt arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlannedReply {
     /// The reply.
     pub reply: Reply,
-    /// When.
-    pub at: Micros,
-    /// Whether an interim response goes ahead.
+    /// When it is sent.
+    pub due: Micros,
+    /// Whether an interim response is sent before it.
     pub interim: bool,
-    /// Whether its effect, if it has one, comes about.
+    /// Whether the request's effect, if it has one, is applied.
     pub takes_effect: bool,
-    /// Whether the server collapsed under this attempt.
+    /// Whether this attempt makes the server collapse.
     pub collapses: bool,
 }
 
 impl PlannedReply {
-    /// A reply without interim response and effect.
-    pub fn plain(reply: Reply, at: Micros) -> PlannedReply {
-        PlannedReply { reply, at, interim: false, takes_effect: false, collapses: false }
+    /// A reply without an interim response and without an effect.
+    pub fn no_effect(reply: Reply, due: Micros) -> PlannedReply {
+        PlannedReply { reply, due, interim: false, takes_effect: false, collapses: false }
     }
 }
 
-/// What the model needs to know of an attempt.
+/// The properties of an attempt that its outcome depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptInput {
-    /// Its key.
+    /// The key that is requested.
     pub key: u64,
-    /// Whether it writes.
+    /// Whether it is a write.
     pub write: bool,
-    /// How long it takes at the usual speed.
+    /// Processing time at normal speed.
     pub work: Micros,
-    /// From 0 to 1: decides where a fault affects only a share of the attempts.
-    pub luck: f64,
+    /// A random number from 0 to 1. It decides whether a fault that affects only a share of the
+    /// attempts affects this one.
+    pub sample: f64,
 }
 
-/// What all servers have in common.
+/// The settings that all servers have in common.
 #[derive(Clone, Debug)]
 pub struct ServerSpec {
-    /// Cores of each.
+    /// Number of cores.
     pub cores: usize,
-    /// Requests that wait for one.
-    pub queue: usize,
-    /// Values that are cached.
-    pub values: usize,
-    /// The speed just after a start, as a share of the full speed.
+    /// Maximum number of requests that wait for a core.
+    pub max_queued: usize,
+    /// Maximum number of cached values.
+    pub max_values: usize,
+    /// Speed just after a start, as a share of full speed.
     pub slow_start_share: f64,
-    /// From a start to full speed.
+    /// Time from a start to full speed.
     pub slow_start: Micros,
-    /// In slow start a server collapses when it is sent more than so many times what it can do, ...
+    /// In slow start, a server collapses if it receives more than this multiple of the work that it
+    /// can do ...
     pub collapse_multiple: f64,
-    /// ... over this window.
+    /// ... within this window.
     pub collapse_window: Micros,
-    /// Whether it fetches what it lacks by itself.
-    pub through: bool,
+    /// Whether it fetches values that it has not cached from the origin itself (read-through).
+    pub read_through: bool,
 }
 
-/// One process of a server.
+/// The model of one server process.
 pub struct ServerModel {
     spec: ServerSpec,
     cores: Cores,
-    cached: LruCache<u64, ()>,
+    cache: LruCache<u64, ()>,
     recent_work: RecentWork,
     started: Micros,
     purges_applied: usize,
     collapsed: bool,
 }
 
-/// Refusing, missing and failing take an eighth of the work: the request is read and the key looked up.
-const SMALL_WORK_DIVISOR: Micros = 8;
-/// Above the budget of a server in slow start, as arrivals are random: so many requests of the size that comes.
-const COLLAPSE_SLACK: Micros = 8;
+/// A rejection, a miss and an error take an eighth of the work: the server reads the request and
+/// looks the key up.
+const LOOKUP_WORK_DIVISOR: Micros = 8;
+/// Tolerance above the work budget of a server in slow start, as a number of requests of the
+/// arriving size: arrivals are random.
+const COLLAPSE_SLACK_REQUESTS: Micros = 8;
 
-/// Misbehaviors that affect one attempt.
-struct Affecting(Vec<Misbehavior>);
+/// The misbehaviors that affect one attempt.
+struct ActiveMisbehaviors(Vec<Misbehavior>);
 
-impl Affecting {
-    fn new(timeline: &ServerTimeline, now: Micros, luck: f64) -> Affecting {
-        let on = timeline.misbehaviors.iter();
-        let on = on.filter(|on| on.span.contains(&now) && luck < on.share);
-        Affecting(on.map(|on| on.misbehavior).collect())
+impl ActiveMisbehaviors {
+    fn new(timeline: &ServerTimeline, now: Micros, sample: f64) -> ActiveMisbehaviors {
+        let active = timeline.misbehaviors.iter();
+        let active = active.filter(|active| active.span.contains(&now) && sample < active.share);
+        ActiveMisbehaviors(active.map(|active| active.misbehavior).collect())
     }
 
     fn has(&self, misbehavior: Misbehavior) -> bool {
@@ -116,28 +121,28 @@
     }
 
     fn is_unanswered(&self) -> bool {
-        self.has(Misbehavior::Hangs) || self.has(Misbehavior::Loses)
+        self.has(Misbehavior::Hangs) || self.has(Misbehavior::DropsRequests)
     }
 
-    /// The reply to an attempt whose work is done, where a misbehavior changes it.
+    /// The reply and its time for an attempt that was executed, where a misbehavior changes them.
     fn after_work(&self, done: Micros) -> Option<(Reply, Micros)> {
         if self.is_unanswered() {
-            // Whether it ran will never be known to anybody: it did.
+            // The caller cannot learn whether the request was executed. In the model, it was.
             return Some((Reply::Silence, Micros::MAX));
         }
-        if self.has(Misbehavior::Half) {
+        if self.has(Misbehavior::Truncates) {
             return Some((Reply::Truncated, done));
         }
-        self.has(Misbehavior::Spoils).then_some((Reply::Garbage, done))
+        self.has(Misbehavior::SendsGarbage).then_some((Reply::Garbage, done))
     }
 }
 
 impl ServerModel {
-    /// A process that started then, with nothing cached.
+    /// A process that started at the given time, with an empty cache.
     pub fn new(spec: ServerSpec, started: Micros) -> ServerModel {
         ServerModel {
-            cores: Cores::new(spec.cores, spec.queue),
-            cached: LruCache::new(NonZeroUsize::new(spec.values).unwrap_or(NonZeroUsize::MIN)),
+            cores: Cores::new(spec.cores, spec.max_queued),
+            cache: LruCache::new(NonZeroUsize::new(spec.max_values).unwrap_or(NonZeroUsize::MIN)),
             recent_work: RecentWork::new(spec.collapse_window),
             started,
             purges_applied: 0,
@@ -148,40 +153,44 @@
 
     /// Caches a key's value.
     pub fn store(&mut self, key: u64) {
-        self.cached.put(key, ());
+        self.cache.put(key, ());
     }
 
-    /// Drops a key's value.
+    /// Removes a key's value from the cache.
     pub fn remove(&mut self, key: u64) {
-        self.cached.pop(&key);
+        self.cache.pop(&key);
     }
 
     /// Whether a key's value is cached.
     pub fn contains(&self, key: u64) -> bool {
-        self.cached.contains(&key)
+        self.cache.contains(&key)
     }
 
-    /// Whether a process in slow start is sent more than it bears; counts what is sent now.
-    fn collapses_under(&mut self, now: Micros, attempt: &AttemptInput) -> bool {
+    /// Whether a process in slow start has received more work than it can bear. Adds the attempt's
+    /// work to the window.
+    fn is_overloaded_by(&mut self, now: Micros, attempt: &AttemptInput) -> bool {
         let spec = &self.spec;
         if self.started == 0 || now >= self.started + spec.slow_start {
             return false;
         }
-        let sent = self.recent_work.add(now, attempt.work);
+        let recent_work = self.recent_work.add(now, attempt.work);
         let progress = (now - self.started) as f64 / spec.slow_start as f64;
         let speed = spec.slow_start_share + (1.0 - spec.slow_start_share) * progress;
         let capacity = speed * spec.cores as f64 * spec.collapse_window as f64;
-        sent as f64 > capacity * spec.collapse_multiple + (COLLAPSE_SLACK * attempt.work) as f64
+        recent_work as f64
+            > capacity * spec.collapse_multiple + (COLLAPSE_SLACK_REQUESTS * attempt.work) as f64
     }
 
     fn apply_purges(&mut self, now: Micros, timeline: &ServerTimeline) {
         while timeline.purges.get(self.purges_applied).is_some_and(|at| *at <= now) {
             self.purges_applied += 1;
-            self.cached.clear();
+            self.cache.clear();
         }
     }
 
-    /// What becomes of an attempt that comes now. `fetch` is the origin's model, where the server fetches by itself.
+    /// Decides the outcome of an attempt that arrives now. `fetch` returns when the origin has
+    /// answered a request sent at the given time, or `None` if the origin fails; it is called only
+    /// where the server fetches the value itself.
     pub fn handle(
         &mut self,
         now: Micros,
@@ -190,33 +199,33 @@
         fetch: impl FnOnce(Micros) -> Option<Micros>,
     ) -> PlannedReply {
         self.apply_purges(now, timeline);
-        let collapses = !self.collapsed && self.collapses_under(now, &attempt);
+        let collapses = !self.collapsed && self.is_overloaded_by(now, &attempt);
         self.collapsed |= collapses;
-        let affecting = Affecting::new(timeline, now, attempt.luck);
-        let interim = affecting.has(Misbehavior::Interim);
-        let plan = match self.refusal(now, &attempt, timeline, &affecting) {
+        let misbehaviors = ActiveMisbehaviors::new(timeline, now, attempt.sample);
+        let interim = misbehaviors.has(Misbehavior::Interim);
+        let plan = match self.refusal(now, &attempt, timeline, &misbehaviors) {
             Some(refusal) => refusal,
-            None => self.process(now, &attempt, timeline, &affecting, fetch),
+            None => self.process(now, &attempt, timeline, &misbehaviors, fetch),
         };
         PlannedReply { interim, collapses, ..plan }
     }
 
-    /// The reply to what is not even looked up.
+    /// The reply to an attempt that is rejected before its key is looked up.
     fn refusal(
         &self,
         now: Micros,
         attempt: &AttemptInput,
         timeline: &ServerTimeline,
-        affecting: &Affecting,
+        misbehaviors: &ActiveMisbehaviors,
     ) -> Option<PlannedReply> {
-        if self.collapsed || affecting.has(Misbehavior::Resets) {
-            return Some(PlannedReply::plain(Reply::Reset, now));
+        if self.collapsed || misbehaviors.has(Misbehavior::Resets) {
+            return Some(PlannedReply::no_effect(Reply::Reset, now));
         }
-        let soon = timeline.speed.completion(now, attempt.work / SMALL_WORK_DIVISOR);
-        if affecting.has(Misbehavior::TurnsAway) {
-            return Some(PlannedReply::plain(Reply::Unprocessed, soon));
+        let replied_at = timeline.speed.completion(now, attempt.work / LOOKUP_WORK_DIVISOR);
+        if misbehaviors.has(Misbehavior::Rejects) {
+            return Some(PlannedReply::no_effect(Reply::Unprocessed, replied_at));
         }
-        affecting.has(Misbehavior::Fails).then(|| PlannedReply::plain(Reply::Error, soon))
+        misbehaviors.has(Misbehavior::Fails).then(|| PlannedReply::no_effect(Reply::Error, replied_at))
     }
 
     fn process(
@@ -224,54 +233,55 @@
         now: Micros,
         attempt: &AttemptInput,
         timeline: &ServerTimeline,
-        affecting: &Affecting,
+        misbehaviors: &ActiveMisbehaviors,
         fetch: impl FnOnce(Micros) -> Option<Micros>,
     ) -> PlannedReply {
-        let small_work = attempt.work / SMALL_WORK_DIVISOR;
-        let cached = self.cached.get(&attempt.key).is_some();
-        // Writes are the origin's where servers only cache.
-        let is_miss = !self.spec.through && (attempt.write || !cached);
-        let work = if is_miss { small_work } else { attempt.work };
+        let lookup_work = attempt.work / LOOKUP_WORK_DIVISOR;
+        let cached = self.cache.get(&attempt.key).is_some();
+        // Servers that only cache answer writes with a miss: the origin executes them.
+        let is_miss = !self.spec.read_through && (attempt.write || !cached);
+        let work = if is_miss { lookup_work } else { attempt.work };
         let Some(done) = self.cores.schedule(now, work, &timeline.speed) else {
-            return PlannedReply::plain(Reply::Unprocessed, timeline.speed.completion(now, small_work));
+            return PlannedReply::no_effect(Reply::Unprocessed, timeline.speed.completion(now, lookup_work));
         };
         if is_miss {
-            let silent = affecting.is_unanswered();
+            let silent = misbehaviors.is_unanswered();
             let (reply, at) = if silent { (Reply::Silence, Micros::MAX) } else { (Reply::Miss, done) };
-            return PlannedReply::plain(reply, at);
+            return PlannedReply::no_effect(reply, at);
         }
-        let ran = |reply, at| PlannedReply { takes_effect: true, ..PlannedReply::plain(reply, at) };
-        if let Some((reply, at)) = affecting.after_work(done) {
-            return ran(reply, at);
+        let executed = |reply, at| PlannedReply { takes_effect: true, ..PlannedReply::no_effect(reply, at) };
+        if let Some((reply, at)) = misbehaviors.after_work(done) {
+            return executed(reply, at);
         }
         if cached && !attempt.write {
-            return ran(Reply::Hit, done);
+            return executed(Reply::Hit, done);
         }
-        let Some(fetched) = fetch(done) else { return PlannedReply::plain(Reply::Error, done) };
+        let Some(fetched) = fetch(done) else { return PlannedReply::no_effect(Reply::Error, done) };
         if attempt.write {
             self.remove(attempt.key);
         } else {
             self.store(attempt.key);
         }
-        ran(Reply::Fetched, fetched)
+        executed(Reply::Fetched, fetched)
     }
 }
 
-/// The origin: few slots, slower the more of them are in use.
+/// The model of the origin: it has few slots, and gets slower the more of them are in use.
 pub struct OriginModel {
     cores: Cores,
     contention: f64,
 }
 
 impl OriginModel {
-    /// So many slots, so many places to wait, and how much longer work takes for each request in progress.
-    pub fn new(slots: usize, queue: usize, contention: f64) -> OriginModel {
-        OriginModel { cores: Cores::new(slots, queue), contention }
+    /// An origin with that many slots and queue places. `contention` is the share by which each
+    /// request in progress or queued lengthens the work of a new one.
+    pub fn new(slots: usize, max_queued: usize, contention: f64) -> OriginModel {
+        OriginModel { cores: Cores::new(slots, max_queued), contention }
     }
 
-    /// When it has done a request that comes now, or `None` where its queue is full.
+    /// When a request that arrives now is done, or `None` if the queue is full.
     pub fn handle(&mut self, now: Micros, work: Micros, speed: &SpeedProfile) -> Option<Micros> {
-        let slowdown = 1.0 + self.contention * self.cores.busy(now) as f64;
+        let slowdown = 1.0 + self.contention * self.cores.pending(now) as f64;
         self.cores.schedule(now, (work as f64 * slowdown) as Micros, speed)
     }
 }
--- a/crates/testbed/src/model/speed.rs
+++ b/crates/testbed/src/model/speed.rs
@@ -1,46 +1,47 @@
-//! How fast something works over time, and the cores that do the work.
+//! Processing speed over time, and the cores that process work.
 
 use crate::clock::{Micros, SECOND};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::ops::Range;
 
-/// The speed from one moment on.
+/// The speed from a point in time until the next step.
 #[derive(Clone, Copy, Debug)]
 struct SpeedStep {
-    from: Micros,
+    start: Micros,
     speed: f64,
 }
 
-/// Speed as steps over time, 1 being the usual; 0 is standing still.
+/// Speed as a step function of time: 1 is normal speed, 0 is standstill.
 #[derive(Clone, Debug)]
 pub struct SpeedProfile {
     steps: Vec<SpeedStep>,
 }
 
-/// A slow start rises in so many steps: finer than any window that is judged.
+/// Number of steps in which the speed rises in a slow start; a step is shorter than any window that
+/// is evaluated.
 const RAMP_STEPS: u64 = 20;
 
 impl Default for SpeedProfile {
     fn default() -> SpeedProfile {
-        SpeedProfile { steps: vec![SpeedStep { from: 0, speed: 1.0 }] }
+        SpeedProfile { steps: vec![SpeedStep { start: 0, speed: 1.0 }] }
     }
 }
 
 impl SpeedProfile {
-    /// Makes a step begin at a moment, and returns its index.
+    /// Makes a step start at a point in time, and returns its index.
     fn split_at(&mut self, at: Micros) -> usize {
-        match self.steps.binary_search_by_key(&at, |step| step.from) {
+        match self.steps.binary_search_by_key(&at, |step| step.start) {
             Ok(i) => i,
             Err(i) => {
                 let speed = self.steps[i - 1].speed;
-                self.steps.insert(i, SpeedStep { from: at, speed });
+                self.steps.insert(i, SpeedStep { start: at, speed });
                 i
             }
         }
     }
 
-    /// Makes it so many times as fast within a span.
+    /// Multiplies the speed within a span by a factor.
     pub fn scale(&mut self, span: Range<Micros>, factor: f64) {
         if span.is_empty() {
             return;
@@ -52,117 +53,118 @@
         }
     }
 
-    /// A slow start: rises evenly from a share of the speed to all of it.
-    pub fn slow_start(&mut self, started: Micros, first_share: f64, duration: Micros) {
+    /// Adds a slow start: the speed rises evenly from a share of its value to all of it.
+    pub fn slow_start(&mut self, started: Micros, initial_share: f64, duration: Micros) {
         for i in 0..RAMP_STEPS {
             let progress = (i as f64 + 0.5) / RAMP_STEPS as f64;
             let span = started + duration * i / RAMP_STEPS..started + duration * (i + 1) / RAMP_STEPS;
-            self.scale(span, first_share + (1.0 - first_share) * progress);
+            self.scale(span, initial_share + (1.0 - initial_share) * progress);
         }
     }
 
-    fn step(&self, at: Micros) -> usize {
-        self.steps.partition_point(|step| step.from <= at) - 1
+    fn step_index(&self, at: Micros) -> usize {
+        self.steps.partition_point(|step| step.start <= at) - 1
     }
 
-    /// The speed at a moment.
+    /// The speed at a point in time.
     pub fn speed(&self, at: Micros) -> f64 {
-        self.steps[self.step(at)].speed
+        self.steps[self.step_index(at)].speed
     }
 
-    /// When work that begins now, and takes so long at the usual speed, is done; `Micros::MAX` where it never is.
-    pub fn completion(&self, begun: Micros, work: Micros) -> Micros {
-        let mut at = begun;
-        let mut left = work as f64;
-        for i in self.step(begun)..self.steps.len() {
+    /// When work that starts at `start` is done, given its duration at normal speed; `Micros::MAX`
+    /// if it is never done.
+    pub fn completion(&self, start: Micros, work: Micros) -> Micros {
+        let mut at = start;
+        let mut remaining = work as f64;
+        for i in self.step_index(start)..self.steps.len() {
             let speed = self.steps[i].speed;
-            let next = self.steps.get(i + 1).map(|step| step.from);
+            let next = self.steps.get(i + 1).map(|step| step.start);
             if speed > 0.0 {
-                let end = at as f64 + left / speed;
+                let end = at as f64 + remaining / speed;
                 match next {
-                    Some(next) if end > next as f64 => left -= (next - at) as f64 * speed,
+                    Some(next) if end > next as f64 => remaining -= (next - at) as f64 * speed,
                     _ => return end.round() as Micros,
                 }
             }
             at = next.unwrap_or(Micros::MAX);
         }
-        // It stands still for good.
+        // The speed remains 0 until the end of the run.
         Micros::MAX
     }
 }
 
-/// Cores with a bounded queue before them; the end of each piece of work is known when it comes.
+/// Cores with a bounded queue. The end of each piece of work is computed when it arrives.
 #[derive(Clone, Debug)]
 pub struct Cores {
     /// When each core is free.
-    free: BinaryHeap<Reverse<Micros>>,
-    /// When all that is in progress or waits is done.
-    ends: BinaryHeap<Reverse<Micros>>,
+    core_free_at: BinaryHeap<Reverse<Micros>>,
+    /// Ends of all work that is in progress or queued.
+    completions: BinaryHeap<Reverse<Micros>>,
     cores: usize,
     queue: usize,
 }
 
 impl Cores {
-    /// So many cores, and so many places to wait.
+    /// That many cores, with a queue of that many places.
     pub fn new(cores: usize, queue: usize) -> Cores {
-        Cores { free: vec![Reverse(0); cores].into(), ends: BinaryHeap::new(), cores, queue }
+        Cores { core_free_at: vec![Reverse(0); cores].into(), completions: BinaryHeap::new(), cores, queue }
     }
 
-    /// How much is in progress or waits.
-    pub fn busy(&mut self, now: Micros) -> usize {
-        while self.ends.peek().is_some_and(|Reverse(end)| *end <= now) {
-            self.ends.pop();
+    /// The number of requests in progress or queued.
+    pub fn pending(&mut self, now: Micros) -> usize {
+        while self.completions.peek().is_some_and(|Reverse(end)| *end <= now) {
+            self.completions.pop();
         }
-        self.ends.len()
+        self.completions.len()
     }
 
-    /// Accepts work and returns when it is done, or `None` where the queue is full.
+    /// Accepts work and returns when it is done, or `None` if the queue is full.
     pub fn schedule(&mut self, now: Micros, work: Micros, speed: &SpeedProfile) -> Option<Micros> {
-        if self.busy(now) >= self.cores + self.queue {
+        if self.pending(now) >= self.cores + self.queue {
             return None;
         }
-        let Reverse(free) = self.free.pop().unwrap_or(Reverse(0));
-        let end = speed.completion(free.max(now), work);
-        self.free.push(Reverse(end));
-        self.ends.push(Reverse(end));
+        let Reverse(core_free_at) = self.core_free_at.pop().unwrap_or(Reverse(0));
+        let end = speed.completion(core_free_at.max(now), work);
+        self.core_free_at.push(Reverse(end));
+        self.completions.push(Reverse(end));
         Some(end)
     }
 }
 
-/// Work that was sent in a part of the window.
+/// The work that arrived in one bucket of the window.
 #[derive(Clone, Copy, Debug)]
-struct WorkPart {
-    from: Micros,
+struct WorkBucket {
+    start: Micros,
     work: Micros,
 }
 
-/// Work that was sent within a window up to now.
+/// The work that arrived within a sliding window.
 #[derive(Clone, Debug)]
 pub struct RecentWork {
-    parts: Vec<WorkPart>,
+    buckets: Vec<WorkBucket>,
     window: Micros,
 }
 
-/// The window moves on in so many parts.
-const WINDOW_PARTS: Micros = 20;
-/// A shorter window would have parts of no length.
+/// Number of buckets in a window; the window advances by one bucket at a time.
+const WINDOW_BUCKETS: Micros = 20;
+/// A shorter window could have buckets of length 0.
 const MIN_WINDOW: Micros = SECOND / 100;
 
 impl RecentWork {
-    /// None yet, with a window of that length.
+    /// An empty window of that length.
     pub fn new(window: Micros) -> RecentWork {
-        RecentWork { parts: Vec::new(), window: window.max(MIN_WINDOW) }
+        RecentWork { buckets: Vec::new(), window: window.max(MIN_WINDOW) }
     }
 
-    /// Adds work, and returns how much came within the window.
+    /// Adds work, and returns the sum of the work within the window.
     pub fn add(&mut self, now: Micros, work: Micros) -> Micros {
-        let part_length = self.window / WINDOW_PARTS;
-        let from = now / part_length * part_length;
-        self.parts.retain(|part| part.from + self.window > now);
-        match self.parts.last_mut().filter(|part| part.from == from) {
-            Some(part) => part.work += work,
-            None => self.parts.push(WorkPart { from, work }),
+        let bucket_length = self.window / WINDOW_BUCKETS;
+        let start = now / bucket_length * bucket_length;
+        self.buckets.retain(|bucket| bucket.start + self.window > now);
+        match self.buckets.last_mut().filter(|bucket| bucket.start == start) {
+            Some(bucket) => bucket.work += work,
+            None => self.buckets.push(WorkBucket { start, work }),
         }
-        self.parts.iter().map(|part| part.work).sum()
+        self.buckets.iter().map(|bucket| bucket.work).sum()
     }
 }
--- a/crates/testbed/src/model/timeline/build.rs
+++ b/crates/testbed/src/model/timeline/build.rs
@@ -1,4 +1,4 @@
-//! How the timelines follow from an experiment's faults.
+//! Derives the timelines from an experiment's faults.
 
 use super::{
     EndpointStatus, Incarnation, ListOutage, ListUpdate, Misbehavior, MisbehaviorSpan, OriginFailure,
@@ -8,13 +8,15 @@
 use crate::experiment::{Experiment, Fault, FaultKind};
 use std::ops::Range;
 
-/// The list finds out by its own calls that a machine is gone: some of those and a second more.
+/// Time until the list detects with its own calls that a machine is gone: several of these calls,
+/// and a second more.
 const DETECTION_DELAY: Micros = 2 * SECOND;
-/// Stands in for a time that a kind of fault requires; the experiment's check has refused a fault without it.
+/// Fallback for a duration that a kind of fault requires; the experiment's check has already
+/// rejected a fault without it.
 const DEFAULT_SECONDS: f64 = 1.0;
 
-/// A time of a fault that its kind requires.
-fn required(seconds: Option<f64>) -> Micros {
+/// A duration of a fault that its kind requires.
+fn required_duration(seconds: Option<f64>) -> Micros {
     micros(seconds.unwrap_or(DEFAULT_SECONDS))
 }
 
@@ -22,51 +24,56 @@
     Some(match kind {
         FaultKind::Fails => Misbehavior::Fails,
         FaultKind::Hangs => Misbehavior::Hangs,
-        FaultKind::Loses => Misbehavior::Loses,
-        FaultKind::TurnsAway => Misbehavior::TurnsAway,
+        FaultKind::Loses => Misbehavior::DropsRequests,
+        FaultKind::TurnsAway => Misbehavior::Rejects,
         FaultKind::Resets => Misbehavior::Resets,
-        FaultKind::HalfAnswers => Misbehavior::Half,
-        FaultKind::Spoils => Misbehavior::Spoils,
+        FaultKind::HalfAnswers => Misbehavior::Truncates,
+        FaultKind::Spoils => Misbehavior::SendsGarbage,
         FaultKind::Interim => Misbehavior::Interim,
         _ => return None,
     })
 }
 
 impl ServerTimeline {
-    /// One process that has run since long ago and goes on.
+    /// A single process that started before the run and does not end.
     fn new() -> ServerTimeline {
-        let always = Incarnation { started: 0, ended: Micros::MAX, after: Reachability::Refused };
-        ServerTimeline { incarnations: vec![always], ..ServerTimeline::default() }
+        let initial_process =
+            Incarnation { started: 0, ended: Micros::MAX, reachability_after: Reachability::Refused };
+        ServerTimeline { incarnations: vec![initial_process], ..ServerTimeline::default() }
     }
 
-    /// Ends the process that runs at a moment; the next one starts when the server returns.
-    fn end(&mut self, at: Micros, after: Reachability, returns: Micros) {
+    /// Ends the process that runs at the given time. The next one starts when the server returns.
+    fn end_process(&mut self, at: Micros, reachability_after: Reachability, returns_at: Micros) {
         let running = self.incarnations.last_mut();
         if let Some(running) = running.filter(|process| process.started <= at && at < process.ended) {
             running.ended = at;
-            running.after = after;
-            let next = Incarnation { started: returns, ended: Micros::MAX, after: Reachability::Refused };
+            running.reachability_after = reachability_after;
+            let next = Incarnation {
+                started: returns_at,
+                ended: Micros::MAX,
+                reachability_after: Reachability::Refused,
+            };
             self.incarnations.push(next);
         }
     }
 }
 
-/// The list shows changes within a span later.
+/// A span in which the list publishes changes late.
 struct ListDelay {
     span: Range<Micros>,
-    by: Micros,
+    delay: Micros,
 }
 
 struct Builder<'a> {
     experiment: &'a Experiment,
     timelines: Timelines,
-    /// From a change to the moment the list shows it.
+    /// Time from a change until the list publishes it.
     list_delay: Micros,
     list_delays: Vec<ListDelay>,
 }
 
 impl Timelines {
-    /// Works out what happens in an experiment.
+    /// Computes the timelines of an experiment.
     pub fn new(experiment: &Experiment) -> Timelines {
         let world = &experiment.world;
         let servers = (0..world.servers).map(|_| ServerTimeline::new()).collect();
@@ -88,7 +95,7 @@
 impl Builder<'_> {
     fn apply(&mut self, fault: &Fault) {
         if let Some(misbehavior) = misbehavior(fault.kind) {
-            self.misbehave(fault, misbehavior);
+            self.add_misbehavior(fault, misbehavior);
             return;
         }
         let span = fault.span();
@@ -98,28 +105,28 @@
             FaultKind::Vanishes | FaultKind::ZoneLost => {
                 let gone_delay = self.list_delay + DETECTION_DELAY;
                 for server in self.experiment.targets(fault) {
-                    self.take_away(server, Reachability::Silent, span.clone(), gone_delay);
+                    self.take_down(server, Reachability::Silent, span.clone(), gone_delay);
                 }
             }
-            FaultKind::Failover => self.fail_over(fault),
+            FaultKind::Failover => self.apply_failover(fault),
             FaultKind::Restarts => {
-                let returns = span.start + required(fault.down);
+                let returns_at = span.start + required_duration(fault.down);
                 for server in self.experiment.targets(fault) {
-                    self.take_away(server, Reachability::Refused, span.start..returns, self.list_delay);
+                    self.take_down(server, Reachability::Refused, span.start..returns_at, self.list_delay);
                 }
             }
-            FaultKind::RollingDeploy => self.deploy(fault),
+            FaultKind::RollingDeploy => self.apply_rolling_deploy(fault),
             FaultKind::CopiesVoid => {
                 for server in self.experiment.targets(fault) {
                     self.timelines.servers[server].purges.push(span.start);
                 }
             }
-            _ => self.apply_beside_servers(fault),
+            _ => self.apply_to_other_parts(fault),
         }
     }
 
-    /// Faults of the origin, the links and the list.
-    fn apply_beside_servers(&mut self, fault: &Fault) {
+    /// Applies faults of the origin, the links and the list.
+    fn apply_to_other_parts(&mut self, fault: &Fault) {
         let timelines = &mut self.timelines;
         let span = fault.span();
         match fault.kind {
@@ -129,25 +136,26 @@
                 timelines.origin_failures.push(OriginFailure { span, share });
             }
             FaultKind::ZoneCut => {
-                let named = |zone: &String| self.experiment.world.zones.iter().position(|own| own == zone);
-                let zone = fault.zone.as_ref().and_then(named);
+                let zone_index =
+                    |zone: &String| self.experiment.world.zones.iter().position(|name| name == zone);
+                let zone = fault.zone.as_ref().and_then(zone_index);
                 timelines.zone_cuts.extend(zone.map(|zone| ZoneCut { span, zone }));
             }
             FaultKind::ListDown => {
                 let outage = fault.outage.unwrap_or_default();
-                timelines.list_down.push(ListOutage { span, outage });
+                timelines.list_outages.push(ListOutage { span, outage });
             }
-            FaultKind::ListOld => timelines.list_old.push(span),
+            FaultKind::ListOld => timelines.stale_list_spans.push(span),
             FaultKind::ListSilent => timelines.list_silences.push(span.start),
             FaultKind::ListLate => {
-                self.list_delays.push(ListDelay { span, by: micros(fault.by.unwrap_or(0.0)) });
+                self.list_delays.push(ListDelay { span, delay: micros(fault.by.unwrap_or(0.0)) });
             }
-            // Those of proxies, etcd and hash slots have timelines of their own.
+            // Faults of proxies, etcd and hash slots are in other timelines.
             _ => {}
         }
     }
 
-    fn misbehave(&mut self, fault: &Fault, misbehavior: Misbehavior) {
+    fn add_misbehavior(&mut self, fault: &Fault, misbehavior: Misbehavior) {
         let share = fault.share.unwrap_or(1.0);
         for server in self.experiment.targets(fault) {
             let span = MisbehaviorSpan { span: fault.span(), misbehavior, share };
@@ -161,23 +169,23 @@
         }
     }
 
-    /// The list is not notified: who took over is the servers' own matter.
-    fn fail_over(&mut self, fault: &Fault) {
+    /// The list does not publish a failover: which replica takes over is known only to the servers.
+    fn apply_failover(&mut self, fault: &Fault) {
         let start = fault.span().start;
-        let returns = start + required(fault.down);
+        let returns_at = start + required_duration(fault.down);
         for server in self.experiment.targets(fault) {
-            self.timelines.servers[server].end(start, Reachability::Refused, returns);
+            self.timelines.servers[server].end_process(start, Reachability::Refused, returns_at);
         }
     }
 
-    fn deploy(&mut self, fault: &Fault) {
-        let every = required(fault.every);
+    fn apply_rolling_deploy(&mut self, fault: &Fault) {
+        let interval = required_duration(fault.every);
         for (i, server) in self.experiment.targets(fault).into_iter().enumerate() {
-            let notice = fault.span().start + every * i as Micros;
-            let end = notice + required(fault.drain);
-            let returns = end + required(fault.down);
-            self.publish(notice + self.list_delay, server, EndpointStatus::Draining, 0);
-            self.take_away(server, Reachability::Refused, end..returns, self.list_delay);
+            let drain_start = fault.span().start + interval * i as Micros;
+            let end = drain_start + required_duration(fault.drain);
+            let returns_at = end + required_duration(fault.down);
+            self.publish(drain_start + self.list_delay, server, EndpointStatus::Draining, 0);
+            self.take_down(server, Reachability::Refused, end..returns_at, self.list_delay);
         }
     }
 
@@ -185,9 +193,17 @@
         self.timelines.updates.push(ListUpdate { published, server, status, started });
     }
 
-    /// A server is gone for a time, and returns in slow start; the list shows both, the first so much later.
-    fn take_away(&mut self, server: usize, after: Reachability, span: Range<Micros>, gone_delay: Micros) {
-        self.timelines.servers[server].end(span.start, after, span.end);
+    /// Takes a server down for a span, after which it returns in slow start. The list publishes
+    /// both changes; it publishes the first after `gone_delay`, unless the server has returned by
+    /// then.
+    fn take_down(
+        &mut self,
+        server: usize,
+        reachability_after: Reachability,
+        span: Range<Micros>,
+        gone_delay: Micros,
+    ) {
+        self.timelines.servers[server].end_process(span.start, reachability_after, span.end);
         if span.start + gone_delay < span.end {
             self.publish(span.start + gone_delay, server, EndpointStatus::Gone, 0);
         }
@@ -198,7 +214,7 @@
         let mut timelines = self.timelines;
         for update in &mut timelines.updates {
             let delays = self.list_delays.iter().filter(|delay| delay.span.contains(&update.published));
-            let delay = delays.map(|delay| delay.by).max();
+            let delay = delays.map(|delay| delay.delay).max();
             update.published += delay.unwrap_or(0);
         }
         timelines.updates.sort_by_key(|update| (update.published, update.server));
--- a/crates/testbed/src/notified.rs
+++ b/crates/testbed/src/notified.rs
@@ -1,5 +1,7 @@
-//! When each proxy counts as notified that a server is off, whatever was written to it: 6 s after the list had the change and
-//! could be reached, the proxy running meanwhile. The judge holds proxies to this beside what the list has written.
+//! When each proxy is presumed to be notified that a server is off, whatever the list sent to it: 6
+//! s after the list had the change, if the list could be reached and the proxy was running
+//! throughout. The oracle holds proxies to these notifications as well as to those that the list
+//! has sent.
 
 use crate::clock::{Micros, SECOND};
 use crate::evidence::{Event, EventKind, Index};
@@ -7,78 +9,80 @@
 use crate::model::timeline::{EndpointStatus, ListUpdate, Reachability, Timelines};
 use std::ops::Range;
 
-/// For so long in a row the list has to be reachable for a running proxy.
+/// Uninterrupted time for which the list has to be reachable by a running proxy.
 pub const NOTIFIED_WITHIN: Micros = 6 * SECOND;
 
-/// A proxy counts as notified, from a moment on, that a server is off, or that it is back.
+/// The time from which a proxy is presumed to be notified that a server is off or back in service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Notified {
-    /// From when on.
+    /// The time of the notification.
     pub at: Micros,
-    /// Which proxy.
+    /// The proxy that is notified.
     pub proxy: Index,
-    /// Of which server.
+    /// The server that is off or back in service.
     pub server: Index,
-    /// Whether the server is off, or back.
+    /// Whether the server is off; otherwise it is back in service.
     pub off: bool,
 }
 
-/// Of all proxies and changes, in order of time. Sources other than the platform's list and files have outages of other kinds,
-/// and are held to what they have written.
+/// The presumed notifications of all proxies about all changes, in order of time. Empty for etcd as
+/// the list source, which has other kinds of outages: there, proxies are held only to the
+/// notifications that were sent.
 pub fn presumed(experiment: &Experiment, timelines: &Timelines, events: &[Event]) -> Vec<Notified> {
     if experiment.fleet.list_source() == ListSource::Etcd {
         return Vec::new();
     }
-    let mut all = Vec::new();
+    let mut notifications = Vec::new();
     for proxy in 0..experiment.fleet.proxies {
-        let unreachable = unreachable(experiment, timelines, events, proxy);
+        let unreachable_spans = unreachable_spans(experiment, timelines, events, proxy);
         for (i, update) in timelines.updates.iter().enumerate() {
-            let later = &timelines.updates[i + 1..];
-            all.extend(of_update(update, later, proxy as Index, &unreachable));
+            let later_updates = &timelines.updates[i + 1..];
+            notifications.extend(notifications_of(update, later_updates, proxy as Index, &unreachable_spans));
         }
     }
-    all.sort_by_key(|notified| notified.at);
-    all
+    notifications.sort_by_key(|notified| notified.at);
+    notifications
 }
 
-/// When one proxy counts as notified of one change; `later` are the changes after it.
-fn of_update(
+/// The notifications of one proxy about one change; `later_updates` are the changes after it.
+fn notifications_of(
     update: &ListUpdate,
-    later: &[ListUpdate],
+    later_updates: &[ListUpdate],
     proxy: Index,
-    unreachable: &[Range<Micros>],
+    unreachable_spans: &[Range<Micros>],
 ) -> Vec<Notified> {
     let server = update.server as Index;
     if update.status == EndpointStatus::Ready {
         return vec![Notified { at: update.published, proxy, server, off: false }];
     }
     let is_back = |next: &&ListUpdate| next.server == update.server && next.status == EndpointStatus::Ready;
-    let back = later.iter().find(is_back).map_or(Micros::MAX, |next| next.published);
-    // A process that starts anew while the server is off is given the same time.
-    reachable_for_long_enough(unreachable, update.published)
+    let back_at = later_updates.iter().find(is_back).map_or(Micros::MAX, |next| next.published);
+    // A proxy process that is restarted while the server is off is given the full time again.
+    reachable_for_long_enough(unreachable_spans, update.published)
         .into_iter()
-        .filter(|at| *at < back)
+        .filter(|at| *at < back_at)
         .map(|at| Notified { at, proxy, server, off: true })
         .collect()
 }
 
-/// When discovery can't notify a proxy of anything: it is down, stale or cut off, or the proxy does not run.
-fn unreachable(
+/// Spans in which discovery cannot notify a proxy: the list is down, stale or cut off, or the proxy
+/// is not running.
+fn unreachable_spans(
     experiment: &Experiment,
     timelines: &Timelines,
     events: &[Event],
     proxy: usize,
 ) -> Vec<Range<Micros>> {
-    let mut spans: Vec<Range<Micros>> = timelines.list_old.clone();
-    spans.extend(timelines.list_down.iter().map(|down| down.span.clone()));
-    spans.extend(cut_off(timelines, proxy % experiment.world.zones.len()));
-    spans.extend(not_running(events, proxy));
+    let mut spans: Vec<Range<Micros>> = timelines.stale_list_spans.clone();
+    spans.extend(timelines.list_outages.iter().map(|down| down.span.clone()));
+    spans.extend(cut_off_spans(timelines, proxy % experiment.world.zones.len()));
+    spans.extend(down_spans(events, proxy));
     spans.sort_by_key(|span| span.start);
     spans
 }
 
-/// When a zone is cut off from the list.
-fn cut_off(timelines: &Timelines, zone: usize) -> Vec<Range<Micros>> {
+/// Spans in which a zone is cut off from the list.
+fn cut_off_spans(timelines: &Timelines, zone: usize) -> Vec<Range<Micros>> {
     let mut spans = Vec::new();
     let mut at = 0;
     while at < Micros::MAX {
@@ -91,34 +95,35 @@
     spans
 }
 
-/// When a proxy was ended or stopped, until it was ready or went on.
-fn not_running(events: &[Event], proxy: usize) -> Vec<Range<Micros>> {
+/// Spans in which a proxy is killed, terminated or stopped, until it is ready or continues.
+fn down_spans(events: &[Event], proxy: usize) -> Vec<Range<Micros>> {
     let mut spans = Vec::new();
-    let mut since = None;
+    let mut down_at = None;
     for event in events.iter().filter(|event| usize::from(event.proxy) == proxy) {
         match event.kind {
-            EventKind::Signalled { signal: "KILL" | "TERM" | "STOP" } => since = since.or(Some(event.at)),
+            EventKind::Signalled { signal: "KILL" | "TERM" | "STOP" } => down_at = down_at.or(Some(event.at)),
             EventKind::Signalled { signal: "CONT" } | EventKind::ProcessReady => {
-                spans.extend(since.take().map(|since| since..event.at));
+                spans.extend(down_at.take().map(|down_at| down_at..event.at));
             }
             _ => {}
         }
     }
-    spans.extend(since.map(|since| since..Micros::MAX));
+    spans.extend(down_at.map(|down_at| down_at..Micros::MAX));
     spans
 }
 
-/// The ends of all stretches of that length, from a moment on, in which the list was reachable; one for each time that the
-/// proxy or the list came back.
-fn reachable_for_long_enough(unreachable: &[Range<Micros>], from: Micros) -> Vec<Micros> {
-    let comes_back = unreachable.iter().map(|span| span.end).filter(|end| *end > from);
-    let starts = std::iter::once(from).chain(comes_back);
-    let undisturbed = |start: &Micros| {
+/// The ends of all spans of length [`NOTIFIED_WITHIN`], from a point in time on, in which the list
+/// was reachable throughout. There is one span from the start, and one each time that the proxy or
+/// the list comes back.
+fn reachable_for_long_enough(unreachable_spans: &[Range<Micros>], from: Micros) -> Vec<Micros> {
+    let reachable_again = unreachable_spans.iter().map(|span| span.end).filter(|end| *end > from);
+    let starts = std::iter::once(from).chain(reachable_again);
+    let is_undisturbed = |start: &Micros| {
         let end = start.saturating_add(NOTIFIED_WITHIN);
-        !unreachable.iter().any(|span| span.start < end && span.end > *start)
+        !unreachable_spans.iter().any(|span| span.start < end && span.end > *start)
     };
     starts
-        .filter(|start| *start < Micros::MAX && undisturbed(start))
+        .filter(|start| *start < Micros::MAX && is_undisturbed(start))
         .map(|start| start + NOTIFIED_WITHIN)
         .collect()
 }
--- a/crates/testbed/src/stand_ins/etcd/txn.rs
+++ b/crates/testbed/src/stand_ins/etcd/txn.rs
@@ -1,4 +1,4 @@
-//! Transactions, as far as proxies use them: equal comparisons, puts and deletes.
+//! Transactions, with the features that proxies use: comparisons for equality, puts and deletes.
 
 use super::call::CallContext;
 use super::stream::GrpcError;
@@ -16,8 +16,8 @@
     let is_equal = compare.result() == api::compare::Result::Equal;
     match compare.target_union.clone().filter(|_| is_equal) {
         Some(TargetUnion::Version(version)) => Ok(Condition::Version(version)),
-        Some(TargetUnion::CreateRevision(revision)) => Ok(Condition::Created(revision)),
-        Some(TargetUnion::ModRevision(revision)) => Ok(Condition::Modified(revision)),
+        Some(TargetUnion::CreateRevision(revision)) => Ok(Condition::CreateRevision(revision)),
+        Some(TargetUnion::ModRevision(revision)) => Ok(Condition::ModRevision(revision)),
         Some(TargetUnion::Value(value)) => Ok(Condition::Value(value.to_vec())),
         _ => Err(unsupported()),
     }
--- a/crates/testbed/src/stand_ins/etcd/watch.rs
+++ b/crates/testbed/src/stand_ins/etcd/watch.rs
@@ -1,5 +1,5 @@
-//! A watch: the changes of a range from one revision on, as its endpoint sees them. One watch a call, which is what chalkwalk
-//! opens.
+//! A watch: the changes of a range from one revision on, as its endpoint sees them. Each call has
+//! one watch, as chalkwalk opens them.
 
 use super::call::CallContext;
 use super::stream::{GrpcError, RequestStream, ResponseStream};
@@ -11,20 +11,20 @@
 use smol::future::or;
 use std::time::Duration;
 
-/// Events a response at the most, where the watcher accepts fragments.
-const FRAGMENT: usize = 40;
-/// Without a change, a watch looks again after so long ...
-const LOOK_AGAIN: Duration = Duration::from_millis(1000);
-/// ... or after so long where its endpoint is behind.
-const LOOK_AGAIN_BEHIND: Duration = Duration::from_millis(5);
+/// Maximum number of events in a response, where the watcher accepts fragments.
+const MAX_FRAGMENT_EVENTS: usize = 40;
+/// Without a change, a watch checks the store again after this time ...
+const POLL_INTERVAL: Duration = Duration::from_millis(1000);
+/// ... or after this time if its endpoint lags.
+const LAGGING_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What a watch waits for.
-enum Wake {
-    /// A change, or time.
+/// Why a watch stops waiting.
+enum WakeReason {
+    /// A change was written, or the check interval has passed.
     Changed,
-    /// A request on the open watch.
+    /// A request arrived on the watch's stream.
     Request(Option<RequestUnion>),
-    /// The watcher is gone.
+    /// The watcher closed the stream.
     Closed,
 }
 
@@ -32,11 +32,11 @@
     context: &'a CallContext,
     responses: &'a mut ResponseStream,
     create: api::WatchCreateRequest,
-    /// The next revision that is to be sent.
-    next: i64,
+    /// The next revision to send.
+    next_revision: i64,
 }
 
-fn watcher_gone() -> GrpcError {
+fn watcher_closed() -> GrpcError {
     GrpcError::unavailable("the watcher is gone")
 }
 
@@ -47,26 +47,28 @@
     responses: &mut ResponseStream,
 ) -> Result<(), GrpcError> {
     let create = loop {
-        let request = requests.next::<api::WatchRequest>().await.ok_or_else(watcher_gone)?;
+        let request = requests.next::<api::WatchRequest>().await.ok_or_else(watcher_closed)?;
         if let Some(RequestUnion::CreateRequest(create)) = request.request_union {
             break create;
         }
     };
-    let woken = context.site.etcd.add_watcher();
-    context.wait_stalled().await;
+    let wake_receiver = context.site.etcd.add_watcher();
+    context.wait_while_stalled().await;
     let created = api::WatchResponse { created: true, ..response(context) };
-    responses.send(&created).await.ok_or_else(watcher_gone)?;
+    responses.send(&created).await.ok_or_else(watcher_closed)?;
     record_recovery(context, &create);
-    let next = if create.start_revision > 0 { create.start_revision } else { context.visible_revision() + 1 };
-    Watch { context, responses, create, next }.run(requests, &woken).await
+    let next_revision =
+        if create.start_revision > 0 { create.start_revision } else { context.visible_revision() + 1 };
+    Watch { context, responses, create, next_revision }.run(requests, &wake_receiver).await
 }
 
-/// A response that holds nothing but what its endpoint sees.
+/// A response without events, whose header has the revision that the endpoint sees.
 fn response(context: &CallContext) -> api::WatchResponse {
     api::WatchResponse { header: context.header(context.visible_revision()), ..Default::default() }
 }
 
-/// A proxy that was without its watch has one again, unless its history is gone.
+/// Records how long a proxy was without its watch, once it has one again; a watch from a compacted
+/// revision does not count.
 fn record_recovery(context: &CallContext, create: &api::WatchCreateRequest) {
     let etcd = &context.site.etcd;
     if context.store().compacted() < create.start_revision
@@ -77,24 +79,28 @@
 }
 
 impl Watch<'_> {
-    async fn run(mut self, requests: &mut RequestStream, woken: &Receiver<()>) -> Result<(), GrpcError> {
+    async fn run(
+        mut self,
+        requests: &mut RequestStream,
+        wake_receiver: &Receiver<()>,
+    ) -> Result<(), GrpcError> {
         loop {
-            self.context.wait_stalled().await;
+            self.context.wait_while_stalled().await;
             let visible = self.context.visible_revision();
             match self.changes(visible) {
                 Ok(items) => {
-                    self.next = self.next.max(visible + 1);
-                    self.send_events(visible, &items).await.ok_or_else(watcher_gone)?;
+                    self.next_revision = self.next_revision.max(visible + 1);
+                    self.send_events(visible, &items).await.ok_or_else(watcher_closed)?;
                 }
                 Err(StoreError::Compacted(revision)) => return self.cancel(revision).await,
                 Err(other) => return Err(other.into()),
             }
-            match self.wait(requests, woken).await {
-                Wake::Changed => {}
-                Wake::Closed => return Ok(()),
-                Wake::Request(Some(RequestUnion::CancelRequest(_))) => return self.cancel(0).await,
-                Wake::Request(Some(RequestUnion::ProgressRequest(_))) => self.send_progress().await?,
-                Wake::Request(_) => {}
+            match self.wait(requests, wake_receiver).await {
+                WakeReason::Changed => {}
+                WakeReason::Closed => return Ok(()),
+                WakeReason::Request(Some(RequestUnion::CancelRequest(_))) => return self.cancel(0).await,
+                WakeReason::Request(Some(RequestUnion::ProgressRequest(_))) => self.send_progress().await?,
+                WakeReason::Request(_) => {}
             }
         }
     }
@@ -102,51 +108,53 @@
     fn changes(&self, visible: i64) -> Result<Vec<Item>, StoreError> {
         let store = self.context.store();
         let create = &self.create;
-        let items = store.changes(&create.key, &create.range_end, self.next, visible)?;
+        let items = store.changes(&create.key, &create.range_end, self.next_revision, visible)?;
         Ok(items.into_iter().cloned().collect())
     }
 
-    /// Waits for a change, a request, or, where the endpoint is behind, time.
-    async fn wait(&self, requests: &mut RequestStream, woken: &Receiver<()>) -> Wake {
+    /// Waits for a change, a request, or the next check of the store.
+    async fn wait(&self, requests: &mut RequestStream, wake_receiver: &Receiver<()>) -> WakeReason {
         let lag = self.context.site.etcd.timeline.lag(self.context.endpoint, self.context.now());
-        let step = if lag > 0 { LOOK_AGAIN_BEHIND } else { LOOK_AGAIN };
+        let interval = if lag > 0 { LAGGING_POLL_INTERVAL } else { POLL_INTERVAL };
         let changed = async {
-            or(async { _ = woken.recv().await }, async { _ = smol::Timer::after(step).await }).await;
-            Wake::Changed
+            or(async { _ = wake_receiver.recv().await }, async { _ = smol::Timer::after(interval).await })
+                .await;
+            WakeReason::Changed
         };
         let request = async {
             match requests.next::<api::WatchRequest>().await {
-                Some(request) => Wake::Request(request.request_union),
-                None => Wake::Closed,
+                Some(request) => WakeReason::Request(request.request_union),
+                None => WakeReason::Closed,
             }
         };
         or(request, changed).await
     }
 
-    /// The last response: the watch ends, at a compaction with its revision.
+    /// Sends the last response, which ends the watch; after a compaction, it has the revision of
+    /// the compaction, otherwise 0.
     async fn cancel(self, compact_revision: i64) -> Result<(), GrpcError> {
         let last = api::WatchResponse { canceled: true, compact_revision, ..response(self.context) };
-        self.responses.send(&last).await.ok_or_else(watcher_gone)
+        self.responses.send(&last).await.ok_or_else(watcher_closed)
     }
 
-    /// All up to the revision of a progress response has been sent; where the endpoint is behind, it can't go beyond what it
-    /// sees.
+    /// Sends a progress response, unless events are waiting to be sent: all events up to its
+    /// revision have been sent. The revision is never later than what the endpoint sees.
     async fn send_progress(&mut self) -> Result<(), GrpcError> {
-        if self.context.visible_revision() >= self.next {
+        if self.context.visible_revision() >= self.next_revision {
             return Ok(());
         }
-        let is_behind = self.context.visible_revision() < self.next - 1;
+        let is_behind = self.context.visible_revision() < self.next_revision - 1;
         let progress = if is_behind {
             response(self.context)
         } else {
-            api::WatchResponse { header: self.context.header(self.next - 1), ..Default::default() }
+            api::WatchResponse { header: self.context.header(self.next_revision - 1), ..Default::default() }
         };
-        self.responses.send(&progress).await.ok_or_else(watcher_gone)
+        self.responses.send(&progress).await.ok_or_else(watcher_closed)
     }
 
-    /// Sends changes, in fragments where the watcher accepts them; `None` where it is gone.
+    /// Sends changes, in fragments if the watcher accepts them; `None` if the watcher is gone.
     async fn send_events(&mut self, visible: i64, items: &[Item]) -> Option<()> {
-        let limit = if self.create.fragment { FRAGMENT } else { usize::MAX };
+        let limit = if self.create.fragment { MAX_FRAGMENT_EVENTS } else { usize::MAX };
         let fragments = items.len().div_ceil(limit);
         for (i, fragment) in items.chunks(limit.min(items.len().max(1))).enumerate() {
             let response = api::WatchResponse {
@@ -167,13 +175,13 @@
     api::Event { r#type: kind.into(), kv: Some(context.key_value(item)) }
 }
 
-/// What events notify a proxy of, if they reach it.
+/// Records the notifications of a proxy by events, if the events reach it.
 fn record_events(context: &CallContext, items: &[Item]) {
     let site = &context.site;
     for item in items.iter().filter(|_| context.can_reach_proxy()) {
         let servers = &mut (0..site.origin());
         if let Some(server) = servers.find(|server| super::writer::key_of(site, *server) == item.key) {
-            site.record_notified(context.proxy, server, item.modified, item.value.as_deref());
+            site.record_notified(context.proxy, server, item.mod_revision, item.value.as_deref());
         }
     }
 }
--- a/crates/testbed/src/stand_ins/list.rs
+++ b/crates/testbed/src/stand_ins/list.rs
@@ -1,4 +1,5 @@
-//! The platform's list on sockets: the whole list, and a watch that waits for what is newer.
+//! The platform's endpoint list on sockets: calls that get the whole list, and watches that wait
+//! for newer versions.
 
 use super::Site;
 use crate::clock::{MILLI, Micros, SECOND, micros};
@@ -12,60 +13,63 @@
 use smol::future::or;
 use std::sync::atomic::Ordering;
 
-/// A call that would wait longer for its turn is refused.
+/// Maximum time that a call waits for its turn; a call that would wait longer is rejected.
 const QUEUE_TIMEOUT: Micros = 2 * SECOND;
-/// How far behind a stale response is.
-const STALE_BY: Micros = 5 * SECOND;
-/// The longest that a watch waits, as the platform has it.
-const LONGEST_WATCH: Micros = 60 * SECOND;
-/// A watch goes on for so long after a response, whether or not the next call comes, and what changes counts as notified.
+/// Age of the list in a stale response.
+const STALE_AGE: Micros = 5 * SECOND;
+/// Maximum wait of a watch, as on the platform.
+const MAX_WATCH_WAIT: Micros = 60 * SECOND;
+/// A watch continues for this long after a response, whether or not the next call arrives: changes
+/// in this time count as notified.
 const WATCH_GRACE: Micros = 200 * MILLI;
-/// What a silent call misses counts as notified so long after it fell silent, ...
+/// Changes that a call misses because the list no longer answers it count as notified this long
+/// after it stopped answering, ...
 const SILENT_CALL_GRACE: Micros = 6 * SECOND;
-/// ... or so long after its wait, if that is later.
+/// ... or this long after the end of the call's wait, if that is later.
 const SILENT_WAIT_GRACE: Micros = 2 * SECOND;
-const JSON: &str = "Content-Type: application/json\r\n";
+const JSON_HEADER: &str = "Content-Type: application/json\r\n";
 
-/// A call, as far as it matters.
+/// A call's parameters.
 struct Call {
-    /// When it was read.
-    at: Micros,
-    /// The version that the caller has; none where it wants the whole list.
+    /// When the call was read.
+    received_at: Micros,
+    /// The version that the caller has; `None` for a call that gets the whole list.
     index: Option<u64>,
-    /// How long it waits for a newer one.
+    /// How long the call waits for a newer version.
     wait: Micros,
 }
 
 impl Call {
-    fn new(message: &Message, at: Micros) -> Call {
+    fn new(message: &Message, received_at: Micros) -> Call {
         let parameter = |name: &str| {
             let mut parts = message.target().split(['?', '&']);
             let found = parts.find_map(|part| part.strip_prefix(name)?.strip_prefix('='));
             found.and_then(|value| value.parse::<u64>().ok())
         };
         let wait = parameter("wait").unwrap_or(0).saturating_mul(MILLI);
-        Call { at, index: parameter("index"), wait }
+        Call { received_at, index: parameter("index"), wait }
     }
 }
 
-/// A watch's response.
+/// A response to a watch.
 #[derive(Clone, Copy)]
 struct WatchAnswer {
     version: u64,
-    called: Micros,
-    answered: Micros,
-    /// Calls that its proxy had made by then.
-    calls: usize,
+    called_at: Micros,
+    answered_at: Micros,
+    /// Number of calls that the proxy had made by the time of the response.
+    call_count: usize,
 }
 
-/// What follows a call.
-enum Next {
-    /// The connection goes on; the response, if it was a watch's.
-    Call(Option<WatchAnswer>),
-    /// As before: the call failed, which takes nothing back.
-    Unchanged,
-    /// The connection ends.
-    End,
+/// How a connection continues after a call.
+enum AfterCall {
+    /// The connection continues. The response is given if the call was a watch.
+    Answered(Option<WatchAnswer>),
+    /// The connection continues, and the previous response is kept: the call failed, which revokes
+    /// no notification.
+    Failed,
+    /// The connection is closed.
+    Close,
 }
 
 /// One proxy's connection to the list.
@@ -76,20 +80,21 @@
 
 /// Serves calls on a connection until it ends.
 pub(super) async fn serve_calls(site: &Site, proxy: usize, connection: &mut Connection) {
-    let serving = ListConnection { site, proxy };
+    let list_connection = ListConnection { site, proxy };
     let mut last_answer = None;
     loop {
-        let Some(message) = serving.next_message(connection, last_answer).await else { return };
-        match serving.serve_call(connection, &message).await {
-            Next::Call(answer) => last_answer = answer,
-            Next::Unchanged => {}
-            Next::End => return,
+        let Some(message) = list_connection.next_message(connection, last_answer).await else { return };
+        match list_connection.serve_call(connection, &message).await {
+            AfterCall::Answered(answer) => last_answer = answer,
+            AfterCall::Failed => {}
+            AfterCall::Close => return,
         }
     }
 }
 
 impl ListConnection<'_> {
-    /// The next call; meanwhile, the grace of the last response goes on.
+    /// Reads the next call. In the meantime, changes within the grace period of the last response
+    /// are recorded.
     async fn next_message(
         &self,
         connection: &mut Connection,
@@ -97,49 +102,50 @@
     ) -> Option<Message> {
         let Some(answer) = last_answer else { return connection.read_request().await.ok() };
         let grace = async {
-            self.watch_grace(answer).await;
+            self.record_grace_changes(answer).await;
             std::future::pending().await
         };
         let message = or(connection.read_request(), grace).await;
         if message.is_err() {
-            self.watch_grace(answer).await;
+            self.record_grace_changes(answer).await;
         }
         message.ok()
     }
 
-    async fn serve_call(&self, connection: &mut Connection, message: &Message) -> Next {
+    async fn serve_call(&self, connection: &mut Connection, message: &Message) -> AfterCall {
         let site = self.site;
         site.list_calls[self.proxy].fetch_add(1, Ordering::Relaxed);
         let call = Call::new(message, site.clock.now());
-        if let Some(outage) = site.timelines.list_outage(call.at) {
+        if let Some(outage) = site.timelines.list_outage(call.received_at) {
             return self.fail(connection, outage).await;
         }
-        let Some(slot) = self.queue_slot(call.at) else {
+        let Some(slot) = self.queue_slot(call.received_at) else {
             _ = connection.write(&[response_head(503, 0, "").as_bytes()]).await;
-            return Next::Call(None);
+            return AfterCall::Answered(None);
         };
         site.clock.sleep_until(slot).await;
         if connection.is_closed() {
-            // Given up before its turn: it notifies of nothing.
-            return Next::End;
+            // The caller gave up before its turn: the call notifies the proxy of nothing.
+            return AfterCall::Close;
         }
         let newer_exists = |index: u64| index < site.server_list.version(site.clock.now());
         if let Some(index) = call.index.filter(|index| !newer_exists(*index)) {
             if !self.wait(connection, &call, index).await {
-                return Next::End;
+                return AfterCall::Close;
             }
             if let Some(outage) = site.timelines.list_outage(site.clock.now()) {
                 return self.fail(connection, outage).await;
             }
         }
-        let Some(version) = self.answer(connection, &call).await else { return Next::End };
-        let answered = site.clock.now();
-        let calls = site.list_calls[self.proxy].load(Ordering::Relaxed);
-        let answer = WatchAnswer { version, called: call.at, answered, calls };
-        Next::Call(call.index.map(|_| answer))
+        let Some(version) = self.answer(connection, &call).await else { return AfterCall::Close };
+        let answered_at = site.clock.now();
+        let call_count = site.list_calls[self.proxy].load(Ordering::Relaxed);
+        let answer = WatchAnswer { version, called_at: call.received_at, answered_at, call_count };
+        AfterCall::Answered(call.index.map(|_| answer))
     }
 
-    /// Calls are answered one after the other.
+    /// The time at which a call is answered, as calls are answered one at a time; `None` if it
+    /// would wait longer than [`QUEUE_TIMEOUT`].
     fn queue_slot(&self, now: Micros) -> Option<Micros> {
         let mut free_at = lock(&self.site.list_free_at);
         let at = (*free_at).max(now);
@@ -150,18 +156,20 @@
         Some(*free_at)
     }
 
-    /// Waits for a newer version, or until the call's wait or the service ends; false where nothing is to be answered.
+    /// Waits for a newer version, or until the call's wait ends or the list goes down. Returns
+    /// false if the call gets no answer.
     async fn wait(&self, connection: &mut Connection, call: &Call, index: u64) -> bool {
         let site = self.site;
         let newer = site.server_list.next_change(index).unwrap_or(Micros::MAX);
-        let outages = site.timelines.list_down.iter().map(|down| down.span.start);
-        let ends = outages.filter(|at| *at > call.at).min().unwrap_or(Micros::MAX);
-        let wait = call.wait.min(LONGEST_WATCH);
-        let until = newer.min(call.at + wait).min(ends);
-        let silent = site.timelines.list_silences.iter().find(|at| (call.at..until).contains(at));
+        let outages = site.timelines.list_outages.iter().map(|outage| outage.span.start);
+        let next_outage = outages.filter(|at| *at > call.received_at).min().unwrap_or(Micros::MAX);
+        let wait = call.wait.min(MAX_WATCH_WAIT);
+        let until = newer.min(call.received_at + wait).min(next_outage);
+        let silent = site.timelines.list_silences.iter().find(|at| (call.received_at..until).contains(at));
         if let Some(from) = silent {
-            let counts_from = (from + SILENT_CALL_GRACE).max(call.at + wait + SILENT_WAIT_GRACE);
-            or(self.silent_call(call.at, index, counts_from), connection.wait_closed()).await;
+            let notified_from = (from + SILENT_CALL_GRACE).max(call.received_at + wait + SILENT_WAIT_GRACE);
+            or(self.record_missed_changes(call.received_at, index, notified_from), connection.wait_closed())
+                .await;
             return false;
         }
         let waited = async {
@@ -175,68 +183,71 @@
         or(waited, closed).await
     }
 
-    /// Fails a call that was read, as an outage has it.
-    async fn fail(&self, connection: &mut Connection, outage: Outage) -> Next {
+    /// Fails a call in the way of an outage.
+    async fn fail(&self, connection: &mut Connection, outage: Outage) -> AfterCall {
         let clock = &self.site.clock;
         match outage {
-            Outage::Closes | Outage::Refuses => Next::End,
+            Outage::Closes | Outage::Refuses => AfterCall::Close,
             Outage::Unavailable | Outage::UnavailableLate => {
                 if outage == Outage::UnavailableLate {
                     clock.sleep_until(clock.now() + QUEUE_TIMEOUT).await;
                 }
                 let written = connection.write(&[response_head(503, 0, "").as_bytes()]).await;
-                if written.is_ok() { Next::Unchanged } else { Next::End }
+                if written.is_ok() { AfterCall::Failed } else { AfterCall::Close }
             }
             Outage::Silent => {
                 connection.wait_closed().await;
-                Next::End
+                AfterCall::Close
             }
             Outage::HalfAnswer => {
-                let part = response_head(200, 1000, JSON) + "{\"version\":";
-                _ = connection.write(&[part.as_bytes()]).await;
+                let partial_response = response_head(200, 1000, JSON_HEADER) + "{\"version\":";
+                _ = connection.write(&[partial_response.as_bytes()]).await;
                 connection.wait_closed().await;
-                Next::End
+                AfterCall::Close
             }
         }
     }
 
-    /// A call that has fallen silent: what it misses counts as notified from a moment on.
-    async fn silent_call(&self, called: Micros, index: u64, from: Micros) {
+    /// Records the changes that a call misses because the list no longer answers it; they count as
+    /// notified from the time `notified_from`, at the earliest.
+    async fn record_missed_changes(&self, called_at: Micros, index: u64, notified_from: Micros) {
         let site = self.site;
         let mut version = index;
         while let Some(change) = site.server_list.next_change(version) {
-            site.clock.sleep_until(change.max(from)).await;
+            site.clock.sleep_until(change.max(notified_from)).await;
             let now_version = site.server_list.version(site.clock.now());
             let changes = site.server_list.changes_since(version, now_version);
-            self.record_notified(called, &changes, site.clock.now());
+            self.record_notified(called_at, &changes, site.clock.now());
             version = now_version;
         }
         std::future::pending().await
     }
 
-    /// After a watch's response: what changes while the watch goes on counts as notified, to the process that called. One that
-    /// was killed between its call and the response was notified of nothing by it, and neither is the process that was started
-    /// after it. Once the proxy's next call has come, on whichever connection, what it misses is that call's.
-    async fn watch_grace(&self, answer: WatchAnswer) {
+    /// Records changes after a watch's response: as long as the watch continues, they count as
+    /// notified to the process that called. A process that was killed between its call and the
+    /// response was not notified by the response, and neither is the process that was started after
+    /// it. Once the proxy's next call has arrived, on any connection, that call covers all later
+    /// changes.
+    async fn record_grace_changes(&self, answer: WatchAnswer) {
         let site = self.site;
-        let end = answer.answered + WATCH_GRACE;
+        let end = answer.answered_at + WATCH_GRACE;
         let mut version = answer.version;
         while let Some(change) = site.server_list.next_change(version).filter(|change| *change <= end) {
             site.clock.sleep_until(change).await;
-            if site.list_calls[self.proxy].load(Ordering::Relaxed) != answer.calls {
+            if site.list_calls[self.proxy].load(Ordering::Relaxed) != answer.call_count {
                 return;
             }
             let next = site.server_list.version(change);
-            self.record_notified(answer.called, &site.server_list.changes_since(version, next), change);
+            self.record_notified(answer.called_at, &site.server_list.changes_since(version, next), change);
             version = next;
         }
     }
 
-    /// Entries count as notified to a proxy at that moment, unless the process that called then has ended by now: what is
-    /// written to it reaches nobody.
-    fn record_notified(&self, called: Micros, entries: &[ListedServer], at: Micros) {
+    /// Records entries as notified to a proxy at that time, unless the process that called has
+    /// ended since: what is written to it is not read.
+    fn record_notified(&self, called_at: Micros, entries: &[ListedServer], at: Micros) {
         let site = self.site;
-        if site.evidence.ended_since(self.proxy, called) {
+        if site.evidence.ended_since(self.proxy, called_at) {
             return;
         }
         for entry in entries.iter().filter(|entry| entry.server < site.origin()) {
@@ -246,12 +257,12 @@
         }
     }
 
-    /// Answers, and returns the version that was written; none where the connection is gone.
+    /// Answers a call and returns the version that was sent; `None` if the connection is closed.
     async fn answer(&self, connection: &Connection, call: &Call) -> Option<u64> {
         let site = self.site;
         let now = site.clock.now();
-        let stale = site.timelines.list_old.iter().any(|span| span.contains(&now));
-        let version = site.server_list.version(if stale { now.saturating_sub(STALE_BY) } else { now });
+        let stale = site.timelines.stale_list_spans.iter().any(|span| span.contains(&now));
+        let version = site.server_list.version(if stale { now.saturating_sub(STALE_AGE) } else { now });
         let full = stale || call.index.is_none_or(|index| index > version);
         let entries = match call.index {
             Some(index) if !full => site.server_list.changes_since(index, version),
@@ -259,23 +270,24 @@
         };
         let servers: Vec<_> = entries.iter().map(|entry| site.list_entry(self.proxy, entry)).collect();
         let text = json!({"version": version, "full": full, "servers": servers}).to_string();
-        let head = response_head(200, text.len(), JSON);
+        let head = response_head(200, text.len(), JSON_HEADER);
         connection.write(&[head.as_bytes(), text.as_bytes()]).await.ok()?;
         if stale {
-            // It notifies of nothing new, and takes back nothing that was.
+            // A stale response notifies the proxy of nothing new and revokes no earlier
+            // notification.
             return Some(version);
         }
         let now = site.clock.now();
-        self.record_notified(call.at, &entries, now);
+        self.record_notified(call.received_at, &entries, now);
         if full {
-            self.record_notified(call.at, &missing(&entries, site.origin()), now);
+            self.record_notified(call.received_at, &missing_servers(&entries, site.origin()), now);
         }
         Some(version)
     }
 }
 
-/// What is not in the whole list is gone.
-fn missing(entries: &[ListedServer], servers: usize) -> Vec<ListedServer> {
+/// The servers that are missing from the whole list, as entries that say that they are gone.
+fn missing_servers(entries: &[ListedServer], servers: usize) -> Vec<ListedServer> {
     (0..servers)
         .filter(|server| !entries.iter().any(|entry| entry.server == *server))
         .map(|server| ListedServer { server, status: EndpointStatus::Gone, started: 0 })
--- a/crates/testbed/src/stand_ins/resp.rs
+++ b/crates/testbed/src/stand_ins/resp.rs
@@ -1,4 +1,5 @@
-//! Servers that speak the cluster dialect of RESP, after its public specification: slots, redirections, replicas, loading.
+//! Servers that speak RESP as cluster nodes, following the public specification: slots,
+//! redirections, replicas, loading.
 
 use super::body::body;
 use super::decide::Attempt;
@@ -6,21 +7,22 @@
 use super::{ConnectionCount, Site};
 use crate::clock::{MILLI, Micros};
 use crate::evidence::{ClientRequest, EventKind, Id};
-use crate::model::cluster::{Command, CommandOutcome, RANKS};
+use crate::model::cluster::{Command, CommandOutcome, RANK_COUNT};
 use crate::model::server::{PlannedReply, Reply};
-use crate::resp::{Arguments, bulk, read_command, slot};
+use crate::resp::{Arguments, bulk, key_slot, read_command};
 use crate::wire::Connection;
 
-/// The work of a health check.
+/// Processing time of a health check.
 const HEALTH_CHECK_WORK: Micros = MILLI / 2;
-/// Spreads keys evenly over the ranks in which they migrate: 2^64 by the golden ratio.
+/// Multiplier that spreads keys evenly over the ranks in which they migrate: 2^64 divided by the
+/// golden ratio.
 const RANK_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
-const LOADING: &[u8] = b"-LOADING the data set is loaded\r\n";
+const LOADING_ERROR: &[u8] = b"-LOADING the data set is loaded\r\n";
 
-/// What a key of the testbed's holds: `namespace:{kN}:ID:FIRST`.
+/// The contents of a key of the testbed: `namespace:{kN}:ID:FIRST`.
 struct RequestKey {
     id: Id,
-    /// The id of the client's first try.
+    /// The id of the client's first try (FIRST), as text.
     tag: Vec<u8>,
 }
 
@@ -28,23 +30,23 @@
     fn parse(text: &[u8]) -> Option<RequestKey> {
         let text = std::str::from_utf8(text).ok()?;
         let mut parts = text.rsplit(':');
-        let first = parts.next()?;
+        let first_try = parts.next()?;
         let id = parts.next()?;
-        Some(RequestKey { id: Id::from_str_radix(id, 16).ok()?, tag: first.as_bytes().to_vec() })
+        Some(RequestKey { id: Id::from_str_radix(id, 16).ok()?, tag: first_try.as_bytes().to_vec() })
     }
 }
 
-/// One end of a connection between a proxy and a server.
+/// The server's end of a connection from a proxy.
 struct RespConnection<'a> {
     site: &'a Site,
     server: usize,
     proxy: usize,
-    /// Whether the next command came with ASKING.
+    /// Whether ASKING was sent for the next command.
     asking: bool,
     readonly: bool,
 }
 
-/// A command on a key, and the request that it belongs to.
+/// A command on a key, and the client request that it belongs to.
 struct KeyCommand {
     name: String,
     key: RequestKey,
@@ -55,17 +57,17 @@
 /// Serves commands on a connection until it ends.
 pub(super) async fn serve_attempts(site: &Site, server: usize, proxy: usize, connection: &mut Connection) {
     let _count = ConnectionCount::new(&site.connections[server]);
-    let mut serving = RespConnection { site, server, proxy, asking: false, readonly: false };
-    while serving.serve_next(connection).await.is_some() {}
+    let mut resp_connection = RespConnection { site, server, proxy, asking: false, readonly: false };
+    while resp_connection.serve_next(connection).await.is_some() {}
 }
 
 impl RespConnection<'_> {
-    /// One command and its answer; `None` where the connection ends.
+    /// Serves one command; `None` if the connection ends.
     async fn serve_next(&mut self, connection: &mut Connection) -> Option<()> {
         let arguments = read_command(connection).await.ok()?;
         let started = self.site.clock.now();
-        let first = arguments.first().map_or(&[][..], Vec::as_slice);
-        let name = String::from_utf8_lossy(first).to_uppercase();
+        let command_name = arguments.first().map_or(&[][..], Vec::as_slice);
+        let name = String::from_utf8_lossy(command_name).to_uppercase();
         if let Some(answer) = self.answer_without_key(&name, started).await {
             return connection.write(&[&answer]).await.ok();
         }
@@ -84,7 +86,7 @@
         self.site.net.server(self.proxy, node, self.site.origin()).to_string()
     }
 
-    /// The answer to a command that is about no key.
+    /// The answer to a command that has no key.
     async fn answer_without_key(&mut self, name: &str, now: Micros) -> Option<Vec<u8>> {
         let site = self.site;
         match name {
@@ -92,7 +94,7 @@
                 let done = site.timelines.servers[self.server].speed.completion(now, HEALTH_CHECK_WORK);
                 site.clock.sleep_until(done).await;
                 let loading = site.cluster.is_loading(self.server, done);
-                Some(if loading { LOADING.to_vec() } else { b"+PONG\r\n".to_vec() })
+                Some(if loading { LOADING_ERROR.to_vec() } else { b"+PONG\r\n".to_vec() })
             }
             "ASKING" => {
                 self.asking = true;
@@ -104,14 +106,15 @@
             }
             "CLUSTER" => {
                 let addr = |node| self.address(node);
-                let text = site.cluster.nodes(self.server, now, site.origin(), addr);
+                let text = site.cluster.nodes_reply(self.server, now, site.origin(), addr);
                 Some(bulk(text.as_bytes()))
             }
             _ => None,
         }
     }
 
-    /// Which request a command is for; where it is for none, that is recorded and refused.
+    /// Finds the client request that a command belongs to. A command that belongs to none is
+    /// recorded and rejected.
     async fn identify(
         &self,
         connection: &Connection,
@@ -129,17 +132,17 @@
             _ = connection.write(&[b"-ERR an id that nobody sent\r\n"]).await;
             return None;
         };
-        Some(KeyCommand { name, key, slot: slot(key_text), request })
+        Some(KeyCommand { name, key, slot: key_slot(key_text), request })
     }
 
-    /// What becomes of a command that has come whole now, and its answer.
+    /// Decides the outcome of a command that was received completely, and its answer.
     fn plan(&mut self, command: &KeyCommand) -> (PlannedReply, Vec<u8>) {
         let now = self.site.clock.now();
         let write = command.name == "SET";
         let server = self.server as u16;
         self.record_at(now, command.key.id, EventKind::AttemptReceived { server, write });
         if let Some((reply, answer)) = self.refusal(command, write, now) {
-            return (PlannedReply::plain(reply, now), answer);
+            return (PlannedReply::no_effect(reply, now), answer);
         }
         let plan = self.site.decide(&Attempt {
             server: self.server,
@@ -153,27 +156,27 @@
         (plan, self.answer(command, write, plan.reply))
     }
 
-    /// The answer of a server that does not hold the key, or not yet.
+    /// The answer of a server that does not hold the key, or does not hold it yet.
     fn refusal(&mut self, command: &KeyCommand, write: bool, now: Micros) -> Option<(Reply, Vec<u8>)> {
         let slot = command.slot;
-        let rank = (command.request.key.wrapping_mul(RANK_FACTOR) >> 32) % RANKS;
+        let rank = (command.request.key.wrapping_mul(RANK_FACTOR) >> 32) % RANK_COUNT;
         let asking = std::mem::take(&mut self.asking);
-        let on_slot = Command { slot, rank, asking, readonly: self.readonly, write };
-        let (reply, answer) = match self.site.cluster.handle(self.server, now, on_slot) {
-            CommandOutcome::Serves => return None,
-            CommandOutcome::Moved(to) => {
-                (Reply::Miss, format!("-MOVED {slot} {}\r\n", self.address(to)).into_bytes())
+        let cluster_command = Command { slot, rank, asking, readonly: self.readonly, write };
+        let (reply, answer) = match self.site.cluster.handle(self.server, now, cluster_command) {
+            CommandOutcome::Execute => return None,
+            CommandOutcome::Moved(target) => {
+                (Reply::Miss, format!("-MOVED {slot} {}\r\n", self.address(target)).into_bytes())
             }
-            CommandOutcome::Ask(to) => {
-                (Reply::Miss, format!("-ASK {slot} {}\r\n", self.address(to)).into_bytes())
+            CommandOutcome::Ask(target) => {
+                (Reply::Miss, format!("-ASK {slot} {}\r\n", self.address(target)).into_bytes())
             }
             CommandOutcome::TryAgain => (Reply::Unprocessed, b"-TRYAGAIN the key is on its way\r\n".to_vec()),
-            CommandOutcome::Loading => (Reply::Unprocessed, LOADING.to_vec()),
+            CommandOutcome::Loading => (Reply::Unprocessed, LOADING_ERROR.to_vec()),
         };
         Some((reply, answer))
     }
 
-    /// The bytes of a reply.
+    /// The encoded reply.
     fn answer(&self, command: &KeyCommand, write: bool, reply: Reply) -> Vec<u8> {
         let request = &command.request;
         let bytes = self.site.experiment.classes[request.class].bytes;
@@ -205,7 +208,8 @@
             self.site.evidence.record(id, self.proxy, aborted);
             return None;
         }
-        // Recorded with the time ahead of the write: the proxy may act on it before the write returns.
+        // Recorded with the time before the write, because the proxy may act on the reply before
+        // the write returns.
         let replied = self.site.clock.now();
         if connection.write(&[answer]).await.is_err() {
             self.site.evidence.record(id, self.proxy, aborted);
--- a/crates/testbed/tests/models/speed.rs
+++ b/crates/testbed/tests/models/speed.rs
@@ -8,9 +8,9 @@
     let mut speed = SpeedProfile::default();
     speed.scale(100..200, 0.0);
     speed.scale(300..Micros::MAX, 0.5);
-    let ends =
+    let completions =
         [(0, 50), (50, 100), (150, 10), (250, 100), (400, 10)].map(|(at, work)| speed.completion(at, work));
-    assert_eq!(ends, [50, 250, 210, 400, 420]);
+    assert_eq!(completions, [50, 250, 210, 400, 420]);
     speed.scale(500..Micros::MAX, 0.0);
     assert_eq!(speed.completion(490, 100), Micros::MAX);
 }
@@ -19,7 +19,7 @@
 fn a_slow_start_rises_evenly_to_full_speed() {
     let mut speed = SpeedProfile::default();
     speed.slow_start(1000, 0.2, 1000);
-    // A fifth at first, all at last, three fifths in the mean.
+    // The speed is a fifth at first, full at the end, and three fifths on average.
     let mean = (0..1000).map(|i| speed.speed(1000 + i)).sum::<f64>() / 1000.0;
     assert!((mean - 0.6).abs() < 0.01, "{mean}");
     assert!(speed.speed(1000) < 0.25 && speed.speed(1990) > 0.95 && speed.speed(2000) == 1.0);
@@ -34,7 +34,8 @@
 
 #[test]
 fn recent_work_is_forgotten_with_its_window() {
-    let mut sent = RecentWork::new(SECOND);
-    let sums = [(0, 5), (SECOND / 2, 5), (SECOND * 3 / 2, 1), (SECOND * 5, 1)].map(|(at, w)| sent.add(at, w));
+    let mut recent_work = RecentWork::new(SECOND);
+    let sums = [(0, 5), (SECOND / 2, 5), (SECOND * 3 / 2, 1), (SECOND * 5, 1)]
+        .map(|(at, work)| recent_work.add(at, work));
     assert_eq!(sums, [5, 10, 1, 1]);
 }
