--- a/crates/testbed/src/cli/error.rs
+++ b/crates/testbed/src/cli/error.rs
@@ -1,4 +1,4 @@
-//! What ends the program without a result.
+//! Errors that end the program without a result.
 
 use chalkwalk_testbed::baseline::BaselineError;
 use chalkwalk_testbed::experiment::ExperimentError;
@@ -7,7 +7,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// What ends the program without a result.
+/// An error that ends the program without a result.
 #[derive(Debug, thiserror::Error)]
 pub enum CliError {
     #[error("{0}")]
@@ -18,13 +18,13 @@
     Read { path: PathBuf, error: io::Error },
     #[error("cannot write {path}: {error}", path = .path.display())]
     Write { path: PathBuf, error: io::Error },
-    /// What is wrong with a file, a line for each problem.
+    /// The problems of an experiment file, one per line.
     #[error("{}", problems_of(.path, .error))]
     Experiment { path: PathBuf, error: ExperimentError },
-    /// An experiment that is built in or drawn.
-    #[error("the built-in experiment: {0}")]
+    /// The experiment of `try` and `fleet`, which is compiled in, is invalid.
+    #[error("invalid built-in experiment: {0}")]
     BuiltIn(ExperimentError),
-    /// Several files of which each has an error.
+    /// Errors of several files, one for each.
     #[error("{}", .0.iter().map(CliError::to_string).collect::<Vec<_>>().join("\n"))]
     Several(Vec<CliError>),
     #[error("cannot write {path}: {error}", path = .path.display())]
@@ -35,10 +35,10 @@
     Run(#[from] RunError),
     #[error(transparent)]
     Baseline(#[from] BaselineError),
-    /// The system refuses what `keep` needs.
-    #[error("cannot be kept: {0}")]
+    /// The system refuses the parent-death signal that `keep` needs.
+    #[error("cannot set the parent-death signal: {0}")]
     Keep(rustix::io::Errno),
-    /// A program that cannot be run.
+    /// The program that `keep` was given cannot be executed.
     #[error(transparent)]
     Exec(io::Error),
 }
@@ -49,7 +49,7 @@
 }
 
 impl CliError {
-    /// Arguments that make no sense.
+    /// An error in the command line or the environment.
     pub fn usage(text: impl Into<String>) -> CliError {
         CliError::Usage(text.into())
     }
--- a/crates/testbed/src/cli/mod.rs
+++ b/crates/testbed/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The commands of the program.
+//! The subcommands of the program.
 
 mod arguments;
 mod error;
@@ -14,17 +14,17 @@
        chalkwalk-testbed run FILE [--proxy COMMAND] [--json FILE] [--report DIR] [--logs DIR]
        chalkwalk-testbed compare FILE --proxy A --proxy B [...] [--rounds N]
        chalkwalk-testbed soak [--seed N] [--seeds K] [--seconds S] [--proxies P] [--proxy COMMAND] [--logs DIR] [--show]
-                                                                random overlapping faults; fails where a rule breaks
-       chalkwalk-testbed check FILE...                              reads experiments and shows what is wrong
-       chalkwalk-testbed fleet [--proxies N] [--caches M] [--proxy COMMAND]    stays up until a signal
-       chalkwalk-testbed proxy relay|random|ring [--break RULE]     a proxy to measure beside
+                                                                random overlapping faults; fails if a rule is broken
+       chalkwalk-testbed check FILE...                              checks experiment files and lists their errors
+       chalkwalk-testbed fleet [--proxies N] [--caches M] [--proxy COMMAND]    runs until it gets a signal
+       chalkwalk-testbed proxy relay|random|ring [--break RULE]     a baseline proxy to compare with
        chalkwalk-testbed version
 
-run and compare take --seed N, --proxies N and --rate R in place of the experiment's own.
---proxy takes any command that reads ROUTER_CONFIG; without it, the chalkwalk beside this program is run.
-`run` exits with 0 if no rule broke and the stated bounds hold, 1 if not, 2 if it could not run.";
+run and compare take --seed N, --proxies N and --rate R in place of the values of the experiment file.
+--proxy takes any command that reads ROUTER_CONFIG; without it, the chalkwalk in the directory of this program is run.
+`run` exits with 0 if no rule was broken and the stated bounds hold, 1 if not, 2 if it could not run.";
 
-/// Runs the command that the arguments name.
+/// Runs the subcommand that the arguments name.
 pub fn run() -> ExitCode {
     let mut args = Arguments::from_env();
     if args.contains(["-h", "--help"]) {
@@ -47,7 +47,7 @@
         "compare" => play::compare(args),
         "soak" => play::soak(args),
         "check" => play::check(args),
-        "fleet" => play::stay_up(args),
+        "fleet" => play::run_until_signal(args),
         "proxy" => processes::proxy(args),
         "keep" => processes::keep(args),
         "version" => {
--- a/crates/testbed/src/cli/processes.rs
+++ b/crates/testbed/src/cli/processes.rs
@@ -1,4 +1,4 @@
-//! Commands that become, or are, a proxy: the supervised start, and the baselines.
+//! Subcommands whose process becomes, or is, a proxy: `keep` and `proxy`.
 
 use super::arguments::expect_no_more;
 use super::error::CliError;
@@ -8,31 +8,31 @@
 use std::os::unix::process::CommandExt;
 use std::process::{Command, ExitCode};
 
-/// `keep`: becomes another program that the system ends with this one's parent.
+/// `keep`: replaces this process by another program, which the system kills when this process's parent ends.
 pub fn keep(args: Arguments) -> Result<ExitCode, CliError> {
     let parent = getppid();
     set_parent_process_death_signal(Some(Signal::KILL)).map_err(CliError::Keep)?;
     if getppid() != parent {
-        return Err(CliError::usage("the parent is gone already"));
+        return Err(CliError::usage("the parent process has already exited"));
     }
     let command = args.finish();
     let (program, rest) = command.split_first().ok_or(CliError::usage("keep takes a command"))?;
     Err(CliError::Exec(Command::new(program).args(rest).exec()))
 }
 
-/// `proxy`: a proxy to measure beside.
+/// `proxy`: runs a baseline proxy that chalkwalk can be compared with.
 pub fn proxy(mut args: Arguments) -> Result<ExitCode, CliError> {
     let broken: Option<String> = args.opt_value_from_str("--break")?;
     let strategy: String =
         args.free_from_str().map_err(|_| CliError::usage("proxy takes relay, random or ring"))?;
     expect_no_more(args)?;
     let strategy = Strategy::named(&strategy)
-        .ok_or_else(|| CliError::usage(format!("no proxy {strategy}: there are relay, random and ring")))?;
+        .ok_or_else(|| CliError::usage(format!("unknown proxy {strategy}; use relay, random or ring")))?;
     let broken = match broken {
         None => BrokenRule::Nothing,
         Some(rule) => BrokenRule::named(&rule).ok_or_else(|| {
             let known = "lose, twice, resend, drained, swap or hold";
-            CliError::usage(format!("no rule {rule} to break: {known}"))
+            CliError::usage(format!("unknown rule {rule} for --break; expected {known}"))
         })?,
     };
     let config = std::env::var("ROUTER_CONFIG").map_err(|_| CliError::usage("ROUTER_CONFIG is not set"))?;
--- a/crates/testbed/src/experiment/bounds.rs
+++ b/crates/testbed/src/experiment/bounds.rs
@@ -1,46 +1,51 @@
-//! The tables `[rules]` and `[bounds]`: what the judge tolerates, and what has to hold beside the rules.
+//! The tables `[rules]` and `[bounds]`: the tolerances of the rules, and limits of the figures of a run.
 
 use serde::Deserialize;
 
-/// What the judge tolerates beside the letter of the rules: mostly the testbed's own delays.
+/// Tolerances of the rules that the oracle checks. They mostly cover the testbed's own delays.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// After a time limit, as the platform has it, and what a busy machine may add.
+    /// How long after the time limit a response may come: the platform's tolerance, plus what a
+    /// busy machine may add.
     pub late_ms: f64,
-    /// After a drain's grace.
+    /// How long after the grace period of a drain an attempt may still start.
     pub drain_ms: f64,
-    /// From the end of the last attempt to a refusal: more counts as held back.
+    /// The longest time from the end of the last attempt to a rejection; a longer one breaks
+    /// the rule against delayed rejections.
     #[serde(rename = "held_ms")]
     pub refusal_delay_ms: f64,
-    /// How long an attempt that was given up may overlap the next one.
+    /// How long an abandoned attempt may overlap the next one.
     pub overlap_ms: f64,
-    /// From a client's cancellation to the first byte of an attempt for it: more counts as sent on.
+    /// The longest time from a client's cancellation to the first byte of an attempt for it; a
+    /// later attempt breaks the rule.
     #[serde(rename = "left_ms")]
     pub cancel_delay_ms: f64,
 }
 
-/// What has to hold beside the rules; what is not stated is not checked.
+/// Limits that have to hold in addition to the rules. A limit that is not stated is not checked.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Bounds {
-    /// The least share of the first requests that is served within the latency objective, by some try.
+    /// Minimum share of the first requests that are served within the latency objective, by the
+    /// first try or a retry.
     pub in_time: Option<f64>,
-    /// The same in the worst window of five seconds.
+    /// Minimum of the same share in the worst window of five seconds.
     pub worst_window: Option<f64>,
-    /// The largest share of the requests that is rejected.
+    /// Maximum share of the requests that are rejected.
     #[serde(rename = "deferred")]
     pub rejected: Option<f64>,
-    /// The largest share of the requests that fails.
+    /// Maximum share of the requests that fail.
     #[serde(rename = "abandoned")]
     pub failed: Option<f64>,
-    /// The most attempts a request, in the mean.
+    /// Maximum mean number of attempts per request.
     #[serde(rename = "shots_per_lookup")]
     pub attempts_per_request: Option<f64>,
-    /// The most memory of any proxy.
+    /// Maximum memory of any proxy, in megabytes.
     pub memory_mb: Option<f64>,
-    /// The longest from when a proxy is notified that a server is off to its last new attempt there.
+    /// Maximum time from when a proxy is notified that a server is draining to its last new attempt
+    /// at that server.
     pub drain_ms: Option<f64>,
-    /// How many of a thousand requests may stay unanswered because their proxy was killed.
+    /// Maximum number of requests per thousand that stay unanswered because their proxy was killed.
     pub killed_per_thousand: Option<f64>,
 }
--- a/crates/testbed/src/experiment/check_faults.rs
+++ b/crates/testbed/src/experiment/check_faults.rs
@@ -1,11 +1,12 @@
-//! The checks of one injected fault: its fields by its kind, and whether it fits the experiment.
+//! Checks of one injected fault: the fields that its kind requires or allows, and whether it
+//! applies to the experiment.
 
 use super::check::Check;
 use super::choices::{ListSource, Protocol};
 use super::faults::FaultFields;
 use super::{Experiment, Fault, FaultKind};
 
-/// A share, where one is stated, has to be a part of one.
+/// Whether a share, if it is stated, is from 0 to 1.
 fn is_share(share: Option<f64>) -> bool {
     share.is_none_or(|share| (0.0..=1.0).contains(&share))
 }
@@ -24,13 +25,13 @@
 
 fn check_numbers(fault: &Fault, line: usize, check: &mut Check) {
     if fault.every.is_some_and(|every| every <= 0.0) {
-        check.report(line, "every is above 0");
+        check.report(line, "every has to be above 0");
     }
     if !is_share(fault.share) || !is_share(fault.killed) {
-        check.report(line, "a share is a part of one, from 0 to 1");
+        check.report(line, "a share has to be from 0 to 1");
     }
     if fault.factor.is_some_and(|factor| factor <= 0.0) {
-        check.report(line, "a factor is above 0");
+        check.report(line, "factor has to be above 0");
     }
 }
 
@@ -47,38 +48,46 @@
         }
     }
 
-    /// Whether there is what the fault is a fault of.
+    /// Checks that the experiment has the component that the fault affects.
     fn check_applicable(&self, fault: &Fault, line: usize, check: &mut Check) {
         let kind = fault.kind;
         let source = self.fleet.list_source();
-        let of_etcd = kind.to_string().starts_with("etcd-");
-        let of_file = kind == FaultKind::FileRewrites;
-        if (of_etcd && source != ListSource::Etcd) || (of_file && source != ListSource::File) {
-            check.report(line, format!("{kind} is no fault where the source is \"{}\"", self.fleet.source));
+        let is_etcd_fault = kind.to_string().starts_with("etcd-");
+        let is_file_fault = kind == FaultKind::FileRewrites;
+        if (is_etcd_fault && source != ListSource::Etcd) || (is_file_fault && source != ListSource::File) {
+            check
+                .report(line, format!("{kind} does not apply where the source is \"{}\"", self.fleet.source));
         }
-        let of_slots = matches!(kind, FaultKind::SlotsMove | FaultKind::Failover | FaultKind::OldMap);
-        if of_slots && self.fleet.protocol() != Protocol::Resp {
-            check.report(line, format!("{kind} is no fault where the door is \"{}\"", self.fleet.protocol));
+        let is_slot_fault = matches!(kind, FaultKind::SlotsMove | FaultKind::Failover | FaultKind::OldMap);
+        if is_slot_fault && self.fleet.protocol() != Protocol::Resp {
+            check
+                .report(line, format!("{kind} does not apply where the door is \"{}\"", self.fleet.protocol));
         }
         if kind == FaultKind::Reload && self.fleet.operator.is_empty() {
-            check.report(line, "reload needs operator's files in [fleet] operator");
+            check.report(line, "reload needs at least one operator's file in [fleet] operator");
         }
     }
 
-    /// Whether the servers, proxies and the zone that it names are there.
+    /// Checks that the servers, the proxies and the zone that the fault names exist.
     fn check_targets(&self, fault: &Fault, line: usize, check: &mut Check) {
         if fault.servers.is_some() && fault.zone.is_some() {
-            check.report(line, format!("{} names caches and a zone; one of them is enough", fault.kind));
+            check.report(
+                line,
+                format!("{} names both caches and a zone; only one of them is allowed", fault.kind),
+            );
         }
         if let Some(zone) = fault.zone.as_ref().filter(|zone| !self.world.zones.contains(zone)) {
             check.report(line, format!("zone \"{zone}\" is none of the world's"));
         }
-        let numbered =
+        let numbered_targets =
             [("server", &fault.servers, self.world.servers), ("proxy", &fault.proxies, self.fleet.proxies)];
-        for (what, named, count) in numbered {
-            if let Some(odd) = named.iter().flatten().find(|i| **i >= count) {
+        for (target_type, numbers, count) in numbered_targets {
+            if let Some(out_of_range) = numbers.iter().flatten().find(|i| **i >= count) {
                 let last = count - 1;
-                check.report(line, format!("there is no {what} {odd}; they are numbered from 0 to {last}"));
+                check.report(
+                    line,
+                    format!("there is no {target_type} {out_of_range}; they are numbered from 0 to {last}"),
+                );
             }
         }
     }
--- a/crates/testbed/src/experiment/choices.rs
+++ b/crates/testbed/src/experiment/choices.rs
@@ -1,7 +1,8 @@
-//! Fields of an experiment that are one of a few names. The file has them as strings, so that the check can name all that is
-//! wrong at once; the code reads them as these enums.
+//! Fields of an experiment whose value is one of a few names. The file's types keep them as
+//! strings, so that the check can report all problems at once; the rest of the code uses these
+//! enums.
 
-/// Declares an enum whose variants have names in the file; the first one is the default.
+/// Declares an enum whose variants have names in the experiment file; the first variant is the default.
 macro_rules! choices {
     ($(#[$doc:meta])* $name:ident { $($(#[$variant_doc:meta])* $variant:ident = $text:literal),+ $(,)? }) => {
         $(#[$doc])*
@@ -11,23 +12,23 @@
         }
 
         impl $name {
-            /// All of them, the default first.
+            /// All variants, the default first.
             pub const ALL: &[$name] = &[$($name::$variant),+];
 
-            /// As the file has it.
+            /// The name in the experiment file.
             pub fn name(self) -> &'static str {
                 match self {
                     $($name::$variant => $text),+
                 }
             }
 
-            /// The one of that name, if there is one.
-            pub fn named(name: &str) -> Option<$name> {
+            /// The variant with this name, if there is one.
+            pub fn from_name(name: &str) -> Option<$name> {
                 $name::ALL.iter().copied().find(|choice| choice.name() == name)
             }
 
-            /// The names, as an error lists them: `"a", "b" or "c"`.
-            pub(super) fn listed() -> String {
+            /// The names in the form that error messages use: `"a", "b" or "c"`.
+            pub(super) fn quoted_names() -> String {
                 let names: Vec<String> =
                     $name::ALL.iter().map(|choice| format!("\"{}\"", choice.name())).collect();
                 match names.split_last() {
@@ -40,33 +41,33 @@
 }
 
 choices! {
-    /// What a server does with a key that it lacks.
+    /// What a server does on a cache miss.
     CacheMode {
-        /// It reports the miss, and the proxy asks the origin.
+        /// The server reports the miss, and the proxy sends the request to the origin.
         Aside = "aside",
-        /// It fetches from the origin itself.
+        /// The server fetches the value from the origin itself.
         Through = "through",
     }
 }
 
 choices! {
-    /// Where proxies have the endpoint list from.
+    /// The source of the proxies' endpoint list.
     ListSource {
-        /// The platform's own discovery.
+        /// The platform's discovery service.
         Platform = "platform",
-        /// A cluster of etcd.
+        /// An etcd cluster.
         Etcd = "etcd",
-        /// A file for each proxy.
+        /// A file, one for each proxy.
         File = "file",
     }
 }
 
 choices! {
-    /// What clients and servers speak.
+    /// The protocol between clients, proxies and servers.
     Protocol {
         /// HTTP/1.1.
         Http = "http",
-        /// RESP in its cluster dialect.
+        /// RESP, with the redirections of a cluster.
         Resp = "resp",
     }
 }
@@ -74,9 +75,9 @@
 choices! {
     /// Whether a request of a class may run more than once.
     Repeats {
-        /// As often as one likes.
+        /// Any number of times.
         Replayable = "replayable",
-        /// Where servers drop repeats by its idempotency key.
+        /// Only where servers drop repeats by the request's idempotency key.
         Tagged = "tagged",
         /// Never.
         SingleUse = "single-use",
@@ -84,13 +85,13 @@
 }
 
 choices! {
-    /// Which servers drop repeats of a tagged request together.
+    /// Which servers recognise repeats of each other's tagged requests.
     DedupGroup {
-        /// All of them.
+        /// All servers.
         All = "all",
-        /// Those of one zone.
+        /// The servers of one zone.
         Zone = "zone",
-        /// Those of one cell.
+        /// The servers of one cell.
         Cell = "cell",
     }
 }
--- a/crates/testbed/src/experiment/defaults.rs
+++ b/crates/testbed/src/experiment/defaults.rs
@@ -1,4 +1,4 @@
-//! What holds where an experiment states nothing.
+//! Default values of the fields that an experiment file leaves out.
 
 use super::choices::{CacheMode, DedupGroup, ListSource, Protocol, Repeats};
 use super::{Fleet, Rules, World};
@@ -103,7 +103,7 @@
     1024
 }
 
-/// A span of no length distinguishes a default from what the file states.
+/// The empty span distinguishes the default from a value in the file.
 pub(super) fn repeats() -> Spanned<String> {
     Spanned::new(0..0, Repeats::Replayable.name().into())
 }
--- a/crates/testbed/src/experiment/environment.rs
+++ b/crates/testbed/src/experiment/environment.rs
@@ -1,79 +1,81 @@
-//! The tables `[world]` and `[fleet]`: servers, origin and list; the proxies and the front before them.
+//! The tables `[world]` and `[fleet]`: the servers, the origin and the endpoint list; the proxies
+//! and the load balancer in front of them.
 
 use super::choices::{CacheMode, ListSource, Protocol};
 use serde::Deserialize;
 
-/// The servers, the origin behind them, and the list of both.
+/// The servers, the origin behind them, and the discovery service that lists both.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct World {
-    /// Names of the zones; the origin and the list stand in the first.
+    /// Names of the zones; the origin and the discovery service are in the first.
     pub zones: Vec<String>,
-    /// How many servers, dealt out over the zones in turn.
+    /// Number of servers; they are distributed over the zones in rotation.
     #[serde(rename = "caches")]
     pub servers: usize,
     /// The name of a [`CacheMode`].
     pub(super) mode: String,
     /// Cores of each server.
     pub cores: usize,
-    /// Requests that wait for a core; more are refused.
+    /// Maximum number of requests that wait for a core; further ones are refused.
     pub queue: usize,
-    /// Values that a server caches, the least recently used being dropped first.
+    /// Maximum number of values that a server caches; the least recently used one is evicted first.
     pub values: usize,
-    /// The share of the keys, from the most requested on, that is cached when the load begins.
+    /// The share of the keys that is cached when the load begins, counted from the most requested key on.
     #[serde(rename = "kept")]
     pub cached_share: f64,
     /// The speed of a server just after its start, as a share of its full speed.
     #[serde(rename = "cold_share")]
     pub slow_start_share: f64,
-    /// How long a server takes from its start to full speed.
+    /// How long a server takes from its start to full speed, in seconds.
     #[serde(rename = "cold_s")]
     pub slow_start_s: f64,
-    /// A server in slow start collapses when it is sent more than so many times what it can do, ...
+    /// A server in slow start collapses when it gets more than this multiple of its capacity, ...
     #[serde(rename = "fall_multiple")]
     pub collapse_multiple: f64,
-    /// ... over a window of so many seconds.
+    /// ... measured over a window of this many seconds.
     #[serde(rename = "fall_s")]
     pub collapse_window_s: f64,
-    /// Connections that a server accepts; requests on further ones are refused.
+    /// Maximum number of connections of a server; it refuses requests on further ones.
     pub connections: usize,
-    /// After so many seconds without a request a server closes a connection.
+    /// Seconds without a request after which a server closes a connection.
     pub idle_s: f64,
-    /// What the first request of a connection takes longer.
+    /// Additional time for the first request of a connection, in milliseconds.
     pub handshake_ms: f64,
-    /// Requests that the origin works on at once.
+    /// Number of requests that the origin processes concurrently.
     #[serde(rename = "origin_places")]
     pub origin_slots: usize,
-    /// Requests that wait for one of these slots; more are refused.
+    /// Maximum number of requests that wait for one of these slots; further ones are refused.
     pub origin_queue: usize,
-    /// The origin's mean time for a request.
+    /// The origin's mean processing time of a request, in milliseconds.
     pub origin_ms: f64,
-    /// How much longer the origin takes for each request in progress, as a share of its mean time.
+    /// By how much each request in progress at the origin slows it down, as a share of its mean time.
     #[serde(rename = "origin_drag")]
     pub origin_contention: f64,
-    /// Connections that the origin accepts.
+    /// Maximum number of connections of the origin.
     pub origin_connections: usize,
-    /// From a change to the moment the list shows it.
+    /// Delay from a change to when the endpoint list shows it, in seconds.
     #[serde(rename = "list_late_s")]
     pub list_delay_s: f64,
-    /// What one call costs the list, which answers them one after the other.
+    /// Time that the discovery service takes for one call, in milliseconds; it answers calls one
+    /// after the other.
     pub list_call_ms: f64,
 }
 
 impl World {
-    /// What a server does with a key that it lacks.
+    /// What a server does on a cache miss.
     pub fn cache_mode(&self) -> CacheMode {
-        CacheMode::named(&self.mode).unwrap_or(CacheMode::Aside)
+        CacheMode::from_name(&self.mode).unwrap_or(CacheMode::Aside)
     }
 }
 
-/// The proxies, what the platform allows them, and the front before them.
+/// The proxies, what the platform allows them, and the load balancer in front of them.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Fleet {
-    /// How many proxies.
+    /// Number of proxies.
     pub proxies: usize,
-    /// Attempts that a proxy may make for one request.
+    /// Maximum number of attempts that a proxy may make for one request.
     #[serde(rename = "most_shots")]
     pub max_attempts: usize,
     /// Whether hedged requests are allowed.
@@ -84,21 +86,22 @@
     pub cancellation: bool,
     /// Whether health checks are allowed.
     pub probes: bool,
-    /// The longest `Retry-After` that a proxy may send; 0: none.
+    /// The longest `Retry-After` that a proxy may send, in seconds; 0 forbids the header.
     #[serde(rename = "stay_away_s")]
     pub max_retry_after_s: f64,
-    /// How long after it was notified of a drain a proxy may still send to the server.
+    /// How long a proxy may still send to a server after it was notified that the server is
+    /// draining, in seconds.
     pub drain_grace_s: f64,
-    /// A proxy's connect timeout.
+    /// A proxy's connect timeout, in milliseconds.
     pub connect_ms: f64,
-    /// Sockets that a proxy may have open.
+    /// Maximum number of open sockets of a proxy.
     pub sockets: usize,
-    /// Memory that a proxy may use.
+    /// Memory limit of a proxy, in megabytes.
     pub memory_mb: u64,
-    /// How late the front detects that a proxy has died.
+    /// How long the load balancer takes to detect that a proxy has died, in seconds.
     #[serde(rename = "notice_s")]
     pub detection_s: f64,
-    /// How late it detects that one is draining.
+    /// How long the load balancer takes to detect that a proxy is draining, in seconds.
     #[serde(rename = "leaving_notice_s")]
     pub draining_detection_s: f64,
     /// The name of a [`ListSource`].
@@ -106,26 +109,28 @@
     /// The name of a [`Protocol`].
     #[serde(rename = "door")]
     pub(super) protocol: String,
-    /// Whether proxies count each other by etcd, where the list comes from there.
+    /// Whether proxies count each other through etcd, where etcd is the source of the endpoint list.
     #[serde(rename = "count")]
     pub count_peers: bool,
-    /// Operator's files, by paths beside the experiment's: each proxy starts with the first, and `reload` goes on to the
-    /// next. The command finds its own file by `$OPERATOR`.
+    /// Operator's files, by paths relative to the experiment file's directory. Each proxy starts
+    /// with the first one, and the fault `reload` goes on to the next. The proxy's command finds
+    /// the path of its file in `$OPERATOR`.
     pub operator: Vec<String>,
 }
 
 impl Fleet {
-    /// Where proxies have the list from.
+    /// The source of the proxies' endpoint list.
     pub fn list_source(&self) -> ListSource {
-        ListSource::named(&self.source).unwrap_or(ListSource::Platform)
+        ListSource::from_name(&self.source).unwrap_or(ListSource::Platform)
     }
 
-    /// What clients speak, and servers with them.
+    /// The protocol between clients, proxies and servers.
     pub fn protocol(&self) -> Protocol {
-        Protocol::named(&self.protocol).unwrap_or(Protocol::Http)
+        Protocol::from_name(&self.protocol).unwrap_or(Protocol::Http)
     }
 
-    /// Whether proxies need an operator's file, as the platform has no settings for what this experiment uses.
+    /// Whether proxies need an operator's file: the platform has no settings for list sources and
+    /// protocols other than its own.
     pub fn needs_operator(&self) -> bool {
         self.list_source() != ListSource::Platform || self.protocol() != Protocol::Http
     }
--- a/crates/testbed/src/experiment/error.rs
+++ b/crates/testbed/src/experiment/error.rs
@@ -1,13 +1,13 @@
-//! What is wrong with an experiment's file, each problem with its line.
+//! Problems of an experiment file, with their lines.
 
 use std::fmt;
 
-/// One problem, on a line counted from 1.
+/// One problem of an experiment file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Problem {
-    /// The line of the file, from 1.
+    /// The line in the file, counted from 1.
     pub line: usize,
-    /// What is wrong there.
+    /// What is wrong on that line.
     pub text: String,
 }
 
@@ -17,11 +17,11 @@
     }
 }
 
-/// Every problem of a file, in order of lines; shown one a line.
+/// All problems of a file; they are displayed one per line, ordered by their lines in the file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{}", .problems.iter().map(Problem::to_string).collect::<Vec<_>>().join("\n"))]
 pub struct ExperimentError {
-    /// At least one, sorted by line.
+    /// The problems, at least one, sorted by line.
     pub problems: Vec<Problem>,
 }
 
--- a/crates/testbed/src/experiment/faults.rs
+++ b/crates/testbed/src/experiment/faults.rs
@@ -1,95 +1,95 @@
-//! The table `[[trouble]]`: faults that are injected, each with its kind, its time and its parameters.
+//! The table `[[trouble]]`: the injected faults, each with its kind, its start and its parameters.
 
 use crate::clock::{Micros, micros};
 use serde::Deserialize;
 use std::ops::Range;
 
-/// What happens. The names in the file are these, in kebab case.
+/// The kind of a fault. The experiment file has these names in kebab case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// A share of the attempts at a server gets a quick error.
+    /// A share of the attempts at a server fails with an immediate error.
     Fails,
-    /// A server accepts everything and answers nothing.
+    /// A server accepts all requests and answers none.
     Hangs,
     /// A share of the attempts is never answered.
     Loses,
-    /// A server stops working, and goes on afterwards.
+    /// A server stalls, and continues its work afterwards.
     StandsStill,
-    /// A server's machine is silent, and returns in slow start.
+    /// A server's machine sends nothing any more, not even a reset; the server returns in slow start.
     Vanishes,
-    /// A server's process dies with resets, and returns in slow start.
+    /// A server's process dies, its connections are reset, and it returns in slow start.
     Restarts,
-    /// A server's work takes so many times as long.
+    /// A server's work takes longer by a factor.
     Slow,
-    /// A share of the attempts is refused unprocessed.
+    /// A share of the attempts is refused without being processed.
     TurnsAway,
-    /// A share of the attempts gets a reset.
+    /// A share of the attempts gets a connection reset.
     Resets,
-    /// A share of the attempts gets half a response.
+    /// A share of the attempts gets an incomplete response.
     HalfAnswers,
-    /// A share of the attempts gets noise.
+    /// A share of the attempts gets a malformed response.
     Spoils,
     /// Interim responses are sent ahead of the final ones.
     Interim,
     /// All servers of a zone vanish.
     ZoneLost,
-    /// The link to a zone is silent both ways.
+    /// The link to a zone drops all traffic in both directions.
     ZoneCut,
-    /// One server after the other is drained, ended, and started anew.
+    /// Servers are drained, stopped and restarted, one after the other.
     RollingDeploy,
-    /// All that a server caches is dropped.
+    /// The caches of the servers are emptied.
     CopiesVoid,
-    /// The origin's work takes so many times as long.
+    /// The origin's work takes longer by a factor.
     OriginSlow,
-    /// The origin fails a share of what it gets at once.
+    /// The origin fails a share of the requests to it immediately.
     OriginFails,
-    /// The list is down, in one of the ways of [`Outage`].
+    /// The platform's discovery service is down, in one of the ways of [`Outage`].
     ListDown,
-    /// The list shows changes later.
+    /// The discovery service shows changes later.
     ListLate,
-    /// The list answers with an earlier state.
+    /// The discovery service answers with an earlier endpoint list.
     ListOld,
-    /// Calls that wait at the list are never answered.
+    /// Long-polling calls that wait at the discovery service are never answered.
     ListSilent,
-    /// A proxy gets SIGKILL, and is started again.
+    /// A proxy gets SIGKILL and is restarted.
     ProxyKill,
-    /// A proxy gets SIGTERM, and is started again.
+    /// A proxy gets SIGTERM and is restarted.
     ProxyTerm,
-    /// A proxy gets SIGHUP with a configuration that moves the list.
+    /// A proxy gets SIGHUP with a configuration that moves the discovery service to its other address.
     ProxyHup,
     /// A proxy gets SIGSTOP, and SIGCONT later.
     ProxyStop,
-    /// One proxy after the other is restarted, a share of them by SIGKILL.
+    /// Proxies are restarted one after the other, a share of them by SIGKILL.
     RestartWave,
-    /// Operator's files are written over each other, with SIGHUP.
+    /// A proxy's operator's file is overwritten with the next one repeatedly, each time with SIGHUP.
     Reload,
-    /// The cluster of etcd is down.
+    /// The etcd cluster is down.
     EtcdDown,
-    /// Its calls wait.
+    /// Calls to the etcd cluster wait.
     EtcdStall,
-    /// One of its endpoints lags behind.
+    /// One endpoint of the etcd cluster lags behind the others.
     EtcdBehind,
-    /// Its calls about leases wait.
+    /// Lease calls to the etcd cluster are delayed.
     EtcdSlowLeases,
-    /// All its connections are reset.
+    /// All connections to the etcd cluster are reset.
     EtcdBreak,
-    /// Its history is compacted.
+    /// The history of the etcd cluster is compacted.
     EtcdCompact,
-    /// It is restored to an earlier state.
+    /// The etcd cluster is restored to an earlier state.
     EtcdRestore,
-    /// A proxy's list file is written over again and again.
+    /// A proxy's list file is overwritten repeatedly.
     FileRewrites,
     /// Hash slots migrate.
     SlotsMove,
-    /// A primary ends, and its replica takes over.
+    /// A primary stops, and its replica takes over.
     Failover,
-    /// A server's slot map is that of an earlier moment.
+    /// A server answers with an earlier slot map.
     OldMap,
 }
 
 impl std::fmt::Display for FaultKind {
-    /// As an experiment's file has it.
+    /// Writes the name in the experiment file.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         for (i, letter) in format!("{self:?}").char_indices() {
             if letter.is_uppercase() && i > 0 {
@@ -101,70 +101,71 @@
     }
 }
 
-/// How the platform's list fails while it is down.
+/// How the platform's discovery service fails during an outage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outage {
-    /// Calls are read, and their connections closed.
+    /// Calls are read and their connections are closed.
     #[default]
     Closes,
-    /// Nothing listens.
+    /// Connections are refused.
     Refuses,
-    /// Calls are answered 503 at once.
+    /// Calls are answered with 503 immediately.
     Unavailable,
-    /// Calls wait as long as the service lets them, and are answered 503 then.
+    /// Calls wait for the longest time that the service allows, and are then answered with 503.
     UnavailableLate,
     /// Calls are read and never answered.
     Silent,
-    /// The head and a part of the response come, and nothing more.
+    /// The head and a part of the body are sent, and nothing more.
     HalfAnswer,
 }
 
-/// One fault. Which fields go with which kind: `FaultFields`.
+/// One fault. `FaultFields` says which fields each kind has.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What happens.
+    /// The kind of the fault.
     pub kind: FaultKind,
-    /// When it begins, in seconds.
+    /// When the fault begins, in seconds from the start of the load.
     pub at: f64,
-    /// How long it lasts, in seconds.
+    /// How long the fault lasts, in seconds.
     #[serde(rename = "for")]
     pub duration: Option<f64>,
-    /// The share of the requests that it affects.
+    /// The share of the requests that the fault affects.
     pub share: Option<f64>,
-    /// Which servers, by number from 0; all, where none are named.
+    /// The affected servers, by number from 0; all servers if neither this nor `zone` is stated.
     #[serde(rename = "caches")]
     pub servers: Option<Vec<usize>>,
-    /// The servers of which zone.
+    /// The zone whose servers are affected.
     pub zone: Option<String>,
-    /// How many times as long work takes.
+    /// The factor by which work takes longer.
     pub factor: Option<f64>,
-    /// By how much something is late, or from how long ago it is.
+    /// The delay, or the age of an earlier state, in seconds.
     pub by: Option<f64>,
-    /// Which proxies, by number from 0; all, where none are named.
+    /// The affected proxies, by number from 0; all proxies if this is not stated.
     pub proxies: Option<Vec<usize>>,
-    /// Of a rolling deploy, a wave and the like: from one to the next.
+    /// Interval between the steps of a repeated fault, such as a rolling deploy or a restart wave,
+    /// in seconds.
     pub every: Option<f64>,
-    /// From the notice of a drain to the end of the process.
+    /// Time from when a drain is announced to the end of the process, in seconds.
     pub drain: Option<f64>,
-    /// From the end of a process to the next one's start.
+    /// Time from the end of a process to the start of the next one, in seconds.
     pub down: Option<f64>,
-    /// The share of a wave that gets SIGKILL; the rest gets SIGTERM.
+    /// The share of the proxies of a restart wave that get SIGKILL; the others get SIGTERM.
     pub killed: Option<f64>,
-    /// In which way the list is down.
+    /// In which way the discovery service is down.
     #[serde(rename = "how")]
     pub outage: Option<Outage>,
 }
 
 impl Fault {
-    /// From its begin to its end; without an end it lasts.
+    /// The time from the fault's start to its end; a fault without a duration never ends.
     pub fn span(&self) -> Range<Micros> {
         let at = micros(self.at);
         at..self.duration.map_or(Micros::MAX, |duration| at + micros(duration))
     }
 
-    /// Fields of the file by name, and whether this fault has them.
+    /// The optional fields by their names in the file, and whether this fault states them.
     pub(super) fn present_fields(&self) -> [(&'static str, bool); 12] {
         [
             ("for", self.duration.is_some()),
@@ -183,17 +184,17 @@
     }
 }
 
-/// Which fields of the file a kind of fault has.
+/// The fields of the file that a kind of fault requires and allows.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FaultFields {
-    /// Fields that it has to have.
+    /// Fields that have to be stated.
     pub required: &'static [&'static str],
-    /// Fields that it may have beside these.
+    /// Further fields that may be stated.
     pub optional: &'static [&'static str],
 }
 
 impl FaultFields {
-    /// The table of kinds and their fields.
+    /// The fields of a kind of fault.
     pub fn of(kind: FaultKind) -> FaultFields {
         let (required, optional): (&[&str], &[&str]) = match kind {
             FaultKind::Fails
--- a/crates/testbed/src/experiment/load.rs
+++ b/crates/testbed/src/experiment/load.rs
@@ -1,90 +1,91 @@
-//! The tables `[load]` and `[[namespace]]`: how much arrives, and what it requests.
+//! The tables `[load]` and `[[namespace]]`: the rate of requests, the clients and the request classes.
 
 use super::choices::{DedupGroup, Repeats};
 use super::defaults;
 use serde::Deserialize;
 use toml::Spanned;
 
-/// How much arrives, over which keys, and how clients behave.
+/// The rate of requests, their keys, and the behavior of clients.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// First requests a second, of all clients together. They arrive at random, and wait for no response.
+    /// First requests per second, over all clients. They arrive at random times (open loop: none
+    /// waits for a response).
     pub rate: f64,
-    /// How many clients.
+    /// Number of clients.
     #[serde(default = "defaults::clients")]
     pub clients: usize,
-    /// How many keys.
+    /// Number of keys.
     #[serde(default = "defaults::keys")]
     pub keys: usize,
-    /// Exponent of Zipf's law over the keys; 0: all alike.
+    /// Exponent of the Zipf distribution over the keys; 0 makes it uniform.
     #[serde(default = "defaults::skew")]
     pub skew: f64,
-    /// Keys that are hot for a time.
+    /// Periods with hot keys.
     #[serde(rename = "hot", default)]
     pub hot_keys: Vec<HotKeys>,
-    /// Times at which the rate is another.
+    /// Periods in which the rate differs.
     #[serde(rename = "surge", default)]
     pub load_steps: Vec<LoadStep>,
-    /// Tenants that requests are dealt out to.
+    /// Tenants, each of which sends a share of the requests.
     #[serde(rename = "tenant", default)]
     pub tenants: Vec<Tenant>,
-    /// A client's retries after a response that allows them.
+    /// Maximum number of a client's retries after an outcome that allows them.
     #[serde(default)]
     pub retries: u32,
     /// The share of the clients that honor `Retry-After`.
     #[serde(rename = "heed", default = "defaults::share")]
     pub honor_retry_after: f64,
-    /// Before a retry without `Retry-After`; doubled at each.
+    /// Backoff before a retry without `Retry-After`, in milliseconds; it doubles with each retry.
     #[serde(default = "defaults::backoff_ms")]
     pub backoff_ms: f64,
-    /// The share of the requests whose client cancels, at random within its time limit.
+    /// The share of the requests that their client cancels, at a random time within the time limit.
     #[serde(rename = "leave", default)]
     pub cancel_share: f64,
-    /// Moments at which many clients cancel together.
+    /// Times at which many clients cancel together.
     #[serde(rename = "gust", default)]
     pub cancellation_bursts: Vec<CancellationBurst>,
-    /// Connections that are opened at the beginning, one request each, and held.
+    /// Number of connections that are opened at the beginning, carry one request each, and stay open.
     #[serde(rename = "hold", default)]
     pub held_connections: usize,
 }
 
-/// A share of the clients that wait for a response cancels at that moment.
+/// A time at which a share of the clients that wait for a response cancel.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CancellationBurst {
-    /// When, in seconds.
+    /// The time, in seconds.
     pub at: f64,
-    /// The share that cancels.
+    /// The share of these clients that cancel.
     pub share: f64,
 }
 
-/// A few keys get a share of all requests for a time.
+/// A period in which a few keys get a share of all requests.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HotKeys {
-    /// From when on, in seconds.
+    /// When the period begins, in seconds.
     pub at: f64,
-    /// For how long, in seconds.
+    /// How long the period lasts, in seconds.
     #[serde(rename = "for")]
     pub duration: f64,
-    /// How many keys.
+    /// Number of hot keys.
     #[serde(default = "defaults::hot_keys")]
     pub keys: usize,
-    /// The share of the requests that goes to them.
+    /// The share of the requests that go to the hot keys.
     pub share: f64,
 }
 
-/// The rate is so many times as high for a time.
+/// A period in which the rate is multiplied by a factor.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadStep {
-    /// From when on, in seconds.
+    /// When the period begins, in seconds.
     pub at: f64,
-    /// For how long, in seconds.
+    /// How long the period lasts, in seconds.
     #[serde(rename = "for")]
     pub duration: f64,
-    /// The rate as a multiple of the usual.
+    /// The factor on the usual rate.
     pub factor: f64,
 }
 
@@ -92,22 +93,22 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// As requests name it.
+    /// The name in requests.
     pub name: String,
-    /// Its weight beside the other tenants.
+    /// The tenant's weight relative to the other tenants.
     pub share: f64,
 }
 
-/// A class of requests: on the wire and in settings, a namespace.
+/// A request class; the wire and the settings call it a namespace.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestClass {
-    /// As requests name it.
+    /// The name in requests.
     pub name: String,
-    /// Its weight beside the other classes.
+    /// The class's weight relative to the other classes.
     #[serde(default = "defaults::share")]
     pub share: f64,
-    /// Whether its requests write.
+    /// Whether the requests are writes.
     #[serde(default)]
     pub write: bool,
     /// The name of a [`Repeats`].
@@ -116,31 +117,31 @@
     /// The name of a [`DedupGroup`].
     #[serde(default = "defaults::group")]
     pub(super) group: Spanned<String>,
-    /// How long a server recognises a tagged request that comes again.
+    /// How long a server recognises a repeated tagged request, in milliseconds.
     #[serde(default = "defaults::window_ms")]
     pub window_ms: f64,
-    /// The latency objective.
+    /// The latency objective, in milliseconds.
     pub target_ms: f64,
-    /// The time limit.
+    /// The time limit, in milliseconds.
     pub limit_ms: f64,
-    /// The mean work of a request.
+    /// The mean processing time of a request, in milliseconds.
     pub work_ms: f64,
-    /// The size of a value.
+    /// The size of a value, in bytes.
     #[serde(default = "defaults::bytes")]
     pub bytes: usize,
-    /// Whether replicas may answer it, where the protocol is RESP.
+    /// Whether replicas may answer the requests, where the protocol is RESP.
     #[serde(rename = "stale", default)]
     pub stale_reads: bool,
 }
 
 impl RequestClass {
-    /// Whether its requests may run more than once.
+    /// Whether the requests may run more than once.
     pub fn repeats(&self) -> Repeats {
-        Repeats::named(self.repeats.get_ref()).unwrap_or(Repeats::Replayable)
+        Repeats::from_name(self.repeats.get_ref()).unwrap_or(Repeats::Replayable)
     }
 
-    /// Which servers drop repeats of a tagged request together.
+    /// Which servers recognise repeats of each other's tagged requests.
     pub fn dedup_group(&self) -> DedupGroup {
-        DedupGroup::named(self.group.get_ref()).unwrap_or(DedupGroup::All)
+        DedupGroup::from_name(self.group.get_ref()).unwrap_or(DedupGroup::All)
     }
 }
--- a/crates/testbed/src/experiment/mod.rs
+++ b/crates/testbed/src/experiment/mod.rs
@@ -1,7 +1,8 @@
-//! An experiment: a fleet, a load, faults on a timeline, and the bounds that have to hold. Read from one TOML file; what is
-//! unknown, out of range or contradictory is refused with its line, all of it at once.
+//! An experiment: a fleet, a load, faults on a timeline, and the bounds that have to hold. It is
+//! read from one TOML file. Unknown keys, values out of range and contradictions are errors; all
+//! errors of values are reported at once, with their lines.
 //!
-//! The keys of the file are older than the names here, and stay: `serde(rename)` has them.
+//! The keys of the file are older than the names in the code and do not change: `serde(rename)` maps them.
 
 mod bounds;
 mod check;
@@ -25,52 +26,53 @@
 use serde::Deserialize;
 use toml::Spanned;
 
-/// Servers of one zone that make a cell.
+/// Number of servers of one zone that form a cell.
 const SERVERS_PER_CELL: usize = 2;
-/// Retries are waited for at the end of a run for so long at the most, in seconds.
+/// Upper limit of the time by which a run is extended for retries, in seconds.
 const MAX_RETRY_TIME_S: f64 = 6.0;
 
-/// One experiment, as its file has it.
+/// One experiment, with the fields of its file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// Shown above its results.
+    /// Title that is shown above the results.
     pub title: String,
-    /// For all randomness: arrivals, keys, what fails. The same seed plays the same plan.
+    /// Seed of all random draws: arrivals, keys, which requests a fault affects. The same seed
+    /// gives the same arrivals.
     #[serde(default = "defaults::seed")]
     pub seed: u64,
-    /// How long requests arrive; what is open then still gets its time.
+    /// For how long requests arrive, in seconds. Requests that are open then still get their full time limit.
     pub seconds: f64,
-    /// Servers, origin and list.
+    /// The servers, the origin and the endpoint list.
     #[serde(default)]
     pub world: World,
     /// The proxies.
     #[serde(default)]
     pub fleet: Fleet,
-    /// What arrives.
+    /// The requests that arrive.
     pub load: Load,
-    /// What the judge tolerates.
+    /// Tolerances of the rules that the oracle checks.
     #[serde(default)]
     pub rules: Rules,
-    /// What has to hold beside the rules.
+    /// Limits of the run's figures that have to hold in addition to the rules.
     #[serde(default)]
     pub bounds: Bounds,
-    /// Classes of requests.
+    /// The request classes.
     #[serde(rename = "namespace")]
     pub classes: Vec<RequestClass>,
-    /// What is injected, and when.
+    /// The injected faults.
     #[serde(rename = "trouble", default)]
     pub faults: Vec<Spanned<Fault>>,
 }
 
-/// The line, from 1, on which a byte of the text stands.
-fn line_of(text: &str, at: usize) -> usize {
-    let before = &text.as_bytes()[..at.min(text.len())];
+/// The line, counted from 1, that contains the byte at an offset of the text.
+fn line_of(text: &str, offset: usize) -> usize {
+    let before = &text.as_bytes()[..offset.min(text.len())];
     before.iter().filter(|byte| **byte == b'\n').count() + 1
 }
 
 impl Experiment {
-    /// Reads and checks a file's text.
+    /// Parses and checks the text of an experiment file.
     pub fn read(text: &str) -> Result<Experiment, ExperimentError> {
         let experiment: Experiment = toml::from_str(text).map_err(|error: toml::de::Error| {
             let line = error.span().map_or(1, |span| line_of(text, span.start));
@@ -90,23 +92,24 @@
         }
     }
 
-    /// The faults in the order of the file.
+    /// The faults, in the order of the file.
     pub fn each_fault(&self) -> impl Iterator<Item = &Fault> {
         self.faults.iter().map(Spanned::get_ref)
     }
 
-    /// The zone of a server, and of a proxy: both are dealt out in turn.
+    /// The zone of the `i`-th server or proxy: both are distributed over the zones in rotation.
     pub fn zone_of(&self, i: usize) -> &str {
         &self.world.zones[i % self.world.zones.len()]
     }
 
-    /// The cell of a server: two of one zone make one. Cells are numbered from 1, over all zones.
+    /// The cell of a server: two servers of one zone form a cell. Cells are numbered from 1 over all zones.
     pub fn cell_of(&self, server: usize) -> u64 {
         let zones = self.world.zones.len();
         ((server / zones / SERVERS_PER_CELL) * zones + server % zones) as u64 + 1
     }
 
-    /// When nothing more can be open: the last arrival, the longest limit, and the retries after it.
+    /// The time when no request can be open any more: the last arrival plus the longest time limit
+    /// and the time for retries.
     pub fn ends_at(&self) -> Micros {
         let limit = self.classes.iter().map(|class| class.limit_ms).fold(0.0, f64::max) / 1e3;
         let retry_time = f64::from(self.load.retries) * (limit + self.fleet.max_retry_after_s.max(1.0));
--- a/crates/testbed/src/fleet/actions.rs
+++ b/crates/testbed/src/fleet/actions.rs
@@ -1,10 +1,10 @@
-//! Faults of proxies as actions, one for each proxy, and how they are played.
+//! Turns faults of proxies into actions on single proxies, and carries them out.
 
-use super::{Fleet, KILL_GRACE, LONGEST_LIMIT};
+use super::{Fleet, KILL_GRACE, MAX_TIME_LIMIT};
 use crate::clock::{Micros, micros};
 use crate::experiment::{Experiment, Fault, FaultKind};
 use crate::load::clients::Clients;
-use crate::load::front::Front;
+use crate::load::front::LoadBalancer;
 use crate::stand_ins::file::WriteMode;
 use crate::sync::lock;
 use rustix::process::Signal;
@@ -12,48 +12,49 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Between the halves of an operator's file.
-const BETWEEN_HALVES: Duration = Duration::from_millis(20);
-/// Each third of the operator's files is written in halves.
-const HALVES_EVERY: usize = 3;
-/// Of five list files one cannot be read and one is written in halves.
+/// Delay between the two halves of an operator's file that is written in parts.
+const SPLIT_WRITE_DELAY: Duration = Duration::from_millis(20);
+/// Every third write of an operator's file is done in two halves.
+const SPLIT_WRITE_EVERY: usize = 3;
+/// Of five successive writes of a list file, one writes a file that cannot be parsed, and one is
+/// done in two halves.
 const REWRITE_CYCLE: usize = 5;
 const BROKEN_REWRITE: usize = 0;
-const HALVED_REWRITE: usize = 2;
+const SPLIT_REWRITE: usize = 2;
 
-/// What is done to which proxy, and when.
+/// An action on one proxy at a given time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProxyAction {
-    /// When.
+    /// When the action begins.
     pub at: Micros,
-    /// To which proxy.
+    /// The proxy that it acts on.
     pub proxy: usize,
-    /// What.
+    /// The kind of fault.
     pub kind: FaultKind,
-    /// To the next start, to the end of a stop, or of reloads.
+    /// Time until the proxy is restarted or continued, or until the reloads or rewrites end.
     pub duration: Micros,
-    /// Of reloads and rewrites: from one to the next.
-    pub every: Micros,
+    /// Interval between reloads or rewrites.
+    pub interval: Micros,
 }
 
-/// The experiment's faults of proxies, each as actions on single ones, in order of time.
+/// The experiment's faults of proxies as actions on single proxies, sorted by time.
 pub fn proxy_actions(experiment: &Experiment) -> Vec<ProxyAction> {
     let mut actions = Vec::new();
     for fault in experiment.each_fault() {
-        let named = fault.proxies.clone().unwrap_or_else(|| (0..experiment.fleet.proxies).collect());
+        let proxies = fault.proxies.clone().unwrap_or_else(|| (0..experiment.fleet.proxies).collect());
         let action = |(i, proxy): (usize, usize)| action_of(fault, i, proxy);
-        actions.extend(named.into_iter().enumerate().filter_map(action));
+        actions.extend(proxies.into_iter().enumerate().filter_map(action));
     }
     actions.sort_by_key(|action| (action.at, action.proxy));
     actions
 }
 
-/// What a fault does to the i-th of its proxies, if it is a fault of proxies.
+/// The action of a fault on the i-th of its proxies, or `None` if the fault is not one of proxies.
 fn action_of(fault: &Fault, i: usize, proxy: usize) -> Option<ProxyAction> {
     let at = micros(fault.at);
-    let every = micros(fault.every.unwrap_or(0.0));
+    let interval = micros(fault.every.unwrap_or(0.0));
     let down = micros(fault.down.unwrap_or(0.0));
-    let action = |kind, at, duration| Some(ProxyAction { at, proxy, kind, duration, every });
+    let action = |kind, at, duration| Some(ProxyAction { at, proxy, kind, duration, interval });
     match fault.kind {
         FaultKind::ProxyKill | FaultKind::ProxyTerm => action(fault.kind, at, down),
         FaultKind::ProxyHup => action(fault.kind, at, 0),
@@ -62,58 +63,59 @@
         }
         FaultKind::RestartWave => {
             let kind = if is_killed(fault, i) { FaultKind::ProxyKill } else { FaultKind::ProxyTerm };
-            action(kind, at + every * i as Micros, down)
+            action(kind, at + interval * i as Micros, down)
         }
         _ => None,
     }
 }
 
-/// Spread evenly over a wave: of ten, a killed share of 0.3 is the fourth, the seventh and the tenth.
+/// Whether the i-th proxy of a restart wave gets SIGKILL. These proxies are spread evenly over the
+/// wave: of ten proxies, a share of 0.3 selects the fourth, the seventh and the tenth.
 fn is_killed(fault: &Fault, i: usize) -> bool {
     let share = fault.killed.unwrap_or(0.0);
     ((i + 1) as f64 * share).floor() > (i as f64 * share).floor()
 }
 
 impl Fleet {
-    /// Plays an action at its time.
-    pub async fn play(self: Arc<Fleet>, action: ProxyAction, clients: Arc<Clients>) {
-        let front = &clients.front;
+    /// Carries out an action at its time.
+    pub async fn run_action(self: Arc<Fleet>, action: ProxyAction, clients: Arc<Clients>) {
+        let load_balancer = &clients.load_balancer;
         self.site.clock.sleep_until(action.at).await;
         match action.kind {
-            FaultKind::ProxyKill => self.kill(action.proxy, front).await,
-            FaultKind::ProxyTerm => self.terminate(action.proxy, front).await,
+            FaultKind::ProxyKill => self.kill(action.proxy, load_balancer).await,
+            FaultKind::ProxyTerm => self.terminate(action.proxy, load_balancer).await,
             FaultKind::ProxyHup => return self.move_list(action.proxy),
             FaultKind::Reload => return self.reload_repeatedly(&action).await,
             FaultKind::FileRewrites => return self.rewrite_repeatedly(&action).await,
             _ => return self.stop(&action).await,
         }
         Timer::after(Duration::from_micros(action.duration)).await;
-        self.restart(action.proxy, front).await;
+        self.restart(action.proxy, load_balancer).await;
     }
 
-    async fn kill(&self, proxy: usize, front: &Front) {
+    async fn kill(&self, proxy: usize, load_balancer: &LoadBalancer) {
         self.signal(proxy, Signal::KILL, "KILL");
-        front.down(proxy, micros(self.site.experiment.fleet.detection_s));
+        load_balancer.down(proxy, micros(self.site.experiment.fleet.detection_s));
         self.wait_for_end(proxy, Micros::MAX).await;
     }
 
-    /// SIGTERM, and as much time as the platform gives.
-    async fn terminate(&self, proxy: usize, front: &Front) {
+    /// Sends SIGTERM, and SIGKILL if the process has not ended within the platform's termination period.
+    async fn terminate(&self, proxy: usize, load_balancer: &LoadBalancer) {
         let experiment = &self.site.experiment;
         self.signal(proxy, Signal::TERM, "TERM");
-        front.down(proxy, micros(experiment.fleet.draining_detection_s));
+        load_balancer.down(proxy, micros(experiment.fleet.draining_detection_s));
         let limits = experiment.classes.iter().map(|class| micros(class.limit_ms / 1e3));
-        let longest = limits.max().unwrap_or(0).min(LONGEST_LIMIT);
-        self.wait_for_end(proxy, self.site.clock.now() + longest + KILL_GRACE).await;
+        let max_limit = limits.max().unwrap_or(0).min(MAX_TIME_LIMIT);
+        self.wait_for_end(proxy, self.site.clock.now() + max_limit + KILL_GRACE).await;
     }
 
-    /// SIGHUP with a configuration that has the list's other address.
+    /// Writes a configuration with the other address of the discovery service, and sends SIGHUP.
     fn move_list(&self, proxy: usize) {
         {
             let mut process = lock(&self.processes[proxy]);
             process.list_moved = !process.list_moved;
             let text = self.configuration(proxy, process.list_moved).to_string();
-            _ = std::fs::write(&process.config, text);
+            _ = std::fs::write(&process.config_path, text);
         }
         self.signal(proxy, Signal::HUP, "HUP");
     }
@@ -124,29 +126,30 @@
         self.signal(action.proxy, Signal::CONT, "CONT");
     }
 
-    async fn restart(&self, proxy: usize, front: &Front) {
-        if let Err(error) = self.start_again(proxy, front).await {
+    async fn restart(&self, proxy: usize, load_balancer: &LoadBalancer) {
+        if let Err(error) = self.restart_process(proxy, load_balancer).await {
             lock(&self.errors).push(error);
         }
     }
 
-    /// Writes the operator's files over each other again and again, some in halves with the signal in between.
+    /// Overwrites the operator's file repeatedly with the next of the operator's files, and sends
+    /// SIGHUP after each write. Some writes are done in two halves, with a SIGHUP in between.
     async fn reload_repeatedly(&self, action: &ProxyAction) {
-        let files = self.start.operator.len();
+        let file_count = self.start.operator_texts.len();
         for n in 1.. {
-            let at = action.at + action.every * n as Micros;
-            if at > action.at + action.duration || files == 0 {
+            let at = action.at + action.interval * n as Micros;
+            if at > action.at + action.duration || file_count == 0 {
                 return;
             }
             let (path, list) = {
                 let process = lock(&self.processes[action.proxy]);
-                (process.operator.clone(), process.list.clone())
+                (process.operator_path.clone(), process.list_path.clone())
             };
-            let text = self.operator_text(&self.start.operator[n % files], action.proxy, &list);
-            if n % HALVES_EVERY == 0 {
+            let text = self.operator_text(&self.start.operator_texts[n % file_count], action.proxy, &list);
+            if n % SPLIT_WRITE_EVERY == 0 {
                 _ = std::fs::write(&path, &text.as_bytes()[..text.len() / 2]);
                 self.signal(action.proxy, Signal::HUP, "HUP");
-                Timer::after(BETWEEN_HALVES).await;
+                Timer::after(SPLIT_WRITE_DELAY).await;
             }
             _ = std::fs::write(&path, text);
             self.signal(action.proxy, Signal::HUP, "HUP");
@@ -154,17 +157,17 @@
         }
     }
 
-    /// Writes a proxy's list over again and again, some of them broken or in halves.
+    /// Overwrites a proxy's list file repeatedly; some writes are malformed or done in two halves.
     async fn rewrite_repeatedly(&self, action: &ProxyAction) {
         let Some(file) = self.lists.get(action.proxy) else { return };
         for n in 1.. {
-            let at = action.at + action.every * n as Micros;
+            let at = action.at + action.interval * n as Micros;
             if at > action.at + action.duration {
                 return file.write(&self.site, WriteMode::Replaced).await;
             }
             let mode = match n % REWRITE_CYCLE {
                 BROKEN_REWRITE => WriteMode::Broken,
-                HALVED_REWRITE => WriteMode::InHalves,
+                SPLIT_REWRITE => WriteMode::InHalves,
                 _ => WriteMode::Replaced,
             };
             file.write(&self.site, mode).await;
--- a/crates/testbed/src/fleet/config.rs
+++ b/crates/testbed/src/fleet/config.rs
@@ -1,7 +1,7 @@
-//! What a proxy gets at its start: the platform's configuration, and its operator's file.
+//! The files that a proxy is started with: the platform's configuration and the operator's file.
 
 use super::Fleet;
-use super::process::name;
+use super::process::proxy_name;
 use crate::experiment::{ListSource, Protocol, Repeats, RequestClass};
 use crate::model::etcd::ENDPOINTS;
 use crate::model::server_list::FIRST_VERSION;
@@ -10,20 +10,20 @@
 use serde_json::{Value, json};
 use std::path::Path;
 
-/// Servers that a proxy is given to ask for the slot map.
-const SEEDS: usize = 3;
+/// Maximum number of servers that a proxy is configured to fetch the slot map from.
+const MAX_SLOT_MAP_SEEDS: usize = 3;
 
 fn nanoseconds(ms: f64) -> u64 {
     (ms * 1e6) as u64
 }
 
-/// Names as a list in TOML.
-fn quoted(names: impl Iterator<Item = String>) -> String {
+/// The items of a TOML array of strings.
+fn toml_strings(names: impl Iterator<Item = String>) -> String {
     let names: Vec<String> = names.map(|name| format!("\"{name}\"")).collect();
     names.join(", ")
 }
 
-/// As the platform's settings have it.
+/// The value in the platform's settings.
 fn idempotency(repeats: Repeats) -> &'static str {
     match repeats {
         Repeats::Replayable => "free",
@@ -45,21 +45,21 @@
     })
 }
 
-/// The table of the RESP frontend, where clients speak that.
+/// The operator's file's table for the RESP frontend; empty if clients speak HTTP.
 fn resp_table(site: &Site, proxy: usize) -> String {
     let experiment = &site.experiment;
     if experiment.fleet.protocol() != Protocol::Resp {
         return String::new();
     }
-    let servers = 0..site.origin().min(SEEDS);
+    let servers = 0..site.origin().min(MAX_SLOT_MAP_SEEDS);
     let seeds = servers.map(|server| site.net.server(proxy, server, site.origin()).to_string());
     let stale_reads = experiment.classes.iter().filter(|class| class.stale_reads);
     let mut table = format!(
         "[resp]\nlisten = \"{}\"\nseeds = [{}]\nnamespace = \"{}\"\nstale_reads = [{}]\n",
         site.net.resp(proxy),
-        quoted(seeds),
+        toml_strings(seeds),
         experiment.classes[0].name,
-        quoted(stale_reads.map(|class| class.name.clone()))
+        toml_strings(stale_reads.map(|class| class.name.clone()))
     );
     for class in &experiment.classes {
         table += &format!("[[resp.prefix]]\nprefix = \"{0}:\"\nnamespace = \"{0}\"\n", class.name);
@@ -67,7 +67,7 @@
     table
 }
 
-/// The table of the list's source, where it is not the platform.
+/// The operator's file's table for the source of the endpoint list; empty if the source is the platform.
 fn membership_table(site: &Site, proxy: usize, list: &Path) -> String {
     let fleet = &site.experiment.fleet;
     match fleet.list_source() {
@@ -76,7 +76,7 @@
             let endpoints = (0..ENDPOINTS).map(|endpoint| site.net.etcd(proxy, endpoint).to_string());
             format!(
                 "[membership]\nsource = \"etcd\"\nendpoints = [{}]\nprefix = \"{PREFIX}\"\ncount = {}\n",
-                quoted(endpoints),
+                toml_strings(endpoints),
                 fleet.count_peers
             )
         }
@@ -87,12 +87,13 @@
 }
 
 impl Fleet {
-    /// The text of a proxy's operator's file: the experiment's own, with where the list comes from before its end.
+    /// The text of a proxy's operator's file: the experiment's file with the testbed's tables added
+    /// before its end marker.
     pub(super) fn operator_text(&self, text: &str, proxy: usize, list: &Path) -> String {
         operator_text(&self.site, text, proxy, list)
     }
 
-    /// A proxy's configuration, as the platform gives it.
+    /// A proxy's configuration, in the platform's format.
     pub(super) fn configuration(&self, proxy: usize, list_moved: bool) -> Value {
         let experiment = &self.site.experiment;
         let net = self.site.net;
@@ -101,7 +102,7 @@
         let list = || json!(net.list(proxy, list_moved).to_string());
         let known = || json!({"version": FIRST_VERSION, "full": true, "servers": self.site.known(proxy)});
         json!({
-            "name": name(proxy),
+            "name": proxy_name(proxy),
             "listen": net.proxy(proxy).to_string(),
             "discovery": if from_platform { list() } else { Value::Null },
             "seed": format!("{:x}", experiment.seed.wrapping_add(proxy as u64 + 1)),
@@ -146,12 +147,13 @@
     }
 }
 
-/// The text of an operator's file: the experiment's own, with the testbed's tables before its end.
+/// The text of an operator's file: the experiment's file with the testbed's tables added before its
+/// end marker.
 pub(super) fn operator_text(site: &Site, text: &str, proxy: usize, list: &Path) -> String {
     let tables = membership_table(site, proxy, list) + &resp_table(site, proxy);
     if tables.is_empty() {
         return text.to_string();
     }
-    let own = text.rsplit_once("[end]").map_or("version = 1\n", |(own, _)| own);
-    format!("{own}{tables}[end]\n")
+    let head = text.rsplit_once("[end]").map_or("version = 1\n", |(head, _)| head);
+    format!("{head}{tables}[end]\n")
 }
--- a/crates/testbed/src/fleet/error.rs
+++ b/crates/testbed/src/fleet/error.rs
@@ -1,35 +1,35 @@
-//! Why the proxies could not be run, which makes a run void.
+//! Errors in running the proxies. Each of them invalidates the run.
 
 use std::io;
 
-/// Why the proxies could not be run.
+/// An error in running the proxies.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
-    /// No process could be started.
+    /// A proxy's process could not be started.
     #[error("cannot start a proxy: {0}")]
     Start(io::Error),
-    /// No process could be started in place of one that had ended.
-    #[error("cannot start {name} again: {error}")]
+    /// A proxy's process could not be restarted.
+    #[error("cannot restart {name}: {error}")]
     Restart {
         /// The proxy's name.
         name: String,
-        /// Why.
+        /// The cause.
         error: io::Error,
     },
-    /// A process ended before it was up.
-    #[error("{name} ended at its start: {status}")]
+    /// A proxy's process exited before it was ready.
+    #[error("{name} exited before it was ready: {status}")]
     EndedAtStart {
         /// The proxy's name.
         name: String,
-        /// How it ended.
+        /// The exit status.
         status: String,
     },
-    /// A process was not up in time.
-    #[error("{name} was not up within {seconds} s")]
+    /// A proxy was not ready in time.
+    #[error("{name} was not ready within {seconds} s")]
     NotUp {
         /// The proxy's name.
         name: String,
-        /// How long it had.
+        /// The time limit, in seconds.
         seconds: u64,
     },
 }
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -1,5 +1,6 @@
-//! The proxies as processes: started by their command, controlled by signals, measured from outside, and ended by id whatever
-//! happens: each is started by way of `keep`, which has the system end it when the testbed's own process ends.
+//! The processes of the proxies: started by a command, controlled by signals and measured from
+//! outside. Each process is stopped by its id in any case: it is started through the subcommand
+//! `keep`, so that the kernel kills it when the testbed's process ends.
 
 mod actions;
 mod config;
@@ -13,12 +14,12 @@
 use crate::clock::{Micros, SECOND};
 use crate::evidence::EventKind;
 use crate::experiment::ListSource;
-use crate::load::front::Front;
+use crate::load::front::LoadBalancer;
 use crate::stand_ins::Site;
 use crate::stand_ins::file::{ListFile, WriteMode};
 use crate::sync::lock;
 use crate::wire::Connection;
-use process::{ProxyProcess, name};
+use process::{ProxyProcess, proxy_name};
 use rustix::process::{Pid, Signal, kill_process};
 use smol::{Async, Timer};
 use std::io;
@@ -32,26 +33,27 @@
 /// How proxies are started.
 #[derive(Clone, Debug)]
 pub struct StartSettings {
-    /// Run by the shell, with `ROUTER_CONFIG` and the platform's other variables set.
+    /// The shell command of a proxy. It runs with `ROUTER_CONFIG` and the platform's other variables set.
     pub command: String,
-    /// The testbed's own program, for `keep`; without it a proxy outlives a testbed that is killed.
+    /// The path of the testbed's executable, for `keep`. Without it, proxies outlive a testbed that
+    /// is killed.
     pub supervisor: Option<PathBuf>,
-    /// Where configurations and logs go, a file each by name.
-    pub folder: PathBuf,
-    /// Operator's files by their text; each proxy starts with the first.
-    pub operator: Vec<String>,
+    /// The directory for configurations and logs, with one file of each kind per proxy.
+    pub directory: PathBuf,
+    /// The texts of the operator's files; each proxy starts with the first.
+    pub operator_texts: Vec<String>,
 }
 
-/// What one proxy used, at one moment of the run.
+/// The resources that one proxy uses, at one time of the run.
 #[derive(Clone, Copy, Debug)]
 pub struct Sample {
-    /// When.
+    /// When the sample was taken.
     pub at: Micros,
-    /// Which proxy.
+    /// The proxy.
     pub proxy: usize,
-    /// In all, over its processes.
+    /// CPU time of all of the proxy's processes so far, in microseconds.
     pub cpu_us: u64,
-    /// Resident.
+    /// Resident memory, in kilobytes.
     pub memory_kb: u64,
 }
 
@@ -60,33 +62,33 @@
     site: Arc<Site>,
     start: StartSettings,
     processes: Vec<Mutex<ProxyProcess>>,
-    /// The proxies' lists, where those are files.
+    /// The proxies' list files, if the list source is a file; else empty.
     lists: Vec<ListFile>,
-    /// What each proxy used, in order of time.
+    /// The resources that the proxies used, in order of time.
     pub samples: Mutex<Vec<Sample>>,
-    /// What went wrong that makes the run void.
+    /// Errors that invalidate the run.
     pub errors: Mutex<Vec<FleetError>>,
 }
 
-/// Until a proxy answers `/up` with 200, or has failed to start.
+/// Time within which a proxy has to answer `/up` with 200.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often it is looked whether a proxy is up, or has ended.
+/// Interval at which the testbed checks whether a proxy is ready or has exited.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
-/// Beside the longest time limit (3 s at most), from SIGTERM to SIGKILL, as the platform has it.
+/// Time from SIGTERM to SIGKILL in addition to the longest time limit (at most 3 s), as on the platform.
 const KILL_GRACE: Micros = 700_000;
-const LONGEST_LIMIT: Micros = 3 * SECOND;
+const MAX_TIME_LIMIT: Micros = 3 * SECOND;
 
 impl Fleet {
-    /// Prepares the files of all proxies.
+    /// Prepares the files of all proxies; starts no process.
     pub fn new(site: Arc<Site>, start: StartSettings) -> io::Result<Arc<Fleet>> {
-        std::fs::create_dir_all(&start.folder)?;
+        std::fs::create_dir_all(&start.directory)?;
         let mut processes = Vec::new();
         let mut lists = Vec::new();
         for proxy in 0..site.experiment.fleet.proxies {
             let process = ProxyProcess::new(&site, &start, proxy)?;
             if site.experiment.fleet.list_source() == ListSource::File {
-                lists.push(ListFile::new(&process.list, proxy));
+                lists.push(ListFile::new(&process.list_path, proxy));
             }
             processes.push(Mutex::new(process));
         }
@@ -100,8 +102,8 @@
         }))
     }
 
-    /// Starts all and waits until they are up.
-    pub async fn up(&self, front: &Front) -> Result<(), FleetError> {
+    /// Starts all proxies and waits until they are ready.
+    pub async fn start_all(&self, load_balancer: &LoadBalancer) -> Result<(), FleetError> {
         for file in &self.lists {
             file.write(&self.site, WriteMode::Replaced).await;
         }
@@ -109,27 +111,27 @@
             self.spawn(proxy).map_err(FleetError::Start)?;
         }
         for proxy in 0..self.processes.len() {
-            self.wait_ready(proxy, front).await?;
+            self.wait_ready(proxy, load_balancer).await?;
         }
         Ok(())
     }
 
-    async fn start_again(&self, proxy: usize, front: &Front) -> Result<(), FleetError> {
-        self.spawn(proxy).map_err(|error| FleetError::Restart { name: name(proxy), error })?;
-        self.wait_ready(proxy, front).await
+    async fn restart_process(&self, proxy: usize, load_balancer: &LoadBalancer) -> Result<(), FleetError> {
+        self.spawn(proxy).map_err(|error| FleetError::Restart { name: proxy_name(proxy), error })?;
+        self.wait_ready(proxy, load_balancer).await
     }
 
     fn spawn(&self, proxy: usize) -> io::Result<()> {
         let mut process = lock(&self.processes[proxy]);
-        std::fs::write(&process.config, self.configuration(proxy, process.list_moved).to_string())?;
+        std::fs::write(&process.config_path, self.configuration(proxy, process.list_moved).to_string())?;
         let net = self.site.net;
         let mut command = self.command();
         command
-            .env("ROUTER_NAME", name(proxy))
+            .env("ROUTER_NAME", proxy_name(proxy))
             .env("ROUTER_LISTEN", net.proxy(proxy).to_string())
             .env("ROUTER_DISCOVERY", net.list(proxy, process.list_moved).to_string())
-            .env("ROUTER_CONFIG", &process.config)
-            .env("OPERATOR", &process.operator)
+            .env("ROUTER_CONFIG", &process.config_path)
+            .env("OPERATOR", &process.operator_path)
             .stdin(Stdio::null())
             .stdout(process.log.try_clone()?)
             .stderr(process.log.try_clone()?);
@@ -137,7 +139,7 @@
         Ok(())
     }
 
-    /// The command by which a proxy is started, by way of the supervisor if there is one.
+    /// The command that starts a proxy, through the supervisor if there is one.
     fn command(&self) -> Command {
         let script = format!("exec {}", self.start.command);
         let mut command = match &self.start.supervisor {
@@ -152,21 +154,21 @@
         command
     }
 
-    /// Waits for `/up`; from then on the front deals to it.
-    async fn wait_ready(&self, proxy: usize, front: &Front) -> Result<(), FleetError> {
-        let end = Instant::now() + START_TIMEOUT;
-        while Instant::now() < end {
+    /// Waits until `/up` succeeds; from then on the load balancer sends connections to the proxy.
+    async fn wait_ready(&self, proxy: usize, load_balancer: &LoadBalancer) -> Result<(), FleetError> {
+        let deadline = Instant::now() + START_TIMEOUT;
+        while Instant::now() < deadline {
             if self.is_up(proxy).await {
                 self.site.evidence.record(0, proxy, EventKind::ProcessReady);
-                front.up(proxy);
+                load_balancer.up(proxy);
                 return Ok(());
             }
             if let Some(status) = self.try_wait(proxy) {
-                return Err(FleetError::EndedAtStart { name: name(proxy), status });
+                return Err(FleetError::EndedAtStart { name: proxy_name(proxy), status });
             }
             Timer::after(POLL_INTERVAL).await;
         }
-        Err(FleetError::NotUp { name: name(proxy), seconds: START_TIMEOUT.as_secs() })
+        Err(FleetError::NotUp { name: proxy_name(proxy), seconds: START_TIMEOUT.as_secs() })
     }
 
     async fn is_up(&self, proxy: usize) -> bool {
@@ -177,7 +179,7 @@
         written.is_ok() && connection.read_response().await.is_ok_and(|response| response.status == 200)
     }
 
-    /// How its process ended, if it has.
+    /// The exit status of the proxy's process, if it has exited since the last call.
     fn try_wait(&self, proxy: usize) -> Option<String> {
         let mut process = lock(&self.processes[proxy]);
         let status = process.child.as_mut()?.try_wait().ok()??;
@@ -193,15 +195,15 @@
         }
     }
 
-    /// Waits for its end, until a moment at which it is killed.
-    async fn wait_for_end(&self, proxy: usize, latest: Micros) {
+    /// Waits until the proxy's process has exited, and kills it at `kill_at`.
+    async fn wait_for_end(&self, proxy: usize, kill_at: Micros) {
         let mut killed = false;
         self.sample(proxy);
         while self.try_wait(proxy).is_none() {
             if lock(&self.processes[proxy]).child.is_none() {
                 break;
             }
-            if !killed && self.site.clock.now() > latest {
+            if !killed && self.site.clock.now() > kill_at {
                 killed = true;
                 self.signal(proxy, Signal::KILL, "KILL");
             }
@@ -212,10 +214,11 @@
         let mut process = lock(&self.processes[proxy]);
         let samples = lock(&self.samples);
         let last = samples.iter().rev().find(|sample| sample.proxy == proxy);
-        process.cpu_us_before = last.map_or(0, |sample| sample.cpu_us);
+        process.earlier_cpu_us = last.map_or(0, |sample| sample.cpu_us);
     }
 
-    /// Writes each change of the list into the proxies' files, where they have some; ends with the last.
+    /// Writes each change of the endpoint list into the proxies' list files, if they have any;
+    /// returns after the last change.
     pub async fn write_lists(self: Arc<Fleet>) {
         for update in &self.site.timelines.updates {
             self.site.clock.sleep_until(update.published).await;
@@ -229,30 +232,30 @@
         let process = lock(&self.processes[proxy]);
         let Some(pid) = process.child.as_ref().map(Child::id) else { return };
         let Some(usage) = ProcessUsage::read(pid) else { return };
-        let cpu_us = process.cpu_us_before + usage.cpu_us;
+        let cpu_us = process.earlier_cpu_us + usage.cpu_us;
         let at = self.site.clock.now();
         lock(&self.samples).push(Sample { at, proxy, cpu_us, memory_kb: usage.memory_kb });
     }
 
-    /// Samples what each proxy uses, again and again.
-    pub async fn watch(self: Arc<Fleet>) {
+    /// Samples the resources of all proxies at a fixed interval, without end.
+    pub async fn sample_periodically(self: Arc<Fleet>) {
         loop {
             (0..self.processes.len()).for_each(|proxy| self.sample(proxy));
             Timer::after(SAMPLE_INTERVAL).await;
         }
     }
 
-    /// Proxies that have ended though nothing ended them.
+    /// The proxies whose process has exited although the testbed has not ended it.
     pub fn crashed(&self) -> Vec<usize> {
         (0..self.processes.len()).filter(|proxy| self.try_wait(*proxy).is_some()).collect()
     }
 
-    /// Ends all, and waits for it as the platform would.
-    pub async fn down(&self) {
+    /// Terminates all proxies, and kills those that take longer than the platform allows.
+    pub async fn stop_all(&self) {
         (0..self.processes.len()).for_each(|proxy| self.signal(proxy, Signal::TERM, "TERM"));
-        let latest = self.site.clock.now() + LONGEST_LIMIT + KILL_GRACE;
+        let kill_at = self.site.clock.now() + MAX_TIME_LIMIT + KILL_GRACE;
         for proxy in 0..self.processes.len() {
-            self.wait_for_end(proxy, latest).await;
+            self.wait_for_end(proxy, kill_at).await;
         }
     }
 }
--- a/crates/testbed/src/fleet/process.rs
+++ b/crates/testbed/src/fleet/process.rs
@@ -7,43 +7,43 @@
 use std::path::PathBuf;
 use std::process::Child;
 
-/// What is known of a proxy's process.
+/// State of a proxy's process, and the paths of its files.
 pub(super) struct ProxyProcess {
     pub child: Option<Child>,
-    /// CPU time of earlier processes.
-    pub cpu_us_before: u64,
-    pub config: PathBuf,
-    pub operator: PathBuf,
-    pub list: PathBuf,
+    /// CPU time of the proxy's earlier processes, in microseconds.
+    pub earlier_cpu_us: u64,
+    pub config_path: PathBuf,
+    pub operator_path: PathBuf,
+    pub list_path: PathBuf,
     pub log: File,
-    /// Whether its configuration has the list's second address.
+    /// Whether the configuration has the second address of the discovery service.
     pub list_moved: bool,
 }
 
-/// A proxy's name: of its files, and for the platform.
-pub(super) fn name(proxy: usize) -> String {
+/// A proxy's name, for its files and for the platform.
+pub(super) fn proxy_name(proxy: usize) -> String {
     format!("proxy-{proxy:02}")
 }
 
 impl ProxyProcess {
     /// Prepares a proxy's files; nothing is started.
     pub fn new(site: &Site, start: &StartSettings, proxy: usize) -> io::Result<ProxyProcess> {
-        let name = name(proxy);
-        let file = |ending: &str| start.folder.join(format!("{name}.{ending}"));
+        let name = proxy_name(proxy);
+        let file = |extension: &str| start.directory.join(format!("{name}.{extension}"));
         let log = OpenOptions::new().create(true).append(true).open(file("log"))?;
-        let operator = file("operator.toml");
-        let list = file("list.toml");
-        let own = start.operator.first().map_or("", String::as_str);
-        let text = config::operator_text(site, own, proxy, &list);
+        let operator_path = file("operator.toml");
+        let list_path = file("list.toml");
+        let operator_text = start.operator_texts.first().map_or("", String::as_str);
+        let text = config::operator_text(site, operator_text, proxy, &list_path);
         if !text.is_empty() {
-            std::fs::write(&operator, text)?;
+            std::fs::write(&operator_path, text)?;
         }
         Ok(ProxyProcess {
             child: None,
-            cpu_us_before: 0,
-            config: file("json"),
-            operator,
-            list,
+            earlier_cpu_us: 0,
+            config_path: file("json"),
+            operator_path,
+            list_path,
             log,
             list_moved: false,
         })
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,10 +1,16 @@
-//! The testbed: everything that a chalkwalk proxy talks to, played on loopback, with load, faults, and a judge.
+//! The testbed: simulates on loopback everything that a chalkwalk proxy talks to, generates load,
+//! injects faults, and checks the behavior of the proxies against a set of rules.
 //!
-//! For: trying the program by hand, rehearsing fleets and failures, and tests of the whole. It may use sockets, processes and
-//! files of its own folder. It never uses a crate of the proxy (but for etcd's public wire format): what it knows of a proxy is
-//! the platform's protocol, so that a bug in the proxy's own reading of it cannot hide. Arrows point down: `model`,
-//! `experiment`, `evidence` and `wire` know nobody above them; `stand_ins`, `load` and `fleet` play them; `oracle` judges what was
-//! seen; `run` plays one experiment from its first start to its verdict, and `report` shows it.
+//! It serves for trying the proxy by hand, for rehearsing fleet operations and failures, and for
+//! end-to-end tests. It may use sockets, processes and files of its own directory. It depends on no
+//! crate of the proxy, except for etcd's public wire format: it knows a proxy only by the
+//! platform's protocol, so that a bug in the proxy's own implementation of that protocol cannot
+//! hide.
+//!
+//! Dependencies between modules go one way: `model`, `experiment`, `evidence` and `wire` depend on
+//! no module named after them here; `stand_ins` (simulated services), `load` and `fleet` build on
+//! these; `oracle` checks the recorded events against the rules; `run` runs one experiment from
+//! start-up to the verdict, and `report` renders the result.
 
 pub mod baseline;
 pub mod clock;
--- a/crates/testbed/src/load/clients.rs
+++ b/crates/testbed/src/load/clients.rs
@@ -1,12 +1,12 @@
-//! Clients: each request is sent when it is due, on a free connection of its client or on a new one, and what comes back is held
-//! against what was requested. A late answer holds up no later request.
+//! Clients: each request is sent when it is due, on an idle connection of its client or on a new
+//! one, and the response is compared with the request. A late response delays no later request.
 
 use super::connection::{ClientAnswer, ClientConnection, Try};
 use super::tries::TryOutcome;
 use crate::clock::{Clock, Micros, micros};
 use crate::evidence::{ClientRequest, EventKind, Evidence, Id};
 use crate::experiment::{DedupGroup, Experiment, Repeats, RequestClass};
-use crate::load::front::Front;
+use crate::load::front::LoadBalancer;
 use crate::load::plan::{Arrival, ArrivalPlan, request_id};
 use crate::stand_ins::Net;
 use crate::sync::lock;
@@ -16,9 +16,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Open requests of the whole load: beyond that the machine is past what it can do, and they count as not sent.
+/// Maximum number of open requests of all clients. Beyond it the machine is overloaded, and further
+/// requests count as not sent.
 const MAX_OPEN: usize = 50_000;
-/// A backoff is doubled so often at the most.
+/// Maximum number of times that a backoff is doubled.
 const MAX_DOUBLINGS: u32 = 8;
 
 /// All clients of a run.
@@ -27,27 +28,28 @@
     pub(super) clock: Clock,
     pub(super) evidence: Evidence,
     pub(super) net: Net,
-    /// Where they connect.
-    pub front: Front,
-    /// Idle connections, by client.
+    /// The load balancer that assigns new connections to proxies.
+    pub load_balancer: LoadBalancer,
+    /// Idle connections, indexed by client.
     pub(super) idle: Vec<Mutex<Vec<ClientConnection>>>,
     /// The number of the next request.
-    next: AtomicU64,
-    open: AtomicUsize,
-    /// How late first requests were sent.
+    next_request: AtomicU64,
+    open_requests: AtomicUsize,
+    /// How late first requests were sent, in microseconds.
     pub send_delay: Mutex<Histogram<u64>>,
-    /// Connections that proxies refused, or did not accept in time.
-    pub refused: AtomicU64,
-    /// Requests that were sent again, as their connection was being closed.
+    /// Number of connections that proxies refused or did not accept in time.
+    pub connects_refused: AtomicU64,
+    /// Number of requests that were sent again because the proxy was closing the connection.
     pub sent_again: AtomicU64,
     served: AtomicU64,
     rejected: AtomicU64,
-    /// Tries that ended in any other way.
+    /// Number of tries that were neither served nor rejected.
     other: AtomicU64,
 }
 
-/// Whether a repeat does no harm. Of tagged ones only where every server drops it, and all only in the window.
-fn is_harmless(class: &RequestClass) -> bool {
+/// Whether a client may repeat a request whose effect is unknown. Tagged requests may be repeated
+/// only if every server drops the repeats; they do so only within the deduplication window.
+fn is_safe_to_repeat(class: &RequestClass) -> bool {
     match class.repeats() {
         Repeats::Replayable => true,
         Repeats::Tagged => class.dedup_group() == DedupGroup::All,
@@ -59,12 +61,12 @@
     /// The clients of an experiment, with no connections yet.
     pub fn new(experiment: &Experiment, clock: Clock, evidence: Evidence, net: Net) -> Arc<Clients> {
         Arc::new(Clients {
-            front: Front::new(experiment.fleet.proxies, clock.clone()),
+            load_balancer: LoadBalancer::new(experiment.fleet.proxies, clock.clone()),
             idle: (0..experiment.load.clients).map(|_| Mutex::default()).collect(),
-            next: AtomicU64::new(0),
-            open: AtomicUsize::new(0),
+            next_request: AtomicU64::new(0),
+            open_requests: AtomicUsize::new(0),
             send_delay: Mutex::new(crate::measure::histogram()),
-            refused: AtomicU64::new(0),
+            connects_refused: AtomicU64::new(0),
             sent_again: AtomicU64::new(0),
             served: AtomicU64::new(0),
             rejected: AtomicU64::new(0),
@@ -76,8 +78,8 @@
         })
     }
 
-    /// Plays the plan to its last arrival.
-    pub async fn play(self: Arc<Clients>, executor: Arc<Executor<'static>>) {
+    /// Sends the requests of the plan when they are due, to the last arrival.
+    pub async fn run_plan(self: Arc<Clients>, executor: Arc<Executor<'static>>) {
         for held in 0..self.experiment.load.held_connections {
             let arrival = self.held_arrival(held);
             executor.spawn(self.clone().hold_connection(arrival)).detach();
@@ -87,23 +89,23 @@
             if arrival.at > self.clock.now() {
                 self.clock.sleep_until(arrival.at).await;
             }
-            let late = self.clock.now().saturating_sub(arrival.at);
-            _ = lock(&self.send_delay).record(late);
-            if self.open.load(Ordering::Relaxed) < MAX_OPEN {
+            let delay = self.clock.now().saturating_sub(arrival.at);
+            _ = lock(&self.send_delay).record(delay);
+            if self.open_requests.load(Ordering::Relaxed) < MAX_OPEN {
                 executor.spawn(self.clone().run_request(arrival)).detach();
             }
         }
     }
 
-    /// How it stands, in a few words.
+    /// The counts of requests so far, for the progress line.
     pub fn status_line(&self) -> String {
         let [served, rejected, other] =
             [&self.served, &self.rejected, &self.other].map(|count| count.load(Ordering::Relaxed));
-        let open = self.open.load(Ordering::Relaxed);
-        format!("served {served}  rejected {rejected}  other {other}  open {open}")
+        let open_requests = self.open_requests.load(Ordering::Relaxed);
+        format!("served {served}  rejected {rejected}  other {other}  open {open_requests}")
     }
 
-    /// Closes every connection that is idle.
+    /// Closes all idle connections.
     pub fn close_idle(&self) {
         for idle in &self.idle {
             lock(idle).clear();
@@ -111,7 +113,7 @@
     }
 
     fn next_id(&self) -> Id {
-        request_id(self.experiment.seed, self.next.fetch_add(1, Ordering::Relaxed))
+        request_id(self.experiment.seed, self.next_request.fetch_add(1, Ordering::Relaxed))
     }
 
     fn held_arrival(&self, n: usize) -> Arrival {
@@ -127,7 +129,7 @@
         }
     }
 
-    /// A client that sends one request and keeps its connection.
+    /// Sends one request and keeps the connection open until the proxy closes it.
     async fn hold_connection(self: Arc<Clients>, arrival: Arrival) {
         let id = self.next_id();
         let Some(mut client) = self.connect().await else { return };
@@ -143,9 +145,9 @@
         client.connection.wait_closed().await;
     }
 
-    /// A request with all its tries.
+    /// Sends a request and its retries.
     async fn run_request(self: Arc<Clients>, arrival: Arrival) {
-        self.open.fetch_add(1, Ordering::Relaxed);
+        self.open_requests.fetch_add(1, Ordering::Relaxed);
         let experiment = &self.experiment;
         let class = &experiment.classes[arrival.class];
         let window_end = arrival.at + micros(class.window_ms / 1e3);
@@ -165,7 +167,7 @@
                 break;
             }
         }
-        self.open.fetch_sub(1, Ordering::Relaxed);
+        self.open_requests.fetch_sub(1, Ordering::Relaxed);
     }
 
     fn count(&self, outcome: &TryOutcome) {
@@ -177,8 +179,8 @@
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// How long a client waits before a retry; none where there is none. It sends again what does no harm: what was rejected,
-    /// and what may run twice.
+    /// How long a client waits before a retry, or `None` if it does not retry. A client retries
+    /// rejected requests, and failed or unanswered ones that may run twice.
     fn wait_before_retry(&self, outcome: &TryOutcome, arrival: &Arrival, retry: u32) -> Option<Micros> {
         let class = &self.experiment.classes[arrival.class];
         let backoff = micros(self.experiment.load.backoff_ms / 1e3) << retry.min(MAX_DOUBLINGS);
@@ -186,7 +188,7 @@
             TryOutcome::Rejected(Some(after)) if arrival.honors_retry_after => Some(*after),
             TryOutcome::Rejected(_) => Some(backoff),
             TryOutcome::Served | TryOutcome::Cancelled => None,
-            TryOutcome::Failed | TryOutcome::NoAnswer => is_harmless(class).then_some(backoff),
+            TryOutcome::Failed | TryOutcome::NoAnswer => is_safe_to_repeat(class).then_some(backoff),
         }
     }
 
--- a/crates/testbed/src/load/connection.rs
+++ b/crates/testbed/src/load/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a client to a proxy: a request written, and its answer read, in whichever protocol.
+//! One connection of a client to a proxy: writes requests and reads responses in the experiment's protocol.
 
 use crate::clock::{Micros, micros, seconds};
 use crate::evidence::Id;
@@ -9,32 +9,32 @@
 use crate::wire::{Connection, ReadError};
 use std::io;
 
-/// What a write sets a key to.
+/// The value that write requests set.
 const NEW_VALUE: &[u8] = b"new value";
 
-/// A connection, and to which proxy.
+/// A connection and the proxy at its other end.
 pub(super) struct ClientConnection {
     pub connection: Connection,
     pub proxy: usize,
 }
 
-/// One request of a client's: a first try or a retry.
+/// One request of a client: the first try or a retry.
 pub(super) struct Try<'a> {
     pub experiment: &'a Experiment,
     pub arrival: &'a Arrival,
     pub id: Id,
-    /// The first try's id, whose effect this one repeats.
+    /// The id of the first try, whose effect this request repeats.
     pub first: Id,
     pub is_retry: bool,
 }
 
-/// What came back.
+/// The response to a client's request.
 pub(super) struct ClientAnswer {
     pub status: u16,
     pub retry_after: Option<Micros>,
-    /// Whether it was made for this request.
+    /// Whether the body belongs to this request.
     pub matches: bool,
-    /// Whether the connection ends with it.
+    /// Whether the proxy closes the connection after the response.
     pub close: bool,
 }
 
@@ -59,7 +59,8 @@
         if self.experiment.classes[self.arrival.class].write { NEW_VALUE } else { b"" }
     }
 
-    /// The key's slot is by its tag in braces; behind that it has which request it is, and whose effect it repeats.
+    /// Encodes the request as a RESP command. The hash tag in braces decides the key's slot; after
+    /// it, the key has the id of this request and the id of its first try.
     fn resp_command(&self) -> Vec<u8> {
         let class = &self.experiment.classes[self.arrival.class];
         let (id, first) = (self.id, self.first);
@@ -93,7 +94,7 @@
         head + &format!("Content-Length: {body_length}\r\n\r\n")
     }
 
-    /// Reads the answer.
+    /// Reads the response.
     pub async fn read_answer(&self, connection: &mut Connection) -> Result<ClientAnswer, ReadError> {
         match self.experiment.fleet.protocol() {
             Protocol::Resp => self.read_resp(connection).await,
@@ -106,7 +107,7 @@
         let (status, retry_after) = answer.status();
         let is_write = self.experiment.classes[self.arrival.class].write;
         let matches = match &answer {
-            // A write's answer does not hold whom it is for.
+            // The response to a write does not name the request that it belongs to.
             RespAnswer::Value(body) => is_write || is_for(body, self.id),
             _ => true,
         };
--- a/crates/testbed/src/load/front.rs
+++ b/crates/testbed/src/load/front.rs
@@ -1,42 +1,43 @@
-//! The front before the proxies: deals connections out in turn, and notices late that a proxy is gone.
+//! The load balancer in front of the proxies: assigns connections in rotation (round robin), and
+//! detects with a delay that a proxy is down.
 
 use crate::clock::{Clock, Micros};
 use crate::sync::lock;
 use std::ops::Range;
 use std::sync::Mutex;
 
-/// The front.
-pub struct Front {
+/// The load balancer in front of the proxies.
+pub struct LoadBalancer {
     clock: Clock,
     rotation: Mutex<Rotation>,
 }
 
 struct Rotation {
     last: usize,
-    /// When it deals to each proxy.
+    /// For each proxy, the time range in which it gets connections.
     serving: Vec<Option<Range<Micros>>>,
 }
 
-impl Front {
-    /// Before so many proxies, all of them down.
-    pub fn new(proxies: usize, clock: Clock) -> Front {
-        Front { clock, rotation: Mutex::new(Rotation { last: 0, serving: vec![None; proxies] }) }
+impl LoadBalancer {
+    /// Creates the load balancer for a number of proxies, all of them down.
+    pub fn new(proxies: usize, clock: Clock) -> LoadBalancer {
+        LoadBalancer { clock, rotation: Mutex::new(Rotation { last: 0, serving: vec![None; proxies] }) }
     }
 
-    /// A proxy is up.
+    /// Marks a proxy as up.
     pub fn up(&self, proxy: usize) {
         lock(&self.rotation).serving[proxy] = Some(self.clock.now()..Micros::MAX);
     }
 
-    /// It is gone, or draining, which is noticed so much later.
+    /// Marks a proxy as dead or draining; it still gets connections until the detection delay has passed.
     pub fn down(&self, proxy: usize, delay: Micros) {
-        let until = self.clock.now() + delay;
+        let detected_at = self.clock.now() + delay;
         if let Some(serving) = &mut lock(&self.rotation).serving[proxy] {
-            serving.end = until.min(serving.end);
+            serving.end = detected_at.min(serving.end);
         }
     }
 
-    /// The next proxy in turn that it believes to be up.
+    /// The next proxy in rotation that is not detected to be down.
     pub fn next_proxy(&self) -> Option<usize> {
         let now = self.clock.now();
         let mut rotation = lock(&self.rotation);
--- a/crates/testbed/src/load/mod.rs
+++ b/crates/testbed/src/load/mod.rs
@@ -1,4 +1,5 @@
-//! Load: a plan of requests drawn ahead, and the clients that play it, whatever comes of the requests before.
+//! Open-loop load: a random plan of request arrivals, and the clients that send the requests on
+//! time, whatever the state of earlier requests.
 
 pub mod clients;
 mod connection;
--- a/crates/testbed/src/load/tries.rs
+++ b/crates/testbed/src/load/tries.rs
@@ -1,4 +1,5 @@
-//! One try of a request: on a free connection of its client or on a new one, sent again where the connection was being closed.
+//! One try of a request: it is sent on an idle connection of its client or on a new one, and sent
+//! again if the proxy was closing the connection.
 
 use super::clients::Clients;
 use super::connection::{ClientAnswer, ClientConnection, Try};
@@ -13,59 +14,62 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Beyond the time limit a client waits so long for an answer that comes late, to distinguish it from none at all.
+/// How long a client waits for a response beyond the time limit, to distinguish a late response
+/// from a missing one.
 const LATE_ANSWER_WAIT: Micros = 500 * MILLI;
-/// A connection that ends so soon after a request was written to it had been closed before the proxy could read it.
-const CLOSE_RACE: Micros = 20 * MILLI;
-/// The front tries so many others when one refuses a connection.
+/// If a connection ends within this time after a request was written to it, the proxy is taken to
+/// have closed it before it could read the request.
+const CLOSE_RACE_WINDOW: Micros = 20 * MILLI;
+/// Number of further proxies that are tried when one refuses a connection.
 const CONNECT_RETRIES: usize = 3;
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Idle connections of each client; more are closed after their answer.
+/// Maximum number of idle connections of each client; further ones are closed after their response.
 const MAX_IDLE: usize = 64;
 
 /// How one try ended, as its client sees it.
 pub(super) enum TryOutcome {
     Served,
-    /// With its `Retry-After`, where it has one.
+    /// With the response's `Retry-After`, if it has one.
     Rejected(Option<Micros>),
     Failed,
-    /// Nobody accepted it, or its proxy is gone: nothing is known of its effect.
+    /// No proxy accepted a connection, or the connection ended without a response: the request's
+    /// effect is unknown.
     NoAnswer,
     Cancelled,
 }
 
-/// What follows from one exchange on a connection.
+/// The result of one exchange on a connection.
 enum Exchange {
     Done(TryOutcome),
-    /// The proxy was closing the connection: it is sent again, once.
+    /// The proxy was closing the connection; the request is sent again, at most once.
     SendAgain,
 }
 
-/// One exchange's connection, and what is known of it.
+/// The connection of one exchange, and its state.
 struct Channel {
     client: ClientConnection,
-    /// Whether something had been answered on it before.
-    used: bool,
-    begun: Micros,
+    /// Whether an earlier request was answered on the connection.
+    reused: bool,
+    started_at: Micros,
     /// Whether the request may be sent again if the connection was being closed.
     may_send_again: bool,
 }
 
 impl Channel {
-    /// Whether its end may have crossed the request.
-    fn raced_a_close(&self, now: Micros) -> bool {
-        self.used && self.may_send_again && now < self.begun + CLOSE_RACE
+    /// Whether the proxy may have closed the connection while the request was on its way.
+    fn may_have_raced_close(&self, now: Micros) -> bool {
+        self.reused && self.may_send_again && now < self.started_at + CLOSE_RACE_WINDOW
     }
 }
 
 impl Clients {
-    /// One try, to its end.
+    /// Sends one try and waits for its outcome.
     pub(super) async fn try_once(&self, current: &Try<'_>) -> TryOutcome {
         let mut may_send_again = true;
         loop {
-            // Bound apart, or the lock would be held over the wait.
-            let idle = self.idle_connection(current.arrival.client);
-            let used = idle.is_some();
+            // A separate binding, so that the lock is not held across the await.
+            let idle = self.take_idle_connection(current.arrival.client);
+            let reused = idle.is_some();
             let connected = match idle {
                 Some(idle) => Some(idle),
                 None => self.connect().await,
@@ -74,8 +78,8 @@
                 self.evidence.record(current.id, 0, EventKind::NoProxy);
                 return TryOutcome::NoAnswer;
             };
-            let begun = self.clock.now();
-            match self.exchange(current, Channel { client, used, begun, may_send_again }).await {
+            let started_at = self.clock.now();
+            match self.exchange(current, Channel { client, reused, started_at, may_send_again }).await {
                 Exchange::Done(outcome) => return outcome,
                 Exchange::SendAgain => {
                     may_send_again = false;
@@ -85,20 +89,20 @@
         }
     }
 
-    /// Writes a request, and waits for what comes of it.
+    /// Writes a request and waits for the response, the cancellation or the end of the connection.
     async fn exchange(&self, current: &Try<'_>, mut channel: Channel) -> Exchange {
         if self.write(current, &channel.client).await.is_err() {
-            if channel.raced_a_close(self.clock.now()) {
+            if channel.may_have_raced_close(self.clock.now()) {
                 return Exchange::SendAgain;
             }
             return self.unanswered(current, &channel, true);
         }
         let limit = current.limit();
-        let patience =
+        let wait_limit =
             current.arrival.cancels_after.map_or(limit + LATE_ANSWER_WAIT, |after| after.min(limit));
         let answered = async { Some(current.read_answer(&mut channel.client.connection).await) };
         let cancelled = async {
-            self.clock.sleep_until(channel.begun + patience).await;
+            self.clock.sleep_until(channel.started_at + wait_limit).await;
             None
         };
         match or(answered, cancelled).await {
@@ -108,7 +112,7 @@
             }
             Some(Ok(answer)) => Exchange::Done(self.receive(current, channel.client, answer)),
             Some(Err(error)) => {
-                let raced = channel.raced_a_close(self.clock.now());
+                let raced = channel.may_have_raced_close(self.clock.now());
                 if matches!(error, ReadError::Closed) && raced && !self.evidence.was_attempted(current.id) {
                     return Exchange::SendAgain;
                 }
@@ -118,12 +122,12 @@
     }
 
     fn unanswered(&self, current: &Try<'_>, channel: &Channel, reset: bool) -> Exchange {
-        let kind = EventKind::Unanswered { reset, fresh: !channel.used };
+        let kind = EventKind::Unanswered { reset, fresh: !channel.reused };
         self.evidence.record(current.id, channel.client.proxy, kind);
         Exchange::Done(TryOutcome::NoAnswer)
     }
 
-    /// Writes the request; it counts as sent from its last byte on.
+    /// Writes the request; it counts as sent when its last byte is written.
     pub(super) async fn write(&self, current: &Try<'_>, client: &ClientConnection) -> std::io::Result<()> {
         current.write(&client.connection).await?;
         self.evidence.record(current.id, client.proxy, EventKind::RequestSent);
@@ -149,8 +153,9 @@
         }
     }
 
-    /// A connection of the client's that is open and idle; what came on one that nothing should come on is recorded.
-    fn idle_connection(&self, client: usize) -> Option<ClientConnection> {
+    /// Takes an open idle connection of the client. Unexpected bytes on an idle connection are
+    /// recorded, and the connection is dropped.
+    fn take_idle_connection(&self, client: usize) -> Option<ClientConnection> {
         let mut idle = lock(&self.idle[client]);
         while let Some(candidate) = idle.pop() {
             if candidate.connection.is_idle() {
@@ -163,10 +168,10 @@
         None
     }
 
-    /// A new connection, to whichever proxy the front deals it to.
+    /// Opens a connection to the proxy that the load balancer selects.
     pub(super) async fn connect(&self) -> Option<ClientConnection> {
         for _ in 0..=CONNECT_RETRIES {
-            let proxy = self.front.next_proxy()?;
+            let proxy = self.load_balancer.next_proxy()?;
             let addr = match self.experiment.fleet.protocol() {
                 Protocol::Resp => self.net.resp(proxy),
                 Protocol::Http => self.net.proxy(proxy),
@@ -179,7 +184,7 @@
             if let Some(stream) = or(connecting, timeout).await {
                 return Some(ClientConnection { connection: Connection::new(stream), proxy });
             }
-            self.refused.fetch_add(1, Ordering::Relaxed);
+            self.connects_refused.fetch_add(1, Ordering::Relaxed);
         }
         None
     }
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,5 @@
-//! chalkwalk-testbed: stand-ins, load, faults and a judge on loopback.
+//! chalkwalk-testbed: runs proxies on loopback against simulated services, load and faults, and
+//! checks what they do.
 
 mod cli;
 
--- a/crates/testbed/src/run.rs
+++ b/crates/testbed/src/run.rs
@@ -1,4 +1,4 @@
-//! One experiment, from the first stand-in to the verdict.
+//! Runs one experiment, from opening the simulated services to the verdict.
 
 use crate::clock::{Clock, SECOND, seconds};
 use crate::experiment::{Experiment, ListSource};
@@ -21,42 +21,42 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// The line on the terminal is drawn anew so often.
+/// Interval at which the progress line on the terminal is redrawn.
 const DRAW_INTERVAL: Duration = Duration::from_millis(250);
-/// More threads of the testbed's own would take cores from the proxies.
+/// Upper limit of the testbed's own threads; more would take cores from the proxies.
 const MAX_THREADS: usize = 4;
 
-/// Why an experiment could not be run at all.
+/// Why an experiment could not be run.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// No block of addresses.
+    /// No block of loopback addresses could be reserved.
     #[error("{0}")]
     Addresses(io::Error),
-    /// The stand-ins could not listen.
-    #[error("cannot open the stand-ins: {0}")]
+    /// The simulated services could not listen.
+    #[error("cannot open the simulated services: {0}")]
     StandIns(io::Error),
     /// The proxies' files could not be written.
     #[error("cannot prepare the proxies: {0}")]
     Prepare(io::Error),
-    /// The proxies could not be run.
+    /// The proxies could not be started.
     #[error(transparent)]
     Fleet(#[from] FleetError),
-    /// No signals can be received.
+    /// No signal handler could be installed.
     #[error("cannot receive signals: {0}")]
     Signals(io::Error),
 }
 
-/// A run and what came of it.
+/// A completed run and its results.
 pub struct RunResult {
-    /// What was played.
+    /// The experiment that was run.
     pub experiment: Experiment,
-    /// What the judge found.
+    /// What the oracle found.
     pub verdict: Verdict,
-    /// What was measured.
+    /// The measured figures.
     pub figures: Figures,
-    /// What the proxies used.
+    /// CPU time and memory of the proxies over time.
     pub samples: Vec<Sample>,
-    /// Bounds of the experiment's own that do not hold.
+    /// The experiment's bounds that do not hold, one message each.
     pub out_of_bounds: Vec<String>,
 }
 
@@ -67,16 +67,16 @@
     }
 }
 
-/// Threads that run stand-ins and clients: enough for some tens of thousands of requests a second, and a few cores are left for
-/// the proxies.
+/// Number of threads that run the simulated services and the clients: enough for some tens of
+/// thousands of requests per second, while a few cores are left for the proxies.
 fn thread_count() -> usize {
     std::thread::available_parallelism().map_or(2, |cores| cores.get() / 2).clamp(1, MAX_THREADS)
 }
 
-/// Runs an executor on threads of its own until it is dropped.
+/// Runs an executor on dedicated threads until this value is dropped.
 struct ExecutorThreads {
     executor: Arc<Executor<'static>>,
-    /// The threads end when it is dropped.
+    /// Dropping the sender ends the threads.
     stop: Option<Sender<()>>,
     threads: Vec<JoinHandle<()>>,
 }
@@ -103,7 +103,8 @@
     }
 }
 
-/// All parts of a run. Fields are dropped in this order: the proxies end before the threads of the stand-ins.
+/// All parts of a run. Fields are dropped in this order: the proxies end before the threads of the
+/// simulated services.
 struct Run {
     experiment: Experiment,
     clock: Clock,
@@ -111,16 +112,20 @@
     clients: Arc<Clients>,
     fleet: Arc<Fleet>,
     threads: ExecutorThreads,
-    /// Holds the run's addresses.
+    /// Reserves the run's block of addresses.
     _claim: TcpListener,
 }
 
 impl Run {
-    /// Opens the stand-ins and prepares the proxies' files.
-    fn new(experiment: Experiment, played: Experiment, start: StartSettings) -> Result<Run, RunError> {
+    /// Opens the simulated services and prepares the proxies' files.
+    fn new(
+        experiment: Experiment,
+        site_experiment: Experiment,
+        start: StartSettings,
+    ) -> Result<Run, RunError> {
         let clock = Clock::default();
         let (net, claim) = Net::claim().map_err(RunError::Addresses)?;
-        let site = Site::new(played, clock.clone(), net);
+        let site = Site::new(site_experiment, clock.clone(), net);
         let threads = ExecutorThreads::new();
         site.open(&threads.executor).map_err(RunError::StandIns)?;
         let fleet = Fleet::new(site.clone(), start).map_err(RunError::Prepare)?;
@@ -128,32 +133,32 @@
         Ok(Run { experiment, clock, site, clients, fleet, threads, _claim: claim })
     }
 
-    /// Plays the experiment, and returns the proxies that had ended by themselves.
-    async fn play(&self, live: bool) -> Result<Vec<usize>, RunError> {
+    /// Runs the experiment and returns the proxies that exited although the testbed had not ended them.
+    async fn execute(&self, live: bool) -> Result<Vec<usize>, RunError> {
         let executor = &self.threads.executor;
         if self.experiment.fleet.list_source() == ListSource::Etcd {
             self.site.seed_etcd();
             executor.spawn(self.site.clone().write_etcd()).detach();
         }
-        self.fleet.up(&self.clients.front).await?;
+        self.fleet.start_all(&self.clients.load_balancer).await?;
         self.clock.begin();
-        executor.spawn(self.fleet.clone().watch()).detach();
+        executor.spawn(self.fleet.clone().sample_periodically()).detach();
         executor.spawn(self.fleet.clone().write_lists()).detach();
-        executor.spawn(self.clients.clone().play(executor.clone())).detach();
+        executor.spawn(self.clients.clone().run_plan(executor.clone())).detach();
         for action in proxy_actions(&self.experiment) {
-            executor.spawn(self.fleet.clone().play(action, self.clients.clone())).detach();
+            executor.spawn(self.fleet.clone().run_action(action, self.clients.clone())).detach();
         }
         let (clock, clients) = (self.clock.clone(), self.clients.clone());
-        let showing = executor.spawn(show(clock, self.experiment.clone(), clients, live));
+        let progress = executor.spawn(show_progress(clock, self.experiment.clone(), clients, live));
         self.clock.sleep_until(self.experiment.ends_at()).await;
-        showing.cancel().await;
+        progress.cancel().await;
         let crashed = self.fleet.crashed();
         self.clients.close_idle();
-        self.fleet.down().await;
+        self.fleet.stop_all().await;
         Ok(crashed)
     }
 
-    /// Judges and measures a run that has been played.
+    /// Checks the events of a completed run against the rules, and computes its figures.
     fn finish(self, crashed: Vec<usize>) -> Result<RunResult, RunError> {
         let first_error = lock(&self.fleet.errors).drain(..).next();
         if let Some(error) = first_error {
@@ -163,7 +168,7 @@
         let samples = lock(&fleet.samples).clone();
         let counts = ClientCounts {
             send_delay_p99: lock(&clients.send_delay).value_at_quantile(0.99),
-            connects_refused: clients.refused.load(Ordering::Relaxed),
+            connects_refused: clients.connects_refused.load(Ordering::Relaxed),
             sent_again: clients.sent_again.load(Ordering::Relaxed),
         };
         drop(threads);
@@ -171,7 +176,7 @@
         let mut verdict = oracle::judge(&experiment, &events, requests);
         let at = experiment.ends_at();
         verdict.breaches.extend(crashed.into_iter().map(|proxy| {
-            let seen = "its process was gone at the end of the run".to_string();
+            let seen = "its process had exited before the end of the run".to_string();
             Breach { rule: Rule::KeepsRunning, at, id: 0, proxy: proxy as u16, seen }
         }));
         let mut figures = Figures::measure(&experiment, &verdict, &samples, counts);
@@ -181,15 +186,20 @@
     }
 }
 
-/// Plays an experiment; `live` shows on the terminal how it stands.
-pub fn play(experiment: Experiment, start: StartSettings, live: bool) -> Result<RunResult, RunError> {
+/// Runs an experiment; `live` shows its progress on the terminal.
+pub fn run_experiment(
+    experiment: Experiment,
+    start: StartSettings,
+    live: bool,
+) -> Result<RunResult, RunError> {
     let run = Run::new(experiment.clone(), experiment, start)?;
-    let crashed = smol::block_on(run.play(live))?;
+    let crashed = smol::block_on(run.execute(live))?;
     run.finish(crashed)
 }
 
-/// The live line: the time, what is open, and which faults are on. Drawn on a terminal only.
-async fn show(clock: Clock, experiment: Experiment, clients: Arc<Clients>, live: bool) {
+/// Redraws the progress line: the time, the counts of requests, and the active faults. It is drawn
+/// only on a terminal.
+async fn show_progress(clock: Clock, experiment: Experiment, clients: Arc<Clients>, live: bool) {
     let bar = if live { ProgressBar::new(experiment.ends_at() / SECOND) } else { ProgressBar::hidden() };
     if let Ok(style) = ProgressStyle::with_template("{bar:24} {pos:>3}/{len} s  {msg}") {
         bar.set_style(style);
@@ -204,26 +214,27 @@
     }
 }
 
-/// A fleet that stays up for trying it by hand, until the testbed gets a signal.
-pub fn stay_up(experiment: Experiment, start: StartSettings) -> Result<(), RunError> {
+/// Keeps a fleet running for manual use until the testbed receives SIGTERM or SIGINT.
+pub fn run_until_signal(experiment: Experiment, start: StartSettings) -> Result<(), RunError> {
     let without_faults = Experiment { faults: Vec::new(), ..experiment.clone() };
-    let logs: PathBuf = start.folder.clone();
+    let logs: PathBuf = start.directory.clone();
     let run = Run::new(experiment, without_faults, start)?;
     let mut signals = Signals::new([Signal::Term, Signal::Int]).map_err(RunError::Signals)?;
     smol::block_on(async {
-        run.fleet.up(&run.clients.front).await?;
+        run.fleet.start_all(&run.clients.load_balancer).await?;
         run.clock.begin();
-        // Ids that are written by hand count as requests of the first class.
+        // Request ids that the testbed did not issue, such as those typed by hand, count as
+        // requests of the first class.
         run.site.evidence.accept_any();
         run.print_addresses(&logs);
         _ = signals.next().await;
-        run.fleet.down().await;
+        run.fleet.stop_all().await;
         Ok(())
     })
 }
 
 impl Run {
-    /// What to try by hand.
+    /// Prints the proxies' addresses and an example request.
     fn print_addresses(&self, logs: &Path) {
         let net = self.site.net;
         for proxy in 0..self.experiment.fleet.proxies {
@@ -233,7 +244,7 @@
         let class = &self.experiment.classes[0].name;
         println!(
             "curl -H 'X-Correlation-Id: 1' -H 'X-Service-Class: {class}' -H 'X-Time-Left: 1' http://{}/api/k1\n\
-             A new id (hexadecimal) with each request. Logs: {}. Ctrl-C ends it.",
+             Use a new id (hexadecimal) for each request. Logs: {}. Ctrl-C ends it.",
             net.proxy(0),
             logs.display()
         );
