--- a/crates/testbed/src/cli/play.rs
+++ b/crates/testbed/src/cli/play.rs
@@ -20,7 +20,7 @@
 const MIN_SERVERS: usize = 3;
 const MAX_SERVERS: usize = 200;
 /// Maximum number of commands that `compare` can show side by side on a terminal.
-const MAX_COMPARED: usize = 6;
+const MAX_COMPARED_COMMANDS: usize = 6;
 
 /// The command that starts the chalkwalk in the directory of this program.
 fn default_proxy() -> Result<String, CliError> {
@@ -135,7 +135,7 @@
     let commands: Vec<String> = args.values_from_str("--proxy")?;
     let rounds: usize = args.opt_value_from_str("--rounds")?.unwrap_or(3);
     let ExperimentFile { experiment, path } = ExperimentFile::from_arguments(args)?;
-    if commands.len() < 2 || commands.len() > MAX_COMPARED {
+    if commands.len() < 2 || commands.len() > MAX_COMPARED_COMMANDS {
         return Err(CliError::usage("compare takes two to six --proxy COMMAND"));
     }
     let mut runs: Vec<Vec<Figures>> = vec![Vec::new(); commands.len()];
--- a/crates/testbed/src/fleet/actions.rs
+++ b/crates/testbed/src/fleet/actions.rs
@@ -95,7 +95,7 @@
 
     async fn kill(&self, proxy: usize, load_balancer: &LoadBalancer) {
         self.signal(proxy, Signal::KILL, "KILL");
-        load_balancer.down(proxy, micros(self.site.experiment.fleet.detection_s));
+        load_balancer.mark_down(proxy, micros(self.site.experiment.fleet.detection_s));
         self.wait_for_end(proxy, Micros::MAX).await;
     }
 
@@ -103,7 +103,7 @@
     async fn terminate(&self, proxy: usize, load_balancer: &LoadBalancer) {
         let experiment = &self.site.experiment;
         self.signal(proxy, Signal::TERM, "TERM");
-        load_balancer.down(proxy, micros(experiment.fleet.draining_detection_s));
+        load_balancer.mark_down(proxy, micros(experiment.fleet.draining_detection_s));
         let limits = experiment.classes.iter().map(|class| micros(class.limit_ms / 1e3));
         let max_limit = limits.max().unwrap_or(0).min(MAX_TIME_LIMIT);
         self.wait_for_end(proxy, self.site.clock.now() + max_limit + KILL_GRACE).await;
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -160,7 +160,7 @@
         while Instant::now() < deadline {
             if self.is_up(proxy).await {
                 self.site.evidence.record(0, proxy, EventKind::ProcessReady);
-                load_balancer.up(proxy);
+                load_balancer.mark_up(proxy);
                 return Ok(());
             }
             if let Some(status) = self.try_wait(proxy) {
--- a/crates/testbed/src/load/clients.rs
+++ b/crates/testbed/src/load/clients.rs
@@ -18,9 +18,9 @@
 
 /// Maximum number of open requests of all clients. Beyond it the machine is overloaded, and further
 /// requests count as not sent.
-const MAX_OPEN: usize = 50_000;
+const MAX_OPEN_REQUESTS: usize = 50_000;
 /// Maximum number of times that a backoff is doubled.
-const MAX_DOUBLINGS: u32 = 8;
+const MAX_BACKOFF_DOUBLINGS: u32 = 8;
 
 /// All clients of a run.
 pub struct Clients {
@@ -91,7 +91,7 @@
             }
             let delay = self.clock.now().saturating_sub(arrival.at);
             _ = lock(&self.send_delay).record(delay);
-            if self.open_requests.load(Ordering::Relaxed) < MAX_OPEN {
+            if self.open_requests.load(Ordering::Relaxed) < MAX_OPEN_REQUESTS {
                 executor.spawn(self.clone().run_request(arrival)).detach();
             }
         }
@@ -183,7 +183,7 @@
     /// rejected requests, and failed or unanswered ones that may run twice.
     fn wait_before_retry(&self, outcome: &TryOutcome, arrival: &Arrival, retry: u32) -> Option<Micros> {
         let class = &self.experiment.classes[arrival.class];
-        let backoff = micros(self.experiment.load.backoff_ms / 1e3) << retry.min(MAX_DOUBLINGS);
+        let backoff = micros(self.experiment.load.backoff_ms / 1e3) << retry.min(MAX_BACKOFF_DOUBLINGS);
         match outcome {
             TryOutcome::Rejected(Some(after)) if arrival.honors_retry_after => Some(*after),
             TryOutcome::Rejected(_) => Some(backoff),
--- a/crates/testbed/src/load/front.rs
+++ b/crates/testbed/src/load/front.rs
@@ -25,12 +25,12 @@
     }
 
     /// Marks a proxy as up.
-    pub fn up(&self, proxy: usize) {
+    pub fn mark_up(&self, proxy: usize) {
         lock(&self.rotation).serving[proxy] = Some(self.clock.now()..Micros::MAX);
     }
 
     /// Marks a proxy as dead or draining; it still gets connections until the detection delay has passed.
-    pub fn down(&self, proxy: usize, delay: Micros) {
+    pub fn mark_down(&self, proxy: usize, delay: Micros) {
         let detected_at = self.clock.now() + delay;
         if let Some(serving) = &mut lock(&self.rotation).serving[proxy] {
             serving.end = detected_at.min(serving.end);
--- a/crates/testbed/src/load/plan.rs
+++ b/crates/testbed/src/load/plan.rs
@@ -8,7 +8,7 @@
 use rand_chacha::rand_core::SeedableRng;
 
 /// Makes the plan's random numbers independent of those of the simulated services, which use the seed itself.
-const PLAN_SEED: u64 = 0x10ad;
+const PLAN_SEED_MASK: u64 = 0x10ad;
 
 /// A first request and its client's behavior.
 #[derive(Clone, Debug, PartialEq)]
@@ -63,7 +63,7 @@
     pub fn new(experiment: &'a Experiment) -> ArrivalPlan<'a> {
         let load = &experiment.load;
         ArrivalPlan {
-            random: ChaCha8Rng::seed_from_u64(experiment.seed ^ PLAN_SEED),
+            random: ChaCha8Rng::seed_from_u64(experiment.seed ^ PLAN_SEED_MASK),
             classes: Shares::new(experiment.classes.iter().map(|class| class.share)),
             keys: Shares::new((1..=load.keys).map(|rank| (rank as f64).powf(-load.skew))),
             tenants: Shares::new(load.tenants.iter().map(|tenant| tenant.share)),
--- a/crates/testbed/src/load/tries.rs
+++ b/crates/testbed/src/load/tries.rs
@@ -24,7 +24,7 @@
 const CONNECT_RETRIES: usize = 3;
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Maximum number of idle connections of each client; further ones are closed after their response.
-const MAX_IDLE: usize = 64;
+const MAX_IDLE_CONNECTIONS: usize = 64;
 
 /// How one try ended, as its client sees it.
 pub(super) enum TryOutcome {
@@ -142,7 +142,7 @@
             self.evidence.record(current.id, client.proxy, EventKind::UnexpectedBytes);
         } else if !close {
             let mut idle = lock(&self.idle[current.arrival.client]);
-            if idle.len() < MAX_IDLE {
+            if idle.len() < MAX_IDLE_CONNECTIONS {
                 idle.push(client);
             }
         }
--- a/crates/testbed/src/run.rs
+++ b/crates/testbed/src/run.rs
@@ -22,7 +22,7 @@
 use std::time::Duration;
 
 /// Interval at which the progress line on the terminal is redrawn.
-const DRAW_INTERVAL: Duration = Duration::from_millis(250);
+const REDRAW_INTERVAL: Duration = Duration::from_millis(250);
 /// Upper limit of the testbed's own threads; more would take cores from the proxies.
 const MAX_THREADS: usize = 4;
 
@@ -210,7 +210,7 @@
         let on: Vec<String> = on.map(|fault| fault.kind.to_string()).collect();
         bar.set_position(seconds(now) as u64);
         bar.set_message(format!("{}  {}", clients.status_line(), on.join(" ")));
-        Timer::after(DRAW_INTERVAL).await;
+        Timer::after(REDRAW_INTERVAL).await;
     }
 }
 
