--- a/crates/testbed/src/baseline/endpoints.rs
+++ b/crates/testbed/src/baseline/endpoints.rs
@@ -1,18 +1,19 @@
-//! What a baseline knows of the list, and the plain ring over it.
+//! A baseline proxy's view of the endpoint list, and the hash ring that it builds from the list.
 
 use crate::model::timeline::EndpointStatus;
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Points of a server on the plain ring, as many as chalkwalk has.
-const RING_POINTS: u64 = 128;
+/// Points that each server has on the ring: the same number as in chalkwalk.
+const RING_POINTS_PER_SERVER: u64 = 128;
 
-/// FNV-1a with a salt in its start, and a finish that spreads the last bytes.
+/// FNV-1a with the salt mixed into the initial state, and a finalizer that spreads the last bytes
+/// over all bits.
 pub(super) fn hash(text: &str, salt: u64) -> u64 {
     let start = 0xcbf2_9ce4_8422_2325 ^ salt.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    let mix = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3);
-    let mixed = text.bytes().fold(start, mix);
-    (mixed ^ (mixed >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9) ^ (mixed >> 32)
+    let mix_byte = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3);
+    let fnv_hash = text.bytes().fold(start, mix_byte);
+    (fnv_hash ^ (fnv_hash >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9) ^ (fnv_hash >> 32)
 }
 
 struct Endpoint {
@@ -25,11 +26,11 @@
 
 struct RingPoint {
     hash: u64,
-    /// The endpoint, by its index.
-    endpoint: usize,
+    /// Index into `Endpoints::endpoints`.
+    endpoint_index: usize,
 }
 
-/// The list as it is known.
+/// The endpoint list as the proxy last received it.
 pub(super) struct Endpoints {
     zone: String,
     endpoints: Vec<Endpoint>,
@@ -37,12 +38,13 @@
 }
 
 impl Endpoints {
-    /// None yet, for a proxy of that zone.
+    /// An empty list, for a proxy in `zone`.
     pub fn new(zone: &str) -> Endpoints {
         Endpoints { zone: zone.to_string(), endpoints: Vec::new(), ring: Vec::new() }
     }
 
-    /// Takes up a list, and returns its version; one that ignores drains takes all for ready.
+    /// Applies a list update and returns its version, or `None` where a field is missing or
+    /// invalid. With `ignores_drains`, every listed endpoint counts as ready.
     pub fn apply(&mut self, list: &Value, ignores_drains: bool) -> Option<u64> {
         if list.get("full")?.as_bool()? && !ignores_drains {
             for endpoint in &mut self.endpoints {
@@ -57,10 +59,10 @@
     }
 
     fn apply_entry(&mut self, entry: &Value, ignores_drains: bool) -> Option<()> {
-        let text = |name: &str| entry.get(name).and_then(Value::as_str);
-        let id = text("id")?;
-        let addr = text("addr")?.parse().ok()?;
-        let is_ready = text("state") == Some(EndpointStatus::Ready.wire_name()) || ignores_drains;
+        let text_field = |name: &str| entry.get(name).and_then(Value::as_str);
+        let id = text_field("id")?;
+        let addr = text_field("addr")?.parse().ok()?;
+        let is_ready = text_field("state") == Some(EndpointStatus::Ready.wire_name()) || ignores_drains;
         match self.endpoints.iter_mut().find(|endpoint| endpoint.id == id) {
             Some(endpoint) => {
                 endpoint.addr = addr;
@@ -69,53 +71,55 @@
             None => self.endpoints.push(Endpoint {
                 id: id.to_string(),
                 addr,
-                zone: text("zone").unwrap_or("").to_string(),
-                is_origin: text("kind") == Some("origin"),
+                zone: text_field("zone").unwrap_or("").to_string(),
+                is_origin: text_field("kind") == Some("origin"),
                 is_ready,
             }),
         }
         Some(())
     }
 
-    /// Of the ready servers of the own zone, or of all where there is none.
+    /// Builds the ring from the ready servers in the proxy's zone, or from all ready servers if its
+    /// zone has none.
     fn build_ring(&mut self) {
-        let is_usable = |endpoint: &Endpoint| !endpoint.is_origin && endpoint.is_ready;
-        let is_own = |endpoint: &Endpoint| is_usable(endpoint) && endpoint.zone == self.zone;
-        let has_own = self.endpoints.iter().any(is_own);
+        let is_ready_server = |endpoint: &Endpoint| !endpoint.is_origin && endpoint.is_ready;
+        let is_in_own_zone = |endpoint: &Endpoint| is_ready_server(endpoint) && endpoint.zone == self.zone;
+        let has_server_in_own_zone = self.endpoints.iter().any(is_in_own_zone);
         self.ring.clear();
         for (i, endpoint) in self.endpoints.iter().enumerate() {
-            if is_own(endpoint) || (!has_own && is_usable(endpoint)) {
-                let point = |salt| RingPoint { hash: hash(&endpoint.id, salt), endpoint: i };
-                self.ring.extend((1..=RING_POINTS).map(point));
+            if is_in_own_zone(endpoint) || (!has_server_in_own_zone && is_ready_server(endpoint)) {
+                let point = |salt| RingPoint { hash: hash(&endpoint.id, salt), endpoint_index: i };
+                self.ring.extend((1..=RING_POINTS_PER_SERVER).map(point));
             }
         }
-        self.ring.sort_unstable_by_key(|point| (point.hash, point.endpoint));
+        self.ring.sort_unstable_by_key(|point| (point.hash, point.endpoint_index));
     }
 
-    /// How many points the ring has.
+    /// The number of points on the ring.
     pub fn ring_length(&self) -> usize {
         self.ring.len()
     }
 
-    /// The first point of the ring from a hash on.
+    /// The index of the first ring point at or after `hash`.
     pub fn position(&self, hash: u64) -> usize {
         self.ring.partition_point(|point| point.hash < hash)
     }
 
-    /// The first server from a point of the ring on that is not among those tried.
+    /// The first server on the ring, from the point with index `start`, that is not in `tried`.
     pub fn first_untried(&self, start: usize, tried: &[SocketAddr]) -> Option<SocketAddr> {
         let length = self.ring.len();
-        let addr = |i: usize| self.endpoints[self.ring[(start + i) % length].endpoint].addr;
+        let addr = |i: usize| self.endpoints[self.ring[(start + i) % length].endpoint_index].addr;
         (0..length).map(addr).find(|addr| !tried.contains(addr))
     }
 
-    /// The origin, if it is ready.
+    /// The address of the origin, if it is ready.
     pub fn origin(&self) -> Option<SocketAddr> {
         let is_origin = |endpoint: &&Endpoint| endpoint.is_origin && endpoint.is_ready;
         self.endpoints.iter().find(is_origin).map(|endpoint| endpoint.addr)
     }
 
-    /// A server in service of another zone than the origin's: one rule is broken at a time.
+    /// A ready server in another zone than the origin's. A request that is sent again there breaks
+    /// no other rule than the one that is being tested.
     pub fn server_outside_origin_zone(&self) -> Option<SocketAddr> {
         let origin = self.endpoints.iter().find(|endpoint| endpoint.is_origin);
         let zone = origin.map_or("", |endpoint| endpoint.zone.as_str());
--- a/crates/testbed/src/baseline/mod.rs
+++ b/crates/testbed/src/baseline/mod.rs
@@ -1,5 +1,6 @@
-//! Proxies of the testbed's own, to be measured beside: they speak the platform's wire and decide next to nothing. Each can break
-//! one rule on purpose, so that it can be shown that the judge sees it.
+//! Baseline proxies: simple proxies of the testbed to compare a measured proxy with. They speak the
+//! platform's protocol and make almost no routing decisions. Each can break one rule on purpose, so
+//! that a test can show that the judge detects it.
 
 mod endpoints;
 mod proxy;
@@ -19,38 +20,40 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How a baseline chooses a server.
+/// How a baseline proxy chooses a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Strategy {
-    /// Passes a request to the server that its key's number names, and tries nothing else: the floor of cost.
+    /// Passes each request to the server chosen by its key's hash and makes no further attempt at
+    /// another server: the lowest possible cost per request.
     Relay,
-    /// Any ready server of its own zone, at random; another one after a failure.
+    /// A random ready server in the proxy's zone; another random one after a failure.
     Random,
-    /// The plain ring, without bound or exceptions; the next one after a failure.
+    /// Consistent hashing on a plain ring, without a load bound or exceptions; the next server on
+    /// the ring after a failure.
     Ring,
 }
 
-/// Which rule a baseline breaks.
+/// Which rule a baseline proxy breaks on purpose.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BrokenRule {
-    /// None.
+    /// No rule.
     Nothing,
-    /// Closes the connection instead of answering, now and then.
-    Lose,
-    /// Answers twice, now and then.
-    Twice,
-    /// Sends a tagged request to another server after it was answered.
-    Resend,
-    /// Ignores drains.
-    Drained,
-    /// Answers with the value made for another.
-    Swap,
-    /// Holds refusals back.
-    Hold,
+    /// Closes the connection instead of answering, for some of the requests.
+    DropAnswer,
+    /// Answers some of the requests twice.
+    AnswerTwice,
+    /// Sends a tagged request to another server after answering it.
+    ResendAnswered,
+    /// Keeps sending requests to draining servers.
+    IgnoreDrains,
+    /// Answers some of the requests with the value of another request.
+    SwapValues,
+    /// Delays the answers that refuse a request.
+    DelayRefusals,
 }
 
 impl Strategy {
-    /// By its name on the command line.
+    /// The strategy with that name on the command line.
     pub fn named(name: &str) -> Option<Strategy> {
         Some(match name {
             "relay" => Strategy::Relay,
@@ -62,70 +65,70 @@
 }
 
 impl BrokenRule {
-    /// By its name on the command line.
+    /// The rule that the argument of `--break` names.
     pub fn named(name: &str) -> Option<BrokenRule> {
         Some(match name {
-            "lose" => BrokenRule::Lose,
-            "twice" => BrokenRule::Twice,
-            "resend" => BrokenRule::Resend,
-            "drained" => BrokenRule::Drained,
-            "swap" => BrokenRule::Swap,
-            "hold" => BrokenRule::Hold,
+            "lose" => BrokenRule::DropAnswer,
+            "twice" => BrokenRule::AnswerTwice,
+            "resend" => BrokenRule::ResendAnswered,
+            "drained" => BrokenRule::IgnoreDrains,
+            "swap" => BrokenRule::SwapValues,
+            "hold" => BrokenRule::DelayRefusals,
             _ => return None,
         })
     }
 }
 
-/// Why a baseline could not run.
+/// Why a baseline proxy could not run.
 #[derive(Debug, thiserror::Error)]
 pub enum BaselineError {
-    /// Its configuration could not be read.
-    #[error("cannot read {path}: {error}")]
-    Unreadable {
-        /// The configuration's path.
+    /// The configuration file could not be read.
+    #[error("cannot read the configuration file {path}: {error}")]
+    ReadConfig {
+        /// Path of the configuration file.
         path: String,
-        /// Why.
+        /// The cause.
         error: io::Error,
     },
-    /// Its configuration is no JSON.
-    #[error("{path} is no JSON: {error}")]
-    NoJson {
-        /// The configuration's path.
+    /// The configuration file is not valid JSON.
+    #[error("configuration file {path} is not valid JSON: {error}")]
+    InvalidJson {
+        /// Path of the configuration file.
         path: String,
-        /// Why.
+        /// The cause.
         error: serde_json::Error,
     },
-    /// A field that has to be an address.
-    #[error("field {0}: expected an address")]
-    NoAddress(&'static str),
-    /// It cannot listen.
+    /// A field of the configuration, by name, is missing or is not an IP address and port.
+    #[error("configuration field {0} is missing or is not an IP address and port")]
+    InvalidAddress(&'static str),
+    /// The proxy cannot listen on its address.
     #[error("cannot listen on {addr}: {error}")]
     Listen {
-        /// Where.
+        /// The configured listen address.
         addr: SocketAddr,
-        /// Why.
+        /// The cause.
         error: io::Error,
     },
-    /// Anything else that the system refuses.
+    /// Any other I/O error.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// After SIGTERM connections are still accepted for so long, ...
-const DRAIN_TIME: Duration = Duration::from_millis(500);
-/// ... and open requests have so long to end.
-const END_TIME: Duration = Duration::from_millis(2500);
-/// How often it is looked whether they have.
-const LOOK_AGAIN: Duration = Duration::from_millis(5);
-/// All clients connect at once after a restart.
-const BACKLOG: i32 = 1024;
+/// How long the proxy still accepts connections after SIGTERM.
+const ACCEPT_TIME_AFTER_SIGTERM: Duration = Duration::from_millis(500);
+/// How long requests in flight may take to end after that.
+const IN_FLIGHT_TIMEOUT: Duration = Duration::from_millis(2500);
+/// How often the proxy checks whether requests are still in flight.
+const IN_FLIGHT_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// The listen backlog: large, as all clients connect at once after a restart.
+const LISTEN_BACKLOG: i32 = 1024;
 
-/// Runs one proxy until it gets a signal to end.
+/// Runs one proxy until it gets SIGTERM or SIGINT, and drains it.
 pub fn run(strategy: Strategy, broken: BrokenRule, config: &str) -> Result<(), BaselineError> {
     let config = read_config(config)?;
-    let proxy = Rc::new(configured(strategy, broken, &config)?);
+    let proxy = Rc::new(new_proxy(strategy, broken, &config)?);
     proxy.apply_list(&config["known"]);
-    let listener = listen(address(&config, "listen")?)?;
+    let listener = listen(address_field(&config, "listen")?)?;
     let mut signals = async_signal::Signals::new([async_signal::Signal::Term, async_signal::Signal::Int])?;
     let executor = LocalExecutor::new();
     smol::block_on(executor.run(async {
@@ -149,22 +152,22 @@
 
 fn read_config(path: &str) -> Result<Value, BaselineError> {
     let text = std::fs::read_to_string(path)
-        .map_err(|error| BaselineError::Unreadable { path: path.to_string(), error })?;
-    serde_json::from_str(&text).map_err(|error| BaselineError::NoJson { path: path.to_string(), error })
+        .map_err(|error| BaselineError::ReadConfig { path: path.to_string(), error })?;
+    serde_json::from_str(&text).map_err(|error| BaselineError::InvalidJson { path: path.to_string(), error })
 }
 
-fn address(config: &Value, name: &'static str) -> Result<SocketAddr, BaselineError> {
+fn address_field(config: &Value, name: &'static str) -> Result<SocketAddr, BaselineError> {
     let text = config.get(name).and_then(Value::as_str);
-    text.and_then(|text| text.parse().ok()).ok_or(BaselineError::NoAddress(name))
+    text.and_then(|text| text.parse().ok()).ok_or(BaselineError::InvalidAddress(name))
 }
 
 fn listen(addr: SocketAddr) -> Result<Async<TcpListener>, BaselineError> {
     let listener = TcpListener::bind(addr).map_err(|error| BaselineError::Listen { addr, error })?;
-    _ = socket2::SockRef::from(&listener).listen(BACKLOG);
+    _ = socket2::SockRef::from(&listener).listen(LISTEN_BACKLOG);
     Ok(Async::new(listener)?)
 }
 
-fn configured(strategy: Strategy, broken: BrokenRule, config: &Value) -> Result<Proxy, BaselineError> {
+fn new_proxy(strategy: Strategy, broken: BrokenRule, config: &Value) -> Result<Proxy, BaselineError> {
     let settings = &config["settings"];
     let classes = settings["namespaces"].as_array().cloned().unwrap_or_default();
     let is_replayable = |class: &&Value| class["idempotency"] == "free";
@@ -174,26 +177,26 @@
         strategy,
         broken,
         max_attempts: settings["ceilings"]["mostShots"].as_u64().unwrap_or(1) as usize,
-        replayable: classes.iter().filter(is_replayable).map(name).collect(),
-        list: address(config, "discovery")?,
+        replayable_classes: classes.iter().filter(is_replayable).map(name).collect(),
+        list_addr: address_field(config, "discovery")?,
         endpoints: RefCell::new(Endpoints::new(settings["az"].as_str().unwrap_or(""))),
         pool: RefCell::default(),
         random: RefCell::new(ChaCha8Rng::seed_from_u64(seed)),
-        count: Cell::new(0),
-        last: RefCell::default(),
+        request_count: Cell::new(0),
+        last_value: RefCell::default(),
         accepting: Cell::new(true),
         in_flight: Cell::new(0),
     })
 }
 
 impl Proxy {
-    /// Goes on for a while without being up, until what is open has ended.
+    /// Reports not ready but keeps serving, until the requests in flight have ended or timed out.
     async fn drain(&self) {
         self.accepting.set(false);
-        Timer::after(DRAIN_TIME).await;
-        let end = Instant::now() + END_TIME;
-        while self.in_flight.get() > 0 && Instant::now() < end {
-            Timer::after(LOOK_AGAIN).await;
+        Timer::after(ACCEPT_TIME_AFTER_SIGTERM).await;
+        let deadline = Instant::now() + IN_FLIGHT_TIMEOUT;
+        while self.in_flight.get() > 0 && Instant::now() < deadline {
+            Timer::after(IN_FLIGHT_POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/testbed/src/baseline/proxy.rs
+++ b/crates/testbed/src/baseline/proxy.rs
@@ -1,4 +1,5 @@
-//! How a baseline answers a request: one attempt after the other.
+//! How a baseline proxy answers a request: attempts are made one after the other, never in
+//! parallel.
 
 use super::endpoints::{Endpoints, hash};
 use super::{BrokenRule, Strategy};
@@ -13,54 +14,55 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// An answer has to be back so long before the time limit.
+/// An attempt times out this long before the request's time limit, so that the answer still arrives
+/// in time.
 const LIMIT_MARGIN_S: f64 = 0.02;
-/// However short the time limit, an attempt gets so long.
-const MIN_TIME_S: f64 = 0.01;
-/// Where a request has no time limit.
+/// The minimum time for the attempts of a request, however short its time limit is.
+const MIN_ATTEMPT_TIME_S: f64 = 0.01;
+/// The time limit of a request that states none.
 const DEFAULT_LIMIT_S: f64 = 1.0;
 
 pub(super) struct Proxy {
     pub strategy: Strategy,
     pub broken: BrokenRule,
     pub max_attempts: usize,
-    /// Classes whose requests may run as often as one likes.
-    pub replayable: HashSet<String>,
-    pub list: SocketAddr,
+    /// Names of the request classes whose requests may run any number of times.
+    pub replayable_classes: HashSet<String>,
+    pub list_addr: SocketAddr,
     pub endpoints: RefCell<Endpoints>,
     pub pool: RefCell<HashMap<SocketAddr, Vec<Connection>>>,
     pub random: RefCell<ChaCha8Rng>,
-    /// Requests so far, of those that a rule can be broken for.
-    pub count: Cell<u64>,
-    /// The value that was answered last.
-    pub last: RefCell<Vec<u8>>,
+    /// How many requests came so far of those for which the rule can be broken.
+    pub request_count: Cell<u64>,
+    /// The value of the last answer.
+    pub last_value: RefCell<Vec<u8>>,
     pub accepting: Cell<bool>,
     pub in_flight: Cell<usize>,
 }
 
-/// How an attempt came out.
+/// The result of one attempt at a server.
 enum AttemptResult {
     Value(Message),
     Miss,
-    /// Surely not run.
+    /// The server has certainly not run the request.
     Unprocessed,
     Failed,
 }
 
-/// A request that is being answered.
+/// A request that is not answered yet.
 struct Pending<'a> {
     request: &'a Message,
-    until: Instant,
+    deadline: Instant,
     tried: Vec<SocketAddr>,
 }
 
 impl Proxy {
-    /// Takes up a list, and returns its version.
+    /// Applies an update of the endpoint list and returns its version.
     pub fn apply_list(&self, list: &Value) -> Option<u64> {
-        self.endpoints.borrow_mut().apply(list, self.broken == BrokenRule::Drained)
+        self.endpoints.borrow_mut().apply(list, self.broken == BrokenRule::IgnoreDrains)
     }
 
-    /// Where a request goes next.
+    /// Chooses the server of the next attempt, or `None` if all were tried.
     fn pick(&self, key: &str, tried: &[SocketAddr]) -> Option<SocketAddr> {
         let endpoints = self.endpoints.borrow();
         let length = endpoints.ring_length();
@@ -75,13 +77,13 @@
         endpoints.first_untried(start, tried)
     }
 
-    /// One attempt.
-    pub async fn attempt(&self, addr: SocketAddr, request: &Message, until: Instant) {
-        _ = self.attempt_once(addr, request, until).await;
+    /// Sends a request to a server once and ignores the result.
+    pub async fn attempt_ignoring_result(&self, addr: SocketAddr, request: &Message, deadline: Instant) {
+        _ = self.attempt_once(addr, request, deadline).await;
     }
 
-    async fn attempt_once(&self, addr: SocketAddr, request: &Message, until: Instant) -> AttemptResult {
-        let attempting = async {
+    async fn attempt_once(&self, addr: SocketAddr, request: &Message, deadline: Instant) -> AttemptResult {
+        let result = async {
             let Some(mut connection) = self.connection(addr).await else {
                 return AttemptResult::Unprocessed;
             };
@@ -98,13 +100,13 @@
             }
         };
         let timeout = async {
-            Timer::at(until).await;
+            Timer::at(deadline).await;
             AttemptResult::Failed
         };
-        or(attempting, timeout).await
+        or(result, timeout).await
     }
 
-    /// A pooled connection, or a new one.
+    /// An idle connection from the pool, or a new one.
     async fn connection(&self, addr: SocketAddr) -> Option<Connection> {
         let pooled = self.pool.borrow_mut().get_mut(&addr).and_then(Vec::pop);
         match pooled.filter(Connection::is_idle) {
@@ -113,25 +115,28 @@
         }
     }
 
-    /// The final answer to a request: its value, or the status that refuses it.
+    /// The final answer to a request: the response with its value, or the status code that refuses
+    /// it.
     pub async fn answer(&self, request: &Message) -> Result<Message, u16> {
         let key = request.target().rsplit('/').next().unwrap_or("");
         let is_write = request.method() == "PUT";
         let class = request.field("X-Service-Class").unwrap_or("");
-        let is_replayable = self.replayable.contains(class);
-        let attempts = if self.strategy == Strategy::Relay { 1 } else { self.max_attempts };
-        let mut pending = Pending { request, until: deadline(request), tried: Vec::new() };
-        let mut write_to = if is_write { self.endpoints.borrow().origin() } else { None };
+        let is_replayable = self.replayable_classes.contains(class);
+        let attempt_limit = if self.strategy == Strategy::Relay { 1 } else { self.max_attempts };
+        let mut pending = Pending { request, deadline: deadline(request), tried: Vec::new() };
+        let mut write_origin = if is_write { self.endpoints.borrow().origin() } else { None };
         let mut may_have_run = false;
-        for _ in 0..attempts {
-            let Some(addr) = write_to.take().or_else(|| self.pick(key, &pending.tried)) else { break };
+        for _ in 0..attempt_limit {
+            let Some(addr) = write_origin.take().or_else(|| self.pick(key, &pending.tried)) else { break };
             match self.attempt_with_origin(&mut pending, addr).await {
                 AttemptResult::Value(response) => return Ok(response),
                 AttemptResult::Failed => may_have_run = true,
                 AttemptResult::Miss | AttemptResult::Unprocessed => {}
             }
             let must_not_repeat = is_write || (may_have_run && !is_replayable);
-            if must_not_repeat || Instant::now() >= pending.until || pending.tried.len() >= self.max_attempts
+            if must_not_repeat
+                || Instant::now() >= pending.deadline
+                || pending.tried.len() >= self.max_attempts
             {
                 break;
             }
@@ -139,24 +144,25 @@
         Err(if may_have_run && !is_replayable { 500 } else { 503 })
     }
 
-    /// An attempt at a server, and at the origin where it misses.
+    /// Makes an attempt at a server, and another at the origin if the server does not have the
+    /// value.
     async fn attempt_with_origin(&self, pending: &mut Pending<'_>, addr: SocketAddr) -> AttemptResult {
         pending.tried.push(addr);
-        let result = self.attempt_once(addr, pending.request, pending.until).await;
+        let result = self.attempt_once(addr, pending.request, pending.deadline).await;
         let origin = self.endpoints.borrow().origin();
         match (result, origin.filter(|_| pending.tried.len() < self.max_attempts)) {
             (AttemptResult::Miss, Some(origin)) => {
                 pending.tried.push(origin);
-                self.attempt_once(origin, pending.request, pending.until).await
+                self.attempt_once(origin, pending.request, pending.deadline).await
             }
             (result, _) => result,
         }
     }
 }
 
-/// Until when a request has to be answered.
+/// When the attempts of a request time out.
 fn deadline(request: &Message) -> Instant {
-    let limit = request.field("X-Time-Left").and_then(|value| value.parse::<f64>().ok());
-    let time = limit.unwrap_or(DEFAULT_LIMIT_S) - LIMIT_MARGIN_S;
-    Instant::now() + Duration::from_secs_f64(time.max(MIN_TIME_S))
+    let limit_s = request.field("X-Time-Left").and_then(|value| value.parse::<f64>().ok());
+    let timeout_s = limit_s.unwrap_or(DEFAULT_LIMIT_S) - LIMIT_MARGIN_S;
+    Instant::now() + Duration::from_secs_f64(timeout_s.max(MIN_ATTEMPT_TIME_S))
 }
--- a/crates/testbed/src/baseline/serve.rs
+++ b/crates/testbed/src/baseline/serve.rs
@@ -1,4 +1,5 @@
-//! A baseline's connections: with clients, where it breaks its rule, and with the list.
+//! A baseline proxy's connections: those with clients, on which it breaks its rule, and the one
+//! with the endpoint list's server.
 
 use super::BrokenRule;
 use super::proxy::Proxy;
@@ -9,25 +10,25 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A rule is broken in every so many requests.
-const BREAK_EVERY: u64 = 50;
-/// For how long a refusal is held back.
-const HOLD_TIME: Duration = Duration::from_millis(600);
-/// What a request that is sent again gets.
-const RESEND_TIME: Duration = Duration::from_secs(1);
-/// Before the list is called again after a failure.
-const LIST_RETRY: Duration = Duration::from_millis(500);
+/// The rule is broken once in this many requests.
+const REQUESTS_PER_BREACH: u64 = 50;
+/// How long a refusal is delayed.
+const REFUSAL_DELAY: Duration = Duration::from_millis(600);
+/// The time limit of a request that is sent again.
+const RESEND_TIMEOUT: Duration = Duration::from_secs(1);
+/// The delay before the list is requested again after a failure.
+const LIST_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 impl Proxy {
-    /// One connection with a client, to its end.
+    /// Serves the requests of one client connection until it closes.
     pub(super) async fn serve(self: Rc<Self>, mut connection: Connection) {
         while let Ok(request) = connection.read_request().await {
-            let goes_on = if request.target() == "/up" {
+            let keep_open = if request.target() == "/up" {
                 self.answer_up(&connection).await
             } else {
                 self.serve_request(&connection, &request).await
             };
-            if goes_on.is_none() {
+            if keep_open.is_none() {
                 return;
             }
         }
@@ -38,24 +39,25 @@
         connection.write(&[response_head(status, 0, "").as_bytes()]).await.ok()
     }
 
-    /// Answers a request; `None` where the connection ends.
+    /// Answers a request; returns `None` if the connection has to be closed.
     async fn serve_request(&self, connection: &Connection, request: &Message) -> Option<()> {
-        // Of those that it can be broken for: else chance decides whether it is broken at all.
+        // Only requests for which the rule can be broken are counted. If all were counted, it would
+        // be left to chance whether a run breaks the rule at all.
         let is_tagged = request.field("Idempotency-Key").is_some();
-        let counts = is_tagged || self.broken != BrokenRule::Resend;
-        self.count.set(self.count.get() + u64::from(counts));
-        let breaks_now = self.count.get().is_multiple_of(BREAK_EVERY);
-        let breaks = |rule: BrokenRule| self.broken == rule && breaks_now;
+        let is_counted = is_tagged || self.broken != BrokenRule::ResendAnswered;
+        self.request_count.set(self.request_count.get() + u64::from(is_counted));
+        let is_breach_due = self.request_count.get().is_multiple_of(REQUESTS_PER_BREACH);
+        let breaks_rule = |rule: BrokenRule| self.broken == rule && is_breach_due;
         self.in_flight.set(self.in_flight.get() + 1);
         let written = match self.answer(request).await {
-            Ok(_) if breaks(BrokenRule::Lose) => {
+            Ok(_) if breaks_rule(BrokenRule::DropAnswer) => {
                 self.in_flight.set(self.in_flight.get() - 1);
                 return None;
             }
-            Ok(value) => self.write_value(connection, &value, breaks_now).await,
+            Ok(value) => self.write_value(connection, &value, is_breach_due).await,
             Err(status) => self.write_refusal(connection, status).await,
         };
-        if breaks(BrokenRule::Resend) && is_tagged {
+        if breaks_rule(BrokenRule::ResendAnswered) && is_tagged {
             self.resend(request).await;
         }
         self.in_flight.set(self.in_flight.get() - 1);
@@ -66,26 +68,26 @@
         &self,
         connection: &Connection,
         value: &Message,
-        breaks_now: bool,
+        is_breach_due: bool,
     ) -> std::io::Result<()> {
         let mut body = value.body().to_vec();
-        if self.broken == BrokenRule::Swap {
-            let last = self.last.replace(body.clone());
-            if breaks_now && !last.is_empty() {
-                body = last;
+        if self.broken == BrokenRule::SwapValues {
+            let last_value = self.last_value.replace(body.clone());
+            if is_breach_due && !last_value.is_empty() {
+                body = last_value;
             }
         }
         let close = if self.accepting.get() { "" } else { "Connection: close\r\n" };
         let head = response_head(200, body.len(), close);
-        if self.broken == BrokenRule::Twice && breaks_now {
+        if self.broken == BrokenRule::AnswerTwice && is_breach_due {
             _ = connection.write(&[head.as_bytes(), &body]).await;
         }
         connection.write(&[head.as_bytes(), &body]).await
     }
 
     async fn write_refusal(&self, connection: &Connection, status: u16) -> std::io::Result<()> {
-        if self.broken == BrokenRule::Hold {
-            Timer::after(HOLD_TIME).await;
+        if self.broken == BrokenRule::DelayRefusals {
+            Timer::after(REFUSAL_DELAY).await;
         }
         let extra = if status == 503 { "Retry-After: 0.5\r\n" } else { "" };
         connection.write(&[response_head(status, 0, extra).as_bytes()]).await
@@ -94,21 +96,22 @@
     async fn resend(&self, request: &Message) {
         let server = self.endpoints.borrow().server_outside_origin_zone();
         if let Some(addr) = server {
-            self.attempt(addr, request, Instant::now() + RESEND_TIME).await;
+            self.attempt_ignoring_result(addr, request, Instant::now() + RESEND_TIMEOUT).await;
         }
     }
 
-    /// Follows the list by its watch, from the whole of it on after each failure.
+    /// Keeps the endpoint list up to date with long polls, and requests the full list after each
+    /// failure.
     pub(super) async fn follow_list(self: Rc<Self>) {
         loop {
-            if let Ok(stream) = Async::<TcpStream>::connect(self.list).await {
+            if let Ok(stream) = Async::<TcpStream>::connect(self.list_addr).await {
                 self.watch_list(Connection::new(stream)).await;
             }
-            Timer::after(LIST_RETRY).await;
+            Timer::after(LIST_RETRY_DELAY).await;
         }
     }
 
-    /// One connection to the list, until it fails.
+    /// Polls the list over one connection until a call fails.
     async fn watch_list(&self, mut connection: Connection) -> Option<()> {
         let mut version: Option<u64> = None;
         loop {
--- a/crates/testbed/src/evidence.rs
+++ b/crates/testbed/src/evidence.rs
@@ -1,53 +1,54 @@
-//! What went over the sockets, as seen from the testbed's ends of them. Everything else is worked out from this.
+//! Records what happens on the sockets between the testbed and the proxies, as the testbed's
+//! clients and servers see it. All results of a run are computed from these events.
 
 use crate::clock::{Clock, Micros};
 use crate::model::server::Reply;
 use std::collections::{HashMap, HashSet};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// A request's number, as it stands in its id. A client's retry is a request of its own.
+/// The number in a request's id. A client's retry is a separate request with an id of its own.
 pub type Id = u64;
 
-/// A proxy, or a server; the origin is the server after the last.
+/// The index of a proxy or of a server; the origin has the index after the last server's.
 pub type Index = u16;
 
-/// What was seen.
+/// What the testbed observed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EventKind {
-    /// A client has written a request whole to a proxy.
+    /// A client has written a complete request to a proxy.
     RequestSent,
-    /// Its answer is here whole.
+    /// The complete answer to a request has arrived.
     Answered {
-        /// Its status.
+        /// Its HTTP status code, or the equivalent one for RESP.
         status: u16,
-        /// When the client is to come again, where that was sent.
+        /// How long the client has to wait before it retries, if the answer says so.
         retry_after: Option<Micros>,
-        /// Whether it was made for this request, by whoever answered it.
+        /// Whether its value, if it has one, is whole and was made for this request.
         matches: bool,
     },
-    /// Its connection ended, or broke, with no answer.
+    /// The connection of a request ended or failed without an answer.
     Unanswered {
-        /// Whether it was reset or closed, rather than answered with nonsense.
+        /// Whether it was reset or closed; false if the bytes that came are not a valid response.
         reset: bool,
-        /// Whether nothing had been answered on it before.
+        /// Whether no earlier request was answered on this connection.
         fresh: bool,
     },
-    /// The client has given it up and closed its connection.
+    /// The client has cancelled the request and closed its connection.
     ClientCancelled,
-    /// No proxy accepted a connection for it.
+    /// No proxy accepted a connection for the request.
     NoProxy,
-    /// More came on a client's connection than was requested.
+    /// More bytes came on a client's connection than the answers to its requests.
     UnexpectedBytes,
-    /// An attempt's first byte has reached a server.
+    /// The first byte of an attempt has reached a server.
     AttemptStarted {
         /// Which server.
         server: Index,
     },
-    /// And its last.
+    /// The last byte of an attempt has reached a server.
     AttemptReceived {
         /// Which server.
         server: Index,
-        /// Whether it writes.
+        /// Whether the request is a write.
         write: bool,
     },
     /// The server has written its reply to the attempt.
@@ -57,72 +58,72 @@
         /// Which reply.
         reply: Reply,
     },
-    /// The connection ended before that, by the proxy's will or with its process.
+    /// The attempt's connection ended before the reply: the proxy closed it, or its process ended.
     AttemptAborted {
         /// Which server.
         server: Index,
     },
-    /// The effect of a request came about.
+    /// The effect of a request was applied.
     EffectApplied {
         /// At which server.
         server: Index,
     },
-    /// An attempt came with no id, or one that no client sent.
+    /// An attempt came without an id, or with an id that no client has sent.
     UnknownRequest {
         /// At which server.
         server: Index,
     },
-    /// The list has written to a proxy whether a server is off.
+    /// The list's server has written to a proxy that a server is off, or that it is back.
     Notified {
         /// Which server.
         server: Index,
-        /// Draining or gone.
+        /// Whether the server is draining or removed.
         off: bool,
     },
-    /// A server collapsed under what all proxies together sent to it.
+    /// A server collapsed under the load from all proxies together.
     ServerCollapsed {
         /// Which server.
         server: Index,
     },
-    /// A proxy's process got a signal.
+    /// The testbed sent a signal to a proxy's process.
     Signalled {
-        /// Its name without SIG.
+        /// The signal's name without `SIG`.
         signal: &'static str,
     },
-    /// A proxy is up.
+    /// A proxy's process is ready.
     ProcessReady,
     /// A proxy's process has ended.
     ProcessEnded {
-        /// Whether it had to be killed.
+        /// Whether the testbed had to kill it.
         killed: bool,
     },
 }
 
-/// Something that was seen, and when.
+/// One observation and its time.
 #[derive(Clone, Debug)]
 pub struct Event {
-    /// When.
+    /// The time of the observation.
     pub at: Micros,
-    /// Of which request; 0 where there is none.
+    /// The request's id; 0 if the event is about none.
     pub id: Id,
-    /// At which proxy.
+    /// The proxy that the event is about.
     pub proxy: Index,
-    /// What.
+    /// What was observed.
     pub kind: EventKind,
 }
 
-/// What a client requested, known to the testbed alone.
+/// What a client requested. Only the testbed knows this, not the proxy.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
-    /// Its request class, by number.
+    /// Index of its request class.
     pub class: usize,
     /// Its key.
     pub key: u64,
-    /// Its client's first try, whose effect this one repeats.
+    /// The id of the client's first try, which this request retries; its own id if it is the first.
     pub first: Id,
-    /// Its tenant, by number.
+    /// Index of its tenant.
     pub tenant: usize,
-    /// When it was meant to be sent.
+    /// When it was scheduled to be sent.
     pub due: Micros,
     /// Its time limit.
     pub limit: Micros,
@@ -133,14 +134,14 @@
     events: Vec<Event>,
     requests: HashMap<Id, ClientRequest>,
     /// Requests of which an attempt has reached a server.
-    attempted: HashSet<Id>,
+    attempted_ids: HashSet<Id>,
     /// When each proxy's process was last killed, or ended.
     ended_at: HashMap<usize, Micros>,
-    /// Whether any id counts as a request, and nothing is recorded.
-    accepts_any: bool,
+    /// Whether any id counts as a request and no event is recorded.
+    accepts_any_id: bool,
 }
 
-/// The recorder, shared by all stand-ins and clients of a run.
+/// Records the events of a run; shared by all simulated servers and clients.
 #[derive(Clone, Default)]
 pub struct Evidence {
     recorded: Arc<Mutex<Recorded>>,
@@ -148,29 +149,30 @@
 }
 
 impl Evidence {
-    /// With nothing recorded.
+    /// A recorder without events.
     pub fn new(clock: Clock) -> Evidence {
         Evidence { recorded: Arc::default(), clock }
     }
 
-    /// A poisoned lock is still good to read: what is recorded is only ever added to.
+    /// A poisoned lock is still usable: a thread that panics while it holds the lock leaves no
+    /// half-made change, as entries are only added.
     fn recorded(&self) -> MutexGuard<'_, Recorded> {
-        self.recorded.lock().unwrap_or_else(|broken| broken.into_inner())
+        self.recorded.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Records what is seen now.
+    /// Records an event at the current time.
     pub fn record(&self, id: Id, proxy: usize, kind: EventKind) {
         self.record_at(self.clock.now(), id, proxy, kind);
     }
 
-    /// Records what was seen at a moment.
+    /// Records an event at a stated time.
     pub fn record_at(&self, at: Micros, id: Id, proxy: usize, kind: EventKind) {
         let mut recorded = self.recorded();
-        if recorded.accepts_any {
+        if recorded.accepts_any_id {
             return;
         }
         if matches!(kind, EventKind::AttemptReceived { .. }) {
-            recorded.attempted.insert(id);
+            recorded.attempted_ids.insert(id);
         }
         if matches!(kind, EventKind::Signalled { signal: "KILL" } | EventKind::ProcessEnded { .. }) {
             recorded.ended_at.insert(proxy, at);
@@ -178,34 +180,36 @@
         recorded.events.push(Event { at, id, proxy: proxy as Index, kind });
     }
 
-    /// Makes a client's request known, before it is sent.
+    /// Registers a client's request; it has to be called before the request is sent.
     pub fn add_request(&self, id: Id, request: ClientRequest) {
         self.recorded().requests.insert(id, request);
     }
 
-    /// What a client requested under that id.
+    /// The request that a client sent with that id.
     pub fn request(&self, id: Id) -> Option<ClientRequest> {
         let recorded = self.recorded();
-        let by_hand = || ClientRequest { class: 0, key: id, first: id, tenant: 0, due: 0, limit: 0 };
-        recorded.requests.get(&id).cloned().or_else(|| recorded.accepts_any.then(by_hand))
+        let manual_request = || ClientRequest { class: 0, key: id, first: id, tenant: 0, due: 0, limit: 0 };
+        recorded.requests.get(&id).cloned().or_else(|| recorded.accepts_any_id.then(manual_request))
     }
 
-    /// From now on any id counts as a request of the first class, and nothing is recorded: for trying by hand.
+    /// From now on any id counts as a request of the first class, and no event is recorded. This is
+    /// for requests that a person sends by hand.
     pub fn accept_any(&self) {
-        self.recorded().accepts_any = true;
+        self.recorded().accepts_any_id = true;
     }
 
-    /// Whether an attempt for it has reached a server, so that a proxy has accepted it.
+    /// Whether an attempt for the request has reached a server, which shows that a proxy has
+    /// accepted the request.
     pub fn was_attempted(&self, id: Id) -> bool {
-        self.recorded().attempted.contains(&id)
+        self.recorded().attempted_ids.contains(&id)
     }
 
-    /// Whether a proxy's process was killed, or ended, since that moment.
+    /// Whether a proxy's process was killed or ended at `at` or later.
     pub fn ended_since(&self, proxy: usize, at: Micros) -> bool {
         self.recorded().ended_at.get(&proxy).is_some_and(|ended| *ended >= at)
     }
 
-    /// All of it, in order of time, at the end of a run.
+    /// Takes all events, in order of time, and all requests, at the end of a run.
     pub fn finish(&self) -> (Vec<Event>, HashMap<Id, ClientRequest>) {
         let mut recorded = self.recorded();
         let mut events = std::mem::take(&mut recorded.events);
--- a/crates/testbed/src/measure/classes.rs
+++ b/crates/testbed/src/measure/classes.rs
@@ -9,22 +9,22 @@
 /// The figures of one class, or of one tenant.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ClassFigures {
-    /// Which.
+    /// Name of the class or tenant.
     pub name: String,
-    /// How many first requests it had.
+    /// Number of first requests; a client's retries do not count.
     #[serde(rename = "first_lookups")]
     pub first_requests: usize,
-    /// The share served within the latency objective.
+    /// Share of the first requests that was served within the latency objective.
     pub in_time: f64,
-    /// The median of what was served, from the moment it was due, in milliseconds.
+    /// Median latency of the served requests, from the time they were due, in milliseconds.
     pub p50_ms: f64,
-    /// The 99th percentile.
+    /// 99th percentile of the same latency, in milliseconds.
     pub p99_ms: f64,
-    /// The 99.9th percentile.
+    /// 99.9th percentile of the same latency, in milliseconds.
     pub p99_9_ms: f64,
 }
 
-/// What is broken down.
+/// The results of a run, to be broken down by request class or by tenant.
 pub(super) struct Breakdown<'a> {
     pub experiment: &'a Experiment,
     pub verdict: &'a Verdict,
@@ -32,41 +32,43 @@
 }
 
 impl Breakdown<'_> {
-    /// The figures by request class.
-    pub fn class(&self) -> Vec<ClassFigures> {
+    /// The figures of each request class.
+    pub fn by_class(&self) -> Vec<ClassFigures> {
         let names = self.experiment.classes.iter().map(|class| &class.name);
-        self.names(names, |record| record.request.class)
+        self.by_name(names, |record| record.request.class)
     }
 
-    /// The figures by tenant.
-    pub fn tenant(&self) -> Vec<ClassFigures> {
+    /// The figures of each tenant.
+    pub fn by_tenant(&self) -> Vec<ClassFigures> {
         let names = self.experiment.load.tenants.iter().map(|tenant| &tenant.name);
-        self.names(names, |record| record.request.tenant)
+        self.by_name(names, |record| record.request.tenant)
     }
 
-    /// The figures by names; `number_of` is by which name, by its number, a request counts.
-    fn names<'a>(
+    /// The figures of each name; `index_of` returns the index of the name to which a request
+    /// belongs.
+    fn by_name<'a>(
         &self,
         names: impl Iterator<Item = &'a String>,
-        number_of: impl Fn(&RequestRecord) -> usize,
+        index_of: impl Fn(&RequestRecord) -> usize,
     ) -> Vec<ClassFigures> {
-        let figures = |(i, name): (usize, &String)| self.figures(name, |record| number_of(record) == i);
+        let figures = |(i, name): (usize, &String)| self.figures(name, |record| index_of(record) == i);
         names.enumerate().map(figures).collect()
     }
 
-    fn figures(&self, name: &str, is_own: impl Fn(&RequestRecord) -> bool) -> ClassFigures {
-        let own: Vec<&FirstRequest> = self.firsts.iter().filter(|first| is_own(first.record)).collect();
+    fn figures(&self, name: &str, is_in_group: impl Fn(&RequestRecord) -> bool) -> ClassFigures {
+        let group_firsts: Vec<&FirstRequest> =
+            self.firsts.iter().filter(|first| is_in_group(first.record)).collect();
         let mut latency = histogram();
-        for record in self.verdict.records.iter().filter(|record| is_own(record)) {
+        for record in self.verdict.records.iter().filter(|record| is_in_group(record)) {
             if let Some(at) = record.served_at() {
                 _ = latency.record(at.saturating_sub(record.request.due));
             }
         }
-        let in_time = own.iter().filter(|first| first.is_in_time(self.experiment)).count();
+        let in_time = group_firsts.iter().filter(|first| first.is_in_time(self.experiment)).count();
         ClassFigures {
             name: name.to_string(),
-            first_requests: own.len(),
-            in_time: share(in_time, own.len()),
+            first_requests: group_firsts.len(),
+            in_time: share(in_time, group_firsts.len()),
             p50_ms: quantile_ms(&latency, 0.5),
             p99_ms: quantile_ms(&latency, 0.99),
             p99_9_ms: quantile_ms(&latency, 0.999),
--- a/crates/testbed/src/measure/during_faults.rs
+++ b/crates/testbed/src/measure/during_faults.rs
@@ -1,4 +1,4 @@
-//! What was done while faults were on, and how long it went on after.
+//! Service and load while faults were active, and the time until recovery.
 
 use super::firsts::FirstRequest;
 use super::share;
@@ -8,28 +8,30 @@
 use serde::Serialize;
 use std::ops::Range;
 
-/// From the first fault's beginning to the last one's end.
+/// Figures of the time from the start of the first fault to the end of the last one.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct DuringFaults {
-    /// The share of the first requests that was served in time.
+    /// Share of the first requests that was served within the latency objective.
     pub in_time: f64,
-    /// All tries of a client together.
+    /// Requests, with clients' retries, for each first request.
     #[serde(rename = "lookups_per_first")]
     pub requests_per_first: f64,
-    /// Attempts at servers.
+    /// Attempts at servers for each first request.
     #[serde(rename = "cache_shots_per_first")]
     pub server_attempts_per_first: f64,
-    /// Attempts at the origin.
+    /// Attempts at the origin for each first request.
     #[serde(rename = "origin_shots_per_first")]
     pub origin_attempts_per_first: f64,
-    /// Seconds from the end until the share in time is as before the beginning; `None` if the run ended first.
+    /// Seconds from the end of the faults until the share in time is back at its level before them;
+    /// `None` if the run ended earlier.
     #[serde(rename = "back_s")]
     pub recovered_s: Option<f64>,
 }
 
-/// As before: within so much of the share in time before ...
-const RECOVERED_WITHIN: f64 = 0.02;
-/// ... for so many seconds in a row.
+/// Service counts as recovered if the share in time is at most this much below the share before the
+/// faults ...
+const RECOVERY_TOLERANCE: f64 = 0.02;
+/// ... in each of this many consecutive seconds.
 const RECOVERED_SECONDS: usize = 3;
 
 impl DuringFaults {
@@ -39,18 +41,18 @@
         firsts: &[FirstRequest],
     ) -> Option<DuringFaults> {
         let spans = || experiment.each_fault().map(|fault| fault.span());
-        let from = spans().map(|span| span.start).min()?;
-        let to = spans().map(|span| span.end).max()?;
-        if to > micros(experiment.seconds) {
+        let start = spans().map(|span| span.start).min()?;
+        let end = spans().map(|span| span.end).max()?;
+        if end > micros(experiment.seconds) {
             return None;
         }
-        let span = from..to;
+        let span = start..end;
         let first_count = firsts.iter().filter(|first| span.contains(&first.record.request.due)).count();
         let attempts = |at_origin: bool| {
-            let all = verdict.records.iter().flat_map(|record| &record.attempts);
-            let during = all.filter(|attempt| span.contains(&attempt.started));
+            let all_attempts = verdict.records.iter().flat_map(|record| &record.attempts);
+            let attempts_in_span = all_attempts.filter(|attempt| span.contains(&attempt.started));
             let is_at_origin = |server: u16| usize::from(server) == experiment.world.servers;
-            during.filter(|attempt| is_at_origin(attempt.server) == at_origin).count()
+            attempts_in_span.filter(|attempt| is_at_origin(attempt.server) == at_origin).count()
         };
         let accepted = verdict.records.iter().filter(|record| record.outcome != Outcome::NotAccepted);
         let requests = accepted.filter(|record| span.contains(&record.request.due)).count();
@@ -64,20 +66,22 @@
     }
 }
 
-/// The share in time of the first requests that were due within a span.
+/// The share of the first requests due within a span that was served in time.
 fn in_time_within(experiment: &Experiment, firsts: &[FirstRequest], span: &Range<Micros>) -> f64 {
-    let own = || firsts.iter().filter(|first| span.contains(&first.record.request.due));
-    share(own().filter(|first| first.is_in_time(experiment)).count(), own().count())
+    let due_in_span = || firsts.iter().filter(|first| span.contains(&first.record.request.due));
+    share(due_in_span().filter(|first| first.is_in_time(experiment)).count(), due_in_span().count())
 }
 
 fn recovered_s(experiment: &Experiment, firsts: &[FirstRequest], faults: &Range<Micros>) -> Option<f64> {
-    let before = in_time_within(experiment, firsts, &(0..faults.start));
+    let share_before = in_time_within(experiment, firsts, &(0..faults.start));
     let seconds_after = (micros(experiment.seconds) - faults.end) / SECOND;
-    let is_as_before = |second: u64| {
+    let is_recovered = |second: u64| {
         let start = faults.end + second * SECOND;
-        in_time_within(experiment, firsts, &(start..start + SECOND)) >= before - RECOVERED_WITHIN
+        in_time_within(experiment, firsts, &(start..start + SECOND)) >= share_before - RECOVERY_TOLERANCE
     };
-    let as_before: Vec<bool> = (0..seconds_after).map(is_as_before).collect();
-    let recovered = as_before.windows(RECOVERED_SECONDS).position(|row| row.iter().all(|good| *good));
+    let recovered_seconds: Vec<bool> = (0..seconds_after).map(is_recovered).collect();
+    let recovered = recovered_seconds
+        .windows(RECOVERED_SECONDS)
+        .position(|window| window.iter().all(|in_tolerance| *in_tolerance));
     recovered.map(|second| second as f64)
 }
--- a/crates/testbed/src/measure/mod.rs
+++ b/crates/testbed/src/measure/mod.rs
@@ -1,5 +1,5 @@
-//! Figures of a run, from what the judge gathered. The keys of their JSON are older than the names here, and stay:
-//! `serde(rename)` has them.
+//! Computes the figures of a run from the records that the judge gathered. Some JSON keys are older
+//! than the field names: `serde(rename)` keeps them unchanged.
 
 mod bounds;
 mod classes;
@@ -21,24 +21,25 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// Digits of a histogram's values: latencies are right to a thousandth.
-const HISTOGRAM_DIGITS: u8 = 3;
-/// A histogram of latencies.
+/// Significant digits of a histogram's values: latencies are accurate to one part in a thousand.
+const HISTOGRAM_SIGNIFICANT_DIGITS: u8 = 3;
+/// An empty histogram of latencies, in microseconds.
 pub(crate) fn histogram() -> Histogram<u64> {
-    Histogram::new(HISTOGRAM_DIGITS).unwrap_or_else(|_| unreachable!("up to five digits are allowed"))
+    Histogram::new(HISTOGRAM_SIGNIFICANT_DIGITS)
+        .unwrap_or_else(|_| unreachable!("a histogram can have up to five significant digits"))
 }
 
-/// A quantile in milliseconds.
+/// A quantile of the latencies, in milliseconds.
 fn quantile_ms(latencies: &Histogram<u64>, quantile: f64) -> f64 {
     latencies.value_at_quantile(quantile) as f64 / MILLI as f64
 }
 
-/// The largest value in milliseconds.
+/// The maximum latency, in milliseconds.
 fn max_ms(latencies: &Histogram<u64>) -> f64 {
     latencies.max() as f64 / MILLI as f64
 }
 
-/// A part of a whole; 0 where there is nothing.
+/// `part` divided by `whole`; 0 if `whole` is 0.
 pub fn share(part: usize, whole: usize) -> f64 {
     if whole == 0 { 0.0 } else { part as f64 / whole as f64 }
 }
@@ -46,107 +47,109 @@
 /// All figures of a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Figures {
-    /// The experiment's.
+    /// Title of the experiment.
     pub title: String,
-    /// The experiment's.
+    /// Seed of the experiment.
     pub seed: u64,
-    /// How many.
+    /// Number of proxies.
     pub proxies: usize,
-    /// With clients' retries.
+    /// Number of requests, with clients' retries.
     #[serde(rename = "lookups")]
     pub requests: usize,
-    /// Without them.
+    /// Number of first requests: those that are not a client's retry, without cancelled ones.
     #[serde(rename = "first_lookups")]
     pub first_requests: usize,
-    /// Requests that ended with their value.
+    /// Requests that were answered with their value.
     #[serde(rename = "resolved")]
     pub served: usize,
-    /// Requests that were refused, to be retried later.
+    /// Requests that were refused with the advice to retry later.
     #[serde(rename = "deferred")]
     pub rejected: usize,
-    /// Requests that were given up.
+    /// Requests that were answered with a server error.
     #[serde(rename = "abandoned")]
     pub failed: usize,
-    /// Requests that were refused as wrong.
+    /// Requests that were refused as invalid.
     #[serde(rename = "turned_down")]
     pub invalid: usize,
     /// Requests without an answer.
     pub unanswered: usize,
-    /// Requests at a proxy that was killed outright, which the connection's end showed.
+    /// Requests without an answer because their proxy was killed, which the client saw from the end
+    /// of the connection.
     pub killed: usize,
-    /// Requests whose client cancelled.
+    /// Requests that their client cancelled.
     #[serde(rename = "left")]
     pub cancelled: usize,
     /// Requests that no proxy accepted.
     #[serde(rename = "not_taken")]
     pub not_accepted: usize,
-    /// Attempts in all.
+    /// Number of attempts.
     #[serde(rename = "shots")]
     pub attempts: usize,
-    /// Attempts for each request that was answered.
+    /// Attempts divided by the requests that were answered.
     #[serde(rename = "shots_per_lookup")]
     pub attempts_per_request: f64,
     /// Attempts at the origin.
     #[serde(rename = "origin_shots")]
     pub origin_attempts: usize,
-    /// Attempts at another zone than the proxy's.
+    /// Attempts at a server, or the origin, in another zone than the proxy's.
     #[serde(rename = "crossing_shots")]
     pub cross_zone_attempts: usize,
-    /// Of the attempts at servers, the share that the busiest got.
+    /// Share of the attempts at servers that went to the busiest server.
     pub busiest_share: f64,
-    /// The share of the first requests that was served within the latency objective, by some try.
+    /// Share of the first requests of which some try was served within the latency objective.
     pub in_time: f64,
     /// The same in the worst window of five seconds.
     pub worst_window: f64,
-    /// Where faults have an end: what was done meanwhile, and how long it went on after.
+    /// Service and load while faults were active, and the time until recovery; `None` if the run
+    /// has no fault, or one that outlasts it.
     #[serde(rename = "trouble")]
     pub during_faults: Option<DuringFaults>,
-    /// From when a proxy was notified that a server is off to its last new attempt there.
+    /// Time from when a proxy was notified that a server is off to its last new attempt there.
     pub drains: DrainFigures,
-    /// Where servers redirect.
+    /// Redirections, if the servers speak RESP.
     #[serde(rename = "redirected")]
     pub redirections: Option<Redirections>,
-    /// Where the list comes from etcd.
+    /// Use of etcd, if the endpoint list comes from there.
     pub etcd: Option<EtcdFigures>,
-    /// By request class.
+    /// The figures of each request class.
     #[serde(rename = "by_namespace")]
     pub by_class: Vec<ClassFigures>,
-    /// By tenant.
+    /// The figures of each tenant.
     pub by_tenant: Vec<ClassFigures>,
-    /// Servers that collapsed.
+    /// Number of times that a server collapsed.
     #[serde(rename = "fallen")]
     pub collapsed: usize,
-    /// The first breaches of rules, each as a line.
+    /// The first breaches of rules, one line each.
     pub breaches: Vec<String>,
-    /// How many there were.
+    /// Number of breaches, with those that are not listed.
     pub breaches_in_all: usize,
-    /// CPU time of the proxies for each request that was answered.
+    /// CPU time of all proxies divided by the answered requests, in microseconds.
     #[serde(rename = "cpu_us_per_lookup")]
     pub cpu_us_per_request: f64,
-    /// The most memory that any proxy had.
+    /// Peak memory of the proxy that used the most.
     pub memory_mb_peak: f64,
-    /// How late the testbed itself sent what was due, at the 99th percentile, in milliseconds.
+    /// 99th percentile of the testbed's own delay in sending due requests, in milliseconds.
     #[serde(rename = "lab_late_p99_ms")]
     pub send_delay_p99_ms: f64,
-    /// Connections that proxies refused, or did not accept in time.
+    /// Connections that a proxy refused or did not accept in time.
     pub connects_refused: u64,
-    /// Requests that were sent again, as their connection was being closed.
+    /// Requests that a client sent again because the proxy closed the connection at the same time.
     pub sent_again: u64,
 }
 
-/// What the testbed's own clients counted.
+/// Counts made by the testbed's own clients.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClientCounts {
-    /// How late first requests were sent, at the 99th percentile.
+    /// 99th percentile of the delay between the time a first request is due and its sending.
     pub send_delay_p99: Micros,
-    /// Connections that proxies refused, or did not accept in time.
+    /// Connections that a proxy refused or did not accept in time.
     pub connects_refused: u64,
-    /// Requests that were sent again, as their connection was being closed.
+    /// Requests that a client sent again because the proxy closed the connection at the same time.
     pub sent_again: u64,
 }
 
 impl Figures {
-    /// The figures of a run; those of etcd come from its stand-in.
+    /// The figures of a run. `etcd` stays `None`: its figures come from the simulated etcd.
     pub fn measure(
         experiment: &Experiment,
         verdict: &Verdict,
@@ -158,7 +161,7 @@
         let answered = verdict.records.iter().filter(|record| !record.answers.is_empty()).count();
         let traffic = traffic::Traffic::measure(experiment, verdict);
         let cpu_us = traffic::cpu_us(experiment.fleet.proxies, samples);
-        let by = classes::Breakdown { experiment, verdict, firsts: &firsts };
+        let breakdown = classes::Breakdown { experiment, verdict, firsts: &firsts };
         Figures {
             title: experiment.title.clone(),
             seed: experiment.seed,
@@ -175,8 +178,8 @@
             not_accepted: count(Outcome::NotAccepted),
             attempts: traffic.attempts,
             attempts_per_request: share(traffic.attempts, answered),
-            origin_attempts: traffic.at_origin,
-            cross_zone_attempts: traffic.cross_zone,
+            origin_attempts: traffic.origin_attempts,
+            cross_zone_attempts: traffic.cross_zone_attempts,
             busiest_share: traffic.busiest_share,
             in_time: firsts::in_time_share(experiment, &firsts),
             worst_window: firsts::worst_window(experiment, &firsts),
@@ -184,11 +187,11 @@
             drains: DrainFigures::measure(verdict),
             redirections: Redirections::measure(experiment, verdict),
             etcd: None,
-            by_class: by.class(),
-            by_tenant: by.tenant(),
+            by_class: breakdown.by_class(),
+            by_tenant: breakdown.by_tenant(),
             collapsed: verdict.collapsed,
             breaches: verdict.breaches.iter().map(ToString::to_string).collect(),
-            breaches_in_all: verdict.breaches.len() + verdict.further_breaches,
+            breaches_in_all: verdict.breaches.len() + verdict.unlisted_breaches,
             cpu_us_per_request: cpu_us as f64 / answered.max(1) as f64,
             memory_mb_peak: traffic::peak_memory_mb(samples),
             send_delay_p99_ms: clients.send_delay_p99 as f64 / MILLI as f64,
--- a/crates/testbed/src/measure/steps.rs
+++ b/crates/testbed/src/measure/steps.rs
@@ -1,4 +1,4 @@
-//! The figures of a run over time, in steps.
+//! The figures of a run over time, in steps of half a second.
 
 use super::firsts::first_requests;
 use super::{histogram, quantile_ms};
@@ -8,34 +8,34 @@
 use crate::oracle::{Outcome, RequestRecord, Verdict};
 use hdrhistogram::Histogram;
 
-/// One step.
+/// The figures of one step.
 #[derive(Clone, Debug, Default)]
 pub struct TimeStep {
-    /// First requests due.
-    pub first: usize,
-    /// Of these, served in time.
+    /// Number of first requests that were due.
+    pub first_requests: usize,
+    /// Number of these that were served within the latency objective.
     pub in_time: usize,
-    /// Requests served.
+    /// Number of requests due in this step that were served.
     pub served: usize,
-    /// Requests rejected.
+    /// Number of requests due in this step that were rejected.
     pub rejected: usize,
-    /// Requests that failed, in whichever way.
+    /// Number of requests due in this step that failed in any way.
     pub failed: usize,
-    /// Attempts that began.
+    /// Number of attempts that started.
     pub attempts: usize,
-    /// The median latency.
+    /// Median latency, in milliseconds.
     pub p50_ms: f64,
-    /// Its 99th percentile.
+    /// 99th percentile of the latency, in milliseconds.
     pub p99_ms: f64,
-    /// By server, the origin last.
+    /// Attempts in flight at the end of the step, by server; the origin is last.
     pub in_flight: Vec<usize>,
-    /// By proxy: the part of a core.
+    /// CPU use in cores, by proxy.
     pub cpu: Vec<f64>,
-    /// By proxy.
+    /// Peak memory, by proxy.
     pub memory_mb: Vec<f64>,
 }
 
-/// Half a second: some dozens of requests at the usual loads.
+/// The length of a step: at the usual loads, some dozens of requests are due in half a second.
 pub const TIME_STEP: Micros = SECOND / 2;
 
 struct Steps {
@@ -43,12 +43,12 @@
     latencies: Vec<Histogram<u64>>,
 }
 
-/// A run in steps of half a second.
+/// The figures of each step of a run.
 pub fn over_time(experiment: &Experiment, verdict: &Verdict, samples: &[Sample]) -> Vec<TimeStep> {
     let mut steps = Steps::new(experiment);
     for first in first_requests(&verdict.records) {
-        let step = steps.at(first.record.request.due);
-        step.first += 1;
+        let step = steps.step_at(first.record.request.due);
+        step.first_requests += 1;
         step.in_time += usize::from(first.is_in_time(experiment));
     }
     for record in &verdict.records {
@@ -78,7 +78,7 @@
         ((at / TIME_STEP) as usize).min(self.steps.len() - 1)
     }
 
-    fn at(&mut self, at: Micros) -> &mut TimeStep {
+    fn step_at(&mut self, at: Micros) -> &mut TimeStep {
         let i = self.index(at);
         &mut self.steps[i]
     }
@@ -89,7 +89,7 @@
             let i = self.index(due);
             _ = self.latencies[i].record(served.saturating_sub(due));
         }
-        let step = self.at(due);
+        let step = self.step_at(due);
         match record.outcome {
             Outcome::Served => step.served += 1,
             Outcome::Rejected => step.rejected += 1,
@@ -102,9 +102,9 @@
 
     fn add_attempts(&mut self, record: &RequestRecord) {
         for attempt in &record.attempts {
-            self.at(attempt.started).attempts += 1;
+            self.step_at(attempt.started).attempts += 1;
             let end = attempt.end().unwrap_or(attempt.started + record.request.limit);
-            // In flight where a step ends.
+            // Counts the attempt in each step at whose end it is in flight.
             for i in self.index(attempt.started)..self.index(end) {
                 self.steps[i].in_flight[usize::from(attempt.server)] += 1;
             }
@@ -112,10 +112,10 @@
     }
 
     fn add_usage(&mut self, proxy: usize, samples: &[Sample]) {
-        let own: Vec<&Sample> = samples.iter().filter(|sample| sample.proxy == proxy).collect();
-        for pair in own.windows(2) {
+        let proxy_samples: Vec<&Sample> = samples.iter().filter(|sample| sample.proxy == proxy).collect();
+        for pair in proxy_samples.windows(2) {
             let (before, sample) = (pair[0], pair[1]);
-            let step = self.at(sample.at);
+            let step = self.step_at(sample.at);
             step.memory_mb[proxy] = step.memory_mb[proxy].max(sample.memory_kb as f64 / 1024.0);
             step.cpu[proxy] += sample.cpu_us.saturating_sub(before.cpu_us) as f64 / TIME_STEP as f64;
         }
--- a/crates/testbed/src/measure/traffic.rs
+++ b/crates/testbed/src/measure/traffic.rs
@@ -1,17 +1,17 @@
-//! Where attempts went, and what the proxies used.
+//! Where the attempts went, and what CPU time and memory the proxies used.
 
 use super::share;
 use crate::experiment::Experiment;
 use crate::fleet::Sample;
 use crate::oracle::{Attempt, Verdict};
 
-/// Attempts by where they went.
+/// Numbers of attempts by destination.
 pub(super) struct Traffic {
     pub attempts: usize,
-    pub at_origin: usize,
-    /// At another zone than the proxy's; the origin counts to the first.
-    pub cross_zone: usize,
-    /// Of those at servers, the share that the busiest got.
+    pub origin_attempts: usize,
+    /// Attempts in another zone than the proxy's; the origin counts as part of the first zone.
+    pub cross_zone_attempts: usize,
+    /// Share of the attempts at servers that went to the busiest server.
     pub busiest_share: f64,
 }
 
@@ -33,24 +33,24 @@
         let at_servers = &by_server[..origin];
         Traffic {
             attempts: attempts.len(),
-            at_origin: by_server[origin],
-            cross_zone: attempts.iter().filter(crosses_zones).count(),
+            origin_attempts: by_server[origin],
+            cross_zone_attempts: attempts.iter().filter(crosses_zones).count(),
             busiest_share: share(at_servers.iter().copied().max().unwrap_or(0), at_servers.iter().sum()),
         }
     }
 }
 
-/// CPU time of all proxies from the beginning of the load on.
+/// CPU time of all proxies since the start of the load, in microseconds.
 pub(super) fn cpu_us(proxies: usize, samples: &[Sample]) -> u64 {
     let used = |proxy: usize| {
-        let own = || samples.iter().filter(move |sample| sample.proxy == proxy);
-        let before = own().find(|sample| sample.at > 0).map_or(0, |sample| sample.cpu_us);
-        own().next_back().map_or(0, |sample| sample.cpu_us).saturating_sub(before)
+        let proxy_samples = || samples.iter().filter(move |sample| sample.proxy == proxy);
+        let before_load = proxy_samples().find(|sample| sample.at > 0).map_or(0, |sample| sample.cpu_us);
+        proxy_samples().next_back().map_or(0, |sample| sample.cpu_us).saturating_sub(before_load)
     };
     (0..proxies).map(used).sum()
 }
 
-/// The most memory that any proxy had.
+/// Peak memory of the proxy that used the most.
 pub(super) fn peak_memory_mb(samples: &[Sample]) -> f64 {
     samples.iter().map(|sample| sample.memory_kb).max().unwrap_or(0) as f64 / 1024.0
 }
--- a/crates/testbed/src/oracle/attempts.rs
+++ b/crates/testbed/src/oracle/attempts.rs
@@ -1,14 +1,16 @@
-//! The rules of a request's attempts: how many, how many at once, and what may not run again.
+//! Checks the rules for a request's attempts: their number, how many may be in flight at once, and
+//! which requests must not run again.
 
 use super::{Attempt, Judge, RequestRecord, Rule};
 use crate::clock::{MILLI, Micros, micros, seconds};
 use crate::evidence::Index;
 use crate::experiment::{DedupGroup, Repeats, RequestClass};
 
-/// Servers know a tagged request for its window, give or take so much.
-const WINDOW_SLACK: Micros = 10 * MILLI;
+/// Servers recognise a repeat of a tagged request within the deduplication window, give or take
+/// this tolerance.
+const DEDUP_WINDOW_TOLERANCE: Micros = 10 * MILLI;
 
-/// A breach of one request, before it is known whose.
+/// A breach found on one request, without the request's id and proxy.
 pub(super) struct Finding {
     pub rule: Rule,
     pub at: Micros,
@@ -16,77 +18,82 @@
 }
 
 impl Finding {
-    /// What was seen, and when.
+    /// A breach of `rule` at `at`, with a text that says what was seen.
     pub fn new(rule: Rule, at: Micros, seen: String) -> Finding {
         Finding { rule, at, seen }
     }
 }
 
 fn dedup_window(class: &RequestClass) -> Micros {
-    micros(class.window_ms / 1e3) + WINDOW_SLACK
+    micros(class.window_ms / 1e3) + DEDUP_WINDOW_TOLERANCE
 }
 
 impl Judge<'_> {
     pub(super) fn check_attempts(&self, record: &RequestRecord) -> Vec<Finding> {
         let mut findings = Vec::new();
-        findings.extend(self.too_many(record));
+        findings.extend(self.exceeds_limit(record));
         for (i, next) in record.attempts.iter().enumerate() {
             let before = &record.attempts[..i];
-            findings.extend(self.concurrent(before, next));
+            findings.extend(self.concurrent_attempt(before, next));
             findings.extend(self.may_run_twice(record, before, next));
         }
-        if let [_, again, ..] = record.effects[..] {
-            let seen = format!("its effect came about again at server {}", again.server);
-            findings.push(Finding::new(Rule::RunsOnce, again.at, seen));
+        if let [_, second, ..] = record.effects[..] {
+            let seen = format!("its effect was applied again at server {}", second.server);
+            findings.push(Finding::new(Rule::RunsOnce, second.at, seen));
         }
         findings
     }
 
-    fn too_many(&self, record: &RequestRecord) -> Option<Finding> {
-        let allowed = self.experiment.fleet.max_attempts;
-        let first_over = record.attempts.get(allowed)?;
-        let seen = format!("{} attempts, {allowed} allowed", record.attempts.len());
-        Some(Finding::new(Rule::AttemptLimit, first_over.started, seen))
+    fn exceeds_limit(&self, record: &RequestRecord) -> Option<Finding> {
+        let max_attempts = self.experiment.fleet.max_attempts;
+        let first_excess = record.attempts.get(max_attempts)?;
+        let seen = format!("{} attempts were made, and {max_attempts} are allowed", record.attempts.len());
+        Some(Finding::new(Rule::AttemptLimit, first_excess.started, seen))
     }
 
-    /// Two at once, where hedging is not allowed.
-    fn concurrent(&self, before: &[Attempt], next: &Attempt) -> Option<Finding> {
+    /// Finds an attempt that was still in flight when `next` started, if hedging is not allowed.
+    fn concurrent_attempt(&self, before: &[Attempt], next: &Attempt) -> Option<Finding> {
         if self.experiment.fleet.hedging {
             return None;
         }
         let overlap = micros(self.experiment.rules.overlap_ms / 1e3);
         let in_flight = |other: &&Attempt| other.end().is_none_or(|end| end > next.started + overlap);
         let other = before.iter().find(in_flight)?;
-        let seen = format!("server {} while one was in flight at server {}", next.server, other.server);
+        let seen = format!(
+            "server {} was sent an attempt while one was in flight at server {}",
+            next.server, other.server
+        );
         Some(Finding::new(Rule::OneAttemptAtOnce, next.started, seen))
     }
 
     fn may_run_twice(&self, record: &RequestRecord, before: &[Attempt], next: &Attempt) -> Option<Finding> {
         let class = &self.experiment.classes[record.request.class];
         let candidates = before.iter().filter(|first| first.may_have_run(next.started));
-        let mut unsafe_ones =
+        let mut unsafe_attempts =
             candidates.filter_map(|first| Some((first, self.unsafe_retry(class, first, next)?)));
-        let (first, why) = unsafe_ones.next()?;
-        let seen = format!("server {} after server {}: {why}", next.server, first.server);
+        let (first, reason) = unsafe_attempts.next()?;
+        let seen =
+            format!("server {} was sent an attempt after server {}: {reason}", next.server, first.server);
         Some(Finding::new(Rule::RunsOnce, next.started, seen))
     }
 
-    /// What is wrong with a further attempt after one that may have run.
+    /// Says why `next` must not follow `first`, which may have run; `None` if it may.
     fn unsafe_retry(&self, class: &RequestClass, first: &Attempt, next: &Attempt) -> Option<String> {
         match class.repeats() {
             Repeats::Replayable => return None,
-            Repeats::SingleUse => return Some("single-use, and the first may have run".into()),
+            Repeats::SingleUse => return Some("single-use, and the first attempt may have run".into()),
             Repeats::Tagged => {}
         }
         if !self.same_group(class.dedup_group(), first.server, next.server) {
-            return Some("tagged, and of another group".into());
+            return Some("tagged, and the servers are in different deduplication groups".into());
         }
-        let (sent, again) = (first.sent(), next.sent());
-        (again > sent + dedup_window(class))
-            .then(|| format!("tagged, {:.3} s after the first", seconds(again - sent)))
+        let (first_sent, next_sent) = (first.sent(), next.sent());
+        (next_sent > first_sent + dedup_window(class))
+            .then(|| format!("tagged, sent {:.3} s after the first attempt", seconds(next_sent - first_sent)))
     }
 
-    /// Whether two servers drop each other's repeats. The origin counts to the first zone, and to a cell of its own.
+    /// Whether two servers are in the same deduplication group, so that each drops repeats of what
+    /// the other has run. The origin is in the first zone, in a cell of its own.
     fn same_group(&self, group: DedupGroup, first: Index, second: Index) -> bool {
         let world = &self.experiment.world;
         let is_origin = |server: usize| server == world.servers;
@@ -101,22 +108,25 @@
     }
 }
 
-/// What is wrong with a rejection, after which the client may retry.
-pub(super) fn unsafe_deferral(
+/// Says why a rejection is unsafe: the client may retry, and an attempt may already have run.
+pub(super) fn unsafe_rejection(
     class: &RequestClass,
     attempts: &[Attempt],
     at: Micros,
     retry_at: Micros,
 ) -> Option<String> {
     let first = attempts.iter().find(|attempt| attempt.may_have_run(at))?;
-    let sent = first.sent();
+    let first_sent = first.sent();
     let may_have_run = |kind: &str| format!("{kind}, and server {} may have run it", first.server);
     match class.repeats() {
         Repeats::Replayable => None,
         Repeats::SingleUse => Some(may_have_run("single-use")),
         Repeats::Tagged if class.dedup_group() != DedupGroup::All => Some(may_have_run("tagged")),
-        Repeats::Tagged => (retry_at > sent + dedup_window(class)).then(|| {
-            format!("tagged, and to be retried {:.3} s after the first attempt", seconds(retry_at - sent))
+        Repeats::Tagged => (retry_at > first_sent + dedup_window(class)).then(|| {
+            format!(
+                "tagged, and its retry is due {:.3} s after the first attempt",
+                seconds(retry_at - first_sent)
+            )
         }),
     }
 }
--- a/crates/testbed/src/oracle/drains.rs
+++ b/crates/testbed/src/oracle/drains.rs
@@ -1,5 +1,6 @@
-//! Nothing new goes to a server after the grace from when its proxy was notified that it is draining or gone: by what the list
-//! has written, and by when the proxy counts as notified without that (`notified`).
+//! Checks that a proxy starts no new attempt at a draining or removed server once the grace period
+//! after its notification has passed. A proxy is notified when the list's server has written the
+//! change to it, and also counts as notified after the time in `notified`, whatever was written.
 
 use super::{Judge, Rule};
 use crate::clock::{Micros, micros, seconds};
@@ -7,65 +8,66 @@
 use crate::notified::{self, Notified};
 use std::collections::HashMap;
 
-/// A proxy was notified that a server is off, and began its last attempt there so long after.
+/// A notification of a proxy that a server is off, and the proxy's last attempt there.
 #[derive(Clone, Copy, Debug)]
 pub struct Drain {
-    /// When it was notified.
-    pub notified: Micros,
-    /// When its last attempt began; when it was notified, where there was none.
-    pub last: Micros,
+    /// When the proxy was notified.
+    pub notified_at: Micros,
+    /// When its last attempt after that started; equal to `notified_at` if there was none.
+    pub last_attempt_at: Micros,
 }
 
-/// A server as seen by a proxy.
-type View = (Index, Index);
+/// A proxy and a server, by their indexes.
+type ProxyServer = (Index, Index);
 
-/// What each proxy knows to be off, as the events are gone through.
+/// The servers that each proxy knows to be off, at the current event.
 #[derive(Default)]
 struct OffServers {
     drains: Vec<Drain>,
-    /// The drain that is on, by its index, as the list has written it.
-    written: HashMap<View, usize>,
-    /// Since when a server counts as notified to be off.
-    presumed: HashMap<View, Micros>,
+    /// Index into `drains` of the current drain that the list's server has written to the proxy.
+    written: HashMap<ProxyServer, usize>,
+    /// Since when the proxy counts as notified that the server is off.
+    presumed: HashMap<ProxyServer, Micros>,
 }
 
 impl OffServers {
-    fn presume(&mut self, notified: &Notified) {
-        let view = (notified.proxy, notified.server);
+    fn apply_presumed(&mut self, notified: &Notified) {
+        let pair = (notified.proxy, notified.server);
         if notified.off {
-            self.presumed.entry(view).or_insert(notified.at);
+            self.presumed.entry(pair).or_insert(notified.at);
         } else {
-            self.presumed.remove(&view);
+            self.presumed.remove(&pair);
         }
     }
 
-    fn written_off(&mut self, view: View, at: Micros) {
+    fn add_written(&mut self, pair: ProxyServer, at: Micros) {
         let drains = &mut self.drains;
-        self.written.entry(view).or_insert_with(|| {
-            drains.push(Drain { notified: at, last: at });
+        self.written.entry(pair).or_insert_with(|| {
+            drains.push(Drain { notified_at: at, last_attempt_at: at });
             drains.len() - 1
         });
     }
 
-    /// What the next process of a proxy knows is what it is notified of itself.
-    fn forget(&mut self, proxy: Index) {
+    /// Drops what a proxy's ended process knew: the next process knows only its own notifications.
+    fn forget_proxy(&mut self, proxy: Index) {
         self.written.retain(|(of, _), _| *of != proxy);
         self.presumed.retain(|(of, _), _| *of != proxy);
     }
 
-    /// What is wrong with an attempt that starts now, with that grace.
-    fn attempt(&mut self, view: View, at: Micros, grace: Micros) -> Option<String> {
-        let server = view.1;
-        if let Some(since) = self.presumed.get(&view).filter(|since| at > **since + grace) {
+    /// Says what is wrong with an attempt that starts at `at`, more than `grace` after the
+    /// notification; `None` if the attempt is allowed.
+    fn check_attempt(&mut self, pair: ProxyServer, at: Micros, grace: Micros) -> Option<String> {
+        let server = pair.1;
+        if let Some(since) = self.presumed.get(&pair).filter(|since| at > **since + grace) {
             let after = seconds(at - since);
             return Some(format!(
                 "server {server} was sent an attempt {after:.3} s after its proxy counts as notified that it is off, whatever was written"
             ));
         }
-        let drain = &mut self.drains[*self.written.get(&view)?];
-        drain.last = at;
-        let after = seconds(at - drain.notified);
-        (at > drain.notified + grace).then(|| {
+        let drain = &mut self.drains[*self.written.get(&pair)?];
+        drain.last_attempt_at = at;
+        let after = seconds(at - drain.notified_at);
+        (at > drain.notified_at + grace).then(|| {
             format!(
                 "server {server} was sent an attempt {after:.3} s after its proxy was notified that it is off"
             )
@@ -82,19 +84,19 @@
         let mut presumed = presumed.iter().peekable();
         for event in events {
             while let Some(notified) = presumed.next_if(|notified| notified.at <= event.at) {
-                off.presume(notified);
+                off.apply_presumed(notified);
             }
             match event.kind {
                 EventKind::Notified { server, off: true } => {
-                    off.written_off((event.proxy, server), event.at);
+                    off.add_written((event.proxy, server), event.at);
                 }
                 EventKind::Notified { server, off: false } => {
                     off.written.remove(&(event.proxy, server));
                 }
-                EventKind::ProcessEnded { .. } => off.forget(event.proxy),
+                EventKind::ProcessEnded { .. } => off.forget_proxy(event.proxy),
                 EventKind::AttemptStarted { server } => {
-                    if let Some(seen) = off.attempt((event.proxy, server), event.at, grace) {
-                        self.report(Rule::NothingToDrained, event, seen);
+                    if let Some(seen) = off.check_attempt((event.proxy, server), event.at, grace) {
+                        self.add_for_event(Rule::NothingToDrained, event, seen);
                     }
                 }
                 _ => {}
--- a/crates/testbed/src/oracle/mod.rs
+++ b/crates/testbed/src/oracle/mod.rs
@@ -1,5 +1,6 @@
-//! The judge. It knows what the platform allows and what went over the sockets, and nothing of how a proxy decides: every
-//! breach names the request, the moment, and what was seen.
+//! The judge: checks a run's events against the rules that every proxy has to keep. It knows what
+//! the platform allows and what happened on the sockets, and nothing of how a proxy decides. Every
+//! breach names the request, the time, and what was seen.
 
 mod attempts;
 mod drains;
@@ -18,41 +19,41 @@
 use std::collections::HashMap;
 use std::fmt;
 
-/// The rules that a proxy has to keep.
+/// A rule that a proxy has to keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
-    /// Every request that was written whole gets a final answer.
+    /// Every request that was written completely gets a final answer.
     FinalAnswer,
-    /// ... and only one.
+    /// A request gets no more than one final answer.
     AnsweredOnce,
-    /// ... within its time limit.
+    /// The final answer comes within the request's time limit.
     InTimeLimit,
-    /// ... that was made for it.
+    /// The final answer is the one made for the request.
     OwnAnswer,
-    /// Nothing runs twice that must not.
+    /// A request that must not run twice does not run twice.
     RunsOnce,
-    /// No client is sent away to retry what may have run and must not run twice.
-    SafeDeferral,
-    /// No two attempts at once, where hedging is not allowed.
+    /// No client is told to retry a request that may have run and must not run twice.
+    SafeRejection,
+    /// No two attempts of a request are in flight at once, if hedging is not allowed.
     OneAttemptAtOnce,
-    /// No more attempts than allowed.
+    /// A request has no more attempts than allowed.
     AttemptLimit,
-    /// Nothing new to a server that is draining or gone.
+    /// No new attempt goes to a server that is draining or removed.
     NothingToDrained,
-    /// No server in slow start gets more than it bears.
+    /// No server in slow start gets more load than it can handle.
     NoServerCollapsed,
     /// A refusal is sent as soon as it is certain.
     PromptRefusal,
     /// Every attempt belongs to a request.
     KnownRequest,
-    /// Nothing is sent for a client that has cancelled.
+    /// No attempt is sent for a client that has cancelled.
     NothingAfterCancel,
-    /// A proxy ends only by a signal.
+    /// A proxy's process ends only after a signal.
     KeepsRunning,
 }
 
 impl Rule {
-    /// What its breach is called.
+    /// The name of a breach of this rule, as reports show it.
     pub fn breach(self) -> &'static str {
         match self {
             Rule::FinalAnswer => "no final answer",
@@ -60,7 +61,7 @@
             Rule::InTimeLimit => "answered after its time limit",
             Rule::OwnAnswer => "not the answer made for it",
             Rule::RunsOnce => "may run twice",
-            Rule::SafeDeferral => "rejected though it may have run",
+            Rule::SafeRejection => "rejected though it may have run",
             Rule::OneAttemptAtOnce => "two attempts at once",
             Rule::AttemptLimit => "too many attempts",
             Rule::NothingToDrained => "sent to a drained server",
@@ -73,16 +74,16 @@
     }
 }
 
-/// A rule that was broken: where, when, and what was seen.
+/// A breach of a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Breach {
-    /// Which rule.
+    /// The rule that was broken.
     pub rule: Rule,
-    /// When.
+    /// When it was broken.
     pub at: Micros,
-    /// On which request; 0 where there is none.
+    /// The request's id; 0 if the breach is about none.
     pub id: Id,
-    /// By which proxy.
+    /// The proxy that broke the rule.
     pub proxy: Index,
     /// What was seen.
     pub seen: String,
@@ -95,38 +96,39 @@
     }
 }
 
-/// When a proxy was stopped by SIGSTOP.
+/// A time during which a proxy was stopped by SIGSTOP.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Standstill {
-    /// Which proxy.
+pub struct ProcessStop {
+    /// The proxy that was stopped.
     pub proxy: Index,
-    /// From SIGSTOP ...
-    pub from: Micros,
-    /// ... to SIGCONT.
-    pub until: Micros,
+    /// When it got SIGSTOP.
+    pub stopped_at: Micros,
+    /// When it got SIGCONT.
+    pub continued_at: Micros,
 }
 
-/// What the judge found.
+/// The result of judging a run.
 #[derive(Debug, Default)]
 pub struct Verdict {
-    /// Each time that a proxy was notified that a server is off.
+    /// One entry for each time that a proxy was notified that a server is off.
     pub drains: Vec<Drain>,
     /// The first breaches, in order of time.
     pub breaches: Vec<Breach>,
-    /// How many more there were: a broken proxy breaks thousands.
-    pub further_breaches: usize,
-    /// All requests, in the order in which they were due.
+    /// The number of breaches beyond these, which are only counted: a faulty proxy can cause
+    /// thousands.
+    pub unlisted_breaches: usize,
+    /// All requests, in the order of their due times.
     pub records: Vec<RequestRecord>,
-    /// How many servers collapsed.
+    /// The number of times that a server collapsed.
     pub collapsed: usize,
-    /// When proxies were stopped.
-    pub standstills: Vec<Standstill>,
+    /// The times during which proxies were stopped.
+    pub process_stops: Vec<ProcessStop>,
 }
 
-/// Breaches that are listed; the rest is counted.
-const MAX_BREACHES: usize = 200;
+/// The number of breaches that are listed; further ones are only counted.
+const MAX_LISTED_BREACHES: usize = 200;
 
-/// A proxy's process was killed.
+/// The time at which a proxy's process was killed.
 struct Kill {
     proxy: Index,
     at: Micros,
@@ -162,28 +164,32 @@
 
 impl Judge<'_> {
     fn add(&mut self, breach: Breach) {
-        if self.verdict.breaches.len() < MAX_BREACHES {
+        if self.verdict.breaches.len() < MAX_LISTED_BREACHES {
             self.verdict.breaches.push(breach);
         } else {
-            self.verdict.further_breaches += 1;
+            self.verdict.unlisted_breaches += 1;
         }
     }
 
-    /// A breach that one event shows.
-    fn report(&mut self, rule: Rule, event: &Event, seen: String) {
+    /// Adds a breach that a single event shows.
+    fn add_for_event(&mut self, rule: Rule, event: &Event, seen: String) {
         self.add(Breach { rule, at: event.at, id: event.id, proxy: event.proxy, seen });
     }
 
-    /// When proxies were killed and stopped.
+    /// Notes when proxies were killed and stopped.
     fn track_processes(&mut self, events: &[Event]) {
-        let mut stopped: HashMap<Index, Micros> = HashMap::new();
+        let mut stopped_proxies: HashMap<Index, Micros> = HashMap::new();
         for event in events {
             let proxy = event.proxy;
             match event.kind {
-                EventKind::Signalled { signal: "STOP" } => _ = stopped.insert(proxy, event.at),
+                EventKind::Signalled { signal: "STOP" } => _ = stopped_proxies.insert(proxy, event.at),
                 EventKind::Signalled { signal: "CONT" } => {
-                    if let Some(from) = stopped.remove(&proxy) {
-                        self.verdict.standstills.push(Standstill { proxy, from, until: event.at });
+                    if let Some(stopped_at) = stopped_proxies.remove(&proxy) {
+                        self.verdict.process_stops.push(ProcessStop {
+                            proxy,
+                            stopped_at,
+                            continued_at: event.at,
+                        });
                     }
                 }
                 EventKind::Signalled { signal: "KILL" } | EventKind::ProcessEnded { killed: true } => {
@@ -194,30 +200,37 @@
         }
     }
 
-    /// Events that are a breach by themselves.
+    /// Reports the events that are a breach by themselves.
     fn check_events(&mut self, events: &[Event]) {
         for event in events {
             match &event.kind {
                 EventKind::ServerCollapsed { server } => {
                     self.verdict.collapsed += 1;
-                    let seen = format!("server {server} was sent more than it bears in slow start");
-                    self.report(Rule::NoServerCollapsed, event, seen);
+                    let seen = format!("server {server} was sent more than it can handle in slow start");
+                    self.add_for_event(Rule::NoServerCollapsed, event, seen);
                 }
                 EventKind::UnknownRequest { server } => {
-                    let seen = format!("server {server} was sent an id that no client sent");
-                    self.report(Rule::KnownRequest, event, seen);
+                    let seen = format!(
+                        "server {server} was sent an attempt whose id is missing or was sent by no client"
+                    );
+                    self.add_for_event(Rule::KnownRequest, event, seen);
                 }
                 EventKind::UnexpectedBytes => {
-                    self.report(Rule::AnsweredOnce, event, "more came than was requested".into());
+                    self.add_for_event(
+                        Rule::AnsweredOnce,
+                        event,
+                        "more bytes came on the connection than the answers to its requests".into(),
+                    );
                 }
                 _ => {}
             }
         }
     }
 
-    /// Whether a proxy was stopped for a part of a span.
+    /// Whether a proxy was stopped at any time between `from` and `to`.
     fn was_stopped(&self, proxy: Index, from: Micros, to: Micros) -> bool {
-        let overlaps = |stop: &Standstill| stop.proxy == proxy && stop.from < to && stop.until > from;
-        self.verdict.standstills.iter().any(overlaps)
+        let overlaps =
+            |stop: &ProcessStop| stop.proxy == proxy && stop.stopped_at < to && stop.continued_at > from;
+        self.verdict.process_stops.iter().any(overlaps)
     }
 }
--- a/crates/testbed/src/oracle/records.rs
+++ b/crates/testbed/src/oracle/records.rs
@@ -1,4 +1,4 @@
-//! All that was seen of each request, gathered from the events.
+//! Gathers the events of a run into one record for each request.
 
 use crate::clock::Micros;
 use crate::evidence::{ClientRequest, Event, EventKind, Id, Index};
@@ -8,26 +8,26 @@
 /// A server's reply to an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct ReplyRecord {
-    /// When it was written.
+    /// When the server had written it.
     pub at: Micros,
-    /// What it was.
+    /// The kind of reply.
     pub reply: Reply,
 }
 
-/// One attempt, from the first byte that reached a server.
+/// One attempt at a server. It starts when its first byte reaches the server.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// At which server.
+    /// The server, or the origin.
     pub server: Index,
-    /// By which proxy.
+    /// The proxy that made the attempt.
     pub proxy: Index,
-    /// When its first byte came.
+    /// When its first byte reached the server.
     pub started: Micros,
-    /// When its last byte came.
+    /// When its last byte reached the server.
     pub received: Option<Micros>,
     /// The server's reply.
     pub reply: Option<ReplyRecord>,
-    /// When its connection ended without one.
+    /// When its connection ended without a reply.
     pub aborted: Option<Micros>,
 }
 
@@ -36,20 +36,23 @@
         Attempt { server, proxy: event.proxy, started: event.at, received: None, reply: None, aborted: None }
     }
 
-    /// When it was over, if it was.
+    /// When the attempt ended, with or without a reply; `None` if it was still open at the end of
+    /// the run.
     pub fn end(&self) -> Option<Micros> {
         self.reply.map(|reply| reply.at).or(self.aborted)
     }
 
-    /// Whether its proxy could not know, at that moment, that it had surely not run.
+    /// Whether the attempt may have run, as far as its proxy could know at `at`. A proxy can
+    /// exclude it only if the last byte was never received, or by a reply that says so.
     pub fn may_have_run(&self, at: Micros) -> bool {
-        let surely_not = |answered: ReplyRecord| {
-            answered.at <= at && matches!(answered.reply, Reply::Unprocessed | Reply::Miss)
+        let has_not_run = |reply_record: ReplyRecord| {
+            reply_record.at <= at && matches!(reply_record.reply, Reply::Unprocessed | Reply::Miss)
         };
-        self.received.is_some() && !self.reply.is_some_and(surely_not)
+        self.received.is_some() && !self.reply.is_some_and(has_not_run)
     }
 
-    /// When it was sent: from its last byte on it may run.
+    /// When the attempt was sent completely, from when on the server may run it; when it started,
+    /// if it was not sent completely.
     pub fn sent(&self) -> Micros {
         self.received.unwrap_or(self.started)
     }
@@ -58,19 +61,20 @@
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// With its value.
+    /// It was answered with its value.
     Served,
-    /// Refused, and to be retried later.
+    /// It was refused, and the client may retry later.
     Rejected,
-    /// Given up.
+    /// It was answered with a server error.
     Failed,
-    /// Refused as wrong in itself.
+    /// It was refused as invalid.
     InvalidRequest,
-    /// Without an answer.
+    /// It got no answer.
     Unanswered,
-    /// Its proxy was killed outright, which the connection's end showed.
+    /// It got no answer because its proxy was killed, which the client saw from the end of the
+    /// connection.
     Killed,
-    /// Its client cancelled.
+    /// Its client cancelled it.
     Cancelled,
     /// No proxy accepted it.
     NotAccepted,
@@ -79,54 +83,54 @@
 /// A final answer to a client.
 #[derive(Clone, Copy, Debug)]
 pub struct AnswerRecord {
-    /// When it had come whole.
+    /// When it had arrived completely.
     pub at: Micros,
-    /// Its status.
+    /// Its status code.
     pub status: u16,
-    /// When the client is to come again, where that was sent.
+    /// How long the client has to wait before it retries, if the answer says so.
     pub retry_after: Option<Micros>,
-    /// Whether it was made for this request.
+    /// Whether its value, if it has one, is whole and was made for this request.
     pub matches: bool,
 }
 
-/// The end of a client's connection, or of its patience, without an answer.
+/// How a request ended without an answer: its connection ended, or the client stopped waiting.
 #[derive(Clone, Copy, Debug)]
 pub struct EndRecord {
-    /// When.
+    /// When it ended.
     pub at: Micros,
-    /// Which end.
+    /// The outcome that follows from it.
     pub outcome: Outcome,
 }
 
-/// The effect of a request came about.
+/// The effect of a request was applied at a server.
 #[derive(Clone, Copy, Debug)]
 pub struct EffectRecord {
-    /// When.
+    /// When it was applied.
     pub at: Micros,
-    /// At which server.
+    /// The server that applied it.
     pub server: Index,
 }
 
-/// All that is known of one request.
+/// Everything that was recorded about one request.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
     /// Its id.
     pub id: Id,
     /// What the client requested.
     pub request: ClientRequest,
-    /// Which proxy got it.
+    /// The proxy to which the client sent it.
     pub proxy: Index,
-    /// When its last byte was written to that proxy.
+    /// When its last byte was written to that proxy; `None` if it never was.
     pub sent: Option<Micros>,
     /// Final answers: one, unless the proxy breaks a rule.
     pub answers: Vec<AnswerRecord>,
-    /// How it ended without one.
+    /// How it ended without an answer.
     pub end: Option<EndRecord>,
-    /// Attempts that were made for it, by their first bytes.
+    /// The attempts made for it, in the order of their first bytes.
     pub attempts: Vec<Attempt>,
-    /// Each time that its effect came about.
+    /// Each time that its effect was applied.
     pub effects: Vec<EffectRecord>,
-    /// How it ended for its client: the judge's conclusion.
+    /// How it ended for its client, as the judge concludes.
     pub outcome: Outcome,
 }
 
@@ -145,18 +149,18 @@
         }
     }
 
-    /// When it was served, if it was.
+    /// When it was answered with its value, or `None` if it was not.
     pub fn served_at(&self) -> Option<Micros> {
         let answer = self.answers.first().filter(|_| self.outcome == Outcome::Served)?;
         Some(answer.at)
     }
 
-    /// The last attempt of a proxy at a server that is still open.
+    /// The latest attempt of a proxy at a server that has not ended yet.
     fn open_attempt(&mut self, server: Index, proxy: Index) -> Option<&mut Attempt> {
-        let own = |attempt: &&mut Attempt| {
+        let is_open = |attempt: &&mut Attempt| {
             attempt.server == server && attempt.proxy == proxy && attempt.end().is_none()
         };
-        self.attempts.iter_mut().rev().find(own)
+        self.attempts.iter_mut().rev().find(is_open)
     }
 
     fn add(&mut self, event: &Event) {
@@ -164,7 +168,8 @@
         let ended = |outcome: Outcome| Some(EndRecord { at, outcome });
         match event.kind {
             EventKind::RequestSent => {
-                // Sent again after its connection was closed, it counts from then.
+                // A request that is sent again, after its connection was closed, counts from the
+                // last time.
                 self.sent = Some(at);
                 self.proxy = event.proxy;
             }
@@ -196,7 +201,7 @@
     }
 }
 
-/// The events of each request, in the order in which requests were due.
+/// Gathers the events of each request into a record; the records are in the order of due times.
 pub(super) fn gather(events: &[Event], requests: HashMap<Id, ClientRequest>) -> Vec<RequestRecord> {
     let due: HashMap<Id, Micros> = requests.iter().map(|(id, request)| (*id, request.due)).collect();
     let records =
--- a/crates/testbed/src/oracle/requests.rs
+++ b/crates/testbed/src/oracle/requests.rs
@@ -1,13 +1,15 @@
-//! The rules of one request: its final answer, its time, and when it was refused.
+//! Checks the rules for a request's final answer: that there is one, its time, its value, and that
+//! a refusal is safe and prompt.
 
-use super::attempts::{Finding, unsafe_deferral};
+use super::attempts::{Finding, unsafe_rejection};
 use super::spans::AttemptSpans;
 use super::{AnswerRecord, Breach, Judge, Kill, Outcome, RequestRecord, Rule};
 use crate::clock::{MILLI, Micros, micros, seconds};
 use crate::model::timeline::Reachability;
 
-/// Between the death of a process and the end of its connections, or the other way round, a client sees so much at the most.
-const KILL_SLACK: Micros = 100 * MILLI;
+/// The maximum time between the recorded end of a killed process and the end of its connections as
+/// a client sees it, in either order.
+const KILL_TOLERANCE: Micros = 100 * MILLI;
 
 impl Judge<'_> {
     pub(super) fn check_request(&mut self, record: &mut RequestRecord, spans: &AttemptSpans) {
@@ -26,7 +28,7 @@
         }
     }
 
-    /// What is wrong with the first answer.
+    /// Finds the breaches that the first answer shows.
     fn check_answer(
         &self,
         record: &RequestRecord,
@@ -37,35 +39,41 @@
         let class = &self.experiment.classes[record.request.class];
         let at = answer.at;
         let mut findings = Vec::new();
-        let limit = sent + record.request.limit + micros(self.experiment.rules.late_ms / 1e3);
-        if at > limit && !self.was_stopped(record.proxy, sent, at) {
+        let latest_allowed = sent + record.request.limit + micros(self.experiment.rules.late_ms / 1e3);
+        if at > latest_allowed && !self.was_stopped(record.proxy, sent, at) {
             let late = seconds(at - sent - record.request.limit);
-            findings.push(Finding::new(Rule::InTimeLimit, at, format!("{late:.3} s after it")));
+            findings.push(Finding::new(
+                Rule::InTimeLimit,
+                at,
+                format!("the answer came {late:.3} s after the time limit"),
+            ));
         }
         if !answer.matches {
-            let seen = "its body is not whole, or made for another".to_string();
+            let seen = "its value is not whole, or was made for another request".to_string();
             findings.push(Finding::new(Rule::OwnAnswer, at, seen));
         }
         if matches!(answer.status, 429 | 503) {
             let retry_at = at + answer.retry_after.unwrap_or(0);
-            let seen = unsafe_deferral(class, &record.attempts, at, retry_at);
-            findings.extend(seen.map(|seen| Finding::new(Rule::SafeDeferral, at, seen)));
+            let seen = unsafe_rejection(class, &record.attempts, at, retry_at);
+            findings.extend(seen.map(|seen| Finding::new(Rule::SafeRejection, at, seen)));
         }
         if answer.status >= 429 {
-            let seen = self.held_back(record, sent, at, spans);
+            let seen = self.delayed_refusal(record, sent, at, spans);
             findings.extend(seen.map(|seen| Finding::new(Rule::PromptRefusal, at, seen)));
         }
         findings
     }
 
-    /// An attempt whose first byte came long after its client had closed the connection. No standstill excuses it: the end is
-    /// there to be read.
+    /// Finds an attempt whose first byte came long after its client had closed the connection. A
+    /// time during which the proxy was stopped is no excuse: once it runs again, it can read the
+    /// end of the connection before it sends.
     fn sent_after_cancel(&self, record: &RequestRecord) -> Option<Finding> {
         let cancelled = record.end.filter(|_| record.outcome == Outcome::Cancelled)?.at;
-        let latest = cancelled + micros(self.experiment.rules.cancel_delay_ms / 1e3);
-        let attempt = record.attempts.iter().find(|attempt| attempt.started > latest)?;
+        let latest_allowed = cancelled + micros(self.experiment.rules.cancel_delay_ms / 1e3);
+        let attempt = record.attempts.iter().find(|attempt| attempt.started > latest_allowed)?;
         let after = seconds(attempt.started - cancelled);
-        let seen = format!("{after:.3} s after, to server {}", attempt.server);
+        let seen =
+            format!("an attempt reached server {} {after:.3} s after the cancellation", attempt.server);
         Some(Finding::new(Rule::NothingAfterCancel, attempt.started, seen))
     }
 
@@ -81,76 +89,81 @@
         let Some(sent) = record.sent else { return Outcome::NotAccepted };
         let Some(end) = record.end else { return Outcome::Unanswered };
         if end.outcome == Outcome::Cancelled {
-            // A client that stays to the end of its time has not cancelled: it was not answered.
-            let stayed = end.at >= sent + record.request.limit;
+            // A client that waits until its time limit has not cancelled: it got no answer in time.
+            let waited_to_limit = end.at >= sent + record.request.limit;
             let stopped = self.was_stopped(record.proxy, sent, end.at);
-            return if stayed && !stopped { Outcome::Unanswered } else { Outcome::Cancelled };
+            return if waited_to_limit && !stopped { Outcome::Unanswered } else { Outcome::Cancelled };
         }
         let killed = |kill: &Kill| {
-            kill.proxy == record.proxy && sent <= kill.at + KILL_SLACK && kill.at <= end.at + KILL_SLACK
+            kill.proxy == record.proxy
+                && sent <= kill.at + KILL_TOLERANCE
+                && kill.at <= end.at + KILL_TOLERANCE
         };
         if self.kills.iter().any(killed) { Outcome::Killed } else { Outcome::Unanswered }
     }
 
-    /// Whether a refusal came long after the last thing that it could have waited for.
-    fn held_back(
+    /// Says how long a refusal was delayed, if it came too long after the last event that it could
+    /// have waited for.
+    fn delayed_refusal(
         &self,
         record: &RequestRecord,
         sent: Micros,
         at: Micros,
         spans: &AttemptSpans,
     ) -> Option<String> {
-        let tolerated = micros(self.experiment.rules.refusal_delay_ms / 1e3);
+        let max_delay = micros(self.experiment.rules.refusal_delay_ms / 1e3);
         let ends = record.attempts.iter().map(|attempt| attempt.end().unwrap_or(Micros::MAX));
-        let last = ends.max().unwrap_or(sent).max(sent);
-        // An attempt that waits for a silent peer's connection is seen nowhere.
-        let waited = self.any_peer_silent(usize::from(record.proxy), last, at);
-        if last >= at || waited || self.was_stopped(record.proxy, sent, at) {
+        let last_event = ends.max().unwrap_or(sent).max(sent);
+        // An attempt that waits for a connection to a silent peer leaves no event.
+        let may_have_waited = self.any_peer_silent(usize::from(record.proxy), last_event, at);
+        if last_event >= at || may_have_waited || self.was_stopped(record.proxy, sent, at) {
             return None;
         }
-        let gap = spans.longest_gap(record.proxy, record.request.key, last, at);
-        let after = if record.attempts.is_empty() { "it was sent" } else { "the end of its last attempt" };
-        (gap > tolerated).then(|| format!("{:.3} s after {after}", seconds(at - last)))
+        let gap = spans.longest_gap(record.proxy, record.request.key, last_event, at);
+        let after =
+            if record.attempts.is_empty() { "the request was sent" } else { "the end of its last attempt" };
+        (gap > max_delay).then(|| format!("it came {:.3} s after {after}", seconds(at - last_event)))
     }
 
-    /// Whether some server, or the origin, was silent to a proxy within a span.
+    /// Whether some server, or the origin, was silent to a proxy at any time between `from` and
+    /// `to`.
     fn any_peer_silent(&self, proxy: usize, from: Micros, to: Micros) -> bool {
         let zones = self.experiment.world.zones.len();
         let zone = proxy % zones;
         let mut at = from;
         while at < to {
-            let mut next = Micros::MAX;
+            let mut next_change = Micros::MAX;
             let origin = std::iter::once(self.timelines.origin_reachability(zone, at));
             let servers = (0..self.experiment.world.servers)
                 .map(|server| self.timelines.reachability(server, (server % zones, zone), at));
-            for (reachability, until) in servers.chain(origin) {
+            for (reachability, valid_until) in servers.chain(origin) {
                 if reachability == Reachability::Silent {
                     return true;
                 }
-                next = next.min(until);
+                next_change = next_change.min(valid_until);
             }
-            at = next;
+            at = next_change;
         }
         false
     }
 }
 
-/// A second final answer.
+/// Finds a second final answer.
 fn answered_again(record: &RequestRecord) -> Option<Finding> {
     let second = record.answers.get(1)?;
-    let seen = format!("{} final answers", record.answers.len());
+    let seen = format!("{} final answers came", record.answers.len());
     Some(Finding::new(Rule::AnsweredOnce, second.at, seen))
 }
 
-/// None at all.
+/// Finds a request without any final answer.
 fn unanswered(record: &RequestRecord) -> Option<Finding> {
     if record.outcome != Outcome::Unanswered {
         return None;
     }
     let (at, seen) = match record.end {
-        Some(end) => (end.at, "the connection ended without one"),
-        None => (record.sent.unwrap_or(record.request.due), "nothing had come when the run ended"),
+        Some(end) => (end.at, "the connection ended without an answer"),
+        None => (record.sent.unwrap_or(record.request.due), "no answer had come when the run ended"),
     };
     let attempts = record.attempts.len();
-    Some(Finding::new(Rule::FinalAnswer, at, format!("{seen}, {attempts} attempts were sent for it")))
+    Some(Finding::new(Rule::FinalAnswer, at, format!("{seen}; {attempts} attempts were made for it")))
 }
--- a/crates/testbed/src/oracle/spans.rs
+++ b/crates/testbed/src/oracle/spans.rs
@@ -1,4 +1,5 @@
-//! When attempts for a key were in flight at a proxy: a request that waits for another's fetch is not held back.
+//! When attempts for a key were in flight at a proxy. A request may wait for an attempt that
+//! another request made for the same key, and its refusal is not late in that time.
 
 use super::RequestRecord;
 use crate::clock::Micros;
@@ -6,11 +7,11 @@
 use std::collections::HashMap;
 use std::ops::Range;
 
-/// The spans of all attempts, by proxy and key.
+/// The time spans of all attempts, by proxy and key.
 pub(super) struct AttemptSpans(HashMap<(Index, u64), Vec<Range<Micros>>>);
 
 impl AttemptSpans {
-    /// Of all attempts of a run.
+    /// The spans of all attempts of a run.
     pub fn new(records: &[RequestRecord]) -> AttemptSpans {
         let mut spans: HashMap<(Index, u64), Vec<Range<Micros>>> = HashMap::new();
         for record in records {
@@ -19,21 +20,21 @@
                 spans.entry((attempt.proxy, record.request.key)).or_default().push(span);
             }
         }
-        for of_key in spans.values_mut() {
-            of_key.sort_unstable_by_key(|span| (span.start, span.end));
+        for key_spans in spans.values_mut() {
+            key_spans.sort_unstable_by_key(|span| (span.start, span.end));
         }
         AttemptSpans(spans)
     }
 
-    /// The longest gap between two moments in which no attempt for the key was in flight.
+    /// The longest time, between `from` and `to`, in which no attempt for the key was in flight.
     pub fn longest_gap(&self, proxy: Index, key: u64, from: Micros, to: Micros) -> Micros {
         let spans = self.0.get(&(proxy, key)).map_or(&[][..], Vec::as_slice);
-        let mut covered = from;
+        let mut covered_until = from;
         let mut longest = 0;
         for span in spans.iter().filter(|span| span.end > from && span.start < to) {
-            longest = longest.max(span.start.saturating_sub(covered));
-            covered = covered.max(span.end);
+            longest = longest.max(span.start.saturating_sub(covered_until));
+            covered_until = covered_until.max(span.end);
         }
-        longest.max(to.saturating_sub(covered))
+        longest.max(to.saturating_sub(covered_until))
     }
 }
--- a/crates/testbed/src/report/mod.rs
+++ b/crates/testbed/src/report/mod.rs
@@ -1,4 +1,5 @@
-//! How a run is reported: a table on the terminal, a comparison of several, and a page with charts that opens offline.
+//! Reports of runs: a table for the terminal, a comparison of several runs, and a self-contained
+//! HTML page with charts.
 
 mod charts;
 pub mod comparison;
--- a/crates/testbed/src/report/verdict.rs
+++ b/crates/testbed/src/report/verdict.rs
@@ -1,20 +1,20 @@
-//! The verdict and the figures as lines of text.
+//! The verdict and the figures of a run as lines of text.
 
 use crate::measure::{ClassFigures, DuringFaults, Figures, share};
 use crate::run::RunResult;
 use std::fmt::Write;
 
-/// Breaches shown in full.
-const SHOWN_BREACHES: usize = 10;
+/// The maximum number of breaches that are shown.
+const MAX_SHOWN_BREACHES: usize = 10;
 
-/// A line of its own. Writing to a string does not fail.
+/// Writes one line of text. The result is ignored, as writing to a string cannot fail.
 macro_rules! line {
     ($out:expr, $($text:tt)*) => {
         _ = writeln!($out, $($text)*)
     };
 }
 
-/// The figures and the verdict.
+/// The figures of a run, then the broken rules and the bounds that do not hold.
 pub fn verdict(result: &RunResult) -> String {
     let mut out = String::new();
     figures(&mut out, &result.figures);
@@ -22,10 +22,10 @@
     if verdict.breaches.is_empty() {
         line!(out, "  rules kept; {} servers collapsed", verdict.collapsed);
     } else {
-        let breaches = verdict.breaches.len() + verdict.further_breaches;
+        let breaches = verdict.breaches.len() + verdict.unlisted_breaches;
         line!(out, "  RULES BROKEN, {breaches} times; {} servers collapsed", verdict.collapsed);
     }
-    for breach in verdict.breaches.iter().take(SHOWN_BREACHES) {
+    for breach in verdict.breaches.iter().take(MAX_SHOWN_BREACHES) {
         line!(out, "    {breach}");
     }
     for bound in &result.out_of_bounds {
@@ -78,7 +78,7 @@
 fn costs(out: &mut String, figures: &Figures) {
     line!(
         out,
-        "  {:.3} attempts a request, {:.1}% of them at the origin, {:.1}% across zones; busiest server {:.1}%",
+        "  {:.3} attempts per request, {:.1}% of them at the origin, {:.1}% across zones; busiest server {:.1}%",
         figures.attempts_per_request,
         100.0 * share(figures.origin_attempts, figures.attempts),
         100.0 * share(figures.cross_zone_attempts, figures.attempts),
@@ -86,7 +86,7 @@
     );
     line!(
         out,
-        "  {:.1} us of CPU a request, {:.1} MB at most; the testbed was {:.2} ms late at its 99th percentile",
+        "  {:.1} us of CPU per request, {:.1} MB peak memory; the testbed's 99th percentile send delay was {:.2} ms",
         figures.cpu_us_per_request,
         figures.memory_mb_peak,
         figures.send_delay_p99_ms
@@ -97,7 +97,7 @@
     let recovered = during.recovered_s.map_or("not by the end".to_string(), |s| format!("after {s:.0} s"));
     line!(
         out,
-        "  during faults {:.2}% in time; for a first request {:.3} requests, {:.3} attempts at servers, {:.3} at the origin; recovered {recovered}",
+        "  during faults {:.2}% in time; per first request {:.3} requests, {:.3} attempts at servers, {:.3} at the origin; recovered {recovered}",
         100.0 * during.in_time,
         during.requests_per_first,
         during.server_attempts_per_first,
@@ -110,7 +110,7 @@
     if drains.notified > 0 {
         line!(
             out,
-            "  {} times a proxy was notified that a server is off; its last attempt there came after {:.1} ms (p50), {:.1} ms (p99), {:.1} ms (longest)",
+            "  {} times a proxy was notified that a server is off; its last attempt there came after {:.1} ms (p50), {:.1} ms (p99), {:.1} ms (max)",
             drains.notified,
             drains.p50_ms,
             drains.p99_ms,
@@ -119,12 +119,12 @@
     }
 }
 
-/// What is only measured with some protocols and sources of the list.
+/// Figures that exist only for some protocols and some sources of the endpoint list.
 fn sources(out: &mut String, figures: &Figures) {
     if let Some(redirections) = &figures.redirections {
         line!(
             out,
-            "  {:.4} redirections a request, {:.5} for the {} that came once the map had settled",
+            "  {:.4} redirections per request, {:.5} for the {} requests after the slot maps had settled",
             redirections.per_request,
             redirections.settled_per_request,
             redirections.settled_requests
@@ -133,7 +133,7 @@
     if let Some(etcd) = &figures.etcd {
         line!(
             out,
-            "  etcd was called {:.1} times a second; {} watches were lost, and back after {:.0} ms (p50), {:.0} ms (p99), {:.0} ms (longest)",
+            "  etcd was called {:.1} times per second; {} watches were lost, and established again after {:.0} ms (p50), {:.0} ms (p99), {:.0} ms (max)",
             etcd.calls_per_second,
             etcd.watches_lost,
             etcd.recovery_p50_ms,
@@ -143,13 +143,13 @@
     }
 }
 
-fn table(out: &mut String, what: &str, rows: &[ClassFigures]) {
+fn table(out: &mut String, group_kind: &str, rows: &[ClassFigures]) {
     if rows.is_empty() {
         return;
     }
     line!(
         out,
-        "  {what:<18} {:>9} {:>8} {:>9} {:>9} {:>9}",
+        "  {group_kind:<18} {:>9} {:>8} {:>9} {:>9} {:>9}",
         "first",
         "in time",
         "p50 ms",
--- a/crates/testbed/tests/judge.rs
+++ b/crates/testbed/tests/judge.rs
@@ -1,12 +1,15 @@
-//! The judge sees what it has to: proxies of the testbed's own break one rule each, and each breach is found by name.
+//! Guards against a judge that misses a broken rule or reports one that was kept: the testbed's
+//! baseline proxies break one rule each on purpose, and the judge has to report exactly the breach
+//! of that rule.
 
 use expect_test::expect;
 use std::process::Command;
 
 const TESTBED: &str = env!("CARGO_BIN_EXE_chalkwalk-testbed");
 
-/// The rules that a proxy was found to break, and whether the testbed's exit status means that all is well.
-fn broken(experiment: &str, proxy: &str) -> String {
+/// Runs an experiment with a baseline proxy, and returns one line with the broken rules that the
+/// testbed reports and its exit status: 0 if no rule was broken, 1 otherwise.
+fn run_and_list_broken_rules(experiment: &str, proxy: &str) -> String {
     let name = proxy.replace([' ', '-'], "_");
     let json = format!("{}/{}_{name}.json", env!("CARGO_TARGET_TMPDIR"), std::process::id());
     let file = format!("{}/tests/files/{experiment}.toml", env!("CARGO_MANIFEST_DIR"));
@@ -20,7 +23,7 @@
     let figures: serde_json::Value = serde_json::from_str(&json).expect("the figures are JSON");
     let mut rules: Vec<&str> = figures["breaches"]
         .as_array()
-        .expect("a list of breaches")
+        .expect("the figures have a list of breaches")
         .iter()
         .filter_map(|b| b.as_str()?.split(':').next())
         .collect();
@@ -41,11 +44,13 @@
         ("broken", "ring --break drained"),
         ("broken", "ring --break swap"),
         ("broken", "ring --break hold"),
-        // It takes no notice of clients that cancel.
+        // The baseline proxies ignore the cancellation of a request by its client.
         ("leaving", "ring"),
     ];
-    let seen: Vec<_> = runs.map(|(file, proxy)| std::thread::spawn(move || broken(file, proxy))).into();
-    let seen: String = seen.into_iter().map(|t| t.join().expect("a run")).collect();
+    let seen: Vec<_> =
+        runs.map(|(file, proxy)| std::thread::spawn(move || run_and_list_broken_rules(file, proxy))).into();
+    let seen: String =
+        seen.into_iter().map(|t| t.join().expect("the thread of a run does not panic")).collect();
     expect![[r#"
         relay: [], exit 0
         ring: [], exit 0
@@ -63,7 +68,7 @@
 
 #[test]
 fn an_experiment_that_makes_no_sense_is_refused_with_its_lines() {
-    let bad = r#"title = "Bad"
+    let with_invalid_values = r#"title = "Bad"
 seconds = 10
 [world]
 zones = ["north"]
@@ -95,11 +100,11 @@
 "#;
     let file = format!("{}/{}_bad.toml", env!("CARGO_TARGET_TMPDIR"), std::process::id());
     let check = |text: &str| {
-        std::fs::write(&file, text).expect("a file");
-        let out = Command::new(TESTBED).args(["check", &file]).output().expect("the lab");
+        std::fs::write(&file, text).expect("the experiment's file can be written");
+        let out = Command::new(TESTBED).args(["check", &file]).output().expect("the testbed starts");
         format!("{}\n{}", out.status, String::from_utf8_lossy(&out.stderr).replace(&file, "FILE"))
     };
-    let odd = "title = 'x'\nseconds = 3\nwhatever = 1\n";
+    let with_unknown_field = "title = 'x'\nseconds = 3\nwhatever = 1\n";
     expect![[r#"
         exit status: 2
         chalkwalk-testbed: FILE: line 6: mode is "beside", and has to be "aside" or "through"
@@ -112,5 +117,5 @@
         FILE: line 25: there is no server 2; they are numbered from 0 to 1
         exit status: 2
         chalkwalk-testbed: FILE: line 3: unknown field `whatever`, expected one of `title`, `seed`, `seconds`, `world`, `fleet`, `load`, `rules`, `bounds`, `namespace`, `trouble`
-    "#]].assert_eq(&(check(bad) + &check(odd)));
+    "#]].assert_eq(&(check(with_invalid_values) + &check(with_unknown_field)));
 }
