--- a/crates/testbed/src/baseline/mod.rs
+++ b/crates/testbed/src/baseline/mod.rs
@@ -23,8 +23,8 @@
 /// How a baseline proxy chooses a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Strategy {
-    /// Passes each request to the server chosen by its key's hash and makes no further attempt at
-    /// another server: the lowest possible cost per request.
+    /// Passes each request to the server chosen by its key's hash and does not retry; only a miss is
+    /// followed by an attempt at the origin. This is the lowest possible cost per request.
     Relay,
     /// A random ready server in the proxy's zone; another random one after a failure.
     Random,
@@ -116,7 +116,7 @@
 
 /// How long the proxy still accepts connections after SIGTERM.
 const ACCEPT_TIME_AFTER_SIGTERM: Duration = Duration::from_millis(500);
-/// How long requests in flight may take to end after that.
+/// How long requests in flight may take to end after `ACCEPT_TIME_AFTER_SIGTERM` has passed.
 const IN_FLIGHT_TIMEOUT: Duration = Duration::from_millis(2500);
 /// How often the proxy checks whether requests are still in flight.
 const IN_FLIGHT_POLL_INTERVAL: Duration = Duration::from_millis(5);
