--- a/crates/testbed/src/clock.rs
+++ b/crates/testbed/src/clock.rs
@@ -8,17 +8,17 @@
 pub type Micros = u64;
 
 /// One millisecond.
-pub const MILLI: Micros = 1_000;
+pub const MILLISECOND: Micros = 1_000;
 /// One second.
 pub const SECOND: Micros = 1_000_000;
 
 /// Converts seconds to whole microseconds; negative values become 0.
-pub fn micros(seconds: f64) -> Micros {
+pub fn micros_from_seconds(seconds: f64) -> Micros {
     (seconds.max(0.0) * 1e6).round() as Micros
 }
 
 /// Converts to seconds, for display.
-pub fn seconds(at: Micros) -> f64 {
+pub fn seconds_from_micros(at: Micros) -> f64 {
     at as f64 / 1e6
 }
 
@@ -29,7 +29,7 @@
 }
 
 /// Interval at which a sleeper checks whether the clock has been started.
-const START_POLL_INTERVAL: Micros = 5 * MILLI;
+const START_POLL_INTERVAL: Micros = 5 * MILLISECOND;
 
 /// A clock that all parts of a run share. Clones refer to the same clock.
 #[derive(Clone, Default)]
@@ -37,7 +37,7 @@
 
 impl Clock {
     /// Starts the clock. Until then, [`Clock::now`] returns 0.
-    pub fn begin(&self) {
+    pub fn start(&self) {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         _ = self.0.set(StartTime { instant: Instant::now(), unix_ms: unix.as_millis() as u64 });
     }
--- a/crates/testbed/src/evidence.rs
+++ b/crates/testbed/src/evidence.rs
@@ -78,7 +78,7 @@
         /// Which server.
         server: Index,
         /// Whether the server is draining or removed.
-        off: bool,
+        is_off: bool,
     },
     /// A server collapsed under the load from all proxies together.
     ServerCollapsed {
--- a/crates/testbed/src/experiment/faults.rs
+++ b/crates/testbed/src/experiment/faults.rs
@@ -1,6 +1,6 @@
 //! The table `[[trouble]]`: the injected faults, each with its kind, its start and its parameters.
 
-use crate::clock::{Micros, micros};
+use crate::clock::{Micros, micros_from_seconds};
 use serde::Deserialize;
 use std::ops::Range;
 
@@ -161,8 +161,8 @@
 impl Fault {
     /// The time from the fault's start to its end; a fault without a duration never ends.
     pub fn span(&self) -> Range<Micros> {
-        let at = micros(self.at);
-        at..self.duration.map_or(Micros::MAX, |duration| at + micros(duration))
+        let at = micros_from_seconds(self.at);
+        at..self.duration.map_or(Micros::MAX, |duration| at + micros_from_seconds(duration))
     }
 
     /// The optional fields by their names in the file, and whether this fault states them.
--- a/crates/testbed/src/experiment/mod.rs
+++ b/crates/testbed/src/experiment/mod.rs
@@ -21,7 +21,7 @@
 pub use faults::{Fault, FaultKind, Outage};
 pub use load::{CancellationBurst, HotKeys, Load, LoadStep, RequestClass, Tenant};
 
-use crate::clock::{Micros, SECOND, micros};
+use crate::clock::{Micros, SECOND, micros_from_seconds};
 use check::Check;
 use serde::Deserialize;
 use toml::Spanned;
@@ -113,6 +113,6 @@
     pub fn ends_at(&self) -> Micros {
         let limit = self.classes.iter().map(|class| class.limit_ms).fold(0.0, f64::max) / 1e3;
         let retry_time = f64::from(self.load.retries) * (limit + self.fleet.max_retry_after_s.max(1.0));
-        micros(self.seconds + limit + retry_time.min(MAX_RETRY_TIME_S)) + SECOND / 2
+        micros_from_seconds(self.seconds + limit + retry_time.min(MAX_RETRY_TIME_S)) + SECOND / 2
     }
 }
--- a/crates/testbed/src/fleet/actions.rs
+++ b/crates/testbed/src/fleet/actions.rs
@@ -1,7 +1,7 @@
 //! Turns faults of proxies into actions on single proxies, and carries them out.
 
 use super::{Fleet, KILL_GRACE, MAX_TIME_LIMIT};
-use crate::clock::{Micros, micros};
+use crate::clock::{Micros, micros_from_seconds};
 use crate::experiment::{Experiment, Fault, FaultKind};
 use crate::load::clients::Clients;
 use crate::load::front::LoadBalancer;
@@ -51,15 +51,15 @@
 
 /// The action of a fault on the i-th of its proxies, or `None` if the fault is not one of proxies.
 fn action_of(fault: &Fault, i: usize, proxy: usize) -> Option<ProxyAction> {
-    let at = micros(fault.at);
-    let interval = micros(fault.every.unwrap_or(0.0));
-    let down = micros(fault.down.unwrap_or(0.0));
+    let at = micros_from_seconds(fault.at);
+    let interval = micros_from_seconds(fault.every.unwrap_or(0.0));
+    let down = micros_from_seconds(fault.down.unwrap_or(0.0));
     let action = |kind, at, duration| Some(ProxyAction { at, proxy, kind, duration, interval });
     match fault.kind {
         FaultKind::ProxyKill | FaultKind::ProxyTerm => action(fault.kind, at, down),
         FaultKind::ProxyHup => action(fault.kind, at, 0),
         FaultKind::ProxyStop | FaultKind::Reload | FaultKind::FileRewrites => {
-            action(fault.kind, at, micros(fault.duration.unwrap_or(0.0)))
+            action(fault.kind, at, micros_from_seconds(fault.duration.unwrap_or(0.0)))
         }
         FaultKind::RestartWave => {
             let kind = if is_killed(fault, i) { FaultKind::ProxyKill } else { FaultKind::ProxyTerm };
@@ -95,7 +95,7 @@
 
     async fn kill(&self, proxy: usize, load_balancer: &LoadBalancer) {
         self.signal(proxy, Signal::KILL, "KILL");
-        load_balancer.mark_down(proxy, micros(self.site.experiment.fleet.detection_s));
+        load_balancer.mark_down(proxy, micros_from_seconds(self.site.experiment.fleet.detection_s));
         self.wait_for_end(proxy, Micros::MAX).await;
     }
 
@@ -103,8 +103,8 @@
     async fn terminate(&self, proxy: usize, load_balancer: &LoadBalancer) {
         let experiment = &self.site.experiment;
         self.signal(proxy, Signal::TERM, "TERM");
-        load_balancer.mark_down(proxy, micros(experiment.fleet.draining_detection_s));
-        let limits = experiment.classes.iter().map(|class| micros(class.limit_ms / 1e3));
+        load_balancer.mark_down(proxy, micros_from_seconds(experiment.fleet.draining_detection_s));
+        let limits = experiment.classes.iter().map(|class| micros_from_seconds(class.limit_ms / 1e3));
         let max_limit = limits.max().unwrap_or(0).min(MAX_TIME_LIMIT);
         self.wait_for_end(proxy, self.site.clock.now() + max_limit + KILL_GRACE).await;
     }
--- a/crates/testbed/src/fleet/config.rs
+++ b/crates/testbed/src/fleet/config.rs
@@ -3,7 +3,7 @@
 use super::Fleet;
 use super::process::proxy_name;
 use crate::experiment::{ListSource, Protocol, Repeats, RequestClass};
-use crate::model::etcd::ENDPOINTS;
+use crate::model::etcd::ENDPOINT_COUNT;
 use crate::model::server_list::FIRST_VERSION;
 use crate::stand_ins::Site;
 use crate::stand_ins::etcd::PREFIX;
@@ -73,7 +73,7 @@
     match fleet.list_source() {
         ListSource::Platform => String::new(),
         ListSource::Etcd => {
-            let endpoints = (0..ENDPOINTS).map(|endpoint| site.net.etcd(proxy, endpoint).to_string());
+            let endpoints = (0..ENDPOINT_COUNT).map(|endpoint| site.net.etcd(proxy, endpoint).to_string());
             format!(
                 "[membership]\nsource = \"etcd\"\nendpoints = [{}]\nprefix = \"{PREFIX}\"\ncount = {}\n",
                 toml_strings(endpoints),
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -220,7 +220,7 @@
     /// Writes each change of the endpoint list into the proxies' list files, if they have any;
     /// returns after the last change.
     pub async fn write_lists(self: Arc<Fleet>) {
-        for update in &self.site.timelines.updates {
+        for update in &self.site.timelines.list_updates {
             self.site.clock.sleep_until(update.published).await;
             for file in &self.lists {
                 file.write(&self.site, WriteMode::Replaced).await;
--- a/crates/testbed/src/load/clients.rs
+++ b/crates/testbed/src/load/clients.rs
@@ -3,7 +3,7 @@
 
 use super::connection::{ClientAnswer, ClientConnection, Try};
 use super::tries::TryOutcome;
-use crate::clock::{Clock, Micros, micros};
+use crate::clock::{Clock, Micros, micros_from_seconds};
 use crate::evidence::{ClientRequest, EventKind, Evidence, Id};
 use crate::experiment::{DedupGroup, Experiment, Repeats, RequestClass};
 use crate::load::front::LoadBalancer;
@@ -150,7 +150,7 @@
         self.open_requests.fetch_add(1, Ordering::Relaxed);
         let experiment = &self.experiment;
         let class = &experiment.classes[arrival.class];
-        let window_end = arrival.at + micros(class.window_ms / 1e3);
+        let window_end = arrival.at + micros_from_seconds(class.window_ms / 1e3);
         let mut first = None;
         let mut due = arrival.at;
         for retry in 0..=experiment.load.retries {
@@ -183,7 +183,8 @@
     /// rejected requests, and failed or unanswered ones that may run twice.
     fn wait_before_retry(&self, outcome: &TryOutcome, arrival: &Arrival, retry: u32) -> Option<Micros> {
         let class = &self.experiment.classes[arrival.class];
-        let backoff = micros(self.experiment.load.backoff_ms / 1e3) << retry.min(MAX_BACKOFF_DOUBLINGS);
+        let backoff =
+            micros_from_seconds(self.experiment.load.backoff_ms / 1e3) << retry.min(MAX_BACKOFF_DOUBLINGS);
         match outcome {
             TryOutcome::Rejected(Some(after)) if arrival.honors_retry_after => Some(*after),
             TryOutcome::Rejected(_) => Some(backoff),
--- a/crates/testbed/src/load/connection.rs
+++ b/crates/testbed/src/load/connection.rs
@@ -1,6 +1,6 @@
 //! One connection of a client to a proxy: writes requests and reads responses in the experiment's protocol.
 
-use crate::clock::{Micros, micros, seconds};
+use crate::clock::{Micros, micros_from_seconds, seconds_from_micros};
 use crate::evidence::Id;
 use crate::experiment::{Experiment, Protocol, Repeats};
 use crate::load::plan::Arrival;
@@ -41,7 +41,7 @@
 impl Try<'_> {
     /// The time limit.
     pub fn limit(&self) -> Micros {
-        micros(self.experiment.classes[self.arrival.class].limit_ms / 1e3)
+        micros_from_seconds(self.experiment.classes[self.arrival.class].limit_ms / 1e3)
     }
 
     /// Writes the request.
@@ -80,7 +80,7 @@
             self.arrival.key,
             self.id,
             class.name,
-            seconds(self.limit()),
+            seconds_from_micros(self.limit()),
         );
         if let Some(tenant) = self.experiment.load.tenants.get(self.arrival.tenant) {
             head += &format!("X-Facts: tenant={}\r\n", tenant.name);
@@ -119,7 +119,7 @@
         let retry_after = message.field("Retry-After").and_then(|value| value.parse::<f64>().ok());
         Ok(ClientAnswer {
             status: message.status,
-            retry_after: retry_after.map(micros),
+            retry_after: retry_after.map(micros_from_seconds),
             matches: message.status != 200 || is_for(message.body(), self.id),
             close: message.close,
         })
--- a/crates/testbed/src/load/plan.rs
+++ b/crates/testbed/src/load/plan.rs
@@ -1,7 +1,7 @@
 //! The plan of arrivals: when each first request arrives, and what it requests. It depends only on
 //! the experiment and its seed.
 
-use crate::clock::{Micros, micros};
+use crate::clock::{Micros, micros_from_seconds};
 use crate::experiment::{Experiment, HotKeys, LoadStep};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -133,12 +133,12 @@
         let cancels_after = self.draw_cancellation(self.experiment.classes[class].limit_ms / 1e3);
         let fraction = self.draw();
         Some(Arrival {
-            at: micros(self.at),
+            at: micros_from_seconds(self.at),
             class,
             key,
             tenant: self.tenants.pick(fraction),
             client: self.random.random_range(0..load.clients),
-            cancels_after: cancels_after.map(micros),
+            cancels_after: cancels_after.map(micros_from_seconds),
             honors_retry_after: self.draw() < load.honor_retry_after,
         })
     }
--- a/crates/testbed/src/load/tries.rs
+++ b/crates/testbed/src/load/tries.rs
@@ -3,7 +3,7 @@
 
 use super::clients::Clients;
 use super::connection::{ClientAnswer, ClientConnection, Try};
-use crate::clock::{MILLI, Micros};
+use crate::clock::{MILLISECOND, Micros};
 use crate::evidence::EventKind;
 use crate::experiment::Protocol;
 use crate::sync::lock;
@@ -16,10 +16,10 @@
 
 /// How long a client waits for a response beyond the time limit, to distinguish a late response
 /// from a missing one.
-const LATE_ANSWER_WAIT: Micros = 500 * MILLI;
+const LATE_ANSWER_WAIT: Micros = 500 * MILLISECOND;
 /// If a connection ends within this time after a request was written to it, the proxy is taken to
 /// have closed it before it could read the request.
-const CLOSE_RACE_WINDOW: Micros = 20 * MILLI;
+const CLOSE_RACE_WINDOW: Micros = 20 * MILLISECOND;
 /// Number of further proxies that are tried when one refuses a connection.
 const CONNECT_RETRIES: usize = 3;
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
--- a/crates/testbed/src/measure/during_faults.rs
+++ b/crates/testbed/src/measure/during_faults.rs
@@ -2,7 +2,7 @@
 
 use super::firsts::FirstRequest;
 use super::share;
-use crate::clock::{Micros, SECOND, micros};
+use crate::clock::{Micros, SECOND, micros_from_seconds};
 use crate::experiment::Experiment;
 use crate::oracle::{Outcome, Verdict};
 use serde::Serialize;
@@ -43,7 +43,7 @@
         let spans = || experiment.each_fault().map(|fault| fault.span());
         let start = spans().map(|span| span.start).min()?;
         let end = spans().map(|span| span.end).max()?;
-        if end > micros(experiment.seconds) {
+        if end > micros_from_seconds(experiment.seconds) {
             return None;
         }
         let span = start..end;
@@ -74,7 +74,7 @@
 
 fn recovered_s(experiment: &Experiment, firsts: &[FirstRequest], faults: &Range<Micros>) -> Option<f64> {
     let share_before = in_time_within(experiment, firsts, &(0..faults.start));
-    let seconds_after = (micros(experiment.seconds) - faults.end) / SECOND;
+    let seconds_after = (micros_from_seconds(experiment.seconds) - faults.end) / SECOND;
     let is_recovered = |second: u64| {
         let start = faults.end + second * SECOND;
         in_time_within(experiment, firsts, &(start..start + SECOND)) >= share_before - RECOVERY_TOLERANCE
--- a/crates/testbed/src/measure/firsts.rs
+++ b/crates/testbed/src/measure/firsts.rs
@@ -1,7 +1,7 @@
 //! First requests, each with the combined result of the client's tries.
 
 use super::share;
-use crate::clock::{Micros, SECOND, micros};
+use crate::clock::{Micros, SECOND, micros_from_seconds};
 use crate::evidence::Id;
 use crate::experiment::Experiment;
 use crate::oracle::{Outcome, RequestRecord};
@@ -23,7 +23,7 @@
 impl FirstRequest<'_> {
     /// Whether one of the tries was served within the latency objective.
     pub fn is_in_time(&self, experiment: &Experiment) -> bool {
-        let target = micros(experiment.classes[self.record.request.class].target_ms / 1e3);
+        let target = micros_from_seconds(experiment.classes[self.record.request.class].target_ms / 1e3);
         self.served_at.is_some_and(|at| at <= self.record.request.due + target)
     }
 }
--- a/crates/testbed/src/measure/mod.rs
+++ b/crates/testbed/src/measure/mod.rs
@@ -14,7 +14,7 @@
 pub use sources::{DrainFigures, EtcdFigures, Redirections};
 pub use steps::{TIME_STEP, TimeStep, over_time};
 
-use crate::clock::{MILLI, Micros};
+use crate::clock::{MILLISECOND, Micros};
 use crate::experiment::Experiment;
 use crate::fleet::Sample;
 use crate::oracle::{Outcome, Verdict};
@@ -31,12 +31,12 @@
 
 /// A quantile of the latencies, in milliseconds.
 fn quantile_ms(latencies: &Histogram<u64>, quantile: f64) -> f64 {
-    latencies.value_at_quantile(quantile) as f64 / MILLI as f64
+    latencies.value_at_quantile(quantile) as f64 / MILLISECOND as f64
 }
 
 /// The maximum latency, in milliseconds.
 fn max_ms(latencies: &Histogram<u64>) -> f64 {
-    latencies.max() as f64 / MILLI as f64
+    latencies.max() as f64 / MILLISECOND as f64
 }
 
 /// `part` divided by `whole`; 0 if `whole` is 0.
@@ -194,7 +194,7 @@
             breaches_in_all: verdict.breaches.len() + verdict.unlisted_breaches,
             cpu_us_per_request: cpu_us as f64 / answered.max(1) as f64,
             memory_mb_peak: traffic::peak_memory_mb(samples),
-            send_delay_p99_ms: clients.send_delay_p99 as f64 / MILLI as f64,
+            send_delay_p99_ms: clients.send_delay_p99 as f64 / MILLISECOND as f64,
             connects_refused: clients.connects_refused,
             sent_again: clients.sent_again,
         }
--- a/crates/testbed/src/model/cluster/build.rs
+++ b/crates/testbed/src/model/cluster/build.rs
@@ -1,7 +1,7 @@
 //! Derives the cluster's state over a run from an experiment's faults.
 
 use super::{BLOCK_COUNT, Cluster, Loading, Migration, Ownership, StaleMap};
-use crate::clock::{Micros, SECOND, micros};
+use crate::clock::{Micros, SECOND, micros_from_seconds};
 use crate::experiment::{Experiment, Fault, FaultKind};
 
 /// Duration of a block's migration, as a share of the interval between two migrations.
@@ -66,7 +66,7 @@
     /// causes.
     fn apply(&mut self, experiment: &Experiment, fault: &Fault) -> Vec<OwnershipChange> {
         let targets = experiment.targets(fault);
-        let at = micros(fault.at);
+        let at = micros_from_seconds(fault.at);
         match fault.kind {
             FaultKind::SlotsMove => migrations(fault),
             FaultKind::Failover => {
@@ -79,7 +79,7 @@
                 Vec::new()
             }
             FaultKind::OldMap => {
-                let lag = micros(fault.by.unwrap_or(DEFAULT_SECONDS));
+                let lag = micros_from_seconds(fault.by.unwrap_or(DEFAULT_SECONDS));
                 let stale_map = |server| StaleMap { server, span: fault.span(), lag };
                 self.stale_maps.extend(targets.into_iter().map(stale_map));
                 Vec::new()
@@ -89,7 +89,8 @@
     }
 
     fn add_loading(&mut self, fault: &Fault, servers: &[usize]) {
-        let returns = micros(fault.at) + micros(fault.down.unwrap_or(DEFAULT_SECONDS));
+        let returns =
+            micros_from_seconds(fault.at) + micros_from_seconds(fault.down.unwrap_or(DEFAULT_SECONDS));
         let loading = |server: &usize| Loading { server: *server, span: returns..returns + LOADING_TIME };
         self.loading.extend(servers.iter().map(loading));
     }
@@ -124,7 +125,7 @@
 /// The migrations of a fault: one block per interval, for as long as the fault lasts.
 fn migrations(fault: &Fault) -> Vec<OwnershipChange> {
     let span = fault.span();
-    let interval = micros(fault.every.unwrap_or(DEFAULT_SECONDS)).max(1);
+    let interval = micros_from_seconds(fault.every.unwrap_or(DEFAULT_SECONDS)).max(1);
     let migration = |n: u64| {
         let start = span.start + n * interval;
         let end = start + (interval as f64 * MIGRATION_SHARE) as Micros;
--- a/crates/testbed/src/model/etcd.rs
+++ b/crates/testbed/src/model/etcd.rs
@@ -1,12 +1,12 @@
 //! An etcd cluster of three endpoints over one store: its faults over a run, and which state of the
 //! store each endpoint sees.
 
-use crate::clock::{Micros, SECOND, micros};
+use crate::clock::{Micros, SECOND, micros_from_seconds};
 use crate::experiment::{Experiment, FaultKind};
 use std::ops::Range;
 
 /// Number of endpoints in the cluster.
-pub const ENDPOINTS: usize = 3;
+pub const ENDPOINT_COUNT: usize = 3;
 /// The endpoint that lags in a fault that makes one endpoint lag.
 const LAGGING_ENDPOINT: usize = 2;
 /// Calls that need a quorum fail after this time where there is none, as with the timeout of an
@@ -63,7 +63,7 @@
         for fault in experiment.each_fault() {
             let span = fault.span();
             let at = span.start;
-            let offset = micros(fault.by.unwrap_or(0.0));
+            let offset = micros_from_seconds(fault.by.unwrap_or(0.0));
             match fault.kind {
                 FaultKind::EtcdDown => timeline.outages.push(span),
                 FaultKind::EtcdStall => timeline.stalls.push(span),
--- a/crates/testbed/src/model/server.rs
+++ b/crates/testbed/src/model/server.rs
@@ -21,7 +21,7 @@
     /// A rejection which states that the request was not executed.
     Unprocessed,
     /// No reply at all.
-    Silence,
+    NoReply,
     /// A reset of the connection.
     Reset,
     /// A response that ends after half of the value.
@@ -128,7 +128,7 @@
     fn after_work(&self, done: Micros) -> Option<(Reply, Micros)> {
         if self.is_unanswered() {
             // The caller cannot learn whether the request was executed. In the model, it was.
-            return Some((Reply::Silence, Micros::MAX));
+            return Some((Reply::NoReply, Micros::MAX));
         }
         if self.has(Misbehavior::Truncates) {
             return Some((Reply::Truncated, done));
@@ -246,7 +246,7 @@
         };
         if is_miss {
             let silent = misbehaviors.is_unanswered();
-            let (reply, at) = if silent { (Reply::Silence, Micros::MAX) } else { (Reply::Miss, done) };
+            let (reply, at) = if silent { (Reply::NoReply, Micros::MAX) } else { (Reply::Miss, done) };
             return PlannedReply::no_effect(reply, at);
         }
         let executed = |reply, at| PlannedReply { takes_effect: true, ..PlannedReply::no_effect(reply, at) };
--- a/crates/testbed/src/model/timeline/build.rs
+++ b/crates/testbed/src/model/timeline/build.rs
@@ -4,7 +4,7 @@
     EndpointStatus, Incarnation, ListOutage, ListUpdate, Misbehavior, MisbehaviorSpan, OriginFailure,
     Reachability, ServerTimeline, Timelines, ZoneCut,
 };
-use crate::clock::{Micros, SECOND, micros};
+use crate::clock::{Micros, SECOND, micros_from_seconds};
 use crate::experiment::{Experiment, Fault, FaultKind};
 use std::ops::Range;
 
@@ -17,7 +17,7 @@
 
 /// A duration of a fault that its kind requires.
 fn required_duration(seconds: Option<f64>) -> Micros {
-    micros(seconds.unwrap_or(DEFAULT_SECONDS))
+    micros_from_seconds(seconds.unwrap_or(DEFAULT_SECONDS))
 }
 
 fn misbehavior(kind: FaultKind) -> Option<Misbehavior> {
@@ -80,11 +80,11 @@
         let mut builder = Builder {
             experiment,
             timelines: Timelines { servers, ..Timelines::default() },
-            list_delay: micros(world.list_delay_s),
+            list_delay: micros_from_seconds(world.list_delay_s),
             list_delays: Vec::new(),
         };
         let mut faults: Vec<&Fault> = experiment.each_fault().collect();
-        faults.sort_by_key(|fault| micros(fault.at));
+        faults.sort_by_key(|fault| micros_from_seconds(fault.at));
         for fault in faults {
             builder.apply(fault);
         }
@@ -148,7 +148,8 @@
             FaultKind::ListOld => timelines.stale_list_spans.push(span),
             FaultKind::ListSilent => timelines.list_silences.push(span.start),
             FaultKind::ListLate => {
-                self.list_delays.push(ListDelay { span, delay: micros(fault.by.unwrap_or(0.0)) });
+                self.list_delays
+                    .push(ListDelay { span, delay: micros_from_seconds(fault.by.unwrap_or(0.0)) });
             }
             // Faults of proxies, etcd and hash slots are in other timelines.
             _ => {}
@@ -190,7 +191,7 @@
     }
 
     fn publish(&mut self, published: Micros, server: usize, status: EndpointStatus, started: Micros) {
-        self.timelines.updates.push(ListUpdate { published, server, status, started });
+        self.timelines.list_updates.push(ListUpdate { published, server, status, started });
     }
 
     /// Takes a server down for a span, after which it returns in slow start. The list publishes
@@ -212,17 +213,17 @@
 
     fn finish(self) -> Timelines {
         let mut timelines = self.timelines;
-        for update in &mut timelines.updates {
+        for update in &mut timelines.list_updates {
             let delays = self.list_delays.iter().filter(|delay| delay.span.contains(&update.published));
             let delay = delays.map(|delay| delay.delay).max();
             update.published += delay.unwrap_or(0);
         }
-        timelines.updates.sort_by_key(|update| (update.published, update.server));
+        timelines.list_updates.sort_by_key(|update| (update.published, update.server));
         let world = &self.experiment.world;
         for timeline in &mut timelines.servers {
             let starts = timeline.incarnations.iter().map(|process| process.started);
             for started in starts.filter(|started| *started > 0) {
-                let duration = micros(world.slow_start_s);
+                let duration = micros_from_seconds(world.slow_start_s);
                 timeline.speed.slow_start(started, world.slow_start_share, duration);
             }
         }
--- a/crates/testbed/src/model/timeline/mod.rs
+++ b/crates/testbed/src/model/timeline/mod.rs
@@ -156,7 +156,7 @@
     /// When zones are cut off.
     pub zone_cuts: Vec<ZoneCut>,
     /// Changes of the list, in order of publication.
-    pub updates: Vec<ListUpdate>,
+    pub list_updates: Vec<ListUpdate>,
     /// When the list is down.
     pub list_outages: Vec<ListOutage>,
     /// When the list answers with an earlier state.
--- a/crates/testbed/src/notified.rs
+++ b/crates/testbed/src/notified.rs
@@ -14,7 +14,7 @@
 
 /// The time from which a proxy is presumed to be notified that a server is off or back in service.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Notified {
+pub struct Notification {
     /// The time of the notification.
     pub at: Micros,
     /// The proxy that is notified.
@@ -22,25 +22,29 @@
     /// The server that is off or back in service.
     pub server: Index,
     /// Whether the server is off; otherwise it is back in service.
-    pub off: bool,
+    pub is_off: bool,
 }
 
 /// The presumed notifications of all proxies about all changes, in order of time. Empty for etcd as
 /// the list source, which has other kinds of outages: there, proxies are held only to the
 /// notifications that were sent.
-pub fn presumed(experiment: &Experiment, timelines: &Timelines, events: &[Event]) -> Vec<Notified> {
+pub fn presumed_notifications(
+    experiment: &Experiment,
+    timelines: &Timelines,
+    events: &[Event],
+) -> Vec<Notification> {
     if experiment.fleet.list_source() == ListSource::Etcd {
         return Vec::new();
     }
     let mut notifications = Vec::new();
     for proxy in 0..experiment.fleet.proxies {
         let unreachable_spans = unreachable_spans(experiment, timelines, events, proxy);
-        for (i, update) in timelines.updates.iter().enumerate() {
-            let later_updates = &timelines.updates[i + 1..];
+        for (i, update) in timelines.list_updates.iter().enumerate() {
+            let later_updates = &timelines.list_updates[i + 1..];
             notifications.extend(notifications_of(update, later_updates, proxy as Index, &unreachable_spans));
         }
     }
-    notifications.sort_by_key(|notified| notified.at);
+    notifications.sort_by_key(|notification| notification.at);
     notifications
 }
 
@@ -50,10 +54,10 @@
     later_updates: &[ListUpdate],
     proxy: Index,
     unreachable_spans: &[Range<Micros>],
-) -> Vec<Notified> {
+) -> Vec<Notification> {
     let server = update.server as Index;
     if update.status == EndpointStatus::Ready {
-        return vec![Notified { at: update.published, proxy, server, off: false }];
+        return vec![Notification { at: update.published, proxy, server, is_off: false }];
     }
     let is_back = |next: &&ListUpdate| next.server == update.server && next.status == EndpointStatus::Ready;
     let back_at = later_updates.iter().find(is_back).map_or(Micros::MAX, |next| next.published);
@@ -61,7 +65,7 @@
     reachable_for_long_enough(unreachable_spans, update.published)
         .into_iter()
         .filter(|at| *at < back_at)
-        .map(|at| Notified { at, proxy, server, off: true })
+        .map(|at| Notification { at, proxy, server, is_off: true })
         .collect()
 }
 
--- a/crates/testbed/src/oracle/attempts.rs
+++ b/crates/testbed/src/oracle/attempts.rs
@@ -2,13 +2,13 @@
 //! which requests must not run again.
 
 use super::{Attempt, Judge, RequestRecord, Rule};
-use crate::clock::{MILLI, Micros, micros, seconds};
+use crate::clock::{MILLISECOND, Micros, micros_from_seconds, seconds_from_micros};
 use crate::evidence::Index;
 use crate::experiment::{DedupGroup, Repeats, RequestClass};
 
 /// Servers recognise a repeat of a tagged request within the deduplication window, give or take
 /// this tolerance.
-const DEDUP_WINDOW_TOLERANCE: Micros = 10 * MILLI;
+const DEDUP_WINDOW_TOLERANCE: Micros = 10 * MILLISECOND;
 
 /// A breach found on one request, without the request's id and proxy.
 pub(super) struct Finding {
@@ -25,7 +25,7 @@
 }
 
 fn dedup_window(class: &RequestClass) -> Micros {
-    micros(class.window_ms / 1e3) + DEDUP_WINDOW_TOLERANCE
+    micros_from_seconds(class.window_ms / 1e3) + DEDUP_WINDOW_TOLERANCE
 }
 
 impl Judge<'_> {
@@ -56,7 +56,7 @@
         if self.experiment.fleet.hedging {
             return None;
         }
-        let overlap = micros(self.experiment.rules.overlap_ms / 1e3);
+        let overlap = micros_from_seconds(self.experiment.rules.overlap_ms / 1e3);
         let in_flight = |other: &&Attempt| other.end().is_none_or(|end| end > next.started + overlap);
         let other = before.iter().find(in_flight)?;
         let seen = format!(
@@ -88,8 +88,12 @@
             return Some("tagged, and the servers are in different deduplication groups".into());
         }
         let (first_sent, next_sent) = (first.sent(), next.sent());
-        (next_sent > first_sent + dedup_window(class))
-            .then(|| format!("tagged, sent {:.3} s after the first attempt", seconds(next_sent - first_sent)))
+        (next_sent > first_sent + dedup_window(class)).then(|| {
+            format!(
+                "tagged, sent {:.3} s after the first attempt",
+                seconds_from_micros(next_sent - first_sent)
+            )
+        })
     }
 
     /// Whether two servers are in the same deduplication group, so that each drops repeats of what
@@ -125,7 +129,7 @@
         Repeats::Tagged => (retry_at > first_sent + dedup_window(class)).then(|| {
             format!(
                 "tagged, and its retry is due {:.3} s after the first attempt",
-                seconds(retry_at - first_sent)
+                seconds_from_micros(retry_at - first_sent)
             )
         }),
     }
--- a/crates/testbed/src/oracle/drains.rs
+++ b/crates/testbed/src/oracle/drains.rs
@@ -3,9 +3,9 @@
 //! change to it, and also counts as notified after the time in `notified`, whatever was written.
 
 use super::{Judge, Rule};
-use crate::clock::{Micros, micros, seconds};
+use crate::clock::{Micros, micros_from_seconds, seconds_from_micros};
 use crate::evidence::{Event, EventKind, Index};
-use crate::notified::{self, Notified};
+use crate::notified::{self, Notification};
 use std::collections::HashMap;
 
 /// A notification of a proxy that a server is off, and the proxy's last attempt there.
@@ -27,16 +27,16 @@
     /// Index into `drains` of the current drain that the list's server has written to the proxy.
     written: HashMap<ProxyServer, usize>,
     /// Since when the proxy counts as notified that the server is off.
-    presumed: HashMap<ProxyServer, Micros>,
+    presumed_off_since: HashMap<ProxyServer, Micros>,
 }
 
 impl OffServers {
-    fn apply_presumed(&mut self, notified: &Notified) {
-        let pair = (notified.proxy, notified.server);
-        if notified.off {
-            self.presumed.entry(pair).or_insert(notified.at);
+    fn apply_presumed(&mut self, notification: &Notification) {
+        let pair = (notification.proxy, notification.server);
+        if notification.is_off {
+            self.presumed_off_since.entry(pair).or_insert(notification.at);
         } else {
-            self.presumed.remove(&pair);
+            self.presumed_off_since.remove(&pair);
         }
     }
 
@@ -51,22 +51,22 @@
     /// Drops what a proxy's ended process knew: the next process knows only its own notifications.
     fn forget_proxy(&mut self, proxy: Index) {
         self.written.retain(|(of, _), _| *of != proxy);
-        self.presumed.retain(|(of, _), _| *of != proxy);
+        self.presumed_off_since.retain(|(of, _), _| *of != proxy);
     }
 
     /// Says what is wrong with an attempt that starts at `at`, more than `grace` after the
     /// notification; `None` if the attempt is allowed.
     fn check_attempt(&mut self, pair: ProxyServer, at: Micros, grace: Micros) -> Option<String> {
         let server = pair.1;
-        if let Some(since) = self.presumed.get(&pair).filter(|since| at > **since + grace) {
-            let after = seconds(at - since);
+        if let Some(since) = self.presumed_off_since.get(&pair).filter(|since| at > **since + grace) {
+            let after = seconds_from_micros(at - since);
             return Some(format!(
                 "server {server} was sent an attempt {after:.3} s after its proxy counts as notified that it is off, whatever was written"
             ));
         }
         let drain = &mut self.drains[*self.written.get(&pair)?];
         drain.last_attempt_at = at;
-        let after = seconds(at - drain.notified_at);
+        let after = seconds_from_micros(at - drain.notified_at);
         (at > drain.notified_at + grace).then(|| {
             format!(
                 "server {server} was sent an attempt {after:.3} s after its proxy was notified that it is off"
@@ -78,19 +78,20 @@
 impl Judge<'_> {
     pub(super) fn check_drains(&mut self, events: &[Event]) {
         let rules = &self.experiment.rules;
-        let grace = micros(self.experiment.fleet.drain_grace_s) + micros(rules.drain_ms / 1e3);
+        let grace = micros_from_seconds(self.experiment.fleet.drain_grace_s)
+            + micros_from_seconds(rules.drain_ms / 1e3);
         let mut off = OffServers::default();
-        let presumed = notified::presumed(self.experiment, &self.timelines, events);
+        let presumed = notified::presumed_notifications(self.experiment, &self.timelines, events);
         let mut presumed = presumed.iter().peekable();
         for event in events {
-            while let Some(notified) = presumed.next_if(|notified| notified.at <= event.at) {
-                off.apply_presumed(notified);
+            while let Some(notification) = presumed.next_if(|notification| notification.at <= event.at) {
+                off.apply_presumed(notification);
             }
             match event.kind {
-                EventKind::Notified { server, off: true } => {
+                EventKind::Notified { server, is_off: true } => {
                     off.add_written((event.proxy, server), event.at);
                 }
-                EventKind::Notified { server, off: false } => {
+                EventKind::Notified { server, is_off: false } => {
                     off.written.remove(&(event.proxy, server));
                 }
                 EventKind::ProcessEnded { .. } => off.forget_proxy(event.proxy),
--- a/crates/testbed/src/oracle/mod.rs
+++ b/crates/testbed/src/oracle/mod.rs
@@ -11,7 +11,7 @@
 pub use drains::Drain;
 pub use records::{AnswerRecord, Attempt, Outcome, RequestRecord};
 
-use crate::clock::{Micros, seconds};
+use crate::clock::{Micros, seconds_from_micros};
 use crate::evidence::{ClientRequest, Event, EventKind, Id, Index};
 use crate::experiment::Experiment;
 use crate::model::timeline::Timelines;
@@ -91,7 +91,7 @@
 
 impl fmt::Display for Breach {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (rule, at) = (self.rule.breach(), seconds(self.at));
+        let (rule, at) = (self.rule.breach(), seconds_from_micros(self.at));
         write!(f, "{rule}: {at:.3} s, request {:016x}, proxy {}: {}", self.id, self.proxy, self.seen)
     }
 }
--- a/crates/testbed/src/oracle/requests.rs
+++ b/crates/testbed/src/oracle/requests.rs
@@ -4,12 +4,12 @@
 use super::attempts::{Finding, unsafe_rejection};
 use super::spans::AttemptSpans;
 use super::{AnswerRecord, Breach, Judge, Kill, Outcome, RequestRecord, Rule};
-use crate::clock::{MILLI, Micros, micros, seconds};
+use crate::clock::{MILLISECOND, Micros, micros_from_seconds, seconds_from_micros};
 use crate::model::timeline::Reachability;
 
 /// The maximum time between the recorded end of a killed process and the end of its connections as
 /// a client sees it, in either order.
-const KILL_TOLERANCE: Micros = 100 * MILLI;
+const KILL_TOLERANCE: Micros = 100 * MILLISECOND;
 
 impl Judge<'_> {
     pub(super) fn check_request(&mut self, record: &mut RequestRecord, spans: &AttemptSpans) {
@@ -39,9 +39,10 @@
         let class = &self.experiment.classes[record.request.class];
         let at = answer.at;
         let mut findings = Vec::new();
-        let latest_allowed = sent + record.request.limit + micros(self.experiment.rules.late_ms / 1e3);
+        let latest_allowed =
+            sent + record.request.limit + micros_from_seconds(self.experiment.rules.late_ms / 1e3);
         if at > latest_allowed && !self.was_stopped(record.proxy, sent, at) {
-            let late = seconds(at - sent - record.request.limit);
+            let late = seconds_from_micros(at - sent - record.request.limit);
             findings.push(Finding::new(
                 Rule::InTimeLimit,
                 at,
@@ -69,9 +70,9 @@
     /// end of the connection before it sends.
     fn sent_after_cancel(&self, record: &RequestRecord) -> Option<Finding> {
         let cancelled = record.end.filter(|_| record.outcome == Outcome::Cancelled)?.at;
-        let latest_allowed = cancelled + micros(self.experiment.rules.cancel_delay_ms / 1e3);
+        let latest_allowed = cancelled + micros_from_seconds(self.experiment.rules.cancel_delay_ms / 1e3);
         let attempt = record.attempts.iter().find(|attempt| attempt.started > latest_allowed)?;
-        let after = seconds(attempt.started - cancelled);
+        let after = seconds_from_micros(attempt.started - cancelled);
         let seen =
             format!("an attempt reached server {} {after:.3} s after the cancellation", attempt.server);
         Some(Finding::new(Rule::NothingAfterCancel, attempt.started, seen))
@@ -111,7 +112,7 @@
         at: Micros,
         spans: &AttemptSpans,
     ) -> Option<String> {
-        let max_delay = micros(self.experiment.rules.refusal_delay_ms / 1e3);
+        let max_delay = micros_from_seconds(self.experiment.rules.refusal_delay_ms / 1e3);
         let ends = record.attempts.iter().map(|attempt| attempt.end().unwrap_or(Micros::MAX));
         let last_event = ends.max().unwrap_or(sent).max(sent);
         // An attempt that waits for a connection to a silent peer leaves no event.
@@ -122,7 +123,8 @@
         let gap = spans.longest_gap(record.proxy, record.request.key, last_event, at);
         let after =
             if record.attempts.is_empty() { "the request was sent" } else { "the end of its last attempt" };
-        (gap > max_delay).then(|| format!("it came {:.3} s after {after}", seconds(at - last_event)))
+        (gap > max_delay)
+            .then(|| format!("it came {:.3} s after {after}", seconds_from_micros(at - last_event)))
     }
 
     /// Whether some server, or the origin, was silent to a proxy at any time between `from` and
--- a/crates/testbed/src/report/charts.rs
+++ b/crates/testbed/src/report/charts.rs
@@ -1,6 +1,6 @@
 //! Draws charts over time as SVG, with faults as coloured bands behind the lines.
 
-use crate::clock::seconds;
+use crate::clock::seconds_from_micros;
 use crate::measure::{TIME_STEP, TimeStep};
 use plotters::coord::Shift;
 use plotters::prelude::*;
@@ -114,7 +114,7 @@
     chart.draw_series(bands.iter().map(band))?;
     chart.configure_mesh().light_line_style(TRANSPARENT).x_labels(20).y_labels(6).draw()?;
     for line in lines {
-        let step_middle_s = |i: usize| seconds(TIME_STEP) * (i as f64 + 0.5);
+        let step_middle_s = |i: usize| seconds_from_micros(TIME_STEP) * (i as f64 + 0.5);
         let points = line.values.iter().enumerate().map(|(i, value)| (step_middle_s(i), *value));
         let drawn = chart.draw_series(LineSeries::new(points, line.colour.stroke_width(2)))?;
         if !line.name.is_empty() {
--- a/crates/testbed/src/report/page.rs
+++ b/crates/testbed/src/report/page.rs
@@ -4,7 +4,7 @@
 
 use super::charts::{Band, Line, chart, line_for_each};
 use super::verdict::verdict;
-use crate::clock::seconds;
+use crate::clock::seconds_from_micros;
 use crate::experiment::Fault;
 use crate::measure::{TIME_STEP, TimeStep, over_time};
 use crate::run::RunResult;
@@ -30,7 +30,7 @@
 pub fn page(result: &RunResult) -> Result<String, ChartError> {
     let steps = over_time(&result.experiment, &result.verdict, &result.samples);
     let end_s = result.experiment.seconds + TIME_AFTER_LAST_REQUEST_S;
-    let steps = &steps[..((end_s / seconds(TIME_STEP)) as usize).min(steps.len())];
+    let steps = &steps[..((end_s / seconds_from_micros(TIME_STEP)) as usize).min(steps.len())];
     let bands = bands(result, end_s);
     let mut html = head(result);
     if !bands.is_empty() {
@@ -111,7 +111,7 @@
 }
 
 fn rates(steps: &[TimeStep]) -> Vec<Line> {
-    let per_second = |count: usize| count as f64 / seconds(TIME_STEP);
+    let per_second = |count: usize| count as f64 / seconds_from_micros(TIME_STEP);
     vec![
         Line::new(steps, "first requests due", GREY_600, |step| per_second(step.first_requests)),
         Line::new(steps, "first requests in time", GREEN_700, |step| per_second(step.in_time)),
--- a/crates/testbed/src/resp.rs
+++ b/crates/testbed/src/resp.rs
@@ -2,7 +2,7 @@
 //! are never aggregates. It shares no code with the proxy, so that a bug in the proxy's codec
 //! cannot hide itself.
 
-use crate::clock::{MILLI, Micros};
+use crate::clock::{MILLISECOND, Micros};
 use crate::model::cluster::SLOT_COUNT;
 use crate::wire::{Connection, ReadError};
 
@@ -102,7 +102,7 @@
             return Ok(message);
         }
         let partial = !connection.buffered.is_empty();
-        if connection.buffered.len() > MAX_MESSAGE_BYTES || !matches!(connection.fill().await, Ok(1..)) {
+        if connection.buffered.len() > MAX_MESSAGE_BYTES || !matches!(connection.read_more().await, Ok(1..)) {
             return Err(if partial { ReadError::Truncated } else { ReadError::Closed });
         }
     }
@@ -152,7 +152,7 @@
 fn retry_after(text: &str) -> Option<Micros> {
     let words: Vec<&str> = text.split(' ').collect();
     let before_ms = words.windows(2).find(|pair| pair[1] == "ms")?;
-    before_ms[0].parse::<u64>().ok().map(|ms| ms * MILLI)
+    before_ms[0].parse::<u64>().ok().map(|ms| ms * MILLISECOND)
 }
 
 #[cfg(test)]
--- a/crates/testbed/src/run.rs
+++ b/crates/testbed/src/run.rs
@@ -1,6 +1,6 @@
 //! Runs one experiment, from opening the simulated services to the verdict.
 
-use crate::clock::{Clock, SECOND, seconds};
+use crate::clock::{Clock, SECOND, seconds_from_micros};
 use crate::experiment::{Experiment, ListSource};
 use crate::fleet::{Fleet, FleetError, Sample, StartSettings, proxy_actions};
 use crate::load::clients::Clients;
@@ -141,7 +141,7 @@
             executor.spawn(self.site.clone().write_etcd()).detach();
         }
         self.fleet.start_all(&self.clients.load_balancer).await?;
-        self.clock.begin();
+        self.clock.start();
         executor.spawn(self.fleet.clone().sample_periodically()).detach();
         executor.spawn(self.fleet.clone().write_lists()).detach();
         executor.spawn(self.clients.clone().run_plan(executor.clone())).detach();
@@ -208,7 +208,7 @@
         let now = clock.now();
         let on = experiment.each_fault().filter(|fault| fault.span().contains(&now));
         let on: Vec<String> = on.map(|fault| fault.kind.to_string()).collect();
-        bar.set_position(seconds(now) as u64);
+        bar.set_position(seconds_from_micros(now) as u64);
         bar.set_message(format!("{}  {}", clients.status_line(), on.join(" ")));
         Timer::after(REDRAW_INTERVAL).await;
     }
@@ -222,7 +222,7 @@
     let mut signals = Signals::new([Signal::Term, Signal::Int]).map_err(RunError::Signals)?;
     smol::block_on(async {
         run.fleet.start_all(&run.clients.load_balancer).await?;
-        run.clock.begin();
+        run.clock.start();
         // Request ids that the testbed did not issue, such as those typed by hand, count as
         // requests of the first class.
         run.site.evidence.accept_any();
--- a/crates/testbed/src/stand_ins/decide.rs
+++ b/crates/testbed/src/stand_ins/decide.rs
@@ -1,7 +1,7 @@
 //! Decides the outcome of an attempt: asks the models, and records the effects of their answer.
 
 use super::{MissedServer, RunningServer, Site, TagKey};
-use crate::clock::{MILLI, Micros, micros};
+use crate::clock::{MILLISECOND, Micros, micros_from_seconds};
 use crate::evidence::{ClientRequest, EventKind, Id};
 use crate::experiment::{DedupGroup, Protocol, Repeats, RequestClass};
 use crate::model::server::{AttemptInput, PlannedReply, Reply, ServerModel};
@@ -72,7 +72,7 @@
         match self.fetch(now, origin_fails) {
             Some(at) => PlannedReply { takes_effect: true, ..PlannedReply::no_effect(Reply::Fetched, at) },
             // The caller cannot learn whether the effect was applied. In the model, it was not.
-            None if origin_fails => PlannedReply::no_effect(Reply::Error, now + MILLI),
+            None if origin_fails => PlannedReply::no_effect(Reply::Error, now + MILLISECOND),
             None => PlannedReply::no_effect(Reply::Unprocessed, now),
         }
     }
@@ -105,7 +105,7 @@
             DedupGroup::Zone => (attempt.server % self.zones()) as u64,
             DedupGroup::Cell => self.experiment.cell_of(attempt.server),
         };
-        let (now, window) = (attempt.now, micros(class.window_ms / 1e3));
+        let (now, window) = (attempt.now, micros_from_seconds(class.window_ms / 1e3));
         let mut tagged_effects = lock(&self.tagged_effects);
         if tagged_effects.len() >= MAX_TAGS {
             tagged_effects.retain(|_, applied_at| now < *applied_at + window);
--- a/crates/testbed/src/stand_ins/etcd/mod.rs
+++ b/crates/testbed/src/stand_ins/etcd/mod.rs
@@ -115,17 +115,17 @@
     /// unless it shows a later start.
     fn record_notified(&self, proxy: usize, server: usize, revision: i64, value: Option<&[u8]>) {
         let fields: Option<Value> = value.and_then(|value| serde_json::from_slice(value).ok());
-        let off = fields.as_ref().is_none_or(|fields| fields["state"] != SERVING_STATE);
+        let is_off = fields.as_ref().is_none_or(|fields| fields["state"] != SERVING_STATE);
         let started = fields.as_ref().and_then(|fields| fields["started_ms"].as_u64()).unwrap_or(0);
         let mut notified = lock(&self.etcd.notified);
         let last = notified.entry((proxy, server)).or_default();
-        if revision < last.revision && !off && started <= last.started {
+        if revision < last.revision && !is_off && started <= last.started {
             return;
         }
         last.revision = last.revision.max(revision);
         last.started = last.started.max(started);
         let now = self.clock.now();
-        let kind = EventKind::Notified { server: server as u16, off };
+        let kind = EventKind::Notified { server: server as u16, is_off };
         self.evidence.record_at(now, 0, proxy, kind);
     }
 }
--- a/crates/testbed/src/stand_ins/etcd/writer.rs
+++ b/crates/testbed/src/stand_ins/etcd/writer.rs
@@ -2,7 +2,7 @@
 //! itself.
 
 use super::{PREFIX, SERVING_STATE};
-use crate::clock::{MILLI, Micros};
+use crate::clock::{MILLISECOND, Micros};
 use crate::model::etcd::StoreAction;
 use crate::model::server_list::{FIRST_VERSION, ListedServer};
 use crate::model::store::Write;
@@ -17,7 +17,7 @@
 pub(super) const PROXY_PLACEHOLDER: &str = "@PROXY@";
 /// Maximum time that the writer sleeps, because leases may be renewed and new ones granted in the
 /// meantime.
-const MAX_SLEEP: Micros = 100 * MILLI;
+const MAX_SLEEP: Micros = 100 * MILLISECOND;
 
 pub(super) fn key_of(site: &Site, server: usize) -> Vec<u8> {
     format!("{PREFIX}caches/{}", site.endpoint_id(server)).into_bytes()
@@ -70,7 +70,7 @@
     /// Writes changes of the list when they are published, and applies the operations of the
     /// timeline to the store; never returns.
     pub async fn write_etcd(self: Arc<Site>) {
-        let mut updates = self.timelines.updates.iter().peekable();
+        let mut updates = self.timelines.list_updates.iter().peekable();
         let mut actions = self.etcd.timeline.actions.iter().peekable();
         let mut started = vec![0; self.origin() + 1];
         loop {
--- a/crates/testbed/src/stand_ins/file.rs
+++ b/crates/testbed/src/stand_ins/file.rs
@@ -105,9 +105,9 @@
         };
         let mut notified_off = lock(&self.notified_off);
         for server in 0..site.origin() {
-            let off = !is_ready(server);
-            if notified_off.insert(server, off).unwrap_or(false) != off {
-                let kind = EventKind::Notified { server: server as u16, off };
+            let is_off = !is_ready(server);
+            if notified_off.insert(server, is_off).unwrap_or(false) != is_off {
+                let kind = EventKind::Notified { server: server as u16, is_off };
                 site.evidence.record_at(now, 0, self.proxy, kind);
             }
         }
--- a/crates/testbed/src/stand_ins/list.rs
+++ b/crates/testbed/src/stand_ins/list.rs
@@ -2,7 +2,7 @@
 //! for newer versions.
 
 use super::Site;
-use crate::clock::{MILLI, Micros, SECOND, micros};
+use crate::clock::{MILLISECOND, Micros, SECOND, micros_from_seconds};
 use crate::evidence::EventKind;
 use crate::experiment::Outage;
 use crate::model::server_list::ListedServer;
@@ -21,7 +21,7 @@
 const MAX_WATCH_WAIT: Micros = 60 * SECOND;
 /// A watch continues for this long after a response, whether or not the next call arrives: changes
 /// in this time count as notified.
-const WATCH_GRACE: Micros = 200 * MILLI;
+const WATCH_GRACE: Micros = 200 * MILLISECOND;
 /// Changes that a call misses because the list no longer answers it count as notified this long
 /// after it stopped answering, ...
 const SILENT_CALL_GRACE: Micros = 6 * SECOND;
@@ -46,7 +46,7 @@
             let found = parts.find_map(|part| part.strip_prefix(name)?.strip_prefix('='));
             found.and_then(|value| value.parse::<u64>().ok())
         };
-        let wait = parameter("wait").unwrap_or(0).saturating_mul(MILLI);
+        let wait = parameter("wait").unwrap_or(0).saturating_mul(MILLISECOND);
         Call { received_at, index: parameter("index"), wait }
     }
 }
@@ -152,7 +152,7 @@
         if at > now + QUEUE_TIMEOUT {
             return None;
         }
-        *free_at = at + micros(self.site.experiment.world.list_call_ms / 1e3);
+        *free_at = at + micros_from_seconds(self.site.experiment.world.list_call_ms / 1e3);
         Some(*free_at)
     }
 
@@ -251,8 +251,8 @@
             return;
         }
         for entry in entries.iter().filter(|entry| entry.server < site.origin()) {
-            let off = entry.status != EndpointStatus::Ready;
-            let kind = EventKind::Notified { server: entry.server as u16, off };
+            let is_off = entry.status != EndpointStatus::Ready;
+            let kind = EventKind::Notified { server: entry.server as u16, is_off };
             site.evidence.record_at(at, 0, self.proxy, kind);
         }
     }
--- a/crates/testbed/src/stand_ins/list_entries.rs
+++ b/crates/testbed/src/stand_ins/list_entries.rs
@@ -1,7 +1,7 @@
 //! Entries of the endpoint list in the form that proxies read.
 
 use super::Site;
-use crate::clock::MILLI;
+use crate::clock::MILLISECOND;
 use crate::model::server_list::{FIRST_VERSION, ListedServer};
 use serde_json::{Value, json};
 
@@ -20,7 +20,8 @@
     /// An entry of the list, with the address that one proxy uses.
     pub fn list_entry(&self, proxy: usize, entry: &ListedServer) -> Value {
         let is_origin = entry.server == self.origin();
-        let started = if entry.started == 0 { 0 } else { self.clock.unix_start_ms() + entry.started / MILLI };
+        let started =
+            if entry.started == 0 { 0 } else { self.clock.unix_start_ms() + entry.started / MILLISECOND };
         json!({
             "id": self.endpoint_id(entry.server),
             "addr": self.net.server(proxy, entry.server, self.origin()).to_string(),
--- a/crates/testbed/src/stand_ins/mod.rs
+++ b/crates/testbed/src/stand_ins/mod.rs
@@ -16,7 +16,7 @@
 
 pub use net::Net;
 
-use crate::clock::{Clock, MILLI, Micros, micros};
+use crate::clock::{Clock, MILLISECOND, Micros, micros_from_seconds};
 use crate::evidence::{Evidence, Id};
 use crate::experiment::{CacheMode, Experiment, Protocol};
 use crate::model::cluster::Cluster;
@@ -97,9 +97,9 @@
         max_queued: world.queue,
         max_values: world.values,
         slow_start_share: world.slow_start_share,
-        slow_start: micros(world.slow_start_s),
+        slow_start: micros_from_seconds(world.slow_start_s),
         collapse_multiple: world.collapse_multiple,
-        collapse_window: micros(world.collapse_window_s),
+        collapse_window: micros_from_seconds(world.collapse_window_s),
         // Servers that speak RESP have the value of every key that is requested.
         read_through: world.cache_mode() == CacheMode::Through
             || experiment.fleet.protocol() == Protocol::Resp,
@@ -125,7 +125,7 @@
         let spec = server_spec(&experiment);
         let origin = OriginModel::new(world.origin_slots, world.origin_queue, world.origin_contention);
         Arc::new(Site {
-            server_list: ServerList::new(world.servers, timelines.updates.clone()),
+            server_list: ServerList::new(world.servers, timelines.list_updates.clone()),
             servers: (0..world.servers).map(|_| Mutex::new(warm_server(&experiment, &spec))).collect(),
             connections: (0..=world.servers).map(|_| AtomicUsize::new(0)).collect(),
             origin: Mutex::new(origin),
@@ -160,7 +160,8 @@
 
     /// Draws the work of a request, evenly distributed around its class's mean.
     fn draw_work(&self, mean_ms: f64) -> Micros {
-        (mean_ms * MILLI as f64 * (1.0 - WORK_SPREAD + 2.0 * WORK_SPREAD * self.draw_sample())) as Micros
+        (mean_ms * MILLISECOND as f64 * (1.0 - WORK_SPREAD + 2.0 * WORK_SPREAD * self.draw_sample()))
+            as Micros
     }
 }
 
--- a/crates/testbed/src/stand_ins/peer.rs
+++ b/crates/testbed/src/stand_ins/peer.rs
@@ -3,7 +3,7 @@
 use super::Site;
 use crate::clock::Micros;
 use crate::experiment::{ListSource, Outage};
-use crate::model::etcd::ENDPOINTS;
+use crate::model::etcd::ENDPOINT_COUNT;
 use crate::model::timeline::{ListOutage, Reachability};
 use std::net::SocketAddr;
 
@@ -32,7 +32,7 @@
         peers.push(Peer::List { moved: false });
         peers.push(Peer::List { moved: true });
         if self.experiment.fleet.list_source() == ListSource::Etcd {
-            peers.extend((0..ENDPOINTS).map(Peer::Etcd));
+            peers.extend((0..ENDPOINT_COUNT).map(Peer::Etcd));
         }
         peers
     }
--- a/crates/testbed/src/stand_ins/resp.rs
+++ b/crates/testbed/src/stand_ins/resp.rs
@@ -5,7 +5,7 @@
 use super::decide::Attempt;
 use super::server::{closes_connection, wait_until_due};
 use super::{ConnectionCount, Site};
-use crate::clock::{MILLI, Micros};
+use crate::clock::{MILLISECOND, Micros};
 use crate::evidence::{ClientRequest, EventKind, Id};
 use crate::model::cluster::{Command, CommandOutcome, RANK_COUNT};
 use crate::model::server::{PlannedReply, Reply};
@@ -13,7 +13,7 @@
 use crate::wire::Connection;
 
 /// Processing time of a health check.
-const HEALTH_CHECK_WORK: Micros = MILLI / 2;
+const HEALTH_CHECK_WORK: Micros = MILLISECOND / 2;
 /// Multiplier that spreads keys evenly over the ranks in which they migrate: 2^64 divided by the
 /// golden ratio.
 const RANK_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
@@ -191,7 +191,7 @@
             }
             Reply::Garbage => b"?what\r\n".to_vec(),
             Reply::Error | Reply::Miss => b"-ERR failed\r\n".to_vec(),
-            Reply::Silence | Reply::Reset => Vec::new(),
+            Reply::NoReply | Reply::Reset => Vec::new(),
         }
     }
 
--- a/crates/testbed/src/stand_ins/server.rs
+++ b/crates/testbed/src/stand_ins/server.rs
@@ -3,7 +3,7 @@
 use super::body::body;
 use super::decide::Attempt;
 use super::{ConnectionCount, Site};
-use crate::clock::{MILLI, Micros, micros};
+use crate::clock::{MILLISECOND, Micros, micros_from_seconds};
 use crate::evidence::{ClientRequest, EventKind, Id};
 use crate::model::server::{PlannedReply, Reply};
 use crate::wire::{Connection, Message, ReadError, response_head};
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// Processing time of a health check.
-const HEALTH_CHECK_WORK: Micros = MILLI / 2;
+const HEALTH_CHECK_WORK: Micros = MILLISECOND / 2;
 const HIT: &str = "X-Lookup: hit\r\n";
 const MISS: &str = "X-Lookup: miss\r\n";
 /// Bytes that are sent in place of a response and are no valid response.
@@ -45,7 +45,7 @@
 pub(super) async fn wait_until_due(site: &Site, connection: &mut Connection, plan: &PlannedReply) -> bool {
     let due = async {
         match plan.reply {
-            Reply::Silence => std::future::pending().await,
+            Reply::NoReply => std::future::pending().await,
             _ => site.clock.sleep_until(plan.due).await,
         }
         true
@@ -113,7 +113,7 @@
             Timer::after(idle).await;
             Ok(0)
         };
-        matches!(or(connection.fill(), idle_timeout).await, Ok(1..)).then_some(())
+        matches!(or(connection.read_more(), idle_timeout).await, Ok(1..)).then_some(())
     }
 
     async fn answer_health_check(&self, connection: &Connection) -> Option<()> {
@@ -151,7 +151,7 @@
             self.site.decide(&Attempt { server, proxy: self.proxy, now, id, request, write, tag })
         };
         if std::mem::take(&mut self.is_first_attempt) {
-            let handshake = micros(self.site.experiment.world.handshake_ms / 1e3);
+            let handshake = micros_from_seconds(self.site.experiment.world.handshake_ms / 1e3);
             plan.due = plan.due.saturating_add(handshake);
         }
         plan
@@ -213,7 +213,7 @@
                 connection.write(&[head.as_bytes(), &value[..value.len() / 2]]).await
             }
             Reply::Garbage => connection.write(&[GARBAGE, &value()[..GARBAGE_VALUE_BYTES]]).await,
-            Reply::Silence | Reply::Reset => Ok(()),
+            Reply::NoReply | Reply::Reset => Ok(()),
         }
     }
 }
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -162,7 +162,7 @@
 
     /// Reads more bytes into the buffer; `Ok(0)` is the end of the stream. Cancel safe: a future
     /// that is dropped while it waits has read nothing.
-    pub async fn fill(&mut self) -> io::Result<usize> {
+    pub async fn read_more(&mut self) -> io::Result<usize> {
         loop {
             let old_length = self.buffered.len();
             self.buffered.resize(old_length + MIN_READ_BYTES.max(old_length), 0);
@@ -186,7 +186,7 @@
                 return Ok(message);
             }
             let partial = !self.buffered.is_empty();
-            if !matches!(self.fill().await, Ok(1..)) {
+            if !matches!(self.read_more().await, Ok(1..)) {
                 return Err(if partial { ReadError::Truncated } else { ReadError::Closed });
             }
         }
@@ -264,7 +264,7 @@
     /// Waits until the peer closes the connection, or sends too much; bytes that it sends meanwhile
     /// stay in `buffered`.
     pub async fn wait_closed(&mut self) {
-        while matches!(self.fill().await, Ok(1..)) {
+        while matches!(self.read_more().await, Ok(1..)) {
             if self.buffered.len() > MAX_MESSAGE_BYTES {
                 return;
             }
--- a/crates/testbed/tests/load_front.rs
+++ b/crates/testbed/tests/load_front.rs
@@ -6,7 +6,7 @@
 #[test]
 fn connections_are_assigned_in_rotation_and_to_a_dead_proxy_until_it_is_detected() {
     let clock = Clock::default();
-    clock.begin();
+    clock.start();
     let load_balancer = LoadBalancer::new(3, clock.clone());
     assert_eq!(load_balancer.next_proxy(), None);
     [0, 2].into_iter().for_each(|proxy| load_balancer.mark_up(proxy));
--- a/crates/testbed/tests/models/cluster.rs
+++ b/crates/testbed/tests/models/cluster.rs
@@ -1,6 +1,6 @@
 //! Migrations of hash slots, failovers to replicas, and stale slot maps.
 
-use chalkwalk_testbed::clock::micros;
+use chalkwalk_testbed::clock::micros_from_seconds;
 use chalkwalk_testbed::experiment::Experiment;
 use chalkwalk_testbed::model::cluster::{Cluster, Command, CommandOutcome};
 
@@ -11,7 +11,7 @@
         down=5\ncaches=[0]\n[[trouble]]\nkind='old-map'\nat=20\nfor=5\nby=15\ncaches=[1]";
     let cluster = Cluster::new(&Experiment::read(text).unwrap());
     let command = |rank| Command { slot: 5, rank, ..Command::default() };
-    let handle = |server, s: f64, command| cluster.handle(server, micros(s), command);
+    let handle = |server, s: f64, command| cluster.handle(server, micros_from_seconds(s), command);
     assert_eq!(
         (handle(0, 1.0, command(0)), handle(1, 1.0, command(0))),
         (CommandOutcome::Execute, CommandOutcome::Moved(0))
@@ -43,7 +43,7 @@
         (handle(1, 21.0, other), handle(1, 26.0, other)),
         (CommandOutcome::Moved(0), CommandOutcome::Moved(3))
     );
-    let nodes = cluster.nodes_reply(2, micros(11.0), 4, |n| format!("h:{n}"));
+    let nodes = cluster.nodes_reply(2, micros_from_seconds(11.0), 4, |n| format!("h:{n}"));
     let heads: Vec<&str> = nodes.lines().map(|l| l.split(" connected").next().unwrap()).collect();
     assert_eq!(
         heads,
--- a/crates/testbed/tests/models/server.rs
+++ b/crates/testbed/tests/models/server.rs
@@ -1,6 +1,6 @@
 //! Outcomes of attempts at a server.
 
-use chalkwalk_testbed::clock::{MILLI, Micros, SECOND};
+use chalkwalk_testbed::clock::{MILLISECOND, Micros, SECOND};
 use chalkwalk_testbed::model::server::{AttemptInput, Reply, ServerModel, ServerSpec};
 use chalkwalk_testbed::model::timeline::{Incarnation, Reachability, ServerTimeline};
 
@@ -24,7 +24,7 @@
 }
 
 fn attempt(key: u64) -> AttemptInput {
-    AttemptInput { key, write: false, work: 10 * MILLI, sample: 0.5 }
+    AttemptInput { key, write: false, work: 10 * MILLISECOND, sample: 0.5 }
 }
 
 fn failing_origin(_: Micros) -> Option<Micros> {
@@ -51,7 +51,7 @@
         plans.map(|plan| plan.reply),
         [Reply::Hit, Reply::Hit, Reply::Hit, Reply::Hit, Reply::Unprocessed]
     );
-    assert!(!plans[4].takes_effect && plans[3].due == 20 * MILLI);
+    assert!(!plans[4].takes_effect && plans[3].due == 20 * MILLISECOND);
 }
 
 #[test]
