--- a/crates/testbed/src/baseline/mod.rs
+++ b/crates/testbed/src/baseline/mod.rs
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BrokenRule {
     /// No rule.
-    Nothing,
+    NoRule,
     /// Closes the connection instead of answering, for some of the requests.
     DropAnswer,
     /// Answers some of the requests twice.
@@ -54,7 +54,7 @@
 
 impl Strategy {
     /// The strategy with that name on the command line.
-    pub fn named(name: &str) -> Option<Strategy> {
+    pub fn from_name(name: &str) -> Option<Strategy> {
         Some(match name {
             "relay" => Strategy::Relay,
             "random" => Strategy::Random,
@@ -66,7 +66,7 @@
 
 impl BrokenRule {
     /// The rule that the argument of `--break` names.
-    pub fn named(name: &str) -> Option<BrokenRule> {
+    pub fn from_name(name: &str) -> Option<BrokenRule> {
         Some(match name {
             "lose" => BrokenRule::DropAnswer,
             "twice" => BrokenRule::AnswerTwice,
--- a/crates/testbed/src/cli/processes.rs
+++ b/crates/testbed/src/cli/processes.rs
@@ -26,11 +26,11 @@
     let strategy: String =
         args.free_from_str().map_err(|_| CliError::usage("proxy takes relay, random or ring"))?;
     expect_no_more(args)?;
-    let strategy = Strategy::named(&strategy)
+    let strategy = Strategy::from_name(&strategy)
         .ok_or_else(|| CliError::usage(format!("unknown proxy {strategy}; use relay, random or ring")))?;
     let broken = match broken {
-        None => BrokenRule::Nothing,
-        Some(rule) => BrokenRule::named(&rule).ok_or_else(|| {
+        None => BrokenRule::NoRule,
+        Some(rule) => BrokenRule::from_name(&rule).ok_or_else(|| {
             let known = "lose, twice, resend, drained, swap or hold";
             CliError::usage(format!("unknown rule {rule} for --break; expected {known}"))
         })?,
--- a/crates/testbed/src/fleet/actions.rs
+++ b/crates/testbed/src/fleet/actions.rs
@@ -4,8 +4,8 @@
 use crate::clock::{Micros, micros_from_seconds};
 use crate::experiment::{Experiment, Fault, FaultKind};
 use crate::load::clients::Clients;
-use crate::load::front::LoadBalancer;
-use crate::stand_ins::file::WriteMode;
+use crate::load::load_balancer::LoadBalancer;
+use crate::simulated_services::file::WriteMode;
 use crate::sync::lock;
 use rustix::process::Signal;
 use smol::Timer;
@@ -19,7 +19,7 @@
 /// Of five successive writes of a list file, one writes a file that cannot be parsed, and one is
 /// done in two halves.
 const REWRITE_CYCLE: usize = 5;
-const BROKEN_REWRITE: usize = 0;
+const MALFORMED_REWRITE: usize = 0;
 const SPLIT_REWRITE: usize = 2;
 
 /// An action on one proxy at a given time.
@@ -80,7 +80,7 @@
     /// Carries out an action at its time.
     pub async fn run_action(self: Arc<Fleet>, action: ProxyAction, clients: Arc<Clients>) {
         let load_balancer = &clients.load_balancer;
-        self.site.clock.sleep_until(action.at).await;
+        self.services.clock.sleep_until(action.at).await;
         match action.kind {
             FaultKind::ProxyKill => self.kill(action.proxy, load_balancer).await,
             FaultKind::ProxyTerm => self.terminate(action.proxy, load_balancer).await,
@@ -95,18 +95,18 @@
 
     async fn kill(&self, proxy: usize, load_balancer: &LoadBalancer) {
         self.signal(proxy, Signal::KILL, "KILL");
-        load_balancer.mark_down(proxy, micros_from_seconds(self.site.experiment.fleet.detection_s));
+        load_balancer.mark_down(proxy, micros_from_seconds(self.services.experiment.fleet.detection_s));
         self.wait_for_end(proxy, Micros::MAX).await;
     }
 
     /// Sends SIGTERM, and SIGKILL if the process has not ended within the platform's termination period.
     async fn terminate(&self, proxy: usize, load_balancer: &LoadBalancer) {
-        let experiment = &self.site.experiment;
+        let experiment = &self.services.experiment;
         self.signal(proxy, Signal::TERM, "TERM");
         load_balancer.mark_down(proxy, micros_from_seconds(experiment.fleet.draining_detection_s));
         let limits = experiment.classes.iter().map(|class| micros_from_seconds(class.limit_ms / 1e3));
         let max_limit = limits.max().unwrap_or(0).min(MAX_TIME_LIMIT);
-        self.wait_for_end(proxy, self.site.clock.now() + max_limit + KILL_GRACE).await;
+        self.wait_for_end(proxy, self.services.clock.now() + max_limit + KILL_GRACE).await;
     }
 
     /// Writes a configuration with the other address of the discovery service, and sends SIGHUP.
@@ -153,7 +153,7 @@
             }
             _ = std::fs::write(&path, text);
             self.signal(action.proxy, Signal::HUP, "HUP");
-            self.site.clock.sleep_until(at).await;
+            self.services.clock.sleep_until(at).await;
         }
     }
 
@@ -163,15 +163,15 @@
         for n in 1.. {
             let at = action.at + action.interval * n as Micros;
             if at > action.at + action.duration {
-                return file.write(&self.site, WriteMode::Replaced).await;
+                return file.write(&self.services, WriteMode::AtomicReplace).await;
             }
             let mode = match n % REWRITE_CYCLE {
-                BROKEN_REWRITE => WriteMode::Broken,
-                SPLIT_REWRITE => WriteMode::InHalves,
-                _ => WriteMode::Replaced,
+                MALFORMED_REWRITE => WriteMode::MalformedInPlace,
+                SPLIT_REWRITE => WriteMode::InPlaceInHalves,
+                _ => WriteMode::AtomicReplace,
             };
-            file.write(&self.site, mode).await;
-            self.site.clock.sleep_until(at).await;
+            file.write(&self.services, mode).await;
+            self.services.clock.sleep_until(at).await;
         }
     }
 }
--- a/crates/testbed/src/fleet/config.rs
+++ b/crates/testbed/src/fleet/config.rs
@@ -5,8 +5,8 @@
 use crate::experiment::{ListSource, Protocol, Repeats, RequestClass};
 use crate::model::etcd::ENDPOINT_COUNT;
 use crate::model::server_list::FIRST_VERSION;
-use crate::stand_ins::Site;
-use crate::stand_ins::etcd::PREFIX;
+use crate::simulated_services::SimulatedServices;
+use crate::simulated_services::etcd::KEY_PREFIX;
 use serde_json::{Value, json};
 use std::path::Path;
 
@@ -46,17 +46,18 @@
 }
 
 /// The operator's file's table for the RESP frontend; empty if clients speak HTTP.
-fn resp_table(site: &Site, proxy: usize) -> String {
-    let experiment = &site.experiment;
+fn resp_table(services: &SimulatedServices, proxy: usize) -> String {
+    let experiment = &services.experiment;
     if experiment.fleet.protocol() != Protocol::Resp {
         return String::new();
     }
-    let servers = 0..site.origin().min(MAX_SLOT_MAP_SEEDS);
-    let seeds = servers.map(|server| site.net.server(proxy, server, site.origin()).to_string());
+    let servers = 0..services.origin_index().min(MAX_SLOT_MAP_SEEDS);
+    let seeds = servers
+        .map(|server| services.addresses.server_address(proxy, server, services.origin_index()).to_string());
     let stale_reads = experiment.classes.iter().filter(|class| class.stale_reads);
     let mut table = format!(
         "[resp]\nlisten = \"{}\"\nseeds = [{}]\nnamespace = \"{}\"\nstale_reads = [{}]\n",
-        site.net.resp(proxy),
+        services.addresses.resp_address(proxy),
         toml_strings(seeds),
         experiment.classes[0].name,
         toml_strings(stale_reads.map(|class| class.name.clone()))
@@ -68,14 +69,15 @@
 }
 
 /// The operator's file's table for the source of the endpoint list; empty if the source is the platform.
-fn membership_table(site: &Site, proxy: usize, list: &Path) -> String {
-    let fleet = &site.experiment.fleet;
+fn membership_table(services: &SimulatedServices, proxy: usize, list: &Path) -> String {
+    let fleet = &services.experiment.fleet;
     match fleet.list_source() {
         ListSource::Platform => String::new(),
         ListSource::Etcd => {
-            let endpoints = (0..ENDPOINT_COUNT).map(|endpoint| site.net.etcd(proxy, endpoint).to_string());
+            let endpoints = (0..ENDPOINT_COUNT)
+                .map(|endpoint| services.addresses.etcd_address(proxy, endpoint).to_string());
             format!(
-                "[membership]\nsource = \"etcd\"\nendpoints = [{}]\nprefix = \"{PREFIX}\"\ncount = {}\n",
+                "[membership]\nsource = \"etcd\"\nendpoints = [{}]\nprefix = \"{KEY_PREFIX}\"\ncount = {}\n",
                 toml_strings(endpoints),
                 fleet.count_peers
             )
@@ -90,20 +92,21 @@
     /// The text of a proxy's operator's file: the experiment's file with the testbed's tables added
     /// before its end marker.
     pub(super) fn operator_text(&self, text: &str, proxy: usize, list: &Path) -> String {
-        operator_text(&self.site, text, proxy, list)
+        operator_text(&self.services, text, proxy, list)
     }
 
     /// A proxy's configuration, in the platform's format.
     pub(super) fn configuration(&self, proxy: usize, list_moved: bool) -> Value {
-        let experiment = &self.site.experiment;
-        let net = self.site.net;
+        let experiment = &self.services.experiment;
+        let addresses = self.services.addresses;
         let fleet = &experiment.fleet;
         let from_platform = fleet.list_source() == ListSource::Platform;
-        let list = || json!(net.list(proxy, list_moved).to_string());
-        let known = || json!({"version": FIRST_VERSION, "full": true, "servers": self.site.known(proxy)});
+        let list = || json!(addresses.list_address(proxy, list_moved).to_string());
+        let known =
+            || json!({"version": FIRST_VERSION, "full": true, "servers": self.services.initial_list(proxy)});
         json!({
             "name": proxy_name(proxy),
-            "listen": net.proxy(proxy).to_string(),
+            "listen": addresses.proxy_address(proxy).to_string(),
             "discovery": if from_platform { list() } else { Value::Null },
             "seed": format!("{:x}", experiment.seed.wrapping_add(proxy as u64 + 1)),
             "limits": {"cores": 1.0, "memory_mb": fleet.memory_mb, "sockets": fleet.sockets},
@@ -113,7 +116,7 @@
     }
 
     fn settings(&self, proxy: usize) -> Value {
-        let experiment = &self.site.experiment;
+        let experiment = &self.services.experiment;
         let fleet = &experiment.fleet;
         let world = &experiment.world;
         let classes: Vec<Value> = experiment.classes.iter().map(class_settings).collect();
@@ -149,8 +152,8 @@
 
 /// The text of an operator's file: the experiment's file with the testbed's tables added before its
 /// end marker.
-pub(super) fn operator_text(site: &Site, text: &str, proxy: usize, list: &Path) -> String {
-    let tables = membership_table(site, proxy, list) + &resp_table(site, proxy);
+pub(super) fn operator_text(services: &SimulatedServices, text: &str, proxy: usize, list: &Path) -> String {
+    let tables = membership_table(services, proxy, list) + &resp_table(services, proxy);
     if tables.is_empty() {
         return text.to_string();
     }
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -14,9 +14,9 @@
 use crate::clock::{Micros, SECOND};
 use crate::evidence::EventKind;
 use crate::experiment::ListSource;
-use crate::load::front::LoadBalancer;
-use crate::stand_ins::Site;
-use crate::stand_ins::file::{ListFile, WriteMode};
+use crate::load::load_balancer::LoadBalancer;
+use crate::simulated_services::SimulatedServices;
+use crate::simulated_services::file::{ListFile, WriteMode};
 use crate::sync::lock;
 use crate::wire::Connection;
 use process::{ProxyProcess, proxy_name};
@@ -59,7 +59,7 @@
 
 /// All proxies of a run.
 pub struct Fleet {
-    site: Arc<Site>,
+    services: Arc<SimulatedServices>,
     start: StartSettings,
     processes: Vec<Mutex<ProxyProcess>>,
     /// The proxies' list files, if the list source is a file; else empty.
@@ -81,19 +81,19 @@
 
 impl Fleet {
     /// Prepares the files of all proxies; starts no process.
-    pub fn new(site: Arc<Site>, start: StartSettings) -> io::Result<Arc<Fleet>> {
+    pub fn new(services: Arc<SimulatedServices>, start: StartSettings) -> io::Result<Arc<Fleet>> {
         std::fs::create_dir_all(&start.directory)?;
         let mut processes = Vec::new();
         let mut lists = Vec::new();
-        for proxy in 0..site.experiment.fleet.proxies {
-            let process = ProxyProcess::new(&site, &start, proxy)?;
-            if site.experiment.fleet.list_source() == ListSource::File {
+        for proxy in 0..services.experiment.fleet.proxies {
+            let process = ProxyProcess::new(&services, &start, proxy)?;
+            if services.experiment.fleet.list_source() == ListSource::File {
                 lists.push(ListFile::new(&process.list_path, proxy));
             }
             processes.push(Mutex::new(process));
         }
         Ok(Arc::new(Fleet {
-            site,
+            services,
             start,
             processes,
             lists,
@@ -105,7 +105,7 @@
     /// Starts all proxies and waits until they are ready.
     pub async fn start_all(&self, load_balancer: &LoadBalancer) -> Result<(), FleetError> {
         for file in &self.lists {
-            file.write(&self.site, WriteMode::Replaced).await;
+            file.write(&self.services, WriteMode::AtomicReplace).await;
         }
         for proxy in 0..self.processes.len() {
             self.spawn(proxy).map_err(FleetError::Start)?;
@@ -124,12 +124,12 @@
     fn spawn(&self, proxy: usize) -> io::Result<()> {
         let mut process = lock(&self.processes[proxy]);
         std::fs::write(&process.config_path, self.configuration(proxy, process.list_moved).to_string())?;
-        let net = self.site.net;
+        let addresses = self.services.addresses;
         let mut command = self.command();
         command
             .env("ROUTER_NAME", proxy_name(proxy))
-            .env("ROUTER_LISTEN", net.proxy(proxy).to_string())
-            .env("ROUTER_DISCOVERY", net.list(proxy, process.list_moved).to_string())
+            .env("ROUTER_LISTEN", addresses.proxy_address(proxy).to_string())
+            .env("ROUTER_DISCOVERY", addresses.list_address(proxy, process.list_moved).to_string())
             .env("ROUTER_CONFIG", &process.config_path)
             .env("OPERATOR", &process.operator_path)
             .stdin(Stdio::null())
@@ -159,7 +159,7 @@
         let deadline = Instant::now() + START_TIMEOUT;
         while Instant::now() < deadline {
             if self.is_up(proxy).await {
-                self.site.evidence.record(0, proxy, EventKind::ProcessReady);
+                self.services.evidence.record(0, proxy, EventKind::ProcessReady);
                 load_balancer.mark_up(proxy);
                 return Ok(());
             }
@@ -172,7 +172,10 @@
     }
 
     async fn is_up(&self, proxy: usize) -> bool {
-        let Ok(stream) = Async::<TcpStream>::connect(self.site.net.proxy(proxy)).await else { return false };
+        let Ok(stream) = Async::<TcpStream>::connect(self.services.addresses.proxy_address(proxy)).await
+        else {
+            return false;
+        };
         let mut connection = Connection::new(stream);
         let request = b"GET /up HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n";
         let written = connection.write(&[request]).await;
@@ -188,7 +191,7 @@
     }
 
     fn signal(&self, proxy: usize, signal: Signal, name: &'static str) {
-        self.site.evidence.record(0, proxy, EventKind::Signalled { signal: name });
+        self.services.evidence.record(0, proxy, EventKind::Signalled { signal: name });
         let process = lock(&self.processes[proxy]);
         if let Some(pid) = process.child.as_ref().and_then(|child| Pid::from_raw(child.id() as i32)) {
             _ = kill_process(pid, signal);
@@ -203,14 +206,14 @@
             if lock(&self.processes[proxy]).child.is_none() {
                 break;
             }
-            if !killed && self.site.clock.now() > kill_at {
+            if !killed && self.services.clock.now() > kill_at {
                 killed = true;
                 self.signal(proxy, Signal::KILL, "KILL");
             }
             self.sample(proxy);
             Timer::after(POLL_INTERVAL).await;
         }
-        self.site.evidence.record(0, proxy, EventKind::ProcessEnded { killed });
+        self.services.evidence.record(0, proxy, EventKind::ProcessEnded { killed });
         let mut process = lock(&self.processes[proxy]);
         let samples = lock(&self.samples);
         let last = samples.iter().rev().find(|sample| sample.proxy == proxy);
@@ -220,10 +223,10 @@
     /// Writes each change of the endpoint list into the proxies' list files, if they have any;
     /// returns after the last change.
     pub async fn write_lists(self: Arc<Fleet>) {
-        for update in &self.site.timelines.list_updates {
-            self.site.clock.sleep_until(update.published).await;
+        for update in &self.services.timelines.list_updates {
+            self.services.clock.sleep_until(update.published).await;
             for file in &self.lists {
-                file.write(&self.site, WriteMode::Replaced).await;
+                file.write(&self.services, WriteMode::AtomicReplace).await;
             }
         }
     }
@@ -233,7 +236,7 @@
         let Some(pid) = process.child.as_ref().map(Child::id) else { return };
         let Some(usage) = ProcessUsage::read(pid) else { return };
         let cpu_us = process.earlier_cpu_us + usage.cpu_us;
-        let at = self.site.clock.now();
+        let at = self.services.clock.now();
         lock(&self.samples).push(Sample { at, proxy, cpu_us, memory_kb: usage.memory_kb });
     }
 
@@ -253,7 +256,7 @@
     /// Terminates all proxies, and kills those that take longer than the platform allows.
     pub async fn stop_all(&self) {
         (0..self.processes.len()).for_each(|proxy| self.signal(proxy, Signal::TERM, "TERM"));
-        let kill_at = self.site.clock.now() + MAX_TIME_LIMIT + KILL_GRACE;
+        let kill_at = self.services.clock.now() + MAX_TIME_LIMIT + KILL_GRACE;
         for proxy in 0..self.processes.len() {
             self.wait_for_end(proxy, kill_at).await;
         }
--- a/crates/testbed/src/fleet/process.rs
+++ b/crates/testbed/src/fleet/process.rs
@@ -1,7 +1,7 @@
 //! One proxy's process and its files.
 
 use super::{StartSettings, config};
-use crate::stand_ins::Site;
+use crate::simulated_services::SimulatedServices;
 use std::fs::{File, OpenOptions};
 use std::io;
 use std::path::PathBuf;
@@ -27,14 +27,18 @@
 
 impl ProxyProcess {
     /// Prepares a proxy's files; nothing is started.
-    pub fn new(site: &Site, start: &StartSettings, proxy: usize) -> io::Result<ProxyProcess> {
+    pub fn new(
+        services: &SimulatedServices,
+        start: &StartSettings,
+        proxy: usize,
+    ) -> io::Result<ProxyProcess> {
         let name = proxy_name(proxy);
         let file = |extension: &str| start.directory.join(format!("{name}.{extension}"));
         let log = OpenOptions::new().create(true).append(true).open(file("log"))?;
         let operator_path = file("operator.toml");
         let list_path = file("list.toml");
         let operator_text = start.operator_texts.first().map_or("", String::as_str);
-        let text = config::operator_text(site, operator_text, proxy, &list_path);
+        let text = config::operator_text(services, operator_text, proxy, &list_path);
         if !text.is_empty() {
             std::fs::write(&operator_path, text)?;
         }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -8,7 +8,7 @@
 //! hide.
 //!
 //! Dependencies between modules go one way: `model`, `experiment`, `evidence` and `wire` depend on
-//! no module named after them here; `stand_ins` (simulated services), `load` and `fleet` build on
+//! no module named after them here; `simulated_services`, `load` and `fleet` build on
 //! these; `oracle` checks the recorded events against the rules; `run` runs one experiment from
 //! start-up to the verdict, and `report` renders the result.
 
@@ -25,7 +25,7 @@
 pub mod report;
 pub mod resp;
 pub mod run;
+pub mod simulated_services;
 pub mod soak;
-pub mod stand_ins;
 mod sync;
 pub mod wire;
--- a/crates/testbed/src/load/clients.rs
+++ b/crates/testbed/src/load/clients.rs
@@ -6,9 +6,9 @@
 use crate::clock::{Clock, Micros, micros_from_seconds};
 use crate::evidence::{ClientRequest, EventKind, Evidence, Id};
 use crate::experiment::{DedupGroup, Experiment, Repeats, RequestClass};
-use crate::load::front::LoadBalancer;
+use crate::load::load_balancer::LoadBalancer;
 use crate::load::plan::{Arrival, ArrivalPlan, request_id};
-use crate::stand_ins::Net;
+use crate::simulated_services::LoopbackAddresses;
 use crate::sync::lock;
 use hdrhistogram::Histogram;
 use smol::{Executor, Timer};
@@ -27,7 +27,7 @@
     pub(super) experiment: Experiment,
     pub(super) clock: Clock,
     pub(super) evidence: Evidence,
-    pub(super) net: Net,
+    pub(super) addresses: LoopbackAddresses,
     /// The load balancer that assigns new connections to proxies.
     pub load_balancer: LoadBalancer,
     /// Idle connections, indexed by client.
@@ -59,7 +59,12 @@
 
 impl Clients {
     /// The clients of an experiment, with no connections yet.
-    pub fn new(experiment: &Experiment, clock: Clock, evidence: Evidence, net: Net) -> Arc<Clients> {
+    pub fn new(
+        experiment: &Experiment,
+        clock: Clock,
+        evidence: Evidence,
+        addresses: LoopbackAddresses,
+    ) -> Arc<Clients> {
         Arc::new(Clients {
             load_balancer: LoadBalancer::new(experiment.fleet.proxies, clock.clone()),
             idle: (0..experiment.load.clients).map(|_| Mutex::default()).collect(),
@@ -74,7 +79,7 @@
             experiment: experiment.clone(),
             clock,
             evidence,
-            net,
+            addresses,
         })
     }
 
--- a/crates/testbed/src/load/connection.rs
+++ b/crates/testbed/src/load/connection.rs
@@ -4,8 +4,8 @@
 use crate::evidence::Id;
 use crate::experiment::{Experiment, Protocol, Repeats};
 use crate::load::plan::Arrival;
-use crate::resp::{self, RespAnswer};
-use crate::stand_ins::body::is_for;
+use crate::resp::{self, RespReply};
+use crate::simulated_services::body::body_matches;
 use crate::wire::{Connection, ReadError};
 use std::io;
 
@@ -103,12 +103,12 @@
     }
 
     async fn read_resp(&self, connection: &mut Connection) -> Result<ClientAnswer, ReadError> {
-        let answer = resp::read_answer(connection).await?;
+        let answer = resp::read_reply(connection).await?;
         let (status, retry_after) = answer.status();
         let is_write = self.experiment.classes[self.arrival.class].write;
         let matches = match &answer {
             // The response to a write does not name the request that it belongs to.
-            RespAnswer::Value(body) => is_write || is_for(body, self.id),
+            RespReply::Value(body) => is_write || body_matches(body, self.id),
             _ => true,
         };
         Ok(ClientAnswer { status, retry_after, matches, close: false })
@@ -120,7 +120,7 @@
         Ok(ClientAnswer {
             status: message.status,
             retry_after: retry_after.map(micros_from_seconds),
-            matches: message.status != 200 || is_for(message.body(), self.id),
+            matches: message.status != 200 || body_matches(message.body(), self.id),
             close: message.close,
         })
     }
--- a/crates/testbed/src/load/mod.rs
+++ b/crates/testbed/src/load/mod.rs
@@ -3,6 +3,6 @@
 
 pub mod clients;
 mod connection;
-pub mod front;
+pub mod load_balancer;
 pub mod plan;
 mod tries;
--- a/crates/testbed/src/load/tries.rs
+++ b/crates/testbed/src/load/tries.rs
@@ -173,8 +173,8 @@
         for _ in 0..=CONNECT_RETRIES {
             let proxy = self.load_balancer.next_proxy()?;
             let addr = match self.experiment.fleet.protocol() {
-                Protocol::Resp => self.net.resp(proxy),
-                Protocol::Http => self.net.proxy(proxy),
+                Protocol::Resp => self.addresses.resp_address(proxy),
+                Protocol::Http => self.addresses.proxy_address(proxy),
             };
             let connecting = async { Async::<TcpStream>::connect(addr).await.ok() };
             let timeout = async {
--- a/crates/testbed/src/measure/sources.rs
+++ b/crates/testbed/src/measure/sources.rs
@@ -5,7 +5,7 @@
 use crate::experiment::{Experiment, ListSource, Protocol};
 use crate::model::server::Reply;
 use crate::oracle::{Attempt, Outcome, RequestRecord, Verdict};
-use crate::stand_ins::etcd::EtcdLoad;
+use crate::simulated_services::etcd::EtcdLoad;
 use serde::Serialize;
 
 /// How long the proxies' slot maps may take to settle after the last fault.
--- a/crates/testbed/src/resp.rs
+++ b/crates/testbed/src/resp.rs
@@ -1,4 +1,4 @@
-//! RESP for the testbed's stand-ins and clients: commands are arrays of bulk strings, and answers
+//! RESP for the testbed's simulated services and clients: commands are arrays of bulk strings, and answers
 //! are never aggregates. It shares no code with the proxy, so that a bug in the proxy's codec
 //! cannot hide itself.
 
@@ -64,7 +64,7 @@
 
 /// An answer to a client.
 #[derive(Debug, PartialEq)]
-pub enum RespAnswer {
+pub enum RespReply {
     /// A value, a status or an integer.
     Value(Vec<u8>),
     /// The null reply: there is no value.
@@ -73,17 +73,17 @@
     Error(String),
 }
 
-fn parse_answer(buffer: &[u8]) -> Parsed<RespAnswer> {
+fn parse_reply(buffer: &[u8]) -> Parsed<RespReply> {
     let Some((text, at)) = parse_line(buffer, 1) else { return Ok(None) };
     match buffer[0] {
-        b'+' | b':' => Ok(Some((RespAnswer::Value(text.to_vec()), at))),
-        b'-' => Ok(Some((RespAnswer::Error(String::from_utf8_lossy(text).to_string()), at))),
+        b'+' | b':' => Ok(Some((RespReply::Value(text.to_vec()), at))),
+        b'-' => Ok(Some((RespReply::Error(String::from_utf8_lossy(text).to_string()), at))),
         b'$' => {
             let Ok(length) = usize::try_from(parse_integer(text)?) else {
-                return Ok(Some((RespAnswer::Nil, at)));
+                return Ok(Some((RespReply::Nil, at)));
             };
             let end = at + length + LINE_END.len();
-            let value = buffer.get(at..end).map(|body| RespAnswer::Value(body[..length].to_vec()));
+            let value = buffer.get(at..end).map(|body| RespReply::Value(body[..length].to_vec()));
             Ok(value.map(|value| (value, end)))
         }
         _ => Err(ReadError::Malformed),
@@ -114,8 +114,8 @@
 }
 
 /// Reads the next answer.
-pub async fn read_answer(connection: &mut Connection) -> Result<RespAnswer, ReadError> {
-    read_message(connection, parse_answer).await
+pub async fn read_reply(connection: &mut Connection) -> Result<RespReply, ReadError> {
+    read_message(connection, parse_reply).await
 }
 
 /// Encodes a command.
@@ -132,14 +132,14 @@
     [format!("${}\r\n", body.len()).as_bytes(), body, LINE_END].concat()
 }
 
-impl RespAnswer {
+impl RespReply {
     /// The equivalent HTTP status, which the testbed's figures are based on; and the time after
     /// which to retry, if the text states one.
     pub fn status(&self) -> (u16, Option<Micros>) {
         match self {
-            RespAnswer::Value(_) => (200, None),
-            RespAnswer::Nil => (404, None),
-            RespAnswer::Error(text) => match text.split(' ').next() {
+            RespReply::Value(_) => (200, None),
+            RespReply::Nil => (404, None),
+            RespReply::Error(text) => match text.split(' ').next() {
                 Some("TRYAGAIN" | "CLUSTERDOWN" | "LOADING") => (503, retry_after(text)),
                 Some("ERR") if text.starts_with("ERR abandoned") => (500, None),
                 _ => (400, None),
--- a/crates/testbed/src/run.rs
+++ b/crates/testbed/src/run.rs
@@ -6,7 +6,7 @@
 use crate::load::clients::Clients;
 use crate::measure::{ClientCounts, EtcdFigures, Figures};
 use crate::oracle::{self, Breach, Rule, Verdict};
-use crate::stand_ins::{Net, Site};
+use crate::simulated_services::{LoopbackAddresses, SimulatedServices};
 use crate::sync::lock;
 use async_signal::{Signal, Signals};
 use indicatif::{ProgressBar, ProgressStyle};
@@ -34,7 +34,7 @@
     Addresses(io::Error),
     /// The simulated services could not listen.
     #[error("cannot open the simulated services: {0}")]
-    StandIns(io::Error),
+    SimulatedServices(io::Error),
     /// The proxies' files could not be written.
     #[error("cannot prepare the proxies: {0}")]
     Prepare(io::Error),
@@ -108,7 +108,7 @@
 struct Run {
     experiment: Experiment,
     clock: Clock,
-    site: Arc<Site>,
+    services: Arc<SimulatedServices>,
     clients: Arc<Clients>,
     fleet: Arc<Fleet>,
     threads: ExecutorThreads,
@@ -120,25 +120,25 @@
     /// Opens the simulated services and prepares the proxies' files.
     fn new(
         experiment: Experiment,
-        site_experiment: Experiment,
+        services_experiment: Experiment,
         start: StartSettings,
     ) -> Result<Run, RunError> {
         let clock = Clock::default();
-        let (net, claim) = Net::claim().map_err(RunError::Addresses)?;
-        let site = Site::new(site_experiment, clock.clone(), net);
+        let (addresses, claim) = LoopbackAddresses::claim().map_err(RunError::Addresses)?;
+        let services = SimulatedServices::new(services_experiment, clock.clone(), addresses);
         let threads = ExecutorThreads::new();
-        site.open(&threads.executor).map_err(RunError::StandIns)?;
-        let fleet = Fleet::new(site.clone(), start).map_err(RunError::Prepare)?;
-        let clients = Clients::new(&experiment, clock.clone(), site.evidence.clone(), net);
-        Ok(Run { experiment, clock, site, clients, fleet, threads, _claim: claim })
+        services.bind_and_serve(&threads.executor).map_err(RunError::SimulatedServices)?;
+        let fleet = Fleet::new(services.clone(), start).map_err(RunError::Prepare)?;
+        let clients = Clients::new(&experiment, clock.clone(), services.evidence.clone(), addresses);
+        Ok(Run { experiment, clock, services, clients, fleet, threads, _claim: claim })
     }
 
     /// Runs the experiment and returns the proxies that exited although the testbed had not ended them.
     async fn execute(&self, live: bool) -> Result<Vec<usize>, RunError> {
         let executor = &self.threads.executor;
         if self.experiment.fleet.list_source() == ListSource::Etcd {
-            self.site.seed_etcd();
-            executor.spawn(self.site.clone().write_etcd()).detach();
+            self.services.seed_etcd();
+            executor.spawn(self.services.clone().run_etcd_writer()).detach();
         }
         self.fleet.start_all(&self.clients.load_balancer).await?;
         self.clock.start();
@@ -164,7 +164,7 @@
         if let Some(error) = first_error {
             return Err(error.into());
         }
-        let Run { experiment, site, clients, fleet, threads, .. } = self;
+        let Run { experiment, services, clients, fleet, threads, .. } = self;
         let samples = lock(&fleet.samples).clone();
         let counts = ClientCounts {
             send_delay_p99: lock(&clients.send_delay).value_at_quantile(0.99),
@@ -172,7 +172,7 @@
             sent_again: clients.sent_again.load(Ordering::Relaxed),
         };
         drop(threads);
-        let (events, requests) = site.evidence.finish();
+        let (events, requests) = services.evidence.finish();
         let mut verdict = oracle::judge(&experiment, &events, requests);
         let at = experiment.ends_at();
         verdict.breaches.extend(crashed.into_iter().map(|proxy| {
@@ -180,7 +180,7 @@
             Breach { rule: Rule::KeepsRunning, at, id: 0, proxy: proxy as u16, seen }
         }));
         let mut figures = Figures::measure(&experiment, &verdict, &samples, counts);
-        figures.etcd = EtcdFigures::measure(&experiment, &site.etcd.load());
+        figures.etcd = EtcdFigures::measure(&experiment, &services.etcd.load());
         let out_of_bounds = figures.out_of_bounds(&experiment);
         Ok(RunResult { experiment, verdict, figures, samples, out_of_bounds })
     }
@@ -225,7 +225,7 @@
         run.clock.start();
         // Request ids that the testbed did not issue, such as those typed by hand, count as
         // requests of the first class.
-        run.site.evidence.accept_any();
+        run.services.evidence.accept_any();
         run.print_addresses(&logs);
         _ = signals.next().await;
         run.fleet.stop_all().await;
@@ -236,16 +236,16 @@
 impl Run {
     /// Prints the proxies' addresses and an example request.
     fn print_addresses(&self, logs: &Path) {
-        let net = self.site.net;
+        let addresses = self.services.addresses;
         for proxy in 0..self.experiment.fleet.proxies {
-            let (own, list) = (net.proxy(proxy), net.list(proxy, false));
+            let (own, list) = (addresses.proxy_address(proxy), addresses.list_address(proxy, false));
             println!("proxy-{proxy:02}  http://{own}  list http://{list}/discovery/hosts");
         }
         let class = &self.experiment.classes[0].name;
         println!(
             "curl -H 'X-Correlation-Id: 1' -H 'X-Service-Class: {class}' -H 'X-Time-Left: 1' http://{}/api/k1\n\
              Use a new id (hexadecimal) for each request. Logs: {}. Ctrl-C ends it.",
-            net.proxy(0),
+            addresses.proxy_address(0),
             logs.display()
         );
     }
--- a/crates/testbed/src/stand_ins/body.rs
+++ b/crates/testbed/src/simulated_services/body.rs
@@ -18,7 +18,7 @@
 }
 
 /// Whether a body is complete and was made for that request.
-pub fn is_for(body: &[u8], id: Id) -> bool {
+pub fn body_matches(body: &[u8], id: Id) -> bool {
     let length = body.len().saturating_sub(CHECKSUM_LENGTH);
     let Some((content, checksum)) = body.split_at_checked(length) else { return false };
     content.starts_with(format!("{id:016x} ").as_bytes())
--- a/crates/testbed/src/stand_ins/decide.rs
+++ b/crates/testbed/src/simulated_services/decide.rs
@@ -1,6 +1,6 @@
 //! Decides the outcome of an attempt: asks the models, and records the effects of their answer.
 
-use super::{MissedServer, RunningServer, Site, TagKey};
+use super::{MissedServer, RunningServer, SimulatedServices, TagKey};
 use crate::clock::{MILLISECOND, Micros, micros_from_seconds};
 use crate::evidence::{ClientRequest, EventKind, Id};
 use crate::experiment::{DedupGroup, Protocol, Repeats, RequestClass};
@@ -27,7 +27,7 @@
     pub tag: Option<&'a [u8]>,
 }
 
-impl Site {
+impl SimulatedServices {
     /// Decides the outcome of an attempt with the models, and records its effects.
     pub(super) fn decide(&self, attempt: &Attempt) -> PlannedReply {
         let class = &self.experiment.classes[attempt.request.class];
@@ -39,7 +39,7 @@
             sample: self.draw_sample(),
         };
         let origin_fails = self.timelines.origin_fails(attempt.now, self.draw_sample());
-        let plan = if attempt.server == self.origin() {
+        let plan = if attempt.server == self.origin_index() {
             self.decide_at_origin(attempt.now, origin_fails)
         } else {
             self.decide_at_server(attempt, input, origin_fails)
--- a/crates/testbed/src/stand_ins/etcd/call.rs
+++ b/crates/testbed/src/simulated_services/etcd/call.rs
@@ -6,7 +6,7 @@
 use crate::clock::Micros;
 use crate::model::store::{Item, Store};
 use crate::model::timeline::Reachability;
-use crate::stand_ins::Site;
+use crate::simulated_services::SimulatedServices;
 use crate::sync::lock;
 use bytes::Bytes;
 use chalkwalk_etcd_wire::{CONTENT_TYPE, api, path};
@@ -18,7 +18,7 @@
 /// The proxy that made a call and the endpoint that serves it.
 #[derive(Clone)]
 pub(super) struct CallContext {
-    pub site: Arc<Site>,
+    pub services: Arc<SimulatedServices>,
     pub proxy: usize,
     pub endpoint: usize,
 }
@@ -26,39 +26,39 @@
 impl CallContext {
     /// The time of the run.
     pub fn now(&self) -> Micros {
-        self.site.clock.now()
+        self.services.clock.now()
     }
 
     /// The store, locked.
     pub fn store(&self) -> MutexGuard<'_, Store> {
-        lock(&self.site.etcd.store)
+        lock(&self.services.etcd.store)
     }
 
     /// A response's header.
     pub fn header(&self, revision: i64) -> Option<api::ResponseHeader> {
-        self.site.etcd.header(revision)
+        self.services.etcd.header(revision)
     }
 
     /// The latest revision that the endpoint sees.
     pub fn visible_revision(&self) -> i64 {
         let now = self.now();
-        let lag = self.site.etcd.timeline.lag(self.endpoint, now);
+        let lag = self.services.etcd.timeline.lag(self.endpoint, now);
         let store = self.store();
         if lag == 0 { store.revision() } else { store.revision_at(now.saturating_sub(lag)) }
     }
 
     /// Whether a response written now reaches the proxy: the link must not be cut.
     pub fn can_reach_proxy(&self) -> bool {
-        let zones = self.site.zones();
+        let zones = self.services.zones();
         let (endpoint, proxy) = (self.endpoint % zones, self.proxy % zones);
-        let (reachability, _) = self.site.timelines.zone_reachability(endpoint, proxy, self.now());
+        let (reachability, _) = self.services.timelines.zone_reachability(endpoint, proxy, self.now());
         reachability == Reachability::Up
     }
 
     /// Waits until the cluster no longer stalls.
     pub async fn wait_while_stalled(&self) {
-        while let Some(until) = self.site.etcd.timeline.stalled_until(self.now()) {
-            self.site.clock.sleep_until(until).await;
+        while let Some(until) = self.services.etcd.timeline.stalled_until(self.now()) {
+            self.services.clock.sleep_until(until).await;
         }
     }
 
--- a/crates/testbed/src/stand_ins/etcd/mod.rs
+++ b/crates/testbed/src/simulated_services/etcd/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in for an etcd cluster on sockets, which implements its public v3 API: gRPC over HTTP/2
+//! A simulated etcd cluster on sockets, which implements its public v3 API: gRPC over HTTP/2
 //! without TLS, with three endpoints for each proxy over one store. The address identifies the
 //! calling proxy, and values contain the addresses that this proxy uses.
 
@@ -9,7 +9,7 @@
 mod watch;
 mod writer;
 
-use super::Site;
+use super::SimulatedServices;
 use crate::clock::Micros;
 use crate::evidence::EventKind;
 use crate::model::etcd::EtcdTimeline;
@@ -28,7 +28,7 @@
 use tokio_util::compat::FuturesAsyncReadCompatExt;
 
 /// The prefix of all keys. Proxies get it in their operator's file.
-pub const PREFIX: &str = "/lab/";
+pub const KEY_PREFIX: &str = "/lab/";
 /// The state of a server in service, as it is stored in values.
 const SERVING_STATE: &str = "serving";
 
@@ -110,7 +110,7 @@
     }
 }
 
-impl Site {
+impl SimulatedServices {
     /// Records a notification of a proxy. A state older than the last one does not revoke a drain,
     /// unless it shows a later start.
     fn record_notified(&self, proxy: usize, server: usize, revision: i64, value: Option<&[u8]>) {
@@ -132,19 +132,19 @@
 
 /// Serves a connection until it ends or all connections are reset.
 pub(super) async fn serve(
-    site: Arc<Site>,
+    services: Arc<SimulatedServices>,
     executor: Weak<Executor<'static>>,
     (proxy, endpoint): (usize, usize),
     stream: Async<TcpStream>,
 ) {
-    let context = CallContext { site: site.clone(), proxy, endpoint };
+    let context = CallContext { services: services.clone(), proxy, endpoint };
     let socket = stream.get_ref().try_clone();
     _ = stream.get_ref().set_nodelay(true);
-    let accepted_at = site.clock.now();
+    let accepted_at = services.clock.now();
     let serving = async {
         let Ok(mut connection) = handshake(stream.compat()).await else { return false };
         while let Some(Ok((request, respond))) = connection.accept().await {
-            *lock(&site.etcd.calls) += 1;
+            *lock(&services.etcd.calls) += 1;
             if let Some(executor) = executor.upgrade() {
                 executor.spawn(serve_call(context.clone(), request, respond)).detach();
             }
@@ -152,14 +152,14 @@
         false
     };
     let reset = async {
-        match site.etcd.timeline.next_connection_reset(accepted_at) {
-            Some(at) => site.clock.sleep_until(at).await,
+        match services.etcd.timeline.next_connection_reset(accepted_at) {
+            Some(at) => services.clock.sleep_until(at).await,
             None => std::future::pending().await,
         }
         true
     };
     let was_reset = smol::future::or(serving, reset).await;
-    lock(&site.etcd.watch_lost_at).entry(proxy).or_insert_with(|| site.clock.now());
+    lock(&services.etcd.watch_lost_at).entry(proxy).or_insert_with(|| services.clock.now());
     if was_reset && let Ok(stream) = socket {
         _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
     }
--- a/crates/testbed/src/stand_ins/etcd/stream.rs
+++ b/crates/testbed/src/simulated_services/etcd/stream.rs
@@ -23,7 +23,7 @@
         GrpcError { code: code::UNAVAILABLE, reason: reason.into() }
     }
 
-    /// The stand-in does not implement the call.
+    /// The simulated etcd does not implement the call.
     pub fn unimplemented(reason: &str) -> GrpcError {
         GrpcError { code: code::UNIMPLEMENTED, reason: reason.into() }
     }
--- a/crates/testbed/src/stand_ins/etcd/txn.rs
+++ b/crates/testbed/src/simulated_services/etcd/txn.rs
@@ -53,6 +53,6 @@
     let header = context.header(revision);
     let put = || api::response_op::Response::ResponsePut(api::PutResponse { header });
     let responses = writes.iter().map(|_| api::ResponseOp { response: Some(put()) }).collect();
-    context.site.etcd.wake_watchers();
+    context.services.etcd.wake_watchers();
     Ok(api::TxnResponse { header, succeeded, responses })
 }
--- a/crates/testbed/src/stand_ins/etcd/unary.rs
+++ b/crates/testbed/src/simulated_services/etcd/unary.rs
@@ -1,6 +1,6 @@
 //! Calls with one request and one response, and the renewal of leases, which is a stream.
 
-use super::PREFIX;
+use super::KEY_PREFIX;
 use super::call::CallContext;
 use super::stream::{GrpcError, RequestStream, ResponseStream};
 use super::txn;
@@ -24,8 +24,8 @@
 ) -> Result<(), GrpcError> {
     let now = context.now();
     if path.starts_with("/etcdserverpb.Lease/") {
-        let delay = context.site.etcd.timeline.lease_delay(now);
-        context.site.clock.sleep_until(now + delay).await;
+        let delay = context.services.etcd.timeline.lease_delay(now);
+        context.services.clock.sleep_until(now + delay).await;
     }
     let mut responder = Responder { context, responses };
     match path {
@@ -63,7 +63,7 @@
 fn put(context: &CallContext, request: api::PutRequest, now: Micros) -> Result<api::PutResponse, GrpcError> {
     let write = Write::Put { key: request.key.to_vec(), value: request.value.to_vec(), lease: request.lease };
     let revision = context.store().write(now, &[write])?;
-    context.site.etcd.wake_watchers();
+    context.services.etcd.wake_watchers();
     Ok(api::PutResponse { header: context.header(revision) })
 }
 
@@ -78,7 +78,7 @@
         let write = Write::Delete { key: request.key.to_vec(), end: request.range_end.to_vec() };
         (store.write(now, &[write])?, deleted)
     };
-    context.site.etcd.wake_watchers();
+    context.services.etcd.wake_watchers();
     Ok(api::DeleteRangeResponse { header: context.header(revision), deleted })
 }
 
@@ -107,7 +107,7 @@
     now: Micros,
 ) -> Result<api::LeaseRevokeResponse, GrpcError> {
     context.store().revoke(now, request.id)?;
-    context.site.etcd.wake_watchers();
+    context.services.etcd.wake_watchers();
     Ok(api::LeaseRevokeResponse { header: context.header(context.visible_revision()) })
 }
 
@@ -131,7 +131,7 @@
     let kvs: Vec<api::KeyValue> = items.iter().map(|item| context.key_value(item)).collect();
     // The proxy is notified when the response is written: servers that are missing from the whole
     // list are gone.
-    if request.key.as_ref() == PREFIX.as_bytes() && !more && context.can_reach_proxy() {
+    if request.key.as_ref() == KEY_PREFIX.as_bytes() && !more && context.can_reach_proxy() {
         record_snapshot(context, &items, visible);
     }
     let count = kvs.len() as i64;
@@ -154,12 +154,12 @@
 
 /// Records the notifications of a proxy by the whole list.
 fn record_snapshot(context: &CallContext, items: &[Item], revision: i64) {
-    let (site, proxy) = (&context.site, context.proxy);
-    let cluster_id = *lock(&site.etcd.cluster_id);
-    let last_cluster_id = lock(&site.etcd.known_cluster_ids).insert(proxy, cluster_id);
+    let (services, proxy) = (&context.services, context.proxy);
+    let cluster_id = *lock(&services.etcd.cluster_id);
+    let last_cluster_id = lock(&services.etcd.known_cluster_ids).insert(proxy, cluster_id);
     let cluster_changed = last_cluster_id.is_some_and(|last_cluster_id| last_cluster_id != cluster_id);
-    for server in 0..site.origin() {
-        let key = key_of(site, server);
+    for server in 0..services.origin_index() {
+        let key = key_of(services, server);
         let item = items.iter().find(|item| item.key == key);
         // A server that is missing after a restore was not deleted, because no delete of it was
         // written.
@@ -167,6 +167,6 @@
             continue;
         }
         let value = item.and_then(|item| item.value.as_deref());
-        site.record_notified(proxy, server, revision, value);
+        services.record_notified(proxy, server, revision, value);
     }
 }
--- a/crates/testbed/src/stand_ins/etcd/watch.rs
+++ b/crates/testbed/src/simulated_services/etcd/watch.rs
@@ -52,7 +52,7 @@
             break create;
         }
     };
-    let wake_receiver = context.site.etcd.add_watcher();
+    let wake_receiver = context.services.etcd.add_watcher();
     context.wait_while_stalled().await;
     let created = api::WatchResponse { created: true, ..response(context) };
     responses.send(&created).await.ok_or_else(watcher_closed)?;
@@ -70,7 +70,7 @@
 /// Records how long a proxy was without its watch, once it has one again; a watch from a compacted
 /// revision does not count.
 fn record_recovery(context: &CallContext, create: &api::WatchCreateRequest) {
-    let etcd = &context.site.etcd;
+    let etcd = &context.services.etcd;
     if context.store().compacted() < create.start_revision
         && let Some(since) = lock(&etcd.watch_lost_at).remove(&context.proxy)
     {
@@ -114,7 +114,7 @@
 
     /// Waits for a change, a request, or the next check of the store.
     async fn wait(&self, requests: &mut RequestStream, wake_receiver: &Receiver<()>) -> WakeReason {
-        let lag = self.context.site.etcd.timeline.lag(self.context.endpoint, self.context.now());
+        let lag = self.context.services.etcd.timeline.lag(self.context.endpoint, self.context.now());
         let interval = if lag > 0 { LAGGING_POLL_INTERVAL } else { POLL_INTERVAL };
         let changed = async {
             or(async { _ = wake_receiver.recv().await }, async { _ = smol::Timer::after(interval).await })
@@ -177,11 +177,11 @@
 
 /// Records the notifications of a proxy by events, if the events reach it.
 fn record_events(context: &CallContext, items: &[Item]) {
-    let site = &context.site;
+    let services = &context.services;
     for item in items.iter().filter(|_| context.can_reach_proxy()) {
-        let servers = &mut (0..site.origin());
-        if let Some(server) = servers.find(|server| super::writer::key_of(site, *server) == item.key) {
-            site.record_notified(context.proxy, server, item.mod_revision, item.value.as_deref());
+        let servers = &mut (0..services.origin_index());
+        if let Some(server) = servers.find(|server| super::writer::key_of(services, *server) == item.key) {
+            services.record_notified(context.proxy, server, item.mod_revision, item.value.as_deref());
         }
     }
 }
--- a/crates/testbed/src/stand_ins/etcd/writer.rs
+++ b/crates/testbed/src/simulated_services/etcd/writer.rs
@@ -1,13 +1,13 @@
 //! Writes to the store: changes of the list when they are published, and operations on the store
 //! itself.
 
-use super::{PREFIX, SERVING_STATE};
+use super::{KEY_PREFIX, SERVING_STATE};
 use crate::clock::{MILLISECOND, Micros};
 use crate::model::etcd::StoreAction;
 use crate::model::server_list::{FIRST_VERSION, ListedServer};
 use crate::model::store::Write;
 use crate::model::timeline::{EndpointStatus, ListUpdate};
-use crate::stand_ins::Site;
+use crate::simulated_services::SimulatedServices;
 use crate::sync::lock;
 use serde_json::json;
 use std::sync::Arc;
@@ -19,13 +19,13 @@
 /// meantime.
 const MAX_SLEEP: Micros = 100 * MILLISECOND;
 
-pub(super) fn key_of(site: &Site, server: usize) -> Vec<u8> {
-    format!("{PREFIX}caches/{}", site.endpoint_id(server)).into_bytes()
+pub(super) fn key_of(services: &SimulatedServices, server: usize) -> Vec<u8> {
+    format!("{KEY_PREFIX}caches/{}", services.endpoint_id(server)).into_bytes()
 }
 
 /// An entry's value, with a placeholder for the proxy.
-fn value_of(site: &Site, entry: &ListedServer) -> Vec<u8> {
-    let mut value = site.list_entry(0, entry);
+fn value_of(services: &SimulatedServices, entry: &ListedServer) -> Vec<u8> {
+    let mut value = services.list_entry(0, entry);
     let state = if entry.status == EndpointStatus::Ready { SERVING_STATE } else { "draining" };
     let addr = for_any_proxy(value["addr"].as_str().unwrap_or(""));
     if let Some(fields) = value.as_object_mut() {
@@ -55,7 +55,7 @@
     }
 }
 
-impl Site {
+impl SimulatedServices {
     /// Writes the list as it is at the start of the run.
     pub fn seed_etcd(&self) {
         let put = |entry: &ListedServer| Write::Put {
@@ -69,10 +69,10 @@
 
     /// Writes changes of the list when they are published, and applies the operations of the
     /// timeline to the store; never returns.
-    pub async fn write_etcd(self: Arc<Site>) {
+    pub async fn run_etcd_writer(self: Arc<SimulatedServices>) {
         let mut updates = self.timelines.list_updates.iter().peekable();
         let mut actions = self.etcd.timeline.actions.iter().peekable();
-        let mut started = vec![0; self.origin() + 1];
+        let mut started = vec![0; self.origin_index() + 1];
         loop {
             let expiry = lock(&self.etcd.store).next_expiry();
             let next_update = updates.peek().map(|update| update.published);
--- a/crates/testbed/src/stand_ins/file.rs
+++ b/crates/testbed/src/simulated_services/file.rs
@@ -1,7 +1,7 @@
 //! The endpoint list as a file, one for each proxy with the addresses that the proxy uses. It is
 //! replaced atomically with a rename, or overwritten in place as by a careless writer.
 
-use super::Site;
+use super::SimulatedServices;
 use crate::clock::Micros;
 use crate::evidence::EventKind;
 use crate::model::server_list::ListedServer;
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 /// Pause between the halves of a file that is overwritten in place.
-const HALVES_PAUSE: Duration = Duration::from_millis(20);
+const SPLIT_WRITE_DELAY: Duration = Duration::from_millis(20);
 
 /// The list file of one proxy.
 pub struct ListFile {
@@ -29,12 +29,12 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum WriteMode {
     /// A new file is written beside it, and renamed over it.
-    Replaced,
+    AtomicReplace,
     /// The file is overwritten in place with content that cannot be parsed.
-    Broken,
+    MalformedInPlace,
     /// The file is overwritten in place: first with the first half of the content, later with all
     /// of it.
-    InHalves,
+    InPlaceInHalves,
 }
 
 impl ListFile {
@@ -49,11 +49,11 @@
     }
 
     /// The current content of the file.
-    fn text(&self, site: &Site) -> String {
-        let now = site.clock.now();
+    fn text(&self, services: &SimulatedServices) -> String {
+        let now = services.clock.now();
         let mut text = format!("version = 1\nserial = {now}\n");
-        for entry in &entries_at(site, now) {
-            let fields = site.list_entry(self.proxy, entry);
+        for entry in &entries_at(services, now) {
+            let fields = services.list_entry(self.proxy, entry);
             let state = if entry.status == EndpointStatus::Ready { "serving" } else { "draining" };
             text += &format!(
                 "[[cache]]\nid = {}\naddr = {}\nzone = {}\nkind = {}\ncell = {}\nstate = \"{state}\"\nstarted_ms = {}\n",
@@ -69,24 +69,24 @@
     }
 
     /// Writes the current list.
-    pub async fn write(&self, site: &Site, mode: WriteMode) {
+    pub async fn write(&self, services: &SimulatedServices, mode: WriteMode) {
         // One writer at a time. Otherwise the second half of an old list could overwrite a new one.
         let _guard = self.write_lock.lock().await;
-        let text = self.text(site);
+        let text = self.text(services);
         let written = match mode {
-            WriteMode::Replaced => self.replace(&text),
-            WriteMode::Broken => {
+            WriteMode::AtomicReplace => self.replace(&text),
+            WriteMode::MalformedInPlace => {
                 _ = std::fs::write(&self.path, text.replace("addr = \"", "addr = \"x"));
                 return;
             }
-            WriteMode::InHalves => {
+            WriteMode::InPlaceInHalves => {
                 _ = std::fs::write(&self.path, &text.as_bytes()[..text.len() / 2]);
-                smol::Timer::after(HALVES_PAUSE).await;
+                smol::Timer::after(SPLIT_WRITE_DELAY).await;
                 std::fs::write(&self.path, &text)
             }
         };
         if written.is_ok() {
-            self.record_notified(site);
+            self.record_notified(services);
         }
     }
 
@@ -97,23 +97,23 @@
     }
 
     /// Records that the proxy is notified from now on, because the file can be read.
-    fn record_notified(&self, site: &Site) {
-        let now = site.clock.now();
-        let entries = entries_at(site, now);
+    fn record_notified(&self, services: &SimulatedServices) {
+        let now = services.clock.now();
+        let entries = entries_at(services, now);
         let is_ready = |server: usize| {
             entries.iter().any(|entry| entry.server == server && entry.status == EndpointStatus::Ready)
         };
         let mut notified_off = lock(&self.notified_off);
-        for server in 0..site.origin() {
+        for server in 0..services.origin_index() {
             let is_off = !is_ready(server);
             if notified_off.insert(server, is_off).unwrap_or(false) != is_off {
                 let kind = EventKind::Notified { server: server as u16, is_off };
-                site.evidence.record_at(now, 0, self.proxy, kind);
+                services.evidence.record_at(now, 0, self.proxy, kind);
             }
         }
     }
 }
 
-fn entries_at(site: &Site, now: Micros) -> Vec<ListedServer> {
-    site.server_list.snapshot(site.server_list.version(now))
+fn entries_at(services: &SimulatedServices, now: Micros) -> Vec<ListedServer> {
+    services.server_list.snapshot(services.server_list.version(now))
 }
--- a/crates/testbed/src/stand_ins/list.rs
+++ b/crates/testbed/src/simulated_services/list.rs
@@ -1,7 +1,7 @@
 //! The platform's endpoint list on sockets: calls that get the whole list, and watches that wait
 //! for newer versions.
 
-use super::Site;
+use super::SimulatedServices;
 use crate::clock::{MILLISECOND, Micros, SECOND, micros_from_seconds};
 use crate::evidence::EventKind;
 use crate::experiment::Outage;
@@ -74,13 +74,13 @@
 
 /// One proxy's connection to the list.
 struct ListConnection<'a> {
-    site: &'a Site,
+    services: &'a SimulatedServices,
     proxy: usize,
 }
 
 /// Serves calls on a connection until it ends.
-pub(super) async fn serve_calls(site: &Site, proxy: usize, connection: &mut Connection) {
-    let list_connection = ListConnection { site, proxy };
+pub(super) async fn serve_calls(services: &SimulatedServices, proxy: usize, connection: &mut Connection) {
+    let list_connection = ListConnection { services, proxy };
     let mut last_answer = None;
     loop {
         let Some(message) = list_connection.next_message(connection, last_answer).await else { return };
@@ -113,33 +113,33 @@
     }
 
     async fn serve_call(&self, connection: &mut Connection, message: &Message) -> AfterCall {
-        let site = self.site;
-        site.list_calls[self.proxy].fetch_add(1, Ordering::Relaxed);
-        let call = Call::new(message, site.clock.now());
-        if let Some(outage) = site.timelines.list_outage(call.received_at) {
+        let services = self.services;
+        services.list_calls[self.proxy].fetch_add(1, Ordering::Relaxed);
+        let call = Call::new(message, services.clock.now());
+        if let Some(outage) = services.timelines.list_outage(call.received_at) {
             return self.fail(connection, outage).await;
         }
         let Some(slot) = self.queue_slot(call.received_at) else {
             _ = connection.write(&[response_head(503, 0, "").as_bytes()]).await;
             return AfterCall::Answered(None);
         };
-        site.clock.sleep_until(slot).await;
+        services.clock.sleep_until(slot).await;
         if connection.is_closed() {
             // The caller gave up before its turn: the call notifies the proxy of nothing.
             return AfterCall::Close;
         }
-        let newer_exists = |index: u64| index < site.server_list.version(site.clock.now());
+        let newer_exists = |index: u64| index < services.server_list.version(services.clock.now());
         if let Some(index) = call.index.filter(|index| !newer_exists(*index)) {
             if !self.wait(connection, &call, index).await {
                 return AfterCall::Close;
             }
-            if let Some(outage) = site.timelines.list_outage(site.clock.now()) {
+            if let Some(outage) = services.timelines.list_outage(services.clock.now()) {
                 return self.fail(connection, outage).await;
             }
         }
         let Some(version) = self.answer(connection, &call).await else { return AfterCall::Close };
-        let answered_at = site.clock.now();
-        let call_count = site.list_calls[self.proxy].load(Ordering::Relaxed);
+        let answered_at = services.clock.now();
+        let call_count = services.list_calls[self.proxy].load(Ordering::Relaxed);
         let answer = WatchAnswer { version, called_at: call.received_at, answered_at, call_count };
         AfterCall::Answered(call.index.map(|_| answer))
     }
@@ -147,25 +147,26 @@
     /// The time at which a call is answered, as calls are answered one at a time; `None` if it
     /// would wait longer than [`QUEUE_TIMEOUT`].
     fn queue_slot(&self, now: Micros) -> Option<Micros> {
-        let mut free_at = lock(&self.site.list_free_at);
+        let mut free_at = lock(&self.services.list_free_at);
         let at = (*free_at).max(now);
         if at > now + QUEUE_TIMEOUT {
             return None;
         }
-        *free_at = at + micros_from_seconds(self.site.experiment.world.list_call_ms / 1e3);
+        *free_at = at + micros_from_seconds(self.services.experiment.world.list_call_ms / 1e3);
         Some(*free_at)
     }
 
     /// Waits for a newer version, or until the call's wait ends or the list goes down. Returns
     /// false if the call gets no answer.
     async fn wait(&self, connection: &mut Connection, call: &Call, index: u64) -> bool {
-        let site = self.site;
-        let newer = site.server_list.next_change(index).unwrap_or(Micros::MAX);
-        let outages = site.timelines.list_outages.iter().map(|outage| outage.span.start);
+        let services = self.services;
+        let newer = services.server_list.next_change(index).unwrap_or(Micros::MAX);
+        let outages = services.timelines.list_outages.iter().map(|outage| outage.span.start);
         let next_outage = outages.filter(|at| *at > call.received_at).min().unwrap_or(Micros::MAX);
         let wait = call.wait.min(MAX_WATCH_WAIT);
         let until = newer.min(call.received_at + wait).min(next_outage);
-        let silent = site.timelines.list_silences.iter().find(|at| (call.received_at..until).contains(at));
+        let silent =
+            services.timelines.list_silences.iter().find(|at| (call.received_at..until).contains(at));
         if let Some(from) = silent {
             let notified_from = (from + SILENT_CALL_GRACE).max(call.received_at + wait + SILENT_WAIT_GRACE);
             or(self.record_missed_changes(call.received_at, index, notified_from), connection.wait_closed())
@@ -173,7 +174,7 @@
             return false;
         }
         let waited = async {
-            site.clock.sleep_until(until).await;
+            services.clock.sleep_until(until).await;
             true
         };
         let closed = async {
@@ -185,7 +186,7 @@
 
     /// Fails a call in the way of an outage.
     async fn fail(&self, connection: &mut Connection, outage: Outage) -> AfterCall {
-        let clock = &self.site.clock;
+        let clock = &self.services.clock;
         match outage {
             Outage::Closes | Outage::Refuses => AfterCall::Close,
             Outage::Unavailable | Outage::UnavailableLate => {
@@ -211,13 +212,13 @@
     /// Records the changes that a call misses because the list no longer answers it; they count as
     /// notified from the time `notified_from`, at the earliest.
     async fn record_missed_changes(&self, called_at: Micros, index: u64, notified_from: Micros) {
-        let site = self.site;
+        let services = self.services;
         let mut version = index;
-        while let Some(change) = site.server_list.next_change(version) {
-            site.clock.sleep_until(change.max(notified_from)).await;
-            let now_version = site.server_list.version(site.clock.now());
-            let changes = site.server_list.changes_since(version, now_version);
-            self.record_notified(called_at, &changes, site.clock.now());
+        while let Some(change) = services.server_list.next_change(version) {
+            services.clock.sleep_until(change.max(notified_from)).await;
+            let now_version = services.server_list.version(services.clock.now());
+            let changes = services.server_list.changes_since(version, now_version);
+            self.record_notified(called_at, &changes, services.clock.now());
             version = now_version;
         }
         std::future::pending().await
@@ -229,16 +230,20 @@
     /// it. Once the proxy's next call has arrived, on any connection, that call covers all later
     /// changes.
     async fn record_grace_changes(&self, answer: WatchAnswer) {
-        let site = self.site;
+        let services = self.services;
         let end = answer.answered_at + WATCH_GRACE;
         let mut version = answer.version;
-        while let Some(change) = site.server_list.next_change(version).filter(|change| *change <= end) {
-            site.clock.sleep_until(change).await;
-            if site.list_calls[self.proxy].load(Ordering::Relaxed) != answer.call_count {
+        while let Some(change) = services.server_list.next_change(version).filter(|change| *change <= end) {
+            services.clock.sleep_until(change).await;
+            if services.list_calls[self.proxy].load(Ordering::Relaxed) != answer.call_count {
                 return;
             }
-            let next = site.server_list.version(change);
-            self.record_notified(answer.called_at, &site.server_list.changes_since(version, next), change);
+            let next = services.server_list.version(change);
+            self.record_notified(
+                answer.called_at,
+                &services.server_list.changes_since(version, next),
+                change,
+            );
             version = next;
         }
     }
@@ -246,29 +251,29 @@
     /// Records entries as notified to a proxy at that time, unless the process that called has
     /// ended since: what is written to it is not read.
     fn record_notified(&self, called_at: Micros, entries: &[ListedServer], at: Micros) {
-        let site = self.site;
-        if site.evidence.ended_since(self.proxy, called_at) {
+        let services = self.services;
+        if services.evidence.ended_since(self.proxy, called_at) {
             return;
         }
-        for entry in entries.iter().filter(|entry| entry.server < site.origin()) {
+        for entry in entries.iter().filter(|entry| entry.server < services.origin_index()) {
             let is_off = entry.status != EndpointStatus::Ready;
             let kind = EventKind::Notified { server: entry.server as u16, is_off };
-            site.evidence.record_at(at, 0, self.proxy, kind);
+            services.evidence.record_at(at, 0, self.proxy, kind);
         }
     }
 
     /// Answers a call and returns the version that was sent; `None` if the connection is closed.
     async fn answer(&self, connection: &Connection, call: &Call) -> Option<u64> {
-        let site = self.site;
-        let now = site.clock.now();
-        let stale = site.timelines.stale_list_spans.iter().any(|span| span.contains(&now));
-        let version = site.server_list.version(if stale { now.saturating_sub(STALE_AGE) } else { now });
+        let services = self.services;
+        let now = services.clock.now();
+        let stale = services.timelines.stale_list_spans.iter().any(|span| span.contains(&now));
+        let version = services.server_list.version(if stale { now.saturating_sub(STALE_AGE) } else { now });
         let full = stale || call.index.is_none_or(|index| index > version);
         let entries = match call.index {
-            Some(index) if !full => site.server_list.changes_since(index, version),
-            _ => site.server_list.snapshot(version),
+            Some(index) if !full => services.server_list.changes_since(index, version),
+            _ => services.server_list.snapshot(version),
         };
-        let servers: Vec<_> = entries.iter().map(|entry| site.list_entry(self.proxy, entry)).collect();
+        let servers: Vec<_> = entries.iter().map(|entry| services.list_entry(self.proxy, entry)).collect();
         let text = json!({"version": version, "full": full, "servers": servers}).to_string();
         let head = response_head(200, text.len(), JSON_HEADER);
         connection.write(&[head.as_bytes(), text.as_bytes()]).await.ok()?;
@@ -277,10 +282,10 @@
             // notification.
             return Some(version);
         }
-        let now = site.clock.now();
+        let now = services.clock.now();
         self.record_notified(call.received_at, &entries, now);
         if full {
-            self.record_notified(call.received_at, &missing_servers(&entries, site.origin()), now);
+            self.record_notified(call.received_at, &missing_servers(&entries, services.origin_index()), now);
         }
         Some(version)
     }
--- a/crates/testbed/src/stand_ins/listener.rs
+++ b/crates/testbed/src/simulated_services/listener.rs
@@ -2,7 +2,7 @@
 //! refuse while its process is gone, and are silent while its machine or the link to it is gone.
 
 use super::peer::{Link, Peer};
-use super::{Site, etcd, list, resp, server};
+use super::{SimulatedServices, etcd, list, resp, server};
 use crate::clock::{Clock, Micros};
 use crate::evidence::EventKind;
 use crate::experiment::Protocol;
@@ -23,9 +23,12 @@
 /// fills the queue.
 const BACKLOG_FILL_CONNECTIONS: usize = 2;
 
-impl Site {
+impl SimulatedServices {
     /// Binds every address that proxies connect to, and serves connections on them.
-    pub fn open(self: &Arc<Site>, executor: &Arc<Executor<'static>>) -> io::Result<()> {
+    pub fn bind_and_serve(
+        self: &Arc<SimulatedServices>,
+        executor: &Arc<Executor<'static>>,
+    ) -> io::Result<()> {
         for proxy in 0..self.experiment.fleet.proxies {
             for peer in self.peers() {
                 let link = Link { peer, proxy };
@@ -34,7 +37,7 @@
                 // A weak reference, because the executor owns this task: a strong one would keep it
                 // alive forever.
                 let peer_listener =
-                    PeerListener { site: self.clone(), executor: Arc::downgrade(executor), link, addr };
+                    PeerListener { services: self.clone(), executor: Arc::downgrade(executor), link, addr };
                 executor.spawn(peer_listener.run(listener)).detach();
             }
         }
@@ -58,7 +61,7 @@
 
 /// The listener of one peer for one proxy.
 struct PeerListener {
-    site: Arc<Site>,
+    services: Arc<SimulatedServices>,
     executor: Weak<Executor<'static>>,
     link: Link,
     addr: SocketAddr,
@@ -70,10 +73,10 @@
     async fn run(self, listener: Async<TcpListener>) {
         let mut bound = Some(listener);
         loop {
-            let (reachability, until) = self.site.reachability(self.link);
+            let (reachability, until) = self.services.reachability(self.link);
             if reachability == Reachability::Refused {
                 bound = None;
-                wait_until(&self.site.clock, until).await;
+                wait_until(&self.services.clock, until).await;
                 continue;
             }
             let listener = match bound.take().map_or_else(|| listen(self.addr), Ok) {
@@ -87,7 +90,7 @@
             if reachability == Reachability::Silent {
                 self.stay_silent(&listener, until).await;
             } else {
-                or(self.accept(&listener, until), wait_until(&self.site.clock, until)).await;
+                or(self.accept(&listener, until), wait_until(&self.services.clock, until)).await;
             }
             bound = Some(listener);
         }
@@ -95,7 +98,7 @@
 
     async fn stay_silent(&self, listener: &Async<TcpListener>, until: Micros) {
         let backlog_connections = fill_backlog(listener, self.addr);
-        wait_until(&self.site.clock, until).await;
+        wait_until(&self.services.clock, until).await;
         drop(backlog_connections);
         // Connections that were queued in the meantime are reset, because the machine that returns
         // knows nothing of them.
@@ -112,15 +115,15 @@
                 continue;
             };
             let Some(executor) = self.executor.upgrade() else { return };
-            let site = self.site.clone();
+            let services = self.services.clone();
             let link = self.link;
             match link.peer {
                 Peer::Etcd(endpoint) => {
                     let serving =
-                        etcd::serve(site.clone(), self.executor.clone(), (link.proxy, endpoint), stream);
-                    executor.spawn(serve_etcd(site, link, serving, until)).detach();
+                        etcd::serve(services.clone(), self.executor.clone(), (link.proxy, endpoint), stream);
+                    executor.spawn(serve_etcd(services, link, serving, until)).detach();
                 }
-                _ => executor.spawn(serve(site, link, stream, until)).detach(),
+                _ => executor.spawn(serve(services, link, stream, until)).detach(),
             }
         }
     }
@@ -153,18 +156,18 @@
 }
 
 /// Serves a connection until it ends or the peer is no longer up.
-async fn serve(site: Arc<Site>, link: Link, stream: Async<TcpStream>, until: Micros) {
+async fn serve(services: Arc<SimulatedServices>, link: Link, stream: Async<TcpStream>, until: Micros) {
     let mut connection = Connection::new(stream);
-    let serving = serve_peer(&site, link, &mut connection);
-    if ends_before(&site.clock, until, serving).await {
+    let serving = serve_peer(&services, link, &mut connection);
+    if ends_before(&services.clock, until, serving).await {
         return;
     }
     // The connection stays open and silent until the peer is back and knows nothing of it. An
     // attempt in progress ends with the connection, whichever side closes it.
     loop {
-        let (reachability, until) = site.reachability(link);
+        let (reachability, until) = services.reachability(link);
         if reachability != Reachability::Silent {
-            abort_attempt(&site, link, &mut connection);
+            abort_attempt(&services, link, &mut connection);
             return connection.reset();
         }
         let closed = async {
@@ -173,40 +176,45 @@
                 None => std::future::pending().await,
             }
         };
-        if ends_before(&site.clock, until, closed).await {
-            abort_attempt(&site, link, &mut connection);
+        if ends_before(&services.clock, until, closed).await {
+            abort_attempt(&services, link, &mut connection);
         }
     }
 }
 
-async fn serve_peer(site: &Site, link: Link, connection: &mut Connection) {
+async fn serve_peer(services: &SimulatedServices, link: Link, connection: &mut Connection) {
     match link.peer {
-        Peer::Server(index) if site.experiment.fleet.protocol() == Protocol::Resp => {
-            resp::serve_attempts(site, index, link.proxy, connection).await;
+        Peer::Server(index) if services.experiment.fleet.protocol() == Protocol::Resp => {
+            resp::serve_attempts(services, index, link.proxy, connection).await;
         }
-        Peer::Server(index) => server::serve_attempts(site, index, link.proxy, connection).await,
-        Peer::List { .. } => list::serve_calls(site, link.proxy, connection).await,
+        Peer::Server(index) => server::serve_attempts(services, index, link.proxy, connection).await,
+        Peer::List { .. } => list::serve_calls(services, link.proxy, connection).await,
         // Connections to etcd are served by `etcd::serve`.
         Peer::Etcd(_) => {}
     }
 }
 
 /// Records that the attempt in progress on a connection was aborted.
-fn abort_attempt(site: &Site, link: Link, connection: &mut Connection) {
+fn abort_attempt(services: &SimulatedServices, link: Link, connection: &mut Connection) {
     if let (Some(id), Peer::Server(server)) = (connection.open_attempt.take(), link.peer) {
-        site.evidence.record(id, link.proxy, EventKind::AttemptAborted { server: server as u16 });
+        services.evidence.record(id, link.proxy, EventKind::AttemptAborted { server: server as u16 });
     }
 }
 
 /// Serves a connection to etcd until it ends or the peer is no longer up.
-async fn serve_etcd(site: Arc<Site>, link: Link, serving: impl Future<Output = ()>, until: Micros) {
+async fn serve_etcd(
+    services: Arc<SimulatedServices>,
+    link: Link,
+    serving: impl Future<Output = ()>,
+    until: Micros,
+) {
     let mut serving = std::pin::pin!(serving);
-    if ends_before(&site.clock, until, serving.as_mut()).await {
+    if ends_before(&services.clock, until, serving.as_mut()).await {
         return;
     }
     // While the peer is silent, the future is not polled, so the connection is silent. The
     // connection is reset when the future is dropped at the end of this function.
-    while let (Reachability::Silent, until) = site.reachability(link) {
-        wait_until(&site.clock, until).await;
+    while let (Reachability::Silent, until) = services.reachability(link) {
+        wait_until(&services.clock, until).await;
     }
 }
--- a/crates/testbed/src/stand_ins/mod.rs
+++ b/crates/testbed/src/simulated_services/mod.rs
@@ -1,4 +1,4 @@
-//! The stand-ins on sockets: servers, the origin and the list. Each has an address of its own for
+//! The simulated services on sockets: servers, the origin and the list. Each has an address of its own for
 //! each proxy, which identifies the proxy that sent an attempt. The models decide the replies; the
 //! code in this module reads, waits and writes.
 
@@ -14,7 +14,7 @@
 pub mod resp;
 pub mod server;
 
-pub use net::Net;
+pub use net::LoopbackAddresses;
 
 use crate::clock::{Clock, MILLISECOND, Micros, micros_from_seconds};
 use crate::evidence::{Evidence, Id};
@@ -52,8 +52,8 @@
     group: u64,
 }
 
-/// The state that all stand-ins share.
-pub struct Site {
+/// The simulated services of a run, with the state that they share.
+pub struct SimulatedServices {
     /// The experiment that is run.
     pub experiment: Experiment,
     /// The states and faults of the servers, the origin, the links and the list.
@@ -63,8 +63,8 @@
     /// The recorder of the run's events.
     pub evidence: Evidence,
     /// The addresses of the run.
-    pub net: Net,
-    /// The stand-in for etcd.
+    pub addresses: LoopbackAddresses,
+    /// The simulated etcd cluster.
     pub etcd: etcd::Etcd,
     /// The owners of the hash slots.
     pub cluster: Cluster,
@@ -117,14 +117,14 @@
     RunningServer { incarnation: 0, model }
 }
 
-impl Site {
-    /// The stand-ins of an experiment, before their addresses are bound.
-    pub fn new(experiment: Experiment, clock: Clock, net: Net) -> Arc<Site> {
+impl SimulatedServices {
+    /// The simulated services of an experiment, before their addresses are bound.
+    pub fn new(experiment: Experiment, clock: Clock, addresses: LoopbackAddresses) -> Arc<SimulatedServices> {
         let world = &experiment.world;
         let timelines = Timelines::new(&experiment);
         let spec = server_spec(&experiment);
         let origin = OriginModel::new(world.origin_slots, world.origin_queue, world.origin_contention);
-        Arc::new(Site {
+        Arc::new(SimulatedServices {
             server_list: ServerList::new(world.servers, timelines.list_updates.clone()),
             servers: (0..world.servers).map(|_| Mutex::new(warm_server(&experiment, &spec))).collect(),
             connections: (0..=world.servers).map(|_| AtomicUsize::new(0)).collect(),
@@ -140,13 +140,13 @@
             spec,
             timelines,
             clock,
-            net,
+            addresses,
             experiment,
         })
     }
 
     /// The index of the origin: the one after the last server's.
-    pub fn origin(&self) -> usize {
+    pub fn origin_index(&self) -> usize {
         self.experiment.world.servers
     }
 
--- a/crates/testbed/src/stand_ins/net.rs
+++ b/crates/testbed/src/simulated_services/net.rs
@@ -5,7 +5,7 @@
 
 /// The block of addresses of a run: 127.`block`.proxy.peer, all on one port.
 #[derive(Clone, Copy, Debug)]
-pub struct Net {
+pub struct LoopbackAddresses {
     block: u8,
 }
 
@@ -28,17 +28,17 @@
 /// The last two bytes of the address that a run binds to claim its block; no proxy has that number.
 const CLAIM_BYTES: [u8; 2] = [255, 1];
 
-impl Net {
+impl LoopbackAddresses {
     /// Claims a block of addresses that no other run on this machine uses. A run holds its block
     /// for as long as it keeps the returned listener, which is bound to one of the block's
     /// addresses.
-    pub fn claim() -> io::Result<(Net, TcpListener)> {
+    pub fn claim() -> io::Result<(LoopbackAddresses, TcpListener)> {
         let start = std::process::id() as u8;
         for i in 0..=u8::MAX {
-            let net = Net { block: FIRST_BLOCK + start.wrapping_add(i) % BLOCK_COUNT };
-            let claim_address = Ipv4Addr::new(127, net.block, CLAIM_BYTES[0], CLAIM_BYTES[1]);
+            let addresses = LoopbackAddresses { block: FIRST_BLOCK + start.wrapping_add(i) % BLOCK_COUNT };
+            let claim_address = Ipv4Addr::new(127, addresses.block, CLAIM_BYTES[0], CLAIM_BYTES[1]);
             if let Ok(claim) = TcpListener::bind((claim_address, PORT)) {
-                return Ok((net, claim));
+                return Ok((addresses, claim));
             }
         }
         Err(io::Error::new(io::ErrorKind::AddrInUse, "all blocks of loopback addresses for runs are in use"))
@@ -49,28 +49,28 @@
     }
 
     /// The address on which a proxy listens for HTTP.
-    pub fn proxy(&self, proxy: usize) -> SocketAddr {
+    pub fn proxy_address(&self, proxy: usize) -> SocketAddr {
         self.addr(proxy, PROXY_BYTE)
     }
 
     /// The address at which a proxy reaches the list: the second one if the list has moved.
-    pub fn list(&self, proxy: usize, moved: bool) -> SocketAddr {
+    pub fn list_address(&self, proxy: usize, moved: bool) -> SocketAddr {
         self.addr(proxy, if moved { MOVED_LIST_BYTE } else { LIST_BYTE })
     }
 
     /// The address on which a proxy listens for RESP.
-    pub fn resp(&self, proxy: usize) -> SocketAddr {
+    pub fn resp_address(&self, proxy: usize) -> SocketAddr {
         self.addr(proxy, RESP_LISTENER_BYTE)
     }
 
     /// The address at which a proxy reaches one of etcd's endpoints.
-    pub fn etcd(&self, proxy: usize, endpoint: usize) -> SocketAddr {
+    pub fn etcd_address(&self, proxy: usize, endpoint: usize) -> SocketAddr {
         self.addr(proxy, FIRST_ETCD_BYTE + endpoint as u8)
     }
 
     /// The address at which a proxy reaches a server; the origin's index is the one after the last
     /// server's.
-    pub fn server(&self, proxy: usize, server: usize, servers: usize) -> SocketAddr {
+    pub fn server_address(&self, proxy: usize, server: usize, servers: usize) -> SocketAddr {
         self.addr(proxy, if server == servers { ORIGIN_BYTE } else { FIRST_SERVER_BYTE + server as u8 })
     }
 }
--- a/crates/testbed/src/stand_ins/peer.rs
+++ b/crates/testbed/src/simulated_services/peer.rs
@@ -1,13 +1,13 @@
 //! The peers that a proxy connects to: their addresses, and whether they can be reached.
 
-use super::Site;
+use super::SimulatedServices;
 use crate::clock::Micros;
 use crate::experiment::{ListSource, Outage};
 use crate::model::etcd::ENDPOINT_COUNT;
 use crate::model::timeline::{ListOutage, Reachability};
 use std::net::SocketAddr;
 
-/// A stand-in that proxies connect to.
+/// A simulated service that proxies connect to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Peer {
     /// A server by its index; the origin's index is the one after the last server's.
@@ -25,10 +25,10 @@
     pub proxy: usize,
 }
 
-impl Site {
+impl SimulatedServices {
     /// All peers that a proxy may connect to.
     pub(super) fn peers(&self) -> Vec<Peer> {
-        let mut peers: Vec<Peer> = (0..=self.origin()).map(Peer::Server).collect();
+        let mut peers: Vec<Peer> = (0..=self.origin_index()).map(Peer::Server).collect();
         peers.push(Peer::List { moved: false });
         peers.push(Peer::List { moved: true });
         if self.experiment.fleet.list_source() == ListSource::Etcd {
@@ -39,9 +39,9 @@
 
     pub(super) fn address(&self, link: Link) -> SocketAddr {
         match link.peer {
-            Peer::Server(server) => self.net.server(link.proxy, server, self.origin()),
-            Peer::List { moved } => self.net.list(link.proxy, moved),
-            Peer::Etcd(endpoint) => self.net.etcd(link.proxy, endpoint),
+            Peer::Server(server) => self.addresses.server_address(link.proxy, server, self.origin_index()),
+            Peer::List { moved } => self.addresses.list_address(link.proxy, moved),
+            Peer::Etcd(endpoint) => self.addresses.etcd_address(link.proxy, endpoint),
         }
     }
 
@@ -51,7 +51,7 @@
         let zone = link.proxy % zones;
         let now = self.clock.now();
         match link.peer {
-            Peer::Server(server) if server < self.origin() => {
+            Peer::Server(server) if server < self.origin_index() => {
                 self.timelines.reachability(server, (server % zones, zone), now)
             }
             Peer::Server(_) => self.timelines.origin_reachability(zone, now),
--- a/crates/testbed/src/stand_ins/resp.rs
+++ b/crates/testbed/src/simulated_services/resp.rs
@@ -4,7 +4,7 @@
 use super::body::body;
 use super::decide::Attempt;
 use super::server::{closes_connection, wait_until_due};
-use super::{ConnectionCount, Site};
+use super::{ConnectionCount, SimulatedServices};
 use crate::clock::{MILLISECOND, Micros};
 use crate::evidence::{ClientRequest, EventKind, Id};
 use crate::model::cluster::{Command, CommandOutcome, RANK_COUNT};
@@ -38,7 +38,7 @@
 
 /// The server's end of a connection from a proxy.
 struct RespConnection<'a> {
-    site: &'a Site,
+    services: &'a SimulatedServices,
     server: usize,
     proxy: usize,
     /// Whether ASKING was sent for the next command.
@@ -55,9 +55,14 @@
 }
 
 /// Serves commands on a connection until it ends.
-pub(super) async fn serve_attempts(site: &Site, server: usize, proxy: usize, connection: &mut Connection) {
-    let _count = ConnectionCount::new(&site.connections[server]);
-    let mut resp_connection = RespConnection { site, server, proxy, asking: false, readonly: false };
+pub(super) async fn serve_attempts(
+    services: &SimulatedServices,
+    server: usize,
+    proxy: usize,
+    connection: &mut Connection,
+) {
+    let _count = ConnectionCount::new(&services.connections[server]);
+    let mut resp_connection = RespConnection { services, server, proxy, asking: false, readonly: false };
     while resp_connection.serve_next(connection).await.is_some() {}
 }
 
@@ -65,7 +70,7 @@
     /// Serves one command; `None` if the connection ends.
     async fn serve_next(&mut self, connection: &mut Connection) -> Option<()> {
         let arguments = read_command(connection).await.ok()?;
-        let started = self.site.clock.now();
+        let started = self.services.clock.now();
         let command_name = arguments.first().map_or(&[][..], Vec::as_slice);
         let name = String::from_utf8_lossy(command_name).to_uppercase();
         if let Some(answer) = self.answer_without_key(&name, started).await {
@@ -79,21 +84,21 @@
     }
 
     fn record_at(&self, at: Micros, id: Id, kind: EventKind) {
-        self.site.evidence.record_at(at, id, self.proxy, kind);
+        self.services.evidence.record_at(at, id, self.proxy, kind);
     }
 
     fn address(&self, node: usize) -> String {
-        self.site.net.server(self.proxy, node, self.site.origin()).to_string()
+        self.services.addresses.server_address(self.proxy, node, self.services.origin_index()).to_string()
     }
 
     /// The answer to a command that has no key.
     async fn answer_without_key(&mut self, name: &str, now: Micros) -> Option<Vec<u8>> {
-        let site = self.site;
+        let services = self.services;
         match name {
             "PING" => {
-                let done = site.timelines.servers[self.server].speed.completion(now, HEALTH_CHECK_WORK);
-                site.clock.sleep_until(done).await;
-                let loading = site.cluster.is_loading(self.server, done);
+                let done = services.timelines.servers[self.server].speed.completion(now, HEALTH_CHECK_WORK);
+                services.clock.sleep_until(done).await;
+                let loading = services.cluster.is_loading(self.server, done);
                 Some(if loading { LOADING_ERROR.to_vec() } else { b"+PONG\r\n".to_vec() })
             }
             "ASKING" => {
@@ -106,7 +111,7 @@
             }
             "CLUSTER" => {
                 let addr = |node| self.address(node);
-                let text = site.cluster.nodes_reply(self.server, now, site.origin(), addr);
+                let text = services.cluster.nodes_reply(self.server, now, services.origin_index(), addr);
                 Some(bulk(text.as_bytes()))
             }
             _ => None,
@@ -126,9 +131,9 @@
             _ = connection.write(&[b"-ERR no key of the lab's\r\n"]).await;
             return None;
         };
-        let Some(request) = self.site.evidence.request(key.id) else {
+        let Some(request) = self.services.evidence.request(key.id) else {
             let unknown = EventKind::UnknownRequest { server: self.server as u16 };
-            self.site.evidence.record(key.id, self.proxy, unknown);
+            self.services.evidence.record(key.id, self.proxy, unknown);
             _ = connection.write(&[b"-ERR an id that nobody sent\r\n"]).await;
             return None;
         };
@@ -137,14 +142,14 @@
 
     /// Decides the outcome of a command that was received completely, and its answer.
     fn plan(&mut self, command: &KeyCommand) -> (PlannedReply, Vec<u8>) {
-        let now = self.site.clock.now();
+        let now = self.services.clock.now();
         let write = command.name == "SET";
         let server = self.server as u16;
         self.record_at(now, command.key.id, EventKind::AttemptReceived { server, write });
         if let Some((reply, answer)) = self.refusal(command, write, now) {
             return (PlannedReply::no_effect(reply, now), answer);
         }
-        let plan = self.site.decide(&Attempt {
+        let plan = self.services.decide(&Attempt {
             server: self.server,
             proxy: self.proxy,
             now,
@@ -162,7 +167,7 @@
         let rank = (command.request.key.wrapping_mul(RANK_FACTOR) >> 32) % RANK_COUNT;
         let asking = std::mem::take(&mut self.asking);
         let cluster_command = Command { slot, rank, asking, readonly: self.readonly, write };
-        let (reply, answer) = match self.site.cluster.handle(self.server, now, cluster_command) {
+        let (reply, answer) = match self.services.cluster.handle(self.server, now, cluster_command) {
             CommandOutcome::Execute => return None,
             CommandOutcome::Moved(target) => {
                 (Reply::Miss, format!("-MOVED {slot} {}\r\n", self.address(target)).into_bytes())
@@ -179,7 +184,7 @@
     /// The encoded reply.
     fn answer(&self, command: &KeyCommand, write: bool, reply: Reply) -> Vec<u8> {
         let request = &command.request;
-        let bytes = self.site.experiment.classes[request.class].bytes;
+        let bytes = self.services.experiment.classes[request.class].bytes;
         let value = || body(command.key.id, request.key, self.server, bytes);
         match reply {
             Reply::Hit | Reply::Fetched if write => b"+OK\r\n".to_vec(),
@@ -204,15 +209,15 @@
     ) -> Option<()> {
         let server = self.server as u16;
         let aborted = EventKind::AttemptAborted { server };
-        if !wait_until_due(self.site, connection, &plan).await {
-            self.site.evidence.record(id, self.proxy, aborted);
+        if !wait_until_due(self.services, connection, &plan).await {
+            self.services.evidence.record(id, self.proxy, aborted);
             return None;
         }
         // Recorded with the time before the write, because the proxy may act on the reply before
         // the write returns.
-        let replied = self.site.clock.now();
+        let replied = self.services.clock.now();
         if connection.write(&[answer]).await.is_err() {
-            self.site.evidence.record(id, self.proxy, aborted);
+            self.services.evidence.record(id, self.proxy, aborted);
             return None;
         }
         self.record_at(replied, id, EventKind::Replied { server, reply: plan.reply });
--- a/crates/testbed/src/stand_ins/server.rs
+++ b/crates/testbed/src/simulated_services/server.rs
@@ -2,7 +2,7 @@
 
 use super::body::body;
 use super::decide::Attempt;
-use super::{ConnectionCount, Site};
+use super::{ConnectionCount, SimulatedServices};
 use crate::clock::{MILLISECOND, Micros, micros_from_seconds};
 use crate::evidence::{ClientRequest, EventKind, Id};
 use crate::model::server::{PlannedReply, Reply};
@@ -22,7 +22,7 @@
 
 /// The server's end of a connection from a proxy.
 struct ServerConnection<'a> {
-    site: &'a Site,
+    services: &'a SimulatedServices,
     server: usize,
     proxy: usize,
     /// Whether the server's connection limit was reached before this connection.
@@ -32,21 +32,31 @@
 }
 
 /// Serves attempts on a connection until it ends.
-pub(super) async fn serve_attempts(site: &Site, server: usize, proxy: usize, connection: &mut Connection) {
-    let world = &site.experiment.world;
-    let limit = if server == site.origin() { world.origin_connections } else { world.connections };
-    let count = ConnectionCount::new(&site.connections[server]);
+pub(super) async fn serve_attempts(
+    services: &SimulatedServices,
+    server: usize,
+    proxy: usize,
+    connection: &mut Connection,
+) {
+    let world = &services.experiment.world;
+    let limit = if server == services.origin_index() { world.origin_connections } else { world.connections };
+    let count = ConnectionCount::new(&services.connections[server]);
     let over_limit = count.open_before >= limit;
-    let mut server_connection = ServerConnection { site, server, proxy, over_limit, is_first_attempt: true };
+    let mut server_connection =
+        ServerConnection { services, server, proxy, over_limit, is_first_attempt: true };
     while server_connection.serve_next(connection).await.is_some() {}
 }
 
 /// Waits until the planned reply is due. Returns false if the peer closes the connection first.
-pub(super) async fn wait_until_due(site: &Site, connection: &mut Connection, plan: &PlannedReply) -> bool {
+pub(super) async fn wait_until_due(
+    services: &SimulatedServices,
+    connection: &mut Connection,
+    plan: &PlannedReply,
+) -> bool {
     let due = async {
         match plan.reply {
             Reply::NoReply => std::future::pending().await,
-            _ => site.clock.sleep_until(plan.due).await,
+            _ => services.clock.sleep_until(plan.due).await,
         }
         true
     };
@@ -79,7 +89,7 @@
     /// Serves one request; `None` if the connection ends.
     async fn serve_next(&mut self, connection: &mut Connection) -> Option<()> {
         self.wait_for_bytes(connection).await?;
-        let started = self.site.clock.now();
+        let started = self.services.clock.now();
         let message = match connection.read_request().await {
             Ok(message) => message,
             Err(ReadError::Malformed) => {
@@ -99,7 +109,7 @@
     }
 
     fn record_at(&self, at: Micros, id: Id, kind: EventKind) {
-        self.site.evidence.record_at(at, id, self.proxy, kind);
+        self.services.evidence.record_at(at, id, self.proxy, kind);
     }
 
     /// Waits for the first bytes of the next message, at most for the time after which a server
@@ -108,7 +118,7 @@
         if !connection.buffered.is_empty() {
             return Some(());
         }
-        let idle = Duration::from_secs_f64(self.site.experiment.world.idle_s);
+        let idle = Duration::from_secs_f64(self.services.experiment.world.idle_s);
         let idle_timeout = async {
             Timer::after(idle).await;
             Ok(0)
@@ -117,11 +127,14 @@
     }
 
     async fn answer_health_check(&self, connection: &Connection) -> Option<()> {
-        let site = self.site;
-        let is_origin = self.server == site.origin();
-        let speed =
-            if is_origin { &site.timelines.origin } else { &site.timelines.servers[self.server].speed };
-        site.clock.sleep_until(speed.completion(site.clock.now(), HEALTH_CHECK_WORK)).await;
+        let services = self.services;
+        let is_origin = self.server == services.origin_index();
+        let speed = if is_origin {
+            &services.timelines.origin
+        } else {
+            &services.timelines.servers[self.server].speed
+        };
+        services.clock.sleep_until(speed.completion(services.clock.now(), HEALTH_CHECK_WORK)).await;
         respond(connection, 200, "", b"").await.ok()
     }
 
@@ -129,18 +142,18 @@
     /// recorded and rejected.
     async fn identify(&self, connection: &Connection, message: &Message) -> Option<(Id, ClientRequest)> {
         let id = message.field("X-Correlation-Id").and_then(|id| Id::from_str_radix(id, 16).ok());
-        if let Some((id, request)) = id.and_then(|id| Some((id, self.site.evidence.request(id)?))) {
+        if let Some((id, request)) = id.and_then(|id| Some((id, self.services.evidence.request(id)?))) {
             return Some((id, request));
         }
         let unknown = EventKind::UnknownRequest { server: self.server as u16 };
-        self.site.evidence.record(id.unwrap_or(0), self.proxy, unknown);
+        self.services.evidence.record(id.unwrap_or(0), self.proxy, unknown);
         _ = respond(connection, if id.is_some() { 400 } else { 404 }, "", b"").await;
         None
     }
 
     /// Decides the outcome of an attempt that was received completely.
     fn plan(&mut self, message: &Message, id: Id, request: &ClientRequest) -> PlannedReply {
-        let now = self.site.clock.now();
+        let now = self.services.clock.now();
         let server = self.server;
         let write = message.method() == "PUT";
         self.record_at(now, id, EventKind::AttemptReceived { server: server as u16, write });
@@ -148,10 +161,10 @@
             PlannedReply::no_effect(Reply::Unprocessed, now)
         } else {
             let tag = message.field("Idempotency-Key").map(str::as_bytes);
-            self.site.decide(&Attempt { server, proxy: self.proxy, now, id, request, write, tag })
+            self.services.decide(&Attempt { server, proxy: self.proxy, now, id, request, write, tag })
         };
         if std::mem::take(&mut self.is_first_attempt) {
-            let handshake = micros_from_seconds(self.site.experiment.world.handshake_ms / 1e3);
+            let handshake = micros_from_seconds(self.services.experiment.world.handshake_ms / 1e3);
             plan.due = plan.due.saturating_add(handshake);
         }
         plan
@@ -164,19 +177,19 @@
         request: &ClientRequest,
         plan: PlannedReply,
     ) -> Option<()> {
-        let site = self.site;
+        let services = self.services;
         let server = self.server as u16;
-        let was_due = wait_until_due(site, connection, &plan).await;
+        let was_due = wait_until_due(services, connection, &plan).await;
         connection.open_attempt = None;
         if !was_due {
-            site.evidence.record(id, self.proxy, EventKind::AttemptAborted { server });
+            services.evidence.record(id, self.proxy, EventKind::AttemptAborted { server });
             return None;
         }
         // Recorded with the time before the write, because the proxy may act on the reply before
         // the write returns.
-        let replied = site.clock.now();
+        let replied = services.clock.now();
         if self.write_reply(connection, id, request, &plan).await.is_err() {
-            site.evidence.record(id, self.proxy, EventKind::AttemptAborted { server });
+            services.evidence.record(id, self.proxy, EventKind::AttemptAborted { server });
             return None;
         }
         self.record_at(replied, id, EventKind::Replied { server, reply: plan.reply });
@@ -191,16 +204,16 @@
         request: &ClientRequest,
         plan: &PlannedReply,
     ) -> std::io::Result<()> {
-        let site = self.site;
+        let services = self.services;
         if plan.interim {
             connection.write(&[b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"]).await?;
         }
-        let bytes = site.experiment.classes[request.class].bytes;
+        let bytes = services.experiment.classes[request.class].bytes;
         let value = || body(id, request.key, self.server, bytes);
         match plan.reply {
             Reply::Hit => respond(connection, 200, HIT, &value()).await,
-            Reply::Fetched if self.server == site.origin() => {
-                site.store_fetched(id, request);
+            Reply::Fetched if self.server == services.origin_index() => {
+                services.store_fetched(id, request);
                 respond(connection, 200, "", &value()).await
             }
             Reply::Fetched => respond(connection, 200, MISS, &value()).await,
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 framing for stand-ins, clients and baseline proxies. Bodies are delimited by
+//! HTTP/1.1 framing for simulated services, clients and baseline proxies. Bodies are delimited by
 //! Content-Length only, as all of them write it. It shares no code with the proxy, so that a bug in
 //! the proxy's framing cannot hide itself.
 
--- a/crates/testbed/tests/load_front.rs
+++ b/crates/testbed/tests/load_front.rs
@@ -1,7 +1,7 @@
 //! The load balancer in front of the proxies assigns connections in rotation.
 
 use chalkwalk_testbed::clock::Clock;
-use chalkwalk_testbed::load::front::LoadBalancer;
+use chalkwalk_testbed::load::load_balancer::LoadBalancer;
 
 #[test]
 fn connections_are_assigned_in_rotation_and_to_a_dead_proxy_until_it_is_detected() {
--- a/crates/testbed/tests/models/main.rs
+++ b/crates/testbed/tests/models/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the models behind the stand-ins. They use no sockets, and pass in times and random
+//! Tests of the models behind the simulated services. They use no sockets, and pass in times and random
 //! numbers.
 
 mod cluster;
--- a/crates/testbed/tests/response_bodies.rs
+++ b/crates/testbed/tests/response_bodies.rs
@@ -1,7 +1,7 @@
 //! Guards against a truncated, changed or wrong value that the testbed takes for the right one: a
 //! response body is accepted only if it is whole and was made for the request.
 
-use chalkwalk_testbed::stand_ins::body::{body, is_for};
+use chalkwalk_testbed::simulated_services::body::{body, body_matches};
 
 #[test]
 fn a_body_matches_its_request_only_if_it_is_whole() {
@@ -12,10 +12,10 @@
     let mut changed = whole_body.clone();
     changed[50] = b'x';
     let accepted = [
-        is_for(&whole_body, 0xabc),
-        is_for(&whole_body, 0xabd),
-        is_for(&truncated, 0xabc),
-        is_for(&changed, 0xabc),
+        body_matches(&whole_body, 0xabc),
+        body_matches(&whole_body, 0xabd),
+        body_matches(&truncated, 0xabc),
+        body_matches(&changed, 0xabc),
     ];
-    assert_eq!((accepted, is_for(b"", 0)), ([true, false, false, false], false));
+    assert_eq!((accepted, body_matches(b"", 0)), ([true, false, false, false], false));
 }
