--- a/crates/testbed/src/evidence.rs
+++ b/crates/testbed/src/evidence.rs
@@ -7,10 +7,10 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 
 /// The number in a request's id. A client's retry is a separate request with an id of its own.
-pub type Id = u64;
+pub type RequestId = u64;
 
 /// The index of a proxy or of a server; the origin has the index after the last server's.
-pub type Index = u16;
+pub type NodeIndex = u16;
 
 /// What the testbed observed.
 #[derive(Clone, Debug, PartialEq)]
@@ -24,14 +24,14 @@
         /// How long the client has to wait before it retries, if the answer says so.
         retry_after: Option<Micros>,
         /// Whether its value, if it has one, is whole and was made for this request.
-        matches: bool,
+        is_own_value: bool,
     },
     /// The connection of a request ended or failed without an answer.
     Unanswered {
         /// Whether it was reset or closed; false if the bytes that came are not a valid response.
-        reset: bool,
+        is_connection_closed: bool,
         /// Whether no earlier request was answered on this connection.
-        fresh: bool,
+        is_first_on_connection: bool,
     },
     /// The client has cancelled the request and closed its connection.
     ClientCancelled,
@@ -42,48 +42,48 @@
     /// The first byte of an attempt has reached a server.
     AttemptStarted {
         /// Which server.
-        server: Index,
+        server: NodeIndex,
     },
     /// The last byte of an attempt has reached a server.
     AttemptReceived {
         /// Which server.
-        server: Index,
+        server: NodeIndex,
         /// Whether the request is a write.
-        write: bool,
+        is_write: bool,
     },
     /// The server has written its reply to the attempt.
     Replied {
         /// Which server.
-        server: Index,
+        server: NodeIndex,
         /// Which reply.
         reply: Reply,
     },
     /// The attempt's connection ended before the reply: the proxy closed it, or its process ended.
     AttemptAborted {
         /// Which server.
-        server: Index,
+        server: NodeIndex,
     },
     /// The effect of a request was applied.
     EffectApplied {
         /// At which server.
-        server: Index,
+        server: NodeIndex,
     },
     /// An attempt came without an id, or with an id that no client has sent.
     UnknownRequest {
         /// At which server.
-        server: Index,
+        server: NodeIndex,
     },
     /// The list's server has written to a proxy that a server is off, or that it is back.
     Notified {
         /// Which server.
-        server: Index,
+        server: NodeIndex,
         /// Whether the server is draining or removed.
         is_off: bool,
     },
     /// A server collapsed under the load from all proxies together.
     ServerCollapsed {
         /// Which server.
-        server: Index,
+        server: NodeIndex,
     },
     /// The testbed sent a signal to a proxy's process.
     Signalled {
@@ -105,9 +105,9 @@
     /// The time of the observation.
     pub at: Micros,
     /// The request's id; 0 if the event is about none.
-    pub id: Id,
+    pub request_id: RequestId,
     /// The proxy that the event is about.
-    pub proxy: Index,
+    pub proxy: NodeIndex,
     /// What was observed.
     pub kind: EventKind,
 }
@@ -116,25 +116,25 @@
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
     /// Index of its request class.
-    pub class: usize,
+    pub class_index: usize,
     /// Its key.
     pub key: u64,
     /// The id of the client's first try, which this request retries; its own id if it is the first.
-    pub first: Id,
+    pub first_id: RequestId,
     /// Index of its tenant.
-    pub tenant: usize,
+    pub tenant_index: usize,
     /// When it was scheduled to be sent.
-    pub due: Micros,
+    pub due_at: Micros,
     /// Its time limit.
-    pub limit: Micros,
+    pub time_limit: Micros,
 }
 
 #[derive(Default)]
 struct Recorded {
     events: Vec<Event>,
-    requests: HashMap<Id, ClientRequest>,
+    requests: HashMap<RequestId, ClientRequest>,
     /// Requests of which an attempt has reached a server.
-    attempted_ids: HashSet<Id>,
+    attempted_ids: HashSet<RequestId>,
     /// When each proxy's process was last killed, or ended.
     ended_at: HashMap<usize, Micros>,
     /// Whether any id counts as a request and no event is recorded.
@@ -143,15 +143,15 @@
 
 /// Records the events of a run; shared by all simulated servers and clients.
 #[derive(Clone, Default)]
-pub struct Evidence {
+pub struct EventRecorder {
     recorded: Arc<Mutex<Recorded>>,
     clock: Clock,
 }
 
-impl Evidence {
+impl EventRecorder {
     /// A recorder without events.
-    pub fn new(clock: Clock) -> Evidence {
-        Evidence { recorded: Arc::default(), clock }
+    pub fn new(clock: Clock) -> EventRecorder {
+        EventRecorder { recorded: Arc::default(), clock }
     }
 
     /// A poisoned lock is still usable: a thread that panics while it holds the lock leaves no
@@ -161,56 +161,63 @@
     }
 
     /// Records an event at the current time.
-    pub fn record(&self, id: Id, proxy: usize, kind: EventKind) {
-        self.record_at(self.clock.now(), id, proxy, kind);
+    pub fn record(&self, request_id: RequestId, proxy: usize, kind: EventKind) {
+        self.record_at(self.clock.now(), request_id, proxy, kind);
     }
 
     /// Records an event at a stated time.
-    pub fn record_at(&self, at: Micros, id: Id, proxy: usize, kind: EventKind) {
+    pub fn record_at(&self, at: Micros, request_id: RequestId, proxy: usize, kind: EventKind) {
         let mut recorded = self.recorded();
         if recorded.accepts_any_id {
             return;
         }
         if matches!(kind, EventKind::AttemptReceived { .. }) {
-            recorded.attempted_ids.insert(id);
+            recorded.attempted_ids.insert(request_id);
         }
         if matches!(kind, EventKind::Signalled { signal: "KILL" } | EventKind::ProcessEnded { .. }) {
             recorded.ended_at.insert(proxy, at);
         }
-        recorded.events.push(Event { at, id, proxy: proxy as Index, kind });
+        recorded.events.push(Event { at, request_id, proxy: proxy as NodeIndex, kind });
     }
 
     /// Registers a client's request; it has to be called before the request is sent.
-    pub fn add_request(&self, id: Id, request: ClientRequest) {
-        self.recorded().requests.insert(id, request);
+    pub fn add_request(&self, request_id: RequestId, request: ClientRequest) {
+        self.recorded().requests.insert(request_id, request);
     }
 
     /// The request that a client sent with that id.
-    pub fn request(&self, id: Id) -> Option<ClientRequest> {
+    pub fn request(&self, request_id: RequestId) -> Option<ClientRequest> {
         let recorded = self.recorded();
-        let manual_request = || ClientRequest { class: 0, key: id, first: id, tenant: 0, due: 0, limit: 0 };
-        recorded.requests.get(&id).cloned().or_else(|| recorded.accepts_any_id.then(manual_request))
+        let manual_request = || ClientRequest {
+            class_index: 0,
+            key: request_id,
+            first_id: request_id,
+            tenant_index: 0,
+            due_at: 0,
+            time_limit: 0,
+        };
+        recorded.requests.get(&request_id).cloned().or_else(|| recorded.accepts_any_id.then(manual_request))
     }
 
     /// From now on any id counts as a request of the first class, and no event is recorded. This is
     /// for requests that a person sends by hand.
-    pub fn accept_any(&self) {
+    pub fn accept_any_id(&self) {
         self.recorded().accepts_any_id = true;
     }
 
     /// Whether an attempt for the request has reached a server, which shows that a proxy has
     /// accepted the request.
-    pub fn was_attempted(&self, id: Id) -> bool {
-        self.recorded().attempted_ids.contains(&id)
+    pub fn was_attempted(&self, request_id: RequestId) -> bool {
+        self.recorded().attempted_ids.contains(&request_id)
     }
 
     /// Whether a proxy's process was killed or ended at `at` or later.
-    pub fn ended_since(&self, proxy: usize, at: Micros) -> bool {
+    pub fn process_ended_since(&self, proxy: usize, at: Micros) -> bool {
         self.recorded().ended_at.get(&proxy).is_some_and(|ended| *ended >= at)
     }
 
     /// Takes all events, in order of time, and all requests, at the end of a run.
-    pub fn finish(&self) -> (Vec<Event>, HashMap<Id, ClientRequest>) {
+    pub fn take_recorded(&self) -> (Vec<Event>, HashMap<RequestId, ClientRequest>) {
         let mut recorded = self.recorded();
         let mut events = std::mem::take(&mut recorded.events);
         events.sort_by_key(|event| event.at);
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -159,7 +159,7 @@
         let deadline = Instant::now() + START_TIMEOUT;
         while Instant::now() < deadline {
             if self.is_up(proxy).await {
-                self.services.evidence.record(0, proxy, EventKind::ProcessReady);
+                self.services.recorder.record(0, proxy, EventKind::ProcessReady);
                 load_balancer.mark_up(proxy);
                 return Ok(());
             }
@@ -191,7 +191,7 @@
     }
 
     fn signal(&self, proxy: usize, signal: Signal, name: &'static str) {
-        self.services.evidence.record(0, proxy, EventKind::Signalled { signal: name });
+        self.services.recorder.record(0, proxy, EventKind::Signalled { signal: name });
         let process = lock(&self.processes[proxy]);
         if let Some(pid) = process.child.as_ref().and_then(|child| Pid::from_raw(child.id() as i32)) {
             _ = kill_process(pid, signal);
@@ -213,7 +213,7 @@
             self.sample(proxy);
             Timer::after(POLL_INTERVAL).await;
         }
-        self.services.evidence.record(0, proxy, EventKind::ProcessEnded { killed });
+        self.services.recorder.record(0, proxy, EventKind::ProcessEnded { killed });
         let mut process = lock(&self.processes[proxy]);
         let samples = lock(&self.samples);
         let last = samples.iter().rev().find(|sample| sample.proxy == proxy);
--- a/crates/testbed/src/load/clients.rs
+++ b/crates/testbed/src/load/clients.rs
@@ -4,7 +4,7 @@
 use super::connection::{ClientAnswer, ClientConnection, Try};
 use super::tries::TryOutcome;
 use crate::clock::{Clock, Micros, micros_from_seconds};
-use crate::evidence::{ClientRequest, EventKind, Evidence, Id};
+use crate::evidence::{ClientRequest, EventKind, EventRecorder, RequestId};
 use crate::experiment::{DedupGroup, Experiment, Repeats, RequestClass};
 use crate::load::load_balancer::LoadBalancer;
 use crate::load::plan::{Arrival, ArrivalPlan, request_id};
@@ -26,7 +26,7 @@
 pub struct Clients {
     pub(super) experiment: Experiment,
     pub(super) clock: Clock,
-    pub(super) evidence: Evidence,
+    pub(super) recorder: EventRecorder,
     pub(super) addresses: LoopbackAddresses,
     /// The load balancer that assigns new connections to proxies.
     pub load_balancer: LoadBalancer,
@@ -62,7 +62,7 @@
     pub fn new(
         experiment: &Experiment,
         clock: Clock,
-        evidence: Evidence,
+        recorder: EventRecorder,
         addresses: LoopbackAddresses,
     ) -> Arc<Clients> {
         Arc::new(Clients {
@@ -78,7 +78,7 @@
             other: AtomicU64::new(0),
             experiment: experiment.clone(),
             clock,
-            evidence,
+            recorder,
             addresses,
         })
     }
@@ -117,7 +117,7 @@
         }
     }
 
-    fn next_id(&self) -> Id {
+    fn next_id(&self) -> RequestId {
         request_id(self.experiment.seed, self.next_request.fetch_add(1, Ordering::Relaxed))
     }
 
@@ -138,14 +138,14 @@
     async fn hold_connection(self: Arc<Clients>, arrival: Arrival) {
         let id = self.next_id();
         let Some(mut client) = self.connect().await else { return };
-        let held = Try { experiment: &self.experiment, arrival: &arrival, id, first: id, is_retry: false };
+        let held = Try { experiment: &self.experiment, arrival: &arrival, id, first_id: id, is_retry: false };
         self.add_request(&held, arrival.at);
         if self.write(&held, &client).await.is_ok()
             && let Ok(answer) = held.read_answer(&mut client.connection).await
         {
-            let ClientAnswer { status, retry_after, matches, .. } = answer;
-            let kind = EventKind::Answered { status, retry_after, matches };
-            self.evidence.record(id, client.proxy, kind);
+            let ClientAnswer { status, retry_after, is_own_value, .. } = answer;
+            let kind = EventKind::Answered { status, retry_after, is_own_value };
+            self.recorder.record(id, client.proxy, kind);
         }
         client.connection.wait_closed().await;
     }
@@ -156,19 +156,19 @@
         let experiment = &self.experiment;
         let class = &experiment.classes[arrival.class];
         let window_end = arrival.at + micros_from_seconds(class.window_ms / 1e3);
-        let mut first = None;
-        let mut due = arrival.at;
+        let mut first_id = None;
+        let mut due_at = arrival.at;
         for retry in 0..=experiment.load.retries {
             let id = self.next_id();
-            let first = *first.get_or_insert(id);
-            let current = Try { experiment, arrival: &arrival, id, first, is_retry: retry > 0 };
-            self.add_request(&current, due);
+            let first_id = *first_id.get_or_insert(id);
+            let current = Try { experiment, arrival: &arrival, id, first_id, is_retry: retry > 0 };
+            self.add_request(&current, due_at);
             let outcome = self.try_once(&current).await;
             self.count(&outcome);
             let Some(wait) = self.wait_before_retry(&outcome, &arrival, retry) else { break };
             Timer::after(Duration::from_micros(wait)).await;
-            due = self.clock.now();
-            if class.repeats() == Repeats::Tagged && due > window_end {
+            due_at = self.clock.now();
+            if class.repeats() == Repeats::Tagged && due_at > window_end {
                 break;
             }
         }
@@ -198,16 +198,16 @@
         }
     }
 
-    fn add_request(&self, current: &Try, due: Micros) {
+    fn add_request(&self, current: &Try, due_at: Micros) {
         let arrival = current.arrival;
         let request = ClientRequest {
-            class: arrival.class,
+            class_index: arrival.class,
             key: arrival.key,
-            first: current.first,
-            tenant: arrival.tenant,
-            due,
-            limit: current.limit(),
+            first_id: current.first_id,
+            tenant_index: arrival.tenant,
+            due_at,
+            time_limit: current.limit(),
         };
-        self.evidence.add_request(current.id, request);
+        self.recorder.add_request(current.id, request);
     }
 }
--- a/crates/testbed/src/load/connection.rs
+++ b/crates/testbed/src/load/connection.rs
@@ -1,7 +1,7 @@
 //! One connection of a client to a proxy: writes requests and reads responses in the experiment's protocol.
 
 use crate::clock::{Micros, micros_from_seconds, seconds_from_micros};
-use crate::evidence::Id;
+use crate::evidence::RequestId;
 use crate::experiment::{Experiment, Protocol, Repeats};
 use crate::load::plan::Arrival;
 use crate::resp::{self, RespReply};
@@ -22,9 +22,9 @@
 pub(super) struct Try<'a> {
     pub experiment: &'a Experiment,
     pub arrival: &'a Arrival,
-    pub id: Id,
+    pub id: RequestId,
     /// The id of the first try, whose effect this request repeats.
-    pub first: Id,
+    pub first_id: RequestId,
     pub is_retry: bool,
 }
 
@@ -33,7 +33,7 @@
     pub status: u16,
     pub retry_after: Option<Micros>,
     /// Whether the body belongs to this request.
-    pub matches: bool,
+    pub is_own_value: bool,
     /// Whether the proxy closes the connection after the response.
     pub close: bool,
 }
@@ -63,8 +63,8 @@
     /// it, the key has the id of this request and the id of its first try.
     fn resp_command(&self) -> Vec<u8> {
         let class = &self.experiment.classes[self.arrival.class];
-        let (id, first) = (self.id, self.first);
-        let key = format!("{}:{{k{}}}:{id:016x}:{first:016x}", class.name, self.arrival.key);
+        let (id, first_id) = (self.id, self.first_id);
+        let key = format!("{}:{{k{}}}:{id:016x}:{first_id:016x}", class.name, self.arrival.key);
         if class.write {
             resp::encode_command(&[b"SET", key.as_bytes(), NEW_VALUE])
         } else {
@@ -89,7 +89,7 @@
             head += "X-Repeat: 1\r\n";
         }
         if class.repeats() == Repeats::Tagged {
-            head += &format!("Idempotency-Key: t{:016x}\r\n", self.first);
+            head += &format!("Idempotency-Key: t{:016x}\r\n", self.first_id);
         }
         head + &format!("Content-Length: {body_length}\r\n\r\n")
     }
@@ -106,12 +106,12 @@
         let answer = resp::read_reply(connection).await?;
         let (status, retry_after) = answer.status();
         let is_write = self.experiment.classes[self.arrival.class].write;
-        let matches = match &answer {
+        let is_own_value = match &answer {
             // The response to a write does not name the request that it belongs to.
             RespReply::Value(body) => is_write || body_matches(body, self.id),
             _ => true,
         };
-        Ok(ClientAnswer { status, retry_after, matches, close: false })
+        Ok(ClientAnswer { status, retry_after, is_own_value, close: false })
     }
 
     async fn read_http(&self, connection: &mut Connection) -> Result<ClientAnswer, ReadError> {
@@ -120,7 +120,7 @@
         Ok(ClientAnswer {
             status: message.status,
             retry_after: retry_after.map(micros_from_seconds),
-            matches: message.status != 200 || body_matches(message.body(), self.id),
+            is_own_value: message.status != 200 || body_matches(message.body(), self.id),
             close: message.close,
         })
     }
--- a/crates/testbed/src/load/tries.rs
+++ b/crates/testbed/src/load/tries.rs
@@ -75,7 +75,7 @@
                 None => self.connect().await,
             };
             let Some(client) = connected else {
-                self.evidence.record(current.id, 0, EventKind::NoProxy);
+                self.recorder.record(current.id, 0, EventKind::NoProxy);
                 return TryOutcome::NoAnswer;
             };
             let started_at = self.clock.now();
@@ -107,13 +107,13 @@
         };
         match or(answered, cancelled).await {
             None => {
-                self.evidence.record(current.id, channel.client.proxy, EventKind::ClientCancelled);
+                self.recorder.record(current.id, channel.client.proxy, EventKind::ClientCancelled);
                 Exchange::Done(TryOutcome::Cancelled)
             }
             Some(Ok(answer)) => Exchange::Done(self.receive(current, channel.client, answer)),
             Some(Err(error)) => {
                 let raced = channel.may_have_raced_close(self.clock.now());
-                if matches!(error, ReadError::Closed) && raced && !self.evidence.was_attempted(current.id) {
+                if matches!(error, ReadError::Closed) && raced && !self.recorder.was_attempted(current.id) {
                     return Exchange::SendAgain;
                 }
                 self.unanswered(current, &channel, !matches!(error, ReadError::Malformed))
@@ -121,25 +121,25 @@
         }
     }
 
-    fn unanswered(&self, current: &Try<'_>, channel: &Channel, reset: bool) -> Exchange {
-        let kind = EventKind::Unanswered { reset, fresh: !channel.reused };
-        self.evidence.record(current.id, channel.client.proxy, kind);
+    fn unanswered(&self, current: &Try<'_>, channel: &Channel, is_connection_closed: bool) -> Exchange {
+        let kind = EventKind::Unanswered { is_connection_closed, is_first_on_connection: !channel.reused };
+        self.recorder.record(current.id, channel.client.proxy, kind);
         Exchange::Done(TryOutcome::NoAnswer)
     }
 
     /// Writes the request; it counts as sent when its last byte is written.
     pub(super) async fn write(&self, current: &Try<'_>, client: &ClientConnection) -> std::io::Result<()> {
         current.write(&client.connection).await?;
-        self.evidence.record(current.id, client.proxy, EventKind::RequestSent);
+        self.recorder.record(current.id, client.proxy, EventKind::RequestSent);
         Ok(())
     }
 
     fn receive(&self, current: &Try<'_>, client: ClientConnection, answer: ClientAnswer) -> TryOutcome {
-        let ClientAnswer { status, retry_after, matches, close } = answer;
-        let kind = EventKind::Answered { status, retry_after, matches };
-        self.evidence.record(current.id, client.proxy, kind);
+        let ClientAnswer { status, retry_after, is_own_value, close } = answer;
+        let kind = EventKind::Answered { status, retry_after, is_own_value };
+        self.recorder.record(current.id, client.proxy, kind);
         if !client.connection.buffered.is_empty() {
-            self.evidence.record(current.id, client.proxy, EventKind::UnexpectedBytes);
+            self.recorder.record(current.id, client.proxy, EventKind::UnexpectedBytes);
         } else if !close {
             let mut idle = lock(&self.idle[current.arrival.client]);
             if idle.len() < MAX_IDLE_CONNECTIONS {
@@ -162,7 +162,7 @@
                 return Some(candidate);
             }
             if candidate.connection.stream.get_ref().peek(&mut [0]).is_ok_and(|count| count > 0) {
-                self.evidence.record(0, candidate.proxy, EventKind::UnexpectedBytes);
+                self.recorder.record(0, candidate.proxy, EventKind::UnexpectedBytes);
             }
         }
         None
--- a/crates/testbed/src/measure/bounds.rs
+++ b/crates/testbed/src/measure/bounds.rs
@@ -16,7 +16,7 @@
 
 impl Figures {
     /// The bounds of the experiment that do not hold, one sentence each.
-    pub fn out_of_bounds(&self, experiment: &Experiment) -> Vec<String> {
+    pub fn violated_bounds(&self, experiment: &Experiment) -> Vec<String> {
         let stated = &experiment.bounds;
         let request_share = |count: usize| share(count, self.requests);
         let minimums = [
--- a/crates/testbed/src/measure/classes.rs
+++ b/crates/testbed/src/measure/classes.rs
@@ -35,13 +35,13 @@
     /// The figures of each request class.
     pub fn by_class(&self) -> Vec<ClassFigures> {
         let names = self.experiment.classes.iter().map(|class| &class.name);
-        self.by_name(names, |record| record.request.class)
+        self.by_name(names, |record| record.request.class_index)
     }
 
     /// The figures of each tenant.
     pub fn by_tenant(&self) -> Vec<ClassFigures> {
         let names = self.experiment.load.tenants.iter().map(|tenant| &tenant.name);
-        self.by_name(names, |record| record.request.tenant)
+        self.by_name(names, |record| record.request.tenant_index)
     }
 
     /// The figures of each name; `index_of` returns the index of the name to which a request
@@ -61,7 +61,7 @@
         let mut latency = histogram();
         for record in self.verdict.records.iter().filter(|record| is_in_group(record)) {
             if let Some(at) = record.served_at() {
-                _ = latency.record(at.saturating_sub(record.request.due));
+                _ = latency.record(at.saturating_sub(record.request.due_at));
             }
         }
         let in_time = group_firsts.iter().filter(|first| first.is_in_time(self.experiment)).count();
--- a/crates/testbed/src/measure/during_faults.rs
+++ b/crates/testbed/src/measure/during_faults.rs
@@ -47,7 +47,7 @@
             return None;
         }
         let span = start..end;
-        let first_count = firsts.iter().filter(|first| span.contains(&first.record.request.due)).count();
+        let first_count = firsts.iter().filter(|first| span.contains(&first.record.request.due_at)).count();
         let attempts = |at_origin: bool| {
             let all_attempts = verdict.records.iter().flat_map(|record| &record.attempts);
             let attempts_in_span = all_attempts.filter(|attempt| span.contains(&attempt.started));
@@ -55,7 +55,7 @@
             attempts_in_span.filter(|attempt| is_at_origin(attempt.server) == at_origin).count()
         };
         let accepted = verdict.records.iter().filter(|record| record.outcome != Outcome::NotAccepted);
-        let requests = accepted.filter(|record| span.contains(&record.request.due)).count();
+        let requests = accepted.filter(|record| span.contains(&record.request.due_at)).count();
         Some(DuringFaults {
             in_time: in_time_within(experiment, firsts, &span),
             requests_per_first: share(requests, first_count),
@@ -68,7 +68,7 @@
 
 /// The share of the first requests due within a span that was served in time.
 fn in_time_within(experiment: &Experiment, firsts: &[FirstRequest], span: &Range<Micros>) -> f64 {
-    let due_in_span = || firsts.iter().filter(|first| span.contains(&first.record.request.due));
+    let due_in_span = || firsts.iter().filter(|first| span.contains(&first.record.request.due_at));
     share(due_in_span().filter(|first| first.is_in_time(experiment)).count(), due_in_span().count())
 }
 
--- a/crates/testbed/src/measure/firsts.rs
+++ b/crates/testbed/src/measure/firsts.rs
@@ -2,7 +2,7 @@
 
 use super::share;
 use crate::clock::{Micros, SECOND, micros_from_seconds};
-use crate::evidence::Id;
+use crate::evidence::RequestId;
 use crate::experiment::Experiment;
 use crate::oracle::{Outcome, RequestRecord};
 use std::collections::HashMap;
@@ -23,17 +23,17 @@
 impl FirstRequest<'_> {
     /// Whether one of the tries was served within the latency objective.
     pub fn is_in_time(&self, experiment: &Experiment) -> bool {
-        let target = micros_from_seconds(experiment.classes[self.record.request.class].target_ms / 1e3);
-        self.served_at.is_some_and(|at| at <= self.record.request.due + target)
+        let target = micros_from_seconds(experiment.classes[self.record.request.class_index].target_ms / 1e3);
+        self.served_at.is_some_and(|at| at <= self.record.request.due_at + target)
     }
 }
 
 /// First requests in the order of their due times, without those that their client cancelled.
 pub(super) fn first_requests(records: &[RequestRecord]) -> Vec<FirstRequest<'_>> {
-    let mut index_by_id: HashMap<Id, usize> = HashMap::new();
+    let mut index_by_id: HashMap<RequestId, usize> = HashMap::new();
     let mut firsts: Vec<FirstRequest> = Vec::new();
     for record in records {
-        let i = *index_by_id.entry(record.request.first).or_insert_with(|| {
+        let i = *index_by_id.entry(record.request.first_id).or_insert_with(|| {
             firsts.push(FirstRequest { record, served_at: None, cancelled: false });
             firsts.len() - 1
         });
@@ -60,7 +60,7 @@
 pub(super) fn worst_window(experiment: &Experiment, firsts: &[FirstRequest]) -> f64 {
     let mut windows: HashMap<Micros, Window> = HashMap::new();
     for first in firsts {
-        let window = windows.entry(first.record.request.due / WINDOW_LENGTH).or_default();
+        let window = windows.entry(first.record.request.due_at / WINDOW_LENGTH).or_default();
         window.requests += 1;
         window.in_time += usize::from(first.is_in_time(experiment));
     }
--- a/crates/testbed/src/measure/sources.rs
+++ b/crates/testbed/src/measure/sources.rs
@@ -36,7 +36,7 @@
         let settled_at = fault_ends.max().unwrap_or(0) + SLOT_MAP_SETTLING_TIME;
         let requests_from = |from: Micros| {
             let is_counted = move |record: &&RequestRecord| {
-                record.request.due >= from && record.outcome != Outcome::NotAccepted
+                record.request.due_at >= from && record.outcome != Outcome::NotAccepted
             };
             verdict.records.iter().filter(is_counted)
         };
--- a/crates/testbed/src/measure/steps.rs
+++ b/crates/testbed/src/measure/steps.rs
@@ -47,7 +47,7 @@
 pub fn over_time(experiment: &Experiment, verdict: &Verdict, samples: &[Sample]) -> Vec<TimeStep> {
     let mut steps = Steps::new(experiment);
     for first in first_requests(&verdict.records) {
-        let step = steps.step_at(first.record.request.due);
+        let step = steps.step_at(first.record.request.due_at);
         step.first_requests += 1;
         step.in_time += usize::from(first.is_in_time(experiment));
     }
@@ -84,7 +84,7 @@
     }
 
     fn add_outcome(&mut self, record: &RequestRecord) {
-        let due = record.request.due;
+        let due = record.request.due_at;
         if let Some(served) = record.served_at() {
             let i = self.index(due);
             _ = self.latencies[i].record(served.saturating_sub(due));
@@ -103,7 +103,7 @@
     fn add_attempts(&mut self, record: &RequestRecord) {
         for attempt in &record.attempts {
             self.step_at(attempt.started).attempts += 1;
-            let end = attempt.end().unwrap_or(attempt.started + record.request.limit);
+            let end = attempt.end().unwrap_or(attempt.started + record.request.time_limit);
             // Counts the attempt in each step at whose end it is in flight.
             for i in self.index(attempt.started)..self.index(end) {
                 self.steps[i].in_flight[usize::from(attempt.server)] += 1;
--- a/crates/testbed/src/model/cluster/mod.rs
+++ b/crates/testbed/src/model/cluster/mod.rs
@@ -87,7 +87,7 @@
     /// Whether READONLY was sent on its connection.
     pub readonly: bool,
     /// Whether it is a write.
-    pub write: bool,
+    pub is_write: bool,
 }
 
 /// The block that a slot belongs to.
@@ -149,7 +149,7 @@
             }
         }
         let serves_replica_read =
-            self.replica_of(server) == Some(owner) && command.readonly && !command.write;
+            self.replica_of(server) == Some(owner) && command.readonly && !command.is_write;
         if owner == server || serves_replica_read {
             CommandOutcome::Execute
         } else {
--- a/crates/testbed/src/model/server.rs
+++ b/crates/testbed/src/model/server.rs
@@ -58,7 +58,7 @@
     /// The key that is requested.
     pub key: u64,
     /// Whether it is a write.
-    pub write: bool,
+    pub is_write: bool,
     /// Processing time at normal speed.
     pub work: Micros,
     /// A random number from 0 to 1. It decides whether a fault that affects only a share of the
@@ -239,7 +239,7 @@
         let lookup_work = attempt.work / LOOKUP_WORK_DIVISOR;
         let cached = self.cache.get(&attempt.key).is_some();
         // Servers that only cache answer writes with a miss: the origin executes them.
-        let is_miss = !self.spec.read_through && (attempt.write || !cached);
+        let is_miss = !self.spec.read_through && (attempt.is_write || !cached);
         let work = if is_miss { lookup_work } else { attempt.work };
         let Some(done) = self.cores.schedule(now, work, &timeline.speed) else {
             return PlannedReply::no_effect(Reply::Unprocessed, timeline.speed.completion(now, lookup_work));
@@ -253,11 +253,11 @@
         if let Some((reply, at)) = misbehaviors.after_work(done) {
             return executed(reply, at);
         }
-        if cached && !attempt.write {
+        if cached && !attempt.is_write {
             return executed(Reply::Hit, done);
         }
         let Some(fetched) = fetch(done) else { return PlannedReply::no_effect(Reply::Error, done) };
-        if attempt.write {
+        if attempt.is_write {
             self.remove(attempt.key);
         } else {
             self.store(attempt.key);
--- a/crates/testbed/src/notified.rs
+++ b/crates/testbed/src/notified.rs
@@ -4,7 +4,7 @@
 //! has sent.
 
 use crate::clock::{Micros, SECOND};
-use crate::evidence::{Event, EventKind, Index};
+use crate::evidence::{Event, EventKind, NodeIndex};
 use crate::experiment::{Experiment, ListSource};
 use crate::model::timeline::{EndpointStatus, ListUpdate, Reachability, Timelines};
 use std::ops::Range;
@@ -18,9 +18,9 @@
     /// The time of the notification.
     pub at: Micros,
     /// The proxy that is notified.
-    pub proxy: Index,
+    pub proxy: NodeIndex,
     /// The server that is off or back in service.
-    pub server: Index,
+    pub server: NodeIndex,
     /// Whether the server is off; otherwise it is back in service.
     pub is_off: bool,
 }
@@ -41,7 +41,12 @@
         let unreachable_spans = unreachable_spans(experiment, timelines, events, proxy);
         for (i, update) in timelines.list_updates.iter().enumerate() {
             let later_updates = &timelines.list_updates[i + 1..];
-            notifications.extend(notifications_of(update, later_updates, proxy as Index, &unreachable_spans));
+            notifications.extend(notifications_of(
+                update,
+                later_updates,
+                proxy as NodeIndex,
+                &unreachable_spans,
+            ));
         }
     }
     notifications.sort_by_key(|notification| notification.at);
@@ -52,10 +57,10 @@
 fn notifications_of(
     update: &ListUpdate,
     later_updates: &[ListUpdate],
-    proxy: Index,
+    proxy: NodeIndex,
     unreachable_spans: &[Range<Micros>],
 ) -> Vec<Notification> {
-    let server = update.server as Index;
+    let server = update.server as NodeIndex;
     if update.status == EndpointStatus::Ready {
         return vec![Notification { at: update.published, proxy, server, is_off: false }];
     }
--- a/crates/testbed/src/oracle/attempts.rs
+++ b/crates/testbed/src/oracle/attempts.rs
@@ -3,7 +3,7 @@
 
 use super::{Attempt, Judge, RequestRecord, Rule};
 use crate::clock::{MILLISECOND, Micros, micros_from_seconds, seconds_from_micros};
-use crate::evidence::Index;
+use crate::evidence::NodeIndex;
 use crate::experiment::{DedupGroup, Repeats, RequestClass};
 
 /// Servers recognise a repeat of a tagged request within the deduplication window, give or take
@@ -14,13 +14,13 @@
 pub(super) struct Finding {
     pub rule: Rule,
     pub at: Micros,
-    pub seen: String,
+    pub details: String,
 }
 
 impl Finding {
     /// A breach of `rule` at `at`, with a text that says what was seen.
-    pub fn new(rule: Rule, at: Micros, seen: String) -> Finding {
-        Finding { rule, at, seen }
+    pub fn new(rule: Rule, at: Micros, details: String) -> Finding {
+        Finding { rule, at, details }
     }
 }
 
@@ -38,8 +38,8 @@
             findings.extend(self.may_run_twice(record, before, next));
         }
         if let [_, second, ..] = record.effects[..] {
-            let seen = format!("its effect was applied again at server {}", second.server);
-            findings.push(Finding::new(Rule::RunsOnce, second.at, seen));
+            let details = format!("its effect was applied again at server {}", second.server);
+            findings.push(Finding::new(Rule::RunsOnce, second.at, details));
         }
         findings
     }
@@ -47,8 +47,8 @@
     fn exceeds_limit(&self, record: &RequestRecord) -> Option<Finding> {
         let max_attempts = self.experiment.fleet.max_attempts;
         let first_excess = record.attempts.get(max_attempts)?;
-        let seen = format!("{} attempts were made, and {max_attempts} are allowed", record.attempts.len());
-        Some(Finding::new(Rule::AttemptLimit, first_excess.started, seen))
+        let details = format!("{} attempts were made, and {max_attempts} are allowed", record.attempts.len());
+        Some(Finding::new(Rule::AttemptLimit, first_excess.started, details))
     }
 
     /// Finds an attempt that was still in flight when `next` started, if hedging is not allowed.
@@ -59,22 +59,22 @@
         let overlap = micros_from_seconds(self.experiment.rules.overlap_ms / 1e3);
         let in_flight = |other: &&Attempt| other.end().is_none_or(|end| end > next.started + overlap);
         let other = before.iter().find(in_flight)?;
-        let seen = format!(
+        let details = format!(
             "server {} was sent an attempt while one was in flight at server {}",
             next.server, other.server
         );
-        Some(Finding::new(Rule::OneAttemptAtOnce, next.started, seen))
+        Some(Finding::new(Rule::OneAttemptAtOnce, next.started, details))
     }
 
     fn may_run_twice(&self, record: &RequestRecord, before: &[Attempt], next: &Attempt) -> Option<Finding> {
-        let class = &self.experiment.classes[record.request.class];
+        let class = &self.experiment.classes[record.request.class_index];
         let candidates = before.iter().filter(|first| first.may_have_run(next.started));
         let mut unsafe_attempts =
             candidates.filter_map(|first| Some((first, self.unsafe_retry(class, first, next)?)));
         let (first, reason) = unsafe_attempts.next()?;
-        let seen =
+        let details =
             format!("server {} was sent an attempt after server {}: {reason}", next.server, first.server);
-        Some(Finding::new(Rule::RunsOnce, next.started, seen))
+        Some(Finding::new(Rule::RunsOnce, next.started, details))
     }
 
     /// Says why `next` must not follow `first`, which may have run; `None` if it may.
@@ -98,7 +98,7 @@
 
     /// Whether two servers are in the same deduplication group, so that each drops repeats of what
     /// the other has run. The origin is in the first zone, in a cell of its own.
-    fn same_group(&self, group: DedupGroup, first: Index, second: Index) -> bool {
+    fn same_group(&self, group: DedupGroup, first: NodeIndex, second: NodeIndex) -> bool {
         let world = &self.experiment.world;
         let is_origin = |server: usize| server == world.servers;
         let zone = |server: usize| if is_origin(server) { 0 } else { server % world.zones.len() };
--- a/crates/testbed/src/oracle/drains.rs
+++ b/crates/testbed/src/oracle/drains.rs
@@ -4,7 +4,7 @@
 
 use super::{Judge, Rule};
 use crate::clock::{Micros, micros_from_seconds, seconds_from_micros};
-use crate::evidence::{Event, EventKind, Index};
+use crate::evidence::{Event, EventKind, NodeIndex};
 use crate::notified::{self, Notification};
 use std::collections::HashMap;
 
@@ -18,7 +18,7 @@
 }
 
 /// A proxy and a server, by their indexes.
-type ProxyServer = (Index, Index);
+type ProxyServer = (NodeIndex, NodeIndex);
 
 /// The servers that each proxy knows to be off, at the current event.
 #[derive(Default)]
@@ -49,7 +49,7 @@
     }
 
     /// Drops what a proxy's ended process knew: the next process knows only its own notifications.
-    fn forget_proxy(&mut self, proxy: Index) {
+    fn forget_proxy(&mut self, proxy: NodeIndex) {
         self.written.retain(|(of, _), _| *of != proxy);
         self.presumed_off_since.retain(|(of, _), _| *of != proxy);
     }
@@ -96,8 +96,8 @@
                 }
                 EventKind::ProcessEnded { .. } => off.forget_proxy(event.proxy),
                 EventKind::AttemptStarted { server } => {
-                    if let Some(seen) = off.check_attempt((event.proxy, server), event.at, grace) {
-                        self.add_for_event(Rule::NothingToDrained, event, seen);
+                    if let Some(details) = off.check_attempt((event.proxy, server), event.at, grace) {
+                        self.add_for_event(Rule::NothingToDrained, event, details);
                     }
                 }
                 _ => {}
--- a/crates/testbed/src/oracle/mod.rs
+++ b/crates/testbed/src/oracle/mod.rs
@@ -12,7 +12,7 @@
 pub use records::{AnswerRecord, Attempt, Outcome, RequestRecord};
 
 use crate::clock::{Micros, seconds_from_micros};
-use crate::evidence::{ClientRequest, Event, EventKind, Id, Index};
+use crate::evidence::{ClientRequest, Event, EventKind, NodeIndex, RequestId};
 use crate::experiment::Experiment;
 use crate::model::timeline::Timelines;
 use spans::AttemptSpans;
@@ -82,17 +82,21 @@
     /// When it was broken.
     pub at: Micros,
     /// The request's id; 0 if the breach is about none.
-    pub id: Id,
+    pub request_id: RequestId,
     /// The proxy that broke the rule.
-    pub proxy: Index,
+    pub proxy: NodeIndex,
     /// What was seen.
-    pub seen: String,
+    pub details: String,
 }
 
 impl fmt::Display for Breach {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (rule, at) = (self.rule.breach(), seconds_from_micros(self.at));
-        write!(f, "{rule}: {at:.3} s, request {:016x}, proxy {}: {}", self.id, self.proxy, self.seen)
+        write!(
+            f,
+            "{rule}: {at:.3} s, request {:016x}, proxy {}: {}",
+            self.request_id, self.proxy, self.details
+        )
     }
 }
 
@@ -100,7 +104,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessStop {
     /// The proxy that was stopped.
-    pub proxy: Index,
+    pub proxy: NodeIndex,
     /// When it got SIGSTOP.
     pub stopped_at: Micros,
     /// When it got SIGCONT.
@@ -130,7 +134,7 @@
 
 /// The time at which a proxy's process was killed.
 struct Kill {
-    proxy: Index,
+    proxy: NodeIndex,
     at: Micros,
 }
 
@@ -142,7 +146,11 @@
 }
 
 /// Judges a run by its events, which have to be in order of time.
-pub fn judge(experiment: &Experiment, events: &[Event], requests: HashMap<Id, ClientRequest>) -> Verdict {
+pub fn check_run(
+    experiment: &Experiment,
+    events: &[Event],
+    requests: HashMap<RequestId, ClientRequest>,
+) -> Verdict {
     let mut judge = Judge {
         experiment,
         timelines: Timelines::new(experiment),
@@ -158,7 +166,7 @@
         judge.check_request(&mut record, &spans);
         judge.verdict.records.push(record);
     }
-    judge.verdict.breaches.sort_by_key(|breach| (breach.at, breach.id));
+    judge.verdict.breaches.sort_by_key(|breach| (breach.at, breach.request_id));
     judge.verdict
 }
 
@@ -172,13 +180,13 @@
     }
 
     /// Adds a breach that a single event shows.
-    fn add_for_event(&mut self, rule: Rule, event: &Event, seen: String) {
-        self.add(Breach { rule, at: event.at, id: event.id, proxy: event.proxy, seen });
+    fn add_for_event(&mut self, rule: Rule, event: &Event, details: String) {
+        self.add(Breach { rule, at: event.at, request_id: event.request_id, proxy: event.proxy, details });
     }
 
     /// Notes when proxies were killed and stopped.
     fn track_processes(&mut self, events: &[Event]) {
-        let mut stopped_proxies: HashMap<Index, Micros> = HashMap::new();
+        let mut stopped_proxies: HashMap<NodeIndex, Micros> = HashMap::new();
         for event in events {
             let proxy = event.proxy;
             match event.kind {
@@ -206,14 +214,14 @@
             match &event.kind {
                 EventKind::ServerCollapsed { server } => {
                     self.verdict.collapsed += 1;
-                    let seen = format!("server {server} was sent more than it can handle in slow start");
-                    self.add_for_event(Rule::NoServerCollapsed, event, seen);
+                    let details = format!("server {server} was sent more than it can handle in slow start");
+                    self.add_for_event(Rule::NoServerCollapsed, event, details);
                 }
                 EventKind::UnknownRequest { server } => {
-                    let seen = format!(
+                    let details = format!(
                         "server {server} was sent an attempt whose id is missing or was sent by no client"
                     );
-                    self.add_for_event(Rule::KnownRequest, event, seen);
+                    self.add_for_event(Rule::KnownRequest, event, details);
                 }
                 EventKind::UnexpectedBytes => {
                     self.add_for_event(
@@ -228,7 +236,7 @@
     }
 
     /// Whether a proxy was stopped at any time between `from` and `to`.
-    fn was_stopped(&self, proxy: Index, from: Micros, to: Micros) -> bool {
+    fn was_stopped(&self, proxy: NodeIndex, from: Micros, to: Micros) -> bool {
         let overlaps =
             |stop: &ProcessStop| stop.proxy == proxy && stop.stopped_at < to && stop.continued_at > from;
         self.verdict.process_stops.iter().any(overlaps)
--- a/crates/testbed/src/oracle/records.rs
+++ b/crates/testbed/src/oracle/records.rs
@@ -1,7 +1,7 @@
 //! Gathers the events of a run into one record for each request.
 
 use crate::clock::Micros;
-use crate::evidence::{ClientRequest, Event, EventKind, Id, Index};
+use crate::evidence::{ClientRequest, Event, EventKind, NodeIndex, RequestId};
 use crate::model::server::Reply;
 use std::collections::{BTreeMap, HashMap};
 
@@ -18,9 +18,9 @@
 #[derive(Clone, Debug)]
 pub struct Attempt {
     /// The server, or the origin.
-    pub server: Index,
+    pub server: NodeIndex,
     /// The proxy that made the attempt.
-    pub proxy: Index,
+    pub proxy: NodeIndex,
     /// When its first byte reached the server.
     pub started: Micros,
     /// When its last byte reached the server.
@@ -32,7 +32,7 @@
 }
 
 impl Attempt {
-    fn new(server: Index, event: &Event) -> Attempt {
+    fn new(server: NodeIndex, event: &Event) -> Attempt {
         Attempt { server, proxy: event.proxy, started: event.at, received: None, reply: None, aborted: None }
     }
 
@@ -90,7 +90,7 @@
     /// How long the client has to wait before it retries, if the answer says so.
     pub retry_after: Option<Micros>,
     /// Whether its value, if it has one, is whole and was made for this request.
-    pub matches: bool,
+    pub is_own_value: bool,
 }
 
 /// How a request ended without an answer: its connection ended, or the client stopped waiting.
@@ -108,18 +108,18 @@
     /// When it was applied.
     pub at: Micros,
     /// The server that applied it.
-    pub server: Index,
+    pub server: NodeIndex,
 }
 
 /// Everything that was recorded about one request.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
     /// Its id.
-    pub id: Id,
+    pub id: RequestId,
     /// What the client requested.
     pub request: ClientRequest,
     /// The proxy to which the client sent it.
-    pub proxy: Index,
+    pub proxy: NodeIndex,
     /// When its last byte was written to that proxy; `None` if it never was.
     pub sent: Option<Micros>,
     /// Final answers: one, unless the proxy breaks a rule.
@@ -135,7 +135,7 @@
 }
 
 impl RequestRecord {
-    fn new(id: Id, request: ClientRequest) -> RequestRecord {
+    fn new(id: RequestId, request: ClientRequest) -> RequestRecord {
         RequestRecord {
             id,
             request,
@@ -156,7 +156,7 @@
     }
 
     /// The latest attempt of a proxy at a server that has not ended yet.
-    fn open_attempt(&mut self, server: Index, proxy: Index) -> Option<&mut Attempt> {
+    fn open_attempt(&mut self, server: NodeIndex, proxy: NodeIndex) -> Option<&mut Attempt> {
         let is_open = |attempt: &&mut Attempt| {
             attempt.server == server && attempt.proxy == proxy && attempt.end().is_none()
         };
@@ -173,8 +173,8 @@
                 self.sent = Some(at);
                 self.proxy = event.proxy;
             }
-            EventKind::Answered { status, retry_after, matches } => {
-                self.answers.push(AnswerRecord { at, status, retry_after, matches });
+            EventKind::Answered { status, retry_after, is_own_value } => {
+                self.answers.push(AnswerRecord { at, status, retry_after, is_own_value });
             }
             EventKind::Unanswered { .. } => self.end = ended(Outcome::Unanswered),
             EventKind::ClientCancelled => self.end = ended(Outcome::Cancelled),
@@ -202,14 +202,15 @@
 }
 
 /// Gathers the events of each request into a record; the records are in the order of due times.
-pub(super) fn gather(events: &[Event], requests: HashMap<Id, ClientRequest>) -> Vec<RequestRecord> {
-    let due: HashMap<Id, Micros> = requests.iter().map(|(id, request)| (*id, request.due)).collect();
+pub(super) fn gather(events: &[Event], requests: HashMap<RequestId, ClientRequest>) -> Vec<RequestRecord> {
+    let due_at: HashMap<RequestId, Micros> =
+        requests.iter().map(|(id, request)| (*id, request.due_at)).collect();
     let records =
-        requests.into_iter().map(|(id, request)| ((request.due, id), RequestRecord::new(id, request)));
-    let mut records: BTreeMap<(Micros, Id), RequestRecord> = records.collect();
+        requests.into_iter().map(|(id, request)| ((request.due_at, id), RequestRecord::new(id, request)));
+    let mut records: BTreeMap<(Micros, RequestId), RequestRecord> = records.collect();
     for event in events {
-        let Some(due) = due.get(&event.id) else { continue };
-        if let Some(record) = records.get_mut(&(*due, event.id)) {
+        let Some(due_at) = due_at.get(&event.request_id) else { continue };
+        if let Some(record) = records.get_mut(&(*due_at, event.request_id)) {
             record.add(event);
         }
     }
--- a/crates/testbed/src/oracle/requests.rs
+++ b/crates/testbed/src/oracle/requests.rs
@@ -22,9 +22,9 @@
         }
         findings.extend(self.sent_after_cancel(record));
         findings.extend(self.check_attempts(record));
-        let (id, proxy) = (record.id, record.proxy);
-        for Finding { rule, at, seen } in findings {
-            self.add(Breach { rule, at, id, proxy, seen });
+        let (request_id, proxy) = (record.id, record.proxy);
+        for Finding { rule, at, details } in findings {
+            self.add(Breach { rule, at, request_id, proxy, details });
         }
     }
 
@@ -36,31 +36,31 @@
         answer: &AnswerRecord,
         spans: &AttemptSpans,
     ) -> Vec<Finding> {
-        let class = &self.experiment.classes[record.request.class];
+        let class = &self.experiment.classes[record.request.class_index];
         let at = answer.at;
         let mut findings = Vec::new();
         let latest_allowed =
-            sent + record.request.limit + micros_from_seconds(self.experiment.rules.late_ms / 1e3);
+            sent + record.request.time_limit + micros_from_seconds(self.experiment.rules.late_ms / 1e3);
         if at > latest_allowed && !self.was_stopped(record.proxy, sent, at) {
-            let late = seconds_from_micros(at - sent - record.request.limit);
+            let late = seconds_from_micros(at - sent - record.request.time_limit);
             findings.push(Finding::new(
                 Rule::InTimeLimit,
                 at,
                 format!("the answer came {late:.3} s after the time limit"),
             ));
         }
-        if !answer.matches {
-            let seen = "its value is not whole, or was made for another request".to_string();
-            findings.push(Finding::new(Rule::OwnAnswer, at, seen));
+        if !answer.is_own_value {
+            let details = "its value is not whole, or was made for another request".to_string();
+            findings.push(Finding::new(Rule::OwnAnswer, at, details));
         }
         if matches!(answer.status, 429 | 503) {
             let retry_at = at + answer.retry_after.unwrap_or(0);
-            let seen = unsafe_rejection(class, &record.attempts, at, retry_at);
-            findings.extend(seen.map(|seen| Finding::new(Rule::SafeRejection, at, seen)));
+            let details = unsafe_rejection(class, &record.attempts, at, retry_at);
+            findings.extend(details.map(|details| Finding::new(Rule::SafeRejection, at, details)));
         }
         if answer.status >= 429 {
-            let seen = self.delayed_refusal(record, sent, at, spans);
-            findings.extend(seen.map(|seen| Finding::new(Rule::PromptRefusal, at, seen)));
+            let details = self.delayed_refusal(record, sent, at, spans);
+            findings.extend(details.map(|details| Finding::new(Rule::PromptRefusal, at, details)));
         }
         findings
     }
@@ -73,9 +73,9 @@
         let latest_allowed = cancelled + micros_from_seconds(self.experiment.rules.cancel_delay_ms / 1e3);
         let attempt = record.attempts.iter().find(|attempt| attempt.started > latest_allowed)?;
         let after = seconds_from_micros(attempt.started - cancelled);
-        let seen =
+        let details =
             format!("an attempt reached server {} {after:.3} s after the cancellation", attempt.server);
-        Some(Finding::new(Rule::NothingAfterCancel, attempt.started, seen))
+        Some(Finding::new(Rule::NothingAfterCancel, attempt.started, details))
     }
 
     fn outcome(&self, record: &RequestRecord) -> Outcome {
@@ -91,7 +91,7 @@
         let Some(end) = record.end else { return Outcome::Unanswered };
         if end.outcome == Outcome::Cancelled {
             // A client that waits until its time limit has not cancelled: it got no answer in time.
-            let waited_to_limit = end.at >= sent + record.request.limit;
+            let waited_to_limit = end.at >= sent + record.request.time_limit;
             let stopped = self.was_stopped(record.proxy, sent, end.at);
             return if waited_to_limit && !stopped { Outcome::Unanswered } else { Outcome::Cancelled };
         }
@@ -153,8 +153,8 @@
 /// Finds a second final answer.
 fn answered_again(record: &RequestRecord) -> Option<Finding> {
     let second = record.answers.get(1)?;
-    let seen = format!("{} final answers came", record.answers.len());
-    Some(Finding::new(Rule::AnsweredOnce, second.at, seen))
+    let details = format!("{} final answers came", record.answers.len());
+    Some(Finding::new(Rule::AnsweredOnce, second.at, details))
 }
 
 /// Finds a request without any final answer.
@@ -162,10 +162,10 @@
     if record.outcome != Outcome::Unanswered {
         return None;
     }
-    let (at, seen) = match record.end {
+    let (at, details) = match record.end {
         Some(end) => (end.at, "the connection ended without an answer"),
-        None => (record.sent.unwrap_or(record.request.due), "no answer had come when the run ended"),
+        None => (record.sent.unwrap_or(record.request.due_at), "no answer had come when the run ended"),
     };
     let attempts = record.attempts.len();
-    Some(Finding::new(Rule::FinalAnswer, at, format!("{seen}; {attempts} attempts were made for it")))
+    Some(Finding::new(Rule::FinalAnswer, at, format!("{details}; {attempts} attempts were made for it")))
 }
--- a/crates/testbed/src/oracle/spans.rs
+++ b/crates/testbed/src/oracle/spans.rs
@@ -3,17 +3,17 @@
 
 use super::RequestRecord;
 use crate::clock::Micros;
-use crate::evidence::Index;
+use crate::evidence::NodeIndex;
 use std::collections::HashMap;
 use std::ops::Range;
 
 /// The time spans of all attempts, by proxy and key.
-pub(super) struct AttemptSpans(HashMap<(Index, u64), Vec<Range<Micros>>>);
+pub(super) struct AttemptSpans(HashMap<(NodeIndex, u64), Vec<Range<Micros>>>);
 
 impl AttemptSpans {
     /// The spans of all attempts of a run.
     pub fn new(records: &[RequestRecord]) -> AttemptSpans {
-        let mut spans: HashMap<(Index, u64), Vec<Range<Micros>>> = HashMap::new();
+        let mut spans: HashMap<(NodeIndex, u64), Vec<Range<Micros>>> = HashMap::new();
         for record in records {
             for attempt in &record.attempts {
                 let span = attempt.started..attempt.end().unwrap_or(Micros::MAX);
@@ -27,7 +27,7 @@
     }
 
     /// The longest time, between `from` and `to`, in which no attempt for the key was in flight.
-    pub fn longest_gap(&self, proxy: Index, key: u64, from: Micros, to: Micros) -> Micros {
+    pub fn longest_gap(&self, proxy: NodeIndex, key: u64, from: Micros, to: Micros) -> Micros {
         let spans = self.0.get(&(proxy, key)).map_or(&[][..], Vec::as_slice);
         let mut covered_until = from;
         let mut longest = 0;
--- a/crates/testbed/src/report/verdict.rs
+++ b/crates/testbed/src/report/verdict.rs
@@ -28,7 +28,7 @@
     for breach in verdict.breaches.iter().take(MAX_SHOWN_BREACHES) {
         line!(out, "    {breach}");
     }
-    for bound in &result.out_of_bounds {
+    for bound in &result.violated_bounds {
         line!(out, "  OUT OF BOUNDS: {bound}");
     }
     out
--- a/crates/testbed/src/run.rs
+++ b/crates/testbed/src/run.rs
@@ -57,13 +57,13 @@
     /// CPU time and memory of the proxies over time.
     pub samples: Vec<Sample>,
     /// The experiment's bounds that do not hold, one message each.
-    pub out_of_bounds: Vec<String>,
+    pub violated_bounds: Vec<String>,
 }
 
 impl RunResult {
     /// Whether no rule was broken and every stated bound holds.
     pub fn passed(&self) -> bool {
-        self.verdict.breaches.is_empty() && self.out_of_bounds.is_empty()
+        self.verdict.breaches.is_empty() && self.violated_bounds.is_empty()
     }
 }
 
@@ -129,7 +129,7 @@
         let threads = ExecutorThreads::new();
         services.bind_and_serve(&threads.executor).map_err(RunError::SimulatedServices)?;
         let fleet = Fleet::new(services.clone(), start).map_err(RunError::Prepare)?;
-        let clients = Clients::new(&experiment, clock.clone(), services.evidence.clone(), addresses);
+        let clients = Clients::new(&experiment, clock.clone(), services.recorder.clone(), addresses);
         Ok(Run { experiment, clock, services, clients, fleet, threads, _claim: claim })
     }
 
@@ -172,17 +172,17 @@
             sent_again: clients.sent_again.load(Ordering::Relaxed),
         };
         drop(threads);
-        let (events, requests) = services.evidence.finish();
-        let mut verdict = oracle::judge(&experiment, &events, requests);
+        let (events, requests) = services.recorder.take_recorded();
+        let mut verdict = oracle::check_run(&experiment, &events, requests);
         let at = experiment.ends_at();
         verdict.breaches.extend(crashed.into_iter().map(|proxy| {
-            let seen = "its process had exited before the end of the run".to_string();
-            Breach { rule: Rule::KeepsRunning, at, id: 0, proxy: proxy as u16, seen }
+            let details = "its process had exited before the end of the run".to_string();
+            Breach { rule: Rule::KeepsRunning, at, request_id: 0, proxy: proxy as u16, details }
         }));
         let mut figures = Figures::measure(&experiment, &verdict, &samples, counts);
         figures.etcd = EtcdFigures::measure(&experiment, &services.etcd.load());
-        let out_of_bounds = figures.out_of_bounds(&experiment);
-        Ok(RunResult { experiment, verdict, figures, samples, out_of_bounds })
+        let violated_bounds = figures.violated_bounds(&experiment);
+        Ok(RunResult { experiment, verdict, figures, samples, violated_bounds })
     }
 }
 
@@ -225,7 +225,7 @@
         run.clock.start();
         // Request ids that the testbed did not issue, such as those typed by hand, count as
         // requests of the first class.
-        run.services.evidence.accept_any();
+        run.services.recorder.accept_any_id();
         run.print_addresses(&logs);
         _ = signals.next().await;
         run.fleet.stop_all().await;
--- a/crates/testbed/src/simulated_services/decide.rs
+++ b/crates/testbed/src/simulated_services/decide.rs
@@ -2,7 +2,7 @@
 
 use super::{MissedServer, RunningServer, SimulatedServices, TagKey};
 use crate::clock::{MILLISECOND, Micros, micros_from_seconds};
-use crate::evidence::{ClientRequest, EventKind, Id};
+use crate::evidence::{ClientRequest, EventKind, RequestId};
 use crate::experiment::{DedupGroup, Protocol, Repeats, RequestClass};
 use crate::model::server::{AttemptInput, PlannedReply, Reply, ServerModel};
 use crate::sync::lock;
@@ -20,9 +20,9 @@
     pub server: usize,
     pub proxy: usize,
     pub now: Micros,
-    pub id: Id,
+    pub id: RequestId,
     pub request: &'a ClientRequest,
-    pub write: bool,
+    pub is_write: bool,
     /// The tag by which servers recognise a repeat of the request.
     pub tag: Option<&'a [u8]>,
 }
@@ -30,11 +30,11 @@
 impl SimulatedServices {
     /// Decides the outcome of an attempt with the models, and records its effects.
     pub(super) fn decide(&self, attempt: &Attempt) -> PlannedReply {
-        let class = &self.experiment.classes[attempt.request.class];
+        let class = &self.experiment.classes[attempt.request.class_index];
         // The order of these calls matters: each draws from the run's random number generator.
         let input = AttemptInput {
             key: attempt.request.key,
-            write: attempt.write,
+            is_write: attempt.is_write,
             work: self.draw_work(class.work_ms),
             sample: self.draw_sample(),
         };
@@ -46,11 +46,11 @@
         };
         let server = attempt.server as u16;
         if plan.collapses {
-            self.evidence.record(attempt.id, attempt.proxy, EventKind::ServerCollapsed { server });
+            self.recorder.record(attempt.id, attempt.proxy, EventKind::ServerCollapsed { server });
         }
         let has_effect = plan.takes_effect && class.repeats() != Repeats::Replayable;
         if has_effect && !self.drops_repeat(attempt, class) {
-            self.evidence.record(attempt.id, attempt.proxy, EventKind::EffectApplied { server });
+            self.recorder.record(attempt.id, attempt.proxy, EventKind::EffectApplied { server });
         }
         plan
     }
@@ -88,7 +88,7 @@
         }
         let fetch = |sent_at| self.fetch(sent_at, origin_fails);
         let plan = running.model.handle(attempt.now, input, timeline, fetch);
-        if plan.reply == Reply::Miss && !attempt.write {
+        if plan.reply == Reply::Miss && !attempt.is_write {
             let missed = MissedServer { server: attempt.server, incarnation };
             lock(&self.missed_servers).entry(attempt.id).or_default().push(missed);
         }
@@ -120,9 +120,9 @@
 
     /// Called when the origin answers a request: stores the value on servers that missed for it; a
     /// write removes the key from all servers instead.
-    pub(super) fn store_fetched(&self, id: Id, request: &ClientRequest) {
+    pub(super) fn store_fetched(&self, id: RequestId, request: &ClientRequest) {
         let missed = lock(&self.missed_servers).remove(&id).unwrap_or_default();
-        if self.experiment.classes[request.class].write {
+        if self.experiment.classes[request.class_index].write {
             for server in &self.servers {
                 lock(server).model.remove(request.key);
             }
--- a/crates/testbed/src/simulated_services/etcd/mod.rs
+++ b/crates/testbed/src/simulated_services/etcd/mod.rs
@@ -126,7 +126,7 @@
         last.started = last.started.max(started);
         let now = self.clock.now();
         let kind = EventKind::Notified { server: server as u16, is_off };
-        self.evidence.record_at(now, 0, proxy, kind);
+        self.recorder.record_at(now, 0, proxy, kind);
     }
 }
 
--- a/crates/testbed/src/simulated_services/file.rs
+++ b/crates/testbed/src/simulated_services/file.rs
@@ -108,7 +108,7 @@
             let is_off = !is_ready(server);
             if notified_off.insert(server, is_off).unwrap_or(false) != is_off {
                 let kind = EventKind::Notified { server: server as u16, is_off };
-                services.evidence.record_at(now, 0, self.proxy, kind);
+                services.recorder.record_at(now, 0, self.proxy, kind);
             }
         }
     }
--- a/crates/testbed/src/simulated_services/list.rs
+++ b/crates/testbed/src/simulated_services/list.rs
@@ -252,13 +252,13 @@
     /// ended since: what is written to it is not read.
     fn record_notified(&self, called_at: Micros, entries: &[ListedServer], at: Micros) {
         let services = self.services;
-        if services.evidence.ended_since(self.proxy, called_at) {
+        if services.recorder.process_ended_since(self.proxy, called_at) {
             return;
         }
         for entry in entries.iter().filter(|entry| entry.server < services.origin_index()) {
             let is_off = entry.status != EndpointStatus::Ready;
             let kind = EventKind::Notified { server: entry.server as u16, is_off };
-            services.evidence.record_at(at, 0, self.proxy, kind);
+            services.recorder.record_at(at, 0, self.proxy, kind);
         }
     }
 
--- a/crates/testbed/src/simulated_services/listener.rs
+++ b/crates/testbed/src/simulated_services/listener.rs
@@ -197,7 +197,7 @@
 /// Records that the attempt in progress on a connection was aborted.
 fn abort_attempt(services: &SimulatedServices, link: Link, connection: &mut Connection) {
     if let (Some(id), Peer::Server(server)) = (connection.open_attempt.take(), link.peer) {
-        services.evidence.record(id, link.proxy, EventKind::AttemptAborted { server: server as u16 });
+        services.recorder.record(id, link.proxy, EventKind::AttemptAborted { server: server as u16 });
     }
 }
 
--- a/crates/testbed/src/simulated_services/mod.rs
+++ b/crates/testbed/src/simulated_services/mod.rs
@@ -17,7 +17,7 @@
 pub use net::LoopbackAddresses;
 
 use crate::clock::{Clock, MILLISECOND, Micros, micros_from_seconds};
-use crate::evidence::{Evidence, Id};
+use crate::evidence::{EventRecorder, RequestId};
 use crate::experiment::{CacheMode, Experiment, Protocol};
 use crate::model::cluster::Cluster;
 use crate::model::etcd::EtcdTimeline;
@@ -61,7 +61,7 @@
     /// The run's clock.
     pub clock: Clock,
     /// The recorder of the run's events.
-    pub evidence: Evidence,
+    pub recorder: EventRecorder,
     /// The addresses of the run.
     pub addresses: LoopbackAddresses,
     /// The simulated etcd cluster.
@@ -76,7 +76,7 @@
     connections: Vec<AtomicUsize>,
     origin: Mutex<OriginModel>,
     /// The servers that missed for a request, until the origin has answered it.
-    missed_servers: Mutex<HashMap<Id, Vec<MissedServer>>>,
+    missed_servers: Mutex<HashMap<RequestId, Vec<MissedServer>>>,
     /// When the effect of a tagged request was applied.
     tagged_effects: Mutex<HashMap<TagKey, Micros>>,
     /// The time from which the list can answer another call.
@@ -134,7 +134,7 @@
             list_free_at: Mutex::default(),
             list_calls: (0..experiment.fleet.proxies).map(|_| AtomicUsize::new(0)).collect(),
             random: Mutex::new(ChaCha8Rng::seed_from_u64(experiment.seed)),
-            evidence: Evidence::new(clock.clone()),
+            recorder: EventRecorder::new(clock.clone()),
             cluster: Cluster::new(&experiment),
             etcd: etcd::Etcd::new(EtcdTimeline::new(&experiment)),
             spec,
--- a/crates/testbed/src/simulated_services/resp.rs
+++ b/crates/testbed/src/simulated_services/resp.rs
@@ -6,7 +6,7 @@
 use super::server::{closes_connection, wait_until_due};
 use super::{ConnectionCount, SimulatedServices};
 use crate::clock::{MILLISECOND, Micros};
-use crate::evidence::{ClientRequest, EventKind, Id};
+use crate::evidence::{ClientRequest, EventKind, RequestId};
 use crate::model::cluster::{Command, CommandOutcome, RANK_COUNT};
 use crate::model::server::{PlannedReply, Reply};
 use crate::resp::{Arguments, bulk, key_slot, read_command};
@@ -21,7 +21,7 @@
 
 /// The contents of a key of the testbed: `namespace:{kN}:ID:FIRST`.
 struct RequestKey {
-    id: Id,
+    id: RequestId,
     /// The id of the client's first try (FIRST), as text.
     tag: Vec<u8>,
 }
@@ -32,7 +32,7 @@
         let mut parts = text.rsplit(':');
         let first_try = parts.next()?;
         let id = parts.next()?;
-        Some(RequestKey { id: Id::from_str_radix(id, 16).ok()?, tag: first_try.as_bytes().to_vec() })
+        Some(RequestKey { id: RequestId::from_str_radix(id, 16).ok()?, tag: first_try.as_bytes().to_vec() })
     }
 }
 
@@ -83,8 +83,8 @@
         self.reply(connection, command.key.id, plan, &answer).await
     }
 
-    fn record_at(&self, at: Micros, id: Id, kind: EventKind) {
-        self.services.evidence.record_at(at, id, self.proxy, kind);
+    fn record_at(&self, at: Micros, id: RequestId, kind: EventKind) {
+        self.services.recorder.record_at(at, id, self.proxy, kind);
     }
 
     fn address(&self, node: usize) -> String {
@@ -131,9 +131,9 @@
             _ = connection.write(&[b"-ERR no key of the lab's\r\n"]).await;
             return None;
         };
-        let Some(request) = self.services.evidence.request(key.id) else {
+        let Some(request) = self.services.recorder.request(key.id) else {
             let unknown = EventKind::UnknownRequest { server: self.server as u16 };
-            self.services.evidence.record(key.id, self.proxy, unknown);
+            self.services.recorder.record(key.id, self.proxy, unknown);
             _ = connection.write(&[b"-ERR an id that nobody sent\r\n"]).await;
             return None;
         };
@@ -143,10 +143,10 @@
     /// Decides the outcome of a command that was received completely, and its answer.
     fn plan(&mut self, command: &KeyCommand) -> (PlannedReply, Vec<u8>) {
         let now = self.services.clock.now();
-        let write = command.name == "SET";
+        let is_write = command.name == "SET";
         let server = self.server as u16;
-        self.record_at(now, command.key.id, EventKind::AttemptReceived { server, write });
-        if let Some((reply, answer)) = self.refusal(command, write, now) {
+        self.record_at(now, command.key.id, EventKind::AttemptReceived { server, is_write });
+        if let Some((reply, answer)) = self.refusal(command, is_write, now) {
             return (PlannedReply::no_effect(reply, now), answer);
         }
         let plan = self.services.decide(&Attempt {
@@ -155,18 +155,18 @@
             now,
             id: command.key.id,
             request: &command.request,
-            write,
+            is_write,
             tag: Some(&command.key.tag),
         });
-        (plan, self.answer(command, write, plan.reply))
+        (plan, self.answer(command, is_write, plan.reply))
     }
 
     /// The answer of a server that does not hold the key, or does not hold it yet.
-    fn refusal(&mut self, command: &KeyCommand, write: bool, now: Micros) -> Option<(Reply, Vec<u8>)> {
+    fn refusal(&mut self, command: &KeyCommand, is_write: bool, now: Micros) -> Option<(Reply, Vec<u8>)> {
         let slot = command.slot;
         let rank = (command.request.key.wrapping_mul(RANK_FACTOR) >> 32) % RANK_COUNT;
         let asking = std::mem::take(&mut self.asking);
-        let cluster_command = Command { slot, rank, asking, readonly: self.readonly, write };
+        let cluster_command = Command { slot, rank, asking, readonly: self.readonly, is_write };
         let (reply, answer) = match self.services.cluster.handle(self.server, now, cluster_command) {
             CommandOutcome::Execute => return None,
             CommandOutcome::Moved(target) => {
@@ -182,12 +182,12 @@
     }
 
     /// The encoded reply.
-    fn answer(&self, command: &KeyCommand, write: bool, reply: Reply) -> Vec<u8> {
+    fn answer(&self, command: &KeyCommand, is_write: bool, reply: Reply) -> Vec<u8> {
         let request = &command.request;
-        let bytes = self.services.experiment.classes[request.class].bytes;
+        let bytes = self.services.experiment.classes[request.class_index].bytes;
         let value = || body(command.key.id, request.key, self.server, bytes);
         match reply {
-            Reply::Hit | Reply::Fetched if write => b"+OK\r\n".to_vec(),
+            Reply::Hit | Reply::Fetched if is_write => b"+OK\r\n".to_vec(),
             Reply::Hit | Reply::Fetched => bulk(&value()),
             Reply::Unprocessed => b"-LOADING busy\r\n".to_vec(),
             Reply::Truncated => {
@@ -203,21 +203,21 @@
     async fn reply(
         &self,
         connection: &mut Connection,
-        id: Id,
+        id: RequestId,
         plan: PlannedReply,
         answer: &[u8],
     ) -> Option<()> {
         let server = self.server as u16;
         let aborted = EventKind::AttemptAborted { server };
         if !wait_until_due(self.services, connection, &plan).await {
-            self.services.evidence.record(id, self.proxy, aborted);
+            self.services.recorder.record(id, self.proxy, aborted);
             return None;
         }
         // Recorded with the time before the write, because the proxy may act on the reply before
         // the write returns.
         let replied = self.services.clock.now();
         if connection.write(&[answer]).await.is_err() {
-            self.services.evidence.record(id, self.proxy, aborted);
+            self.services.recorder.record(id, self.proxy, aborted);
             return None;
         }
         self.record_at(replied, id, EventKind::Replied { server, reply: plan.reply });
--- a/crates/testbed/src/simulated_services/server.rs
+++ b/crates/testbed/src/simulated_services/server.rs
@@ -4,7 +4,7 @@
 use super::decide::Attempt;
 use super::{ConnectionCount, SimulatedServices};
 use crate::clock::{MILLISECOND, Micros, micros_from_seconds};
-use crate::evidence::{ClientRequest, EventKind, Id};
+use crate::evidence::{ClientRequest, EventKind, RequestId};
 use crate::model::server::{PlannedReply, Reply};
 use crate::wire::{Connection, Message, ReadError, response_head};
 use smol::Timer;
@@ -108,8 +108,8 @@
         self.reply(connection, id, &request, plan).await
     }
 
-    fn record_at(&self, at: Micros, id: Id, kind: EventKind) {
-        self.services.evidence.record_at(at, id, self.proxy, kind);
+    fn record_at(&self, at: Micros, id: RequestId, kind: EventKind) {
+        self.services.recorder.record_at(at, id, self.proxy, kind);
     }
 
     /// Waits for the first bytes of the next message, at most for the time after which a server
@@ -140,28 +140,32 @@
 
     /// Finds the client request that an attempt belongs to. An attempt that belongs to none is
     /// recorded and rejected.
-    async fn identify(&self, connection: &Connection, message: &Message) -> Option<(Id, ClientRequest)> {
-        let id = message.field("X-Correlation-Id").and_then(|id| Id::from_str_radix(id, 16).ok());
-        if let Some((id, request)) = id.and_then(|id| Some((id, self.services.evidence.request(id)?))) {
+    async fn identify(
+        &self,
+        connection: &Connection,
+        message: &Message,
+    ) -> Option<(RequestId, ClientRequest)> {
+        let id = message.field("X-Correlation-Id").and_then(|id| RequestId::from_str_radix(id, 16).ok());
+        if let Some((id, request)) = id.and_then(|id| Some((id, self.services.recorder.request(id)?))) {
             return Some((id, request));
         }
         let unknown = EventKind::UnknownRequest { server: self.server as u16 };
-        self.services.evidence.record(id.unwrap_or(0), self.proxy, unknown);
+        self.services.recorder.record(id.unwrap_or(0), self.proxy, unknown);
         _ = respond(connection, if id.is_some() { 400 } else { 404 }, "", b"").await;
         None
     }
 
     /// Decides the outcome of an attempt that was received completely.
-    fn plan(&mut self, message: &Message, id: Id, request: &ClientRequest) -> PlannedReply {
+    fn plan(&mut self, message: &Message, id: RequestId, request: &ClientRequest) -> PlannedReply {
         let now = self.services.clock.now();
         let server = self.server;
-        let write = message.method() == "PUT";
-        self.record_at(now, id, EventKind::AttemptReceived { server: server as u16, write });
+        let is_write = message.method() == "PUT";
+        self.record_at(now, id, EventKind::AttemptReceived { server: server as u16, is_write });
         let mut plan = if self.over_limit {
             PlannedReply::no_effect(Reply::Unprocessed, now)
         } else {
             let tag = message.field("Idempotency-Key").map(str::as_bytes);
-            self.services.decide(&Attempt { server, proxy: self.proxy, now, id, request, write, tag })
+            self.services.decide(&Attempt { server, proxy: self.proxy, now, id, request, is_write, tag })
         };
         if std::mem::take(&mut self.is_first_attempt) {
             let handshake = micros_from_seconds(self.services.experiment.world.handshake_ms / 1e3);
@@ -173,7 +177,7 @@
     async fn reply(
         &self,
         connection: &mut Connection,
-        id: Id,
+        id: RequestId,
         request: &ClientRequest,
         plan: PlannedReply,
     ) -> Option<()> {
@@ -182,14 +186,14 @@
         let was_due = wait_until_due(services, connection, &plan).await;
         connection.open_attempt = None;
         if !was_due {
-            services.evidence.record(id, self.proxy, EventKind::AttemptAborted { server });
+            services.recorder.record(id, self.proxy, EventKind::AttemptAborted { server });
             return None;
         }
         // Recorded with the time before the write, because the proxy may act on the reply before
         // the write returns.
         let replied = services.clock.now();
         if self.write_reply(connection, id, request, &plan).await.is_err() {
-            services.evidence.record(id, self.proxy, EventKind::AttemptAborted { server });
+            services.recorder.record(id, self.proxy, EventKind::AttemptAborted { server });
             return None;
         }
         self.record_at(replied, id, EventKind::Replied { server, reply: plan.reply });
@@ -200,7 +204,7 @@
     async fn write_reply(
         &self,
         connection: &Connection,
-        id: Id,
+        id: RequestId,
         request: &ClientRequest,
         plan: &PlannedReply,
     ) -> std::io::Result<()> {
@@ -208,7 +212,7 @@
         if plan.interim {
             connection.write(&[b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"]).await?;
         }
-        let bytes = services.experiment.classes[request.class].bytes;
+        let bytes = services.experiment.classes[request.class_index].bytes;
         let value = || body(id, request.key, self.server, bytes);
         match plan.reply {
             Reply::Hit => respond(connection, 200, HIT, &value()).await,
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -2,7 +2,7 @@
 //! Content-Length only, as all of them write it. It shares no code with the proxy, so that a bug in
 //! the proxy's framing cannot hide itself.
 
-use crate::evidence::Id;
+use crate::evidence::RequestId;
 use smol::Async;
 use std::io::{self, IoSlice, Read, Write};
 use std::net::TcpStream;
@@ -150,7 +150,7 @@
     /// Bytes that were read and not yet consumed by a message.
     pub buffered: Vec<u8>,
     /// The id of the request whose attempt is in progress on the connection.
-    pub open_attempt: Option<Id>,
+    pub open_attempt: Option<RequestId>,
 }
 
 impl Connection {
--- a/crates/testbed/tests/models/server.rs
+++ b/crates/testbed/tests/models/server.rs
@@ -24,7 +24,7 @@
 }
 
 fn attempt(key: u64) -> AttemptInput {
-    AttemptInput { key, write: false, work: 10 * MILLISECOND, sample: 0.5 }
+    AttemptInput { key, is_write: false, work: 10 * MILLISECOND, sample: 0.5 }
 }
 
 fn failing_origin(_: Micros) -> Option<Micros> {
@@ -36,7 +36,7 @@
     let (mut server, timeline) = (ServerModel::new(spec(), 0), timeline());
     [1, 2, 3].into_iter().for_each(|key| server.store(key));
     let mut reply = |now, attempt| server.handle(now, attempt, &timeline, failing_origin).reply;
-    let write = AttemptInput { write: true, ..attempt(3) };
+    let write = AttemptInput { is_write: true, ..attempt(3) };
     let replies =
         [(0, attempt(1)), (0, attempt(3)), (20_000, write)].map(|(now, attempt)| reply(now, attempt));
     assert_eq!(replies, [Reply::Miss, Reply::Hit, Reply::Miss]);
