--- a/crates/testbed/src/cli/arguments.rs
+++ b/crates/testbed/src/cli/arguments.rs
@@ -20,7 +20,7 @@
 pub fn read_experiment(path: &Path) -> Result<Experiment, CliError> {
     let text =
         std::fs::read_to_string(path).map_err(|error| CliError::Read { path: path.to_path_buf(), error })?;
-    Experiment::read(&text).map_err(|error| CliError::Experiment { path: path.to_path_buf(), error })
+    Experiment::parse(&text).map_err(|error| CliError::Experiment { path: path.to_path_buf(), error })
 }
 
 /// Values of the command line that replace those of the experiment file.
--- a/crates/testbed/src/cli/play.rs
+++ b/crates/testbed/src/cli/play.rs
@@ -126,7 +126,7 @@
         "Three proxies, nine servers in three zones and an origin on loopback. At 6 s a server hangs, at 10 s a third of\n\
          the requests to another fails, and from 13 s on servers are deployed one after the other."
     );
-    let experiment = Experiment::read(TRY_EXPERIMENT).map_err(CliError::BuiltIn)?;
+    let experiment = Experiment::parse(TRY_EXPERIMENT).map_err(CliError::BuiltIn)?;
     Ok(print_verdict(&run_experiment(experiment, Path::new(""), command, None)?))
 }
 
@@ -169,7 +169,7 @@
             println!("{text}");
             continue;
         }
-        let experiment = Experiment::read(&text).map_err(|error| CliError::usage(error.to_string()))?;
+        let experiment = Experiment::parse(&text).map_err(|error| CliError::usage(error.to_string()))?;
         let logs = logs.as_ref().map(|logs| logs.join(format!("seed-{seed}")));
         let result = run_experiment(experiment, Path::new(""), command.clone(), logs)?;
         print!("{}", verdict(&result));
@@ -207,7 +207,7 @@
     let servers: usize = args.opt_value_from_str("--caches")?.unwrap_or(6);
     let command: Option<String> = args.opt_value_from_str("--proxy")?;
     expect_no_more(args)?;
-    let mut experiment = Experiment::read(TRY_EXPERIMENT).map_err(CliError::BuiltIn)?;
+    let mut experiment = Experiment::parse(TRY_EXPERIMENT).map_err(CliError::BuiltIn)?;
     experiment.fleet.proxies = proxies.clamp(1, MAX_PROXIES);
     experiment.world.servers = servers.clamp(MIN_SERVERS, MAX_SERVERS);
     let command = command.map_or_else(default_proxy, Ok)?;
--- a/crates/testbed/src/experiment/bounds.rs
+++ b/crates/testbed/src/experiment/bounds.rs
@@ -5,16 +5,18 @@
 /// Tolerances of the rules that the oracle checks. They mostly cover the testbed's own delays.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Rules {
+pub struct RuleTolerances {
     /// How long after the time limit a response may come: the platform's tolerance, plus what a
     /// busy machine may add.
-    pub late_ms: f64,
+    #[serde(rename = "late_ms")]
+    pub late_tolerance_ms: f64,
     /// How long after the grace period of a drain an attempt may still start.
-    pub drain_ms: f64,
+    #[serde(rename = "drain_ms")]
+    pub drain_tolerance_ms: f64,
     /// The longest time from the end of the last attempt to a rejection; a longer one breaks
     /// the rule against delayed rejections.
     #[serde(rename = "held_ms")]
-    pub refusal_delay_ms: f64,
+    pub max_rejection_delay_ms: f64,
     /// How long an abandoned attempt may overlap the next one.
     pub overlap_ms: f64,
     /// The longest time from a client's cancellation to the first byte of an attempt for it; a
@@ -29,18 +31,20 @@
 pub struct Bounds {
     /// Minimum share of the first requests that are served within the latency objective, by the
     /// first try or a retry.
-    pub in_time: Option<f64>,
+    #[serde(rename = "in_time")]
+    pub min_in_time_share: Option<f64>,
     /// Minimum of the same share in the worst window of five seconds.
-    pub worst_window: Option<f64>,
+    #[serde(rename = "worst_window")]
+    pub min_window_in_time_share: Option<f64>,
     /// Maximum share of the requests that are rejected.
     #[serde(rename = "deferred")]
-    pub rejected: Option<f64>,
+    pub max_rejected_share: Option<f64>,
     /// Maximum share of the requests that fail.
     #[serde(rename = "abandoned")]
-    pub failed: Option<f64>,
+    pub max_failed_share: Option<f64>,
     /// Maximum mean number of attempts per request.
     #[serde(rename = "shots_per_lookup")]
-    pub attempts_per_request: Option<f64>,
+    pub max_attempts_per_request: Option<f64>,
     /// Maximum memory of any proxy, in megabytes.
     pub memory_mb: Option<f64>,
     /// Maximum time from when a proxy is notified that a server is draining to its last new attempt
--- a/crates/testbed/src/experiment/defaults.rs
+++ b/crates/testbed/src/experiment/defaults.rs
@@ -1,7 +1,7 @@
 //! Default values of the fields that an experiment file leaves out.
 
 use super::choices::{CacheMode, DedupGroup, ListSource, Protocol, Repeats};
-use super::{Fleet, Rules, World};
+use super::{Fleet, RuleTolerances, World};
 use toml::Spanned;
 
 impl Default for World {
@@ -11,15 +11,15 @@
             servers: 6,
             mode: CacheMode::Aside.name().into(),
             cores: 4,
-            queue: 64,
-            values: 20_000,
+            max_queued: 64,
+            max_cached_values: 20_000,
             cached_share: 0.5,
             slow_start_share: 0.2,
             slow_start_s: 10.0,
             collapse_multiple: 2.0,
             collapse_window_s: 2.0,
-            connections: 600,
-            idle_s: 30.0,
+            max_connections: 600,
+            idle_timeout_s: 30.0,
             handshake_ms: 0.3,
             origin_slots: 16,
             origin_queue: 64,
@@ -55,12 +55,12 @@
     }
 }
 
-impl Default for Rules {
-    fn default() -> Rules {
-        Rules {
-            late_ms: 150.0,
-            drain_ms: 50.0,
-            refusal_delay_ms: 250.0,
+impl Default for RuleTolerances {
+    fn default() -> RuleTolerances {
+        RuleTolerances {
+            late_tolerance_ms: 150.0,
+            drain_tolerance_ms: 50.0,
+            max_rejection_delay_ms: 250.0,
             overlap_ms: 50.0,
             cancel_delay_ms: 100.0,
         }
--- a/crates/testbed/src/experiment/environment.rs
+++ b/crates/testbed/src/experiment/environment.rs
@@ -18,9 +18,11 @@
     /// Cores of each server.
     pub cores: usize,
     /// Maximum number of requests that wait for a core; further ones are refused.
-    pub queue: usize,
+    #[serde(rename = "queue")]
+    pub max_queued: usize,
     /// Maximum number of values that a server caches; the least recently used one is evicted first.
-    pub values: usize,
+    #[serde(rename = "values")]
+    pub max_cached_values: usize,
     /// The share of the keys that is cached when the load begins, counted from the most requested key on.
     #[serde(rename = "kept")]
     pub cached_share: f64,
@@ -37,9 +39,11 @@
     #[serde(rename = "fall_s")]
     pub collapse_window_s: f64,
     /// Maximum number of connections of a server; it refuses requests on further ones.
-    pub connections: usize,
+    #[serde(rename = "connections")]
+    pub max_connections: usize,
     /// Seconds without a request after which a server closes a connection.
-    pub idle_s: f64,
+    #[serde(rename = "idle_s")]
+    pub idle_timeout_s: f64,
     /// Additional time for the first request of a connection, in milliseconds.
     pub handshake_ms: f64,
     /// Number of requests that the origin processes concurrently.
--- a/crates/testbed/src/experiment/faults.rs
+++ b/crates/testbed/src/experiment/faults.rs
@@ -160,7 +160,7 @@
 
 impl Fault {
     /// The time from the fault's start to its end; a fault without a duration never ends.
-    pub fn span(&self) -> Range<Micros> {
+    pub fn active_time(&self) -> Range<Micros> {
         let at = micros_from_seconds(self.at);
         at..self.duration.map_or(Micros::MAX, |duration| at + micros_from_seconds(duration))
     }
--- a/crates/testbed/src/experiment/mod.rs
+++ b/crates/testbed/src/experiment/mod.rs
@@ -14,7 +14,7 @@
 mod faults;
 mod load;
 
-pub use bounds::{Bounds, Rules};
+pub use bounds::{Bounds, RuleTolerances};
 pub use choices::{CacheMode, DedupGroup, ListSource, Protocol, Repeats};
 pub use environment::{Fleet, World};
 pub use error::{ExperimentError, Problem};
@@ -53,7 +53,7 @@
     pub load: Load,
     /// Tolerances of the rules that the oracle checks.
     #[serde(default)]
-    pub rules: Rules,
+    pub rules: RuleTolerances,
     /// Limits of the run's figures that have to hold in addition to the rules.
     #[serde(default)]
     pub bounds: Bounds,
@@ -73,7 +73,7 @@
 
 impl Experiment {
     /// Parses and checks the text of an experiment file.
-    pub fn read(text: &str) -> Result<Experiment, ExperimentError> {
+    pub fn parse(text: &str) -> Result<Experiment, ExperimentError> {
         let experiment: Experiment = toml::from_str(text).map_err(|error: toml::de::Error| {
             let line = error.span().map_or(1, |span| line_of(text, span.start));
             ExperimentError::new(vec![Problem { line, text: error.message().replace('\n', " ") }])
@@ -84,7 +84,7 @@
     }
 
     /// The servers that a fault affects.
-    pub fn targets(&self, fault: &Fault) -> Vec<usize> {
+    pub fn target_servers(&self, fault: &Fault) -> Vec<usize> {
         match (&fault.servers, &fault.zone) {
             (Some(servers), _) => servers.clone(),
             (None, Some(zone)) => (0..self.world.servers).filter(|i| self.zone_of(*i) == zone).collect(),
@@ -93,7 +93,7 @@
     }
 
     /// The faults, in the order of the file.
-    pub fn each_fault(&self) -> impl Iterator<Item = &Fault> {
+    pub fn faults_in_order(&self) -> impl Iterator<Item = &Fault> {
         self.faults.iter().map(Spanned::get_ref)
     }
 
@@ -110,7 +110,7 @@
 
     /// The time when no request can be open any more: the last arrival plus the longest time limit
     /// and the time for retries.
-    pub fn ends_at(&self) -> Micros {
+    pub fn end_time(&self) -> Micros {
         let limit = self.classes.iter().map(|class| class.limit_ms).fold(0.0, f64::max) / 1e3;
         let retry_time = f64::from(self.load.retries) * (limit + self.fleet.max_retry_after_s.max(1.0));
         micros_from_seconds(self.seconds + limit + retry_time.min(MAX_RETRY_TIME_S)) + SECOND / 2
--- a/crates/testbed/src/fleet/actions.rs
+++ b/crates/testbed/src/fleet/actions.rs
@@ -40,7 +40,7 @@
 /// The experiment's faults of proxies as actions on single proxies, sorted by time.
 pub fn proxy_actions(experiment: &Experiment) -> Vec<ProxyAction> {
     let mut actions = Vec::new();
-    for fault in experiment.each_fault() {
+    for fault in experiment.faults_in_order() {
         let proxies = fault.proxies.clone().unwrap_or_else(|| (0..experiment.fleet.proxies).collect());
         let action = |(i, proxy): (usize, usize)| action_of(fault, i, proxy);
         actions.extend(proxies.into_iter().enumerate().filter_map(action));
--- a/crates/testbed/src/fleet/config.rs
+++ b/crates/testbed/src/fleet/config.rs
@@ -135,7 +135,7 @@
                 "cancelling": fleet.cancellation,
                 "retryAfter": fleet.max_retry_after_s > 0.0,
                 "maxRetryAfterNs": nanoseconds(fleet.max_retry_after_s * 1e3),
-                "connIdleNs": nanoseconds(world.idle_s * 1e3),
+                "connIdleNs": nanoseconds(world.idle_timeout_s * 1e3),
                 "connectTimeoutNs": nanoseconds(fleet.connect_ms),
             },
             "rules": {
--- a/crates/testbed/src/measure/bounds.rs
+++ b/crates/testbed/src/measure/bounds.rs
@@ -20,13 +20,13 @@
         let stated = &experiment.bounds;
         let request_share = |count: usize| share(count, self.requests);
         let minimums = [
-            bound("in_time", stated.in_time, self.in_time),
-            bound("worst_window", stated.worst_window, self.worst_window),
+            bound("in_time", stated.min_in_time_share, self.in_time),
+            bound("worst_window", stated.min_window_in_time_share, self.worst_window),
         ];
         let maximums = [
-            bound("deferred", stated.rejected, request_share(self.rejected)),
-            bound("abandoned", stated.failed, request_share(self.failed)),
-            bound("shots_per_lookup", stated.attempts_per_request, self.attempts_per_request),
+            bound("deferred", stated.max_rejected_share, request_share(self.rejected)),
+            bound("abandoned", stated.max_failed_share, request_share(self.failed)),
+            bound("shots_per_lookup", stated.max_attempts_per_request, self.attempts_per_request),
             bound("memory_mb", stated.memory_mb, self.memory_mb_peak),
             bound("drain_ms", stated.drain_ms, self.drains.max_ms),
             bound("killed_per_thousand", stated.killed_per_thousand, 1000.0 * request_share(self.killed)),
--- a/crates/testbed/src/measure/during_faults.rs
+++ b/crates/testbed/src/measure/during_faults.rs
@@ -40,7 +40,7 @@
         verdict: &Verdict,
         firsts: &[FirstRequest],
     ) -> Option<DuringFaults> {
-        let spans = || experiment.each_fault().map(|fault| fault.span());
+        let spans = || experiment.faults_in_order().map(|fault| fault.active_time());
         let start = spans().map(|span| span.start).min()?;
         let end = spans().map(|span| span.end).max()?;
         if end > micros_from_seconds(experiment.seconds) {
--- a/crates/testbed/src/measure/sources.rs
+++ b/crates/testbed/src/measure/sources.rs
@@ -31,8 +31,10 @@
         if experiment.fleet.protocol() != Protocol::Resp {
             return None;
         }
-        let fault_ends =
-            experiment.each_fault().map(|fault| fault.span().end).filter(|end| *end < Micros::MAX);
+        let fault_ends = experiment
+            .faults_in_order()
+            .map(|fault| fault.active_time().end)
+            .filter(|end| *end < Micros::MAX);
         let settled_at = fault_ends.max().unwrap_or(0) + SLOT_MAP_SETTLING_TIME;
         let requests_from = |from: Micros| {
             let is_counted = move |record: &&RequestRecord| {
--- a/crates/testbed/src/measure/steps.rs
+++ b/crates/testbed/src/measure/steps.rs
@@ -63,7 +63,7 @@
 
 impl Steps {
     fn new(experiment: &Experiment) -> Steps {
-        let count = (experiment.ends_at() / TIME_STEP + 1) as usize;
+        let count = (experiment.end_time() / TIME_STEP + 1) as usize;
         let proxies = experiment.fleet.proxies;
         let empty = TimeStep {
             in_flight: vec![0; experiment.world.servers + 1],
--- a/crates/testbed/src/model/cluster/build.rs
+++ b/crates/testbed/src/model/cluster/build.rs
@@ -46,7 +46,7 @@
             ..Cluster::default()
         };
         let mut changes: Vec<OwnershipChange> = Vec::new();
-        for fault in experiment.each_fault() {
+        for fault in experiment.faults_in_order() {
             changes.extend(cluster.apply(experiment, fault));
         }
         // Changes are applied in order of time, because a failover affects the blocks that the
@@ -65,23 +65,23 @@
     /// Records what a fault does to single servers, and returns the changes of owners that it
     /// causes.
     fn apply(&mut self, experiment: &Experiment, fault: &Fault) -> Vec<OwnershipChange> {
-        let targets = experiment.targets(fault);
+        let target_servers = experiment.target_servers(fault);
         let at = micros_from_seconds(fault.at);
         match fault.kind {
             FaultKind::SlotsMove => migrations(fault),
             FaultKind::Failover => {
-                self.add_loading(fault, &targets);
+                self.add_loading(fault, &target_servers);
                 let fail_over = |server| OwnershipChange::FailOver { server, at: at + FAILOVER_DELAY };
-                targets.into_iter().map(fail_over).collect()
+                target_servers.into_iter().map(fail_over).collect()
             }
             FaultKind::Restarts => {
-                self.add_loading(fault, &targets);
+                self.add_loading(fault, &target_servers);
                 Vec::new()
             }
             FaultKind::OldMap => {
                 let lag = micros_from_seconds(fault.by.unwrap_or(DEFAULT_SECONDS));
-                let stale_map = |server| StaleMap { server, span: fault.span(), lag };
-                self.stale_maps.extend(targets.into_iter().map(stale_map));
+                let stale_map = |server| StaleMap { server, span: fault.active_time(), lag };
+                self.stale_maps.extend(target_servers.into_iter().map(stale_map));
                 Vec::new()
             }
             _ => Vec::new(),
@@ -124,7 +124,7 @@
 
 /// The migrations of a fault: one block per interval, for as long as the fault lasts.
 fn migrations(fault: &Fault) -> Vec<OwnershipChange> {
-    let span = fault.span();
+    let span = fault.active_time();
     let interval = micros_from_seconds(fault.every.unwrap_or(DEFAULT_SECONDS)).max(1);
     let migration = |n: u64| {
         let start = span.start + n * interval;
--- a/crates/testbed/src/model/etcd.rs
+++ b/crates/testbed/src/model/etcd.rs
@@ -60,8 +60,8 @@
     /// Computes the faults of the cluster from an experiment.
     pub fn new(experiment: &Experiment) -> EtcdTimeline {
         let mut timeline = EtcdTimeline::default();
-        for fault in experiment.each_fault() {
-            let span = fault.span();
+        for fault in experiment.faults_in_order() {
+            let span = fault.active_time();
             let at = span.start;
             let offset = micros_from_seconds(fault.by.unwrap_or(0.0));
             match fault.kind {
--- a/crates/testbed/src/model/timeline/build.rs
+++ b/crates/testbed/src/model/timeline/build.rs
@@ -83,7 +83,7 @@
             list_delay: micros_from_seconds(world.list_delay_s),
             list_delays: Vec::new(),
         };
-        let mut faults: Vec<&Fault> = experiment.each_fault().collect();
+        let mut faults: Vec<&Fault> = experiment.faults_in_order().collect();
         faults.sort_by_key(|fault| micros_from_seconds(fault.at));
         for fault in faults {
             builder.apply(fault);
@@ -98,26 +98,26 @@
             self.add_misbehavior(fault, misbehavior);
             return;
         }
-        let span = fault.span();
+        let span = fault.active_time();
         match fault.kind {
             FaultKind::StandsStill => self.scale_speed(fault, 0.0),
             FaultKind::Slow => self.scale_speed(fault, 1.0 / fault.factor.unwrap_or(1.0)),
             FaultKind::Vanishes | FaultKind::ZoneLost => {
                 let gone_delay = self.list_delay + DETECTION_DELAY;
-                for server in self.experiment.targets(fault) {
+                for server in self.experiment.target_servers(fault) {
                     self.take_down(server, Reachability::Silent, span.clone(), gone_delay);
                 }
             }
             FaultKind::Failover => self.apply_failover(fault),
             FaultKind::Restarts => {
                 let returns_at = span.start + required_duration(fault.down);
-                for server in self.experiment.targets(fault) {
+                for server in self.experiment.target_servers(fault) {
                     self.take_down(server, Reachability::Refused, span.start..returns_at, self.list_delay);
                 }
             }
             FaultKind::RollingDeploy => self.apply_rolling_deploy(fault),
             FaultKind::CopiesVoid => {
-                for server in self.experiment.targets(fault) {
+                for server in self.experiment.target_servers(fault) {
                     self.timelines.servers[server].purges.push(span.start);
                 }
             }
@@ -128,7 +128,7 @@
     /// Applies faults of the origin, the links and the list.
     fn apply_to_other_parts(&mut self, fault: &Fault) {
         let timelines = &mut self.timelines;
-        let span = fault.span();
+        let span = fault.active_time();
         match fault.kind {
             FaultKind::OriginSlow => timelines.origin.scale(span, 1.0 / fault.factor.unwrap_or(1.0)),
             FaultKind::OriginFails => {
@@ -158,31 +158,31 @@
 
     fn add_misbehavior(&mut self, fault: &Fault, misbehavior: Misbehavior) {
         let share = fault.share.unwrap_or(1.0);
-        for server in self.experiment.targets(fault) {
-            let span = MisbehaviorSpan { span: fault.span(), misbehavior, share };
+        for server in self.experiment.target_servers(fault) {
+            let span = MisbehaviorSpan { span: fault.active_time(), misbehavior, share };
             self.timelines.servers[server].misbehaviors.push(span);
         }
     }
 
     fn scale_speed(&mut self, fault: &Fault, factor: f64) {
-        for server in self.experiment.targets(fault) {
-            self.timelines.servers[server].speed.scale(fault.span(), factor);
+        for server in self.experiment.target_servers(fault) {
+            self.timelines.servers[server].speed.scale(fault.active_time(), factor);
         }
     }
 
     /// The list does not publish a failover: which replica takes over is known only to the servers.
     fn apply_failover(&mut self, fault: &Fault) {
-        let start = fault.span().start;
+        let start = fault.active_time().start;
         let returns_at = start + required_duration(fault.down);
-        for server in self.experiment.targets(fault) {
+        for server in self.experiment.target_servers(fault) {
             self.timelines.servers[server].end_process(start, Reachability::Refused, returns_at);
         }
     }
 
     fn apply_rolling_deploy(&mut self, fault: &Fault) {
         let interval = required_duration(fault.every);
-        for (i, server) in self.experiment.targets(fault).into_iter().enumerate() {
-            let drain_start = fault.span().start + interval * i as Micros;
+        for (i, server) in self.experiment.target_servers(fault).into_iter().enumerate() {
+            let drain_start = fault.active_time().start + interval * i as Micros;
             let end = drain_start + required_duration(fault.drain);
             let returns_at = end + required_duration(fault.down);
             self.publish(drain_start + self.list_delay, server, EndpointStatus::Draining, 0);
--- a/crates/testbed/src/oracle/drains.rs
+++ b/crates/testbed/src/oracle/drains.rs
@@ -79,7 +79,7 @@
     pub(super) fn check_drains(&mut self, events: &[Event]) {
         let rules = &self.experiment.rules;
         let grace = micros_from_seconds(self.experiment.fleet.drain_grace_s)
-            + micros_from_seconds(rules.drain_ms / 1e3);
+            + micros_from_seconds(rules.drain_tolerance_ms / 1e3);
         let mut off = OffServers::default();
         let presumed = notified::presumed_notifications(self.experiment, &self.timelines, events);
         let mut presumed = presumed.iter().peekable();
--- a/crates/testbed/src/oracle/requests.rs
+++ b/crates/testbed/src/oracle/requests.rs
@@ -39,8 +39,9 @@
         let class = &self.experiment.classes[record.request.class_index];
         let at = answer.at;
         let mut findings = Vec::new();
-        let latest_allowed =
-            sent + record.request.time_limit + micros_from_seconds(self.experiment.rules.late_ms / 1e3);
+        let latest_allowed = sent
+            + record.request.time_limit
+            + micros_from_seconds(self.experiment.rules.late_tolerance_ms / 1e3);
         if at > latest_allowed && !self.was_stopped(record.proxy, sent, at) {
             let late = seconds_from_micros(at - sent - record.request.time_limit);
             findings.push(Finding::new(
@@ -112,7 +113,7 @@
         at: Micros,
         spans: &AttemptSpans,
     ) -> Option<String> {
-        let max_delay = micros_from_seconds(self.experiment.rules.refusal_delay_ms / 1e3);
+        let max_delay = micros_from_seconds(self.experiment.rules.max_rejection_delay_ms / 1e3);
         let ends = record.attempts.iter().map(|attempt| attempt.end().unwrap_or(Micros::MAX));
         let last_event = ends.max().unwrap_or(sent).max(sent);
         // An attempt that waits for a connection to a silent peer leaves no event.
--- a/crates/testbed/src/report/page.rs
+++ b/crates/testbed/src/report/page.rs
@@ -47,7 +47,7 @@
         |fault: &Fault| fault.duration.map_or(fault.at + POINT_BAND_S, |length| (fault.at + length).min(end));
     let band =
         |fault: &Fault| Band { start_s: fault.at, end_s: band_end(fault), name: fault.kind.to_string() };
-    result.experiment.each_fault().map(band).collect()
+    result.experiment.faults_in_order().map(band).collect()
 }
 
 fn escape_html(text: &str) -> String {
--- a/crates/testbed/src/run.rs
+++ b/crates/testbed/src/run.rs
@@ -150,7 +150,7 @@
         }
         let (clock, clients) = (self.clock.clone(), self.clients.clone());
         let progress = executor.spawn(show_progress(clock, self.experiment.clone(), clients, live));
-        self.clock.sleep_until(self.experiment.ends_at()).await;
+        self.clock.sleep_until(self.experiment.end_time()).await;
         progress.cancel().await;
         let crashed = self.fleet.crashed();
         self.clients.close_idle();
@@ -174,7 +174,7 @@
         drop(threads);
         let (events, requests) = services.recorder.take_recorded();
         let mut verdict = oracle::check_run(&experiment, &events, requests);
-        let at = experiment.ends_at();
+        let at = experiment.end_time();
         verdict.breaches.extend(crashed.into_iter().map(|proxy| {
             let details = "its process had exited before the end of the run".to_string();
             Breach { rule: Rule::KeepsRunning, at, request_id: 0, proxy: proxy as u16, details }
@@ -200,13 +200,13 @@
 /// Redraws the progress line: the time, the counts of requests, and the active faults. It is drawn
 /// only on a terminal.
 async fn show_progress(clock: Clock, experiment: Experiment, clients: Arc<Clients>, live: bool) {
-    let bar = if live { ProgressBar::new(experiment.ends_at() / SECOND) } else { ProgressBar::hidden() };
+    let bar = if live { ProgressBar::new(experiment.end_time() / SECOND) } else { ProgressBar::hidden() };
     if let Ok(style) = ProgressStyle::with_template("{bar:24} {pos:>3}/{len} s  {msg}") {
         bar.set_style(style);
     }
     loop {
         let now = clock.now();
-        let on = experiment.each_fault().filter(|fault| fault.span().contains(&now));
+        let on = experiment.faults_in_order().filter(|fault| fault.active_time().contains(&now));
         let on: Vec<String> = on.map(|fault| fault.kind.to_string()).collect();
         bar.set_position(seconds_from_micros(now) as u64);
         bar.set_message(format!("{}  {}", clients.status_line(), on.join(" ")));
--- a/crates/testbed/src/simulated_services/mod.rs
+++ b/crates/testbed/src/simulated_services/mod.rs
@@ -94,8 +94,8 @@
     let world = &experiment.world;
     ServerSpec {
         cores: world.cores,
-        max_queued: world.queue,
-        max_values: world.values,
+        max_queued: world.max_queued,
+        max_values: world.max_cached_values,
         slow_start_share: world.slow_start_share,
         slow_start: micros_from_seconds(world.slow_start_s),
         collapse_multiple: world.collapse_multiple,
@@ -110,7 +110,8 @@
 fn warm_server(experiment: &Experiment, spec: &ServerSpec) -> RunningServer {
     let world = &experiment.world;
     let mut model = ServerModel::new(spec.clone(), 0);
-    let cached = ((experiment.load.keys as f64 * world.cached_share) as u64).min(world.values as u64);
+    let cached =
+        ((experiment.load.keys as f64 * world.cached_share) as u64).min(world.max_cached_values as u64);
     for key in (0..cached).rev() {
         model.store(key);
     }
--- a/crates/testbed/src/simulated_services/server.rs
+++ b/crates/testbed/src/simulated_services/server.rs
@@ -39,7 +39,8 @@
     connection: &mut Connection,
 ) {
     let world = &services.experiment.world;
-    let limit = if server == services.origin_index() { world.origin_connections } else { world.connections };
+    let limit =
+        if server == services.origin_index() { world.origin_connections } else { world.max_connections };
     let count = ConnectionCount::new(&services.connections[server]);
     let over_limit = count.open_before >= limit;
     let mut server_connection =
@@ -118,7 +119,7 @@
         if !connection.buffered.is_empty() {
             return Some(());
         }
-        let idle = Duration::from_secs_f64(self.services.experiment.world.idle_s);
+        let idle = Duration::from_secs_f64(self.services.experiment.world.idle_timeout_s);
         let idle_timeout = async {
             Timer::after(idle).await;
             Ok(0)
--- a/crates/testbed/tests/load_plan.rs
+++ b/crates/testbed/tests/load_plan.rs
@@ -9,7 +9,7 @@
         "title='t'\nseconds=20\nseed=5\n[load]\nrate=1000\n{load}\n[[namespace]]\nname='a'\nshare=3\ntarget_ms=300\n\
          limit_ms=1000\nwork_ms=1\n[[namespace]]\nname='b'\ntarget_ms=300\nlimit_ms=1000\nwork_ms=1"
     );
-    let experiment = Experiment::read(&text).unwrap();
+    let experiment = Experiment::parse(&text).unwrap();
     ArrivalPlan::new(&experiment).collect()
 }
 
--- a/crates/testbed/tests/models/cluster.rs
+++ b/crates/testbed/tests/models/cluster.rs
@@ -9,7 +9,7 @@
     let text = "title='t'\nseconds=40\nworld={caches=4}\nfleet={door='resp'}\nload={rate=1}\n[[namespace]]\nname='a'\ntarget_ms=9\n\
         limit_ms=10\nwork_ms=1\n[[trouble]]\nkind='slots-move'\nat=2\nfor=2\nevery=2\n[[trouble]]\nkind='failover'\nat=10\n\
         down=5\ncaches=[0]\n[[trouble]]\nkind='old-map'\nat=20\nfor=5\nby=15\ncaches=[1]";
-    let cluster = Cluster::new(&Experiment::read(text).unwrap());
+    let cluster = Cluster::new(&Experiment::parse(text).unwrap());
     let command = |rank| Command { slot: 5, rank, ..Command::default() };
     let handle = |server, s: f64, command| cluster.handle(server, micros_from_seconds(s), command);
     assert_eq!(
--- a/crates/testbed/tests/models/timeline.rs
+++ b/crates/testbed/tests/models/timeline.rs
@@ -17,7 +17,7 @@
 "#;
 
 fn timelines(faults: &str) -> Timelines {
-    Timelines::new(&Experiment::read(&format!("{SMALL_FLEET}{faults}")).unwrap())
+    Timelines::new(&Experiment::parse(&format!("{SMALL_FLEET}{faults}")).unwrap())
 }
 
 #[test]
