--- a/crates/testbed/src/experiment/check.rs
+++ b/crates/testbed/src/experiment/check.rs
@@ -48,13 +48,13 @@
     fn require_range(&mut self, table: &str, field: &str, value: f64, min: f64, max: f64) {
         if !(min..=max).contains(&value) {
             let line = self.line_of_field(table, field);
-            self.report(line, format!("{field} is {value}, and has to be from {min} to {max}"));
+            self.report(line, format!("{field} is {value}, expected {min} to {max}"));
         }
     }
 
     /// Reports a value that is not one of the allowed names.
     fn report_unknown_name(&mut self, line: usize, field: &str, value: &str, quoted_names: &str) {
-        self.report(line, format!("{field} is \"{value}\", and has to be {quoted_names}"));
+        self.report(line, format!("{field} is \"{value}\", expected {quoted_names}"));
     }
 }
 
@@ -85,7 +85,7 @@
     }
     if world.zones.is_empty() || world.zones.len() > world.servers {
         let line = check.line_of_field("world", "zones");
-        check.report(line, "zones has to name at least one zone, and at most as many as there are caches");
+        check.report(line, "zones must name at least one zone, and no more zones than there are caches");
     }
 }
 
@@ -136,7 +136,7 @@
         check_repeats(class, check);
         if class.target_ms > class.limit_ms {
             let line = check.line_of_field("namespace", "target_ms");
-            let text = format!("namespace {}: the target time is over the time limit", class.name);
+            let text = format!("namespace {}: target_ms is greater than limit_ms", class.name);
             check.report(line, text);
         }
         check.require_range("namespace", "limit_ms", class.limit_ms, 10.0, 30_000.0);
--- a/crates/testbed/src/experiment/check_faults.rs
+++ b/crates/testbed/src/experiment/check_faults.rs
@@ -16,22 +16,22 @@
     for (field, present) in fault.present_fields() {
         let required = fields.required.contains(&field);
         if required && !present {
-            check.report(line, format!("{} needs \"{field}\"", fault.kind));
+            check.report(line, format!("{} requires \"{field}\"", fault.kind));
         } else if present && !required && !fields.optional.contains(&field) {
-            check.report(line, format!("{} has no \"{field}\"", fault.kind));
+            check.report(line, format!("{} does not accept \"{field}\"", fault.kind));
         }
     }
 }
 
 fn check_numbers(fault: &Fault, line: usize, check: &mut Check) {
     if fault.every.is_some_and(|every| every <= 0.0) {
-        check.report(line, "every has to be above 0");
+        check.report(line, "every must be greater than 0");
     }
     if !is_share(fault.share) || !is_share(fault.killed) {
-        check.report(line, "a share has to be from 0 to 1");
+        check.report(line, "a share must be from 0 to 1");
     }
     if fault.factor.is_some_and(|factor| factor <= 0.0) {
-        check.report(line, "factor has to be above 0");
+        check.report(line, "factor must be greater than 0");
     }
 }
 
@@ -42,8 +42,7 @@
         check_numbers(fault, line, check);
         self.check_targets(fault, line, check);
         if !(0.0..=self.seconds).contains(&fault.at) {
-            let text =
-                format!("it begins at {} s, and requests arrive from 0 to {} s", fault.at, self.seconds);
+            let text = format!("at is {} s, outside the run of 0 to {} s", fault.at, self.seconds);
             check.report(line, text);
         }
     }
@@ -77,7 +76,7 @@
             );
         }
         if let Some(zone) = fault.zone.as_ref().filter(|zone| !self.world.zones.contains(zone)) {
-            check.report(line, format!("zone \"{zone}\" is none of the world's"));
+            check.report(line, format!("zone \"{zone}\" is not in [world] zones"));
         }
         let numbered_targets =
             [("server", &fault.servers, self.world.servers), ("proxy", &fault.proxies, self.fleet.proxies)];
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -8,9 +8,9 @@
 //! hide.
 //!
 //! Dependencies between modules go one way: `model`, `experiment`, `evidence` and `wire` depend on
-//! no module named after them here; `simulated_services`, `load` and `fleet` build on
-//! these; `oracle` checks the recorded events against the rules; `run` runs one experiment from
-//! start-up to the verdict, and `report` renders the result.
+//! no module named after them here; `simulated_services`, `load` and `fleet` build on these;
+//! `oracle` checks the recorded events against the rules; `run` runs one experiment from start-up to
+//! the verdict, and `report` renders the result.
 
 pub mod baseline;
 pub mod clock;
--- a/crates/testbed/src/load/connection.rs
+++ b/crates/testbed/src/load/connection.rs
@@ -103,10 +103,10 @@
     }
 
     async fn read_resp(&self, connection: &mut Connection) -> Result<ClientAnswer, ReadError> {
-        let answer = resp::read_reply(connection).await?;
-        let (status, retry_after) = answer.status();
+        let reply = resp::read_reply(connection).await?;
+        let (status, retry_after) = reply.status();
         let is_write = self.experiment.classes[self.arrival.class].write;
-        let is_own_value = match &answer {
+        let is_own_value = match &reply {
             // The response to a write does not name the request that it belongs to.
             RespReply::Value(body) => is_write || body_matches(body, self.id),
             _ => true,
--- a/crates/testbed/src/resp.rs
+++ b/crates/testbed/src/resp.rs
@@ -1,12 +1,12 @@
-//! RESP for the testbed's simulated services and clients: commands are arrays of bulk strings, and answers
-//! are never aggregates. It shares no code with the proxy, so that a bug in the proxy's codec
+//! RESP for the testbed's simulated services and clients: commands are arrays of bulk strings, and
+//! replies are never aggregates. It shares no code with the proxy, so that a bug in the proxy's codec
 //! cannot hide itself.
 
 use crate::clock::{MILLISECOND, Micros};
 use crate::model::cluster::SLOT_COUNT;
 use crate::wire::{Connection, ReadError};
 
-/// Maximum length of a command or answer in bytes: the longest value, with room for the rest of the
+/// Maximum length of a command or reply in bytes: the longest value, with room for the rest of the
 /// message.
 const MAX_MESSAGE_BYTES: usize = 4 << 20;
 /// Maximum number of arguments that are read; the testbed's commands have three.
@@ -62,7 +62,7 @@
     Ok(Some((arguments, at)))
 }
 
-/// An answer to a client.
+/// A reply to a client.
 #[derive(Debug, PartialEq)]
 pub enum RespReply {
     /// A value, a status or an integer.
@@ -113,7 +113,7 @@
     read_message(connection, parse_command).await
 }
 
-/// Reads the next answer.
+/// Reads the next reply.
 pub async fn read_reply(connection: &mut Connection) -> Result<RespReply, ReadError> {
     read_message(connection, parse_reply).await
 }
--- a/crates/testbed/src/simulated_services/mod.rs
+++ b/crates/testbed/src/simulated_services/mod.rs
@@ -1,6 +1,6 @@
-//! The simulated services on sockets: servers, the origin and the list. Each has an address of its own for
-//! each proxy, which identifies the proxy that sent an attempt. The models decide the replies; the
-//! code in this module reads, waits and writes.
+//! The simulated services on sockets: servers, the origin and the list. Each has an address of its
+//! own for each proxy, which identifies the proxy that sent an attempt. The models decide the
+//! replies; the code in this module reads, waits and writes.
 
 pub mod body;
 mod decide;
--- a/crates/testbed/tests/judge.rs
+++ b/crates/testbed/tests/judge.rs
@@ -107,13 +107,13 @@
     let with_unknown_field = "title = 'x'\nseconds = 3\nwhatever = 1\n";
     expect![[r#"
         exit status: 2
-        chalkwalk-testbed: FILE: line 6: mode is "beside", and has to be "aside" or "through"
-        FILE: line 11: namespace page: the target time is over the time limit
-        FILE: line 14: repeats is "often", and has to be "replayable", "tagged" or "single-use"
-        FILE: line 15: fails needs "share"
-        FILE: line 19: it begins at 20 s, and requests arrive from 0 to 10 s
-        FILE: line 19: zone "south" is none of the world's
-        FILE: line 19: zone-lost has no "share"
+        chalkwalk-testbed: FILE: line 6: mode is "beside", expected "aside" or "through"
+        FILE: line 11: namespace page: target_ms is greater than limit_ms
+        FILE: line 14: repeats is "often", expected "replayable", "tagged" or "single-use"
+        FILE: line 15: fails requires "share"
+        FILE: line 19: at is 20 s, outside the run of 0 to 10 s
+        FILE: line 19: zone "south" is not in [world] zones
+        FILE: line 19: zone-lost does not accept "share"
         FILE: line 25: there is no server 2; they are numbered from 0 to 1
         exit status: 2
         chalkwalk-testbed: FILE: line 3: unknown field `whatever`, expected one of `title`, `seed`, `seconds`, `world`, `fleet`, `load`, `rules`, `bounds`, `namespace`, `trouble`
