--- a/crates/testbed/src/load/clients.rs
+++ b/crates/testbed/src/load/clients.rs
@@ -3,12 +3,12 @@
 
 use super::connection::{ClientAnswer, ClientConnection, Try};
 use super::tries::TryOutcome;
-use crate::clock::{Clock, Micros, micros};
-use crate::evidence::{ClientRequest, EventKind, Evidence, Id};
+use crate::clock::{Clock, Micros, micros_from_seconds};
+use crate::evidence::{ClientRequest, EventKind, EventRecorder, RequestId};
 use crate::experiment::{DedupGroup, Experiment, Repeats, RequestClass};
-use crate::load::front::LoadBalancer;
+use crate::load::load_balancer::LoadBalancer;
 use crate::load::plan::{Arrival, ArrivalPlan, request_id};
-use crate::stand_ins::Net;
+use crate::simulated_services::LoopbackAddresses;
 use crate::sync::lock;
 use hdrhistogram::Histogram;
 use smol::{Executor, Timer};
@@ -26,8 +26,8 @@
 pub struct Clients {
     pub(super) experiment: Experiment,
     pub(super) clock: Clock,
-    pub(super) evidence: Evidence,
-    pub(super) net: Net,
+    pub(super) recorder: EventRecorder,
+    pub(super) addresses: LoopbackAddresses,
     /// The load balancer that assigns new connections to proxies.
     pub load_balancer: LoadBalancer,
     /// Idle connections, indexed by client.
@@ -59,7 +59,12 @@
 
 impl Clients {
     /// The clients of an experiment, with no connections yet.
-    pub fn new(experiment: &Experiment, clock: Clock, evidence: Evidence, net: Net) -> Arc<Clients> {
+    pub fn new(
+        experiment: &Experiment,
+        clock: Clock,
+        recorder: EventRecorder,
+        addresses: LoopbackAddresses,
+    ) -> Arc<Clients> {
         Arc::new(Clients {
             load_balancer: LoadBalancer::new(experiment.fleet.proxies, clock.clone()),
             idle: (0..experiment.load.clients).map(|_| Mutex::default()).collect(),
@@ -73,8 +78,8 @@
             other: AtomicU64::new(0),
             experiment: experiment.clone(),
             clock,
-            evidence,
-            net,
+            recorder,
+            addresses,
         })
     }
 
@@ -112,7 +117,7 @@
         }
     }
 
-    fn next_id(&self) -> Id {
+    fn next_id(&self) -> RequestId {
         request_id(self.experiment.seed, self.next_request.fetch_add(1, Ordering::Relaxed))
     }
 
@@ -133,14 +138,14 @@
     async fn hold_connection(self: Arc<Clients>, arrival: Arrival) {
         let id = self.next_id();
         let Some(mut client) = self.connect().await else { return };
-        let held = Try { experiment: &self.experiment, arrival: &arrival, id, first: id, is_retry: false };
+        let held = Try { experiment: &self.experiment, arrival: &arrival, id, first_id: id, is_retry: false };
         self.add_request(&held, arrival.at);
         if self.write(&held, &client).await.is_ok()
             && let Ok(answer) = held.read_answer(&mut client.connection).await
         {
-            let ClientAnswer { status, retry_after, matches, .. } = answer;
-            let kind = EventKind::Answered { status, retry_after, matches };
-            self.evidence.record(id, client.proxy, kind);
+            let ClientAnswer { status, retry_after, is_own_value, .. } = answer;
+            let kind = EventKind::Answered { status, retry_after, is_own_value };
+            self.recorder.record(id, client.proxy, kind);
         }
         client.connection.wait_closed().await;
     }
@@ -150,20 +155,20 @@
         self.open_requests.fetch_add(1, Ordering::Relaxed);
         let experiment = &self.experiment;
         let class = &experiment.classes[arrival.class];
-        let window_end = arrival.at + micros(class.window_ms / 1e3);
-        let mut first = None;
-        let mut due = arrival.at;
+        let window_end = arrival.at + micros_from_seconds(class.window_ms / 1e3);
+        let mut first_id = None;
+        let mut due_at = arrival.at;
         for retry in 0..=experiment.load.retries {
             let id = self.next_id();
-            let first = *first.get_or_insert(id);
-            let current = Try { experiment, arrival: &arrival, id, first, is_retry: retry > 0 };
-            self.add_request(&current, due);
+            let first_id = *first_id.get_or_insert(id);
+            let current = Try { experiment, arrival: &arrival, id, first_id, is_retry: retry > 0 };
+            self.add_request(&current, due_at);
             let outcome = self.try_once(&current).await;
             self.count(&outcome);
             let Some(wait) = self.wait_before_retry(&outcome, &arrival, retry) else { break };
             Timer::after(Duration::from_micros(wait)).await;
-            due = self.clock.now();
-            if class.repeats() == Repeats::Tagged && due > window_end {
+            due_at = self.clock.now();
+            if class.repeats() == Repeats::Tagged && due_at > window_end {
                 break;
             }
         }
@@ -183,7 +188,8 @@
     /// rejected requests, and failed or unanswered ones that may run twice.
     fn wait_before_retry(&self, outcome: &TryOutcome, arrival: &Arrival, retry: u32) -> Option<Micros> {
         let class = &self.experiment.classes[arrival.class];
-        let backoff = micros(self.experiment.load.backoff_ms / 1e3) << retry.min(MAX_BACKOFF_DOUBLINGS);
+        let backoff =
+            micros_from_seconds(self.experiment.load.backoff_ms / 1e3) << retry.min(MAX_BACKOFF_DOUBLINGS);
         match outcome {
             TryOutcome::Rejected(Some(after)) if arrival.honors_retry_after => Some(*after),
             TryOutcome::Rejected(_) => Some(backoff),
@@ -192,16 +198,16 @@
         }
     }
 
-    fn add_request(&self, current: &Try, due: Micros) {
+    fn add_request(&self, current: &Try, due_at: Micros) {
         let arrival = current.arrival;
         let request = ClientRequest {
-            class: arrival.class,
+            class_index: arrival.class,
             key: arrival.key,
-            first: current.first,
-            tenant: arrival.tenant,
-            due,
-            limit: current.limit(),
+            first_id: current.first_id,
+            tenant_index: arrival.tenant,
+            due_at,
+            time_limit: current.limit(),
         };
-        self.evidence.add_request(current.id, request);
+        self.recorder.add_request(current.id, request);
     }
 }
--- a/crates/testbed/src/measure/during_faults.rs
+++ b/crates/testbed/src/measure/during_faults.rs
@@ -2,7 +2,7 @@
 
 use super::firsts::FirstRequest;
 use super::share;
-use crate::clock::{Micros, SECOND, micros};
+use crate::clock::{Micros, SECOND, micros_from_seconds};
 use crate::experiment::Experiment;
 use crate::oracle::{Outcome, Verdict};
 use serde::Serialize;
@@ -40,14 +40,14 @@
         verdict: &Verdict,
         firsts: &[FirstRequest],
     ) -> Option<DuringFaults> {
-        let spans = || experiment.each_fault().map(|fault| fault.span());
+        let spans = || experiment.faults_in_order().map(|fault| fault.active_time());
         let start = spans().map(|span| span.start).min()?;
         let end = spans().map(|span| span.end).max()?;
-        if end > micros(experiment.seconds) {
+        if end > micros_from_seconds(experiment.seconds) {
             return None;
         }
         let span = start..end;
-        let first_count = firsts.iter().filter(|first| span.contains(&first.record.request.due)).count();
+        let first_count = firsts.iter().filter(|first| span.contains(&first.record.request.due_at)).count();
         let attempts = |at_origin: bool| {
             let all_attempts = verdict.records.iter().flat_map(|record| &record.attempts);
             let attempts_in_span = all_attempts.filter(|attempt| span.contains(&attempt.started));
@@ -55,7 +55,7 @@
             attempts_in_span.filter(|attempt| is_at_origin(attempt.server) == at_origin).count()
         };
         let accepted = verdict.records.iter().filter(|record| record.outcome != Outcome::NotAccepted);
-        let requests = accepted.filter(|record| span.contains(&record.request.due)).count();
+        let requests = accepted.filter(|record| span.contains(&record.request.due_at)).count();
         Some(DuringFaults {
             in_time: in_time_within(experiment, firsts, &span),
             requests_per_first: share(requests, first_count),
@@ -68,13 +68,13 @@
 
 /// The share of the first requests due within a span that was served in time.
 fn in_time_within(experiment: &Experiment, firsts: &[FirstRequest], span: &Range<Micros>) -> f64 {
-    let due_in_span = || firsts.iter().filter(|first| span.contains(&first.record.request.due));
+    let due_in_span = || firsts.iter().filter(|first| span.contains(&first.record.request.due_at));
     share(due_in_span().filter(|first| first.is_in_time(experiment)).count(), due_in_span().count())
 }
 
 fn recovered_s(experiment: &Experiment, firsts: &[FirstRequest], faults: &Range<Micros>) -> Option<f64> {
     let share_before = in_time_within(experiment, firsts, &(0..faults.start));
-    let seconds_after = (micros(experiment.seconds) - faults.end) / SECOND;
+    let seconds_after = (micros_from_seconds(experiment.seconds) - faults.end) / SECOND;
     let is_recovered = |second: u64| {
         let start = faults.end + second * SECOND;
         in_time_within(experiment, firsts, &(start..start + SECOND)) >= share_before - RECOVERY_TOLERANCE
--- a/crates/testbed/src/measure/sources.rs
+++ b/crates/testbed/src/measure/sources.rs
@@ -5,7 +5,7 @@
 use crate::experiment::{Experiment, ListSource, Protocol};
 use crate::model::server::Reply;
 use crate::oracle::{Attempt, Outcome, RequestRecord, Verdict};
-use crate::stand_ins::etcd::EtcdLoad;
+use crate::simulated_services::etcd::EtcdLoad;
 use serde::Serialize;
 
 /// How long the proxies' slot maps may take to settle after the last fault.
@@ -31,12 +31,14 @@
         if experiment.fleet.protocol() != Protocol::Resp {
             return None;
         }
-        let fault_ends =
-            experiment.each_fault().map(|fault| fault.span().end).filter(|end| *end < Micros::MAX);
+        let fault_ends = experiment
+            .faults_in_order()
+            .map(|fault| fault.active_time().end)
+            .filter(|end| *end < Micros::MAX);
         let settled_at = fault_ends.max().unwrap_or(0) + SLOT_MAP_SETTLING_TIME;
         let requests_from = |from: Micros| {
             let is_counted = move |record: &&RequestRecord| {
-                record.request.due >= from && record.outcome != Outcome::NotAccepted
+                record.request.due_at >= from && record.outcome != Outcome::NotAccepted
             };
             verdict.records.iter().filter(is_counted)
         };
--- a/crates/testbed/src/oracle/requests.rs
+++ b/crates/testbed/src/oracle/requests.rs
@@ -4,12 +4,12 @@
 use super::attempts::{Finding, unsafe_rejection};
 use super::spans::AttemptSpans;
 use super::{AnswerRecord, Breach, Judge, Kill, Outcome, RequestRecord, Rule};
-use crate::clock::{MILLI, Micros, micros, seconds};
+use crate::clock::{MILLISECOND, Micros, micros_from_seconds, seconds_from_micros};
 use crate::model::timeline::Reachability;
 
 /// The maximum time between the recorded end of a killed process and the end of its connections as
 /// a client sees it, in either order.
-const KILL_TOLERANCE: Micros = 100 * MILLI;
+const KILL_TOLERANCE: Micros = 100 * MILLISECOND;
 
 impl Judge<'_> {
     pub(super) fn check_request(&mut self, record: &mut RequestRecord, spans: &AttemptSpans) {
@@ -22,9 +22,9 @@
         }
         findings.extend(self.sent_after_cancel(record));
         findings.extend(self.check_attempts(record));
-        let (id, proxy) = (record.id, record.proxy);
-        for Finding { rule, at, seen } in findings {
-            self.add(Breach { rule, at, id, proxy, seen });
+        let (request_id, proxy) = (record.id, record.proxy);
+        for Finding { rule, at, details } in findings {
+            self.add(Breach { rule, at, request_id, proxy, details });
         }
     }
 
@@ -36,30 +36,32 @@
         answer: &AnswerRecord,
         spans: &AttemptSpans,
     ) -> Vec<Finding> {
-        let class = &self.experiment.classes[record.request.class];
+        let class = &self.experiment.classes[record.request.class_index];
         let at = answer.at;
         let mut findings = Vec::new();
-        let latest_allowed = sent + record.request.limit + micros(self.experiment.rules.late_ms / 1e3);
+        let latest_allowed = sent
+            + record.request.time_limit
+            + micros_from_seconds(self.experiment.rules.late_tolerance_ms / 1e3);
         if at > latest_allowed && !self.was_stopped(record.proxy, sent, at) {
-            let late = seconds(at - sent - record.request.limit);
+            let late = seconds_from_micros(at - sent - record.request.time_limit);
             findings.push(Finding::new(
                 Rule::InTimeLimit,
                 at,
                 format!("the answer came {late:.3} s after the time limit"),
             ));
         }
-        if !answer.matches {
-            let seen = "its value is not whole, or was made for another request".to_string();
-            findings.push(Finding::new(Rule::OwnAnswer, at, seen));
+        if !answer.is_own_value {
+            let details = "its value is not whole, or was made for another request".to_string();
+            findings.push(Finding::new(Rule::OwnAnswer, at, details));
         }
         if matches!(answer.status, 429 | 503) {
             let retry_at = at + answer.retry_after.unwrap_or(0);
-            let seen = unsafe_rejection(class, &record.attempts, at, retry_at);
-            findings.extend(seen.map(|seen| Finding::new(Rule::SafeRejection, at, seen)));
+            let details = unsafe_rejection(class, &record.attempts, at, retry_at);
+            findings.extend(details.map(|details| Finding::new(Rule::SafeRejection, at, details)));
         }
         if answer.status >= 429 {
-            let seen = self.delayed_refusal(record, sent, at, spans);
-            findings.extend(seen.map(|seen| Finding::new(Rule::PromptRefusal, at, seen)));
+            let details = self.delayed_refusal(record, sent, at, spans);
+            findings.extend(details.map(|details| Finding::new(Rule::PromptRefusal, at, details)));
         }
         findings
     }
@@ -69,12 +71,12 @@
     /// end of the connection before it sends.
     fn sent_after_cancel(&self, record: &RequestRecord) -> Option<Finding> {
         let cancelled = record.end.filter(|_| record.outcome == Outcome::Cancelled)?.at;
-        let latest_allowed = cancelled + micros(self.experiment.rules.cancel_delay_ms / 1e3);
+        let latest_allowed = cancelled + micros_from_seconds(self.experiment.rules.cancel_delay_ms / 1e3);
         let attempt = record.attempts.iter().find(|attempt| attempt.started > latest_allowed)?;
-        let after = seconds(attempt.started - cancelled);
-        let seen =
+        let after = seconds_from_micros(attempt.started - cancelled);
+        let details =
             format!("an attempt reached server {} {after:.3} s after the cancellation", attempt.server);
-        Some(Finding::new(Rule::NothingAfterCancel, attempt.started, seen))
+        Some(Finding::new(Rule::NothingAfterCancel, attempt.started, details))
     }
 
     fn outcome(&self, record: &RequestRecord) -> Outcome {
@@ -90,7 +92,7 @@
         let Some(end) = record.end else { return Outcome::Unanswered };
         if end.outcome == Outcome::Cancelled {
             // A client that waits until its time limit has not cancelled: it got no answer in time.
-            let waited_to_limit = end.at >= sent + record.request.limit;
+            let waited_to_limit = end.at >= sent + record.request.time_limit;
             let stopped = self.was_stopped(record.proxy, sent, end.at);
             return if waited_to_limit && !stopped { Outcome::Unanswered } else { Outcome::Cancelled };
         }
@@ -111,7 +113,7 @@
         at: Micros,
         spans: &AttemptSpans,
     ) -> Option<String> {
-        let max_delay = micros(self.experiment.rules.refusal_delay_ms / 1e3);
+        let max_delay = micros_from_seconds(self.experiment.rules.max_rejection_delay_ms / 1e3);
         let ends = record.attempts.iter().map(|attempt| attempt.end().unwrap_or(Micros::MAX));
         let last_event = ends.max().unwrap_or(sent).max(sent);
         // An attempt that waits for a connection to a silent peer leaves no event.
@@ -122,7 +124,8 @@
         let gap = spans.longest_gap(record.proxy, record.request.key, last_event, at);
         let after =
             if record.attempts.is_empty() { "the request was sent" } else { "the end of its last attempt" };
-        (gap > max_delay).then(|| format!("it came {:.3} s after {after}", seconds(at - last_event)))
+        (gap > max_delay)
+            .then(|| format!("it came {:.3} s after {after}", seconds_from_micros(at - last_event)))
     }
 
     /// Whether some server, or the origin, was silent to a proxy at any time between `from` and
@@ -151,8 +154,8 @@
 /// Finds a second final answer.
 fn answered_again(record: &RequestRecord) -> Option<Finding> {
     let second = record.answers.get(1)?;
-    let seen = format!("{} final answers came", record.answers.len());
-    Some(Finding::new(Rule::AnsweredOnce, second.at, seen))
+    let details = format!("{} final answers came", record.answers.len());
+    Some(Finding::new(Rule::AnsweredOnce, second.at, details))
 }
 
 /// Finds a request without any final answer.
@@ -160,10 +163,10 @@
     if record.outcome != Outcome::Unanswered {
         return None;
     }
-    let (at, seen) = match record.end {
+    let (at, details) = match record.end {
         Some(end) => (end.at, "the connection ended without an answer"),
-        None => (record.sent.unwrap_or(record.request.due), "no answer had come when the run ended"),
+        None => (record.sent.unwrap_or(record.request.due_at), "no answer had come when the run ended"),
     };
     let attempts = record.attempts.len();
-    Some(Finding::new(Rule::FinalAnswer, at, format!("{seen}; {attempts} attempts were made for it")))
+    Some(Finding::new(Rule::FinalAnswer, at, format!("{details}; {attempts} attempts were made for it")))
 }
--- a/crates/testbed/src/run.rs
+++ b/crates/testbed/src/run.rs
@@ -1,12 +1,12 @@
 //! Runs one experiment, from opening the simulated services to the verdict.
 
-use crate::clock::{Clock, SECOND, seconds};
+use crate::clock::{Clock, SECOND, seconds_from_micros};
 use crate::experiment::{Experiment, ListSource};
 use crate::fleet::{Fleet, FleetError, Sample, StartSettings, proxy_actions};
 use crate::load::clients::Clients;
 use crate::measure::{ClientCounts, EtcdFigures, Figures};
 use crate::oracle::{self, Breach, Rule, Verdict};
-use crate::stand_ins::{Net, Site};
+use crate::simulated_services::{LoopbackAddresses, SimulatedServices};
 use crate::sync::lock;
 use async_signal::{Signal, Signals};
 use indicatif::{ProgressBar, ProgressStyle};
@@ -34,7 +34,7 @@
     Addresses(io::Error),
     /// The simulated services could not listen.
     #[error("cannot open the simulated services: {0}")]
-    StandIns(io::Error),
+    SimulatedServices(io::Error),
     /// The proxies' files could not be written.
     #[error("cannot prepare the proxies: {0}")]
     Prepare(io::Error),
@@ -57,13 +57,13 @@
     /// CPU time and memory of the proxies over time.
     pub samples: Vec<Sample>,
     /// The experiment's bounds that do not hold, one message each.
-    pub out_of_bounds: Vec<String>,
+    pub violated_bounds: Vec<String>,
 }
 
 impl RunResult {
     /// Whether no rule was broken and every stated bound holds.
     pub fn passed(&self) -> bool {
-        self.verdict.breaches.is_empty() && self.out_of_bounds.is_empty()
+        self.verdict.breaches.is_empty() && self.violated_bounds.is_empty()
     }
 }
 
@@ -108,7 +108,7 @@
 struct Run {
     experiment: Experiment,
     clock: Clock,
-    site: Arc<Site>,
+    services: Arc<SimulatedServices>,
     clients: Arc<Clients>,
     fleet: Arc<Fleet>,
     threads: ExecutorThreads,
@@ -120,28 +120,28 @@
     /// Opens the simulated services and prepares the proxies' files.
     fn new(
         experiment: Experiment,
-        site_experiment: Experiment,
+        services_experiment: Experiment,
         start: StartSettings,
     ) -> Result<Run, RunError> {
         let clock = Clock::default();
-        let (net, claim) = Net::claim().map_err(RunError::Addresses)?;
-        let site = Site::new(site_experiment, clock.clone(), net);
+        let (addresses, claim) = LoopbackAddresses::claim().map_err(RunError::Addresses)?;
+        let services = SimulatedServices::new(services_experiment, clock.clone(), addresses);
         let threads = ExecutorThreads::new();
-        site.open(&threads.executor).map_err(RunError::StandIns)?;
-        let fleet = Fleet::new(site.clone(), start).map_err(RunError::Prepare)?;
-        let clients = Clients::new(&experiment, clock.clone(), site.evidence.clone(), net);
-        Ok(Run { experiment, clock, site, clients, fleet, threads, _claim: claim })
+        services.bind_and_serve(&threads.executor).map_err(RunError::SimulatedServices)?;
+        let fleet = Fleet::new(services.clone(), start).map_err(RunError::Prepare)?;
+        let clients = Clients::new(&experiment, clock.clone(), services.recorder.clone(), addresses);
+        Ok(Run { experiment, clock, services, clients, fleet, threads, _claim: claim })
     }
 
     /// Runs the experiment and returns the proxies that exited although the testbed had not ended them.
     async fn execute(&self, live: bool) -> Result<Vec<usize>, RunError> {
         let executor = &self.threads.executor;
         if self.experiment.fleet.list_source() == ListSource::Etcd {
-            self.site.seed_etcd();
-            executor.spawn(self.site.clone().write_etcd()).detach();
+            self.services.seed_etcd();
+            executor.spawn(self.services.clone().run_etcd_writer()).detach();
         }
         self.fleet.start_all(&self.clients.load_balancer).await?;
-        self.clock.begin();
+        self.clock.start();
         executor.spawn(self.fleet.clone().sample_periodically()).detach();
         executor.spawn(self.fleet.clone().write_lists()).detach();
         executor.spawn(self.clients.clone().run_plan(executor.clone())).detach();
@@ -150,7 +150,7 @@
         }
         let (clock, clients) = (self.clock.clone(), self.clients.clone());
         let progress = executor.spawn(show_progress(clock, self.experiment.clone(), clients, live));
-        self.clock.sleep_until(self.experiment.ends_at()).await;
+        self.clock.sleep_until(self.experiment.end_time()).await;
         progress.cancel().await;
         let crashed = self.fleet.crashed();
         self.clients.close_idle();
@@ -164,7 +164,7 @@
         if let Some(error) = first_error {
             return Err(error.into());
         }
-        let Run { experiment, site, clients, fleet, threads, .. } = self;
+        let Run { experiment, services, clients, fleet, threads, .. } = self;
         let samples = lock(&fleet.samples).clone();
         let counts = ClientCounts {
             send_delay_p99: lock(&clients.send_delay).value_at_quantile(0.99),
@@ -172,17 +172,17 @@
             sent_again: clients.sent_again.load(Ordering::Relaxed),
         };
         drop(threads);
-        let (events, requests) = site.evidence.finish();
-        let mut verdict = oracle::judge(&experiment, &events, requests);
-        let at = experiment.ends_at();
+        let (events, requests) = services.recorder.take_recorded();
+        let mut verdict = oracle::check_run(&experiment, &events, requests);
+        let at = experiment.end_time();
         verdict.breaches.extend(crashed.into_iter().map(|proxy| {
-            let seen = "its process had exited before the end of the run".to_string();
-            Breach { rule: Rule::KeepsRunning, at, id: 0, proxy: proxy as u16, seen }
+            let details = "its process had exited before the end of the run".to_string();
+            Breach { rule: Rule::KeepsRunning, at, request_id: 0, proxy: proxy as u16, details }
         }));
         let mut figures = Figures::measure(&experiment, &verdict, &samples, counts);
-        figures.etcd = EtcdFigures::measure(&experiment, &site.etcd.load());
-        let out_of_bounds = figures.out_of_bounds(&experiment);
-        Ok(RunResult { experiment, verdict, figures, samples, out_of_bounds })
+        figures.etcd = EtcdFigures::measure(&experiment, &services.etcd.load());
+        let violated_bounds = figures.violated_bounds(&experiment);
+        Ok(RunResult { experiment, verdict, figures, samples, violated_bounds })
     }
 }
 
@@ -200,15 +200,15 @@
 /// Redraws the progress line: the time, the counts of requests, and the active faults. It is drawn
 /// only on a terminal.
 async fn show_progress(clock: Clock, experiment: Experiment, clients: Arc<Clients>, live: bool) {
-    let bar = if live { ProgressBar::new(experiment.ends_at() / SECOND) } else { ProgressBar::hidden() };
+    let bar = if live { ProgressBar::new(experiment.end_time() / SECOND) } else { ProgressBar::hidden() };
     if let Ok(style) = ProgressStyle::with_template("{bar:24} {pos:>3}/{len} s  {msg}") {
         bar.set_style(style);
     }
     loop {
         let now = clock.now();
-        let on = experiment.each_fault().filter(|fault| fault.span().contains(&now));
+        let on = experiment.faults_in_order().filter(|fault| fault.active_time().contains(&now));
         let on: Vec<String> = on.map(|fault| fault.kind.to_string()).collect();
-        bar.set_position(seconds(now) as u64);
+        bar.set_position(seconds_from_micros(now) as u64);
         bar.set_message(format!("{}  {}", clients.status_line(), on.join(" ")));
         Timer::after(REDRAW_INTERVAL).await;
     }
@@ -222,10 +222,10 @@
     let mut signals = Signals::new([Signal::Term, Signal::Int]).map_err(RunError::Signals)?;
     smol::block_on(async {
         run.fleet.start_all(&run.clients.load_balancer).await?;
-        run.clock.begin();
+        run.clock.start();
         // Request ids that the testbed did not issue, such as those typed by hand, count as
         // requests of the first class.
-        run.site.evidence.accept_any();
+        run.services.recorder.accept_any_id();
         run.print_addresses(&logs);
         _ = signals.next().await;
         run.fleet.stop_all().await;
@@ -236,16 +236,16 @@
 impl Run {
     /// Prints the proxies' addresses and an example request.
     fn print_addresses(&self, logs: &Path) {
-        let net = self.site.net;
+        let addresses = self.services.addresses;
         for proxy in 0..self.experiment.fleet.proxies {
-            let (own, list) = (net.proxy(proxy), net.list(proxy, false));
+            let (own, list) = (addresses.proxy_address(proxy), addresses.list_address(proxy, false));
             println!("proxy-{proxy:02}  http://{own}  list http://{list}/discovery/hosts");
         }
         let class = &self.experiment.classes[0].name;
         println!(
             "curl -H 'X-Correlation-Id: 1' -H 'X-Service-Class: {class}' -H 'X-Time-Left: 1' http://{}/api/k1\n\
              Use a new id (hexadecimal) for each request. Logs: {}. Ctrl-C ends it.",
-            net.proxy(0),
+            addresses.proxy_address(0),
             logs.display()
         );
     }
--- a/crates/testbed/src/stand_ins/decide.rs
+++ b/crates/testbed/src/simulated_services/decide.rs
@@ -1,8 +1,8 @@
 //! Decides the outcome of an attempt: asks the models, and records the effects of their answer.
 
-use super::{MissedServer, RunningServer, Site, TagKey};
-use crate::clock::{MILLI, Micros, micros};
-use crate::evidence::{ClientRequest, EventKind, Id};
+use super::{MissedServer, RunningServer, SimulatedServices, TagKey};
+use crate::clock::{MILLISECOND, Micros, micros_from_seconds};
+use crate::evidence::{ClientRequest, EventKind, RequestId};
 use crate::experiment::{DedupGroup, Protocol, Repeats, RequestClass};
 use crate::model::server::{AttemptInput, PlannedReply, Reply, ServerModel};
 use crate::sync::lock;
@@ -20,37 +20,37 @@
     pub server: usize,
     pub proxy: usize,
     pub now: Micros,
-    pub id: Id,
+    pub id: RequestId,
     pub request: &'a ClientRequest,
-    pub write: bool,
+    pub is_write: bool,
     /// The tag by which servers recognise a repeat of the request.
     pub tag: Option<&'a [u8]>,
 }
 
-impl Site {
+impl SimulatedServices {
     /// Decides the outcome of an attempt with the models, and records its effects.
     pub(super) fn decide(&self, attempt: &Attempt) -> PlannedReply {
-        let class = &self.experiment.classes[attempt.request.class];
+        let class = &self.experiment.classes[attempt.request.class_index];
         // The order of these calls matters: each draws from the run's random number generator.
         let input = AttemptInput {
             key: attempt.request.key,
-            write: attempt.write,
+            is_write: attempt.is_write,
             work: self.draw_work(class.work_ms),
             sample: self.draw_sample(),
         };
         let origin_fails = self.timelines.origin_fails(attempt.now, self.draw_sample());
-        let plan = if attempt.server == self.origin() {
+        let plan = if attempt.server == self.origin_index() {
             self.decide_at_origin(attempt.now, origin_fails)
         } else {
             self.decide_at_server(attempt, input, origin_fails)
         };
         let server = attempt.server as u16;
         if plan.collapses {
-            self.evidence.record(attempt.id, attempt.proxy, EventKind::ServerCollapsed { server });
+            self.recorder.record(attempt.id, attempt.proxy, EventKind::ServerCollapsed { server });
         }
         let has_effect = plan.takes_effect && class.repeats() != Repeats::Replayable;
         if has_effect && !self.drops_repeat(attempt, class) {
-            self.evidence.record(attempt.id, attempt.proxy, EventKind::EffectApplied { server });
+            self.recorder.record(attempt.id, attempt.proxy, EventKind::EffectApplied { server });
         }
         plan
     }
@@ -72,7 +72,7 @@
         match self.fetch(now, origin_fails) {
             Some(at) => PlannedReply { takes_effect: true, ..PlannedReply::no_effect(Reply::Fetched, at) },
             // The caller cannot learn whether the effect was applied. In the model, it was not.
-            None if origin_fails => PlannedReply::no_effect(Reply::Error, now + MILLI),
+            None if origin_fails => PlannedReply::no_effect(Reply::Error, now + MILLISECOND),
             None => PlannedReply::no_effect(Reply::Unprocessed, now),
         }
     }
@@ -88,7 +88,7 @@
         }
         let fetch = |sent_at| self.fetch(sent_at, origin_fails);
         let plan = running.model.handle(attempt.now, input, timeline, fetch);
-        if plan.reply == Reply::Miss && !attempt.write {
+        if plan.reply == Reply::Miss && !attempt.is_write {
             let missed = MissedServer { server: attempt.server, incarnation };
             lock(&self.missed_servers).entry(attempt.id).or_default().push(missed);
         }
@@ -105,7 +105,7 @@
             DedupGroup::Zone => (attempt.server % self.zones()) as u64,
             DedupGroup::Cell => self.experiment.cell_of(attempt.server),
         };
-        let (now, window) = (attempt.now, micros(class.window_ms / 1e3));
+        let (now, window) = (attempt.now, micros_from_seconds(class.window_ms / 1e3));
         let mut tagged_effects = lock(&self.tagged_effects);
         if tagged_effects.len() >= MAX_TAGS {
             tagged_effects.retain(|_, applied_at| now < *applied_at + window);
@@ -120,9 +120,9 @@
 
     /// Called when the origin answers a request: stores the value on servers that missed for it; a
     /// write removes the key from all servers instead.
-    pub(super) fn store_fetched(&self, id: Id, request: &ClientRequest) {
+    pub(super) fn store_fetched(&self, id: RequestId, request: &ClientRequest) {
         let missed = lock(&self.missed_servers).remove(&id).unwrap_or_default();
-        if self.experiment.classes[request.class].write {
+        if self.experiment.classes[request.class_index].write {
             for server in &self.servers {
                 lock(server).model.remove(request.key);
             }
--- a/crates/testbed/src/stand_ins/mod.rs
+++ b/crates/testbed/src/simulated_services/mod.rs
@@ -1,6 +1,6 @@
-//! The stand-ins on sockets: servers, the origin and the list. Each has an address of its own for
-//! each proxy, which identifies the proxy that sent an attempt. The models decide the replies; the
-//! code in this module reads, waits and writes.
+//! The simulated services on sockets: servers, the origin and the list. Each has an address of its
+//! own for each proxy, which identifies the proxy that sent an attempt. The models decide the
+//! replies; the code in this module reads, waits and writes.
 
 pub mod body;
 mod decide;
@@ -14,10 +14,10 @@
 pub mod resp;
 pub mod server;
 
-pub use net::Net;
+pub use net::LoopbackAddresses;
 
-use crate::clock::{Clock, MILLI, Micros, micros};
-use crate::evidence::{Evidence, Id};
+use crate::clock::{Clock, MILLISECOND, Micros, micros_from_seconds};
+use crate::evidence::{EventRecorder, RequestId};
 use crate::experiment::{CacheMode, Experiment, Protocol};
 use crate::model::cluster::Cluster;
 use crate::model::etcd::EtcdTimeline;
@@ -52,8 +52,8 @@
     group: u64,
 }
 
-/// The state that all stand-ins share.
-pub struct Site {
+/// The simulated services of a run, with the state that they share.
+pub struct SimulatedServices {
     /// The experiment that is run.
     pub experiment: Experiment,
     /// The states and faults of the servers, the origin, the links and the list.
@@ -61,10 +61,10 @@
     /// The run's clock.
     pub clock: Clock,
     /// The recorder of the run's events.
-    pub evidence: Evidence,
+    pub recorder: EventRecorder,
     /// The addresses of the run.
-    pub net: Net,
-    /// The stand-in for etcd.
+    pub addresses: LoopbackAddresses,
+    /// The simulated etcd cluster.
     pub etcd: etcd::Etcd,
     /// The owners of the hash slots.
     pub cluster: Cluster,
@@ -76,7 +76,7 @@
     connections: Vec<AtomicUsize>,
     origin: Mutex<OriginModel>,
     /// The servers that missed for a request, until the origin has answered it.
-    missed_servers: Mutex<HashMap<Id, Vec<MissedServer>>>,
+    missed_servers: Mutex<HashMap<RequestId, Vec<MissedServer>>>,
     /// When the effect of a tagged request was applied.
     tagged_effects: Mutex<HashMap<TagKey, Micros>>,
     /// The time from which the list can answer another call.
@@ -94,12 +94,12 @@
     let world = &experiment.world;
     ServerSpec {
         cores: world.cores,
-        max_queued: world.queue,
-        max_values: world.values,
+        max_queued: world.max_queued,
+        max_values: world.max_cached_values,
         slow_start_share: world.slow_start_share,
-        slow_start: micros(world.slow_start_s),
+        slow_start: micros_from_seconds(world.slow_start_s),
         collapse_multiple: world.collapse_multiple,
-        collapse_window: micros(world.collapse_window_s),
+        collapse_window: micros_from_seconds(world.collapse_window_s),
         // Servers that speak RESP have the value of every key that is requested.
         read_through: world.cache_mode() == CacheMode::Through
             || experiment.fleet.protocol() == Protocol::Resp,
@@ -110,22 +110,23 @@
 fn warm_server(experiment: &Experiment, spec: &ServerSpec) -> RunningServer {
     let world = &experiment.world;
     let mut model = ServerModel::new(spec.clone(), 0);
-    let cached = ((experiment.load.keys as f64 * world.cached_share) as u64).min(world.values as u64);
+    let cached =
+        ((experiment.load.keys as f64 * world.cached_share) as u64).min(world.max_cached_values as u64);
     for key in (0..cached).rev() {
         model.store(key);
     }
     RunningServer { incarnation: 0, model }
 }
 
-impl Site {
-    /// The stand-ins of an experiment, before their addresses are bound.
-    pub fn new(experiment: Experiment, clock: Clock, net: Net) -> Arc<Site> {
+impl SimulatedServices {
+    /// The simulated services of an experiment, before their addresses are bound.
+    pub fn new(experiment: Experiment, clock: Clock, addresses: LoopbackAddresses) -> Arc<SimulatedServices> {
         let world = &experiment.world;
         let timelines = Timelines::new(&experiment);
         let spec = server_spec(&experiment);
         let origin = OriginModel::new(world.origin_slots, world.origin_queue, world.origin_contention);
-        Arc::new(Site {
-            server_list: ServerList::new(world.servers, timelines.updates.clone()),
+        Arc::new(SimulatedServices {
+            server_list: ServerList::new(world.servers, timelines.list_updates.clone()),
             servers: (0..world.servers).map(|_| Mutex::new(warm_server(&experiment, &spec))).collect(),
             connections: (0..=world.servers).map(|_| AtomicUsize::new(0)).collect(),
             origin: Mutex::new(origin),
@@ -134,19 +135,19 @@
             list_free_at: Mutex::default(),
             list_calls: (0..experiment.fleet.proxies).map(|_| AtomicUsize::new(0)).collect(),
             random: Mutex::new(ChaCha8Rng::seed_from_u64(experiment.seed)),
-            evidence: Evidence::new(clock.clone()),
+            recorder: EventRecorder::new(clock.clone()),
             cluster: Cluster::new(&experiment),
             etcd: etcd::Etcd::new(EtcdTimeline::new(&experiment)),
             spec,
             timelines,
             clock,
-            net,
+            addresses,
             experiment,
         })
     }
 
     /// The index of the origin: the one after the last server's.
-    pub fn origin(&self) -> usize {
+    pub fn origin_index(&self) -> usize {
         self.experiment.world.servers
     }
 
@@ -160,7 +161,8 @@
 
     /// Draws the work of a request, evenly distributed around its class's mean.
     fn draw_work(&self, mean_ms: f64) -> Micros {
-        (mean_ms * MILLI as f64 * (1.0 - WORK_SPREAD + 2.0 * WORK_SPREAD * self.draw_sample())) as Micros
+        (mean_ms * MILLISECOND as f64 * (1.0 - WORK_SPREAD + 2.0 * WORK_SPREAD * self.draw_sample()))
+            as Micros
     }
 }
 
--- a/crates/testbed/src/stand_ins/resp.rs
+++ b/crates/testbed/src/simulated_services/resp.rs
@@ -4,16 +4,16 @@
 use super::body::body;
 use super::decide::Attempt;
 use super::server::{closes_connection, wait_until_due};
-use super::{ConnectionCount, Site};
-use crate::clock::{MILLI, Micros};
-use crate::evidence::{ClientRequest, EventKind, Id};
+use super::{ConnectionCount, SimulatedServices};
+use crate::clock::{MILLISECOND, Micros};
+use crate::evidence::{ClientRequest, EventKind, RequestId};
 use crate::model::cluster::{Command, CommandOutcome, RANK_COUNT};
 use crate::model::server::{PlannedReply, Reply};
 use crate::resp::{Arguments, bulk, key_slot, read_command};
 use crate::wire::Connection;
 
 /// Processing time of a health check.
-const HEALTH_CHECK_WORK: Micros = MILLI / 2;
+const HEALTH_CHECK_WORK: Micros = MILLISECOND / 2;
 /// Multiplier that spreads keys evenly over the ranks in which they migrate: 2^64 divided by the
 /// golden ratio.
 const RANK_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
@@ -21,7 +21,7 @@
 
 /// The contents of a key of the testbed: `namespace:{kN}:ID:FIRST`.
 struct RequestKey {
-    id: Id,
+    id: RequestId,
     /// The id of the client's first try (FIRST), as text.
     tag: Vec<u8>,
 }
@@ -32,13 +32,13 @@
         let mut parts = text.rsplit(':');
         let first_try = parts.next()?;
         let id = parts.next()?;
-        Some(RequestKey { id: Id::from_str_radix(id, 16).ok()?, tag: first_try.as_bytes().to_vec() })
+        Some(RequestKey { id: RequestId::from_str_radix(id, 16).ok()?, tag: first_try.as_bytes().to_vec() })
     }
 }
 
 /// The server's end of a connection from a proxy.
 struct RespConnection<'a> {
-    site: &'a Site,
+    services: &'a SimulatedServices,
     server: usize,
     proxy: usize,
     /// Whether ASKING was sent for the next command.
@@ -55,9 +55,14 @@
 }
 
 /// Serves commands on a connection until it ends.
-pub(super) async fn serve_attempts(site: &Site, server: usize, proxy: usize, connection: &mut Connection) {
-    let _count = ConnectionCount::new(&site.connections[server]);
-    let mut resp_connection = RespConnection { site, server, proxy, asking: false, readonly: false };
+pub(super) async fn serve_attempts(
+    services: &SimulatedServices,
+    server: usize,
+    proxy: usize,
+    connection: &mut Connection,
+) {
+    let _count = ConnectionCount::new(&services.connections[server]);
+    let mut resp_connection = RespConnection { services, server, proxy, asking: false, readonly: false };
     while resp_connection.serve_next(connection).await.is_some() {}
 }
 
@@ -65,7 +70,7 @@
     /// Serves one command; `None` if the connection ends.
     async fn serve_next(&mut self, connection: &mut Connection) -> Option<()> {
         let arguments = read_command(connection).await.ok()?;
-        let started = self.site.clock.now();
+        let started = self.services.clock.now();
         let command_name = arguments.first().map_or(&[][..], Vec::as_slice);
         let name = String::from_utf8_lossy(command_name).to_uppercase();
         if let Some(answer) = self.answer_without_key(&name, started).await {
@@ -78,22 +83,22 @@
         self.reply(connection, command.key.id, plan, &answer).await
     }
 
-    fn record_at(&self, at: Micros, id: Id, kind: EventKind) {
-        self.site.evidence.record_at(at, id, self.proxy, kind);
+    fn record_at(&self, at: Micros, id: RequestId, kind: EventKind) {
+        self.services.recorder.record_at(at, id, self.proxy, kind);
     }
 
     fn address(&self, node: usize) -> String {
-        self.site.net.server(self.proxy, node, self.site.origin()).to_string()
+        self.services.addresses.server_address(self.proxy, node, self.services.origin_index()).to_string()
     }
 
     /// The answer to a command that has no key.
     async fn answer_without_key(&mut self, name: &str, now: Micros) -> Option<Vec<u8>> {
-        let site = self.site;
+        let services = self.services;
         match name {
             "PING" => {
-                let done = site.timelines.servers[self.server].speed.completion(now, HEALTH_CHECK_WORK);
-                site.clock.sleep_until(done).await;
-                let loading = site.cluster.is_loading(self.server, done);
+                let done = services.timelines.servers[self.server].speed.completion(now, HEALTH_CHECK_WORK);
+                services.clock.sleep_until(done).await;
+                let loading = services.cluster.is_loading(self.server, done);
                 Some(if loading { LOADING_ERROR.to_vec() } else { b"+PONG\r\n".to_vec() })
             }
             "ASKING" => {
@@ -106,7 +111,7 @@
             }
             "CLUSTER" => {
                 let addr = |node| self.address(node);
-                let text = site.cluster.nodes_reply(self.server, now, site.origin(), addr);
+                let text = services.cluster.nodes_reply(self.server, now, services.origin_index(), addr);
                 Some(bulk(text.as_bytes()))
             }
             _ => None,
@@ -126,9 +131,9 @@
             _ = connection.write(&[b"-ERR no key of the lab's\r\n"]).await;
             return None;
         };
-        let Some(request) = self.site.evidence.request(key.id) else {
+        let Some(request) = self.services.recorder.request(key.id) else {
             let unknown = EventKind::UnknownRequest { server: self.server as u16 };
-            self.site.evidence.record(key.id, self.proxy, unknown);
+            self.services.recorder.record(key.id, self.proxy, unknown);
             _ = connection.write(&[b"-ERR an id that nobody sent\r\n"]).await;
             return None;
         };
@@ -137,32 +142,32 @@
 
     /// Decides the outcome of a command that was received completely, and its answer.
     fn plan(&mut self, command: &KeyCommand) -> (PlannedReply, Vec<u8>) {
-        let now = self.site.clock.now();
-        let write = command.name == "SET";
+        let now = self.services.clock.now();
+        let is_write = command.name == "SET";
         let server = self.server as u16;
-        self.record_at(now, command.key.id, EventKind::AttemptReceived { server, write });
-        if let Some((reply, answer)) = self.refusal(command, write, now) {
+        self.record_at(now, command.key.id, EventKind::AttemptReceived { server, is_write });
+        if let Some((reply, answer)) = self.refusal(command, is_write, now) {
             return (PlannedReply::no_effect(reply, now), answer);
         }
-        let plan = self.site.decide(&Attempt {
+        let plan = self.services.decide(&Attempt {
             server: self.server,
             proxy: self.proxy,
             now,
             id: command.key.id,
             request: &command.request,
-            write,
+            is_write,
             tag: Some(&command.key.tag),
         });
-        (plan, self.answer(command, write, plan.reply))
+        (plan, self.answer(command, is_write, plan.reply))
     }
 
     /// The answer of a server that does not hold the key, or does not hold it yet.
-    fn refusal(&mut self, command: &KeyCommand, write: bool, now: Micros) -> Option<(Reply, Vec<u8>)> {
+    fn refusal(&mut self, command: &KeyCommand, is_write: bool, now: Micros) -> Option<(Reply, Vec<u8>)> {
         let slot = command.slot;
         let rank = (command.request.key.wrapping_mul(RANK_FACTOR) >> 32) % RANK_COUNT;
         let asking = std::mem::take(&mut self.asking);
-        let cluster_command = Command { slot, rank, asking, readonly: self.readonly, write };
-        let (reply, answer) = match self.site.cluster.handle(self.server, now, cluster_command) {
+        let cluster_command = Command { slot, rank, asking, readonly: self.readonly, is_write };
+        let (reply, answer) = match self.services.cluster.handle(self.server, now, cluster_command) {
             CommandOutcome::Execute => return None,
             CommandOutcome::Moved(target) => {
                 (Reply::Miss, format!("-MOVED {slot} {}\r\n", self.address(target)).into_bytes())
@@ -177,12 +182,12 @@
     }
 
     /// The encoded reply.
-    fn answer(&self, command: &KeyCommand, write: bool, reply: Reply) -> Vec<u8> {
+    fn answer(&self, command: &KeyCommand, is_write: bool, reply: Reply) -> Vec<u8> {
         let request = &command.request;
-        let bytes = self.site.experiment.classes[request.class].bytes;
+        let bytes = self.services.experiment.classes[request.class_index].bytes;
         let value = || body(command.key.id, request.key, self.server, bytes);
         match reply {
-            Reply::Hit | Reply::Fetched if write => b"+OK\r\n".to_vec(),
+            Reply::Hit | Reply::Fetched if is_write => b"+OK\r\n".to_vec(),
             Reply::Hit | Reply::Fetched => bulk(&value()),
             Reply::Unprocessed => b"-LOADING busy\r\n".to_vec(),
             Reply::Truncated => {
@@ -191,28 +196,28 @@
             }
             Reply::Garbage => b"?what\r\n".to_vec(),
             Reply::Error | Reply::Miss => b"-ERR failed\r\n".to_vec(),
-            Reply::Silence | Reply::Reset => Vec::new(),
+            Reply::NoReply | Reply::Reset => Vec::new(),
         }
     }
 
     async fn reply(
         &self,
         connection: &mut Connection,
-        id: Id,
+        id: RequestId,
         plan: PlannedReply,
         answer: &[u8],
     ) -> Option<()> {
         let server = self.server as u16;
         let aborted = EventKind::AttemptAborted { server };
-        if !wait_until_due(self.site, connection, &plan).await {
-            self.site.evidence.record(id, self.proxy, aborted);
+        if !wait_until_due(self.services, connection, &plan).await {
+            self.services.recorder.record(id, self.proxy, aborted);
             return None;
         }
         // Recorded with the time before the write, because the proxy may act on the reply before
         // the write returns.
-        let replied = self.site.clock.now();
+        let replied = self.services.clock.now();
         if connection.write(&[answer]).await.is_err() {
-            self.site.evidence.record(id, self.proxy, aborted);
+            self.services.recorder.record(id, self.proxy, aborted);
             return None;
         }
         self.record_at(replied, id, EventKind::Replied { server, reply: plan.reply });
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1 framing for stand-ins, clients and baseline proxies. Bodies are delimited by
+//! HTTP/1.1 framing for simulated services, clients and baseline proxies. Bodies are delimited by
 //! Content-Length only, as all of them write it. It shares no code with the proxy, so that a bug in
 //! the proxy's framing cannot hide itself.
 
-use crate::evidence::Id;
+use crate::evidence::RequestId;
 use smol::Async;
 use std::io::{self, IoSlice, Read, Write};
 use std::net::TcpStream;
@@ -150,7 +150,7 @@
     /// Bytes that were read and not yet consumed by a message.
     pub buffered: Vec<u8>,
     /// The id of the request whose attempt is in progress on the connection.
-    pub open_attempt: Option<Id>,
+    pub open_attempt: Option<RequestId>,
 }
 
 impl Connection {
@@ -162,7 +162,7 @@
 
     /// Reads more bytes into the buffer; `Ok(0)` is the end of the stream. Cancel safe: a future
     /// that is dropped while it waits has read nothing.
-    pub async fn fill(&mut self) -> io::Result<usize> {
+    pub async fn read_more(&mut self) -> io::Result<usize> {
         loop {
             let old_length = self.buffered.len();
             self.buffered.resize(old_length + MIN_READ_BYTES.max(old_length), 0);
@@ -186,7 +186,7 @@
                 return Ok(message);
             }
             let partial = !self.buffered.is_empty();
-            if !matches!(self.fill().await, Ok(1..)) {
+            if !matches!(self.read_more().await, Ok(1..)) {
                 return Err(if partial { ReadError::Truncated } else { ReadError::Closed });
             }
         }
@@ -264,7 +264,7 @@
     /// Waits until the peer closes the connection, or sends too much; bytes that it sends meanwhile
     /// stay in `buffered`.
     pub async fn wait_closed(&mut self) {
-        while matches!(self.fill().await, Ok(1..)) {
+        while matches!(self.read_more().await, Ok(1..)) {
             if self.buffered.len() > MAX_MESSAGE_BYTES {
                 return;
             }
--- a/crates/testbed/tests/models/server.rs
+++ b/crates/testbed/tests/models/server.rs
@@ -1,6 +1,6 @@
 //! Outcomes of attempts at a server.
 
-use chalkwalk_testbed::clock::{MILLI, Micros, SECOND};
+use chalkwalk_testbed::clock::{MILLISECOND, Micros, SECOND};
 use chalkwalk_testbed::model::server::{AttemptInput, Reply, ServerModel, ServerSpec};
 use chalkwalk_testbed::model::timeline::{Incarnation, Reachability, ServerTimeline};
 
@@ -24,7 +24,7 @@
 }
 
 fn attempt(key: u64) -> AttemptInput {
-    AttemptInput { key, write: false, work: 10 * MILLI, sample: 0.5 }
+    AttemptInput { key, is_write: false, work: 10 * MILLISECOND, sample: 0.5 }
 }
 
 fn failing_origin(_: Micros) -> Option<Micros> {
@@ -36,7 +36,7 @@
     let (mut server, timeline) = (ServerModel::new(spec(), 0), timeline());
     [1, 2, 3].into_iter().for_each(|key| server.store(key));
     let mut reply = |now, attempt| server.handle(now, attempt, &timeline, failing_origin).reply;
-    let write = AttemptInput { write: true, ..attempt(3) };
+    let write = AttemptInput { is_write: true, ..attempt(3) };
     let replies =
         [(0, attempt(1)), (0, attempt(3)), (20_000, write)].map(|(now, attempt)| reply(now, attempt));
     assert_eq!(replies, [Reply::Miss, Reply::Hit, Reply::Miss]);
@@ -51,7 +51,7 @@
         plans.map(|plan| plan.reply),
         [Reply::Hit, Reply::Hit, Reply::Hit, Reply::Hit, Reply::Unprocessed]
     );
-    assert!(!plans[4].takes_effect && plans[3].due == 20 * MILLI);
+    assert!(!plans[4].takes_effect && plans[3].due == 20 * MILLISECOND);
 }
 
 #[test]
