--- a/crates/admin/src/call.rs
+++ b/crates/admin/src/call.rs
@@ -1,8 +1,8 @@
 //! One operator call: reading it from its connection, running it and writing the response.
 
 use crate::{ControlOutcome, ProxyControl};
-use chalkwalk_http1::{HttpError, RequestLimits, read_request, reason};
-use chalkwalk_sockets::{MemoryBudget, read_more, wait_until, write_all};
+use chalkwalk_http1::{HttpError, RequestLimits, read_request, reason_phrase};
+use chalkwalk_sockets::{MemoryBudget, read_more, with_deadline, write_all};
 use percent_encoding::percent_decode_str;
 use smol::Async;
 use std::net::{Shutdown, TcpStream};
@@ -55,10 +55,11 @@
 pub async fn read_call(stream: &Async<TcpStream>) -> Result<Call, HttpError> {
     let deadline = Instant::now() + CALL_TIMEOUT;
     let empty_budget = MemoryBudget::new(0);
-    let limits = RequestLimits { head_deadline: deadline, max_body: MAX_BODY_BYTES, memory: &empty_budget };
+    let limits =
+        RequestLimits { head_deadline: deadline, max_body_bytes: MAX_BODY_BYTES, memory: &empty_budget };
     let mut unread = Vec::new();
     let request = read_request(stream, &mut unread, limits);
-    let request = wait_until(deadline, request).await.unwrap_or(Err(HttpError::Timeout))?;
+    let request = with_deadline(deadline, request).await.unwrap_or(Err(HttpError::Timeout))?;
     Ok(Call {
         method: request.text(&request.method).to_string(),
         target: request.text(&request.target).to_string(),
@@ -110,7 +111,7 @@
     let Response { status, body } = response;
     let text = format!(
         "HTTP/1.1 {status} {}\r\nContent-Type: text/plain\r\nContent-Length: {}\r\nConnection: close\r\n\r\n{body}",
-        reason(*status),
+        reason_phrase(*status),
         body.len()
     );
     if write_all(stream, &[text.as_bytes()]).await.is_err() {
--- a/crates/admin/src/listener.rs
+++ b/crates/admin/src/listener.rs
@@ -2,7 +2,7 @@
 
 use crate::ProxyControl;
 use crate::call::{Response, read_call, run_call, write_response};
-use chalkwalk_sockets::within;
+use chalkwalk_sockets::with_timeout;
 use smol::channel::{Receiver, Sender, bounded};
 use smol::future::FutureExt;
 use smol::{Async, Timer};
@@ -121,6 +121,6 @@
             Some(Err(error)) => Response::from(error),
             None => return,
         };
-        within(RESPONSE_TIMEOUT, write_response(&stream, &response)).await;
+        with_timeout(RESPONSE_TIMEOUT, write_response(&stream, &response)).await;
     }
 }
--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -20,14 +20,14 @@
 #[derive(Clone, Copy, Debug)]
 pub struct UnsentAttempt {
     /// The request that the attempt is for.
-    pub request: RequestId,
+    pub request_id: RequestId,
     /// The attempt's index among the attempts for that request.
-    pub number: usize,
+    pub index: usize,
     /// The server that the attempt is for.
     pub server: ServerIndex,
     /// The end of the attempt's time, or of the window in which servers drop a repeat, whichever is
     /// sooner.
-    pub until: Timestamp,
+    pub deadline: Timestamp,
     /// Whether the client has its final answer.
     pub answered: bool,
     /// Whether the client is still connected, as far as its connection shows.
@@ -94,15 +94,15 @@
 #[derive(Clone, Copy, Debug)]
 pub struct WrittenAttempt {
     /// When the last byte was written.
-    pub at: Timestamp,
+    pub written_at: Timestamp,
     /// When the attempt was last allowed to be sent.
     pub allowed_at: Timestamp,
     /// The end of the attempt's time or of its deduplication window.
-    pub until: Timestamp,
+    pub deadline: Timestamp,
     /// When the server became unavailable, if a notification of that has arrived by now.
     pub unavailable_since: Option<Timestamp>,
     /// The drain grace period: attempts written within it after the notification are tolerated.
-    pub grace: Span,
+    pub drain_grace_period: Span,
     /// Whether the client is still connected.
     pub client_connected: bool,
 }
@@ -110,11 +110,11 @@
 impl WrittenAttempt {
     /// The violation that writing this attempt was, if any.
     pub fn violation(&self) -> Option<Violation> {
-        if self.unavailable_since.is_some_and(|since| self.at > since + self.grace) {
+        if self.unavailable_since.is_some_and(|since| self.written_at > since + self.drain_grace_period) {
             Some(Violation::SentAfterGrace)
-        } else if self.at > self.until {
+        } else if self.written_at > self.deadline {
             Some(Violation::SentTooLate)
-        } else if !self.client_connected && self.at > self.allowed_at + CLIENT_GONE_TOLERANCE {
+        } else if !self.client_connected && self.written_at > self.allowed_at + CLIENT_GONE_TOLERANCE {
             Some(Violation::SentAfterClientLeft)
         } else {
             None
@@ -125,14 +125,18 @@
 /// Whether an idle client connection may be closed to make room for others. A connection that never
 /// carried a request may be closed, as its client will connect again. On a connection that was used
 /// a moment ago, the next request may be on its way.
-pub fn may_close(used: bool, idle_for: Span) -> bool {
+pub fn may_close_idle_client(used: bool, idle_for: Span) -> bool {
     !used || idle_for > MIN_IDLE_AFTER_USE
 }
 
 /// Whether a request that was read may be started: the time by which it must be answered has not
 /// passed. That time is `expires`, or the time of the process's last answer if that is earlier.
 /// Returns that time if the request may be started.
-pub fn may_start(now: Timestamp, expires: Timestamp, last_answer_at: Option<Timestamp>) -> Option<Timestamp> {
+pub fn may_start_request(
+    now: Timestamp,
+    expires: Timestamp,
+    last_answer_at: Option<Timestamp>,
+) -> Option<Timestamp> {
     let expires = expires.min(last_answer_at.unwrap_or(Timestamp::MAX));
     (expires > now).then_some(expires)
 }
--- a/crates/balancer/src/balancer/attempts.rs
+++ b/crates/balancer/src/balancer/attempts.rs
@@ -46,8 +46,8 @@
             ..Attempt::default()
         });
         let hedge_after = class.hedge_after.and_then(|thousandths| self.latencies.quantile(thousandths));
-        let until = request.expires.min(sent_at + class.attempt_timeout);
-        effects.start_attempt(request_id, index, until, not_after.unwrap_or(request.expires));
+        let deadline = request.expires.min(sent_at + class.attempt_timeout);
+        effects.start_attempt(request_id, index, deadline, not_after.unwrap_or(request.expires));
         if Some(index) != self.origin {
             effects.set_timer(request_id.0, hedge_after.unwrap_or(timeout).min(timeout) + Span::TICK);
         }
--- a/crates/balancer/src/balancer/endpoints.rs
+++ b/crates/balancer/src/balancer/endpoints.rs
@@ -39,12 +39,12 @@
         if self.servers[index].id != endpoint.id {
             self.servers[index] = Server::new(endpoint.id);
         }
-        self.restart_if_newer(index, endpoint.born);
+        self.restart_if_newer(index, endpoint.started_at);
         let server = &mut self.servers[index];
         server.zone = endpoint.zone;
         server.cell = endpoint.cell;
         server.status = endpoint.status;
-        server.keys.update_listed_size(endpoint.size, self.settings.fixed_sizes);
+        server.keys.update_listed_size(endpoint.weight_hundredths, self.settings.fixed_sizes);
         if Some(endpoint.kind) == self.settings.origin_kind {
             self.origin = Some(index);
         }
--- a/crates/balancer/src/balancer/queries.rs
+++ b/crates/balancer/src/balancer/queries.rs
@@ -9,17 +9,17 @@
 
 impl Balancer {
     /// Applies new settings; the budgets keep their counts. Open requests keep the limits that they
-    /// have until `renew_limits` gives them others. Zones, kinds and the origin must be the same as
+    /// have until `update_limits` gives them others. Zones, kinds and the origin must be the same as
     /// before.
     pub fn apply_settings(&mut self, values: &BTreeMap<String, String>) {
         let settings = Settings { proxies: self.settings.proxies, ..Settings::read(values) };
         let previous = std::mem::replace(&mut self.settings, settings);
         for (class, previous) in self.settings.classes.iter().zip(&previous.classes) {
-            class.retry_budget.continue_from(&previous.retry_budget);
+            class.retry_budget.copy_counters_from(&previous.retry_budget);
         }
     }
 
-    /// The number of request classes; `accept_request` and `renew_limits` identify a class by its
+    /// The number of request classes; `accept_request` and `update_limits` identify a class by its
     /// index.
     pub fn class_count(&self) -> usize {
         self.settings.classes.len()
@@ -28,21 +28,21 @@
     /// A digest of the settings that the figures of `learned` depend on: the target times, the
     /// proxy's own zone and what the weights mean. Figures learned under other settings are not
     /// comparable.
-    pub fn learning_terms(&self) -> u64 {
+    pub fn learned_settings_digest(&self) -> u64 {
         let targets = self.settings.classes.iter().map(|class| class.target.ticks());
         let other = [self.settings.zone as u64, u64::from(self.settings.fixed_sizes)];
         targets.chain(other).fold(0, |hash, n| mix(hash.rotate_left(7) ^ mix(n + 1)))
     }
 
     /// What was learned about the servers in service whose figures differ from the initial ones.
-    pub fn learned(&self) -> Vec<LearnedServer> {
+    pub fn learned_servers(&self) -> Vec<LearnedServer> {
         self.servers.iter().filter_map(|server| server.learned()).collect()
     }
 
     /// Restores what an earlier process learned under the same settings. A server's figures are
     /// applied once the list names the server, if the server has not restarted since. Connections,
     /// silences, failures, latencies and everything learned about the origin are not restored.
-    pub fn restore_learned(&mut self, learned: Vec<LearnedServer>) {
+    pub fn restore_learned_servers(&mut self, learned: Vec<LearnedServer>) {
         self.pending_learned = learned.into_iter().map(|server| (server.id.clone(), server)).collect();
         (0..self.servers.len()).for_each(|server| self.restore_learned_server(server));
     }
@@ -68,7 +68,7 @@
 
     /// Whether an operator's call may name this server: it is listed, or it is disabled. The origin
     /// is not a server here.
-    pub fn knows_server(&self, id: &str) -> bool {
+    pub fn is_known_server(&self, id: &str) -> bool {
         let is_listed = |(index, server): (ServerIndex, &crate::server::Server)| {
             server.id == id && Some(index) != self.origin && server.status != EndpointStatus::Gone
         };
@@ -77,7 +77,7 @@
 
     /// Whether no server of any zone may get requests: none is listed as in service, or operators
     /// disabled all of those.
-    pub fn no_server_ready(&self) -> bool {
+    pub fn has_no_ready_server(&self) -> bool {
         self.ring.server_count() == 0
     }
 
@@ -91,12 +91,12 @@
     }
 
     /// The number of requests that are not closed yet, or whose attempts have not all ended.
-    pub fn open_requests(&self) -> usize {
+    pub fn open_request_count(&self) -> usize {
         self.requests.len()
     }
 
     /// Whether the balancer still knows this request. If not, it causes no more effects.
-    pub fn knows_request(&self, request_id: RequestId) -> bool {
+    pub fn is_known_request(&self, request_id: RequestId) -> bool {
         self.requests.contains_key(&request_id.0)
     }
 
--- a/crates/balancer/src/balancer/repeats.rs
+++ b/crates/balancer/src/balancer/repeats.rs
@@ -15,17 +15,17 @@
         if !self.is_available(attempt.server) {
             return Err(SendRefusal::ServerUnavailable);
         }
-        if now >= attempt.until {
+        if now >= attempt.deadline {
             return Err(SendRefusal::TooLate);
         }
-        let request = self.requests.get(&attempt.request.0);
+        let request = self.requests.get(&attempt.request_id.0);
         let Some(request) = request.filter(|request| !request.answered && !attempt.answered) else {
             return Err(SendRefusal::Answered);
         };
         if !attempt.client_connected {
             return Err(SendRefusal::ClientLeft);
         }
-        match self.may_repeat(request, Some(attempt.server), now, Some(attempt.number)) {
+        match self.may_repeat(request, Some(attempt.server), now, Some(attempt.index)) {
             true => Ok(()),
             false => Err(SendRefusal::MayRunTwice),
         }
@@ -38,14 +38,14 @@
             && self.may_repeat(request, Some(server), self.now, None)
     }
 
-    /// Whether repeating the request until `until`, at that server or (for `None`) at any server,
+    /// Whether repeating the request until `deadline`, at that server or (for `None`) at any server,
     /// does no harm. `own_index` is the index of the attempt in question if it exists already: it
     /// does not count as an earlier attempt.
     pub(super) fn may_repeat(
         &self,
         request: &Request,
         server: Option<ServerIndex>,
-        until: Timestamp,
+        deadline: Timestamp,
         own_index: Option<usize>,
     ) -> bool {
         let class = &request.class;
@@ -56,7 +56,7 @@
             Idempotency::SingleUse => false,
             Idempotency::Tagged => {
                 self.drops_repeat(class.dedup_group, attempt, server)
-                    && until < attempt.sent_at + class.dedup_window
+                    && deadline < attempt.sent_at + class.dedup_window
             }
         })
     }
--- a/crates/balancer/src/balancer/requests.rs
+++ b/crates/balancer/src/balancer/requests.rs
@@ -47,13 +47,13 @@
 
     /// Restricts the request to these servers, in this order, instead of the ring's: which server
     /// owns the key is decided elsewhere.
-    pub fn restrict_to(&mut self, request_id: RequestId, servers: Vec<ServerIndex>) {
+    pub fn restrict_servers(&mut self, request_id: RequestId, servers: Vec<ServerIndex>) {
         self.requests.entry(request_id.0).and_modify(|request| request.allowed_servers = Some(servers));
     }
 
     /// Applies changed limits to an open request. Later attempts follow the new limits, and the
     /// request's time limit follows if the new one is shorter and can still be met.
-    pub fn renew_limits(
+    pub fn update_limits(
         &mut self,
         request_id: RequestId,
         class: usize,
@@ -75,7 +75,7 @@
     }
 
     /// The client no longer waits for its answer.
-    pub fn client_left(&mut self, request_id: RequestId, effects: &mut dyn Effects) {
+    pub fn client_disconnected(&mut self, request_id: RequestId, effects: &mut dyn Effects) {
         self.close(request_id, effects);
     }
 
--- a/crates/balancer/src/balancer/selection.rs
+++ b/crates/balancer/src/balancer/selection.rs
@@ -27,7 +27,7 @@
 const MIN_IN_FLIGHT_CAP: u64 = 2;
 
 /// What a search along the ring knows before it looks at single servers.
-struct Walk<'a> {
+struct RingSearch<'a> {
     request: &'a Request,
     round: Round,
     /// The largest size among the servers on the path.
@@ -62,7 +62,7 @@
             None => self.ring.servers_from(scope, request.key, self.servers.len()),
         };
         let max_size = servers.iter().map(|server| self.servers[*server].keys.size()).max();
-        let mut walk = Walk {
+        let mut search = RingSearch {
             request,
             round,
             max_size: max_size.unwrap_or(1).max(1),
@@ -70,19 +70,20 @@
             all_ejected: round == Round::LastResort && self.all_ejected(),
             may_connect: [ZoneGroup::Own, ZoneGroup::Others].map(|group| self.may_connect(group)),
         };
-        walk.keepers = servers.iter().copied().take_while(|server| self.keeps_key(&walk, *server)).collect();
+        search.keepers =
+            servers.iter().copied().take_while(|server| self.keeps_key(&search, *server)).collect();
         if round == Round::LastResort {
             // The cap is computed from the mean of the eligible servers only: skipped ones have
             // nothing in flight, and would lower the mean so far that requests are rejected.
-            servers.retain(|server| self.eligible(&walk, *server));
+            servers.retain(|server| self.eligible(&search, *server));
         }
         let in_flight: u64 =
             servers.iter().map(|server| self.servers[*server].liveness.in_flight()).sum::<u64>() + 1;
         // 5/4 of the mean: consistent hashing with bounded loads.
         let cap = (in_flight * 5).div_ceil(4 * servers.len().max(1) as u64).max(MIN_IN_FLIGHT_CAP);
-        servers
-            .into_iter()
-            .find(|server| self.servers[*server].liveness.in_flight() < cap && self.eligible(&walk, *server))
+        servers.into_iter().find(|server| {
+            self.servers[*server].liveness.in_flight() < cap && self.eligible(&search, *server)
+        })
     }
 
     /// Whether all ready servers are ejected. A failure behind all servers (a link, the origin)
@@ -92,24 +93,24 @@
             .all(|server| !self.is_ready(server) || self.servers[server].failures.is_ejected())
     }
 
-    fn keeps_key(&self, walk: &Walk, server: ServerIndex) -> bool {
-        walk.round != Round::Strict
-            || self.servers[server].keys.keeps(walk.request.key, self.salt, walk.max_size)
+    fn keeps_key(&self, search: &RingSearch, server: ServerIndex) -> bool {
+        search.round != Round::Strict
+            || self.servers[server].keys.keeps(search.request.key, self.salt, search.max_size)
     }
 
     /// Whether a server may get the attempt in this round.
-    fn eligible(&self, walk: &Walk, index: ServerIndex) -> bool {
-        let Walk { request, round, .. } = *walk;
+    fn eligible(&self, search: &RingSearch, index: ServerIndex) -> bool {
+        let RingSearch { request, round, .. } = *search;
         let server = &self.servers[index];
         let in_flight = server.liveness.in_flight();
         let strict = round == Round::Strict;
-        (server.failures.allows_attempt(in_flight) || walk.all_ejected)
+        (server.failures.allows_attempt(in_flight) || search.all_ejected)
             && (round == Round::LastResort || !self.is_silent(index))
-            && (server.connected || walk.may_connect[self.zone_group(server) as usize])
+            && (server.connected || search.may_connect[self.zone_group(server) as usize])
             && !request.attempts.iter().any(|a| a.server == index && (a.failed || a.pending))
-            && (strict || server.keys.takes_other_keys(request.draw))
-            && self.slow_start_allows(walk, index)
-            && self.keeps_key(walk, index)
+            && (strict || server.keys.accepts_foreign_keys(request.draw))
+            && self.slow_start_allows(search, index)
+            && self.keeps_key(search, index)
             && match strict {
                 true => server.concurrency.admits(in_flight, request.draw),
                 false => server.concurrency.admits_relaxed(in_flight, request.draw),
@@ -120,14 +121,14 @@
     /// A server in slow start serves only a growing share of its keys, the same keys at every
     /// proxy, and no key that a server before it on the ring does not keep. Protects a server that
     /// comes back, and the origin.
-    fn slow_start_allows(&self, walk: &Walk, index: ServerIndex) -> bool {
+    fn slow_start_allows(&self, search: &RingSearch, index: ServerIndex) -> bool {
         let server = &self.servers[index];
         let progress = server.slow_start_progress(&self.settings, self.now);
         if progress.is_done() {
             return true;
         }
-        let in_its_share = walk.request.allowed_servers.is_some()
-            || (walk.keepers.contains(&index) && progress.includes(mix(walk.request.key)));
+        let in_its_share = search.request.allowed_servers.is_some()
+            || (search.keepers.contains(&index) && progress.includes(mix(search.request.key)));
         in_its_share && server.slow_start.has_token()
     }
 
--- a/crates/balancer/src/discovery.rs
+++ b/crates/balancer/src/discovery.rs
@@ -2,17 +2,17 @@
 //! pure: times and random draws are passed in.
 //!
 //! Every source of the endpoint list keeps the same time limit: a change counts as notified
-//! [`NOTIFIED_WITHIN`] after discovery had it and was reachable, whichever calls failed, were
+//! [`MAX_NOTIFICATION_DELAY`] after discovery had it and was reachable, whichever calls failed, were
 //! refused or timed out before. These parts add up to that limit:
 //!
 //! | part | at most |
 //! | --- | --- |
-//! | a call that fails, until its failure or a parallel call | [`CONNECT_TIMEOUT`], [`POLL_SILENT_AFTER`] |
+//! | a call that fails, until its failure or a parallel call | [`CONNECT_TIMEOUT`], [`POLL_SILENCE_TIMEOUT`] |
 //! | the backoff after it, shorter the longer the call took | [`Backoff`] |
-//! | the next call's wait in the queue of the service | [`LONGEST_QUEUE_WAIT`] |
+//! | the next call's wait in the queue of the service | [`MAX_QUEUE_WAIT`] |
 //!
 //! The first part is a call that is bound to fail because discovery is unreachable. So at most
-//! [`LONGEST_CALL_INTERVAL`] passes between the beginning of a failed call and that of the next
+//! [`MAX_CALL_INTERVAL`] passes between the beginning of a failed call and that of the next
 //! one; this is checked at run time.
 //!
 //! A backoff is spread as evenly as the limit allows instead of being as short as possible: all
@@ -27,33 +27,33 @@
 
 /// The longest time from when discovery has a change and is reachable until the change counts as
 /// notified.
-pub const NOTIFIED_WITHIN: Span = Span::from_secs(6);
+pub const MAX_NOTIFICATION_DELAY: Span = Span::from_secs(6);
 /// The longest time that the service lets a call wait in its queue.
-pub const LONGEST_QUEUE_WAIT: Span = Span::from_secs(2);
+pub const MAX_QUEUE_WAIT: Span = Span::from_secs(2);
 /// The timeout for connecting to discovery. The first SYN is sent again after 1 s.
 pub const CONNECT_TIMEOUT: Span = Span::from_secs(2);
 /// If a call for the current list has no answer after this time, another call is made in parallel.
 /// It is a second longer than the longest wait in the queue, so that no call is repeated to a
 /// service that is merely busy.
-pub const POLL_SILENT_AFTER: Span = LONGEST_QUEUE_WAIT.plus(SECOND);
+pub const POLL_SILENCE_TIMEOUT: Span = MAX_QUEUE_WAIT.plus(SECOND);
 
 /// The longest time that a watch may wait for an event. What a silent watch misses counts as
 /// notified 2 s after its wait is over. A shorter wait costs every proxy more calls in quiet times;
 /// a longer one leaves a silent watch unnoticed for longer than any other fault.
-pub const LONGEST_WATCH_WAIT: Span = Span::from_millis(5_500);
+pub const MAX_WATCH_WAIT: Span = Span::from_millis(5_500);
 /// If a watch has no answer this long after the end of its wait, it is considered silent, and
 /// another call is made in parallel.
-pub const WATCH_SILENT_AFTER: Span = Span::from_millis(500);
+pub const WATCH_SILENCE_TIMEOUT: Span = Span::from_millis(500);
 /// The longest time from the beginning of a failed call to that of the next. What the failed call
 /// missed is notified by the next one, at the latest at the end of its wait in the queue.
-pub const LONGEST_CALL_INTERVAL: Span = NOTIFIED_WITHIN.minus(LONGEST_QUEUE_WAIT);
+pub const MAX_CALL_INTERVAL: Span = MAX_NOTIFICATION_DELAY.minus(MAX_QUEUE_WAIT);
 
 /// The shortest backoff: without it, calls that fail at once would be repeated in a busy loop.
 const MIN_BACKOFF: Span = Span::from_millis(250);
 /// Allows for CPU starvation, and for the transfer and parsing of a long list.
 const HEADROOM: Span = Span::from_millis(250);
 /// The longest time from the beginning of a failed call to the planned beginning of the next.
-const MAX_RETRY_INTERVAL: Span = LONGEST_CALL_INTERVAL.minus(HEADROOM);
+const MAX_RETRY_INTERVAL: Span = MAX_CALL_INTERVAL.minus(HEADROOM);
 /// A call that took at least this long has waited in the queue: half of the longest wait, and well
 /// above what a call takes on a busy machine.
 const MIN_QUEUED_CALL_TIME: Span = Span::from_secs(1);
@@ -75,11 +75,11 @@
 pub const OLDER_CALL_TIMEOUT: Span = MAX_RETRY_INTERVAL.minus(MIN_BACKOFF.times(2));
 
 // The parts of the time limit: whatever takes the longest before the next call can be made.
-const _: () = assert!(CONNECT_TIMEOUT.plus(MIN_BACKOFF.times(2)).fits(MAX_RETRY_INTERVAL));
-const _: () = assert!(POLL_SILENT_AFTER.fits(MAX_RETRY_INTERVAL));
-const _: () = assert!(WATCH_SILENT_AFTER.plus(MIN_BACKOFF.times(2)).fits(LONGEST_QUEUE_WAIT));
+const _: () = assert!(CONNECT_TIMEOUT.plus(MIN_BACKOFF.times(2)).is_at_most(MAX_RETRY_INTERVAL));
+const _: () = assert!(POLL_SILENCE_TIMEOUT.is_at_most(MAX_RETRY_INTERVAL));
+const _: () = assert!(WATCH_SILENCE_TIMEOUT.plus(MIN_BACKOFF.times(2)).is_at_most(MAX_QUEUE_WAIT));
 // A silent watch is followed by another call before the changes that it misses count as notified.
-const _: () = assert!(LONGEST_WATCH_WAIT.plus(WATCH_SILENT_AFTER).fits(NOTIFIED_WITHIN));
+const _: () = assert!(MAX_WATCH_WAIT.plus(WATCH_SILENCE_TIMEOUT).is_at_most(MAX_NOTIFICATION_DELAY));
 
 /// Whether a call that begins `interval` after the previous one keeps the time limit. `watch_wait`
 /// is how long the previous call could wait for an event. The drain grace period covers the
@@ -87,9 +87,12 @@
 pub fn call_interval_allowed(interval: Span, watch_wait: Span) -> bool {
     // A watch may fail just before it counts as silent, and the shortest backoff follows. What it
     // missed counts as notified one queue wait after the end of its own wait.
-    let watched =
-        if watch_wait > Span::ZERO { watch_wait + WATCH_SILENT_AFTER + 2 * MIN_BACKOFF } else { Span::ZERO };
-    interval <= LONGEST_CALL_INTERVAL.max(watched) + HEADROOM
+    let watched = if watch_wait > Span::ZERO {
+        watch_wait + WATCH_SILENCE_TIMEOUT + 2 * MIN_BACKOFF
+    } else {
+        Span::ZERO
+    };
+    interval <= MAX_CALL_INTERVAL.max(watched) + HEADROOM
 }
 
 /// Counts the calls to discovery that failed in a row.
@@ -130,13 +133,13 @@
 }
 
 impl Backoff {
-    /// The backoff for a list that is polled. `max_poll_gap`: the longest time that a proxy may go
+    /// The backoff for a list that is polled. `max_time_without_poll`: the longest time that a proxy may go
     /// without a watch or a poll.
-    pub fn polled(max_poll_gap: Span) -> Backoff {
+    pub fn polled(max_time_without_poll: Span) -> Backoff {
         Backoff {
             min_delay: MIN_BACKOFF,
             max_interval: MAX_RETRY_INTERVAL,
-            max_delay: max_poll_gap.max(2 * MIN_BACKOFF),
+            max_delay: max_time_without_poll.max(2 * MIN_BACKOFF),
         }
     }
 
--- a/crates/balancer/src/key_share.rs
+++ b/crates/balancer/src/key_share.rs
@@ -119,7 +119,7 @@
 
     /// Whether the listed load allows the server to take keys that it does not own: never above
     /// nine requests per core, always up to three.
-    pub fn takes_other_keys(&self, draw: u64) -> bool {
+    pub fn accepts_foreign_keys(&self, draw: u64) -> bool {
         self.load <= LOAD_THRESHOLD + draw * 6
     }
 
--- a/crates/balancer/src/request_class.rs
+++ b/crates/balancer/src/request_class.rs
@@ -80,7 +80,7 @@
             hedge_after: Some(values.number(&setting("copies after"), 0.0) as u64)
                 .filter(|thousandths| *thousandths > 0),
             retry_budget: match own_budget {
-                true => RetryBudget::own(values.number(&setting("further shots"), 0.0) as u64),
+                true => RetryBudget::per_class(values.number(&setting("further shots"), 0.0) as u64),
                 false => shared_budget.clone(),
             },
             max_open: values.number(&setting("most open"), 1e12) as u64,
--- a/crates/balancer/src/server.rs
+++ b/crates/balancer/src/server.rs
@@ -74,8 +74,8 @@
         let differs = !self.keys.is_full() || !self.concurrency.is_initial();
         (self.status == EndpointStatus::Ready && differs).then(|| LearnedServer {
             id: self.id.clone(),
-            born: self.started_at,
-            size: self.keys.size(),
+            started_at: self.started_at,
+            max_weight_hundredths: self.keys.size(),
             key_share: self.keys.share(),
             concurrency_limit: self.concurrency.limit(),
         })
@@ -84,8 +84,8 @@
     /// Restores what another process learned about the server, unless the server has restarted
     /// since.
     pub fn restore_learned(&mut self, learned: &LearnedServer, settings: &Settings) {
-        if learned.born == self.started_at {
-            self.keys.restore(learned.key_share, learned.size, settings.fixed_sizes);
+        if learned.started_at == self.started_at {
+            self.keys.restore(learned.key_share, learned.max_weight_hundredths, settings.fixed_sizes);
             self.concurrency.restore(learned.concurrency_limit);
         }
     }
--- a/crates/balancer/src/types.rs
+++ b/crates/balancer/src/types.rs
@@ -116,11 +116,11 @@
     pub cell: u64,
     /// The size stated by the list, in hundredths. It only has a meaning relative to the sizes of
     /// other servers.
-    pub size: u64,
+    pub weight_hundredths: u64,
     /// Whether the server is in service.
     pub status: EndpointStatus,
     /// When the server's process started.
-    pub born: Timestamp,
+    pub started_at: Timestamp,
 }
 
 /// What one process of a proxy has learned about a server and the next process can use.
@@ -130,9 +130,9 @@
     pub id: String,
     /// When the server's process started. The figures do not apply to a process started at another
     /// time.
-    pub born: Timestamp,
+    pub started_at: Timestamp,
     /// The largest weight listed, in hundredths, if weights vary with load.
-    pub size: u64,
+    pub max_weight_hundredths: u64,
     /// The share of its keys that the server keeps, in thousandths.
     pub key_share: u64,
     /// The concurrency limit of the server, in hundredths of an attempt.
--- a/crates/balancer/tests/decisions/admission.rs
+++ b/crates/balancer/tests/decisions/admission.rs
@@ -3,7 +3,7 @@
 
 use crate::helper::Harness;
 use chalkwalk_balancer::admission::{
-    SendRefusal, UnsentAttempt, Violation, WrittenAttempt, may_close, may_start,
+    SendRefusal, UnsentAttempt, Violation, WrittenAttempt, may_close_idle_client, may_start_request,
 };
 use chalkwalk_balancer::{AttemptOutcome, EndpointStatus, RequestId};
 use chalkwalk_time::{Span, Timestamp};
@@ -16,12 +16,12 @@
     Timestamp::from_ticks(ticks)
 }
 
-fn unsent_attempt(request: RequestId, number: usize) -> UnsentAttempt {
+fn unsent_attempt(request_id: RequestId, index: usize) -> UnsentAttempt {
     UnsentAttempt {
-        request,
-        number,
+        request_id,
+        index,
         server: 0,
-        until: timestamp(20_000),
+        deadline: timestamp(20_000),
         answered: false,
         client_connected: true,
     }
@@ -100,27 +100,27 @@
 #[test]
 fn a_written_attempt_names_the_rule_that_it_violates() {
     let allowed = WrittenAttempt {
-        at: timestamp(1000),
+        written_at: timestamp(1000),
         allowed_at: timestamp(990),
-        until: timestamp(1000),
+        deadline: timestamp(1000),
         unavailable_since: Some(timestamp(500)),
-        grace: Span::from_ticks(500),
+        drain_grace_period: Span::from_ticks(500),
         client_connected: false,
     };
     assert_eq!(allowed.violation(), None);
     let violation_of = |written: WrittenAttempt| written.violation();
     assert_eq!(
-        violation_of(WrittenAttempt { grace: Span::from_ticks(499), ..allowed }),
+        violation_of(WrittenAttempt { drain_grace_period: Span::from_ticks(499), ..allowed }),
         Some(Violation::SentAfterGrace)
     );
     assert_eq!(
-        violation_of(WrittenAttempt { until: timestamp(999), ..allowed }),
+        violation_of(WrittenAttempt { deadline: timestamp(999), ..allowed }),
         Some(Violation::SentTooLate)
     );
     let delayed = WrittenAttempt {
-        at: timestamp(2001),
+        written_at: timestamp(2001),
         allowed_at: timestamp(1000),
-        until: timestamp(9000),
+        deadline: timestamp(9000),
         unavailable_since: None,
         ..allowed
     };
@@ -131,11 +131,12 @@
 #[test]
 fn a_connection_is_closed_for_others_unless_just_used_and_an_expired_request_is_not_started() {
     assert_eq!(
-        [(false, 0), (true, 500), (true, 501)].map(|(used, idle)| may_close(used, Span::from_ticks(idle))),
+        [(false, 0), (true, 500), (true, 501)]
+            .map(|(used, idle)| may_close_idle_client(used, Span::from_ticks(idle))),
         [true, false, true]
     );
-    assert_eq!(may_start(timestamp(100), timestamp(200), None), Some(timestamp(200)));
-    assert_eq!(may_start(timestamp(100), timestamp(200), Some(timestamp(150))), Some(timestamp(150)));
-    assert_eq!(may_start(timestamp(100), timestamp(200), Some(timestamp(100))), None);
-    assert_eq!(may_start(timestamp(200), timestamp(200), None), None);
+    assert_eq!(may_start_request(timestamp(100), timestamp(200), None), Some(timestamp(200)));
+    assert_eq!(may_start_request(timestamp(100), timestamp(200), Some(timestamp(150))), Some(timestamp(150)));
+    assert_eq!(may_start_request(timestamp(100), timestamp(200), Some(timestamp(100))), None);
+    assert_eq!(may_start_request(timestamp(200), timestamp(200), None), None);
 }
--- a/crates/balancer/tests/decisions/endpoints.rs
+++ b/crates/balancer/tests/decisions/endpoints.rs
@@ -109,8 +109,8 @@
     expect!["request 1000 rejected true false"].assert_eq(&format!(
         "{} {} {}",
         harness.take_trace().trim(),
-        harness.balancer.knows_server("birch"),
-        harness.balancer.knows_server("ember")
+        harness.balancer.is_known_server("birch"),
+        harness.balancer.is_known_server("ember")
     ));
 }
 
@@ -124,8 +124,16 @@
     harness.balancer.set_disabled("birch", true, Timestamp::from_ticks(harness.now));
     harness.set_ready_servers(&["amber", "cedar", "delta"]);
     let (id, status) = ("birch", EndpointStatus::Ready);
-    let relisted =
-        Endpoint { server: 4, id, zone: 0, kind: 0, cell: 0, size: 100, status, born: Timestamp::ZERO };
+    let relisted = Endpoint {
+        server: 4,
+        id,
+        zone: 0,
+        kind: 0,
+        cell: 0,
+        weight_hundredths: 100,
+        status,
+        started_at: Timestamp::ZERO,
+    };
     harness.balancer.update_endpoints(&[relisted], &mut harness.trace);
     let mut sent = Vec::new();
     for disabled in [true, false] {
@@ -164,17 +172,17 @@
         );
         old.disconnect_client(request_id);
     }
-    let learned = old.balancer.learned();
+    let learned = old.balancer.learned_servers();
     let excessive = learned.iter().map(|l| LearnedServer {
         key_share: u64::MAX,
         concurrency_limit: u64::MAX,
-        size: u64::MAX,
+        max_weight_hundredths: u64::MAX,
         ..l.clone()
     });
     let cases = [(Vec::new(), 0), (learned.clone(), 0), (learned.clone(), 5), (excessive.collect(), 0)];
     let counts = cases.map(|(learned_earlier, started_at)| {
         let mut new = Harness::new(&[("cold time", "0")]);
-        new.balancer.restore_learned(learned_earlier);
+        new.balancer.restore_learned_servers(learned_earlier);
         let rows =
             FOUR_SERVERS.map(|id| (id, 0, EndpointStatus::Ready, if id == "birch" { started_at } else { 0 }));
         new.set_endpoints(&rows);
--- a/crates/balancer/tests/decisions/helper.rs
+++ b/crates/balancer/tests/decisions/helper.rs
@@ -122,9 +122,9 @@
             zone,
             kind: if id == "origin" { 9 } else { usize::from(id == "birch") * birch_kind_and_size.0 },
             cell: 0,
-            size: if id == "birch" { birch_kind_and_size.1 } else { 100 },
+            weight_hundredths: if id == "birch" { birch_kind_and_size.1 } else { 100 },
             status,
-            born: Timestamp::from_ticks(started_at),
+            started_at: Timestamp::from_ticks(started_at),
         };
         let endpoints: Vec<Endpoint> =
             rows.iter().map(|(id, zone, status, started_at)| row(id, *zone, *status, *started_at)).collect();
@@ -180,7 +180,7 @@
     }
 
     pub fn disconnect_client(&mut self, request_id: RequestId) {
-        self.balancer.client_left(request_id, &mut self.trace);
+        self.balancer.client_disconnected(request_id, &mut self.trace);
     }
 
     pub fn fire_timer(&mut self, token: u64) {
--- a/crates/balancer/tests/decisions/key_order.rs
+++ b/crates/balancer/tests/decisions/key_order.rs
@@ -103,7 +103,7 @@
         // A queue sets a timer for its first request until the quiet time is over; here all timers
         // fire from time to time.
         due.into_iter().for_each(|token| harness.fire_timer(token));
-        (0..harness.balancer.open_requests() as u64).for_each(|_| {
+        (0..harness.balancer.open_request_count() as u64).for_each(|_| {
             if let Some(timer) = timers.first() {
                 harness.fire_timer(timer.1);
             }
@@ -151,6 +151,6 @@
     expect!["543 started, 895 rejected or failed, 0 still open"].assert_eq(&format!(
         "{} started, {rejected_or_failed} rejected or failed, {} still open",
         distinct(&started).len(),
-        harness.balancer.open_requests()
+        harness.balancer.open_request_count()
     ));
 }
--- a/crates/balancer/tests/decisions/limits.rs
+++ b/crates/balancer/tests/decisions/limits.rs
@@ -93,8 +93,8 @@
     harness.balancer.apply_settings(&new);
     // One request now has a limit of nine tenths of a second from its start. The other has seven
     // tenths, which are already over.
-    harness.balancer.renew_limits(in_time, 0, Timestamp::from_ticks(9000), &mut harness.trace);
-    harness.balancer.renew_limits(expired, 0, Timestamp::from_ticks(7000), &mut harness.trace);
+    harness.balancer.update_limits(in_time, 0, Timestamp::from_ticks(9000), &mut harness.trace);
+    harness.balancer.update_limits(expired, 0, Timestamp::from_ticks(7000), &mut harness.trace);
     harness.take_trace();
     harness.advance_clock(1000);
     harness.fire_timer(in_time.0);
--- a/crates/balancer/tests/decisions/retry.rs
+++ b/crates/balancer/tests/decisions/retry.rs
@@ -17,7 +17,7 @@
     harness.disconnect_client(second);
     harness.fire_timer(second.0);
     harness.end_attempt(second, 0, AttemptOutcome::ServerError);
-    assert!(!harness.balancer.knows_request(first) && !harness.balancer.knows_request(second));
+    assert!(!harness.balancer.is_known_request(first) && !harness.balancer.is_known_request(second));
     expect![[r#"
         request 0 -> server 0
         request 1 -> server 3
@@ -135,5 +135,5 @@
         request 1 -> server 1
     "#]]
     .assert_eq(&harness.take_trace());
-    assert!(!harness.balancer.knows_request(request_id));
+    assert!(!harness.balancer.is_known_request(request_id));
 }
--- a/crates/balancer/tests/fleet/outage.rs
+++ b/crates/balancer/tests/fleet/outage.rs
@@ -2,7 +2,7 @@
 //! time.
 
 use crate::proxies::{Proxy, QueuedCall, STEP_TICKS};
-use chalkwalk_balancer::discovery::{LONGEST_QUEUE_WAIT, NOTIFIED_WITHIN};
+use chalkwalk_balancer::discovery::{MAX_NOTIFICATION_DELAY, MAX_QUEUE_WAIT};
 use std::collections::VecDeque;
 
 /// The work of one call, in calls per second times ticks: a second has 10,000 ticks.
@@ -60,7 +60,7 @@
 
     fn expire_calls(&mut self, now: u64) {
         for call in &mut self.queue {
-            if !call.expired && now >= call.queued_at + LONGEST_QUEUE_WAIT.ticks() {
+            if !call.expired && now >= call.queued_at + MAX_QUEUE_WAIT.ticks() {
                 call.expired = true;
                 self.proxies[call.proxy].fail_call(now - call.queued_at);
             }
@@ -99,7 +99,7 @@
     }
 }
 
-/// Every process is notified within `NOTIFIED_WITHIN` where the service can answer the whole fleet
+/// Every process is notified within `MAX_NOTIFICATION_DELAY` where the service can answer the whole fleet
 /// once in 3 s, or once in 4 s if it does no work for calls that it has refused.
 #[test]
 fn after_an_outage_every_process_is_notified_in_time() {
@@ -115,7 +115,8 @@
                 };
                 let delays_ms = Outage::new(processes, service, 200_000).answer_delays_ms(300_000);
                 let last = delays_ms.last().copied().unwrap_or(0);
-                let in_time = delays_ms.iter().filter(|ms| **ms <= (NOTIFIED_WITHIN / 10).ticks()).count();
+                let in_time =
+                    delays_ms.iter().filter(|ms| **ms <= (MAX_NOTIFICATION_DELAY / 10).ticks()).count();
                 assert_eq!(
                     in_time, processes as usize,
                     "answered in time, of {processes}; the service can answer the fleet in \
--- a/crates/capture/src/format.rs
+++ b/crates/capture/src/format.rs
@@ -4,7 +4,7 @@
 use crate::event::CaptureItem;
 
 /// The signature that each segment begins with.
-pub const FILE_MARK: &[u8] = b"chalkwalk capture 2\n";
+pub const FILE_SIGNATURE: &[u8] = b"chalkwalk capture 2\n";
 
 /// The length of an item's header: the body's length and CRC-32, four bytes each, little-endian.
 const HEADER_BYTES: usize = 8;
@@ -17,7 +17,7 @@
 /// The bytes are not a capture, or are one of an unsupported version.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 #[error("expected a capture of a supported version, found another file signature")]
-pub struct NotACapture;
+pub struct UnsupportedFormat;
 
 /// Why an item of a segment can't be read.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
@@ -40,7 +40,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Damage {
     /// The offset in the segment of the first item that can't be read, in bytes.
-    pub at: usize,
+    pub offset: usize,
     /// What is wrong with that item.
     pub error: ItemError,
 }
@@ -66,13 +66,13 @@
 
 /// Reads one segment. A segment that is truncated or damaged is read up to that point. The only
 /// error is a wrong signature.
-pub fn read(bytes: &[u8]) -> Result<CaptureContents, NotACapture> {
+pub fn read_segment(bytes: &[u8]) -> Result<CaptureContents, UnsupportedFormat> {
     let mut contents = CaptureContents::default();
-    let Some(mut rest) = bytes.strip_prefix(FILE_MARK) else {
-        if !FILE_MARK.starts_with(bytes) {
-            return Err(NotACapture);
+    let Some(mut rest) = bytes.strip_prefix(FILE_SIGNATURE) else {
+        if !FILE_SIGNATURE.starts_with(bytes) {
+            return Err(UnsupportedFormat);
         }
-        contents.damage = Some(Damage { at: 0, error: ItemError::Truncated });
+        contents.damage = Some(Damage { offset: 0, error: ItemError::Truncated });
         return Ok(contents);
     };
     while !rest.is_empty() {
@@ -82,7 +82,7 @@
                 rest = &rest[length..];
             }
             Err(error) => {
-                contents.damage = Some(Damage { at: bytes.len() - rest.len(), error });
+                contents.damage = Some(Damage { offset: bytes.len() - rest.len(), error });
                 break;
             }
         }
--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -15,7 +15,9 @@
 
 pub use event::{CallBlock, CaptureItem, Decision, Event, RecordedCall, RecordedEndpoint};
 pub use excerpt::excerpt;
-pub use format::{CaptureContents, Damage, FILE_MARK, ItemError, NotACapture, encode_item, read};
+pub use format::{
+    CaptureContents, Damage, FILE_SIGNATURE, ItemError, UnsupportedFormat, encode_item, read_segment,
+};
 pub use recorder::{Recorder, Sink};
 pub use replay::{Difference, Replay, replay};
 pub use segments::{Retention, segment_paths};
--- a/crates/capture/src/outcome.rs
+++ b/crates/capture/src/outcome.rs
@@ -42,16 +42,17 @@
             zone: endpoint.zone,
             kind: endpoint.kind,
             cell: endpoint.cell,
-            size: endpoint.size,
+            size: endpoint.weight_hundredths,
             status,
-            born: endpoint.born,
+            born: endpoint.started_at,
         }
     }
 
     /// Converts the endpoint back to the balancer's type; `None` if the status number is unknown.
     pub(crate) fn to_endpoint(&self) -> Option<Endpoint<'_>> {
         let status = *STATUSES.get(usize::from(self.status))?;
-        let RecordedEndpoint { server, zone, kind, cell, size, born, .. } = *self;
-        Some(Endpoint { server, id: &self.id, zone, kind, cell, size, status, born })
+        let RecordedEndpoint { server, zone, kind, cell, size: weight_hundredths, born: started_at, .. } =
+            *self;
+        Some(Endpoint { server, id: &self.id, zone, kind, cell, weight_hundredths, status, started_at })
     }
 }
--- a/crates/capture/src/recorder.rs
+++ b/crates/capture/src/recorder.rs
@@ -78,19 +78,19 @@
     }
 
     /// Whether a snapshot of the balancer is due: once per snapshot interval, and after a gap.
-    pub fn wants_snapshot(&self, now: Timestamp) -> bool {
+    pub fn is_snapshot_due(&self, now: Timestamp) -> bool {
         now >= self.next_snapshot
     }
 
     /// Records a snapshot of the balancer's state.
-    pub fn snapshot(&mut self, now: Timestamp, settings: &BTreeMap<String, String>, state: Snapshot) {
+    pub fn record_snapshot(&mut self, now: Timestamp, settings: &BTreeMap<String, String>, state: Snapshot) {
         self.next_snapshot = now + self.snapshot_interval;
         let Snapshot { numbers: words, texts } = state;
         self.record_event(now, Event::Snapshot { settings: settings.clone(), words, texts });
     }
 
     /// Records that a request was accepted. If `order` is given, only these servers may serve the request.
-    pub fn request_accepted(
+    pub fn record_request_accepted(
         &mut self,
         now: Timestamp,
         class: usize,
@@ -108,7 +108,7 @@
     /// Records that an attempt ended. If `order` is given, only these servers may serve the request
     /// from now on.
     #[allow(clippy::too_many_arguments)]
-    pub fn attempt_ended(
+    pub fn record_attempt_ended(
         &mut self,
         now: Timestamp,
         request_id: u64,
@@ -124,7 +124,7 @@
     }
 
     /// Records that service discovery delivered the whole endpoint list, or changes to it.
-    pub fn endpoints_listed(&mut self, now: Timestamp, whole: bool, endpoints: &[Endpoint]) {
+    pub fn record_endpoints_listed(&mut self, now: Timestamp, whole: bool, endpoints: &[Endpoint]) {
         let endpoints = endpoints.iter().map(RecordedEndpoint::from_endpoint).collect();
         self.record_event(now, Event::EndpointsListed { whole, endpoints });
     }
--- a/crates/capture/src/replay.rs
+++ b/crates/capture/src/replay.rs
@@ -17,20 +17,20 @@
     /// The number of recorded decisions of these calls.
     pub decisions: u64,
     /// The number of starts of the balancer. The replay continues from each with a new balancer.
-    pub starts: u64,
+    pub start_count: u64,
     /// The number of snapshots from which the replay resumed.
-    pub resumed: u64,
+    pub resumed_snapshots: u64,
     /// The number of snapshots that were compared with the state that the replay had reached.
-    pub compared: u64,
+    pub compared_snapshots: u64,
     /// The number of calls that could not be replayed: those before the first start or snapshot, in
     /// a gap, or after a gap up to the next start or snapshot, and those with an invalid event.
-    pub skipped: u64,
+    pub skipped_calls: u64,
     /// The number of gaps in the capture.
-    pub gaps: u64,
+    pub gap_count: u64,
     /// The first call whose decisions differ.
     pub first_difference: Option<Difference>,
     /// The number of calls whose decisions differ.
-    pub differences: u64,
+    pub differing_calls: u64,
     /// The number of these calls by the kind of difference, which is named after the first decision
     /// that differs.
     pub difference_kinds: BTreeMap<String, u64>,
@@ -70,25 +70,25 @@
     /// replayed after it.
     fn skip_gap(&mut self, calls: u64) {
         self.balancer = None;
-        self.report.gaps += 1;
-        self.report.skipped += calls;
+        self.report.gap_count += 1;
+        self.report.skipped_calls += calls;
         self.next_call += calls;
     }
 
     fn replay_block(&mut self, block: &CallBlock) {
-        let mut at = block.from;
+        let mut called_at = block.from;
         if self.report.started_at == Timestamp::ZERO {
-            self.report.started_at = at;
+            self.report.started_at = called_at;
         }
         for call in &block.calls {
-            at += call.after;
-            self.report.last_call_at = at;
-            self.replay_call(at, call);
+            called_at += call.after;
+            self.report.last_call_at = called_at;
+            self.replay_call(called_at, call);
             self.next_call += 1;
         }
     }
 
-    fn replay_call(&mut self, at: Timestamp, call: &RecordedCall) {
+    fn replay_call(&mut self, called_at: Timestamp, call: &RecordedCall) {
         let is_start = matches!(call.event, Event::Start { .. });
         let is_snapshot = matches!(call.event, Event::Snapshot { .. });
         if self.diverged && is_snapshot {
@@ -96,31 +96,37 @@
             self.diverged = false;
         }
         let was_running = self.balancer.is_some();
-        let Some(replayed) = apply::apply(&mut self.balancer, at, &call.event) else {
-            self.report.skipped += 1;
+        let Some(replayed) = apply::apply(&mut self.balancer, called_at, &call.event) else {
+            self.report.skipped_calls += 1;
             return;
         };
         self.report.calls += 1;
         self.report.decisions += call.decisions.len() as u64;
         if is_start {
-            self.report.starts += 1;
+            self.report.start_count += 1;
             self.diverged = false;
         }
         if is_snapshot && was_running {
-            self.report.compared += 1;
+            self.report.compared_snapshots += 1;
         } else if is_snapshot {
-            self.report.resumed += 1;
+            self.report.resumed_snapshots += 1;
         }
         if replayed != call.decisions {
             let event = call.event.clone();
             let recorded = call.decisions.clone();
-            self.record_difference(Difference { call: self.next_call, at, event, recorded, replayed });
+            self.record_difference(Difference {
+                call_number: self.next_call,
+                called_at,
+                event,
+                recorded,
+                replayed,
+            });
         }
     }
 
     fn record_difference(&mut self, difference: Difference) {
         self.diverged = true;
-        self.report.differences += 1;
+        self.report.differing_calls += 1;
         *self.report.difference_kinds.entry(difference.kind()).or_default() += 1;
         self.report.first_difference.get_or_insert(difference);
     }
--- a/crates/capture/src/replay/apply.rs
+++ b/crates/capture/src/replay/apply.rs
@@ -33,7 +33,7 @@
         Event::AttemptEnded { request_id, attempt, outcome, took, finished, order } => {
             let request_id = RequestId(*request_id);
             if let Some(order) = order {
-                balancer.restrict_to(request_id, order.clone());
+                balancer.restrict_servers(request_id, order.clone());
             }
             balancer.attempt_ended(
                 request_id,
@@ -51,7 +51,7 @@
         Event::EndpointsListed { whole, endpoints } => apply_endpoints(balancer, *whole, endpoints, log)?,
         Event::DiscoveryLost => balancer.discovery_call_failed(Span::ZERO, log),
         Event::DiscoveryCallFailed { took } => balancer.discovery_call_failed(*took, log),
-        Event::ClientLeft(request_id) => balancer.client_left(RequestId(*request_id), log),
+        Event::ClientLeft(request_id) => balancer.client_disconnected(RequestId(*request_id), log),
         Event::SettingsChanged(settings) => balancer.apply_settings(settings),
         Event::ProxyCount(proxies) => balancer.set_proxy_count(*proxies),
         Event::ServerDisabled { id, out, at } => balancer.set_disabled(id, *out, *at),
@@ -69,13 +69,13 @@
             let class = valid_class(balancer, *class)?;
             let request_id = balancer.accept_request_at(class, *point, *write, *expires);
             if let Some(order) = order {
-                balancer.restrict_to(request_id, order.clone());
+                balancer.restrict_servers(request_id, order.clone());
             }
             balancer.route_request(request_id, log);
         }
         Event::LimitsRenewed { request_id, class, expires } => {
             let class = valid_class(balancer, *class)?;
-            balancer.renew_limits(RequestId(*request_id), class, *expires, log);
+            balancer.update_limits(RequestId(*request_id), class, *expires, log);
         }
         _ => {}
     }
@@ -119,8 +119,19 @@
 struct DecisionLog(Vec<Decision>);
 
 impl Effects for DecisionLog {
-    fn start_attempt(&mut self, request_id: RequestId, server: ServerIndex, until: Timestamp, by: Timestamp) {
-        self.0.push(Decision::StartAttempt { request_id: request_id.0, server, until, by });
+    fn start_attempt(
+        &mut self,
+        request_id: RequestId,
+        server: ServerIndex,
+        deadline: Timestamp,
+        send_by: Timestamp,
+    ) {
+        self.0.push(Decision::StartAttempt {
+            request_id: request_id.0,
+            server,
+            until: deadline,
+            by: send_by,
+        });
     }
     fn cancel_attempt(&mut self, request_id: RequestId, attempt: usize) {
         self.0.push(Decision::CancelAttempt { request_id: request_id.0, attempt });
--- a/crates/capture/src/replay/difference.rs
+++ b/crates/capture/src/replay/difference.rs
@@ -7,9 +7,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
     /// The call's number in the capture. Calls are numbered from 0, and calls lost in a gap count.
-    pub call: u64,
+    pub call_number: u64,
     /// When the call was made.
-    pub at: Timestamp,
+    pub called_at: Timestamp,
     /// What the balancer was notified of.
     pub event: Event,
     /// The decisions that the capture holds.
--- a/crates/capture/src/segments.rs
+++ b/crates/capture/src/segments.rs
@@ -1,7 +1,7 @@
 //! The files of a capture: segments, whose names sort in the order in which they were written. The
 //! oldest segments are deleted first.
 
-use crate::format::FILE_MARK;
+use crate::format::FILE_SIGNATURE;
 use std::fs::File;
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
@@ -73,9 +73,9 @@
         self.delete_oldest_segments();
         let name = format!("{}.{:06}.capture", self.prefix, self.next_segment_number);
         let mut file = File::create(self.retention.folder.join(name))?;
-        file.write_all(FILE_MARK)?;
+        file.write_all(FILE_SIGNATURE)?;
         self.next_segment_number += 1;
-        self.written_bytes = FILE_MARK.len() as u64;
+        self.written_bytes = FILE_SIGNATURE.len() as u64;
         self.current = Some(file);
         Ok(())
     }
--- a/crates/capture/tests/replay.rs
+++ b/crates/capture/tests/replay.rs
@@ -5,7 +5,7 @@
     AttemptOutcome, Balancer, Effects, Endpoint, EndpointStatus, RequestId, ServerIndex, StateChange,
 };
 use chalkwalk_capture::{
-    CaptureContents, CaptureItem, Decision, Event, Recorder, encode_item, excerpt, read, replay,
+    CaptureContents, CaptureItem, Decision, Event, Recorder, encode_item, excerpt, read_segment, replay,
 };
 use chalkwalk_time::{Span, Timestamp};
 use proptest::prelude::*;
@@ -30,8 +30,19 @@
 }
 
 impl Effects for TestProxy {
-    fn start_attempt(&mut self, request_id: RequestId, server: ServerIndex, until: Timestamp, by: Timestamp) {
-        self.recorder.record_decision(Decision::StartAttempt { request_id: request_id.0, server, until, by });
+    fn start_attempt(
+        &mut self,
+        request_id: RequestId,
+        server: ServerIndex,
+        deadline: Timestamp,
+        send_by: Timestamp,
+    ) {
+        self.recorder.record_decision(Decision::StartAttempt {
+            request_id: request_id.0,
+            server,
+            until: deadline,
+            by: send_by,
+        });
         let attempt_count = self.attempt_counts.entry(request_id.0).or_default();
         self.attempts.push((request_id, *attempt_count, self.now));
         *attempt_count += 1;
@@ -134,8 +145,8 @@
         proxy.now += Span::from_ticks(random_below(60));
         let now = proxy.now;
         balancer.advance_clock(now);
-        if proxy.recorder.wants_snapshot(now) {
-            proxy.recorder.snapshot(
+        if proxy.recorder.is_snapshot_due(now) {
+            proxy.recorder.record_snapshot(
                 now,
                 &settings(),
                 balancer.snapshot().expect("settings are never reloaded, so a snapshot is always possible"),
@@ -150,7 +161,7 @@
                     } else {
                         EndpointStatus::Draining
                     };
-                    let born = if random_below(4) == 0 {
+                    let started_at = if random_below(4) == 0 {
                         now - Span::from_ticks(random_below(60_000))
                     } else {
                         Timestamp::ZERO
@@ -161,13 +172,13 @@
                         zone: i % 2,
                         kind,
                         cell: 0,
-                        size: 100 + 50 * (i as u64 % 2),
+                        weight_hundredths: 100 + 50 * (i as u64 % 2),
                         status,
-                        born,
+                        started_at,
                     }
                 };
                 let endpoints: Vec<Endpoint> = (0..9).map(endpoint).collect();
-                proxy.recorder.endpoints_listed(now, true, &endpoints);
+                proxy.recorder.record_endpoints_listed(now, true, &endpoints);
                 balancer.replace_endpoints(&endpoints, &mut proxy);
             }
             0..7 => {
@@ -175,7 +186,7 @@
                     (random_below(2) as usize, format!("k{}", random_below(60)), random_below(10) == 0);
                 let order =
                     (random_below(9) == 0).then(|| vec![random_below(8) as usize, random_below(8) as usize]);
-                proxy.recorder.request_accepted(
+                proxy.recorder.record_request_accepted(
                     now,
                     class,
                     &key,
@@ -185,7 +196,7 @@
                 );
                 let request_id = balancer.accept_request(class, &key, write, now + Span::from_ticks(10_000));
                 if let Some(order) = order {
-                    balancer.restrict_to(request_id, order);
+                    balancer.restrict_servers(request_id, order);
                 }
                 balancer.route_request(request_id, &mut proxy);
             }
@@ -199,13 +210,21 @@
                 };
                 let finished =
                     matches!(outcome, AttemptOutcome::Completed | AttemptOutcome::CompletedFromCache);
-                proxy.recorder.attempt_ended(now, request_id.0, attempt, outcome, now - sent, finished, None);
+                proxy.recorder.record_attempt_ended(
+                    now,
+                    request_id.0,
+                    attempt,
+                    outcome,
+                    now - sent,
+                    finished,
+                    None,
+                );
                 balancer.attempt_ended(request_id, attempt, outcome, now - sent, finished, &mut proxy);
             }
             17 => {
                 let request_id = random_below(1 + step as u64 / 3);
                 proxy.recorder.record_event(now, Event::ClientLeft(request_id));
-                balancer.client_left(RequestId(request_id), &mut proxy);
+                balancer.client_disconnected(RequestId(request_id), &mut proxy);
             }
             _ => {
                 let Some(i) = (0..proxy.timers.len()).find(|i| proxy.timers[*i].0 <= now) else {
@@ -230,19 +249,22 @@
 #[test]
 fn a_replay_is_repeatable_and_reads_a_capture_truncated_at_any_of_1000_offsets() {
     let bytes = record_random_calls(7, 2_500, |_| false);
-    let CaptureContents { items, damage } = read(&bytes).unwrap();
+    let CaptureContents { items, damage } = read_segment(&bytes).unwrap();
     let whole = replay(items.iter());
-    assert_eq!((damage, &whole.first_difference, whole.differences, whole.skipped), (None, &None, 0, 0));
-    assert!(whole.calls > 1_500 && whole.decisions > 1_500 && whole.starts == 1, "{whole:?}");
-    assert!(whole.compared > 20 && whole.resumed == 0, "{whole:?}");
+    assert_eq!(
+        (damage, &whole.first_difference, whole.differing_calls, whole.skipped_calls),
+        (None, &None, 0, 0)
+    );
+    assert!(whole.calls > 1_500 && whole.decisions > 1_500 && whole.start_count == 1, "{whole:?}");
+    assert!(whole.compared_snapshots > 20 && whole.resumed_snapshots == 0, "{whole:?}");
     let again = replay(items.iter());
-    assert_eq!((again.calls, again.decisions, again.differences), (whole.calls, whole.decisions, 0));
+    assert_eq!((again.calls, again.decisions, again.differing_calls), (whole.calls, whole.decisions, 0));
     // A crash can truncate the capture at any byte. What remains has to replay without a difference.
     for nth in 0..1000 {
         let offset = bytes.len() * nth / 1000;
-        let truncated = read(&bytes[..offset]).unwrap();
+        let truncated = read_segment(&bytes[..offset]).unwrap();
         let replayed = replay(truncated.items.iter());
-        assert!(replayed.differences == 0 && replayed.calls <= whole.calls);
+        assert!(replayed.differing_calls == 0 && replayed.calls <= whole.calls);
         assert_eq!(replayed.calls == 0, truncated.items.is_empty());
     }
 }
@@ -273,16 +295,21 @@
 #[test]
 fn a_replay_from_any_snapshot_makes_the_recorded_decisions() {
     let bytes = record_random_calls(11, 2_500, |_| false);
-    let items = read(&bytes).unwrap().items;
+    let items = read_segment(&bytes).unwrap().items;
     for nth in 0..20 {
         let part = items_from_snapshot(&items, nth);
         let replayed = replay(part.iter());
         assert_eq!(
-            (replayed.resumed, replayed.differences, replayed.skipped, &replayed.first_difference),
+            (
+                replayed.resumed_snapshots,
+                replayed.differing_calls,
+                replayed.skipped_calls,
+                &replayed.first_difference
+            ),
             (1, 0, 0, &None),
             "{nth}"
         );
-        assert!(replayed.calls > 100 && replayed.compared > 0, "{nth} {replayed:?}");
+        assert!(replayed.calls > 100 && replayed.compared_snapshots > 0, "{nth} {replayed:?}");
     }
     // A snapshot with a changed number is a different state or an invalid one, and the comparison
     // with the next snapshot shows it.
@@ -290,16 +317,16 @@
     let CaptureItem::Calls(block) = &mut changed[0] else { unreachable!() };
     let Event::Snapshot { words, .. } = &mut block.calls[0].event else { unreachable!() };
     words[4] += 1;
-    assert!(replay(changed.iter()).differences > 0);
+    assert!(replay(changed.iter()).differing_calls > 0);
 }
 
 #[test]
 fn an_excerpt_holds_everything_that_a_replay_of_the_call_needs() {
-    let items = read(&record_random_calls(12, 2_500, |_| false)).unwrap().items;
+    let items = read_segment(&record_random_calls(12, 2_500, |_| false)).unwrap().items;
     for call_number in [0, 5, 400, 1_200] {
         let part = excerpt(&items, call_number).expect("a start precedes the call");
         let (whole, replayed) = (replay(items.iter()), replay(part.iter()));
-        assert_eq!((replayed.differences, replayed.skipped), (0, 0), "{call_number}");
+        assert_eq!((replayed.differing_calls, replayed.skipped_calls), (0, 0), "{call_number}");
         assert!(replayed.calls <= whole.calls && replayed.calls < 400, "{call_number}: {replayed:?}");
     }
     assert_eq!(excerpt(&items, 1 << 40), None);
@@ -308,7 +335,7 @@
 #[test]
 fn a_decision_that_differs_is_reported_with_the_event_that_led_to_it() {
     let bytes = record_random_calls(8, 2_000, |_| false);
-    let mut items = read(&bytes).unwrap().items;
+    let mut items = read_segment(&bytes).unwrap().items;
     let Some(CaptureItem::Calls(block)) = items.get_mut(5) else { panic!("item 5 is not a block of calls") };
     let call_index = block
         .calls
@@ -324,7 +351,7 @@
     let (event, recorded) = (call.event.clone(), call.decisions.clone());
     let replayed = replay(items.iter());
     let difference = replayed.first_difference.expect("a difference");
-    assert_eq!((replayed.differences, difference.event, difference.recorded), (1, event, recorded));
+    assert_eq!((replayed.differing_calls, difference.event, difference.recorded), (1, event, recorded));
     assert_eq!(
         replayed.difference_kinds.into_iter().collect::<Vec<_>>(),
         [("different attempt".to_string(), 1)]
@@ -334,15 +361,18 @@
 #[test]
 fn blocks_refused_by_the_sink_become_a_gap_and_a_replay_resumes_at_the_next_snapshot() {
     let bytes = record_random_calls(9, 6_000, |nth| (10..14).contains(&nth));
-    let items = read(&bytes).unwrap().items;
+    let items = read_segment(&bytes).unwrap().items;
     let gaps: Vec<u64> = items
         .iter()
         .filter_map(|item| if let CaptureItem::Gap(calls) = item { Some(*calls) } else { None })
         .collect();
     let replayed = replay(items.iter());
     assert!(gaps.len() == 1 && gaps[0] > 200, "{gaps:?}");
-    assert!(replayed.differences == 0 && replayed.calls > 3_000 && replayed.resumed == 1, "{replayed:?}");
-    assert!(replayed.skipped < gaps[0] + 150, "{replayed:?}");
+    assert!(
+        replayed.differing_calls == 0 && replayed.calls > 3_000 && replayed.resumed_snapshots == 1,
+        "{replayed:?}"
+    );
+    assert!(replayed.skipped_calls < gaps[0] + 150, "{replayed:?}");
 }
 
 proptest! {
@@ -361,14 +391,14 @@
         position in any::<usize>(),
         xor_mask in 1u8..
     ) {
-        _ = read(&noise);
-        _ = read(&[FILE_SIGNATURE, &noise].concat());
+        _ = read_segment(&noise);
+        _ = read_segment(&[FILE_SIGNATURE, &noise].concat());
         let intact = record_random_calls(3, 400, |_| false);
         let mut bytes = intact.clone();
         let position = FILE_SIGNATURE.len() + position % (bytes.len() - FILE_SIGNATURE.len());
         bytes[position] ^= xor_mask;
-        let (damaged, whole) = (read(&bytes).unwrap(), read(&intact).unwrap());
-        prop_assert!(damaged.damage.is_some_and(|damage| damage.at <= position));
+        let (damaged, whole) = (read_segment(&bytes).unwrap(), read_segment(&intact).unwrap());
+        prop_assert!(damaged.damage.is_some_and(|damage| damage.offset <= position));
         prop_assert!(whole.items.starts_with(&damaged.items));
         prop_assert_eq!(encode_item(&whole.items[0]).len() + FILE_SIGNATURE.len() <= intact.len(), true);
     }
--- a/crates/config/src/capture.rs
+++ b/crates/config/src/capture.rs
@@ -9,9 +9,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct CaptureConfig {
     /// The directory in which the segments are written.
-    pub folder: PathBuf,
+    pub directory: PathBuf,
     /// Whether the text of keys is captured. Their points on the ring are always captured.
-    pub keys: bool,
+    pub record_keys: bool,
     /// Size of a segment, in bytes.
     pub segment_bytes: u64,
     /// Maximum total size of the segments that are kept, in bytes.
@@ -36,8 +36,8 @@
         );
     }
     CaptureConfig {
-        folder: folder.clone(),
-        keys: *keys,
+        directory: folder.clone(),
+        record_keys: *keys,
         segment_bytes: mb_to_bytes(segment_mb),
         max_bytes: mb_to_bytes(max_mb),
     }
--- a/crates/config/src/explain.rs
+++ b/crates/config/src/explain.rs
@@ -20,7 +20,7 @@
 
 /// The name of the request's route and then the limits that apply, one per line.
 pub fn explain(table: &LimitTable, request: RequestAttributes) -> String {
-    let class = table.find(request);
+    let class = table.class_index(request);
     let route =
         table.route_name(class).map_or("no route matches".to_string(), |name| format!("route {name}"));
     let mut output = format!("{route}\n");
@@ -39,10 +39,10 @@
             timeout.map_or("up to the time limit".into(), milliseconds)
         }),
         Row::new("hedging", &limits.hedging, |allowed| if allowed { "allowed" } else { "never" }.into()),
-        Row::new("hedge after", &limits.hedge_after, |share| {
+        Row::new("hedge after", &limits.hedge_after_permille, |share| {
             share.map_or("silence or loss alone".into(), fraction)
         }),
-        Row::new("retry budget", &limits.retry_budget, |share| {
+        Row::new("retry budget", &limits.retry_budget_permille, |share| {
             share.map_or("the shared budget".into(), fraction)
         }),
         Row::new("max in flight", &limits.max_in_flight, |count| {
--- a/crates/config/src/limits.rs
+++ b/crates/config/src/limits.rs
@@ -57,8 +57,8 @@
         max_attempts: convert_field(&fields.max_attempts, lines, |count| count),
         attempt_timeout: convert_field(&fields.attempt_timeout_ms, lines, span_from_ms),
         hedging: convert_field(&fields.hedging, lines, |flag| flag),
-        hedge_after: convert_field(&fields.hedge_after, lines, to_thousandths),
-        retry_budget: convert_field(&fields.retry_budget, lines, to_thousandths),
+        hedge_after_permille: convert_field(&fields.hedge_after, lines, to_thousandths),
+        retry_budget_permille: convert_field(&fields.retry_budget, lines, to_thousandths),
         max_in_flight: convert_field(&fields.max_in_flight, lines, |count| count),
         max_body_bytes: convert_field(&fields.max_body_bytes, lines, |bytes| bytes),
     }
--- a/crates/config/src/resp.rs
+++ b/crates/config/src/resp.rs
@@ -14,7 +14,7 @@
     /// The servers from which the slot map is first read.
     pub seeds: Vec<SocketAddr>,
     /// The namespace of keys that none of `prefixes` matches.
-    pub namespace: usize,
+    pub read_namespace: usize,
     /// The namespace of these keys for commands that write.
     pub write_namespace: usize,
     /// The namespaces of keys with certain prefixes.
@@ -22,7 +22,7 @@
     /// The namespaces whose keys may be read from replicas.
     pub stale_reads: Vec<usize>,
     /// Whether commands with several keys are split into one command per server.
-    pub split: bool,
+    pub split_multi_slot: bool,
     /// The proxies that clients see as the cluster's nodes.
     pub instances: Vec<ProxyInstance>,
     /// The users that may connect.
@@ -35,7 +35,7 @@
     /// The prefix of the keys.
     pub prefix: String,
     /// The namespace of these keys.
-    pub namespace: usize,
+    pub read_namespace: usize,
     /// The namespace of these keys for commands that write.
     pub write_namespace: usize,
 }
@@ -57,7 +57,7 @@
     /// The user's name.
     pub name: String,
     /// The SHA-256 hash of the user's secret.
-    pub secret: [u8; 32],
+    pub secret_sha256: [u8; 32],
 }
 
 /// Number of hash slots, from the public specification of the protocol.
@@ -78,11 +78,11 @@
     let config = RespConfig {
         listen: reader.address(&fields.listen),
         seeds: fields.seeds.iter().map(|seed| reader.address(seed)).collect(),
-        namespace: reader.namespace(&fields.namespace),
+        read_namespace: reader.namespace(&fields.namespace),
         write_namespace: reader.write_namespace(&fields.write_namespace, &fields.namespace),
         prefixes: fields.prefixes.iter().map(|prefix| reader.prefix(prefix)).collect(),
         stale_reads: fields.stale_reads.iter().map(|namespace| reader.namespace(namespace)).collect(),
-        split: fields.split,
+        split_multi_slot: fields.split,
         instances: fields.instances.iter().map(|instance| reader.instance(instance)).collect(),
         users: fields.users.iter().map(|user| reader.user(user)).collect(),
     };
@@ -149,7 +149,7 @@
     fn prefix(&mut self, fields: &PrefixFields) -> KeyPrefix {
         KeyPrefix {
             prefix: fields.prefix.clone(),
-            namespace: self.namespace(&fields.namespace),
+            read_namespace: self.namespace(&fields.namespace),
             write_namespace: self.write_namespace(&fields.write_namespace, &fields.namespace),
         }
     }
@@ -170,12 +170,12 @@
     }
 
     fn user(&mut self, fields: &UserFields) -> RespUser {
-        let secret = parse_sha256(fields.secret.get_ref()).unwrap_or_else(|| {
+        let secret_sha256 = parse_sha256(fields.secret.get_ref()).unwrap_or_else(|| {
             let message = "secret must be sha256: followed by 64 hexadecimal digits";
             self.errors.add(&fields.secret, message);
             [0; 32]
         });
-        RespUser { name: fields.name.clone(), secret }
+        RespUser { name: fields.name.clone(), secret_sha256 }
     }
 }
 
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -17,7 +17,7 @@
     PlatformLimits {
         max_attempts: 6,
         hedging: true,
-        connect_time: Span::from_ticks(1000),
+        connect_timeout: Span::from_ticks(1000),
         max_body_bytes: 65_536,
         namespaces: vec![
             namespace("page", Idempotency::Replayable, Span::from_ticks(10_000)),
--- a/crates/discovery-etcd/src/announcement.rs
+++ b/crates/discovery-etcd/src/announcement.rs
@@ -39,7 +39,7 @@
     /// session on this connection.
     pub(crate) async fn maintain(&self, connection: &Connection) -> Result<(), SessionError> {
         let draining = async {
-            self.engine.lifecycle.reached(Phase::Draining).await;
+            self.engine.lifecycle.wait_for_phase(Phase::Draining).await;
             Ok(())
         };
         smol::future::or(draining, self.keep_alive(connection)).await?;
--- a/crates/discovery-etcd/src/call.rs
+++ b/crates/discovery-etcd/src/call.rs
@@ -4,7 +4,7 @@
 use chalkwalk_etcd_wire::{
     CONTENT_TYPE, FrameDecoder, FrameError, GRPC_MESSAGE, GRPC_STATUS, Message, code, encode_frame,
 };
-use chalkwalk_sockets::within;
+use chalkwalk_sockets::with_timeout;
 use h2::client::{SendRequest, handshake};
 use h2::{RecvStream, SendStream};
 use http::{HeaderMap, Request, StatusCode};
@@ -73,7 +73,7 @@
             handshake(stream.compat()).await.map_err(CallError::Handshake)
         };
         let (sender, connection) =
-            within(CONNECT_TIMEOUT, opening).await.ok_or(CallError::ConnectTimeout)??;
+            with_timeout(CONNECT_TIMEOUT, opening).await.ok_or(CallError::ConnectTimeout)??;
         // An error that ends the connection also ends its calls, and they report it.
         let driver = executor.spawn(async move { _ = connection.await });
         Ok(Connection { sender, authority: addr.to_string().into(), _driver: driver })
@@ -86,7 +86,7 @@
             .header("content-type", CONTENT_TYPE)
             .header("te", "trailers")
             .body(())?;
-        let ready = within(RESPONSE_TIMEOUT, self.sender.clone().ready());
+        let ready = with_timeout(RESPONSE_TIMEOUT, self.sender.clone().ready());
         let mut sender = ready.await.ok_or(CallError::StreamTimeout)??;
         let (response, requests) = sender.send_request(head, false)?;
         let decoder = FrameDecoder::new(MAX_MESSAGE_BYTES);
@@ -104,7 +104,7 @@
             stream.send(request, true)?;
             stream.next().await?.ok_or(CallError::NoResponse)
         };
-        within(RESPONSE_TIMEOUT, calling).await.ok_or(CallError::ResponseTimeout)?
+        with_timeout(RESPONSE_TIMEOUT, calling).await.ok_or(CallError::ResponseTimeout)?
     }
 }
 
--- a/crates/discovery-etcd/src/session.rs
+++ b/crates/discovery-etcd/src/session.rs
@@ -8,7 +8,7 @@
 use chalkwalk_membership::ListEntry;
 use chalkwalk_membership::format::parse_endpoint;
 use chalkwalk_membership::reconcile::{EndpointChange, RevisionedChange};
-use chalkwalk_sockets::within;
+use chalkwalk_sockets::with_timeout;
 use std::time::{Duration, Instant};
 
 /// Interval of the progress requests on a watch. The watch is lost if nothing arrived on it for two
@@ -123,7 +123,7 @@
     async fn await_response(&self, watch: &mut Watch) -> Result<Step, SessionError> {
         let poll_due = watch.last_progress_request + PROGRESS_INTERVAL;
         let wait = poll_due.saturating_duration_since(Instant::now());
-        if let Some(response) = within(wait, watch.stream.next::<api::WatchResponse>()).await {
+        if let Some(response) = with_timeout(wait, watch.stream.next::<api::WatchResponse>()).await {
             let response = response?.ok_or(SessionError::WatchEnded)?;
             watch.last_response = Instant::now();
             let transition = self.machine.borrow_mut().watch_response(response)?;
--- a/crates/discovery-etcd/src/source.rs
+++ b/crates/discovery-etcd/src/source.rs
@@ -40,7 +40,7 @@
     }
 
     /// Keeps the feed up to date; never returns.
-    pub async fn follow(self: Rc<EtcdSource>) {
+    pub async fn run(self: Rc<EtcdSource>) {
         let mut attempt = self.machine.borrow().first_attempt();
         loop {
             Timer::after(Duration::from(attempt.delay)).await;
--- a/crates/discovery-etcd/tests/source.rs
+++ b/crates/discovery-etcd/tests/source.rs
@@ -37,7 +37,7 @@
     let source = EtcdSource::new(&engine, feed.clone(), vec![etcd.addr], "/c/", None);
     executor.spawn(etcd.serve()).detach();
     let test = async {
-        engine.executor.spawn(source.follow()).detach();
+        engine.executor.spawn(source.run()).detach();
         wait_until("the list is applied", || statuses(&feed) == "a:Ready b:Draining ").await;
         wait_until("the value that can't be parsed is logged", || events.count("list ignored") == 1).await;
         wait_until("the watch is open", || etcd.calls() == ["range at 0", "watch from 5"]).await;
@@ -72,7 +72,7 @@
     let put =
         "put /c/proxies/p {\"v\":1,\"zone\":\"north\",\"phase\":\"serving\",\"listen\":\"127.0.0.1:9\"} 42";
     let test = async {
-        engine.executor.spawn(source.follow()).detach();
+        engine.executor.spawn(source.run()).detach();
         wait_until("the proxy's key is written", || etcd.calls().iter().any(|call| call == put)).await;
         wait_until("keep-alives", || {
             etcd.calls().iter().filter(|call| *call == "keep alive 42").count() == 2
--- a/crates/discovery-feed/src/feed.rs
+++ b/crates/discovery-feed/src/feed.rs
@@ -145,7 +145,7 @@
     }
 
     fn update_proxy_count(&self) {
-        let proxy_count = self.proxy_count.borrow_mut().effective(self.now());
+        let proxy_count = self.proxy_count.borrow_mut().effective_count(self.now());
         if self.effective_proxy_count.replace(proxy_count) != proxy_count {
             info!(self.engine.log, "proxy count changed"; "proxies" => proxy_count);
             api::set_proxy_count(&self.engine, proxy_count);
@@ -158,8 +158,8 @@
         if update.replaces_all || !update.endpoints.is_empty() {
             self.has_unpersisted_changes.set(true);
             // The reconciler has already handled staleness: the engine applies its decision as it is.
-            let doubted = false;
-            api::apply_endpoint_list(&self.engine, &update.endpoints, update.replaces_all, doubted);
+            let may_be_stale = false;
+            api::apply_endpoint_list(&self.engine, &update.endpoints, update.replaces_all, may_be_stale);
         }
         _ = self.wake_sender.try_send(());
     }
--- a/crates/discovery-feed/src/file.rs
+++ b/crates/discovery-feed/src/file.rs
@@ -66,7 +66,7 @@
     }
 
     /// Polls the file; never returns.
-    pub async fn follow(self: Rc<FileSource>) {
+    pub async fn run(self: Rc<FileSource>) {
         loop {
             let path = self.path.clone();
             match smol::unblock(move || read_file(&path)).await {
--- a/crates/discovery-feed/src/persistence.rs
+++ b/crates/discovery-feed/src/persistence.rs
@@ -41,7 +41,7 @@
 
     fn apply_persisted(&self, list: PersistedList) {
         let now = self.now();
-        let minutes = now.saturating_since(list.at) / MINUTE;
+        let minutes = now.saturating_since(list.written_at) / MINUTE;
         let count = list.endpoints.len();
         let log = &self.engine.log;
         match list.freshness(now) {
@@ -84,7 +84,7 @@
     }
 
     fn persisted_list(&self) -> PersistedList {
-        PersistedList { at: self.now(), revision: self.revision(), endpoints: self.endpoints() }
+        PersistedList { written_at: self.now(), revision: self.revision(), endpoints: self.endpoints() }
     }
 }
 
--- a/crates/discovery-feed/tests/feed.rs
+++ b/crates/discovery-feed/tests/feed.rs
@@ -20,13 +20,13 @@
 fn endpoint(id: &str, port: u16, status: EndpointStatus) -> ListedEndpoint {
     ListedEndpoint {
         id: id.into(),
-        addr: ([127, 0, 0, 1], port).into(),
+        address: ([127, 0, 0, 1], port).into(),
         zone: "north".into(),
         kind: String::new(),
         cell: 0,
-        size: 100,
+        weight_hundredths: 100,
         status,
-        born: Timestamp::ZERO,
+        started_at: Timestamp::ZERO,
     }
 }
 
@@ -82,7 +82,7 @@
         statuses(&feed)
     };
     let hours_old = |hours: u64| PersistedList {
-        at: engine.clock.now() - Span::from_secs(3600 * hours),
+        written_at: engine.clock.now() - Span::from_secs(3600 * hours),
         revision: 7,
         endpoints: vec![endpoint("a", 1, EndpointStatus::Ready)],
     };
@@ -100,7 +100,7 @@
     let directory = directory("file");
     let path = directory.join("list.toml");
     let (engine, events) = engine();
-    let feed = Feed::new(&engine, SourceKind::Assembled, None);
+    let feed = Feed::new(&engine, SourceKind::Unordered, None);
     let source = FileSource::new(feed.clone(), &path);
     // Each version is renamed into place, as the source would report a partly written one as a further
     // error.
@@ -109,7 +109,7 @@
         std::fs::rename(path.with_extension("new"), &path).unwrap();
     };
     smol::block_on(engine.executor.run(async {
-        engine.executor.spawn(source.clone().follow()).detach();
+        engine.executor.spawn(source.clone().run()).detach();
         wait_until("the missing file is reported", || events.contains("list source unavailable")).await;
         write(list_file("serial = 5\n", &[("a", "serving"), ("b", "serving")]));
         wait_until("the first version is applied", || statuses(&feed) == "a:Ready b:Ready").await;
--- a/crates/discovery-feed/tests/helper/mod.rs
+++ b/crates/discovery-feed/tests/helper/mod.rs
@@ -55,12 +55,12 @@
         zones: vec!["north".into()],
         kinds: Vec::new(),
         platform_limits: PlatformLimits::default(),
-        limits: None,
+        operator_limits: None,
         connect_timeout: Cell::new(Duration::from_secs(1)),
         idle_timeout: Duration::from_secs(1),
         drain_grace: Cell::new(Span::from_secs(1)),
-        descriptors: 64,
-        memory: 1 << 20,
+        max_descriptors: 64,
+        memory_limit_bytes: 1 << 20,
     };
     let events = Events::default();
     let log = Logger::root(events.clone(), o!());
--- a/crates/discovery/src/address.rs
+++ b/crates/discovery/src/address.rs
@@ -18,8 +18,8 @@
 /// The address of the discovery service. It may change while the proxy serves.
 pub struct DiscoveryAddress {
     current: Cell<SocketAddr>,
-    move_sender: Sender<()>,
-    move_receiver: Receiver<()>,
+    change_sender: Sender<()>,
+    change_receiver: Receiver<()>,
 }
 
 impl DiscoveryAddress {
@@ -27,8 +27,8 @@
     pub fn new(address: SocketAddr) -> Rc<DiscoveryAddress> {
         // One pending notification is enough for several changes: the receiver reads the address
         // that is current by then.
-        let (move_sender, move_receiver) = bounded(1);
-        Rc::new(DiscoveryAddress { current: Cell::new(address), move_sender, move_receiver })
+        let (change_sender, change_receiver) = bounded(1);
+        Rc::new(DiscoveryAddress { current: Cell::new(address), change_sender, change_receiver })
     }
 
     /// The current address of the service.
@@ -37,15 +37,15 @@
     }
 
     /// Changes the address of the service. The list is requested from there immediately.
-    pub fn move_to(&self, address: SocketAddr) {
+    pub fn set_address(&self, address: SocketAddr) {
         if self.current.replace(address) != address {
-            _ = self.move_sender.try_send(());
+            _ = self.change_sender.try_send(());
         }
     }
 
     /// Waits for the next change of the address. Returns `false` if there can be none, because no
     /// sender is left.
-    pub(crate) async fn wait_for_move(&self) -> bool {
-        self.move_receiver.recv().await.is_ok()
+    pub(crate) async fn wait_for_change(&self) -> bool {
+        self.change_receiver.recv().await.is_ok()
     }
 }
--- a/crates/discovery/src/call.rs
+++ b/crates/discovery/src/call.rs
@@ -4,7 +4,7 @@
 use crate::timing;
 use chalkwalk_balancer::discovery::CONNECT_TIMEOUT;
 use chalkwalk_http1::{self as http1, ResponseReader};
-use chalkwalk_sockets::{is_idle, within};
+use chalkwalk_sockets::{is_idle, with_timeout};
 use chalkwalk_time::Span;
 use smol::Async;
 use std::cell::Cell;
@@ -72,7 +72,7 @@
     ) -> Call<'a> {
         let ListRequest { target, wait } = request;
         let response = async move {
-            let response = within(timing::call_timeout(wait), get(address, connection, &target)).await;
+            let response = with_timeout(timing::call_timeout(wait), get(address, connection, &target)).await;
             response.unwrap_or(Err(CallError::TimedOut))
         };
         Call { number, started_at: Instant::now(), wait, response: Box::pin(response) }
@@ -101,7 +101,7 @@
     // Connecting has a timeout of its own: an unreachable machine never accepts the connection, and
     // a reachable one accepts it sooner than the longest time for which a call waits in its queue.
     let connecting = Async::<TcpStream>::connect(address.address());
-    let stream = within(Duration::from(CONNECT_TIMEOUT), connecting).await;
+    let stream = with_timeout(Duration::from(CONNECT_TIMEOUT), connecting).await;
     let stream = stream.unwrap_or_else(|| Err(std::io::ErrorKind::TimedOut.into()));
     let stream = stream.map_err(CallError::NotConnected)?;
     get_on_stream(address, stream, connection, target).await
--- a/crates/discovery/src/field_paths.rs
+++ b/crates/discovery/src/field_paths.rs
@@ -17,7 +17,7 @@
 
 impl FieldPaths {
     /// Collects the field paths of a configuration.
-    pub fn of(config: &JsonObject) -> FieldPaths {
+    pub fn from_config(config: &JsonObject) -> FieldPaths {
         let mut paths = BTreeSet::new();
         for (name, value) in config.iter().filter(|(name, _)| *name != LAST_KNOWN_LIST) {
             collect(name, value, &mut paths);
--- a/crates/discovery/src/list.rs
+++ b/crates/discovery/src/list.rs
@@ -95,7 +95,7 @@
     }
     let endpoints = entries.into_iter().collect::<FieldResult<Vec<_>>>()?;
     api::apply_endpoint_list(engine, &endpoints, coverage == Coverage::Full, untrusted);
-    if engine.requests.borrow().no_server_ready() {
+    if engine.requests.borrow().has_no_ready_server() {
         warn!(engine.log, "no server ready in the endpoint list"; "lines" => endpoints.len());
     }
     Ok(())
@@ -119,13 +119,13 @@
     let owned_text = |name: &str| text(fields, name).map(str::to_string);
     Ok(ListedEndpoint {
         id: owned_text("id")?,
-        addr: parse_address(text(fields, "addr")?, "field addr")?,
+        address: parse_address(text(fields, "addr")?, "field addr")?,
         zone: owned_text("zone")?,
         kind: text_or(fields, "kind", "")?.to_string(),
         cell: integer_or(fields, "cell", 0)?,
-        size: size_hundredths(fields, "weight")?,
+        weight_hundredths: size_hundredths(fields, "weight")?,
         status: parse_status(text(fields, "state")?),
-        born: Timestamp::ZERO + Span::from_millis(integer_or(fields, "started_ms", 0)?),
+        started_at: Timestamp::ZERO + Span::from_millis(integer_or(fields, "started_ms", 0)?),
     })
 }
 
--- a/crates/discovery/src/startup.rs
+++ b/crates/discovery/src/startup.rs
@@ -66,19 +66,19 @@
 /// The content of the configuration file.
 pub struct StartupConfig {
     /// The address on which the proxy accepts clients.
-    pub listen: SocketAddr,
+    pub listen_address: SocketAddr,
     /// The address of the admin interface, if it is enabled.
     pub admin_address: Option<SocketAddr>,
     /// The address of the discovery service, if there is one.
-    pub list_address: Option<SocketAddr>,
+    pub discovery_address: Option<SocketAddr>,
     /// The last known endpoint list of this proxy.
     pub last_known_list: Value,
     /// The names of the namespaces, in the platform's order.
     pub namespaces: Vec<String>,
     /// The initial configuration of the engine.
-    pub engine: EngineConfig,
+    pub engine_config: EngineConfig,
     /// The paths of the fields that the file has.
-    pub fields: FieldPaths,
+    pub field_paths: FieldPaths,
 }
 
 impl StartupConfig {
@@ -95,13 +95,13 @@
         let settings = read_settings(config)?;
         let namespaces = settings.namespaces.clone();
         Ok(StartupConfig {
-            engine: engine_config(config, settings)?,
-            listen: parse_address(text(config, "listen")?, "field listen")?,
+            engine_config: engine_config(config, settings)?,
+            listen_address: parse_address(text(config, "listen")?, "field listen")?,
             admin_address: admin_address(config)?,
-            list_address: optional_address(config, "discovery")?,
+            discovery_address: optional_address(config, "discovery")?,
             last_known_list: config.get("known").cloned().unwrap_or(Value::Null),
             namespaces,
-            fields: FieldPaths::of(config),
+            field_paths: FieldPaths::from_config(config),
         })
     }
 }
@@ -159,17 +159,18 @@
     Ok(EngineConfig {
         name: text_or(config, "name", "")?.to_string(),
         seed: parse_seed(seed)?,
-        descriptors: match limits.get("sockets") {
+        max_descriptors: match limits.get("sockets") {
             None => DEFAULT_DESCRIPTORS,
             Some(_) => integer(limits, "sockets")? as usize,
         },
-        memory: limits.get("memory_mb").and_then(Value::as_u64).unwrap_or(DEFAULT_MEMORY_MB) as usize
+        memory_limit_bytes: limits.get("memory_mb").and_then(Value::as_u64).unwrap_or(DEFAULT_MEMORY_MB)
+            as usize
             * MEGABYTE,
         connect_timeout: values.duration("connect time", DEFAULT_TIME_TICKS).into(),
         idle_timeout: values.duration("idle time", DEFAULT_IDLE_TICKS),
         drain_grace: values.span("drain grace", 0.0).into(),
         platform_limits: platform_limits(values, &settings.namespaces, settings.tenants),
-        limits: None,
+        operator_limits: None,
         settings: settings.values,
         zones: settings.zones,
         kinds: settings.kinds,
@@ -188,8 +189,8 @@
     PlatformLimits {
         max_attempts: values.max_attempts() as u64,
         hedging: values.number("second copies", 0.0) > 0.0,
-        connect_time: values.span("connect time", DEFAULT_TIME_TICKS),
-        max_body_bytes: http1::MAX_BODY as u64,
+        connect_timeout: values.span("connect time", DEFAULT_TIME_TICKS),
+        max_body_bytes: http1::MAX_BODY_BYTES as u64,
         namespaces: namespaces.iter().enumerate().map(|(i, name)| read_namespace(values, i, name)).collect(),
         tenants,
         frontends: Vec::new(),
--- a/crates/discovery/src/startup/tests.rs
+++ b/crates/discovery/src/startup/tests.rs
@@ -22,11 +22,11 @@
 #[test]
 fn a_configuration_is_converted_to_the_engine_configuration() {
     let startup = read(&config()).expect("a good configuration");
-    assert_eq!(startup.listen.port(), 8080);
-    assert_eq!(startup.list_address.map(|address| address.port()), Some(9090));
+    assert_eq!(startup.listen_address.port(), 8080);
+    assert_eq!(startup.discovery_address.map(|address| address.port()), Some(9090));
     assert_eq!(startup.namespaces, ["page"]);
-    let engine = startup.engine;
-    assert_eq!((engine.seed, engine.descriptors, engine.memory), (255, 300, 64_000_000));
+    let engine = startup.engine_config;
+    assert_eq!((engine.seed, engine.max_descriptors, engine.memory_limit_bytes), (255, 300, 64_000_000));
     let limits = engine.platform_limits;
     assert_eq!((limits.max_attempts, limits.hedging), (3, true));
     assert_eq!(limits.namespaces[0].time_limit, Span::from_secs(1));
--- a/crates/discovery/src/timing.rs
+++ b/crates/discovery/src/timing.rs
@@ -7,7 +7,7 @@
 //! 5.5 s, so that a parallel call is started next to a silent one before the earlier of the two
 //! times.
 
-use chalkwalk_balancer::discovery::{LONGEST_WATCH_WAIT, POLL_SILENT_AFTER, WATCH_SILENT_AFTER};
+use chalkwalk_balancer::discovery::{MAX_WATCH_WAIT, POLL_SILENCE_TIMEOUT, WATCH_SILENCE_TIMEOUT};
 use std::time::Duration;
 
 /// How long a call may take in addition to its wait for a change. Discovery is one small service
@@ -23,7 +23,7 @@
 /// wait and the longest wait. The watches of the whole fleet start together after each change;
 /// without the randomness, the service would have to respond to all of them at the same moment.
 pub(crate) fn watch_wait(random: &mut fastrand::Rng) -> Duration {
-    let max_wait_ms = Duration::from(LONGEST_WATCH_WAIT).as_millis() as u64;
+    let max_wait_ms = Duration::from(MAX_WATCH_WAIT).as_millis() as u64;
     Duration::from_millis(random.u64(max_wait_ms * 3 / 4..=max_wait_ms))
 }
 
@@ -39,7 +39,7 @@
 /// half a second of the time at which the changes that the silent call missed count as notified.
 /// The grace period of a drain has to cover this delay, as it covers a process that is stalled.
 pub(crate) fn silent_after(wait: Duration) -> Duration {
-    (wait + Duration::from(WATCH_SILENT_AFTER)).max(Duration::from(POLL_SILENT_AFTER))
+    (wait + Duration::from(WATCH_SILENCE_TIMEOUT)).max(Duration::from(POLL_SILENCE_TIMEOUT))
 }
 
 /// Returns the time after which a call without a response is given up.
--- a/crates/discovery/src/timing/tests.rs
+++ b/crates/discovery/src/timing/tests.rs
@@ -1,7 +1,7 @@
 //! The timing of calls, checked against the deadline within which a change has to be notified.
 
 use super::{call_timeout, silent_after, watch_wait};
-use chalkwalk_balancer::discovery::{LONGEST_QUEUE_WAIT, NOTIFIED_WITHIN, WATCH_SILENT_AFTER};
+use chalkwalk_balancer::discovery::{MAX_NOTIFICATION_DELAY, MAX_QUEUE_WAIT, WATCH_SILENCE_TIMEOUT};
 use std::time::Duration;
 
 /// A parallel call is started by the time at which a change counts as notified. If it gets its
@@ -14,10 +14,10 @@
     let waits = (0..1000).map(|_| watch_wait(&mut random)).chain([Duration::ZERO]);
     for wait in waits {
         let silent = silent_after(wait);
-        let notified = (wait + Duration::from(LONGEST_QUEUE_WAIT)).max(Duration::from(NOTIFIED_WITHIN));
-        assert!(wait < silent && silent <= Duration::from(NOTIFIED_WITHIN), "{wait:?}: {silent:?}");
+        let notified = (wait + Duration::from(MAX_QUEUE_WAIT)).max(Duration::from(MAX_NOTIFICATION_DELAY));
+        assert!(wait < silent && silent <= Duration::from(MAX_NOTIFICATION_DELAY), "{wait:?}: {silent:?}");
         assert!(
-            silent + Duration::from(LONGEST_QUEUE_WAIT) <= notified + Duration::from(WATCH_SILENT_AFTER),
+            silent + Duration::from(MAX_QUEUE_WAIT) <= notified + Duration::from(WATCH_SILENCE_TIMEOUT),
             "{wait:?}: {silent:?}"
         );
         assert!(
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -9,7 +9,7 @@
 use chalkwalk_balancer::discovery::{OLDER_CALL_TIMEOUT, call_interval_allowed};
 use chalkwalk_engine::api;
 use chalkwalk_engine::engine::Engine;
-use chalkwalk_sockets::wait_until;
+use chalkwalk_sockets::with_deadline;
 use chalkwalk_time::Span;
 use fastrand::Rng;
 use slog::{info, warn};
@@ -36,7 +36,7 @@
     // request.
     let mut call_immediately = last_known.is_none();
     loop {
-        if !call_immediately && wait_for_call_reason(&engine, &address).await == CallReason::Moved {
+        if !call_immediately && wait_for_call_reason(&engine, &address).await == CallReason::AddressChanged {
             state.reset_for_new_address();
         }
         call_immediately = false;
@@ -54,17 +54,17 @@
 #[derive(PartialEq)]
 enum CallReason {
     Requested,
-    Moved,
+    AddressChanged,
 }
 
 async fn wait_for_call_reason(engine: &Engine, address: &DiscoveryAddress) -> CallReason {
     let requested = async {
-        engine.watch_requested().await;
+        engine.wait_for_watch_request().await;
         CallReason::Requested
     };
     let moved = async {
         // If the address can't change any more, the call counts as requested.
-        if address.wait_for_move().await { CallReason::Moved } else { CallReason::Requested }
+        if address.wait_for_change().await { CallReason::AddressChanged } else { CallReason::Requested }
     };
     requested.or(moved).await
 }
@@ -117,7 +117,7 @@
     Response(CallResult),
     OlderResponse(CallResult),
     Silent,
-    Moved,
+    AddressChanged,
 }
 
 /// A sequence of calls to the discovery service.
@@ -161,8 +161,8 @@
                     watch.on_silent();
                     Ok(())
                 }
-                WatchEvent::Moved => {
-                    watch.on_move();
+                WatchEvent::AddressChanged => {
+                    watch.on_address_change();
                     Ok(())
                 }
             };
@@ -184,8 +184,8 @@
             }
         };
         let moved = async {
-            match address.wait_for_move().await {
-                true => WatchEvent::Moved,
+            match address.wait_for_change().await {
+                true => WatchEvent::AddressChanged,
                 false => pending().await,
             }
         };
@@ -226,7 +226,7 @@
     async fn wait_for_older_response(&mut self) -> bool {
         let Some(OlderCall { call, former_address }) = self.older.take() else { return false };
         let deadline = self.current.started_at + Duration::from(OLDER_CALL_TIMEOUT);
-        let Some(Ok(body)) = wait_until(deadline, call.response).await else { return false };
+        let Some(Ok(body)) = with_deadline(deadline, call.response).await else { return false };
         self.caller.state.accept_older(self.caller.engine, &body, former_address)
     }
 
@@ -261,7 +261,7 @@
         self.start_parallel_call(false);
     }
 
-    fn on_move(&mut self) {
+    fn on_address_change(&mut self) {
         info!(self.caller.engine.log, "discovery moved"; "address" => %self.caller.address.address());
         self.caller.state.reset_for_new_address();
         self.caller.connection.take();
--- a/crates/discovery/src/watch_state.rs
+++ b/crates/discovery/src/watch_state.rs
@@ -79,7 +79,7 @@
         }
         let now = engine.clock.now();
         response.apply(engine, self.list.is_untrusted(version, now))?;
-        engine.list_received();
+        engine.record_list_received();
         self.list.accept(version, now);
         // A full list does not reset the flag after an unusable response; only the response to an
         // incremental request does.
--- a/crates/discovery/tests/field_paths.rs
+++ b/crates/discovery/tests/field_paths.rs
@@ -4,7 +4,7 @@
 use serde_json::{Value, json};
 
 fn paths(config: Value) -> FieldPaths {
-    FieldPaths::of(config.as_object().expect("an object"))
+    FieldPaths::from_config(config.as_object().expect("an object"))
 }
 
 #[test]
--- a/crates/engine/src/api.rs
+++ b/crates/engine/src/api.rs
@@ -23,8 +23,8 @@
 
 /// Reports that the client of a request has disconnected or cancelled it. No further attempt is
 /// sent for it.
-pub fn client_left(engine: &Rc<Engine>, request_id: RequestId) {
-    call(engine, |requests, now| requests.client_left(now, request_id));
+pub fn client_disconnected(engine: &Rc<Engine>, request_id: RequestId) {
+    call(engine, |requests, now| requests.client_disconnected(now, request_id));
 }
 
 /// Fails all requests that are open now.
@@ -67,8 +67,8 @@
 /// Disables a server at the given time, or enables it again, by an operator's command. Idle
 /// connections to the server are closed in either case, because the server restarts while it is
 /// disabled.
-pub fn set_server_disabled(engine: &Rc<Engine>, id: &str, disabled: bool, at: Timestamp) {
-    let server = call(engine, |requests, now| requests.set_server_disabled(now, id, disabled, at));
+pub fn set_server_disabled(engine: &Rc<Engine>, id: &str, disabled: bool, decided_at: Timestamp) {
+    let server = call(engine, |requests, now| requests.set_server_disabled(now, id, disabled, decided_at));
     if let Some(server) = server {
         engine.pool.close_all(server);
     }
@@ -101,7 +101,7 @@
 /// Replaces the platform's settings, and the operator's limits along with them. Open requests keep
 /// the limits under which they were accepted.
 pub fn apply_settings(engine: &Rc<Engine>, mut config: EngineConfig) {
-    let limits = config.limits.take();
+    let limits = config.operator_limits.take();
     engine.config.connect_timeout.set(config.connect_timeout.get());
     engine.config.drain_grace.set(config.drain_grace.get());
     engine.classes.apply_settings(config.settings, config.platform_limits, limits);
--- a/crates/engine/src/attempt.rs
+++ b/crates/engine/src/attempt.rs
@@ -10,7 +10,7 @@
 use crate::response::{Response, ServerResponse};
 use chalkwalk_balancer::AttemptOutcome;
 use chalkwalk_balancer::admission::{SendRefusal, WrittenAttempt};
-use chalkwalk_sockets::wait_until;
+use chalkwalk_sockets::with_deadline;
 use chalkwalk_time::Timestamp;
 use slog::debug;
 use smol::future::FutureExt;
@@ -50,7 +50,7 @@
         };
         let progress = cancelled.or(self.send());
         let deadline = self.engine.clock.instant(self.pending.times_out_at);
-        wait_until(deadline, progress).await.unwrap_or_else(|| self.end_early(AttemptOutcome::TimedOut))
+        with_deadline(deadline, progress).await.unwrap_or_else(|| self.end_early(AttemptOutcome::TimedOut))
     }
 
     /// Ends an attempt before its response. A request whose last byte was not written has certainly
@@ -65,7 +65,7 @@
             return Progress::ended(AttemptOutcome::NotSent);
         }
         let deadline = engine.clock.instant(pending.send_deadline());
-        let connection = match wait_until(deadline, self.connect_and_write()).await {
+        let connection = match with_deadline(deadline, self.connect_and_write()).await {
             Some(Ok(connection)) => connection,
             Some(Err(outcome)) => return Progress::ended(outcome),
             None => return Progress::ended(AttemptOutcome::NotSent),
@@ -129,11 +129,11 @@
     fn check_written(&self, allowed_at: Timestamp) {
         let Attempt { engine, pending, .. } = self;
         let written = WrittenAttempt {
-            at: engine.clock.now(),
+            written_at: engine.clock.now(),
             allowed_at,
-            until: pending.send_deadline(),
+            deadline: pending.send_deadline(),
             unavailable_since: engine.requests.borrow().servers.unavailable_since(pending.server),
-            grace: engine.config.drain_grace.get(),
+            drain_grace_period: engine.config.drain_grace.get(),
             client_connected: pending.request.client_is_waiting(),
         };
         engine.violations.check(&engine.log, written.violation());
--- a/crates/engine/src/background.rs
+++ b/crates/engine/src/background.rs
@@ -4,7 +4,7 @@
 use crate::dispatch::call;
 use crate::engine::Engine;
 use crate::pool::SPARE_IDLE_TIME;
-use chalkwalk_sockets::wait_until;
+use chalkwalk_sockets::with_deadline;
 use slog::info;
 use smol::Timer;
 use std::rc::Rc;
@@ -26,7 +26,7 @@
             Some(due) if due <= engine.clock.now() => {
                 call(&engine, |requests, now| requests.fire_timer(now));
             }
-            Some(due) => _ = wait_until(engine.clock.instant(due), engine.earlier_timer.recv()).await,
+            Some(due) => _ = with_deadline(engine.clock.instant(due), engine.earlier_timer.recv()).await,
             None => _ = engine.earlier_timer.recv().await,
         }
     }
--- a/crates/engine/src/body_transfer.rs
+++ b/crates/engine/src/body_transfer.rs
@@ -6,7 +6,7 @@
 use crate::pool::ServerConnection;
 use crate::response::{BodyStream, Response, ResponseBody};
 use chalkwalk_balancer::{AttemptOutcome, ServerIndex};
-use chalkwalk_sockets::within;
+use chalkwalk_sockets::with_timeout;
 use smol::channel::{Sender, bounded};
 use smol::future::FutureExt;
 use std::cell::Cell;
@@ -70,10 +70,10 @@
         handle: &AttemptHandle,
     ) -> AttemptOutcome {
         loop {
-            let part = within(STREAM_STALL_TIMEOUT, self.body.next_part(&self.connection.stream)).await;
+            let part = with_timeout(STREAM_STALL_TIMEOUT, self.body.next_part(&self.connection.stream)).await;
             match part {
                 Some(Ok(Some(part))) => {
-                    let sent = within(STREAM_STALL_TIMEOUT, self.parts.send(part)).await;
+                    let sent = with_timeout(STREAM_STALL_TIMEOUT, self.parts.send(part)).await;
                     if !matches!(sent, Some(Ok(()))) {
                         return AttemptOutcome::Cancelled;
                     }
--- a/crates/engine/src/budget.rs
+++ b/crates/engine/src/budget.rs
@@ -6,7 +6,7 @@
 
 use crate::idle_clients::IdleClients;
 pub use crate::idle_clients::IdleTicket;
-use chalkwalk_sockets::within;
+use chalkwalk_sockets::with_timeout;
 use smol::channel::Sender;
 use smol::future::FutureExt;
 use smol::lock::{Semaphore, SemaphoreGuardArc};
@@ -79,7 +79,7 @@
     /// Acquires half of all permits as they become free, for another process of this proxy: the two
     /// processes together may hold no more than one process alone. `close_idle_server` closes an
     /// idle connection to a server.
-    pub async fn lend_half(&self, close_idle_server: impl Fn()) -> Vec<Permit> {
+    pub async fn reserve_half(&self, close_idle_server: impl Fn()) -> Vec<Permit> {
         let close_idle_client = || _ = self.close_idle();
         let mut lent = acquire_many(&self.servers, self.half_shares.servers, close_idle_server).await;
         lent.extend(acquire_many(&self.clients, self.half_shares.clients, close_idle_client).await);
@@ -129,7 +129,7 @@
 
     /// Waits up to `CLIENT_PERMIT_TIMEOUT` for a client's permit to be returned, or for a client to
     /// become idle.
-    pub async fn acquire_for_client_soon(&self) -> Option<Permit> {
+    pub async fn acquire_for_client_with_timeout(&self) -> Option<Permit> {
         let deadline = Instant::now() + CLIENT_PERMIT_TIMEOUT;
         loop {
             if let Some(permit) = self.try_acquire_for_client() {
@@ -151,7 +151,7 @@
     /// Waits up to `IDLE_CLOSE_WAIT` for a permit. The caller then looks for an idle connection
     /// again; a longer wait could block forever on a connection that became idle in the meantime.
     async fn acquire_after_close(&self, share: &Arc<Semaphore>) -> Option<Permit> {
-        within(IDLE_CLOSE_WAIT, share.acquire_arc().or(self.shared.acquire_arc())).await
+        with_timeout(IDLE_CLOSE_WAIT, share.acquire_arc().or(self.shared.acquire_arc())).await
     }
 
     /// Marks a client's connection as idle, so that it may be asked to close through `close`.
@@ -179,7 +179,7 @@
         permits.extend(share.try_acquire_arc());
         if permits.len() < count {
             close_idle();
-            permits.extend(within(IDLE_CLOSE_WAIT, share.acquire_arc()).await);
+            permits.extend(with_timeout(IDLE_CLOSE_WAIT, share.acquire_arc()).await);
         }
     }
     permits
--- a/crates/engine/src/classes.rs
+++ b/crates/engine/src/classes.rs
@@ -36,7 +36,7 @@
     /// Time limit from the arrival of the request to its final response.
     pub time_limit: Span,
     /// Maximum length of a request's body, in bytes.
-    pub longest_body: u64,
+    pub max_body_bytes: u64,
 }
 
 impl RequestClasses {
@@ -77,7 +77,7 @@
     }
 
     /// Maximum length of a request's body in any class, in bytes.
-    pub fn longest_body(&self) -> u64 {
+    pub fn max_body_bytes(&self) -> u64 {
         self.active.borrow().platform_limits.max_body_bytes
     }
 
@@ -105,9 +105,13 @@
     /// The class of a request, and its limits.
     pub fn find(&self, request: RequestAttributes) -> ClassLimits {
         let table = self.table();
-        let class = table.find(request);
+        let class = table.class_index(request);
         let limits = &table.classes()[class].limits;
-        ClassLimits { class, time_limit: limits.time_limit.value, longest_body: limits.max_body_bytes.value }
+        ClassLimits {
+            class,
+            time_limit: limits.time_limit.value,
+            max_body_bytes: limits.max_body_bytes.value,
+        }
     }
 
     fn table(&self) -> Rc<LimitTable> {
@@ -149,7 +153,7 @@
     ) -> ActiveSettings {
         let time_limits = platform_limits.namespaces.iter().map(|namespace| namespace.time_limit);
         let max_time_limit = time_limits.max().unwrap_or(Span::ZERO).max(previous_max);
-        let platform_table = Rc::new(LimitTable::from_settings(&platform_limits));
+        let platform_table = Rc::new(LimitTable::from_platform(&platform_limits));
         let operator_limits = operator_limits.map(Rc::new);
         ActiveSettings { settings, platform_limits, platform_table, operator_limits, max_time_limit }
     }
@@ -176,8 +180,8 @@
         ("most shots", Some(limits.max_attempts.value)),
         ("second copies", Some(u64::from(limits.hedging.value))),
         ("shot wait", limits.attempt_timeout.value.map(Span::ticks)),
-        ("copies after", limits.hedge_after.value),
-        ("further shots", limits.retry_budget.value),
+        ("copies after", limits.hedge_after_permille.value),
+        ("further shots", limits.retry_budget_permille.value),
         ("most open", limits.max_in_flight.value),
     ];
     let present_limits = values.into_iter().filter_map(|(name, value)| {
--- a/crates/engine/src/config.rs
+++ b/crates/engine/src/config.rs
@@ -21,7 +21,7 @@
     /// The limits of the platform, which bound those that an operator may set.
     pub platform_limits: PlatformLimits,
     /// The operator's limits, if there are any.
-    pub limits: Option<LimitTable>,
+    pub operator_limits: Option<LimitTable>,
     /// Timeout for connecting to a server.
     pub connect_timeout: Cell<Duration>,
     /// Time after which a server closes an idle connection.
@@ -29,7 +29,7 @@
     /// How long a server still takes attempts after it was reported draining.
     pub drain_grace: Cell<Span>,
     /// Maximum number of file descriptors that the process may open.
-    pub descriptors: usize,
+    pub max_descriptors: usize,
     /// Memory limit of the process in bytes; a part of it is reserved for long responses.
-    pub memory: usize,
+    pub memory_limit_bytes: usize,
 }
--- a/crates/engine/src/connect.rs
+++ b/crates/engine/src/connect.rs
@@ -7,7 +7,7 @@
 use crate::engine::Engine;
 use crate::pool::ServerConnection;
 use chalkwalk_balancer::{AttemptOutcome, ServerIndex};
-use chalkwalk_sockets::within;
+use chalkwalk_sockets::with_timeout;
 use rustix::io::Errno;
 use smol::Async;
 use std::io;
@@ -41,7 +41,8 @@
 
 async fn open(engine: &Engine, addr: SocketAddr) -> Result<ServerConnection, AttemptOutcome> {
     let permit = engine.budget.acquire_for_server(|| engine.pool.close_longest_idle()).await;
-    let connected = within(engine.config.connect_timeout.get(), Async::<TcpStream>::connect(addr)).await;
+    let connected =
+        with_timeout(engine.config.connect_timeout.get(), Async::<TcpStream>::connect(addr)).await;
     let stream = connected.ok_or(AttemptOutcome::Unreachable)?.map_err(|error| outcome_of(&error))?;
     _ = stream.get_ref().set_nodelay(true);
     Ok(ServerConnection::new(stream, addr, permit))
--- a/crates/engine/src/dispatch.rs
+++ b/crates/engine/src/dispatch.rs
@@ -33,7 +33,7 @@
 async fn run_attempt(engine: Rc<Engine>, pending: PendingAttempt) {
     let started = engine.clock.now();
     let PendingAttempt { id, server, handle, .. } = &pending;
-    let on_client_left = || call(&engine, |requests, now| requests.client_left(now, id.request_id));
+    let on_client_left = || call(&engine, |requests, now| requests.client_disconnected(now, id.request_id));
     let attempt = Attempt { engine: &engine, pending: &pending, on_client_left: &on_client_left };
     let progress = attempt.run().await;
     let took = engine.clock.now() - started;
--- a/crates/engine/src/effect_sink.rs
+++ b/crates/engine/src/effect_sink.rs
@@ -153,8 +153,19 @@
 }
 
 impl Effects for EffectSink {
-    fn start_attempt(&mut self, request_id: RequestId, server: ServerIndex, until: Timestamp, by: Timestamp) {
-        self.record_decision(|| Decision::StartAttempt { request_id: request_id.0, server, until, by });
+    fn start_attempt(
+        &mut self,
+        request_id: RequestId,
+        server: ServerIndex,
+        deadline: Timestamp,
+        send_by: Timestamp,
+    ) {
+        self.record_decision(|| Decision::StartAttempt {
+            request_id: request_id.0,
+            server,
+            until: deadline,
+            by: send_by,
+        });
         let Some(open_request) = self.open_requests.get_mut(&request_id) else { return };
         let handle = Rc::new(AttemptHandle::new());
         let number = open_request.attempts.len();
@@ -163,8 +174,8 @@
         self.commands.push(Command::StartAttempt(PendingAttempt {
             id: AttemptId { request_id, number },
             server,
-            times_out_at: until,
-            send_by: by,
+            times_out_at: deadline,
+            send_by,
             request: open_request.request.clone(),
             handle,
         }));
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -13,7 +13,7 @@
 use crate::servers::ServerRegistry;
 use crate::violations::{RefusedAttempts, Violations};
 use chalkwalk_capture::Recorder;
-use chalkwalk_sockets::{MemoryBudget, wait_until};
+use chalkwalk_sockets::{MemoryBudget, with_deadline};
 use chalkwalk_time::Timestamp;
 use slog::Logger;
 use smol::LocalExecutor;
@@ -76,7 +76,7 @@
         let classes = RequestClasses::new(
             std::mem::take(&mut config.settings),
             std::mem::take(&mut config.platform_limits),
-            config.limits.take(),
+            config.operator_limits.take(),
         );
         let clock = Clock::default();
         let requests = RequestTable::new(
@@ -90,8 +90,8 @@
         );
         Rc::new(Engine {
             clock,
-            budget: DescriptorBudget::new(config.descriptors),
-            response_memory: MemoryBudget::new(config.memory / RESPONSE_MEMORY_DIVISOR),
+            budget: DescriptorBudget::new(config.max_descriptors),
+            response_memory: MemoryBudget::new(config.memory_limit_bytes / RESPONSE_MEMORY_DIVISOR),
             lifecycle: Lifecycle::default(),
             requests: RefCell::new(requests),
             pool: ConnectionPool::new(config.idle_timeout),
@@ -112,7 +112,7 @@
     }
 
     /// Waits until the balancer requests a watch of the endpoint list.
-    pub async fn watch_requested(&self) {
+    pub async fn wait_for_watch_request(&self) {
         _ = self.watch_requested.recv().await;
     }
 
@@ -122,7 +122,7 @@
     }
 
     /// Records that a source of the endpoint list has answered since the start.
-    pub fn list_received(&self) {
+    pub fn record_list_received(&self) {
         self.has_received_list.set(true);
     }
 
@@ -184,7 +184,7 @@
     }
 
     /// Waits until the connection is due to close even if it is idle.
-    pub async fn close_due(&self) {
+    pub async fn wait_until_close_due(&self) {
         loop {
             // Subscribes before the check, so that no change in between is missed.
             let change = self.engine.lifecycle.changed();
@@ -195,7 +195,7 @@
             if close_idle_from <= self.engine.clock.now() {
                 return;
             }
-            _ = wait_until(self.engine.clock.instant(close_idle_from), change).await;
+            _ = with_deadline(self.engine.clock.instant(close_idle_from), change).await;
         }
     }
 }
--- a/crates/engine/src/idle_clients.rs
+++ b/crates/engine/src/idle_clients.rs
@@ -1,6 +1,6 @@
 //! Idle client connections, in the order in which they are closed when descriptors run short.
 
-use chalkwalk_balancer::admission::may_close;
+use chalkwalk_balancer::admission::may_close_idle_client;
 use chalkwalk_time::Span;
 use smol::channel::Sender;
 use std::cell::{Cell, RefCell};
@@ -22,7 +22,7 @@
 
 impl IdleClient {
     fn may_close(&self, used: bool) -> bool {
-        may_close(used, Span::from(self.idle_since.elapsed()))
+        may_close_idle_client(used, Span::from(self.idle_since.elapsed()))
     }
 }
 
--- a/crates/engine/src/lifecycle.rs
+++ b/crates/engine/src/lifecycle.rs
@@ -53,7 +53,7 @@
     }
 
     /// Waits until the given phase or a later one is reached.
-    pub async fn reached(&self, phase: Phase) {
+    pub async fn wait_for_phase(&self, phase: Phase) {
         loop {
             // Subscribes before the check, so that no change in between is missed.
             let change = self.changed();
--- a/crates/engine/src/request_table.rs
+++ b/crates/engine/src/request_table.rs
@@ -71,10 +71,10 @@
     fn advance_to(&mut self, now: Timestamp) -> (&mut Balancer, &mut EffectSink) {
         self.sink.now = now;
         self.balancer.advance_clock(now);
-        if let Some(recorder) = self.sink.recorder.as_mut().filter(|recorder| recorder.wants_snapshot(now))
+        if let Some(recorder) = self.sink.recorder.as_mut().filter(|recorder| recorder.is_snapshot_due(now))
             && let Some(state) = self.balancer.snapshot()
         {
-            recorder.snapshot(now, &self.settings, state);
+            recorder.record_snapshot(now, &self.settings, state);
         }
         (&mut self.balancer, &mut self.sink)
     }
@@ -90,7 +90,7 @@
     }
 
     /// The number of requests without a final response or with an attempt in flight.
-    pub fn open_requests(&self) -> usize {
+    pub fn open_request_count(&self) -> usize {
         self.sink.open_requests.len()
     }
 
@@ -111,13 +111,13 @@
         let class = request.class();
         let key = request.key();
         let write = request.is_write();
-        let expires = request.expires();
+        let expires = request.expires_at();
         if let Some(recorder) = &mut sink.recorder {
-            recorder.request_accepted(now, class, key, write, expires, allowed_servers.as_deref());
+            recorder.record_request_accepted(now, class, key, write, expires, allowed_servers.as_deref());
         }
         let request_id = balancer.accept_request(class, key, write, expires);
         if let Some(allowed_servers) = allowed_servers {
-            balancer.restrict_to(request_id, allowed_servers);
+            balancer.restrict_servers(request_id, allowed_servers);
         }
         sink.open_requests.insert(request_id, OpenRequest::new(request, response_sender));
         balancer.route_request(request_id, sink);
@@ -138,10 +138,10 @@
         client_connected: bool,
     ) -> Result<(), SendRefusal> {
         let attempt = UnsentAttempt {
-            request: pending.id.request_id,
-            number: pending.id.number,
+            request_id: pending.id.request_id,
+            index: pending.id.number,
             server: pending.server,
-            until: pending.send_deadline(),
+            deadline: pending.send_deadline(),
             answered: self.sink.is_finished(pending.id.request_id),
             client_connected,
         };
@@ -177,7 +177,7 @@
         }
         let finished = sink.is_finished(request_id);
         if let Some(recorder) = &mut sink.recorder {
-            recorder.attempt_ended(
+            recorder.record_attempt_ended(
                 now,
                 request_id.0,
                 number,
@@ -188,14 +188,14 @@
             );
         }
         if let Some(allowed_servers) = allowed_servers {
-            balancer.restrict_to(request_id, allowed_servers);
+            balancer.restrict_servers(request_id, allowed_servers);
         }
         balancer.attempt_ended(request_id, number, outcome, took, finished, sink);
         sink.remove_if_done(request_id);
     }
 
     /// Reports that the client of a request has disconnected or cancelled it.
-    pub(crate) fn client_left(&mut self, now: Timestamp, request_id: RequestId) {
+    pub(crate) fn client_disconnected(&mut self, now: Timestamp, request_id: RequestId) {
         self.advance_to(now);
         if let Some(open_request) = self.sink.open_requests.get_mut(&request_id)
             && open_request.response_sender.take().is_some()
@@ -204,7 +204,7 @@
             self.clients_left_waiting += 1;
         }
         self.sink.record_event(|| Event::ClientLeft(request_id.0));
-        self.balancer.client_left(request_id, &mut self.sink);
+        self.balancer.client_disconnected(request_id, &mut self.sink);
         self.sink.remove_if_done(request_id);
     }
 
@@ -214,7 +214,7 @@
         open_requests.sort_unstable_by_key(|request_id| request_id.0);
         for request_id in open_requests {
             self.sink.respond(request_id, Response::empty(ResponseStatus::Failed));
-            self.client_left(now, request_id);
+            self.client_disconnected(now, request_id);
         }
     }
 
@@ -239,7 +239,7 @@
             let Some(RenewedLimits { class, time_limit }) = renewed(&*request) else { continue };
             let expires = request.received_at() + time_limit;
             sink.record_event(|| Event::LimitsRenewed { request_id: request_id.0, class, expires });
-            balancer.renew_limits(request_id, class, expires, sink);
+            balancer.update_limits(request_id, class, expires, sink);
         }
         self.settings = settings.clone();
     }
--- a/crates/engine/src/request_table/servers.rs
+++ b/crates/engine/src/request_table/servers.rs
@@ -23,7 +23,7 @@
         self.balancer.advance_clock(now);
         let endpoints = self.servers.apply(now, update);
         if let Some(recorder) = &mut self.sink.recorder {
-            recorder.endpoints_listed(now, update.is_full, &endpoints);
+            recorder.record_endpoints_listed(now, update.is_full, &endpoints);
         }
         if update.is_full {
             self.balancer.replace_endpoints(&endpoints, &mut self.sink);
@@ -77,33 +77,33 @@
     }
 
     /// Whether no server is ready according to the endpoint lists so far.
-    pub fn no_server_ready(&self) -> bool {
-        self.balancer.no_server_ready()
+    pub fn has_no_ready_server(&self) -> bool {
+        self.balancer.has_no_ready_server()
     }
 
     /// Whether a server with this id is known, so that an operator's command can name it.
-    pub fn knows_server(&self, id: &str) -> bool {
-        self.balancer.knows_server(id)
+    pub fn is_known_server(&self, id: &str) -> bool {
+        self.balancer.is_known_server(id)
     }
 
     /// What the balancer has learned of the servers, to be handed to the next process.
-    pub fn learned(&self) -> Vec<LearnedServer> {
-        self.balancer.learned()
+    pub fn learned_servers(&self) -> Vec<LearnedServer> {
+        self.balancer.learned_servers()
     }
 
     /// Restores what a previous process has learned. Returns whether it was restored: it is not
     /// while a capture runs, because a replay would lack it.
-    pub fn restore_learned(&mut self, learned: Vec<LearnedServer>) -> bool {
+    pub fn restore_learned_servers(&mut self, learned: Vec<LearnedServer>) -> bool {
         if self.sink.recorder.is_some() {
             return false;
         }
-        self.balancer.restore_learned(learned);
+        self.balancer.restore_learned_servers(learned);
         true
     }
 
     /// A digest of the settings under which the balancer learns. Values learned under other
     /// settings have a different meaning.
-    pub fn learning_terms(&self) -> u64 {
-        self.balancer.learning_terms()
+    pub fn learned_settings_digest(&self) -> u64 {
+        self.balancer.learned_settings_digest()
     }
 }
--- a/crates/engine/src/response.rs
+++ b/crates/engine/src/response.rs
@@ -34,7 +34,7 @@
     /// The body, or its start.
     pub body: Vec<u8>,
     /// The reservation in the memory budget for long responses.
-    pub memory: Option<MemoryReservation>,
+    pub memory_reservation: Option<MemoryReservation>,
     /// The rest of the body, if the body is too long to be read whole.
     pub stream: Option<BodyStream>,
 }
@@ -53,7 +53,13 @@
 impl Response {
     /// A response without a body.
     pub fn empty(status: ResponseStatus) -> Response {
-        Response { status, content_type: String::new(), body: Vec::new(), memory: None, stream: None }
+        Response {
+            status,
+            content_type: String::new(),
+            body: Vec::new(),
+            memory_reservation: None,
+            stream: None,
+        }
     }
 }
 
@@ -77,7 +83,7 @@
     fn next_part<'a>(
         &'a mut self,
         stream: &'a Async<TcpStream>,
-    ) -> BoxFuture<'a, Result<Option<Vec<u8>>, BrokenOff>>;
+    ) -> BoxFuture<'a, Result<Option<Vec<u8>>, IncompleteBody>>;
 
     /// Length of the whole body in bytes, if it is known.
     fn content_length(&self) -> Option<u64>;
@@ -88,7 +94,7 @@
 
 /// The error of a body that ended before it was complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BrokenOff;
+pub struct IncompleteBody;
 
 /// A boxed future for the single-threaded executor, so it need not be `Send`.
 pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
@@ -112,7 +118,7 @@
     fn is_write(&self) -> bool;
 
     /// When the time limit of the request is over.
-    fn expires(&self) -> Timestamp;
+    fn expires_at(&self) -> Timestamp;
 
     /// The only servers that may serve the request, in order of preference, for protocols in which
     /// the servers determine that. Called again after each attempt. `None` allows any server, in
--- a/crates/engine/src/servers.rs
+++ b/crates/engine/src/servers.rs
@@ -38,7 +38,7 @@
     /// When it was reported draining or gone, if it was.
     unavailable_since: Option<Timestamp>,
     /// When its process started.
-    born: Timestamp,
+    started_at: Timestamp,
 }
 
 /// The servers by id and by index.
@@ -104,7 +104,8 @@
     /// restarted since the endpoint was read.
     pub fn is_ready(&self, endpoint: &ListedEndpoint) -> bool {
         let entry = self.index_of(&endpoint.id).map(|server| &self.entries[server]);
-        entry.is_some_and(|entry| entry.unavailable_since.is_none() && entry.born <= endpoint.born)
+        entry
+            .is_some_and(|entry| entry.unavailable_since.is_none() && entry.started_at <= endpoint.started_at)
     }
 
     /// The servers that are draining or gone, in the order of their indices.
@@ -126,7 +127,7 @@
             }
         }
         let apply_one = |endpoint: &'a ListedEndpoint| {
-            let server = self.index_or_insert(&endpoint.id, endpoint.addr);
+            let server = self.index_or_insert(&endpoint.id, endpoint.address);
             let unavailable_before = previously_unavailable_since.get(server).copied().flatten();
             let status = self.update_entry(now, server, endpoint, unavailable_before, update.may_be_stale);
             Endpoint {
@@ -135,9 +136,9 @@
                 zone: self.zone_number(&endpoint.zone),
                 kind: self.kinds.iter().position(|kind| *kind == endpoint.kind).unwrap_or(usize::MAX),
                 cell: endpoint.cell,
-                size: endpoint.size,
+                weight_hundredths: endpoint.weight_hundredths,
                 status,
-                born: endpoint.born,
+                started_at: endpoint.started_at,
             }
         };
         update.endpoints.iter().map(apply_one).collect()
@@ -153,10 +154,11 @@
         may_be_stale: bool,
     ) -> EndpointStatus {
         let entry = &mut self.entries[server];
-        let stays_unavailable = may_be_stale && unavailable_before.is_some() && endpoint.born <= entry.born;
+        let stays_unavailable =
+            may_be_stale && unavailable_before.is_some() && endpoint.started_at <= entry.started_at;
         let status = if stays_unavailable { EndpointStatus::Draining } else { endpoint.status };
-        entry.addr = endpoint.addr;
-        entry.born = endpoint.born;
+        entry.addr = endpoint.address;
+        entry.started_at = endpoint.started_at;
         entry.unavailable_since =
             (status != EndpointStatus::Ready).then_some(unavailable_before.unwrap_or(now));
         status
@@ -187,7 +189,7 @@
         }
         let server = self.free_indices.pop().unwrap_or(self.entries.len());
         self.indices.insert(id.to_string(), server);
-        let entry = ServerEntry { addr, unavailable_since: None, born: Timestamp::ZERO };
+        let entry = ServerEntry { addr, unavailable_since: None, started_at: Timestamp::ZERO };
         match self.entries.get_mut(server) {
             Some(unused) => *unused = entry,
             None => self.entries.push(entry),
--- a/crates/engine/src/shutdown.rs
+++ b/crates/engine/src/shutdown.rs
@@ -9,7 +9,7 @@
 use crate::engine::Engine;
 use crate::lifecycle::Phase;
 use crate::{api, background};
-use chalkwalk_sockets::wait_until;
+use chalkwalk_sockets::with_deadline;
 use chalkwalk_time::{Span, Timestamp};
 use slog::info;
 use smol::{Task, Timer};
@@ -52,16 +52,16 @@
     }
 }
 
-/// Runs the shutdown to the last phase. `requested_at` is when it was requested. `accepting` is the
+/// Runs the shutdown to the last phase. `requested_at` is when it was requested. `accept_task` is the
 /// frontends' task, which ends once [`Phase::Finishing`] is reached and the connections that had
 /// arrived by then are accepted.
-pub async fn run(engine: &Rc<Engine>, accepting: Task<()>, requested_at: Timestamp) {
+pub async fn run(engine: &Rc<Engine>, accept_task: Task<()>, requested_at: Timestamp) {
     let schedule = DrainSchedule::new(engine.classes.max_time_limit());
     let response_deadline = requested_at + schedule.last_response_after;
     engine.begin_drain(DrainWindow { started: requested_at, response_deadline });
     let superseded = engine.lifecycle.is_superseded();
     info!(engine.log, "draining";
-        "open" => engine.requests.borrow().open_requests(), "succeeded" => superseded);
+        "open" => engine.requests.borrow().open_request_count(), "succeeded" => superseded);
     // If another process has taken over, it accepts all new connections.
     if !superseded {
         Timer::at(engine.clock.instant(requested_at + schedule.accept_for)).await;
@@ -69,7 +69,7 @@
     engine.lifecycle.enter(Phase::Finishing);
     // If all permits are taken, accepted connections wait for one only until the deadline of the
     // last response.
-    wait_until(engine.clock.instant(response_deadline), accepting).await;
+    with_deadline(engine.clock.instant(response_deadline), accept_task).await;
     while engine.open_clients() > 0 && engine.clock.now() < response_deadline {
         Timer::after(CHECK_INTERVAL).await;
     }
--- a/crates/http-frontend/src/accept.rs
+++ b/crates/http-frontend/src/accept.rs
@@ -18,10 +18,10 @@
 
 /// Accepts connections until the proxy reaches [`Phase::Finishing`], and then those that are
 /// already in the listener's queue.
-pub async fn accept(frontend: Rc<Frontend>, listener: Async<TcpListener>) {
+pub async fn accept_connections(frontend: Rc<Frontend>, listener: Async<TcpListener>) {
     let engine = &frontend.engine;
     let mut awaiting_permit = None;
-    let finishing = engine.lifecycle.reached(Phase::Finishing);
+    let finishing = engine.lifecycle.wait_for_phase(Phase::Finishing);
     finishing.or(accept_forever(&frontend, &listener, &mut awaiting_permit)).await;
     // A client in the listener's queue may have sent a request already, so its connection is
     // accepted before the listener closes.
--- a/crates/http-frontend/src/admit.rs
+++ b/crates/http-frontend/src/admit.rs
@@ -4,7 +4,7 @@
 use crate::decimal::parse_seconds;
 use crate::frontend::Frontend;
 use crate::request::{HttpRequest, attributes_of, path_of};
-use chalkwalk_balancer::admission::may_start;
+use chalkwalk_balancer::admission::may_start_request;
 use chalkwalk_engine::classes::ClassLimits;
 use chalkwalk_http1::Message;
 use chalkwalk_time::Timestamp;
@@ -93,13 +93,13 @@
     }
     let time_left =
         message.header("X-Time-Left").and_then(parse_seconds).ok_or(AdmitError::InvalidHeaderField)?;
-    let ClassLimits { class, time_limit, longest_body } =
+    let ClassLimits { class, time_limit, max_body_bytes } =
         engine.classes.find(attributes_of(&message, namespace));
-    if message.body.len() as u64 > longest_body {
+    if message.body.len() as u64 > max_body_bytes {
         return Err(AdmitError::BodyTooLong);
     }
     let expires = received_at + time_left.min(time_limit);
-    let expires = may_start(engine.clock.now(), expires, engine.response_deadline());
+    let expires = may_start_request(engine.clock.now(), expires, engine.response_deadline());
     let expires = expires.ok_or(AdmitError::Expired)?;
     let id = message.header_bytes("X-Correlation-Id").unwrap_or_default().to_vec();
     let open_id = frontend.open_ids.claim(id).ok_or(AdmitError::IdInUse)?;
--- a/crates/http-frontend/src/connection.rs
+++ b/crates/http-frontend/src/connection.rs
@@ -110,7 +110,7 @@
     /// by now or becomes available soon.
     async fn admit_if_possible(&mut self) {
         if !self.admitted
-            && let Some(permit) = self.frontend.engine.budget.acquire_for_client_soon().await
+            && let Some(permit) = self.frontend.engine.budget.acquire_for_client_with_timeout().await
         {
             self.permit = permit;
             self.admitted = true;
--- a/crates/http-frontend/src/health_check.rs
+++ b/crates/http-frontend/src/health_check.rs
@@ -8,9 +8,9 @@
 const HEALTH_PATH: &str = "/alive";
 
 /// Checks that a server responds to `GET /alive` with status 200.
-pub struct AliveCheck;
+pub struct HttpHealthCheck;
 
-impl HealthCheck for AliveCheck {
+impl HealthCheck for HttpHealthCheck {
     fn check<'a>(&'a self, stream: &'a Async<TcpStream>) -> BoxFuture<'a, Option<bool>> {
         Box::pin(async move {
             let addr = stream.get_ref().peer_addr().ok()?;
--- a/crates/http-frontend/src/lib.rs
+++ b/crates/http-frontend/src/lib.rs
@@ -23,6 +23,6 @@
 mod server_response;
 mod write_reply;
 
-pub use accept::accept;
+pub use accept::accept_connections;
 pub use frontend::{FRONTEND_NAME, Frontend};
-pub use health_check::AliveCheck;
+pub use health_check::HttpHealthCheck;
--- a/crates/http-frontend/src/read_request.rs
+++ b/crates/http-frontend/src/read_request.rs
@@ -2,7 +2,7 @@
 
 use chalkwalk_engine::engine::ClientConnection;
 use chalkwalk_http1::{self as http1, HttpError, Message, RequestLimits};
-use chalkwalk_sockets::{is_idle, read_more, wait_until, within};
+use chalkwalk_sockets::{is_idle, read_more, with_deadline, with_timeout};
 use smol::Async;
 use smol::channel::bounded;
 use smol::future::FutureExt;
@@ -36,7 +36,7 @@
     let engine = &client_connection.engine;
     let limits = RequestLimits {
         head_deadline: Instant::now() + HEAD_TIMEOUT,
-        max_body: engine.classes.longest_body() as usize,
+        max_body_bytes: engine.classes.max_body_bytes() as usize,
         memory: &engine.response_memory,
     };
     http1::read_request(stream, read_ahead, limits).await.map(Some)
@@ -50,7 +50,7 @@
     opened_at: Option<Instant>,
 ) -> bool {
     if opened_at.is_some()
-        && let Some(read) = within(NEW_CONNECTION_GRACE, read_more(stream, read_ahead)).await
+        && let Some(read) = with_timeout(NEW_CONNECTION_GRACE, read_more(stream, read_ahead)).await
     {
         return matches!(read, Ok(1..));
     }
@@ -77,10 +77,10 @@
         false
     };
     let close_due = async {
-        client_connection.close_due().await;
+        client_connection.wait_until_close_due().await;
         false
     };
-    let received = wait_until(deadline, first_byte.or(evicted).or(close_due)).await;
+    let received = with_deadline(deadline, first_byte.or(evicted).or(close_due)).await;
     client_connection.engine.budget.mark_busy(ticket);
     received.unwrap_or(false)
 }
--- a/crates/http-frontend/src/reply.rs
+++ b/crates/http-frontend/src/reply.rs
@@ -2,7 +2,7 @@
 
 use crate::decimal::format_seconds;
 use chalkwalk_engine::response::{BodyStream, Response, ResponseStatus};
-use chalkwalk_http1::reason;
+use chalkwalk_http1::reason_phrase;
 use chalkwalk_sockets::MemoryReservation;
 use chalkwalk_time::Span;
 
@@ -38,7 +38,7 @@
     /// Formats the status line and the header fields, without the empty line that ends the head.
     /// `close` states that the connection closes after the reply.
     pub fn head(&self, content_length: Option<u64>, close: bool) -> String {
-        let mut head = format!("HTTP/1.1 {} {}\r\n", self.status, reason(self.status));
+        let mut head = format!("HTTP/1.1 {} {}\r\n", self.status, reason_phrase(self.status));
         if let Some(length) = content_length {
             head += &format!("Content-Length: {length}\r\n");
         }
@@ -68,7 +68,7 @@
             stream: response.stream.map(Box::new),
             retry_after,
             content_type: response.content_type,
-            _memory_reservation: response.memory,
+            _memory_reservation: response.memory_reservation,
         }
     }
 }
--- a/crates/http-frontend/src/request.rs
+++ b/crates/http-frontend/src/request.rs
@@ -100,7 +100,7 @@
         self.is_write
     }
 
-    fn expires(&self) -> Timestamp {
+    fn expires_at(&self) -> Timestamp {
         self.expires
     }
 
--- a/crates/http-frontend/src/route.rs
+++ b/crates/http-frontend/src/route.rs
@@ -34,21 +34,21 @@
         Timer::at(engine.clock.instant(expires) + LOST_RESPONSE_DELAY).await;
         warn!(engine.log, "request without a response");
         engine.violations.check(&engine.log, Some(Violation::NoFinalAnswer));
-        api::client_left(engine, request_id);
+        api::client_disconnected(engine, request_id);
         Some(Reply::empty(500))
     };
-    let client_left = async {
+    let client_disconnected = async {
         let sent_more = matches!(read_more(stream, read_ahead).await, Ok(1..));
-        api::client_left(engine, request_id);
+        api::client_disconnected(engine, request_id);
         sent_more.then(|| Reply::empty(400))
     };
     let responded = async {
         match response.recv().await {
             Ok(response) => Some(Reply::from(response)),
             // The engine found that the client no longer waits when it was about to write an
-            // attempt. `client_left` reads the same end of connection or data next.
+            // attempt. `client_disconnected` reads the same end of connection or data next.
             Err(_) => std::future::pending().await,
         }
     };
-    responded.or(client_left).or(overdue).await
+    responded.or(client_disconnected).or(overdue).await
 }
--- a/crates/http-frontend/src/server_response.rs
+++ b/crates/http-frontend/src/server_response.rs
@@ -2,10 +2,10 @@
 
 use chalkwalk_balancer::AttemptOutcome;
 use chalkwalk_engine::response::{
-    BoxFuture, BrokenOff, Response, ResponseBody, ResponseStatus, ServerResponse,
+    BoxFuture, IncompleteBody, Response, ResponseBody, ResponseStatus, ServerResponse,
 };
 use chalkwalk_http1::{self as http1, Message, ResponseReader};
-use chalkwalk_sockets::{MemoryBudget, MemoryReservation, wait_until};
+use chalkwalk_sockets::{MemoryBudget, MemoryReservation, with_deadline};
 use smol::Async;
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
@@ -69,7 +69,7 @@
 /// and so is a long body of a response that reports a failure.
 fn is_length_allowed(content_length: Option<u64>, served: bool) -> bool {
     content_length
-        .is_none_or(|length| length <= http1::MAX_BODY as u64 && (served || !is_long(length as usize)))
+        .is_none_or(|length| length <= http1::MAX_BODY_BYTES as u64 && (served || !is_long(length as usize)))
 }
 
 /// The part of a body that is read before the response is forwarded.
@@ -94,7 +94,7 @@
         let part = reader.next_part(stream);
         let may_be_streamed = served && !length_known && !start.bytes.is_empty();
         let part = if may_be_streamed {
-            match wait_until(unknown_length_deadline, part).await {
+            match with_deadline(unknown_length_deadline, part).await {
                 Some(part) => part,
                 None => break,
             }
@@ -123,7 +123,7 @@
     if memory_reservation.is_some() {
         reader.max_read_bytes = PART_BYTES;
     }
-    let bytes_left = http1::MAX_BODY.saturating_sub(bytes_read);
+    let bytes_left = http1::MAX_BODY_BYTES.saturating_sub(bytes_read);
     Box::new(RemainingBody { reader, bytes_left, _memory_reservation: memory_reservation })
 }
 
@@ -135,12 +135,12 @@
 }
 
 impl RemainingBody {
-    async fn read_part(&mut self, stream: &Async<TcpStream>) -> Result<Option<Vec<u8>>, BrokenOff> {
-        let part = self.reader.next_part(stream).await.map_err(|_| BrokenOff)?;
+    async fn read_part(&mut self, stream: &Async<TcpStream>) -> Result<Option<Vec<u8>>, IncompleteBody> {
+        let part = self.reader.next_part(stream).await.map_err(|_| IncompleteBody)?;
         // A body of unknown length may never end, so it is aborted once it exceeds the maximum
         // length of a body.
         let length = part.as_ref().map_or(0, Vec::len);
-        self.bytes_left = self.bytes_left.checked_sub(length).ok_or(BrokenOff)?;
+        self.bytes_left = self.bytes_left.checked_sub(length).ok_or(IncompleteBody)?;
         Ok(part)
     }
 }
@@ -149,7 +149,7 @@
     fn next_part<'a>(
         &'a mut self,
         stream: &'a Async<TcpStream>,
-    ) -> BoxFuture<'a, Result<Option<Vec<u8>>, BrokenOff>> {
+    ) -> BoxFuture<'a, Result<Option<Vec<u8>>, IncompleteBody>> {
         Box::pin(self.read_part(stream))
     }
 
--- a/crates/http-frontend/src/write_reply.rs
+++ b/crates/http-frontend/src/write_reply.rs
@@ -2,7 +2,7 @@
 
 use crate::reply::Reply;
 use chalkwalk_engine::response::BodyStream;
-use chalkwalk_sockets::{read_more, within, write_all};
+use chalkwalk_sockets::{read_more, with_timeout, write_all};
 use smol::Async;
 use std::net::{Shutdown, TcpStream};
 use std::time::Duration;
@@ -44,7 +44,7 @@
 async fn write_whole(stream: &Async<TcpStream>, reply: &Reply, close: bool) -> bool {
     let head = reply.head(Some(reply.body.len() as u64), close) + "\r\n";
     let parts = [head.as_bytes(), &reply.body];
-    let written = within(WRITE_TIMEOUT, write_all(stream, &parts)).await;
+    let written = with_timeout(WRITE_TIMEOUT, write_all(stream, &parts)).await;
     let keep_open = matches!(written, Some(Ok(()))) && !close;
     if !keep_open {
         shutdown_write(stream);
@@ -144,7 +144,7 @@
         let chunk_size_line = if is_chunk { format!("{:x}\r\n", part.len()) } else { String::new() };
         let chunk_end: &[u8] = if is_chunk { b"\r\n" } else { b"" };
         let parts = [prefix.as_bytes(), chunk_size_line.as_bytes(), part, chunk_end];
-        within(WRITE_TIMEOUT, write_all(self.stream, &parts)).await?.ok()
+        with_timeout(WRITE_TIMEOUT, write_all(self.stream, &parts)).await?.ok()
     }
 
     /// Writes the end of the body, if the framing has one.
@@ -167,5 +167,5 @@
             }
         }
     };
-    within(LINGER_TIMEOUT, drain).await;
+    with_timeout(LINGER_TIMEOUT, drain).await;
 }
--- a/crates/http-frontend/tests/wire.rs
+++ b/crates/http-frontend/tests/wire.rs
@@ -7,7 +7,7 @@
 use chalkwalk_engine::engine::Engine;
 use chalkwalk_engine::lifecycle::Phase;
 use chalkwalk_engine::servers::ListedEndpoint;
-use chalkwalk_http_frontend::{AliveCheck, Frontend, accept};
+use chalkwalk_http_frontend::{Frontend, HttpHealthCheck, accept_connections};
 use chalkwalk_limits::{Idempotency, Namespace, PlatformLimits};
 use chalkwalk_time::{Span, Timestamp};
 use expect_test::expect;
@@ -43,26 +43,26 @@
         zones: vec!["a".into()],
         kinds: Vec::new(),
         platform_limits,
-        limits: None,
+        operator_limits: None,
         connect_timeout: Duration::from_secs(1).into(),
         idle_timeout: Duration::from_secs(10),
         drain_grace: Span::ZERO.into(),
-        descriptors: 256,
-        memory: 32_000_000,
+        max_descriptors: 256,
+        memory_limit_bytes: 32_000_000,
     };
-    Engine::new(config, Box::new(AliveCheck), slog::Logger::root(slog::Discard, slog::o!()), None)
+    Engine::new(config, Box::new(HttpHealthCheck), slog::Logger::root(slog::Discard, slog::o!()), None)
 }
 
-fn endpoint(addr: SocketAddr) -> ListedEndpoint {
+fn endpoint(address: SocketAddr) -> ListedEndpoint {
     ListedEndpoint {
         id: "amber".into(),
-        addr,
+        address,
         zone: "a".into(),
         kind: String::new(),
         cell: 0,
-        size: 100,
+        weight_hundredths: 100,
         status: EndpointStatus::Ready,
-        born: Timestamp::ZERO,
+        started_at: Timestamp::ZERO,
     }
 }
 
@@ -80,7 +80,7 @@
         let endpoints: Vec<ListedEndpoint> = server.map(endpoint).into_iter().collect();
         api::apply_endpoint_list(&engine, &endpoints, true, false);
         engine.lifecycle.enter(Phase::Serving);
-        engine.executor.spawn(accept(frontend, listener)).detach();
+        engine.executor.spawn(accept_connections(frontend, listener)).detach();
         smol::unblock(move || client(addr)).await
     }))
 }
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -14,7 +14,7 @@
 mod response;
 
 pub use error::HttpError;
-pub use limits::{MAX_BODY, MAX_BUFFERED_BODY_BYTES, MAX_HEAD_BYTES, RequestLimits};
+pub use limits::{MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, MAX_HEAD_BYTES, RequestLimits};
 pub use message::Message;
 pub use request::read_request;
-pub use response::{GetError, ResponseReader, get, reason, send_get};
+pub use response::{GetError, ResponseReader, get, reason_phrase, send_get};
--- a/crates/http1/src/request.rs
+++ b/crates/http1/src/request.rs
@@ -3,7 +3,9 @@
 use crate::body::{BodyDecoder, Framing};
 use crate::head::{Head, MessageKind, read_head};
 use crate::{HttpError, MAX_BUFFERED_BODY_BYTES, Message, RequestLimits};
-use chalkwalk_sockets::{MemoryBudget, MemoryReservation, read_up_to, wait_until, within, write_all};
+use chalkwalk_sockets::{
+    MemoryBudget, MemoryReservation, read_up_to, with_deadline, with_timeout, write_all,
+};
 use smol::{Async, Timer};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
@@ -30,8 +32,8 @@
     read_ahead: &mut Vec<u8>,
     limits: RequestLimits<'_>,
 ) -> Result<Message, HttpError> {
-    let head = read_head(stream, read_ahead, MessageKind::Request, limits.max_body);
-    let head = wait_until(limits.head_deadline, head).await.unwrap_or(Err(HttpError::Timeout))?;
+    let head = read_head(stream, read_ahead, MessageKind::Request, limits.max_body_bytes);
+    let head = with_deadline(limits.head_deadline, head).await.unwrap_or(Err(HttpError::Timeout))?;
     let Head { mut message, framing, expects_continue } = head;
     if let Framing::Length(length) = framing {
         if length > MAX_BUFFERED_BODY_BYTES {
@@ -65,7 +67,7 @@
         let part = decoder.decode(read_ahead)?;
         message.buf.extend_from_slice(&part);
         let received_bytes = message.buf.len() - head_len;
-        if (received_bytes as u64).saturating_add(decoder.announced_bytes()) > limits.max_body as u64 {
+        if (received_bytes as u64).saturating_add(decoder.announced_bytes()) > limits.max_body_bytes as u64 {
             return Err(HttpError::BodyTooLong);
         }
         if decoder.is_finished() {
@@ -86,7 +88,7 @@
         let time_at_min_rate =
             Duration::from_millis(1000 * received_bytes as u64 / MIN_BODY_BYTES_PER_SECOND);
         let deadline = started_at + BODY_GRACE + time_at_min_rate;
-        match wait_until(deadline, read_up_to(stream, read_ahead, MAX_READ_BYTES)).await {
+        match with_deadline(deadline, read_up_to(stream, read_ahead, MAX_READ_BYTES)).await {
             Some(Ok(1..)) => {}
             Some(_) => return Err(HttpError::Malformed),
             None => return Err(HttpError::Timeout),
@@ -108,7 +110,7 @@
             }
         }
     };
-    within(MEMORY_TIMEOUT, reserved).await.ok_or(HttpError::NoMemory)
+    with_timeout(MEMORY_TIMEOUT, reserved).await.ok_or(HttpError::NoMemory)
 }
 
 #[cfg(test)]
--- a/crates/http1/src/request/tests.rs
+++ b/crates/http1/src/request/tests.rs
@@ -1,7 +1,7 @@
 //! Tests how the time that a request waits for memory is accounted for.
 
 use super::{BODY_GRACE, MEMORY_TIMEOUT, read_request};
-use crate::{MAX_BODY, RequestLimits};
+use crate::{MAX_BODY_BYTES, RequestLimits};
 use chalkwalk_sockets::MemoryBudget;
 use smol::{Async, Timer};
 use std::io::Write;
@@ -26,8 +26,11 @@
         client.write_all(format!("{chunk}0\r\n\r\n").as_bytes()).unwrap();
         client
     });
-    let limits =
-        RequestLimits { head_deadline: Instant::now() + MEMORY_TIMEOUT, max_body: MAX_BODY, memory: &memory };
+    let limits = RequestLimits {
+        head_deadline: Instant::now() + MEMORY_TIMEOUT,
+        max_body_bytes: MAX_BODY_BYTES,
+        memory: &memory,
+    };
     let release_memory = async {
         Timer::after(BODY_GRACE * 5 / 2).await;
         drop(other_reservation);
--- a/crates/http1/src/response.rs
+++ b/crates/http1/src/response.rs
@@ -133,7 +133,7 @@
 }
 
 /// The reason phrase of a status code, for the codes that the proxy itself sends.
-pub fn reason(status: u16) -> &'static str {
+pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
--- a/crates/http1/tests/messages.rs
+++ b/crates/http1/tests/messages.rs
@@ -2,8 +2,8 @@
 //! code each invalid message maps to.
 
 use chalkwalk_http1::{
-    HttpError, MAX_BODY, MAX_BUFFERED_BODY_BYTES, MAX_HEAD_BYTES, Message, RequestLimits, ResponseReader,
-    get, read_request,
+    HttpError, MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, MAX_HEAD_BYTES, Message, RequestLimits,
+    ResponseReader, get, read_request,
 };
 use chalkwalk_sockets::MemoryBudget;
 use expect_test::expect;
@@ -35,10 +35,13 @@
     result
 }
 
-fn read_one_request(text: &str, max_body: usize) -> (Result<Message, HttpError>, Vec<u8>) {
+fn read_one_request(text: &str, max_body_bytes: usize) -> (Result<Message, HttpError>, Vec<u8>) {
     let memory = MemoryBudget::new(1 << 20);
-    let limits =
-        RequestLimits { head_deadline: Instant::now() + Duration::from_secs(5), max_body, memory: &memory };
+    let limits = RequestLimits {
+        head_deadline: Instant::now() + Duration::from_secs(5),
+        max_body_bytes,
+        memory: &memory,
+    };
     let mut read_ahead = Vec::new();
     let request = read_from_peer(text, async |stream| read_request(stream, &mut read_ahead, limits).await);
     (request, read_ahead)
@@ -134,7 +137,7 @@
         });
         let memory = MemoryBudget::new(0);
         let head_deadline = Instant::now() + Duration::from_secs(5);
-        let limits = RequestLimits { head_deadline, max_body: 100, memory: &memory };
+        let limits = RequestLimits { head_deadline, max_body_bytes: 100, memory: &memory };
         let request = block_on(read_request(&stream, &mut Vec::new(), limits)).unwrap();
         assert_eq!(request.text(&request.body), "ab");
         drop(stream);
@@ -146,7 +149,7 @@
 fn only_long_bodies_reserve_memory_and_those_above_the_budget_are_rejected() {
     let reservation_count = |len: usize| {
         let text = format!("PUT /k HTTP/1.1\r\nContent-Length: {len}\r\n\r\n{}", "v".repeat(len));
-        read_one_request(&text, MAX_BODY).0.map(|request| request.reservations.len())
+        read_one_request(&text, MAX_BODY_BYTES).0.map(|request| request.reservations.len())
     };
     assert_eq!(reservation_count(MAX_BUFFERED_BODY_BYTES), Ok(0));
     assert_eq!(reservation_count(MAX_BUFFERED_BODY_BYTES + 1), Ok(1));
@@ -159,7 +162,7 @@
     peer.write_all(b"GET / HTTP/1.1\r\n").unwrap();
     let memory = MemoryBudget::new(0);
     let head_deadline = Instant::now() + Duration::from_millis(20);
-    let limits = RequestLimits { head_deadline, max_body: 100, memory: &memory };
+    let limits = RequestLimits { head_deadline, max_body_bytes: 100, memory: &memory };
     let error = block_on(read_request(&stream, &mut Vec::new(), limits)).err();
     assert_eq!(error, Some(HttpError::Timeout));
     assert_eq!(error.map(HttpError::status), Some(408));
--- a/crates/limits/src/budget.rs
+++ b/crates/limits/src/budget.rs
@@ -26,7 +26,7 @@
 impl RetryBudget {
     /// A budget for one class. `share_permille`: retries allowed, in thousandths of the first
     /// attempts.
-    pub fn own(share_permille: u64) -> RetryBudget {
+    pub fn per_class(share_permille: u64) -> RetryBudget {
         RetryBudget(Budget::PerClass(RefCell::new(SlidingWindow::new(share_permille))))
     }
 
@@ -72,7 +72,7 @@
     }
 
     /// Continues from the counters of another budget, if both are shared or both are for one class.
-    pub fn continue_from(&self, previous: &RetryBudget) {
+    pub fn copy_counters_from(&self, previous: &RetryBudget) {
         let same_kind = match (&self.0, &previous.0) {
             (Budget::Shared(_), Budget::Shared(_)) | (Budget::PerClass(_), Budget::PerClass(_)) => true,
             (Budget::Shared(_), Budget::PerClass(_)) | (Budget::PerClass(_), Budget::Shared(_)) => false,
--- a/crates/limits/src/check/class.rs
+++ b/crates/limits/src/check/class.rs
@@ -71,7 +71,7 @@
     /// How long each attempt may take, including the connection setup. `None` if attempts have no
     /// timeout of their own.
     fn time_per_attempt(&self) -> Option<Span> {
-        self.limits.attempt_timeout.value.map(|timeout| timeout + self.platform.connect_time)
+        self.limits.attempt_timeout.value.map(|timeout| timeout + self.platform.connect_timeout)
     }
 
     fn is_tagged(&self) -> bool {
@@ -160,32 +160,32 @@
 /// Nothing is reported for requests that must not run twice: a wider scope may set `hedge_after`
 /// for other classes.
 fn hedge_after_needs_hedging<'a>(context: &RuleContext<'a>) -> Option<Violation<'a>> {
-    let Limits { hedge_after, hedging, .. } = context.limits;
+    let Limits { hedge_after_permille, hedging, .. } = context.limits;
     let replayable = context.namespace.idempotency == Idempotency::Replayable;
-    if hedge_after.value.is_none() || hedging.value || !replayable {
+    if hedge_after_permille.value.is_none() || hedging.value || !replayable {
         return None;
     }
     let message = "copies_after is set, but hedged requests are not allowed".into();
-    Some(Violation::new([&hedge_after.source, &hedging.source], message))
+    Some(Violation::new([&hedge_after_permille.source, &hedging.source], message))
 }
 
 fn hedge_after_needs_two_attempts<'a>(context: &RuleContext<'a>) -> Option<Violation<'a>> {
-    let Limits { hedge_after, hedging, max_attempts, .. } = context.limits;
-    if hedge_after.value.is_none() || !hedging.value || max_attempts.value >= 2 {
+    let Limits { hedge_after_permille, hedging, max_attempts, .. } = context.limits;
+    if hedge_after_permille.value.is_none() || !hedging.value || max_attempts.value >= 2 {
         return None;
     }
     let message = "copies_after is set, but a hedged request is a second attempt and most_shots is 1".into();
-    Some(Violation::new([&hedge_after.source, &max_attempts.source], message))
+    Some(Violation::new([&hedge_after_permille.source, &max_attempts.source], message))
 }
 
 fn retry_budget_within_attempts<'a>(context: &RuleContext<'a>) -> Option<Violation<'a>> {
-    let Limits { retry_budget, max_attempts, .. } = context.limits;
+    let Limits { retry_budget_permille, max_attempts, .. } = context.limits;
     let retries = context.max_retries();
-    if retry_budget.value.is_none_or(|share| share <= retries * 1000) {
+    if retry_budget_permille.value.is_none_or(|share| share <= retries * 1000) {
         return None;
     }
     let message = format!("further_shots is above {retries}, the number of retries that most_shots allows");
-    Some(Violation::new([&retry_budget.source, &max_attempts.source], message))
+    Some(Violation::new([&retry_budget_permille.source, &max_attempts.source], message))
 }
 
 /// Without an attempt timeout, the last attempt may start as late as the end of the time limit.
--- a/crates/limits/src/check/clients.rs
+++ b/crates/limits/src/check/clients.rs
@@ -43,7 +43,7 @@
         from_thousandths(amplification),
         from_thousandths(clients.max_amplification.value)
     );
-    let sources = [&limits.retry_budget.source, &limits.max_attempts.source];
+    let sources = [&limits.retry_budget_permille.source, &limits.max_attempts.source];
     let lines = sources.iter().filter_map(|source| source.line());
     let line = lines.max().unwrap_or(0).max(clients.max_amplification.line);
     errors.add(line, message);
@@ -52,7 +52,10 @@
 /// The average number of attempts for one request if all attempts fail, in thousandths.
 fn attempts_per_request(limits: &Limits) -> u64 {
     let max_attempts = limits.max_attempts.value * ONE_IN_THOUSANDTHS;
-    limits.retry_budget.value.map_or(max_attempts, |share| max_attempts.min(ONE_IN_THOUSANDTHS + share))
+    limits
+        .retry_budget_permille
+        .value
+        .map_or(max_attempts, |share| max_attempts.min(ONE_IN_THOUSANDTHS + share))
 }
 
 fn from_thousandths(thousandths: u64) -> f64 {
--- a/crates/limits/src/check/values.rs
+++ b/crates/limits/src/check/values.rs
@@ -53,11 +53,12 @@
 
 fn check_shares(overrides: &LimitOverrides, errors: &mut ErrorList) {
     let hedge_after =
-        overrides.hedge_after.filter(|share| !HEDGE_AFTER_RANGE_PERMILLE.contains(&share.value));
+        overrides.hedge_after_permille.filter(|share| !HEDGE_AFTER_RANGE_PERMILLE.contains(&share.value));
     if let Some(Located { line, .. }) = hedge_after {
         errors.add(line, "copies_after must be a share of the responses from 0.5 to 0.999".into());
     }
-    let retry_budget = overrides.retry_budget.filter(|share| share.value > MAX_RETRY_BUDGET_PERMILLE);
+    let retry_budget =
+        overrides.retry_budget_permille.filter(|share| share.value > MAX_RETRY_BUDGET_PERMILLE);
     if let Some(Located { line, .. }) = retry_budget {
         errors.add(line, "further_shots must be a share of the first attempts from 0 to 5".into());
     }
--- a/crates/limits/src/effective.rs
+++ b/crates/limits/src/effective.rs
@@ -65,10 +65,10 @@
     pub hedging: EffectiveLimit<bool>,
     /// A hedged request is sent once an attempt has taken longer than this share of all responses,
     /// in thousandths. `None`: only if a server is silent or an attempt is lost.
-    pub hedge_after: EffectiveLimit<Option<u64>>,
+    pub hedge_after_permille: EffectiveLimit<Option<u64>>,
     /// Retries allowed, in thousandths of the first attempts. `None`: the class uses the balancer's
     /// budget, which is shared between classes.
-    pub retry_budget: EffectiveLimit<Option<u64>>,
+    pub retry_budget_permille: EffectiveLimit<Option<u64>>,
     /// Maximum number of requests in flight at once. `None`: no limit.
     pub max_in_flight: EffectiveLimit<Option<u64>>,
     /// Maximum size of a request body, in bytes.
@@ -95,8 +95,12 @@
             max_attempts: resolve_limit(scopes, platform.max_attempts, |limits| limits.max_attempts),
             attempt_timeout: resolve_limit(scopes, None, |limits| wrap_value(limits.attempt_timeout)),
             hedging: resolve_limit(scopes, hedging, |limits| limits.hedging),
-            hedge_after: resolve_limit(scopes, None, |limits| wrap_value(limits.hedge_after)),
-            retry_budget: resolve_limit(scopes, None, |limits| wrap_value(limits.retry_budget)),
+            hedge_after_permille: resolve_limit(scopes, None, |limits| {
+                wrap_value(limits.hedge_after_permille)
+            }),
+            retry_budget_permille: resolve_limit(scopes, None, |limits| {
+                wrap_value(limits.retry_budget_permille)
+            }),
             max_in_flight: resolve_limit(scopes, None, |limits| wrap_value(limits.max_in_flight)),
             max_body_bytes: resolve_limit(scopes, platform.max_body_bytes, |limits| limits.max_body_bytes),
         }
--- a/crates/limits/src/operator.rs
+++ b/crates/limits/src/operator.rs
@@ -39,9 +39,9 @@
     pub hedging: Option<Located<bool>>,
     /// A hedged request is sent once an attempt has taken longer than this share of all responses,
     /// in thousandths.
-    pub hedge_after: Option<Located<u64>>,
+    pub hedge_after_permille: Option<Located<u64>>,
     /// Retries allowed within a sliding window, in thousandths of the first attempts.
-    pub retry_budget: Option<Located<u64>>,
+    pub retry_budget_permille: Option<Located<u64>>,
     /// Maximum number of requests of the class that are in flight at once.
     pub max_in_flight: Option<Located<u64>>,
     /// Maximum size of a request body, in bytes.
--- a/crates/limits/src/platform.rs
+++ b/crates/limits/src/platform.rs
@@ -37,7 +37,7 @@
     /// Whether requests may be hedged, in any namespace.
     pub hedging: bool,
     /// Time within which a connection to a server must be established.
-    pub connect_time: Span,
+    pub connect_timeout: Span,
     /// Maximum size of a request body, in bytes.
     pub max_body_bytes: u64,
     /// The namespaces; elsewhere a namespace is referred to by its index in this list.
--- a/crates/limits/src/sliding_window.rs
+++ b/crates/limits/src/sliding_window.rs
@@ -41,7 +41,7 @@
     /// The whole count of the current half, and the previous half's count weighted by the part of
     /// it that is still within the window. The result is the count multiplied by `HALF_WINDOW`.
     fn weighted_count(&self, now: Timestamp) -> Span {
-        self.current * HALF_WINDOW + self.previous * (HALF_WINDOW - now.into_period(HALF_WINDOW))
+        self.current * HALF_WINDOW + self.previous * (HALF_WINDOW - now.elapsed_in_period(HALF_WINDOW))
     }
 }
 
--- a/crates/limits/src/table.rs
+++ b/crates/limits/src/table.rs
@@ -64,7 +64,7 @@
     }
 
     /// The limits that apply without an operator's file.
-    pub fn from_settings(platform: &PlatformLimits) -> LimitTable {
+    pub fn from_platform(platform: &PlatformLimits) -> LimitTable {
         LimitTable::build(&UncheckedLimits::default(), platform)
     }
 
@@ -75,7 +75,7 @@
 
     /// The index of a request's class: the class of the first route that matches the request, or
     /// that of the request's namespace.
-    pub fn find(&self, request: RequestAttributes) -> usize {
+    pub fn class_index(&self, request: RequestAttributes) -> usize {
         let namespace = self.namespaces.get(request.namespace).map_or("", String::as_str);
         let class = |route: &RouteClasses| {
             let class = route.class_by_namespace.get(request.namespace).copied().flatten();
--- a/crates/limits/tests/accepted.rs
+++ b/crates/limits/tests/accepted.rs
@@ -21,7 +21,7 @@
     PlatformLimits {
         max_attempts: 6,
         hedging: true,
-        connect_time: Span::from_ticks(500),
+        connect_timeout: Span::from_ticks(500),
         max_body_bytes: 1000,
         namespaces: vec![
             namespace("page", Idempotency::Replayable),
@@ -49,7 +49,7 @@
         .prop_map(
             move |(
                 (time_limit, latency_objective, max_attempts, attempt_timeout),
-                (hedging, hedge_after, retry_budget),
+                (hedging, hedge_after_permille, retry_budget_permille),
                 capacity,
             )| {
                 let (max_in_flight, max_body_bytes) = capacity;
@@ -59,8 +59,8 @@
                     max_attempts,
                     attempt_timeout: span(attempt_timeout),
                     hedging,
-                    hedge_after,
-                    retry_budget,
+                    hedge_after_permille,
+                    retry_budget_permille,
                     max_in_flight,
                     max_body_bytes,
                 }
@@ -123,7 +123,7 @@
             prop_assert!(!limits.hedging.value || namespace.idempotency == Idempotency::Replayable);
             prop_assert!(limits.max_in_flight.value != Some(0));
             if let Some(timeout) = limits.attempt_timeout.value {
-                let time_per_attempt = timeout + platform_limits.connect_time;
+                let time_per_attempt = timeout + platform_limits.connect_timeout;
                 prop_assert!(limits.max_attempts.value * time_per_attempt <= limits.time_limit.value);
                 prop_assert!(
                     namespace.idempotency != Idempotency::Tagged
@@ -134,18 +134,18 @@
             {
                 prop_assert!(limits.max_attempts.value == 1 || limits.time_limit.value <= namespace.dedup_window);
             }
-            if let Some(share) = limits.retry_budget.value {
+            if let Some(share) = limits.retry_budget_permille.value {
                 prop_assert!(share <= (limits.max_attempts.value - 1) * 1000);
             }
             if let Some(clients) = unchecked.clients {
-                let attempts = limits.retry_budget.value.map_or(limits.max_attempts.value * 1000, |s| (1000 + s).min(limits.max_attempts.value * 1000));
+                let attempts = limits.retry_budget_permille.value.map_or(limits.max_attempts.value * 1000, |s| (1000 + s).min(limits.max_attempts.value * 1000));
                 prop_assert!(attempts * clients.tries.value <= clients.max_amplification.value);
             }
         }
         // Each request gets a class of its own namespace.
         for namespace in 0..platform_limits.namespaces.len() {
             for path in ["/", "/a", "/ab", "/bb/c", ""] {
-                let class = table.find(RequestAttributes { namespace, path, tenant: "", frontend: "" });
+                let class = table.class_index(RequestAttributes { namespace, path, tenant: "", frontend: "" });
                 prop_assert_eq!(table.classes()[class].namespace, namespace);
             }
         }
--- a/crates/membership/src/endpoint.rs
+++ b/crates/membership/src/endpoint.rs
@@ -14,7 +14,7 @@
     /// Identifies the server across restarts of its process.
     pub id: String,
     /// The address on which the server listens.
-    pub addr: SocketAddr,
+    pub address: SocketAddr,
     /// The zone that the server runs in.
     pub zone: String,
     /// The kind of server; empty if the source does not distinguish kinds.
@@ -22,12 +22,12 @@
     /// The cell that the server belongs to.
     pub cell: u64,
     /// The configured weight in hundredths; 100 if the source gives no weight.
-    pub size: u64,
+    pub weight_hundredths: u64,
     /// Whether the server is in service, draining or gone.
     pub status: EndpointStatus,
     /// When the server's process started (Unix time). This identifies the incarnation; 0 means that
     /// the start is unknown and long ago.
-    pub born: Timestamp,
+    pub started_at: Timestamp,
 }
 
 /// An entry of a source's list: an endpoint and the source's instruction for it.
--- a/crates/membership/src/format/file.rs
+++ b/crates/membership/src/format/file.rs
@@ -211,8 +211,8 @@
                 if !ids.insert(endpoint.id.clone()) {
                     problems.push(FileProblem::DuplicateId { position, id: endpoint.id.clone() });
                 }
-                if !addrs.insert(endpoint.addr) {
-                    problems.push(FileProblem::DuplicateAddress { position, addr: endpoint.addr });
+                if !addrs.insert(endpoint.address) {
+                    problems.push(FileProblem::DuplicateAddress { position, addr: endpoint.address });
                 }
                 accepted.push(entry);
             }
--- a/crates/membership/src/format/record.rs
+++ b/crates/membership/src/format/record.rs
@@ -11,7 +11,7 @@
 const MIN_WEIGHT: f64 = 0.01;
 const MAX_WEIGHT: f64 = 10_000.0;
 /// Internally, weights are stored as hundredths.
-const SIZE_UNITS_PER_WEIGHT: f64 = 100.0;
+const HUNDREDTHS_PER_WEIGHT_UNIT: f64 = 100.0;
 /// The exclusive upper bound of a start time: far beyond any clock, and small enough that spans can
 /// be added without an overflow.
 const MAX_START_TICKS: u64 = u64::MAX / 4;
@@ -115,13 +115,13 @@
         };
         EndpointRecord {
             id: endpoint.id.clone(),
-            addr: endpoint.addr.to_string(),
+            addr: endpoint.address.to_string(),
             zone: endpoint.zone.clone(),
             kind: endpoint.kind.clone(),
             cell: endpoint.cell,
-            weight: endpoint.size as f64 / SIZE_UNITS_PER_WEIGHT,
+            weight: endpoint.weight_hundredths as f64 / HUNDREDTHS_PER_WEIGHT_UNIT,
             state: state.into(),
-            started_ms: endpoint.born.ticks() / TICKS_PER_MILLISECOND,
+            started_ms: endpoint.started_at.ticks() / TICKS_PER_MILLISECOND,
             reinstated: false,
         }
     }
@@ -129,13 +129,14 @@
     /// Converts the stored form to a list entry, if every field is valid.
     pub fn into_entry(self, allowed: &AllowedNames) -> Result<ListEntry, RecordError> {
         self.check_id()?;
-        let addr = self.addr.parse().map_err(|_| self.field_error(FieldRule::Address, &self.addr))?;
+        let address = self.addr.parse().map_err(|_| self.field_error(FieldRule::Address, &self.addr))?;
         let status = self.status()?;
         self.check_names(allowed)?;
-        let born = self.born()?;
-        let size = self.size()?;
+        let started_at = self.started_at()?;
+        let weight_hundredths = self.weight_hundredths()?;
         let EndpointRecord { id, zone, kind, cell, reinstated, .. } = self;
-        let endpoint = ListedEndpoint { id, addr, zone, kind, cell, size, status, born };
+        let endpoint =
+            ListedEndpoint { id, address, zone, kind, cell, weight_hundredths, status, started_at };
         Ok(ListEntry { endpoint, reinstated })
     }
 
@@ -164,18 +165,18 @@
         Ok(())
     }
 
-    fn born(&self) -> Result<Timestamp, RecordError> {
+    fn started_at(&self) -> Result<Timestamp, RecordError> {
         let ticks = self.started_ms.checked_mul(TICKS_PER_MILLISECOND);
         let ticks = ticks.filter(|ticks| *ticks < MAX_START_TICKS);
         let out_of_range = || self.field_error(FieldRule::StartedMs, &self.started_ms.to_string());
         ticks.map(Timestamp::from_ticks).ok_or_else(out_of_range)
     }
 
-    fn size(&self) -> Result<u64, RecordError> {
+    fn weight_hundredths(&self) -> Result<u64, RecordError> {
         if !(MIN_WEIGHT..=MAX_WEIGHT).contains(&self.weight) {
             return Err(self.field_error(FieldRule::Weight, &self.weight.to_string()));
         }
-        Ok((self.weight * SIZE_UNITS_PER_WEIGHT).round() as u64)
+        Ok((self.weight * HUNDREDTHS_PER_WEIGHT_UNIT).round() as u64)
     }
 
     fn field_error(&self, rule: FieldRule, value: &str) -> RecordError {
--- a/crates/membership/src/persisted.rs
+++ b/crates/membership/src/persisted.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, PartialEq)]
 pub struct PersistedList {
     /// When the list was written (Unix time).
-    pub at: Timestamp,
+    pub written_at: Timestamp,
     /// The source's revision of the list.
     pub revision: u64,
     /// The endpoints, except those that are gone.
@@ -76,7 +76,7 @@
     /// Returns how the list may be used at this time. A list written in the future counts as
     /// expired, because one of the two clocks must be wrong.
     pub fn freshness(&self, now: Timestamp) -> Freshness {
-        match now.checked_since(self.at) {
+        match now.checked_since(self.written_at) {
             Some(age) if age <= MAX_FRESH_AGE => Freshness::Fresh,
             Some(age) if age <= MAX_USABLE_AGE => Freshness::Stale,
             _ => Freshness::Expired,
@@ -90,7 +90,7 @@
             (endpoint.id.clone(), value)
         };
         let lines = self.endpoints.iter().map(line).collect();
-        let body = Body { at: self.at, revision: self.revision, lines };
+        let body = Body { at: self.written_at, revision: self.revision, lines };
         let body = serde_json::to_string(&body).unwrap_or_default();
         format!("{HEADER}{}\n{body}\n", checksum(&body))
     }
@@ -108,7 +108,7 @@
             parse_endpoint(id, value.as_bytes(), allowed).map(|entry| entry.endpoint)
         };
         let endpoints = body.lines.iter().map(endpoint).collect::<Result<_, _>>()?;
-        Ok(PersistedList { at: body.at, revision: body.revision, endpoints })
+        Ok(PersistedList { written_at: body.at, revision: body.revision, endpoints })
     }
 }
 
--- a/crates/membership/src/proxy_count.rs
+++ b/crates/membership/src/proxy_count.rs
@@ -45,7 +45,7 @@
     /// Returns the number of proxies among which the balancer divides the servers' capacity. A
     /// higher count takes effect immediately, a lower one after a minute. If nothing was counted
     /// for a minute, it is the configured number.
-    pub fn effective(&mut self, now: Timestamp) -> u64 {
+    pub fn effective_count(&mut self, now: Timestamp) -> u64 {
         self.advance(now);
         let max_live = self.max_live.iter().copied().max().unwrap_or(0);
         let counted = if max_live == 0 { self.configured } else { max_live };
--- a/crates/membership/src/reconcile.rs
+++ b/crates/membership/src/reconcile.rs
@@ -26,5 +26,5 @@
     /// A writer assembles the list (a file), and may still list a drained server as in service
     /// because it does not know of the drain. The server returns to service only with a new process
     /// start, or if it is listed as reinstated.
-    Assembled,
+    Unordered,
 }
--- a/crates/membership/src/reconcile/endpoint_state.rs
+++ b/crates/membership/src/reconcile/endpoint_state.rs
@@ -47,7 +47,7 @@
     pub fn new(entry: ListEntry) -> EndpointState {
         let drained = entry.endpoint.status != EndpointStatus::Ready;
         EndpointState {
-            drained_start: drained.then_some(entry.endpoint.born),
+            drained_start: drained.then_some(entry.endpoint.started_at),
             entry,
             listed: true,
             published: None,
@@ -63,7 +63,7 @@
     pub fn put(&mut self, entry: ListEntry) {
         self.listed = true;
         if entry.endpoint.status != EndpointStatus::Ready {
-            self.drained_start = self.drained_start.max(Some(entry.endpoint.born));
+            self.drained_start = self.drained_start.max(Some(entry.endpoint.started_at));
         }
         self.entry = entry;
     }
@@ -76,7 +76,7 @@
 
     /// Applies a drain from a rejected list, unless it refers to an earlier process of this server.
     pub fn drain(&mut self, start: Timestamp) {
-        if self.is_in_service() && self.entry.endpoint.born <= start {
+        if self.is_in_service() && self.entry.endpoint.started_at <= start {
             self.entry.endpoint.status = EndpointStatus::Draining;
             self.drained_start = self.drained_start.max(Some(start));
         }
@@ -128,7 +128,7 @@
     ) -> Option<ListedEndpoint> {
         let status = self.next_status(now, self.stays_drained(trust), events);
         if status != EndpointStatus::Ready {
-            self.out_of_service_start = self.out_of_service_start.max(Some(self.entry.endpoint.born));
+            self.out_of_service_start = self.out_of_service_start.max(Some(self.entry.endpoint.started_at));
         }
         if status == EndpointStatus::Gone && self.published_status() != Some(EndpointStatus::Gone) {
             self.gone_since = now;
@@ -155,8 +155,8 @@
     /// or missing, and nothing shows that it has been restarted since.
     fn stays_drained(&self, trust: SourceTrust) -> bool {
         let is_same_process =
-            |start: Option<Timestamp>| start.is_some_and(|start| self.entry.endpoint.born <= start);
-        let drain_applies = trust.kind == SourceKind::Assembled
+            |start: Option<Timestamp>| start.is_some_and(|start| self.entry.endpoint.started_at <= start);
+        let drain_applies = trust.kind == SourceKind::Unordered
             && !self.entry.reinstated
             && is_same_process(self.drained_start);
         let stale_list_applies = trust.stale && is_same_process(self.out_of_service_start);
--- a/crates/membership/src/reconcile/reconciler.rs
+++ b/crates/membership/src/reconcile/reconciler.rs
@@ -151,7 +151,7 @@
         let drained = entries.iter().map(|entry| &entry.endpoint);
         for drained in drained.filter(|endpoint| endpoint.status == EndpointStatus::Draining) {
             if let Some(endpoint) = self.endpoints.get_mut(&drained.id) {
-                endpoint.drain(drained.born);
+                endpoint.drain(drained.started_at);
             }
         }
     }
--- a/crates/membership/tests/format.rs
+++ b/crates/membership/tests/format.rs
@@ -111,21 +111,21 @@
     fn an_encoded_endpoint_round_trips(
         port in any::<u16>(),
         cell in any::<u64>(),
-        size in 1u64..1_000_000,
+        weight_hundredths in 1u64..1_000_000,
         born in 0u64..1 << 50,
         draining in any::<bool>(),
     ) {
         let status = if draining { EndpointStatus::Draining } else { EndpointStatus::Ready };
-        let addr = std::net::SocketAddr::from(([127, 0, 0, 1], port));
+        let address = std::net::SocketAddr::from(([127, 0, 0, 1], port));
         let endpoint = ListedEndpoint {
             id: "a/b".into(),
-            addr,
+            address,
             zone: "n".into(),
             kind: "cache".into(),
             cell,
-            size,
+            weight_hundredths,
             status,
-            born: Timestamp::from_ticks(born * 10),
+            started_at: Timestamp::from_ticks(born * 10),
         };
         let parsed = parse_endpoint("a/b", &encode_endpoint(&endpoint), &allowed()).unwrap();
             prop_assert_eq!(parsed, ListEntry { endpoint, reinstated: false });
--- a/crates/membership/tests/helper/mod.rs
+++ b/crates/membership/tests/helper/mod.rs
@@ -15,16 +15,16 @@
 
 /// An endpoint whose process started at `born` ticks.
 pub fn endpoint(id: &str, status: EndpointStatus, born: u64) -> ListedEndpoint {
-    let addr = "127.0.0.1:3000".parse().unwrap();
+    let address = "127.0.0.1:3000".parse().unwrap();
     ListedEndpoint {
         id: id.into(),
-        addr,
+        address,
         zone: "n".into(),
         kind: String::new(),
         cell: 0,
-        size: 100,
+        weight_hundredths: 100,
         status,
-        born: at_ticks(born),
+        started_at: at_ticks(born),
     }
 }
 
--- a/crates/membership/tests/persisted.rs
+++ b/crates/membership/tests/persisted.rs
@@ -12,16 +12,16 @@
 fn a_list_round_trips_and_any_missing_or_altered_byte_is_rejected() {
     let endpoint = |id: &str, status| ListedEndpoint {
         id: id.into(),
-        addr: "127.0.0.1:3000".parse().unwrap(),
+        address: "127.0.0.1:3000".parse().unwrap(),
         zone: "n".into(),
         kind: String::new(),
         cell: 3,
-        size: 150,
+        weight_hundredths: 150,
         status,
-        born: Timestamp::from_ticks(170),
+        started_at: Timestamp::from_ticks(170),
     };
     let endpoints = vec![endpoint("a", EndpointStatus::Ready), endpoint("b \"c\"", EndpointStatus::Draining)];
-    let list = PersistedList { at: Timestamp::ZERO + 100 * HOUR, revision: 9, endpoints };
+    let list = PersistedList { written_at: Timestamp::ZERO + 100 * HOUR, revision: 9, endpoints };
     let (text, allowed) = (list.to_text(), AllowedNames::default());
     assert_eq!(PersistedList::parse(&text, &allowed).unwrap(), list);
     assert_eq!(PersistedList::parse(&text, &allowed).unwrap().to_text(), text);
--- a/crates/membership/tests/proxy_count.rs
+++ b/crates/membership/tests/proxy_count.rs
@@ -12,7 +12,7 @@
         if let Some(live) = live {
             count.observe(now, live);
         }
-        count.effective(now)
+        count.effective_count(now)
     };
     // Half of the fleet is missing for a moment, then permanently.
     let counts = [
--- a/crates/membership/tests/reconcile.rs
+++ b/crates/membership/tests/reconcile.rs
@@ -19,7 +19,7 @@
     }
 
     fn record(&mut self, now: u64, update: ListUpdate) {
-        let endpoint = |e: &ListedEndpoint| format!(" {}:{:?}@{}", e.id, e.status, e.born);
+        let endpoint = |e: &ListedEndpoint| format!(" {}:{:?}@{}", e.id, e.status, e.started_at);
         let endpoints: String = update.endpoints.iter().map(endpoint).collect();
         let event = |e: &ReconcileEvent| format!(" ({} {})", e.message(), e.endpoint_id().unwrap_or(""));
         let events: String = update.events.iter().map(event).collect();
@@ -128,7 +128,7 @@
 
 #[test]
 fn a_file_that_still_lists_a_drained_server_does_not_return_it_to_service() {
-    let mut trace = Trace::new(SourceKind::Assembled);
+    let mut trace = Trace::new(SourceKind::Unordered);
     trace.list(0, 1, vec![ready("a", 1), ready("b", 0)]);
     trace.list(SECOND, 2, vec![draining("a", 1), draining("b", 0)]);
     trace.list(2 * SECOND, 3, vec![ready("a", 1), ready("b", 0)]);
--- a/crates/membership/tests/reconcile_any_order.rs
+++ b/crates/membership/tests/reconcile_any_order.rs
@@ -65,7 +65,7 @@
             let id = format!("c{server}");
             let mut state = states[i].clone();
             let revision = i as u64 + 1;
-            let born = state.get(&id).map_or(revision, |endpoint| endpoint.born.ticks());
+            let born = state.get(&id).map_or(revision, |endpoint| endpoint.started_at.ticks());
             let change = match kind {
                 0 => put(revision, draining(&id, born)),
                 1 => put(revision, ready(&id, born)),
--- a/crates/proxy/src/captures/cut.rs
+++ b/crates/proxy/src/captures/cut.rs
@@ -2,7 +2,7 @@
 
 use super::segment::{file_error, read_segments};
 use crate::error::CaptureFileError;
-use chalkwalk_capture::{CaptureItem, FILE_MARK, encode_item, excerpt};
+use chalkwalk_capture::{CaptureItem, FILE_SIGNATURE, encode_item, excerpt};
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 
@@ -14,7 +14,7 @@
     let items: Vec<CaptureItem> = segments.into_iter().flat_map(|segment| segment.items).collect();
     let excerpt_items = excerpt(&items, call).ok_or(CaptureFileError::NoSuchCall(call))?;
     let bytes: Vec<u8> =
-        FILE_MARK.iter().copied().chain(excerpt_items.iter().flat_map(encode_item)).collect();
+        FILE_SIGNATURE.iter().copied().chain(excerpt_items.iter().flat_map(encode_item)).collect();
     std::fs::write(output_path, &bytes).map_err(|error| file_error(output_path, error))?;
     _ = writeln!(text, "{}: {} bytes", output_path.display(), bytes.len());
     Ok(text)
--- a/crates/proxy/src/captures/replay.rs
+++ b/crates/proxy/src/captures/replay.rs
@@ -22,7 +22,7 @@
     for instance in instances {
         let instance_segments = segments.iter().filter(|segment| segment.instance() == instance);
         let replayed = replay(instance_segments.flat_map(|segment| &segment.items));
-        report.is_identical &= replayed.differences == 0;
+        report.is_identical &= replayed.differing_calls == 0;
         report.text += &summary(instance, &replayed);
         if let Some(difference) = &replayed.first_difference {
             report.text += &first_difference(difference);
@@ -32,10 +32,20 @@
 }
 
 fn summary(instance: &str, replayed: &Replay) -> String {
-    let Replay { calls, decisions, starts, resumed, compared, differences, skipped, gaps, .. } = replayed;
+    let Replay {
+        calls,
+        decisions,
+        start_count,
+        resumed_snapshots,
+        compared_snapshots,
+        differing_calls,
+        skipped_calls,
+        gap_count,
+        ..
+    } = replayed;
     let mut text = format!(
-        "{instance}: {calls} calls with {decisions} decisions replayed, from {starts} starts and {resumed} snapshots, \
-         {compared} snapshots compared; {differences} differ, {skipped} calls skipped, {gaps} gaps\n"
+        "{instance}: {calls} calls with {decisions} decisions replayed, from {start_count} starts and {resumed_snapshots} snapshots, \
+         {compared_snapshots} snapshots compared; {differing_calls} differ, {skipped_calls} calls skipped, {gap_count} gaps\n"
     );
     for (kind, count) in &replayed.difference_kinds {
         _ = writeln!(text, "  {count} times {kind}");
@@ -44,9 +54,9 @@
 }
 
 fn first_difference(difference: &Difference) -> String {
-    let Difference { call, at, event, recorded, replayed } = difference;
+    let Difference { call_number, called_at, event, recorded, replayed } = difference;
     format!(
-        "first at call {call}, {}: event {event:?}\n  decided {recorded:?}\n  and now {replayed:?}\n",
-        format_seconds(*at)
+        "first at call {call_number}, {}: event {event:?}\n  decided {recorded:?}\n  and now {replayed:?}\n",
+        format_seconds(*called_at)
     )
 }
--- a/crates/proxy/src/captures/segment.rs
+++ b/crates/proxy/src/captures/segment.rs
@@ -1,7 +1,7 @@
 //! Reads the segments of captures from the files or folders that the command line names.
 
 use crate::error::CaptureFileError;
-use chalkwalk_capture::{CaptureItem, Damage, RecordedCall, read};
+use chalkwalk_capture::{CaptureItem, Damage, RecordedCall, read_segment};
 use chalkwalk_time::{TICKS_PER_SECOND, Timestamp};
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
@@ -41,10 +41,10 @@
     let mut segments = Vec::new();
     for path in segment_files(paths)? {
         let bytes = std::fs::read(&path).map_err(|error| file_error(&path, error))?;
-        let contents = read(&bytes);
+        let contents = read_segment(&bytes);
         let contents = contents.map_err(|error| CaptureFileError::Format { path: path.clone(), error })?;
-        if let Some(Damage { at, error }) = contents.damage {
-            _ = writeln!(text, "{}: {error}, from byte {at} of {}", path.display(), bytes.len());
+        if let Some(Damage { offset, error }) = contents.damage {
+            _ = writeln!(text, "{}: {error}, from byte {offset} of {}", path.display(), bytes.len());
         }
         segments.push(Segment { path, items: contents.items, bytes: bytes.len() });
     }
--- a/crates/proxy/src/cli.rs
+++ b/crates/proxy/src/cli.rs
@@ -71,8 +71,8 @@
     // Signals are handled before the kernel accepts connections on the listener: a request that has
     // arrived before a termination signal is still answered.
     let signals = serve::signals()?;
-    let listener = listeners::client_listener(settings.config.listen)?;
-    let (log, _flush_at_end) = logger(&settings.config.engine.name, format);
+    let listener = listeners::client_listener(settings.config.listen_address)?;
+    let (log, _flush_at_end) = logger(&settings.config.engine_config.name, format);
     serve::run(files, settings, log, signals, listener)?;
     Ok(())
 }
@@ -81,7 +81,7 @@
     let files = startup_files(&mut args)?;
     expect_no_more_arguments(args)?;
     let settings = files.load()?;
-    println!("{}: fine", settings.config.engine.name);
+    println!("{}: fine", settings.config.engine_config.name);
     Ok(())
 }
 
@@ -98,8 +98,9 @@
         let known = config.namespaces.join(", ");
         UsageError::UnknownNamespace { name: namespace, known }
     })?;
-    let platform_limits = &config.engine.platform_limits;
-    let limits = config.engine.limits.unwrap_or_else(|| LimitTable::from_settings(platform_limits));
+    let platform_limits = &config.engine_config.platform_limits;
+    let limits =
+        config.engine_config.operator_limits.unwrap_or_else(|| LimitTable::from_platform(platform_limits));
     let frontend = if frontend.is_empty() { FRONTEND_NAME } else { &frontend };
     let request = RequestAttributes { namespace: index, path: &route, tenant: &tenant, frontend };
     print!("{}", operator_config::explain(&limits, request));
--- a/crates/proxy/src/endpoint_source.rs
+++ b/crates/proxy/src/endpoint_source.rs
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy)]
 pub struct StartContext {
     /// The address that clients connect to.
-    pub listen: SocketAddr,
+    pub listen_address: SocketAddr,
     /// Whether the clients' listener is inherited: another process of this proxy may then serve
     /// until this one can.
     pub is_inherited: bool,
@@ -69,7 +69,7 @@
             return EndpointSource::follow_platform(engine, platform, context);
         };
         let kind = match membership.source {
-            MembershipSource::File(_) => SourceKind::Assembled,
+            MembershipSource::File(_) => SourceKind::Unordered,
             MembershipSource::Etcd(_) => SourceKind::Revisioned,
         };
         let feed = Feed::new(engine, kind, membership.persist_path.clone());
@@ -85,7 +85,7 @@
     fn follow_platform(engine: &Rc<Engine>, list: PlatformList, context: StartContext) -> EndpointSource {
         // Without a membership, a configuration that lacks the list's address is rejected at
         // startup.
-        let address = DiscoveryAddress::new(list.address.unwrap_or(context.listen));
+        let address = DiscoveryAddress::new(list.address.unwrap_or(context.listen_address));
         let watch = discovery::watch_endpoint_list(
             engine.clone(),
             address.clone(),
@@ -98,7 +98,7 @@
 
     fn follow_file(engine: &Rc<Engine>, feed: Rc<Feed>, path: &Path) -> EndpointSource {
         let file = FileSource::new(feed.clone(), path);
-        engine.executor.spawn(file.clone().follow()).detach();
+        engine.executor.spawn(file.clone().run()).detach();
         EndpointSource::File { file, feed }
     }
 
@@ -110,12 +110,13 @@
     ) -> EndpointSource {
         let announcement = config.count_proxies.then(|| {
             let zone = engine.config.zones.get(engine.classes.zone()).cloned().unwrap_or_default();
-            let record = ProxyRecord { zone, phase: SERVING.into(), listen: context.listen.to_string() };
+            let record =
+                ProxyRecord { zone, phase: SERVING.into(), listen: context.listen_address.to_string() };
             Announcement::new(engine, &config.prefix, record, config.lease_s)
         });
         let endpoints = config.endpoints.clone();
         let source = EtcdSource::new(engine, feed.clone(), endpoints, &config.prefix, announcement);
-        engine.executor.spawn(source.follow()).detach();
+        engine.executor.spawn(source.run()).detach();
         EndpointSource::Etcd(feed)
     }
 
@@ -140,7 +141,7 @@
         match self {
             EndpointSource::Platform(current) => {
                 if let Some(address) = address {
-                    current.move_to(address);
+                    current.set_address(address);
                 }
             }
             EndpointSource::File { file, .. } => file.reload(),
--- a/crates/proxy/src/error.rs
+++ b/crates/proxy/src/error.rs
@@ -1,7 +1,7 @@
 //! Why a command of the program fails. Each error is printed on standard error, and the program
 //! exits with status 2.
 
-use chalkwalk_capture::{NotACapture, OpenError};
+use chalkwalk_capture::{OpenError, UnsupportedFormat};
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -59,7 +59,7 @@
     #[error("{}: {error}", path.display())]
     File { path: PathBuf, error: io::Error },
     #[error("{}: {error}", path.display())]
-    Format { path: PathBuf, error: NotACapture },
+    Format { path: PathBuf, error: UnsupportedFormat },
     #[error("no capture files: none named, or none in the named folders")]
     NoFiles,
     #[error("call {0} is not in the captures, or no start or snapshot precedes it")]
--- a/crates/proxy/src/operators.rs
+++ b/crates/proxy/src/operators.rs
@@ -8,7 +8,7 @@
 use chalkwalk_admin::{self as admin};
 use chalkwalk_engine::api;
 use chalkwalk_engine::engine::Engine;
-use chalkwalk_sockets::within;
+use chalkwalk_sockets::with_timeout;
 use chalkwalk_time::Span;
 use slog::{info, warn};
 use smol::channel::bounded;
@@ -115,8 +115,8 @@
     /// Reads the other processes' records once more as this process ends, and writes its learned
     /// figures, each within a time limit in case the disk is slow.
     pub async fn sync_with_peers_at_shutdown(&self) {
-        within(MAX_WAIT_AT_SHUTDOWN, self.read_peers()).await;
-        within(MAX_WAIT_AT_SHUTDOWN, self.write_learned()).await;
+        with_timeout(MAX_WAIT_AT_SHUTDOWN, self.read_peers()).await;
+        with_timeout(MAX_WAIT_AT_SHUTDOWN, self.write_learned()).await;
     }
 
     /// Applies the other processes' records to the engine.
@@ -145,7 +145,7 @@
         } else if reservation.is_none() {
             let engine = self.engine.clone();
             *reservation = Some(self.engine.executor.spawn(async move {
-                let _permits = engine.budget.lend_half(|| engine.pool.close_longest_idle()).await;
+                let _permits = engine.budget.reserve_half(|| engine.pool.close_longest_idle()).await;
                 std::future::pending().await
             }));
         }
@@ -175,7 +175,7 @@
             _ = outcome_sender.try_send(operators.write().await);
         };
         self.engine.executor.spawn(write).detach();
-        match within(MAX_WAIT_FOR_WRITE, outcome_receiver.recv()).await {
+        match with_timeout(MAX_WAIT_FOR_WRITE, outcome_receiver.recv()).await {
             Some(Ok(true)) => WriteOutcome::Written,
             Some(Ok(false)) => WriteOutcome::Failed,
             Some(Err(_)) | None => {
--- a/crates/proxy/src/operators/control.rs
+++ b/crates/proxy/src/operators/control.rs
@@ -8,13 +8,13 @@
 use chalkwalk_admin::{ControlFuture, ControlOutcome, ProxyControl};
 use chalkwalk_engine::api;
 use chalkwalk_handover::OperatorOverride;
-use chalkwalk_sockets::within;
+use chalkwalk_sockets::with_timeout;
 use slog::info;
 use std::rc::Rc;
 
 impl Operators {
     async fn override_server(self: Rc<Self>, id: String, is_disabled: bool) -> ControlOutcome {
-        if !self.engine.requests.borrow().knows_server(&id) {
+        if !self.engine.requests.borrow().is_known_server(&id) {
             return ControlOutcome::UnknownServer;
         }
         if self.state.borrow().own_record.is_server_disabled(&id) == is_disabled {
@@ -88,7 +88,7 @@
             self.share_readiness().await;
             _ = self.write_lock.lock().await;
         };
-        let readiness_written = within(MAX_WAIT_FOR_WRITE, write_readiness).await.is_some();
+        let readiness_written = with_timeout(MAX_WAIT_FOR_WRITE, write_readiness).await.is_some();
         if readiness_written && self.engine.lifecycle.is_serving() {
             ControlOutcome::Done
         } else {
--- a/crates/proxy/src/operators/learned.rs
+++ b/crates/proxy/src/operators/learned.rs
@@ -21,17 +21,17 @@
 
     fn try_restore(&self, learned: LearnedServers) -> bool {
         let mut requests = self.engine.requests.borrow_mut();
-        if !learned.is_usable(requests.learning_terms(), self.engine.clock.now()) {
+        if !learned.is_usable(requests.learned_settings_digest(), self.engine.clock.now()) {
             return false;
         }
-        requests.restore_learned(learned.bounded().servers.into_iter().map(to_balancer).collect())
+        requests.restore_learned_servers(learned.bounded().servers.into_iter().map(to_balancer).collect())
     }
 
     /// Writes the figures learned about the servers, if there are any.
     pub(super) async fn write_learned(&self) {
         let written_at = self.engine.clock.now();
-        let settings_digest = self.engine.requests.borrow().learning_terms();
-        let servers = self.engine.requests.borrow().learned();
+        let settings_digest = self.engine.requests.borrow().learned_settings_digest();
+        let servers = self.engine.requests.borrow().learned_servers();
         let servers = servers.into_iter().map(from_balancer).collect();
         let learned = LearnedServers { written_at, settings_digest, servers }.bounded();
         if !learned.servers.is_empty() {
@@ -44,8 +44,8 @@
 fn to_balancer((id, figures): (String, ServerStats)) -> balancer::LearnedServer {
     balancer::LearnedServer {
         id,
-        born: Timestamp::from_ticks(figures.started_at),
-        size: figures.weight,
+        started_at: Timestamp::from_ticks(figures.started_at),
+        max_weight_hundredths: figures.weight,
         key_share: figures.key_share,
         concurrency_limit: figures.concurrency_limit,
     }
@@ -53,8 +53,8 @@
 
 fn from_balancer(learned: balancer::LearnedServer) -> (String, ServerStats) {
     let figures = ServerStats {
-        started_at: learned.born.ticks(),
-        weight: learned.size,
+        started_at: learned.started_at.ticks(),
+        weight: learned.max_weight_hundredths,
         key_share: learned.key_share,
         concurrency_limit: learned.concurrency_limit,
     };
