--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -19,7 +19,7 @@
     pub resp: Option<RespConfig>,
     pub capture: Option<CaptureConfig>,
     /// The fields that the platform's configuration had.
-    pub fields: FieldPaths,
+    pub field_paths: FieldPaths,
 }
 
 /// The names of the platform's settings that only a restart can change: indices in use depend on
@@ -77,18 +77,19 @@
 /// Fails if the new settings can't be applied without a restart.
 fn check_fixed(engine: &Engine, new: &StartupSettings, fixed: &FixedSettings) -> Result<(), ReloadError> {
     let StartupSettings { config, membership, resp, capture } = new;
-    if let Some(field) = fixed.fields.first_missing_in(&config.fields) {
+    if let Some(field) = fixed.field_paths.first_missing_in(&config.field_paths) {
         return Err(ReloadError::MissingField(field.to_string()));
     }
     if *membership != fixed.membership || *resp != fixed.resp || *capture != fixed.capture {
         return Err(ReloadError::OperatorFile);
     }
     let current = engine.classes.platform_settings();
-    let differs = |name: &&str| current.get(*name) != config.engine.settings.get(*name);
+    let differs = |name: &&str| current.get(*name) != config.engine_config.settings.get(*name);
     if let Some(name) = FIXED_PLATFORM_SETTINGS.into_iter().find(differs) {
         return Err(ReloadError::PlatformSetting(name));
     }
-    if config.engine.zones != engine.config.zones || config.engine.kinds != engine.config.kinds {
+    if config.engine_config.zones != engine.config.zones || config.engine_config.kinds != engine.config.kinds
+    {
         return Err(ReloadError::ZonesOrKinds);
     }
     // The RESP frontend refers to namespaces by index.
@@ -106,19 +107,19 @@
     has_operator_file: bool,
 ) {
     let StartupSettings { config, resp, .. } = settings;
-    let address = config.list_address.map_or_else(|| "-".to_string(), |address| address.to_string());
-    let settings_changed = config.engine.settings != engine.classes.platform_settings();
+    let address = config.discovery_address.map_or_else(|| "-".to_string(), |address| address.to_string());
+    let settings_changed = config.engine_config.settings != engine.classes.platform_settings();
     let settings_state = if settings_changed { "new" } else { "as before" };
     info!(engine.log, "configuration reloaded"; "list" => address, "settings" => settings_state);
     if let Some(source) = source {
-        source.reload(config.list_address);
+        source.reload(config.discovery_address);
     }
     if settings_changed {
         if resp.is_none() {
             frontend.set_namespaces(config.namespaces);
         }
-        api::apply_settings(engine, config.engine);
+        api::apply_settings(engine, config.engine_config);
     } else if has_operator_file {
-        api::set_limits(engine, config.engine.limits);
+        api::set_limits(engine, config.engine_config.operator_limits);
     }
 }
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -40,22 +40,31 @@
     let sockets = Sockets::open(&settings, listener)?;
     let StartupSettings { config, membership, resp, capture } = settings;
     let StartupConfig {
-        listen, list_address, last_known_list, namespaces, engine: mut config, fields, ..
+        listen_address,
+        discovery_address,
+        last_known_list,
+        namespaces,
+        engine_config: mut config,
+        field_paths,
+        ..
     } = config;
-    config.descriptors = config.descriptors.saturating_sub(sockets.reserved_descriptors());
+    config.max_descriptors = config.max_descriptors.saturating_sub(sockets.reserved_descriptors());
     let capture_writer = open_capture(capture.as_ref(), &config.name)?;
-    let record_keys = capture.as_ref().is_some_and(|capture| capture.keys);
+    let record_keys = capture.as_ref().is_some_and(|capture| capture.record_keys);
     let recorder = capture_writer.as_ref().map(|writer| Recorder::new(writer.sink(), record_keys));
     // All servers speak the same protocol, which is also used to check their health.
-    let health_check: Box<dyn HealthCheck> =
-        if resp.is_some() { Box::new(resp_frontend::Ping) } else { Box::new(http::AliveCheck) };
+    let health_check: Box<dyn HealthCheck> = if resp.is_some() {
+        Box::new(resp_frontend::PingHealthCheck)
+    } else {
+        Box::new(http::HttpHealthCheck)
+    };
     let engine = Engine::new(config, health_check, log, recorder);
-    let fixed = FixedSettings { membership, resp, capture, fields };
-    let context = StartContext { listen, is_inherited: sockets.is_inherited };
+    let fixed = FixedSettings { membership, resp, capture, field_paths };
+    let context = StartContext { listen_address, is_inherited: sockets.is_inherited };
     smol::block_on(engine.executor.run(async {
         spawn_background_tasks(&engine);
         let known_version = apply_last_known_list(&engine, &last_known_list);
-        let platform = PlatformList { address: list_address, known_version };
+        let platform = PlatformList { address: discovery_address, known_version };
         let proxy = Proxy::start(engine.clone(), &fixed, platform, namespaces, sockets, context);
         proxy.handle_signals(signals, &files, &fixed).await;
         proxy.shut_down().await;
@@ -96,7 +105,7 @@
 fn open_capture(config: Option<&CaptureConfig>, proxy: &str) -> Result<Option<CaptureWriter>, StartError> {
     let Some(config) = config else { return Ok(None) };
     let retention = Retention {
-        folder: config.folder.clone(),
+        folder: config.directory.clone(),
         segment_bytes: config.segment_bytes,
         max_bytes: config.max_bytes,
     };
@@ -147,7 +156,7 @@
         let serving = engine.clone();
         let serving = async move {
             enter_service(&serving, feed, context.is_inherited, is_pushed).await;
-            info!(serving.log, "serving"; "listen" => %context.listen);
+            info!(serving.log, "serving"; "listen" => %context.listen_address);
         };
         let accept_task = accept_clients(
             engine.clone(),
@@ -192,8 +201,8 @@
     listener: Async<TcpListener>,
 ) {
     let frontend = resp_frontend::Frontend::new(engine, settings, discovers_servers);
-    resp_frontend::list_seeds(&frontend);
-    engine.executor.spawn(resp_frontend::follow_slot_map(frontend.clone())).detach();
+    resp_frontend::apply_seed_endpoints(&frontend);
+    engine.executor.spawn(resp_frontend::poll_slot_map(frontend.clone())).detach();
     engine.executor.spawn(resp_frontend::accept_clients(frontend, listener)).detach();
 }
 
@@ -209,9 +218,9 @@
 ) {
     if is_inherited {
         serving.await;
-        http::accept(frontend, listener).await;
+        http::accept_connections(frontend, listener).await;
     } else {
-        let accept_task = engine.executor.spawn(http::accept(frontend, listener));
+        let accept_task = engine.executor.spawn(http::accept_connections(frontend, listener));
         serving.await;
         accept_task.await;
     }
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -26,14 +26,14 @@
         let config = StartupConfig::load(&self.config);
         let config = config.map_err(|error| StartError::Configuration(error.to_string()))?;
         let mut settings = StartupSettings { config, membership: None, resp: None, capture: None };
-        settings.config.engine.platform_limits.frontends = vec![
+        settings.config.engine_config.platform_limits.frontends = vec![
             chalkwalk_http_frontend::FRONTEND_NAME.to_string(),
             chalkwalk_resp_frontend::FRONTEND_NAME.to_string(),
         ];
         if let Some(path) = &self.operator {
             settings.load_operator_file(path)?;
         }
-        let has_source = settings.config.list_address.is_some()
+        let has_source = settings.config.discovery_address.is_some()
             || settings.membership.is_some()
             || settings.resp.is_some();
         if !has_source {
@@ -47,9 +47,9 @@
     fn load_operator_file(&mut self, path: &str) -> Result<(), StartError> {
         let text = std::fs::read_to_string(path);
         let text = text.map_err(|error| StartError::Read { path: path.to_string(), error })?;
-        let operator = operator_config::read(&text, &self.config.engine.platform_limits)
+        let operator = operator_config::read(&text, &self.config.engine_config.platform_limits)
             .map_err(|errors| StartError::Configuration(operator_config::format_errors(path, &errors)))?;
-        self.config.engine.limits = Some(operator.limits);
+        self.config.engine_config.operator_limits = Some(operator.limits);
         self.membership = operator.membership;
         self.resp = operator.resp;
         self.capture = operator.capture;
--- a/crates/proxy/tests/stored_data.rs
+++ b/crates/proxy/tests/stored_data.rs
@@ -104,8 +104,8 @@
 /// variant or a field in another place reads old captures as something else. Names may be others here; `calls.hex` may not.
 mod calls {
     use chalkwalk_capture::{
-        CallBlock, CaptureItem, Decision, Event, FILE_MARK, RecordedCall, RecordedEndpoint, Recorder,
-        encode_item, read,
+        CallBlock, CaptureItem, Decision, Event, FILE_SIGNATURE, RecordedCall, RecordedEndpoint, Recorder,
+        encode_item, read_segment,
     };
     use chalkwalk_time::{Span, Timestamp};
     use std::cell::RefCell;
@@ -222,9 +222,10 @@
     /// Every kind of call, decision and item is written as the committed bytes, and these are read as it.
     #[test]
     fn calls_and_decisions_of_every_kind_are_written_as_the_same_bytes() {
-        let bytes: Vec<u8> = FILE_MARK.iter().copied().chain(items().iter().flat_map(encode_item)).collect();
+        let bytes: Vec<u8> =
+            FILE_SIGNATURE.iter().copied().chain(items().iter().flat_map(encode_item)).collect();
         assert_eq!(hex(&bytes), super::text_of("calls.hex"));
-        let found = read(&bytes).unwrap();
+        let found = read_segment(&bytes).unwrap();
         assert_eq!((found.items, found.damage), (items(), None));
     }
 
@@ -246,7 +247,7 @@
             Cancelled,
             NotSent,
         ];
-        let bytes = Rc::new(RefCell::new(FILE_MARK.to_vec()));
+        let bytes = Rc::new(RefCell::new(FILE_SIGNATURE.to_vec()));
         let into = bytes.clone();
         let sink = move |block: Vec<u8>| {
             into.borrow_mut().extend(block);
@@ -254,7 +255,7 @@
         };
         let mut recorder = Recorder::new(Box::new(sink), true);
         outcomes.into_iter().for_each(|outcome| {
-            recorder.attempt_ended(Timestamp::ZERO, 0, 0, outcome, Span::ZERO, true, None)
+            recorder.record_attempt_ended(Timestamp::ZERO, 0, 0, outcome, Span::ZERO, true, None)
         });
         for status in [EndpointStatus::Ready, EndpointStatus::Draining, EndpointStatus::Gone] {
             let (id, zone, kind, cell) = ("amber", 301, 302, 303);
@@ -264,11 +265,11 @@
                 zone,
                 kind,
                 cell,
-                size: 305,
+                weight_hundredths: 305,
                 status,
-                born: Timestamp::from_ticks(306),
+                started_at: Timestamp::from_ticks(306),
             };
-            recorder.endpoints_listed(Timestamp::ZERO, true, &[entry]);
+            recorder.record_endpoints_listed(Timestamp::ZERO, true, &[entry]);
         }
         recorder.flush();
         let after = |event: Event| RecordedCall { after: Span::ZERO, event, decisions: Vec::new() };
@@ -283,7 +284,7 @@
         let listed = |status: u8| Event::EndpointsListed { whole: true, endpoints: vec![line(status)] };
         let calls = (0..12).map(ended).chain((0..3).map(listed)).map(after).collect();
         assert_eq!(
-            read(&bytes.borrow()).unwrap().items,
+            read_segment(&bytes.borrow()).unwrap().items,
             [CaptureItem::Calls(CallBlock { from: Timestamp::ZERO, calls })]
         );
     }
@@ -291,7 +292,7 @@
     /// What a process captures of the configuration and of the endpoint list that it was given: every key that the program
     /// reads shows in one or the other.
     pub fn given(capture: &[u8]) -> (BTreeMap<String, String>, String) {
-        let calls = read(capture).unwrap().items.into_iter().flat_map(|item| match item {
+        let calls = read_segment(capture).unwrap().items.into_iter().flat_map(|item| match item {
             CaptureItem::Calls(block) => block.calls,
             CaptureItem::Gap(_) => Vec::new(),
         });
--- a/crates/resp-frontend/src/connection.rs
+++ b/crates/resp-frontend/src/connection.rs
@@ -31,7 +31,7 @@
 
 /// Accepts connections until the process reaches `Phase::Finishing`.
 pub async fn accept_clients(frontend: Rc<Frontend>, listener: Async<TcpListener>) {
-    let process_finishing = async { frontend.engine.lifecycle.reached(Phase::Finishing).await };
+    let process_finishing = async { frontend.engine.lifecycle.wait_for_phase(Phase::Finishing).await };
     process_finishing.or(accept_connections(&frontend, &listener)).await;
 }
 
--- a/crates/resp-frontend/src/connection/dispatch.rs
+++ b/crates/resp-frontend/src/connection/dispatch.rs
@@ -137,7 +137,7 @@
     fn check_instance(&self, slot: u16) -> Result<(), DispatchError> {
         let settings = &self.frontend.settings;
         match settings.instance_of(slot) {
-            Some(instance) if instance.addr != settings.listen => {
+            Some(instance) if instance.addr != settings.listen_addr => {
                 Err(DispatchError::Moved { slot, addr: instance.addr })
             }
             _ => Ok(()),
--- a/crates/resp-frontend/src/connection/open_request.rs
+++ b/crates/resp-frontend/src/connection/open_request.rs
@@ -67,7 +67,7 @@
 impl Drop for OpenRequest {
     fn drop(&mut self) {
         if !self.answered.get() {
-            api::client_left(&self.frontend.engine, self.request_id);
+            api::client_disconnected(&self.frontend.engine, self.request_id);
         }
     }
 }
--- a/crates/resp-frontend/src/connection/receive.rs
+++ b/crates/resp-frontend/src/connection/receive.rs
@@ -9,7 +9,7 @@
 use super::reply::error_reply;
 use crate::frontend::Frontend;
 use chalkwalk_engine::engine::ClientConnection;
-use chalkwalk_sockets::within;
+use chalkwalk_sockets::with_timeout;
 use smol::Async;
 use smol::future::FutureExt;
 use std::net::TcpStream;
@@ -95,7 +95,8 @@
             wait_for_close_while_idle(self.connection, idle, self.has_sent_command).await;
             false
         };
-        let received = within(timeout, self.reader.read_more().or(close_requested)).await.unwrap_or(false);
+        let received =
+            with_timeout(timeout, self.reader.read_more().or(close_requested)).await.unwrap_or(false);
         if !received && (idle || self.reader.is_empty()) {
             replies.close().await;
         }
@@ -109,5 +110,5 @@
         return std::future::pending().await;
     }
     let evicted = wait_for_eviction(&connection.engine, has_sent_command);
-    evicted.or(connection.close_due()).await;
+    evicted.or(connection.wait_until_close_due()).await;
 }
--- a/crates/resp-frontend/src/connection/reply_writer.rs
+++ b/crates/resp-frontend/src/connection/reply_writer.rs
@@ -3,7 +3,7 @@
 use super::backpressure::{MAX_UNREAD_BYTES, QueuedReply, UnreadBytes};
 use super::pending_reply::ResolvedReply;
 use chalkwalk_engine::budget::Permit;
-use chalkwalk_sockets::{within, write_all};
+use chalkwalk_sockets::{with_timeout, write_all};
 use smol::Async;
 use smol::channel::Receiver;
 use std::net::TcpStream;
@@ -63,7 +63,7 @@
             batch.add(next).await;
         }
         unread.set(batch.reply.bytes.len());
-        let written = within(WRITE_TIMEOUT, write_all(stream, &[&batch.reply.bytes])).await;
+        let written = with_timeout(WRITE_TIMEOUT, write_all(stream, &[&batch.reply.bytes])).await;
         unread.set(0);
         if batch.reply.last || !matches!(written, Some(Ok(()))) {
             return;
--- a/crates/resp-frontend/src/health_check.rs
+++ b/crates/resp-frontend/src/health_check.rs
@@ -9,9 +9,9 @@
 
 /// Sends `PING`, which a healthy server answers at once. A server that is loading its data set
 /// replies with an error, counts as unhealthy, and gets no requests.
-pub struct Ping;
+pub struct PingHealthCheck;
 
-impl HealthCheck for Ping {
+impl HealthCheck for PingHealthCheck {
     fn check<'a>(&'a self, stream: &'a Async<TcpStream>) -> BoxFuture<'a, Option<bool>> {
         Box::pin(async move {
             let mut out = Writer::default();
--- a/crates/resp-frontend/src/lib.rs
+++ b/crates/resp-frontend/src/lib.rs
@@ -31,6 +31,6 @@
 
 pub use connection::accept_clients;
 pub use frontend::{FRONTEND_NAME, Frontend};
-pub use health_check::Ping;
-pub use settings::{Instance, PrefixRule, Settings, User, hash_secret};
-pub use slot_map_poll::{follow_slot_map, list_seeds};
+pub use health_check::PingHealthCheck;
+pub use settings::{PrefixRule, ProxyNode, Settings, User, hash_secret};
+pub use slot_map_poll::{apply_seed_endpoints, poll_slot_map};
--- a/crates/resp-frontend/src/request.rs
+++ b/crates/resp-frontend/src/request.rs
@@ -5,7 +5,7 @@
 use crate::frontend::{FRONTEND_NAME, Frontend};
 use crate::server_reply::ServerReply;
 use chalkwalk_balancer::AttemptOutcome;
-use chalkwalk_balancer::admission::may_start;
+use chalkwalk_balancer::admission::may_start_request;
 use chalkwalk_engine::classes::ClassLimits;
 use chalkwalk_engine::response::{BoxFuture, ClientRequest, Response, ResponseStatus, ServerResponse};
 use chalkwalk_limits::RequestAttributes;
@@ -77,17 +77,18 @@
         let NewRequest { arguments, key, slot, write, user } = new_request;
         let engine = &frontend.engine;
         let settings = &frontend.settings;
-        let namespace = settings.class_of(key.as_bytes(), write);
-        let ClassLimits { class, time_limit, longest_body } =
+        let namespace = settings.namespace_of(key.as_bytes(), write);
+        let ClassLimits { class, time_limit, max_body_bytes } =
             engine.classes.find(attributes(namespace, key, user));
-        if arguments.byte_len() as u64 > longest_body.max(MIN_COMMAND_LIMIT_BYTES) {
+        if arguments.byte_len() as u64 > max_body_bytes.max(MIN_COMMAND_LIMIT_BYTES) {
             return Err(TooLongForClass);
         }
         let received_at = engine.clock.earliest_arrival();
         // A request whose deadline has passed is accepted here, and rejected by the balancer at
         // once.
-        let deadline = may_start(engine.clock.now(), received_at + time_limit, engine.response_deadline());
-        let allow_stale_reads = !write && settings.stale_reads.get(namespace) == Some(&true);
+        let deadline =
+            may_start_request(engine.clock.now(), received_at + time_limit, engine.response_deadline());
+        let allow_stale_reads = !write && settings.allow_stale_reads.get(namespace) == Some(&true);
         Ok(RespRequest {
             frontend: frontend.clone(),
             command: arguments.into_resp(),
@@ -127,8 +128,8 @@
         if let Some(outcome) = reply.error_text().and_then(|error| self.apply_error(&error, server)) {
             return without_response(outcome, reply.reusable);
         }
-        let memory = self.frontend.engine.response_memory.try_reserve(reply.bytes.len());
-        if reply.bytes.len() > MAX_UNRESERVED_BYTES && memory.is_none() {
+        let memory_reservation = self.frontend.engine.response_memory.try_reserve(reply.bytes.len());
+        if reply.bytes.len() > MAX_UNRESERVED_BYTES && memory_reservation.is_none() {
             // The reply has been read, but the memory budget for responses has no room for it.
             return without_response(AttemptOutcome::ServerError, false);
         }
@@ -136,7 +137,7 @@
             status: ResponseStatus::Served,
             content_type: String::new(),
             body: reply.bytes,
-            memory,
+            memory_reservation,
             stream: None,
         };
         ServerResponse {
@@ -195,7 +196,7 @@
         self.write
     }
 
-    fn expires(&self) -> Timestamp {
+    fn expires_at(&self) -> Timestamp {
         self.expires_at
     }
 
@@ -215,7 +216,11 @@
         }
     }
 
-    fn write_to<'a>(&'a self, stream: &'a Async<TcpStream>, _left: Span) -> BoxFuture<'a, io::Result<()>> {
+    fn write_to<'a>(
+        &'a self,
+        stream: &'a Async<TcpStream>,
+        _time_left: Span,
+    ) -> BoxFuture<'a, io::Result<()>> {
         Box::pin(async move {
             let server = stream.get_ref().peer_addr()?;
             let prefix = self.prefix(server);
--- a/crates/resp-frontend/src/session/cluster_node.rs
+++ b/crates/resp-frontend/src/session/cluster_node.rs
@@ -23,10 +23,10 @@
         id: node_id(name),
         addr,
         slots,
-        is_self: addr == settings.listen,
+        is_self: addr == settings.listen_addr,
     };
     if settings.instances.is_empty() {
-        return vec![node("self", settings.listen, SlotRange::ALL)];
+        return vec![node("self", settings.listen_addr, SlotRange::ALL)];
     }
     settings.instances.iter().map(|instance| node(&instance.name, instance.addr, instance.slots)).collect()
 }
--- a/crates/resp-frontend/src/session/tests.rs
+++ b/crates/resp-frontend/src/session/tests.rs
@@ -1,7 +1,7 @@
 //! The replies to connection and cluster commands are exactly those that client libraries expect.
 
 use super::Session;
-use crate::settings::{Instance, Settings, User, hash_secret};
+use crate::settings::{ProxyNode, Settings, User, hash_secret};
 use crate::test_support::arguments;
 use chalkwalk_resp::Writer;
 use chalkwalk_slot_map::SlotRange;
@@ -10,18 +10,18 @@
 
 fn settings() -> Settings {
     let addr = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
-    let instance = |name: &str, port, slots| Instance {
+    let instance = |name: &str, port, slots| ProxyNode {
         name: name.into(),
         addr: addr(port),
         slots: SlotRange::from(slots),
     };
     Settings {
-        listen: addr(6379),
+        listen_addr: addr(6379),
         seeds: vec![],
-        read_class: 0,
-        write_class: 0,
-        prefixes: vec![],
-        stale_reads: vec![],
+        read_namespace: 0,
+        write_namespace: 0,
+        prefix_rules: vec![],
+        allow_stale_reads: vec![],
         split_multi_slot: false,
         instances: vec![instance("p1", 6379, (0, 8191)), instance("p2", 6380, (8192, 16383))],
         users: vec![User { name: "lib".into(), secret_sha256: hash_secret(b"s3") }],
--- a/crates/resp-frontend/src/settings.rs
+++ b/crates/resp-frontend/src/settings.rs
@@ -12,14 +12,14 @@
     /// The prefix of the keys.
     pub prefix: String,
     /// The request class of commands that read: the index of a namespace.
-    pub read_class: usize,
+    pub read_namespace: usize,
     /// The request class of commands that write: the index of a namespace.
-    pub write_class: usize,
+    pub write_namespace: usize,
 }
 
 /// A proxy instance of the fleet, which clients see as a node of a cluster.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Instance {
+pub struct ProxyNode {
     /// The name of the instance, from which its node id is derived.
     pub name: String,
     /// The address that clients connect to.
@@ -42,22 +42,22 @@
 pub struct Settings {
     /// The address that clients connect to. This process is the instance with this address in
     /// `instances`.
-    pub listen: SocketAddr,
+    pub listen_addr: SocketAddr,
     /// The servers that are polled for the first slot map, and later in rotation with the owners of
     /// slots.
     pub seeds: Vec<SocketAddr>,
     /// The request class of reads of keys without a prefix rule: the index of a namespace.
-    pub read_class: usize,
+    pub read_namespace: usize,
     /// The request class of writes to keys without a prefix rule: the index of a namespace.
-    pub write_class: usize,
+    pub write_namespace: usize,
     /// The rules by key prefix. The first rule that matches a key applies.
-    pub prefixes: Vec<PrefixRule>,
+    pub prefix_rules: Vec<PrefixRule>,
     /// For each request class, whether replicas may answer its reads.
-    pub stale_reads: Vec<bool>,
+    pub allow_stale_reads: Vec<bool>,
     /// Whether commands with keys in several slots are split into one command per slot.
     pub split_multi_slot: bool,
     /// The instances that clients see. If empty, clients see only this instance, with all slots.
-    pub instances: Vec<Instance>,
+    pub instances: Vec<ProxyNode>,
     /// The users that may authenticate. If empty, clients need no authentication.
     pub users: Vec<User>,
 }
@@ -70,13 +70,13 @@
 impl Settings {
     /// The request class of a command on a key. It depends on the key's prefix, and on whether the
     /// command writes.
-    pub fn class_of(&self, key: &[u8], write: bool) -> usize {
-        let rule = self.prefixes.iter().find(|rule| key.starts_with(rule.prefix.as_bytes()));
+    pub fn namespace_of(&self, key: &[u8], write: bool) -> usize {
+        let rule = self.prefix_rules.iter().find(|rule| key.starts_with(rule.prefix.as_bytes()));
         match (rule, write) {
-            (Some(rule), false) => rule.read_class,
-            (Some(rule), true) => rule.write_class,
-            (None, false) => self.read_class,
-            (None, true) => self.write_class,
+            (Some(rule), false) => rule.read_namespace,
+            (Some(rule), true) => rule.write_namespace,
+            (None, false) => self.read_namespace,
+            (None, true) => self.write_namespace,
         }
     }
 
@@ -94,9 +94,9 @@
 
     /// The instance that serves a slot: this one if it serves the slot, else the first one that
     /// does.
-    pub fn instance_of(&self, slot: u16) -> Option<&Instance> {
+    pub fn instance_of(&self, slot: u16) -> Option<&ProxyNode> {
         let mut answering = self.instances.iter().filter(|instance| instance.slots.contains(slot));
-        let own = answering.clone().find(|instance| instance.addr == self.listen);
+        let own = answering.clone().find(|instance| instance.addr == self.listen_addr);
         own.or_else(|| answering.next())
     }
 }
--- a/crates/resp-frontend/src/slot_map_poll.rs
+++ b/crates/resp-frontend/src/slot_map_poll.rs
@@ -7,7 +7,7 @@
 use chalkwalk_engine::api;
 use chalkwalk_engine::servers::ListedEndpoint;
 use chalkwalk_slot_map::ClusterView;
-use chalkwalk_sockets::within;
+use chalkwalk_sockets::with_timeout;
 use chalkwalk_time::Timestamp;
 use fetch::{FetchError, fetch_view};
 use slog::{info, warn};
@@ -23,14 +23,14 @@
 
 /// Applies the seeds as the endpoint list until the cluster has reported its nodes. Does nothing if
 /// another source lists the servers.
-pub fn list_seeds(frontend: &Rc<Frontend>) {
+pub fn apply_seed_endpoints(frontend: &Rc<Frontend>) {
     if frontend.discovers_servers {
         apply_endpoints(frontend, frontend.settings.seeds.iter().copied());
     }
 }
 
 /// Keeps the slot map up to date. Never returns.
-pub async fn follow_slot_map(frontend: Rc<Frontend>) {
+pub async fn poll_slot_map(frontend: Rc<Frontend>) {
     let mut loaded = false;
     loop {
         wait_until_due(&frontend).await;
@@ -85,7 +85,7 @@
 
 /// Polls a node and applies its view of the cluster.
 async fn poll_node(frontend: &Rc<Frontend>, node: SocketAddr) -> Result<(), FetchError> {
-    let view = within(POLL_TIMEOUT, fetch_view(node)).await.unwrap_or(Err(FetchError::TimedOut))?;
+    let view = with_timeout(POLL_TIMEOUT, fetch_view(node)).await.unwrap_or(Err(FetchError::TimedOut))?;
     frontend.slot_map.borrow_mut().apply_view(&view)?;
     if frontend.discovers_servers {
         apply_endpoints(frontend, live_nodes(&view));
@@ -102,18 +102,18 @@
     api::apply_endpoint_list(&frontend.engine, &endpoints, true, false);
 }
 
-fn listed_endpoint(frontend: &Frontend, addr: SocketAddr) -> ListedEndpoint {
+fn listed_endpoint(frontend: &Frontend, address: SocketAddr) -> ListedEndpoint {
     // The cluster does not report zones, so all servers are listed in the zone of this proxy.
     let engine = &frontend.engine;
     let zone = engine.config.zones.get(engine.classes.zone()).cloned().unwrap_or_default();
     ListedEndpoint {
-        id: addr.to_string(),
-        addr,
+        id: address.to_string(),
+        address,
         zone,
         kind: String::new(),
         cell: 0,
-        size: DEFAULT_SIZE,
+        weight_hundredths: DEFAULT_SIZE,
         status: EndpointStatus::Ready,
-        born: Timestamp::ZERO,
+        started_at: Timestamp::ZERO,
     }
 }
--- a/crates/resp-frontend/tests/settings.rs
+++ b/crates/resp-frontend/tests/settings.rs
@@ -1,7 +1,7 @@
 //! The settings determine the request class of a key, the users that authenticate, and the instance
 //! that serves a slot.
 
-use chalkwalk_resp_frontend::{Instance, PrefixRule, Settings, User, hash_secret};
+use chalkwalk_resp_frontend::{PrefixRule, ProxyNode, Settings, User, hash_secret};
 use chalkwalk_slot_map::SlotRange;
 use std::net::SocketAddr;
 
@@ -10,22 +10,22 @@
 }
 
 fn settings() -> Settings {
-    let instance = |port: u16, slots: (u16, u16)| Instance {
+    let instance = |port: u16, slots: (u16, u16)| ProxyNode {
         name: port.to_string(),
         addr: addr(port),
         slots: SlotRange::from(slots),
     };
     let user = |name: &str, secret: &[u8]| User { name: name.into(), secret_sha256: hash_secret(secret) };
     Settings {
-        listen: addr(2),
+        listen_addr: addr(2),
         seeds: vec![],
-        read_class: 0,
-        write_class: 1,
-        prefixes: vec![
-            PrefixRule { prefix: "loan:".into(), read_class: 2, write_class: 3 },
-            PrefixRule { prefix: "loan".into(), read_class: 4, write_class: 4 },
+        read_namespace: 0,
+        write_namespace: 1,
+        prefix_rules: vec![
+            PrefixRule { prefix: "loan:".into(), read_namespace: 2, write_namespace: 3 },
+            PrefixRule { prefix: "loan".into(), read_namespace: 4, write_namespace: 4 },
         ],
-        stale_reads: vec![],
+        allow_stale_reads: vec![],
         split_multi_slot: false,
         instances: vec![instance(1, (0, 99)), instance(2, (50, 149)), instance(3, (100, 199))],
         users: vec![user("ann", b"one"), user("bob", b"two")],
@@ -35,7 +35,7 @@
 #[test]
 fn the_first_matching_prefix_determines_the_class() {
     let settings = settings();
-    let classes = |key: &[u8]| [settings.class_of(key, false), settings.class_of(key, true)];
+    let classes = |key: &[u8]| [settings.namespace_of(key, false), settings.namespace_of(key, true)];
     assert_eq!(classes(b"loan:7"), [2, 3]);
     assert_eq!(classes(b"loans"), [4, 4]);
     assert_eq!(classes(b"page"), [0, 1]);
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -142,7 +142,7 @@
     fn client_left(&mut self, event: &JsonObject, actions: &mut Vec<Value>) -> FieldResult<()> {
         let request_number = integer(event, "req")?;
         if let Some(request_id) = self.names.requests.id(request_number) {
-            self.balancer.client_left(request_id, &mut ActionWriter::new(&self.names, actions));
+            self.balancer.client_disconnected(request_id, &mut ActionWriter::new(&self.names, actions));
             self.remove_if_finished(request_number, request_id);
         }
         Ok(())
@@ -167,7 +167,7 @@
     }
 
     fn remove_if_finished(&mut self, request_number: u64, request_id: RequestId) {
-        if !self.balancer.knows_request(request_id) {
+        if !self.balancer.is_known_request(request_id) {
             self.names.requests.remove(request_number, request_id);
         }
     }
@@ -175,8 +175,8 @@
     /// Removes the requests that the balancer has finished once there are many of them, so that
     /// memory use stays bounded in a long simulation.
     fn remove_finished(&mut self) {
-        if self.names.requests.len() > 2 * self.balancer.open_requests() + MAX_EXTRA_FINISHED_REQUESTS {
-            self.names.requests.retain(|request_id| self.balancer.knows_request(request_id));
+        if self.names.requests.len() > 2 * self.balancer.open_request_count() + MAX_EXTRA_FINISHED_REQUESTS {
+            self.names.requests.retain(|request_id| self.balancer.is_known_request(request_id));
         }
     }
 }
@@ -194,8 +194,8 @@
         zone: names.zones.get_or_insert(text(entry, "dc")?),
         kind: index_in(&settings.kinds, text(entry, "model")?, "model", "kind")?,
         cell: integer_or(entry, "cluster", 0)?,
-        size: size_hundredths(entry, "powerHint")?,
+        weight_hundredths: size_hundredths(entry, "powerHint")?,
         status: status(entry)?,
-        born: Timestamp::from_ticks(integer_or(entry, "bornNs", 0)? / NANOSECONDS_PER_TICK),
+        started_at: Timestamp::from_ticks(integer_or(entry, "bornNs", 0)? / NANOSECONDS_PER_TICK),
     })
 }
--- a/crates/sockets/src/lib.rs
+++ b/crates/sockets/src/lib.rs
@@ -10,4 +10,4 @@
 
 pub use memory::{MemoryBudget, MemoryReservation};
 pub use stream::{is_idle, read_more, read_up_to, write_all};
-pub use wait::{wait_until, within};
+pub use wait::{with_deadline, with_timeout};
--- a/crates/sockets/src/wait.rs
+++ b/crates/sockets/src/wait.rs
@@ -6,7 +6,7 @@
 
 /// Waits for `wait` until the deadline. Returns its output, or `None` if it is still pending at the
 /// deadline. An output that is ready at the deadline counts: `wait` is polled before the timer.
-pub async fn wait_until<T>(deadline: Instant, wait: impl Future<Output = T>) -> Option<T> {
+pub async fn with_deadline<T>(deadline: Instant, wait: impl Future<Output = T>) -> Option<T> {
     let timed_out = async {
         Timer::at(deadline).await;
         None
@@ -16,6 +16,6 @@
 
 /// Waits for `wait` for at most `limit`. Returns its output, or `None` if it takes longer. See
 /// [`wait_until`].
-pub async fn within<T>(limit: Duration, wait: impl Future<Output = T>) -> Option<T> {
-    wait_until(Instant::now() + limit, wait).await
+pub async fn with_timeout<T>(limit: Duration, wait: impl Future<Output = T>) -> Option<T> {
+    with_deadline(Instant::now() + limit, wait).await
 }
--- a/crates/sockets/tests/sockets.rs
+++ b/crates/sockets/tests/sockets.rs
@@ -1,6 +1,8 @@
 //! Tests of reads, writes and waits on loopback sockets, and of the memory budget.
 
-use chalkwalk_sockets::{MemoryBudget, is_idle, read_more, read_up_to, wait_until, within, write_all};
+use chalkwalk_sockets::{
+    MemoryBudget, is_idle, read_more, read_up_to, with_deadline, with_timeout, write_all,
+};
 use smol::{Async, Timer, block_on};
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
@@ -60,14 +62,17 @@
     let (client, server) = connection();
     let mut buf = b"kept".to_vec();
     block_on(async {
-        assert!(within(Duration::from_millis(10), read_more(&server, &mut buf)).await.is_none());
+        assert!(with_timeout(Duration::from_millis(10), read_more(&server, &mut buf)).await.is_none());
         assert_eq!(buf, b"kept");
         write_all(&client, &[b"!"]).await.unwrap();
-        assert!(matches!(within(Duration::from_secs(5), read_more(&server, &mut buf)).await, Some(Ok(1))));
+        assert!(matches!(
+            with_timeout(Duration::from_secs(5), read_more(&server, &mut buf)).await,
+            Some(Ok(1))
+        ));
         // An output that is ready counts even if the deadline has passed.
         let passed_deadline = Instant::now();
-        assert_eq!(wait_until(passed_deadline, async { 1 }).await, Some(1));
-        assert!(wait_until(passed_deadline, Timer::after(Duration::from_secs(60))).await.is_none());
+        assert_eq!(with_deadline(passed_deadline, async { 1 }).await, Some(1));
+        assert!(with_deadline(passed_deadline, Timer::after(Duration::from_secs(60))).await.is_none());
     });
     assert_eq!(buf, b"kept!");
 }
--- a/crates/time/src/span.rs
+++ b/crates/time/src/span.rs
@@ -56,7 +56,7 @@
     }
 
     /// Whether the span is at most as long as the other, usable in constants.
-    pub const fn fits(self, other: Span) -> bool {
+    pub const fn is_at_most(self, other: Span) -> bool {
         self.0 <= other.0
     }
 
--- a/crates/time/src/timestamp.rs
+++ b/crates/time/src/timestamp.rs
@@ -48,7 +48,7 @@
     }
 
     /// The time since the start of the present period, where periods count from the origin.
-    pub const fn into_period(self, period: Span) -> Span {
+    pub const fn elapsed_in_period(self, period: Span) -> Span {
         Span::from_ticks(self.0 % period.ticks())
     }
 
