--- a/crates/balancer/src/balancer/queries.rs
+++ b/crates/balancer/src/balancer/queries.rs
@@ -9,8 +9,8 @@
 
 impl Balancer {
     /// Applies new settings; the budgets keep their counts. Open requests keep the limits that they
-    /// have until `update_limits` gives them others. Zones, kinds and the origin must be the same as
-    /// before.
+    /// have until `update_limits` gives them others. Zones, kinds and the origin must be the same
+    /// as before.
     pub fn apply_settings(&mut self, values: &BTreeMap<String, String>) {
         let settings = Settings { proxies: self.settings.proxies, ..Settings::read(values) };
         let previous = std::mem::replace(&mut self.settings, settings);
@@ -25,8 +25,8 @@
         self.settings.classes.len()
     }
 
-    /// A digest of the settings that the figures of `learned` depend on: the target times, the
-    /// proxy's own zone and what the weights mean. Figures learned under other settings are not
+    /// A digest of the settings that the figures of `learned_servers` depend on: the target times,
+    /// the proxy's own zone and what the weights mean. Figures learned under other settings are not
     /// comparable.
     pub fn learned_settings_digest(&self) -> u64 {
         let targets = self.settings.classes.iter().map(|class| class.target.ticks());
--- a/crates/balancer/src/balancer/repeats.rs
+++ b/crates/balancer/src/balancer/repeats.rs
@@ -38,9 +38,9 @@
             && self.may_repeat(request, Some(server), self.now, None)
     }
 
-    /// Whether repeating the request until `deadline`, at that server or (for `None`) at any server,
-    /// does no harm. `own_index` is the index of the attempt in question if it exists already: it
-    /// does not count as an earlier attempt.
+    /// Whether repeating the request until `deadline`, at that server or (for `None`) at any
+    /// server, does no harm. `own_index` is the index of the attempt in question if it exists
+    /// already: it does not count as an earlier attempt.
     pub(super) fn may_repeat(
         &self,
         request: &Request,
--- a/crates/balancer/src/discovery.rs
+++ b/crates/balancer/src/discovery.rs
@@ -2,8 +2,8 @@
 //! pure: times and random draws are passed in.
 //!
 //! Every source of the endpoint list keeps the same time limit: a change counts as notified
-//! [`MAX_NOTIFICATION_DELAY`] after discovery had it and was reachable, whichever calls failed, were
-//! refused or timed out before. These parts add up to that limit:
+//! [`MAX_NOTIFICATION_DELAY`] after discovery had it and was reachable, whichever calls failed,
+//! were refused or timed out before. These parts add up to that limit:
 //!
 //! | part | at most |
 //! | --- | --- |
@@ -133,8 +133,8 @@
 }
 
 impl Backoff {
-    /// The backoff for a list that is polled. `max_time_without_poll`: the longest time that a proxy may go
-    /// without a watch or a poll.
+    /// The backoff for a list that is polled. `max_time_without_poll`: the longest time that a
+    /// proxy may go without a watch or a poll.
     pub fn polled(max_time_without_poll: Span) -> Backoff {
         Backoff {
             min_delay: MIN_BACKOFF,
@@ -145,7 +145,7 @@
 
     /// The backoff for a list that is pushed by the process's own agent. What the agent has counts
     /// as notified at once, and only the drain grace period is available. A quarter of it leaves
-    /// time for further tries; no other process uses the agent.
+    /// time for further attempts; no other process uses the agent.
     pub fn pushed(grace: Span) -> Backoff {
         let max_delay = (grace / 4).clamp(SECOND / 20, MAX_RETRY_INTERVAL);
         Backoff { min_delay: max_delay / 4, max_interval: MAX_RETRY_INTERVAL, max_delay }
--- a/crates/balancer/tests/fleet/outage.rs
+++ b/crates/balancer/tests/fleet/outage.rs
@@ -99,8 +99,8 @@
     }
 }
 
-/// Every process is notified within `MAX_NOTIFICATION_DELAY` where the service can answer the whole fleet
-/// once in 3 s, or once in 4 s if it does no work for calls that it has refused.
+/// Every process is notified within `MAX_NOTIFICATION_DELAY` where the service can answer the whole
+/// fleet once in 3 s, or once in 4 s if it does no work for calls that it has refused.
 #[test]
 fn after_an_outage_every_process_is_notified_in_time() {
     for processes in [24, 86, 300, 900] {
--- a/crates/config/src/explain.rs
+++ b/crates/config/src/explain.rs
@@ -40,7 +40,7 @@
         }),
         Row::new("hedging", &limits.hedging, |allowed| if allowed { "allowed" } else { "never" }.into()),
         Row::new("hedge after", &limits.hedge_after_permille, |share| {
-            share.map_or("silence or loss alone".into(), fraction)
+            share.map_or("silence or loss only".into(), fraction)
         }),
         Row::new("retry budget", &limits.retry_budget_permille, |share| {
             share.map_or("the shared budget".into(), fraction)
--- a/crates/config/src/read.rs
+++ b/crates/config/src/read.rs
@@ -71,6 +71,6 @@
     if last.split('#').next().unwrap_or("").trim() == END {
         return Ok(());
     }
-    let message = format!("the file does not end with {END}: it may have been cut short");
+    let message = format!("the file does not end with {END}: it may be truncated");
     Err(ConfigError { line: index + 1, message })
 }
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -133,8 +133,8 @@
         f:6: page: the target time of 900 ms is above the time limit of 800 ms
         f:5: time_limit_ms is below 1 ms, too short for any response
         f:5: time_limit_ms is below 1 ms, too short for any response
-        f:5: most_shots is 0, and nothing would be served
-        f:5: open is 0, and nothing would be served
+        f:5: most_shots is 0, so no request would be served
+        f:5: open is 0, so no request would be served
         f:6: page: copies_after is set, but a hedged request is a second attempt and most_shots is 1
         f:6: page: copies_after is set, but hedged requests are not allowed
         f:5: copies_after must be a share of the responses from 0.5 to 0.999
@@ -183,7 +183,7 @@
         f:3: string values must be quoted, expected literal string
         f:5: page: 9 attempts are more than the 6 that the platform allows
         f:6: page: a time limit of 9000 ms is above the platform's 1000 ms
-        f:7: open is 0, and nothing would be served
+        f:7: open is 0, so no request would be served
         f:8: target_ms is below 1 ms, too short for any response
         f:1: version 2 is not known; this program reads version 1"#]].assert_eq(&output);
 }
@@ -202,7 +202,7 @@
         max attempts     4                        line 7, class page
         attempt timeout  up to the time limit     the platform
         hedging          allowed                  the platform
-        hedge after      silence or loss alone    the platform
+        hedge after      silence or loss only     the platform
         retry budget     the shared budget        the platform
         max in flight    5                        line 13, route kiosk
         max body         65536 bytes              the platform
@@ -212,7 +212,7 @@
         max attempts     4                        line 7, class page
         attempt timeout  up to the time limit     the platform
         hedging          allowed                  the platform
-        hedge after      silence or loss alone    the platform
+        hedge after      silence or loss only     the platform
         retry budget     the shared budget        the platform
         max in flight    50                       line 8, class page
         max body         65536 bytes              the platform
--- a/crates/discovery/src/startup.rs
+++ b/crates/discovery/src/startup.rs
@@ -44,7 +44,7 @@
         source: std::io::Error,
     },
     /// The file is not JSON.
-    #[error("{path} is no JSON: {source}")]
+    #[error("{path} is not valid JSON: {source}")]
     NotJson {
         /// The path of the file.
         path: String,
@@ -126,7 +126,7 @@
     values: SettingsMap,
 ) -> FieldResult<()> {
     if earlier_names.iter().any(|other| other == name) {
-        return Err(format!("setting namespaces[{index}].name: \"{name}\" is there twice").into());
+        return Err(format!("setting namespaces[{index}].name: \"{name}\" is defined twice").into());
     }
     for (setting, field) in [("time limit", "timeLimitNs"), ("target time", "targetTimeNs")] {
         let ticks = values.number(&namespace_setting(index, setting), DEFAULT_TIME_TICKS);
--- a/crates/discovery/src/startup/tests.rs
+++ b/crates/discovery/src/startup/tests.rs
@@ -61,7 +61,7 @@
         setting ceilings.mostShots: expected a whole number above 0, got 1001
         setting namespaces[0].timeLimitNs: expected a time above 0 and up to an hour
         setting namespaces[0].targetTimeNs: expected a time above 0 and up to an hour
-        setting namespaces[1].name: "page" is there twice
+        setting namespaces[1].name: "page" is defined twice
         field seed: expected a hexadecimal number, got "xyz"
         field sockets: expected a whole number, got "many"
         field listen: expected an address and a port, got "localhost"
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -62,11 +62,11 @@
         engine.wait_for_watch_request().await;
         CallReason::Requested
     };
-    let moved = async {
+    let address_changed = async {
         // If the address can't change any more, the call counts as requested.
         if address.wait_for_change().await { CallReason::AddressChanged } else { CallReason::Requested }
     };
-    requested.or(moved).await
+    requested.or(address_changed).await
 }
 
 /// The failure of a call that ended the watch.
@@ -183,7 +183,7 @@
                 None => pending().await,
             }
         };
-        let moved = async {
+        let address_changed = async {
             match address.wait_for_change().await {
                 true => WatchEvent::AddressChanged,
                 false => pending().await,
@@ -193,7 +193,7 @@
             Timer::at(silent_at).await;
             WatchEvent::Silent
         };
-        response.or(older_response).or(moved).or(silent).await
+        response.or(older_response).or(address_changed).or(silent).await
     }
 
     async fn on_response(&mut self, body: &[u8]) -> Result<(), WatchFailure> {
--- a/crates/engine/src/budget.rs
+++ b/crates/engine/src/budget.rs
@@ -52,8 +52,8 @@
 
 impl DescriptorBudget {
     /// Divides the given number of descriptors into shares.
-    pub fn new(descriptors: usize) -> DescriptorBudget {
-        let total = descriptors.saturating_sub(OTHER_DESCRIPTORS).max(16);
+    pub fn new(max_descriptors: usize) -> DescriptorBudget {
+        let total = max_descriptors.saturating_sub(OTHER_DESCRIPTORS).max(16);
         // One third for servers, one third for clients, and one third for either: each client that
         // waits for a response needs at least one attempt in flight, and a client that writes or
         // reads slowly needs none.
--- a/crates/engine/src/shutdown.rs
+++ b/crates/engine/src/shutdown.rs
@@ -52,9 +52,9 @@
     }
 }
 
-/// Runs the shutdown to the last phase. `requested_at` is when it was requested. `accept_task` is the
-/// frontends' task, which ends once [`Phase::Finishing`] is reached and the connections that had
-/// arrived by then are accepted.
+/// Runs the shutdown to the last phase. `requested_at` is when it was requested. `accept_task` is
+/// the frontends' task, which ends once [`Phase::Finishing`] is reached and the connections that
+/// had arrived by then are accepted.
 pub async fn run(engine: &Rc<Engine>, accept_task: Task<()>, requested_at: Timestamp) {
     let schedule = DrainSchedule::new(engine.classes.max_time_limit());
     let response_deadline = requested_at + schedule.last_response_after;
--- a/crates/http-frontend/src/admit.rs
+++ b/crates/http-frontend/src/admit.rs
@@ -98,9 +98,9 @@
     if message.body.len() as u64 > max_body_bytes {
         return Err(AdmitError::BodyTooLong);
     }
-    let expires = received_at + time_left.min(time_limit);
-    let expires = may_start_request(engine.clock.now(), expires, engine.response_deadline());
-    let expires = expires.ok_or(AdmitError::Expired)?;
+    let expires_at = received_at + time_left.min(time_limit);
+    let expires_at = may_start_request(engine.clock.now(), expires_at, engine.response_deadline());
+    let expires_at = expires_at.ok_or(AdmitError::Expired)?;
     let id = message.header_bytes("X-Correlation-Id").unwrap_or_default().to_vec();
     let open_id = frontend.open_ids.claim(id).ok_or(AdmitError::IdInUse)?;
     Ok(Rc::new(HttpRequest {
@@ -111,7 +111,7 @@
         settings_generation: engine.classes.generation(),
         is_write,
         received_at,
-        expires,
+        expires_at,
         message,
         client_stream: Rc::downgrade(client_stream),
         _open_id: open_id,
--- a/crates/http-frontend/src/request.rs
+++ b/crates/http-frontend/src/request.rs
@@ -29,7 +29,7 @@
     pub settings_generation: u64,
     pub is_write: bool,
     pub received_at: Timestamp,
-    pub expires: Timestamp,
+    pub expires_at: Timestamp,
     /// The client's connection, while it is being served.
     pub client_stream: Weak<Async<TcpStream>>,
     /// Keeps the correlation id claimed while the request is open.
@@ -101,7 +101,7 @@
     }
 
     fn expires_at(&self) -> Timestamp {
-        self.expires
+        self.expires_at
     }
 
     /// A waiting client sends nothing. A closed connection and data sent before the response both
--- a/crates/http-frontend/src/route.rs
+++ b/crates/http-frontend/src/route.rs
@@ -26,12 +26,12 @@
     read_ahead: &mut Vec<u8>,
     request: Rc<HttpRequest>,
 ) -> Option<Reply> {
-    let expires = request.expires;
+    let expires_at = request.expires_at;
     let (request_id, response) = api::accept_request(engine, request);
     let overdue = async {
         // The balancer has responded by this time. This timeout guards against a request that it
         // lost track of, which would hold the connection forever.
-        Timer::at(engine.clock.instant(expires) + LOST_RESPONSE_DELAY).await;
+        Timer::at(engine.clock.instant(expires_at) + LOST_RESPONSE_DELAY).await;
         warn!(engine.log, "request without a response");
         engine.violations.check(&engine.log, Some(Violation::NoFinalAnswer));
         api::client_disconnected(engine, request_id);
--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -47,10 +47,10 @@
     stream: &Async<TcpStream>,
     read_ahead: &mut Vec<u8>,
     kind: MessageKind,
-    max_body: usize,
+    max_body_bytes: usize,
 ) -> Result<Head, HttpError> {
     loop {
-        match parse_head(read_ahead, kind, max_body)? {
+        match parse_head(read_ahead, kind, max_body_bytes)? {
             Some((mut head, len)) if !is_interim(head.message.status) => {
                 let after_head = read_ahead.split_off(len);
                 head.message.buf = std::mem::replace(read_ahead, after_head);
@@ -69,7 +69,11 @@
 
 /// Parses the head at the start of the buffer. Returns it with its length in bytes, or `None` while
 /// it is incomplete.
-fn parse_head(buf: &[u8], kind: MessageKind, max_body: usize) -> Result<Option<(Head, usize)>, HttpError> {
+fn parse_head(
+    buf: &[u8],
+    kind: MessageKind,
+    max_body_bytes: usize,
+) -> Result<Option<(Head, usize)>, HttpError> {
     let parsed = match kind {
         MessageKind::Request => parse_request(buf)?,
         MessageKind::Response => parse_response(buf)?,
@@ -81,7 +85,7 @@
     message.is_http10 = minor_version == 0;
     let fields = FramingFields::from_headers(buf, &message.headers)?;
     message.close = message.is_http10 || fields.close;
-    let framing = fields.framing(kind, &message, max_body)?;
+    let framing = fields.framing(kind, &message, max_body_bytes)?;
     Ok(Some((Head { message, framing, expects_continue: fields.expects_continue }, len)))
 }
 
@@ -180,7 +184,12 @@
     }
 
     /// The framing of the body according to RFC 9112, section 6.3.
-    fn framing(&self, kind: MessageKind, message: &Message, max_body: usize) -> Result<Framing, HttpError> {
+    fn framing(
+        &self,
+        kind: MessageKind,
+        message: &Message,
+        max_body_bytes: usize,
+    ) -> Result<Framing, HttpError> {
         if is_interim(message.status) || matches!(message.status, 204 | 304) {
             return Ok(Framing::Length(0));
         }
@@ -188,7 +197,7 @@
             return Ok(Framing::Chunked);
         }
         match self.content_lengths.first() {
-            Some(length) if *length > max_body => Err(HttpError::BodyTooLong),
+            Some(length) if *length > max_body_bytes => Err(HttpError::BodyTooLong),
             Some(length) => Ok(Framing::Length(*length)),
             None if kind == MessageKind::Request => Ok(Framing::Length(0)),
             // A truncated body would look complete here, so this framing is accepted only from a
--- a/crates/http1/src/response.rs
+++ b/crates/http1/src/response.rs
@@ -23,7 +23,7 @@
     decoder: BodyDecoder,
     /// Bytes that were read from the stream and are not decoded yet.
     read_ahead: Vec<u8>,
-    max_body: usize,
+    max_body_bytes: usize,
     /// Length of the body decoded so far.
     received_bytes: usize,
 }
@@ -36,11 +36,11 @@
 
     async fn start_with_limit(
         stream: &Async<TcpStream>,
-        max_body: usize,
+        max_body_bytes: usize,
     ) -> Result<ResponseReader, HttpError> {
         let mut read_ahead = Vec::new();
         let Head { message, framing, .. } =
-            read_head(stream, &mut read_ahead, MessageKind::Response, max_body).await?;
+            read_head(stream, &mut read_ahead, MessageKind::Response, max_body_bytes).await?;
         let content_length = match framing {
             Framing::Length(length) => Some(length as u64),
             Framing::Chunked | Framing::UntilClose => None,
@@ -51,7 +51,7 @@
             max_read_bytes: DEFAULT_MAX_READ_BYTES,
             decoder: BodyDecoder::new(framing),
             read_ahead,
-            max_body,
+            max_body_bytes,
             received_bytes: 0,
         })
     }
@@ -63,7 +63,7 @@
             let part = self.decoder.decode(&mut self.read_ahead)?;
             self.received_bytes += part.len();
             if (self.received_bytes as u64).saturating_add(self.decoder.announced_bytes())
-                > self.max_body as u64
+                > self.max_body_bytes as u64
             {
                 return Err(HttpError::BodyTooLong);
             }
@@ -125,10 +125,11 @@
     stream: &Async<TcpStream>,
     addr: SocketAddr,
     target: &str,
-    max_body: usize,
+    max_body_bytes: usize,
 ) -> Result<Message, GetError> {
     send_get(stream, addr, target).await.map_err(GetError::Send)?;
-    let response = ResponseReader::start_with_limit(stream, max_body).await.map_err(GetError::Response)?;
+    let response =
+        ResponseReader::start_with_limit(stream, max_body_bytes).await.map_err(GetError::Response)?;
     response.read_whole(stream).await.map_err(GetError::Response)
 }
 
--- a/crates/limits/src/check/class.rs
+++ b/crates/limits/src/check/class.rs
@@ -157,8 +157,8 @@
     Some(Violation::new([&hedging.source], "the platform allows no hedged requests".into()))
 }
 
-/// Nothing is reported for requests that must not run twice: a wider scope may set `hedge_after`
-/// for other classes.
+/// Nothing is reported for requests that must not run twice: a wider scope may set
+/// `hedge_after_permille` for other classes.
 fn hedge_after_needs_hedging<'a>(context: &RuleContext<'a>) -> Option<Violation<'a>> {
     let Limits { hedge_after_permille, hedging, .. } = context.limits;
     let replayable = context.namespace.idempotency == Idempotency::Replayable;
--- a/crates/limits/src/check/values.rs
+++ b/crates/limits/src/check/values.rs
@@ -46,7 +46,7 @@
     ];
     for (key, count) in counts {
         if let Some(Located { line, .. }) = count.filter(|count| count.value == 0) {
-            errors.add(line, format!("{key} is 0, and nothing would be served"));
+            errors.add(line, format!("{key} is 0, so no request would be served"));
         }
     }
 }
--- a/crates/membership/src/format/file.rs
+++ b/crates/membership/src/format/file.rs
@@ -84,7 +84,7 @@
         message: String,
     },
     /// The required last line is missing.
-    #[error("it does not end with [end]: it may have been cut short")]
+    #[error("it does not end with [end]: it may be truncated")]
     MissingEnd,
     /// The file has an unknown format version.
     #[error("version {0} is not known; this program reads version {VERSION}")]
--- a/crates/membership/src/format/record.rs
+++ b/crates/membership/src/format/record.rs
@@ -90,7 +90,7 @@
     #[error("addr is an address and a port, not")]
     Address,
     /// The state must be [`SERVING`] or [`DRAINING`].
-    #[error("state is serving or draining, not")]
+    #[error("the state must be serving or draining, found")]
     State,
     /// The zone must be one of the zones in the settings.
     #[error("the settings have no zone")]
--- a/crates/membership/tests/format.rs
+++ b/crates/membership/tests/format.rs
@@ -58,9 +58,9 @@
         cache 2: the id a is already used by an earlier entry
         cache 2: the address 127.0.0.1:1 is already used by an earlier entry
         cache 1: a: addr is an address and a port, not "nowhere"
-        cache 2: b: state is serving or draining, not "tired"
+        cache 2: b: the state must be serving or draining, found "tired"
         line 7: unknown field `staet`, expected one of `id`, `addr`, `zone`, `kind`, `cell`, `weight`, `state`, `started_ms`, `back`
-        it does not end with [end]: it may have been cut short
+        it does not end with [end]: it may be truncated
         checksum mismatch: the file states crc32:00000000, but its content has crc32:9dcfd43f
         cache 1: an id must have 1 to 256 bytes and no control characters
         EOF while parsing an object at line 1 column 35
@@ -112,7 +112,7 @@
         port in any::<u16>(),
         cell in any::<u64>(),
         weight_hundredths in 1u64..1_000_000,
-        born in 0u64..1 << 50,
+        started_at in 0u64..1 << 50,
         draining in any::<bool>(),
     ) {
         let status = if draining { EndpointStatus::Draining } else { EndpointStatus::Ready };
@@ -125,7 +125,7 @@
             cell,
             weight_hundredths,
             status,
-            started_at: Timestamp::from_ticks(born * 10),
+            started_at: Timestamp::from_ticks(started_at * 10),
         };
         let parsed = parse_endpoint("a/b", &encode_endpoint(&endpoint), &allowed()).unwrap();
             prop_assert_eq!(parsed, ListEntry { endpoint, reinstated: false });
--- a/crates/membership/tests/helper/mod.rs
+++ b/crates/membership/tests/helper/mod.rs
@@ -13,8 +13,8 @@
     Timestamp::from_ticks(ticks)
 }
 
-/// An endpoint whose process started at `born` ticks.
-pub fn endpoint(id: &str, status: EndpointStatus, born: u64) -> ListedEndpoint {
+/// An endpoint whose process started at `started_at` ticks.
+pub fn endpoint(id: &str, status: EndpointStatus, started_at: u64) -> ListedEndpoint {
     let address = "127.0.0.1:3000".parse().unwrap();
     ListedEndpoint {
         id: id.into(),
@@ -24,18 +24,18 @@
         cell: 0,
         weight_hundredths: 100,
         status,
-        started_at: at_ticks(born),
+        started_at: at_ticks(started_at),
     }
 }
 
 /// An entry of a server in service.
-pub fn ready(id: &str, born: u64) -> ListEntry {
-    endpoint(id, EndpointStatus::Ready, born).into()
+pub fn ready(id: &str, started_at: u64) -> ListEntry {
+    endpoint(id, EndpointStatus::Ready, started_at).into()
 }
 
 /// An entry of a draining server.
-pub fn draining(id: &str, born: u64) -> ListEntry {
-    endpoint(id, EndpointStatus::Draining, born).into()
+pub fn draining(id: &str, started_at: u64) -> ListEntry {
+    endpoint(id, EndpointStatus::Draining, started_at).into()
 }
 
 /// A change that lists an endpoint as of a revision.
--- a/crates/membership/tests/reconcile_any_order.rs
+++ b/crates/membership/tests/reconcile_any_order.rs
@@ -65,10 +65,10 @@
             let id = format!("c{server}");
             let mut state = states[i].clone();
             let revision = i as u64 + 1;
-            let born = state.get(&id).map_or(revision, |endpoint| endpoint.started_at.ticks());
+            let started_at = state.get(&id).map_or(revision, |endpoint| endpoint.started_at.ticks());
             let change = match kind {
-                0 => put(revision, draining(&id, born)),
-                1 => put(revision, ready(&id, born)),
+                0 => put(revision, draining(&id, started_at)),
+                1 => put(revision, ready(&id, started_at)),
                 2 => put(revision, ready(&id, revision)),
                 _ => removed(revision, &id),
             };
--- a/crates/proxy/src/cli.rs
+++ b/crates/proxy/src/cli.rs
@@ -81,7 +81,7 @@
     let files = startup_files(&mut args)?;
     expect_no_more_arguments(args)?;
     let settings = files.load()?;
-    println!("{}: fine", settings.config.engine_config.name);
+    println!("{}: configuration is valid", settings.config.engine_config.name);
     Ok(())
 }
 
--- a/crates/proxy/src/error.rs
+++ b/crates/proxy/src/error.rs
@@ -25,7 +25,7 @@
     UnknownCaptureCommand { usage: &'static str },
     #[error("capture cut requires --call N and --to FILE")]
     IncompleteCut,
-    #[error("no namespace \"{name}\"; there are {known}")]
+    #[error("unknown namespace \"{name}\"; known namespaces: {known}")]
     UnknownNamespace { name: String, known: String },
 }
 
--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -33,7 +33,7 @@
     /// The configuration can't be read: one line for each error in it.
     #[error(transparent)]
     Load(#[from] StartError),
-    #[error("field {0}: missing, and was there at the start")]
+    #[error("field {0}: missing, but present when the process started")]
     MissingField(String),
     #[error("the operator's file changes the membership, RESP frontend or capture, which needs a restart")]
     OperatorFile,
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -37,7 +37,7 @@
             || settings.membership.is_some()
             || settings.resp.is_some();
         if !has_source {
-            return Err(StartError::Configuration("field discovery: missing, expected a text".into()));
+            return Err(StartError::Configuration("field discovery: missing, expected a string".into()));
         }
         Ok(settings)
     }
--- a/crates/proxy/tests/sockets/command_line.rs
+++ b/crates/proxy/tests/sockets/command_line.rs
@@ -95,11 +95,11 @@
     run_command(SHORTER, &["explain", "--namespace", "pages"]);
     expect![[r#"
         exit status: 0
-        p: fine
+        p: configuration is valid
         exit status: 2
         chalkwalk: FILE:3: once: 50 attempts are more than the 4 that the platform allows
         FILE:3: page: 50 attempts are more than the 4 that the platform allows
-        FILE:4: open is 0, and nothing would be served
+        FILE:4: open is 0, so no request would be served
         exit status: 0
         no route matches
         time limit       500 ms                   line 5, class page
@@ -107,12 +107,12 @@
         max attempts     4                        the platform
         attempt timeout  up to the time limit     the platform
         hedging          allowed                  the platform
-        hedge after      silence or loss alone    the platform
+        hedge after      silence or loss only     the platform
         retry budget     the shared budget        the platform
         max in flight    no limit                 the platform
         max body         33554432 bytes           the platform
         exit status: 2
-        chalkwalk: no namespace "pages"; there are page, once
+        chalkwalk: unknown namespace "pages"; known namespaces: page, once
     "#]]
     .assert_eq(&output);
 }
--- a/crates/proxy/tests/sockets/operators.rs
+++ b/crates/proxy/tests/sockets/operators.rs
@@ -330,19 +330,19 @@
         after bad ones: 200 200 400
         client: 200 slow
         after a good one: 200 400 200
-        FILE is no JSON: EOF while parsing a value
-        FILE is no JSON: EOF while parsing a string
-        field settings.ceilings.mostShots: missing, and was there at the start
+        FILE is not valid JSON: EOF while parsing a value
+        FILE is not valid JSON: EOF while parsing a string
+        field settings.ceilings.mostShots: missing, but present when the process started
         setting namespaces[0].timeLimitNs: expected a time above 0 and up to an hour
         setting namespaces[0].timeLimitNs: expected a time above 0 and up to an hour
         setting namespaces[0].timeLimitNs: expected a number, got "2 s"
-        FILE is no JSON: expected value
-        FILE is no JSON: number out of range
+        FILE is not valid JSON: expected value
+        FILE is not valid JSON: number out of range
         setting namespaces[0].timeLimitNs: expected a time above 0 and up to an hour
-        field settings.namespaces[].timeLimitNs: missing, and was there at the start
+        field settings.namespaces[].timeLimitNs: missing, but present when the process started
         setting ceilings.mostShots: expected a whole number above 0, got 0
         setting ceilings.mostShots: expected a whole number above 0, got 2.5
-        setting namespaces[1].name: "page" is there twice
+        setting namespaces[1].name: "page" is defined twice
     "#]]);
 }
 
--- a/crates/proxy/tests/sources.rs
+++ b/crates/proxy/tests/sources.rs
@@ -143,8 +143,8 @@
     setup.answered_by("birch");
     let log = setup.log();
     for output in [
-        "state is serving or draining, not \"tired\"",
-        "it may have been cut short",
+        "the state must be serving or draining, found \"tired\"",
+        "it may be truncated",
         "stays drained",
         "list file accepted",
     ] {
--- a/crates/resp-frontend/src/command.rs
+++ b/crates/resp-frontend/src/command.rs
@@ -60,9 +60,9 @@
     pub positions: Vec<usize>,
 }
 
-/// Classifies a command. `split` allows a command with keys in several slots to be split into one
-/// command per slot.
-pub fn classify_command(arguments: &Arguments, split: bool) -> Result<Command, CommandError> {
+/// Classifies a command. `split_multi_slot` allows a command with keys in several slots to be split
+/// into one command per slot.
+pub fn classify_command(arguments: &Arguments, split_multi_slot: bool) -> Result<Command, CommandError> {
     let name = arguments.keyword(0);
     if LOCAL_COMMANDS.contains(&name.as_str()) {
         return Ok(Command::Local);
@@ -82,7 +82,7 @@
     {
         return Ok(Command::Keyed(KeyedCommand { write: spec.write, keys }));
     }
-    let Some(merge) = spec.merge.filter(|_| split) else {
+    let Some(merge) = spec.merge.filter(|_| split_multi_slot) else {
         return Err(CommandError::CrossSlot);
     };
     if parts.len() > MAX_SLOTS_PER_COMMAND {
--- a/crates/resp-frontend/src/settings.rs
+++ b/crates/resp-frontend/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of this frontend: the users that may connect, the request classes of keys, and the
+//! The settings of this frontend: the users that may connect, the namespaces of keys, and the
 //! instances that are reported to clients.
 
 use chalkwalk_slot_map::SlotRange;
@@ -6,14 +6,14 @@
 use std::net::SocketAddr;
 use subtle::ConstantTimeEq;
 
-/// The request classes for the keys that begin with a prefix.
+/// The namespaces of the keys that begin with a prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PrefixRule {
     /// The prefix of the keys.
     pub prefix: String,
-    /// The request class of commands that read: the index of a namespace.
+    /// The index of the namespace of commands that read these keys.
     pub read_namespace: usize,
-    /// The request class of commands that write: the index of a namespace.
+    /// The index of the namespace of commands that write these keys.
     pub write_namespace: usize,
 }
 
@@ -46,13 +46,13 @@
     /// The servers that are polled for the first slot map, and later in rotation with the owners of
     /// slots.
     pub seeds: Vec<SocketAddr>,
-    /// The request class of reads of keys without a prefix rule: the index of a namespace.
+    /// The index of the namespace of reads of keys without a prefix rule.
     pub read_namespace: usize,
-    /// The request class of writes to keys without a prefix rule: the index of a namespace.
+    /// The index of the namespace of writes to keys without a prefix rule.
     pub write_namespace: usize,
     /// The rules by key prefix. The first rule that matches a key applies.
     pub prefix_rules: Vec<PrefixRule>,
-    /// For each request class, whether replicas may answer its reads.
+    /// For each namespace, whether replicas may answer its reads.
     pub allow_stale_reads: Vec<bool>,
     /// Whether commands with keys in several slots are split into one command per slot.
     pub split_multi_slot: bool,
@@ -68,8 +68,8 @@
 }
 
 impl Settings {
-    /// The request class of a command on a key. It depends on the key's prefix, and on whether the
-    /// command writes.
+    /// The index of the namespace of a command on a key. It depends on the key's prefix, and on
+    /// whether the command writes.
     pub fn namespace_of(&self, key: &[u8], write: bool) -> usize {
         let rule = self.prefix_rules.iter().find(|rule| key.starts_with(rule.prefix.as_bytes()));
         match (rule, write) {
--- a/crates/sockets/src/wait.rs
+++ b/crates/sockets/src/wait.rs
@@ -15,7 +15,7 @@
 }
 
 /// Waits for `wait` for at most `limit`. Returns its output, or `None` if it takes longer. See
-/// [`wait_until`].
+/// [`with_deadline`].
 pub async fn with_timeout<T>(limit: Duration, wait: impl Future<Output = T>) -> Option<T> {
     with_deadline(Instant::now() + limit, wait).await
 }
