--- a/crates/balancer/src/balancer/selection.rs
+++ b/crates/balancer/src/balancer/selection.rs
@@ -81,9 +81,9 @@
             servers.iter().map(|server| self.servers[*server].liveness.in_flight()).sum::<u64>() + 1;
         // 5/4 of the mean: consistent hashing with bounded loads.
         let cap = (in_flight * 5).div_ceil(4 * servers.len().max(1) as u64).max(MIN_IN_FLIGHT_CAP);
-        servers.into_iter().find(|server| {
-            self.servers[*server].liveness.in_flight() < cap && self.eligible(&search, *server)
-        })
+        servers
+            .into_iter()
+            .find(|index| self.servers[*index].liveness.in_flight() < cap && self.eligible(&search, *index))
     }
 
     /// Whether all ready servers are ejected. A failure behind all servers (a link, the origin)
--- a/crates/engine/src/attempt.rs
+++ b/crates/engine/src/attempt.rs
@@ -37,7 +37,7 @@
     pub engine: &'a Engine,
     pub pending: &'a PendingAttempt,
     /// Called if the client is found to have disconnected, before the attempt ends for that reason.
-    pub on_client_left: &'a dyn Fn(),
+    pub on_client_disconnected: &'a dyn Fn(),
 }
 
 impl Attempt<'_> {
@@ -120,7 +120,7 @@
         engine.refused_attempts.count(refusal);
         debug!(engine.log, "attempt withheld"; "cache" => pending.server, "why" => ?refusal);
         if refusal == SendRefusal::ClientLeft {
-            (self.on_client_left)();
+            (self.on_client_disconnected)();
         }
         Err(AttemptOutcome::NotSent)
     }
--- a/crates/engine/src/dispatch.rs
+++ b/crates/engine/src/dispatch.rs
@@ -33,8 +33,10 @@
 async fn run_attempt(engine: Rc<Engine>, pending: PendingAttempt) {
     let started = engine.clock.now();
     let PendingAttempt { id, server, handle, .. } = &pending;
-    let on_client_left = || call(&engine, |requests, now| requests.client_disconnected(now, id.request_id));
-    let attempt = Attempt { engine: &engine, pending: &pending, on_client_left: &on_client_left };
+    let on_client_disconnected =
+        || call(&engine, |requests, now| requests.client_disconnected(now, id.request_id));
+    let attempt =
+        Attempt { engine: &engine, pending: &pending, on_client_disconnected: &on_client_disconnected };
     let progress = attempt.run().await;
     let took = engine.clock.now() - started;
     let (outcome, response) = match progress {
--- a/crates/proxy/src/captures/replay.rs
+++ b/crates/proxy/src/captures/replay.rs
@@ -44,8 +44,9 @@
         ..
     } = replayed;
     let mut text = format!(
-        "{instance}: {calls} calls with {decisions} decisions replayed, from {start_count} starts and {resumed_snapshots} snapshots, \
-         {compared_snapshots} snapshots compared; {differing_calls} differ, {skipped_calls} calls skipped, {gap_count} gaps\n"
+        "{instance}: {calls} calls with {decisions} decisions replayed, from {start_count} starts and \
+         {resumed_snapshots} snapshots, {compared_snapshots} snapshots compared; {differing_calls} differ, \
+         {skipped_calls} calls skipped, {gap_count} gaps\n"
     );
     for (kind, count) in &replayed.difference_kinds {
         _ = writeln!(text, "  {count} times {kind}");
