--- a/crates/discovery/src/startup/tests.rs
+++ b/crates/discovery/src/startup/tests.rs
@@ -22,11 +22,11 @@
 #[test]
 fn a_configuration_is_converted_to_the_engine_configuration() {
     let startup = read(&config()).expect("a good configuration");
-    assert_eq!(startup.listen.port(), 8080);
-    assert_eq!(startup.list_address.map(|address| address.port()), Some(9090));
+    assert_eq!(startup.listen_address.port(), 8080);
+    assert_eq!(startup.discovery_address.map(|address| address.port()), Some(9090));
     assert_eq!(startup.namespaces, ["page"]);
-    let engine = startup.engine;
-    assert_eq!((engine.seed, engine.descriptors, engine.memory), (255, 300, 64_000_000));
+    let engine = startup.engine_config;
+    assert_eq!((engine.seed, engine.max_descriptors, engine.memory_limit_bytes), (255, 300, 64_000_000));
     let limits = engine.platform_limits;
     assert_eq!((limits.max_attempts, limits.hedging), (3, true));
     assert_eq!(limits.namespaces[0].time_limit, Span::from_secs(1));
@@ -61,7 +61,7 @@
         setting ceilings.mostShots: expected a whole number above 0, got 1001
         setting namespaces[0].timeLimitNs: expected a time above 0 and up to an hour
         setting namespaces[0].targetTimeNs: expected a time above 0 and up to an hour
-        setting namespaces[1].name: "page" is there twice
+        setting namespaces[1].name: "page" is defined twice
         field seed: expected a hexadecimal number, got "xyz"
         field sockets: expected a whole number, got "many"
         field listen: expected an address and a port, got "localhost"
--- a/crates/http-frontend/src/request.rs
+++ b/crates/http-frontend/src/request.rs
@@ -29,7 +29,7 @@
     pub settings_generation: u64,
     pub is_write: bool,
     pub received_at: Timestamp,
-    pub expires: Timestamp,
+    pub expires_at: Timestamp,
     /// The client's connection, while it is being served.
     pub client_stream: Weak<Async<TcpStream>>,
     /// Keeps the correlation id claimed while the request is open.
@@ -100,8 +100,8 @@
         self.is_write
     }
 
-    fn expires(&self) -> Timestamp {
-        self.expires
+    fn expires_at(&self) -> Timestamp {
+        self.expires_at
     }
 
     /// A waiting client sends nothing. A closed connection and data sent before the response both
--- a/crates/membership/src/format/file.rs
+++ b/crates/membership/src/format/file.rs
@@ -84,7 +84,7 @@
         message: String,
     },
     /// The required last line is missing.
-    #[error("it does not end with [end]: it may have been cut short")]
+    #[error("it does not end with [end]: it may be truncated")]
     MissingEnd,
     /// The file has an unknown format version.
     #[error("version {0} is not known; this program reads version {VERSION}")]
@@ -211,8 +211,8 @@
                 if !ids.insert(endpoint.id.clone()) {
                     problems.push(FileProblem::DuplicateId { position, id: endpoint.id.clone() });
                 }
-                if !addrs.insert(endpoint.addr) {
-                    problems.push(FileProblem::DuplicateAddress { position, addr: endpoint.addr });
+                if !addrs.insert(endpoint.address) {
+                    problems.push(FileProblem::DuplicateAddress { position, addr: endpoint.address });
                 }
                 accepted.push(entry);
             }
