--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -82,7 +82,7 @@
     pub fn new(seed: u64, values: &BTreeMap<String, String>, effects: &mut dyn Effects) -> Balancer {
         let settings = Settings::read(values);
         let mut random = Random::seeded(seed);
-        if values.get("watched").is_some_and(|watched| watched == "1") {
+        if values.get("watched").is_some_and(|value| value == "1") {
             effects.set_timer(DISCOVERY_TOKEN, random.span_below(MAX_FIRST_CALL_DELAY));
         }
         Balancer { settings, salt: random.salt(), random, ..Balancer::default() }
@@ -93,8 +93,8 @@
     pub fn advance_clock(&mut self, now: Timestamp) {
         self.now = now;
         while self.decayed_until + SECOND <= now {
-            let behind = now - self.decayed_until;
-            self.decayed_until = if behind > MAX_CATCH_UP { now } else { self.decayed_until + SECOND };
+            let elapsed = now - self.decayed_until;
+            self.decayed_until = if elapsed > MAX_CATCH_UP { now } else { self.decayed_until + SECOND };
             self.decay();
         }
     }
--- a/crates/balancer/src/balancer/endpoints.rs
+++ b/crates/balancer/src/balancer/endpoints.rs
@@ -64,10 +64,10 @@
     /// Moves keys away from servers whose listed load is above the mean of the ready servers.
     fn rebalance_keys(&mut self, endpoints: &[Endpoint]) {
         let ready = || (0..self.servers.len()).filter(|server| self.is_ready(*server));
-        let total: u64 = ready().map(|server| self.servers[server].key_share.load()).sum();
-        let mean = total / ready().count().max(1) as u64;
+        let total_load: u64 = ready().map(|server| self.servers[server].key_share.load()).sum();
+        let mean_load = total_load / ready().count().max(1) as u64;
         for endpoint in endpoints {
-            self.servers[endpoint.server].key_share.rebalance(mean);
+            self.servers[endpoint.server].key_share.rebalance(mean_load);
         }
     }
 
--- a/crates/balancer/src/balancer/repeats.rs
+++ b/crates/balancer/src/balancer/repeats.rs
@@ -49,9 +49,9 @@
         own_index: Option<usize>,
     ) -> bool {
         let class = &request.class;
-        let mut earlier =
+        let mut earlier_attempts =
             request.attempts.iter().enumerate().filter(|(i, a)| a.may_have_run && Some(*i) != own_index);
-        earlier.all(|(_, attempt)| match class.idempotency {
+        earlier_attempts.all(|(_, attempt)| match class.idempotency {
             Idempotency::Replayable => true,
             Idempotency::SingleUse => false,
             Idempotency::Tagged => {
@@ -63,8 +63,13 @@
 
     /// Whether the server of a repeat knows of an earlier attempt, because that attempt was sent to
     /// a server of the same deduplication group.
-    fn drops_repeat(&self, group: DedupGroup, earlier: &Attempt, server: Option<ServerIndex>) -> bool {
-        let earlier_server = &self.servers[earlier.server];
+    fn drops_repeat(
+        &self,
+        group: DedupGroup,
+        earlier_attempt: &Attempt,
+        server: Option<ServerIndex>,
+    ) -> bool {
+        let earlier_server = &self.servers[earlier_attempt.server];
         let Some(target) = server.map(|server| &self.servers[server]) else {
             return group == DedupGroup::All;
         };
--- a/crates/balancer/src/balancer/requests.rs
+++ b/crates/balancer/src/balancer/requests.rs
@@ -13,7 +13,7 @@
 
 /// The random draw of a request is below this.
 const DRAW_END: u64 = 100;
-/// The median latency predicts when a request's turn comes.
+/// The quantile, in thousandths, that predicts when a request's turn comes: the median latency.
 const MEDIAN_THOUSANDTHS: u64 = 500;
 
 impl Balancer {
--- a/crates/balancer/src/balancer/retry.rs
+++ b/crates/balancer/src/balancer/retry.rs
@@ -13,8 +13,9 @@
 /// Whether a retry counts against the budget of the class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RetryCost {
-    /// The previous attempt put no load on a server.
+    /// The retry does not count, as the previous attempt put no load on a server.
     Free,
+    /// The retry counts against the budget.
     Budgeted,
 }
 
@@ -51,8 +52,8 @@
             return;
         }
         // Half a second to one and a half, spread so that rejected clients do not return together.
-        let spread = SECOND / 2 + self.random.span_below(SECOND);
-        let retry_after = spread.min(self.settings.max_retry_after);
+        let random_delay = SECOND / 2 + self.random.span_below(SECOND);
+        let retry_after = random_delay.min(self.settings.max_retry_after);
         if self.may_repeat(&self.requests[&request_id.0], None, self.now + retry_after, None) {
             effects.reject(request_id, retry_after);
         } else {
--- a/crates/balancer/src/balancer/selection.rs
+++ b/crates/balancer/src/balancer/selection.rs
@@ -43,14 +43,17 @@
 impl Balancer {
     /// The server for the next attempt, if any is eligible.
     pub(super) fn select_server(&self, request: &Request) -> Option<ServerIndex> {
-        let first = match self.shedding.uses_shared_ring(request.key) {
+        let first_searches = match self.shedding.uses_shared_ring(request.key) {
             true => [(RingScope::AllZones, Round::Strict), (RingScope::AllZones, Round::Relaxed)],
             false => [(RingScope::OwnZone, Round::Strict), (RingScope::OtherZones, Round::Strict)],
         };
-        let rest = [Round::Relaxed, Round::LastResort]
+        let later_searches = [Round::Relaxed, Round::LastResort]
             .into_iter()
             .flat_map(|round| [RingScope::OwnZone, RingScope::OtherZones].map(|scope| (scope, round)));
-        first.into_iter().chain(rest).find_map(|(scope, round)| self.find_on_ring(scope, request, round))
+        first_searches
+            .into_iter()
+            .chain(later_searches)
+            .find_map(|(scope, round)| self.find_on_ring(scope, request, round))
     }
 
     /// Searches a ring from the key's point on for an eligible server. Skips servers that are at
@@ -108,7 +111,7 @@
             && (round == Round::LastResort || !self.is_silent(index))
             && (server.connected || search.may_connect[self.zone_group(server) as usize])
             && !request.attempts.iter().any(|a| a.server == index && (a.failed || a.pending))
-            && (strict || server.key_share.accepts_foreign_keys(request.draw))
+            && (strict || server.key_share.accepts_unowned_keys(request.draw))
             && self.slow_start_allows(search, index)
             && self.keeps_key(search, index)
             && match strict {
--- a/crates/balancer/src/concurrency_limit.rs
+++ b/crates/balancer/src/concurrency_limit.rs
@@ -19,7 +19,7 @@
 const INITIAL_LIMIT: u64 = 8 * ONE_ATTEMPT;
 const MIN_LIMIT: u64 = ONE_ATTEMPT / 10;
 const MAX_LIMIT: u64 = 100 * ONE_ATTEMPT;
-/// Added by an answer in time if over half of the limit was in use.
+/// Added by an answer in time if over half of the limit was in use. In hundredths of an attempt.
 const INCREASE_STEP: u64 = 16;
 /// After this many rejections in a row, further ones may lower the limit of a server below one
 /// attempt. A server that rejects half of its attempts at any load rejects four in a row in one of
--- a/crates/balancer/src/discovery.rs
+++ b/crates/balancer/src/discovery.rs
@@ -55,8 +55,8 @@
 const HEADROOM: Span = Span::from_millis(250);
 /// The longest time from the beginning of a failed call to the planned beginning of the next.
 const MAX_RETRY_INTERVAL: Span = MAX_CALL_INTERVAL.minus(HEADROOM);
-/// A call that took at least this long has waited in the queue: half of the longest wait, and well
-/// above what a call takes on a busy machine.
+/// A call that took at least this long counts as having waited in the queue. The value is half of
+/// the longest wait, and well above what a call takes on a busy machine.
 const MIN_QUEUED_CALL_TIME: Span = Span::from_secs(1);
 /// The shortest backoff after a call that waited in the queue. A service that still works on calls
 /// that it has already refused has to answer a whole fleet's calls between one call of a proxy and
@@ -88,12 +88,12 @@
 pub fn call_interval_allowed(interval: Span, watch_wait: Span) -> bool {
     // A watch may fail just before it counts as silent, and the shortest backoff follows. What it
     // missed counts as notified one queue wait after the end of its own wait.
-    let watched = if watch_wait > Span::ZERO {
+    let watch_interval = if watch_wait > Span::ZERO {
         watch_wait + WATCH_SILENCE_TIMEOUT + 2 * MIN_BACKOFF
     } else {
         Span::ZERO
     };
-    interval <= MAX_CALL_INTERVAL.max(watched) + HEADROOM
+    interval <= MAX_CALL_INTERVAL.max(watch_interval) + HEADROOM
 }
 
 /// Counts the calls to discovery that failed in a row.
@@ -161,11 +161,11 @@
         consecutive_failures: u32,
         random_below: impl FnOnce(Span) -> Span,
     ) -> Span {
-        let queued = took >= MIN_QUEUED_CALL_TIME;
-        let (min_delay, max_delay) = match queued && consecutive_failures > CONGESTION_FAILURES {
+        let was_queued = took >= MIN_QUEUED_CALL_TIME;
+        let (min_delay, max_delay) = match was_queued && consecutive_failures > CONGESTION_FAILURES {
             true => CONGESTION_BACKOFF,
             false => {
-                let min_delay = if queued { MIN_BACKOFF_AFTER_QUEUE } else { self.min_delay };
+                let min_delay = if was_queued { MIN_BACKOFF_AFTER_QUEUE } else { self.min_delay };
                 (min_delay, self.max_interval.saturating_sub(took).max(2 * self.min_delay))
             }
         };
--- a/crates/balancer/src/histogram.rs
+++ b/crates/balancer/src/histogram.rs
@@ -50,14 +50,14 @@
     /// The time within which nine in ten answers came, rounded up to a doubling, or `default` if
     /// too few answers were recorded.
     pub fn ninth_decile(&self, default: Span) -> Span {
-        let in_doubling = |i: usize| self.counts[4 * i..4 * i + 4].iter().sum::<u32>();
+        let count_in_doubling = |i: usize| self.counts[4 * i..4 * i + 4].iter().sum::<u32>();
         let count: u32 = self.counts.iter().sum();
         let mut allowed_above = count / 10;
         for i in (0..DOUBLINGS).rev() {
-            if count >= MIN_COUNT_FOR_DECILE && in_doubling(i) > allowed_above {
+            if count >= MIN_COUNT_FOR_DECILE && count_in_doubling(i) > allowed_above {
                 return Span::from_ticks(16 << i);
             }
-            allowed_above -= in_doubling(i).min(allowed_above);
+            allowed_above -= count_in_doubling(i).min(allowed_above);
         }
         default
     }
@@ -67,14 +67,14 @@
     pub fn quantile(&self, thousandths: u64) -> Option<Span> {
         let count: u64 = self.counts.iter().map(|count| u64::from(*count)).sum();
         let mut allowed_above = count * (1000 - thousandths) / 1000;
-        for (i, in_bin) in self.counts.iter().enumerate().rev() {
-            let in_bin = u64::from(*in_bin);
-            if in_bin > allowed_above && count >= MIN_COUNT_FOR_QUANTILE {
+        for (i, count_in_bin) in self.counts.iter().enumerate().rev() {
+            let count_in_bin = u64::from(*count_in_bin);
+            if count_in_bin > allowed_above && count >= MIN_COUNT_FOR_QUANTILE {
                 let doubling = i / 4;
                 let quarter = i as u64 % 4;
                 return Some(Span::from_ticks(((5 + quarter) << (doubling + 1)) - 8));
             }
-            allowed_above -= in_bin.min(allowed_above);
+            allowed_above -= count_in_bin.min(allowed_above);
         }
         None
     }
--- a/crates/balancer/src/key_order.rs
+++ b/crates/balancer/src/key_order.rs
@@ -118,9 +118,9 @@
         if now < queue.quiet_until {
             return NextStep::Later(queue.waiting[0], queue.quiet_until - now);
         }
-        let first = queue.waiting.remove(0);
-        queue.active = Some(first);
-        NextStep::Start(first)
+        let next_request = queue.waiting.remove(0);
+        queue.active = Some(next_request);
+        NextStep::Start(next_request)
     }
 
     /// Drops idle queues whose quiet period is over; called once a second.
--- a/crates/balancer/src/key_share.rs
+++ b/crates/balancer/src/key_share.rs
@@ -71,12 +71,13 @@
     }
 
     /// Records a listed weight. An invalid weight counts as not stated. If load lowers the listed
-    /// weight (`fixed` is false), the stored one follows slowly, over minutes.
-    pub fn update_listed_weight(&mut self, weight: u64, fixed: bool) {
+    /// weight (`fixed_weights` is false), the stored one follows slowly, over minutes.
+    pub fn update_listed_weight(&mut self, weight: u64, fixed_weights: bool) {
         let valid_weight = if VALID_WEIGHTS.contains(&weight) { weight } else { self.weight.max(1) };
-        self.weight = if fixed { weight.max(1) } else { valid_weight.max(self.weight - self.weight / 128) };
+        self.weight =
+            if fixed_weights { weight.max(1) } else { valid_weight.max(self.weight - self.weight / 128) };
         self.previous_load = self.load;
-        self.load = if fixed { 0 } else { self.weight * 100 / valid_weight - 100 };
+        self.load = if fixed_weights { 0 } else { self.weight * 100 / valid_weight - 100 };
     }
 
     /// Adjusts the share by the listed load. A server that has over three requests per core, and
@@ -95,12 +96,12 @@
     /// Adjusts the share by an answer. An answer within half of its target time raises the share. A
     /// late one halves it at once, because each of many proxies has few answers to learn from.
     pub fn record_latency(&mut self, took: Span, target: Span) {
-        let raised = if took > target / 2 {
+        let raised_share = if took > target / 2 {
             self.share
         } else {
             (self.share + GAIN_PER_TIMELY_ANSWER).min(FULL_SHARE)
         };
-        self.share = if took < target { raised } else { (self.share / 2).max(MIN_SHARE) };
+        self.share = if took < target { raised_share } else { (self.share / 2).max(MIN_SHARE) };
     }
 
     /// Restores a part of the share and reduces the load; called once a second.
@@ -121,7 +122,7 @@
 
     /// Whether the listed load allows the server to take keys that it does not own: never above
     /// nine requests per core, always up to three. `draw` is the request's random draw, 0 to 99.
-    pub fn accepts_foreign_keys(&self, draw: u64) -> bool {
+    pub fn accepts_unowned_keys(&self, draw: u64) -> bool {
         self.load <= LOAD_THRESHOLD + draw * 6
     }
 
--- a/crates/balancer/src/ring.rs
+++ b/crates/balancer/src/ring.rs
@@ -34,17 +34,17 @@
     /// of servers that stay ready are not computed again: an index is given to another server only
     /// when the ring has no points for that index.
     pub fn rebuild<'a>(&mut self, servers: impl ExactSizeIterator<Item = (&'a str, bool, bool)> + Clone) {
-        let mut all = std::mem::take(&mut self.all_zones);
+        let mut all_points = std::mem::take(&mut self.all_zones);
         let mut needs_points: Vec<bool> = servers.clone().map(|(_, ready, _)| ready).collect();
         let in_own_zone: Vec<bool> = servers.clone().map(|(.., own_zone)| own_zone).collect();
-        all.retain(|point| needs_points[point.1]);
-        all.iter().for_each(|point| needs_points[point.1] = false);
+        all_points.retain(|point| needs_points[point.1]);
+        all_points.iter().for_each(|point| needs_points[point.1] = false);
         for (server, (id, ..)) in servers.enumerate().filter(|(server, _)| needs_points[*server]) {
-            all.extend((0..POINTS_PER_SERVER).map(|salt| (point(id, salt + 1), server)));
+            all_points.extend((0..POINTS_PER_SERVER).map(|salt| (point(id, salt + 1), server)));
         }
-        all.sort(); // fast, as the input is mostly two sorted runs
-        (self.own_zone, self.other_zones) = all.iter().partition(|point| in_own_zone[point.1]);
-        self.all_zones = all;
+        all_points.sort(); // fast, as the input is mostly two sorted runs
+        (self.own_zone, self.other_zones) = all_points.iter().partition(|point| in_own_zone[point.1]);
+        self.all_zones = all_points;
     }
 
     fn points(&self, scope: RingScope) -> &[RingPoint] {
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -94,9 +94,9 @@
         }
     }
 
-    /// Earns tokens for an answer of this server (`own`) or of another one.
-    pub fn earn(&mut self, own: bool, progress: Progress, ready: u64, floor: u64) {
-        let earned = if own { ONE_ATTEMPT } else { progress.earned_by_others(ready) };
+    /// Earns tokens for an answer of this server (`by_this_server`) or of another one.
+    pub fn earn(&mut self, by_this_server: bool, progress: Progress, ready: u64, floor: u64) {
+        let earned = if by_this_server { ONE_ATTEMPT } else { progress.earned_by_others(ready) };
         self.tokens = (self.tokens + earned).min(ONE_ATTEMPT + 2 * floor);
     }
 }
--- a/crates/balancer/tests/decisions/limits.rs
+++ b/crates/balancer/tests/decisions/limits.rs
@@ -89,8 +89,8 @@
     let mut harness = harness_with(&[]);
     let (in_time, expired) = (harness.send(0, "book/1"), harness.send(0, "book/2"));
     harness.advance_clock(8000);
-    let new = harness.settings.clone();
-    harness.balancer.apply_settings(&new);
+    let settings = harness.settings.clone();
+    harness.balancer.apply_settings(&settings);
     // One request now has a time limit of 0.9 s from its start. The other has 0.7 s, which are
     // already over.
     harness.balancer.update_limits(in_time, 0, Timestamp::from_ticks(9000), &mut harness.trace);
