--- a/crates/balancer/src/balancer/attempts.rs
+++ b/crates/balancer/src/balancer/attempts.rs
@@ -202,7 +202,7 @@
                 self.retry(request_id, RetryCost::Free, effects);
             }
             // A broken connection or an error at the origin says nothing about its load, and the
-            // attempt may have stored the value.
+            // attempt may have stored the value, so a retry is worthwhile.
             _ => self.retry(request_id, RetryCost::Budgeted, effects),
         }
     }
--- a/crates/balancer/src/balancer/learning.rs
+++ b/crates/balancer/src/balancer/learning.rs
@@ -27,8 +27,8 @@
 }
 
 impl EndedAttempt {
-    /// Whether the error may be the origin's: an error on a likely fetch says nothing about the
-    /// server.
+    /// Whether the attempt failed with an error that may be the origin's: an error on a likely
+    /// fetch says nothing about the server.
     pub fn is_origin_error(&self) -> bool {
         self.likely_fetch && self.outcome == AttemptOutcome::ServerError
     }
--- a/crates/balancer/src/balancer/requests.rs
+++ b/crates/balancer/src/balancer/requests.rs
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The client no longer waits for its answer.
+    /// The client has disconnected: nothing more is sent for its request.
     pub fn client_disconnected(&mut self, request_id: RequestId, effects: &mut dyn Effects) {
         self.close(request_id, effects);
     }
--- a/crates/balancer/src/balancer/selection.rs
+++ b/crates/balancer/src/balancer/selection.rs
@@ -1,6 +1,7 @@
 //! Decides which server gets the next attempt of a request: the first eligible one after the key's
-//! point on the ring. The proxy's own zone comes before the others, and each is searched up to
-//! three times, with fewer conditions each time.
+//! point on the ring. Keys that load shedding has moved to the ring of all zones are searched there
+//! first. The proxy's own zone comes before the others, and each is searched up to three times,
+//! with fewer conditions each time.
 //!
 //! Inputs: what the other decisions know about each server. This decision has no state of its own.
 
--- a/crates/balancer/src/values.rs
+++ b/crates/balancer/src/values.rs
@@ -23,7 +23,7 @@
         self.number(name, 0.0) > 0.0
     }
 
-    /// Reads a span, which is stated in ticks like `default`.
+    /// Reads a span, which is stated in ticks of 0.1 ms like `default`.
     pub fn span(&self, name: &str, default: f64) -> Span {
         Span::from_ticks(self.number(name, default) as u64)
     }
--- a/crates/balancer/tests/decisions/key_order.rs
+++ b/crates/balancer/tests/decisions/key_order.rs
@@ -101,8 +101,8 @@
         let now = harness.now;
         let due: Vec<u64> = timers.iter().filter(|timer| timer.0 <= now).map(|timer| timer.1).collect();
         timers.retain(|timer| timer.0 > now);
-        // A queue sets a timer for its first request until the quiet period is over. Here
-        // the oldest timer that is still pending fires repeatedly in each step instead.
+        // A queue sets a timer for its first request until the quiet period is over. Here the
+        // oldest timer that is still pending fires repeatedly in each step instead.
         due.into_iter().for_each(|token| harness.fire_timer(token));
         (0..harness.balancer.open_request_count() as u64).for_each(|_| {
             if let Some(timer) = timers.first() {
