--- a/crates/balancer/src/discovery.rs
+++ b/crates/balancer/src/discovery.rs
@@ -8,7 +8,7 @@
 //!
 //! | part | at most |
 //! | --- | --- |
-//! | a call that fails, until its failure or a parallel call | [`CONNECT_TIMEOUT`], [`POLL_SILENCE_TIMEOUT`] |
+//! | a failing call, until its failure or a parallel call | [`CONNECT_TIMEOUT`], [`POLL_SILENCE_TIMEOUT`] |
 //! | the backoff after it, which gets shorter the longer the call took | [`Backoff`] |
 //! | the next call's wait in the queue of the service | [`MAX_QUEUE_WAIT`] |
 //!
