--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -2,8 +2,8 @@
 //! modules that make them.
 //!
 //! The caller sets the clock, passes the endpoint list, accepts and routes each request, and then
-//! reports what happens to its attempts. The balancer calls its [`Effects`] for everything that is
-//! to be done. It is deterministic: it reads no clock and has its own random number generator, so
+//! reports what happens to its attempts. The balancer calls its [`Effects`] for every action to
+//! take. It is deterministic: it reads no clock and has its own random number generator, so
 //! the same calls lead to the same decisions.
 
 mod attempts;
@@ -45,9 +45,9 @@
 /// The token of the timer for the next call to discovery.
 const DISCOVERY_TOKEN: u64 = 1 << 62;
 /// The upper bound of the random delay before the first call to discovery. Proxies that were killed
-/// together also start together. With their first calls spread over 3 s, a service that takes 2 s
-/// to 8 s to answer one call from each proxy of a fleet keeps few calls so long that the callers
-/// have given them up and the work is wasted.
+/// together also start together. With their first calls spread over 3 s, few calls time out in the
+/// queue of a service that takes 2 s to 8 s to answer one call from each proxy of the fleet. Its
+/// work for calls that have timed out is wasted.
 const MAX_FIRST_CALL_DELAY: Span = Span::from_secs(3);
 
 /// The decisions of one proxy.
@@ -82,7 +82,7 @@
     pub fn new(seed: u64, values: &BTreeMap<String, String>, effects: &mut dyn Effects) -> Balancer {
         let settings = Settings::read(values);
         let mut random = Random::seeded(seed);
-        if values.get("watched").is_some_and(|watched| watched == "1") {
+        if values.get("watched").is_some_and(|value| value == "1") {
             effects.set_timer(DISCOVERY_TOKEN, random.span_below(MAX_FIRST_CALL_DELAY));
         }
         Balancer { settings, salt: random.salt(), random, ..Balancer::default() }
@@ -93,8 +93,8 @@
     pub fn advance_clock(&mut self, now: Timestamp) {
         self.now = now;
         while self.decayed_until + SECOND <= now {
-            let behind = now - self.decayed_until;
-            self.decayed_until = if behind > MAX_CATCH_UP { now } else { self.decayed_until + SECOND };
+            let elapsed = now - self.decayed_until;
+            self.decayed_until = if elapsed > MAX_CATCH_UP { now } else { self.decayed_until + SECOND };
             self.decay();
         }
     }
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Handles the expiry of a timer that the balancer had set.
+    /// Handles the expiry of a timer that the balancer has set.
     pub fn timer_fired(&mut self, token: u64, effects: &mut dyn Effects) {
         if token >= DISCOVERY_TOKEN {
             effects.watch_endpoints();
--- a/crates/balancer/src/balancer/learning.rs
+++ b/crates/balancer/src/balancer/learning.rs
@@ -27,8 +27,8 @@
 }
 
 impl EndedAttempt {
-    /// Whether the error may be the origin's: an error on a likely fetch says nothing about the
-    /// server.
+    /// Whether the attempt failed with an error that may be the origin's: an error on a likely
+    /// fetch says nothing about the server.
     pub fn is_origin_error(&self) -> bool {
         self.likely_fetch && self.outcome == AttemptOutcome::ServerError
     }
@@ -71,7 +71,7 @@
             self.latencies.record(took);
         }
         if from_server && outcome.shows_latency() {
-            server.keys.record_latency(took, target);
+            server.key_share.record_latency(took, target);
         }
         let shortest_target = self.settings.shortest_target().unwrap_or(target);
         server.concurrency.adjust(&Sample { outcome, took, in_flight, target, shortest_target, from_server });
--- a/crates/balancer/src/balancer/repeats.rs
+++ b/crates/balancer/src/balancer/repeats.rs
@@ -1,6 +1,6 @@
 //! Decides whether a request may be sent, or sent again, to a server. No request may take effect
-//! twice, and nothing is sent to a server that is out of service, after the request's time, or for
-//! a client that has its answer or has disconnected.
+//! twice, and nothing is sent to a server that is out of service, after the deadline, or for a
+//! client that has its answer or has disconnected.
 
 use super::Balancer;
 use crate::admission::{SendRefusal, UnsentAttempt};
@@ -49,9 +49,9 @@
         own_index: Option<usize>,
     ) -> bool {
         let class = &request.class;
-        let mut earlier =
+        let mut earlier_attempts =
             request.attempts.iter().enumerate().filter(|(i, a)| a.may_have_run && Some(*i) != own_index);
-        earlier.all(|(_, attempt)| match class.idempotency {
+        earlier_attempts.all(|(_, attempt)| match class.idempotency {
             Idempotency::Replayable => true,
             Idempotency::SingleUse => false,
             Idempotency::Tagged => {
@@ -63,8 +63,13 @@
 
     /// Whether the server of a repeat knows of an earlier attempt, because that attempt was sent to
     /// a server of the same deduplication group.
-    fn drops_repeat(&self, group: DedupGroup, earlier: &Attempt, server: Option<ServerIndex>) -> bool {
-        let earlier_server = &self.servers[earlier.server];
+    fn drops_repeat(
+        &self,
+        group: DedupGroup,
+        earlier_attempt: &Attempt,
+        server: Option<ServerIndex>,
+    ) -> bool {
+        let earlier_server = &self.servers[earlier_attempt.server];
         let Some(target) = server.map(|server| &self.servers[server]) else {
             return group == DedupGroup::All;
         };
--- a/crates/balancer/src/balancer/requests.rs
+++ b/crates/balancer/src/balancer/requests.rs
@@ -13,7 +13,7 @@
 
 /// The random draw of a request is below this.
 const DRAW_END: u64 = 100;
-/// The median latency predicts when a request's turn comes.
+/// The quantile, in thousandths, that predicts when a request's turn comes: the median latency.
 const MEDIAN_THOUSANDTHS: u64 = 500;
 
 impl Balancer {
@@ -23,7 +23,7 @@
         self.accept_request_at(class, key_point(key), write, expires)
     }
 
-    /// Does the same as `accept_request` for a key of which only the point on the ring is known.
+    /// Like `accept_request`, for a key of which only the point on the ring is known.
     pub fn accept_request_at(
         &mut self,
         class: usize,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The client no longer waits for its answer.
+    /// The client has disconnected: nothing more is sent for its request.
     pub fn client_disconnected(&mut self, request_id: RequestId, effects: &mut dyn Effects) {
         self.close(request_id, effects);
     }
@@ -87,7 +87,7 @@
         }
         let request = &self.requests[&request_id.0];
         let first_attempt = request.attempts.is_empty();
-        // Protects the other request classes from one that fills the platform.
+        // Protects the other request classes from one that would take up all capacity.
         if first_attempt && request.class.is_over_max_open() {
             return self.answer_unserved(request_id, effects);
         }
--- a/crates/balancer/src/balancer/retry.rs
+++ b/crates/balancer/src/balancer/retry.rs
@@ -13,8 +13,9 @@
 /// Whether a retry counts against the budget of the class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RetryCost {
-    /// The previous attempt put no load on a server.
+    /// The retry does not count, as the previous attempt put no load on a server.
     Free,
+    /// The retry counts against the budget.
     Budgeted,
 }
 
@@ -25,8 +26,7 @@
     InProgress,
     /// The server has sent nothing since the attempt was sent.
     Silent,
-    /// The attempt was accepted and never answered, or takes so long that its class asks for a
-    /// hedged request.
+    /// The attempt is lost, or it takes so long that its class asks for a hedged request.
     HedgeDue,
 }
 
@@ -52,8 +52,8 @@
             return;
         }
         // Half a second to one and a half, spread so that rejected clients do not return together.
-        let spread = SECOND / 2 + self.random.span_below(SECOND);
-        let retry_after = spread.min(self.settings.max_retry_after);
+        let random_delay = SECOND / 2 + self.random.span_below(SECOND);
+        let retry_after = random_delay.min(self.settings.max_retry_after);
         if self.may_repeat(&self.requests[&request_id.0], None, self.now + retry_after, None) {
             effects.reject(request_id, retry_after);
         } else {
@@ -86,7 +86,7 @@
         if Some(server) == self.origin || self.now >= request.useful_until {
             return;
         }
-        match self.pending_wait(request, last) {
+        match self.wait_status(request, last) {
             WaitStatus::InProgress => {
                 return effects.set_timer(request_id.0, self.silence_timeout() + Span::TICK);
             }
@@ -101,7 +101,7 @@
     }
 
     /// The state of a request's last pending attempt.
-    fn pending_wait(&self, request: &Request, last: usize) -> WaitStatus {
+    fn wait_status(&self, request: &Request, last: usize) -> WaitStatus {
         let attempt = &request.attempts[last];
         let liveness = &self.servers[attempt.server].liveness;
         if self.is_lost(attempt) || (last == 0 && self.is_hedge_due(request, attempt.sent_at)) {
--- a/crates/balancer/src/values.rs
+++ b/crates/balancer/src/values.rs
@@ -1,4 +1,4 @@
-//! Settings by name, as the platform states them. A missing or invalid one takes its default.
+//! The settings of a deployment by name. A missing or invalid setting takes its default.
 
 use chalkwalk_time::Span;
 use std::collections::BTreeMap;
@@ -23,7 +23,7 @@
         self.number(name, 0.0) > 0.0
     }
 
-    /// Reads a span, which is stated in ticks like `default`.
+    /// Reads a span, which is stated in ticks of 0.1 ms like `default`.
     pub fn span(&self, name: &str, default: f64) -> Span {
         Span::from_ticks(self.number(name, default) as u64)
     }
