--- a/crates/admin/src/listener.rs
+++ b/crates/admin/src/listener.rs
@@ -21,8 +21,9 @@
 /// The maximum number of file descriptors in use: the listener and its callers. A further caller
 /// waits in the listener's accept queue.
 pub const MAX_DESCRIPTORS: usize = MAX_CALLERS + 1;
-/// The time limit for writing the response and discarding further bytes from the caller. It allows
-/// for many round trips, yet a caller that stays connected does not occupy its connection for long.
+/// The time limit for writing the response and discarding further bytes from the caller. It is long
+/// enough for many round trips, and short enough that a caller that stays connected soon frees its
+/// place.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(300);
 /// The pause after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
--- a/crates/config/src/capture.rs
+++ b/crates/config/src/capture.rs
@@ -20,7 +20,7 @@
 
 /// A segment of this size holds a few minutes of a busy proxy's events.
 const DEFAULT_SEGMENT_MB: u64 = 32;
-/// Segments of this total size hold an evening of a busy proxy's events.
+/// Segments of this total size hold a few hours of a busy proxy's events.
 const DEFAULT_MAX_MB: u64 = 1024;
 /// 16 TiB, which keeps sizes in bytes far from the maximum of their type.
 const MAX_TOTAL_MB: u64 = 1 << 24;
--- a/crates/config/src/limits.rs
+++ b/crates/config/src/limits.rs
@@ -72,7 +72,8 @@
     value.as_ref().map(|value| lines.located(value).map(convert))
 }
 
-/// A negative value or NaN becomes 0, which the check of the limits rejects.
+/// Converts milliseconds to ticks. A negative value or NaN becomes 0, which the check of the limits
+/// rejects.
 fn span_from_ms(milliseconds: f64) -> Span {
     Span::from_ticks((milliseconds * TICKS_PER_MS).round() as u64)
 }
--- a/crates/config/src/lines.rs
+++ b/crates/config/src/lines.rs
@@ -3,7 +3,7 @@
 use chalkwalk_limits::{ConfigError, Located};
 use toml::Spanned;
 
-/// A text, in which the line of a byte can be looked up.
+/// The text of a file. Finds the line of a byte offset.
 #[derive(Clone, Copy)]
 pub(crate) struct Lines<'a>(pub &'a str);
 
--- a/crates/config/src/membership.rs
+++ b/crates/config/src/membership.rs
@@ -32,15 +32,15 @@
     pub endpoints: Vec<SocketAddr>,
     /// The prefix of every key, ending with `/`.
     pub prefix: String,
-    /// Duration of the proxy's lease in seconds: how long a proxy is still counted after it falls
-    /// silent.
+    /// Duration of the proxy's lease in seconds: how long a proxy is still counted after it stops
+    /// renewing the lease.
     pub lease_s: u64,
     /// Whether proxies are counted by their leases in etcd.
     pub count_proxies: bool,
 }
 
-/// The largest cluster that etcd recommends has five members; there may be some more while a member
-/// is being moved.
+/// The largest cluster that etcd recommends has five members; it may have some more while members
+/// are being replaced.
 const MAX_ENDPOINTS: usize = 9;
 /// With less than three seconds, a busy machine loses its lease; with more than a minute, a dead
 /// proxy is counted for too long.
--- a/crates/config/src/read.rs
+++ b/crates/config/src/read.rs
@@ -17,7 +17,7 @@
     pub membership: Option<MembershipConfig>,
     /// The RESP frontend, if the file configures one.
     pub resp: Option<RespConfig>,
-    /// Where captures are written, if they are.
+    /// Where captures are written; `None` if none are.
     pub capture: Option<CaptureConfig>,
 }
 
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -34,7 +34,7 @@
 #[serde(deny_unknown_fields)]
 struct EndFields {}
 
-/// Limits of one scope. Times are in milliseconds, shares are fractions of 1.
+/// The limits that one part of the file sets. Times are in milliseconds, shares are fractions of 1.
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct LimitFields {
--- a/crates/handover/src/format.rs
+++ b/crates/handover/src/format.rs
@@ -7,8 +7,8 @@
 /// not read.
 const FILE_HEADER: &str = "chalkwalk-handover-1";
 
-/// The maximum length of a handover file. It leaves room beyond ten thousand disabled servers, at
-/// 60 bytes each.
+/// The maximum length of a handover file, in bytes: enough for more than ten thousand disabled
+/// servers, at 60 bytes each.
 pub const MAX_FILE_BYTES: usize = 1 << 20;
 
 /// Why a text can't be decoded as a handover record.
--- a/crates/handover/src/learned.rs
+++ b/crates/handover/src/learned.rs
@@ -1,20 +1,22 @@
-//! What a process learned about the servers, written so that its successor need not learn it again.
+//! The figures that a process has learned about the servers, written for its successor, which
+//! otherwise would have to learn them again.
 
 use chalkwalk_time::{Span, Timestamp};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The age up to which learned figures are used: as long as a restart or an upgrade takes.
+/// The age up to which learned figures are used: a restart or an upgrade takes no longer.
 const MAX_AGE: Span = Span::from_secs(60);
 
 /// The maximum number of servers that are written. With ids of at most `MAX_ID_BYTES`, their
 /// figures take a fifth of the maximum length of a file.
 const MAX_SERVERS: usize = 2000;
-/// The maximum length of a server's id; figures of servers with longer ids are not written.
+/// The maximum length of a server's id, in bytes; figures of servers with longer ids are not
+/// written.
 const MAX_ID_BYTES: usize = 64;
 
 /// The figures that a process has learned about the servers, with the time and a digest of the
-/// settings: under other settings the figures mean nothing.
+/// settings: the figures are not valid under other settings.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct LearnedServers {
     /// When the figures were written.
@@ -33,14 +35,14 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(from = "[u64; 4]", into = "[u64; 4]")]
 pub struct ServerStats {
-    /// When the server process started, in ticks: the figures don't hold after a restart of the
+    /// When the server process started, in ticks: the figures are not valid after a restart of the
     /// server.
     pub started_at: u64,
     /// The highest weight that the server has reported, in hundredths.
     pub weight: u64,
     /// The share of its keys that the server keeps, in thousandths.
     pub key_share: u64,
-    /// The number of concurrent attempts that the server can take, in hundredths of an attempt.
+    /// The number of concurrent attempts that the server can handle, in hundredths of an attempt.
     pub concurrency_limit: u64,
 }
 
--- a/crates/handover/src/record.rs
+++ b/crates/handover/src/record.rs
@@ -18,7 +18,7 @@
     /// When the process started: of two processes that are ready, the later is the successor.
     #[serde(rename = "began")]
     pub started_at: Timestamp,
-    /// Since when the process has been ready, if it is.
+    /// The time since which the process has been ready, or `None` if it is not ready.
     #[serde(rename = "ready")]
     pub ready_since: Option<Timestamp>,
     /// The latest override of each server, by server id.
@@ -88,7 +88,7 @@
         other.ready_since.is_some() && (other.started_at, other.pid) > (self.started_at, self.pid)
     }
 
-    /// Drops overrides that enabled a server so long ago that every process has read them.
+    /// Drops overrides that enabled a server, once every process has had time to read them.
     pub fn drop_expired_overrides(&mut self, now: Timestamp) {
         self.servers
             .retain(|_, latest| latest.is_disabled || now < latest.decided_at + ENABLED_OVERRIDE_RETENTION);
--- a/crates/limits/src/check/class.rs
+++ b/crates/limits/src/check/class.rs
@@ -19,14 +19,14 @@
         Violation { sources: sources.into(), message }
     }
 
-    /// The line to correct: that of the narrowest scope that sets one of the limits, which comes
-    /// last in the file.
+    /// The line to correct: of the lines that set the compared limits, the last one in the file. A
+    /// narrower scope usually follows a wider one, and its limit is the one to change.
     fn line(&self) -> Option<usize> {
         self.sources.iter().filter_map(|source| source.line()).max()
     }
 }
 
-/// What a rule can read.
+/// The input of a rule: the limits of one request class and the platform's limits.
 struct RuleContext<'a> {
     limits: &'a Limits,
     namespace: &'a Namespace,
@@ -188,7 +188,8 @@
     Some(Violation::new([&retry_budget_permille.source, &max_attempts.source], message))
 }
 
-/// Without an attempt timeout, the last attempt may start as late as the end of the time limit.
+/// Without an attempt timeout, the last attempt may start as late as the end of the time limit,
+/// when servers no longer drop repeats.
 fn tagged_retries_need_attempt_timeout<'a>(context: &RuleContext<'a>) -> Option<Violation<'a>> {
     let Limits { max_attempts, time_limit, attempt_timeout, .. } = context.limits;
     let dedup_window = context.namespace.dedup_window;
--- a/crates/limits/src/check/clients.rs
+++ b/crates/limits/src/check/clients.rs
@@ -1,5 +1,5 @@
-//! Retries that clients make on their own. They multiply the attempts that the proxy makes for each
-//! request.
+//! Checks the retries that clients make on their own. They multiply the attempts that the proxy
+//! makes for each request.
 
 use crate::effective::Limits;
 use crate::error::ErrorList;
--- a/crates/limits/src/check/values.rs
+++ b/crates/limits/src/check/values.rs
@@ -1,4 +1,4 @@
-//! Reports values that are invalid on their own, whatever the platform allows.
+//! Reports values that are invalid by themselves, regardless of the platform's limits.
 
 use crate::error::ErrorList;
 use crate::operator::{LimitOverrides, Located, UncheckedLimits};
@@ -7,10 +7,11 @@
 
 /// The shortest time that may be set. No response arrives over a network in less.
 const MIN_TIME: Span = Span::from_millis(1);
-/// The shares of responses, in thousandths, after which a request may be hedged. Below a half, most
-/// requests would be hedged; no attempt takes longer than all responses, so 1000 is excluded.
+/// The quantiles of response times, in thousandths, after which a request may be hedged. Below a
+/// half, most requests would be hedged; no attempt takes longer than all responses, so 1000 is
+/// excluded.
 const HEDGE_AFTER_RANGE_PERMILLE: Range<u64> = 500..1000;
-/// The highest share of retries, in thousandths of the first attempts. A higher value is taken for
+/// The highest share of retries, in thousandths of the first attempts. A higher value is probably
 /// a typing error.
 const MAX_RETRY_BUDGET_PERMILLE: u64 = 5000;
 
--- a/crates/limits/src/effective.rs
+++ b/crates/limits/src/effective.rs
@@ -5,7 +5,7 @@
 use chalkwalk_time::Span;
 use std::fmt;
 
-/// Who set a limit. The variants for the operator's file hold the line.
+/// Who set a limit. For a limit from the operator's file, the variant holds the line that sets it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LimitSource {
     /// The platform; the operator's file does not set the limit.
@@ -63,8 +63,9 @@
     pub attempt_timeout: EffectiveLimit<Option<Span>>,
     /// Whether requests may be hedged.
     pub hedging: EffectiveLimit<bool>,
-    /// A hedged request is sent once an attempt has taken longer than this share of all responses,
-    /// in thousandths. `None`: only if a server is silent or an attempt is lost.
+    /// Quantile of recent response times, in thousandths: a hedged request is sent once an attempt
+    /// has taken longer. `None`: a hedged request is sent only if a server is silent or an attempt
+    /// is lost.
     pub hedge_after_permille: EffectiveLimit<Option<u64>>,
     /// Retries allowed, in thousandths of the first attempts. `None`: the class uses the balancer's
     /// budget, which is shared between classes.
@@ -144,8 +145,8 @@
     narrowest.unwrap_or(EffectiveLimit { value: platform_value, source: LimitSource::Platform })
 }
 
-/// Wraps the value of a limit that the platform does not have: there, the platform's value is
-/// `None`.
+/// Wraps the value of a limit that exists only in the operator's file. The platform's value for
+/// such a limit is `None`.
 fn wrap_value<T>(limit: Option<Located<T>>) -> Option<Located<Option<T>>> {
     limit.map(|located| located.map(Some))
 }
--- a/crates/limits/src/operator.rs
+++ b/crates/limits/src/operator.rs
@@ -37,8 +37,8 @@
     pub attempt_timeout: Option<Located<Span>>,
     /// Whether requests may be hedged.
     pub hedging: Option<Located<bool>>,
-    /// A hedged request is sent once an attempt has taken longer than this share of all responses,
-    /// in thousandths.
+    /// Quantile of recent response times, in thousandths: a hedged request is sent once an attempt
+    /// has taken longer.
     pub hedge_after_permille: Option<Located<u64>>,
     /// Retries allowed within a sliding window, in thousandths of the first attempts.
     pub retry_budget_permille: Option<Located<u64>>,
@@ -97,7 +97,7 @@
 pub struct UncheckedLimits {
     /// Limits for all requests.
     pub defaults: LimitOverrides,
-    /// Limits for single namespaces.
+    /// Limits for the requests of one namespace each.
     pub classes: Vec<ClassOverrides>,
     /// Limits for the requests that a route matches. The first route that matches applies.
     pub routes: Vec<Route>,
--- a/crates/limits/src/route_match.rs
+++ b/crates/limits/src/route_match.rs
@@ -1,4 +1,4 @@
-//! Which requests a route matches.
+//! Decides which requests a route matches.
 
 use crate::operator::RouteMatch;
 use crate::table::RequestAttributes;
--- a/crates/limits/src/sliding_window.rs
+++ b/crates/limits/src/sliding_window.rs
@@ -1,13 +1,14 @@
 //! The retry budget of a single class: a share of the first attempts within a sliding window.
 //!
 //! Events are counted in two halves of the window. The count of the older half is weighted by the
-//! part of that half that is still within the window. So no list of events is needed, and the
-//! memory does not depend on the load.
+//! part of that half that is still within the window. This needs no list of events, so the memory
+//! does not depend on the load.
 
 use chalkwalk_time::{Span, Timestamp};
 
-/// Half of the window. In the ten seconds of the whole window a proxy with little traffic gets some
-/// hundred requests, and the counts of an outage expire ten seconds after its end.
+/// Half of the window. The whole window of ten seconds is long enough that even a proxy with little
+/// traffic gets some hundred requests in it, and short enough that the counts of an outage expire
+/// ten seconds after its end.
 const HALF_WINDOW: Span = Span::from_secs(5);
 /// Retries that are always allowed within the window. Without them, a proxy with little traffic
 /// could not retry at all.
--- a/crates/limits/src/sliding_window/tests.rs
+++ b/crates/limits/src/sliding_window/tests.rs
@@ -1,4 +1,4 @@
-//! Retries stay within their share of the first attempts, whatever the order and timing of events.
+//! Retries stay within their share of the first attempts for any order and timing of events.
 
 use super::{HALF_WINDOW, MIN_RETRIES_PER_WINDOW, SlidingWindow};
 use chalkwalk_time::{Span, Timestamp};
--- a/crates/limits/src/table.rs
+++ b/crates/limits/src/table.rs
@@ -16,12 +16,12 @@
     pub limits: Limits,
 }
 
-/// What is known of a request when it arrives.
+/// The attributes of a request that determine its class.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RequestAttributes<'a> {
     /// Index of the namespace in the platform's list.
     pub namespace: usize,
-    /// The path of an HTTP request, the key of a RESP command.
+    /// The path of an HTTP request, or the key of a RESP command.
     pub path: &'a str,
     /// The tenant's name, empty if the request has none.
     pub tenant: &'a str,
--- a/crates/limits/src/token_bucket.rs
+++ b/crates/limits/src/token_bucket.rs
@@ -4,9 +4,9 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-// A token is a tenth of an attempt. The values allow retries for a fifth of all requests, and a few
-// dozen retries in a row: enough while a failing server is not ejected yet, too few for a retry
-// storm.
+// One token stands for a tenth of an attempt. The constants allow retries for a fifth of all
+// requests, and a few dozen retries in a row: enough for the time until a failing server is
+// ejected, too few for a retry storm.
 
 /// Tokens that a first attempt adds.
 const TOKENS_PER_FIRST_ATTEMPT: u64 = 2;
--- a/crates/proxy/src/captures/cut.rs
+++ b/crates/proxy/src/captures/cut.rs
@@ -6,8 +6,8 @@
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 
-/// Writes the smallest capture that reproduces `call` to a file. Calls are numbered from 0 across
-/// the named segments, which have to be of one instance.
+/// Writes the smallest capture that reproduces `call` to a file, and returns the text to print.
+/// Calls are numbered from 0 across the named segments, which have to be of one instance.
 pub fn cut(paths: &[PathBuf], call: u64, output_path: &Path) -> Result<String, CaptureFileError> {
     let mut text = String::new();
     let segments = read_segments(paths, &mut text)?;
--- a/crates/proxy/src/captures/replay.rs
+++ b/crates/proxy/src/captures/replay.rs
@@ -1,5 +1,5 @@
-//! The `capture replay` command: makes the calls of captures again, and reports where the
-//! balancer's decisions differ from the recorded ones.
+//! The `capture replay` command: replays the recorded calls to the balancer, and reports where its
+//! decisions differ from the recorded ones.
 
 use super::segment::{Segment, format_seconds, read_segments};
 use crate::error::CaptureFileError;
--- a/crates/proxy/src/captures/segment.rs
+++ b/crates/proxy/src/captures/segment.rs
@@ -6,7 +6,7 @@
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 
-/// A segment's file, up to the first damaged item.
+/// The contents of a segment's file, up to the first damaged item.
 pub struct Segment {
     pub path: PathBuf,
     pub items: Vec<CaptureItem>,
@@ -67,6 +67,7 @@
     if files.is_empty() { Err(CaptureFileError::NoFiles) } else { Ok(files) }
 }
 
+/// Returns the error for a file that can't be read or written.
 pub fn file_error(path: &Path, error: std::io::Error) -> CaptureFileError {
     CaptureFileError::File { path: path.to_path_buf(), error }
 }
--- a/crates/proxy/src/captures/show.rs
+++ b/crates/proxy/src/captures/show.rs
@@ -34,7 +34,7 @@
 }
 
 impl RequestNumbers {
-    /// The id of the request that an event concerns. Every event has to be passed, in order.
+    /// The id of the request that an event concerns. Must be called for every event, in order.
     fn request_id_of(&mut self, event: &Event) -> Option<u64> {
         match event {
             Event::Start { .. } => {
--- a/crates/proxy/src/cli.rs
+++ b/crates/proxy/src/cli.rs
@@ -25,7 +25,7 @@
 Without --config the file named by ROUTER_CONFIG is read.
 The operator's file is optional; deploy/operator.toml is an example.";
 
-/// The exit status of a replay with decisions that differ from the capture's.
+/// The exit status of a replay whose decisions differ from the recorded ones.
 const EXIT_REPLAY_DIFFERS: u8 = 1;
 /// The exit status of a command that fails.
 const EXIT_FAILURE: u8 = 2;
--- a/crates/proxy/src/endpoint_source.rs
+++ b/crates/proxy/src/endpoint_source.rs
@@ -15,18 +15,18 @@
 use std::time::{Duration, Instant};
 
 /// How long a new proxy waits for its first list before it serves without one. A proxy without a
-/// list should get no clients, but rejecting a client with a time to retry after is better than not
-/// answering it at all.
+/// list should get no clients, but rejecting a client and telling it when to retry is better than
+/// not answering it at all.
 const MAX_WAIT_FOR_FEED: Duration = Duration::from_secs(5);
 
 /// How long a new process waits for the platform's list while the old process still serves. The
 /// platform gives the new process 6 s to become ready.
-const MAX_WAIT_BESIDE_OLD_PROCESS: Duration = Duration::from_secs(4);
+const MAX_WAIT_DURING_UPGRADE: Duration = Duration::from_secs(4);
 
-/// How long a proxy waits for the first list of its agent, where the platform pushes lists to
-/// agents. From its start on the proxy is expected to know the list that its own agent has. The
-/// agent answers within milliseconds; if it hasn't answered by then it has no list, as when the
-/// list service is down.
+/// How long a proxy waits for the first list from its agent, where the platform pushes lists to
+/// agents. The proxy is expected to know its agent's list from the start. An agent that has a list
+/// answers within milliseconds; one that hasn't answered after this time has no list, for example
+/// because the list service is down.
 const MAX_WAIT_FOR_AGENT: Duration = Duration::from_millis(300);
 
 /// How often the wait for the list checks whether the list has arrived.
@@ -37,8 +37,8 @@
 pub struct StartContext {
     /// The address that clients connect to.
     pub listen_address: SocketAddr,
-    /// Whether the clients' listener is inherited: another process of this proxy may then serve
-    /// until this one can.
+    /// Whether the clients' listener is inherited. If so, another process of this proxy may be
+    /// serving until this process is ready.
     pub is_inherited: bool,
 }
 
@@ -136,7 +136,7 @@
         matches!(self, EndpointSource::Platform(_)) && is_unwatched
     }
 
-    /// Applies a reloaded configuration that has the platform's list at this address.
+    /// Applies a reloaded configuration. `address` is the address of the platform's list in it.
     pub fn reload(&self, address: Option<SocketAddr>) {
         match self {
             EndpointSource::Platform(current) => {
@@ -151,13 +151,13 @@
 }
 
 /// Enters the serving phase once the endpoint list has arrived or the wait for it has timed out.
-/// With a feed, the process waits for the feed's first list; beside an old process, for the
+/// With a feed, the process waits for the feed's first list. During an upgrade, it waits for the
 /// platform's answer about the list that it was started with; where the platform pushes its list,
-/// for the agent's list.
+/// for the agent's list. Otherwise it does not wait.
 pub async fn enter_service(engine: &Engine, feed: Option<Rc<Feed>>, is_inherited: bool, is_pushed: bool) {
     let max_wait = match (&feed, is_inherited) {
         (Some(_), _) => MAX_WAIT_FOR_FEED,
-        (None, true) => MAX_WAIT_BESIDE_OLD_PROCESS,
+        (None, true) => MAX_WAIT_DURING_UPGRADE,
         (None, false) => MAX_WAIT_FOR_AGENT,
     };
     let has_list = || match &feed {
--- a/crates/proxy/src/inherited_listener.rs
+++ b/crates/proxy/src/inherited_listener.rs
@@ -8,9 +8,9 @@
 /// The environment variable with the number of the inherited file descriptor.
 const FD_VARIABLE: &str = "ROUTER_FD";
 
-/// Returns the inherited listener, if the environment names one. The kernel is asked for a second
-/// descriptor of the socket, as turning a number into an owned descriptor would require unsafe
-/// code.
+/// Returns the inherited listener, if the environment names one. The listener owns a second
+/// descriptor of the socket, which the kernel returns: turning the number of the inherited
+/// descriptor into an owned descriptor would require unsafe code.
 pub fn inherited_listener() -> Result<Option<TcpListener>, StartError> {
     let Some(value) = std::env::var(FD_VARIABLE).ok().filter(|value| !value.is_empty()) else {
         return Ok(None);
--- a/crates/proxy/src/listeners.rs
+++ b/crates/proxy/src/listeners.rs
@@ -5,8 +5,8 @@
 use smol::Async;
 use std::net::{SocketAddr, TcpListener};
 
-/// The length of the accept queue. The standard library's 128 entries soon fill up while all
-/// clients connect at once, and a connection beyond them waits for a second.
+/// The length of the accept queue, in connections. The standard library's 128 entries fill up when
+/// all clients connect at once, and a connection beyond them is delayed by a second.
 const LISTEN_BACKLOG: i32 = 1024;
 
 /// The clients' listening socket.
--- a/crates/proxy/src/logging.rs
+++ b/crates/proxy/src/logging.rs
@@ -1,5 +1,5 @@
-//! The log on standard error: plain text, or one JSON object per line, with the fields that
-//! docs/oncall.md lists.
+//! The log on standard error, as plain text or as one JSON object per line. docs/oncall.md lists
+//! its fields.
 
 use slog::{Drain, FnValue, Logger, PushFnValue, o};
 use std::io::stderr;
--- a/crates/proxy/src/operators.rs
+++ b/crates/proxy/src/operators.rs
@@ -27,8 +27,8 @@
 /// change by a half within a second at worst; a write every 5 s costs the disk little.
 const LEARNED_WRITE_INTERVAL: Span = Span::from_secs(5);
 
-/// How long a response to an operator waits for the record to be written if the disk is slow. The
-/// response is due within a second.
+/// How long a response to an operator waits at most for the record to be written. The disk may be
+/// slow, and the response is due within a second.
 const MAX_WAIT_FOR_WRITE: Duration = Duration::from_millis(700);
 
 /// How long each step of the exchange with peers may take at shutdown: reading their records, to
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Reads the other processes' records in another thread, as a busy disk blocks the reader. Then
-    /// removes the files of processes that have ended.
+    /// Reads the other processes' records in another thread, because a busy disk blocks the reader.
+    /// Then removes the files of processes that have ended.
     async fn read_peers(&self) {
         let Some(reader) = self.state.borrow().reader() else { return };
         let ended_files = self.merge(unblock(|| reader.read()).await).ended_files;
@@ -136,8 +136,8 @@
         update
     }
 
-    /// All processes of a proxy share one budget of descriptors: half of it is reserved for the
-    /// other process while there is one.
+    /// Reserves half of the descriptors for the other process while there is one, because all
+    /// processes of a proxy share one budget of descriptors.
     fn reserve_peer_descriptors(&self, has_live_peer: bool) {
         let mut reservation = self.peer_descriptors.borrow_mut();
         if !has_live_peer {
--- a/crates/proxy/src/operators/control.rs
+++ b/crates/proxy/src/operators/control.rs
@@ -1,8 +1,9 @@
 //! The operators' calls: disable or enable a server, take the proxy out of service or put it back,
 //! and check whether this process is ready.
 //!
-//! An override takes effect immediately, without waiting for the disk, as it is due within a
-//! second. It is reverted if it can't be written, as the next process would not know of it.
+//! An override takes effect immediately, without waiting for the disk, because it has to be in
+//! force within a second. It is reverted if it can't be written, because the next process would not
+//! know of it.
 
 use super::{MAX_WAIT_FOR_WRITE, Operators, WriteOutcome};
 use chalkwalk_admin::{ControlFuture, ControlOutcome, ProxyControl};
@@ -34,7 +35,7 @@
     }
 
     /// Restores the previous override, unless a later one has replaced the reverted one. If there
-    /// was none, the server is left without an override, and so gets no slow start.
+    /// was none, the server is left without an override, and therefore gets no slow start.
     fn revert_server_override(
         &self,
         id: &str,
--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -13,12 +13,12 @@
 use slog::{info, warn};
 use std::rc::Rc;
 
-/// Settings from the start of the process, which only a restart can change.
+/// Settings that the process read when it started, and that only a restart can change.
 pub struct FixedSettings {
     pub membership: Option<MembershipConfig>,
     pub resp: Option<RespConfig>,
     pub capture: Option<CaptureConfig>,
-    /// The fields that the platform's configuration had.
+    /// The fields of the platform's configuration from which the process started.
     pub field_paths: FieldPaths,
 }
 
@@ -74,7 +74,7 @@
     Ok(settings)
 }
 
-/// Fails if the new settings can't be applied without a restart.
+/// Returns an error if the new settings can't be applied without a restart.
 fn check_fixed(engine: &Engine, new: &StartupSettings, fixed: &FixedSettings) -> Result<(), ReloadError> {
     let StartupSettings { config, membership, resp, capture } = new;
     if let Some(field) = fixed.field_paths.first_missing_in(&config.field_paths) {
--- a/crates/proxy/src/resp_settings.rs
+++ b/crates/proxy/src/resp_settings.rs
@@ -1,4 +1,4 @@
-//! Converts the operator's file's RESP section to the settings of the RESP frontend.
+//! Converts the RESP section of the operator's file to the settings of the RESP frontend.
 
 use chalkwalk_config::{KeyPrefix, ProxyInstance, RespConfig, RespUser};
 use chalkwalk_resp_frontend::{PrefixRule, ProxyNode, Settings, User};
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -113,8 +113,8 @@
 }
 
 fn spawn_background_tasks(engine: &Rc<Engine>) {
-    let heartbeat = engine.clone();
-    engine.executor.spawn(async move { heartbeat.clock.run_heartbeat().await }).detach();
+    let heartbeat_engine = engine.clone();
+    engine.executor.spawn(async move { heartbeat_engine.clock.run_heartbeat().await }).detach();
     engine.executor.spawn(background::run_timers(engine.clone())).detach();
     engine.executor.spawn(background::run_pool_sweeps(engine.clone())).detach();
 }
@@ -153,10 +153,10 @@
         let is_pushed = endpoint_source.as_ref().is_some_and(|source| source.is_pushed(&engine));
         let operators = sockets.admin_listener.map(|listener| Operators::start(&engine, listener));
         let feed = endpoint_source.as_ref().and_then(EndpointSource::feed);
-        let serving = engine.clone();
+        let serving_engine = engine.clone();
         let serving = async move {
-            enter_service(&serving, feed, context.is_inherited, is_pushed).await;
-            info!(serving.log, "serving"; "listen" => %context.listen_address);
+            enter_service(&serving_engine, feed, context.is_inherited, is_pushed).await;
+            info!(serving_engine.log, "serving"; "listen" => %context.listen_address);
         };
         let accept_task = accept_clients(
             engine.clone(),
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -5,7 +5,7 @@
 use chalkwalk_config::{self as operator_config, CaptureConfig, MembershipConfig, RespConfig};
 use chalkwalk_discovery::StartupConfig;
 
-/// The paths of the platform's configuration and of the operator's file, if there is one.
+/// The path of the platform's configuration, and that of the operator's file if there is one.
 pub struct StartupFiles {
     pub config: String,
     pub operator: Option<String>,
--- a/crates/proxy/src/state_files.rs
+++ b/crates/proxy/src/state_files.rs
@@ -23,7 +23,8 @@
 pub struct SharedState {
     /// The folder of the files. Without a folder nothing is written or read.
     folder: Option<PathBuf>,
-    /// The proxy's name in the form that file names contain.
+    /// The proxy's name as it appears in file names: every character except ASCII letters, digits and
+    /// `-` is replaced by `_`.
     proxy_name: String,
     pub own_record: HandoverRecord,
     /// Unreadable files that have been logged.
@@ -39,7 +40,7 @@
     pub service_changed: bool,
     /// Whether another process has taken over from this one.
     pub is_superseded: bool,
-    /// The figures that another process has learned about the servers; of several, the latest.
+    /// The figures that another process has learned about the servers; the latest of several.
     pub learned: LearnedServers,
     /// Whether another process of this proxy is alive.
     pub has_live_peer: bool,
@@ -48,6 +49,7 @@
 }
 
 impl SharedState {
+    /// Creates the state of a process that starts `now`, before any file is read or written.
     pub fn new(folder: Option<PathBuf>, proxy_name: &str, now: Timestamp) -> SharedState {
         let sanitize = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
         let own_record =
--- a/crates/proxy/tests/discovery_outage.rs
+++ b/crates/proxy/tests/discovery_outage.rs
@@ -2,8 +2,8 @@
 //! draining at the moment of recovery.
 //!
 //! The drain counts as notified to every process 6 s after discovery has it and is reachable again,
-//! whatever retry delay the failed calls have led to. The drain grace runs from then on, and after
-//! it no new request may reach the draining server.
+//! regardless of the retry delay after the failed calls. The drain grace runs from then on, and
+//! after it no new request may reach the draining server.
 
 use serde_json::{Value, json};
 use std::io::{Read, Write};
@@ -20,7 +20,7 @@
 /// A change counts as notified this long after discovery has it and is reachable.
 const NOTIFY_DEADLINE: Duration = Duration::from_secs(6);
 const DRAIN_GRACE: Duration = Duration::from_secs(1);
-/// Delay that a loaded machine may add between a proxy's write and the stand-in's read.
+/// Delay that a loaded machine may add between a proxy's write and the test server's read.
 const LOAD_SLACK: Duration = Duration::from_millis(200);
 const REQUEST_INTERVAL: Duration = Duration::from_millis(40);
 const SERVERS: [&str; 3] = ["draining", "steady-1", "steady-2"];
@@ -40,7 +40,7 @@
     HalfAnswer,
 }
 
-/// State of the discovery service, shared by the stand-ins of all processes.
+/// State of the discovery service, shared by the listeners for all processes.
 struct Discovery {
     outage: Outage,
     down: AtomicBool,
@@ -87,8 +87,8 @@
     json!({"version": version, "full": true, "servers": entries}).to_string()
 }
 
-/// Answers one call, or fails it in the way of the outage. Returns whether the connection stays
-/// open.
+/// Answers one call, or during an outage fails it as `Outage` says. Returns whether the connection
+/// stays open.
 fn answer_call(
     discovery: &Discovery,
     process: usize,
@@ -257,7 +257,7 @@
     });
 }
 
-/// Kills the processes when the test ends, also when it fails.
+/// The processes of a test. They are killed when the test ends, also when it fails.
 struct Processes(Vec<Child>);
 
 impl Drop for Processes {
--- a/crates/proxy/tests/resp.rs
+++ b/crates/proxy/tests/resp.rs
@@ -13,7 +13,7 @@
 
 type CommandLog = Arc<Mutex<Vec<String>>>;
 
-/// Reads the words of one command. The proxy sends these servers nothing but arrays.
+/// Reads the words of one command. The proxy sends commands to servers only as RESP arrays.
 fn read_command(stream: &mut TcpStream, buf: &mut Vec<u8>) -> Option<Vec<String>> {
     loop {
         let text = String::from_utf8_lossy(buf).to_string();
@@ -34,8 +34,8 @@
     }
 }
 
-/// Runs a scripted server, whose response depends on the prefix of the key. It owns every slot
-/// if `owns` is set.
+/// Runs a scripted server, whose response depends on the prefix of the key. If `owns` is set, this
+/// server owns all slots, otherwise the server at `other` does.
 fn server(listener: TcpListener, name: &'static str, other: SocketAddr, owns: bool, commands: CommandLog) {
     let own = listener.local_addr().unwrap();
     let (first, second) = if owns { (own, other) } else { (other, own) };
@@ -231,9 +231,9 @@
 
 #[test]
 fn redirections_are_followed_and_other_resp_errors_are_passed_on() {
-    // On a busy machine a server may be held up for 50 ms. The proxy then gives up on it like on
-    // any silent server and rejects the request. In that case the whole sequence runs again. One
-    // rejection is expected.
+    // The sequence is expected to have one rejection. On a busy machine a server may be delayed by
+    // 50 ms: the proxy then treats it as silent and rejects another request, and the whole sequence
+    // runs again.
     let mut observed = run_redirections();
     for _ in 0..5 {
         if observed.matches("deferred").count() == 1 {
--- a/crates/proxy/tests/sockets.rs
+++ b/crates/proxy/tests/sockets.rs
@@ -30,7 +30,7 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// Response of a stand-in to its nth request, and whether it closes the connection then. An empty
+/// Response of a stand-in to its nth request, and whether it then closes the connection. An empty
 /// response without a close means that the stand-in hangs.
 type ServerScript = fn(usize) -> (&'static str, bool);
 
@@ -98,7 +98,7 @@
 }
 
 /// Runs the discovery service. It answers its nth call with the nth response, or not at all where
-/// that is empty. The last response is repeated for ever, after a delay of 200 ms as on a watch.
+/// that is empty. The last response is repeated forever, after a delay of 200 ms as on a watch.
 fn serve_list(listener: TcpListener, responses: Vec<String>, count: Arc<AtomicUsize>) {
     spawn(move || {
         for mut stream in listener.incoming().flatten() {
@@ -189,7 +189,7 @@
     Command::new("sh").args(["-c", &command]).stderr(Stdio::piped()).spawn().unwrap()
 }
 
-/// Waits up to 20 s for a condition that soon holds. If it does not, the assertions of the test
+/// Waits until the condition holds, for at most 20 s. After a timeout, the assertions of the test
 /// fail.
 fn wait_for(condition: impl Fn() -> bool) {
     let end = Instant::now() + Duration::from_secs(20);
@@ -213,7 +213,7 @@
         for (name, script) in servers {
             let (listener, addr) = bind_listener();
             entries.push(list_entry(name, addr, "SERVING"));
-            // The server named nobody is listed, and nothing listens at its address.
+            // The server named "nobody" is listed, but nothing listens at its address.
             if *name != "nobody" {
                 stand_in_server(listener, observed.clone(), name, *script);
             }
--- a/crates/proxy/tests/sockets/discovery.rs
+++ b/crates/proxy/tests/sockets/discovery.rs
@@ -1,5 +1,5 @@
-//! The endpoint list by polls and watches. A server that is draining stays so, whatever the
-//! discovery service answers.
+//! The endpoint list by polls and watches. A server that is draining remains so for any response of
+//! the discovery service.
 
 use super::*;
 
@@ -21,11 +21,11 @@
     };
     let setup = ProxySetup::with_options(&[("a", hit), ("b", hit)], 1024, "", moved);
     let mut client = setup.client();
-    let at_a = || setup.observed.lines.lock().unwrap().iter().any(|line| line.starts_with("a:"));
-    // The list takes five calls with delays of up to 3.25 s: about 10 s in all, and at most twice
-    // that.
+    let reached_a = || setup.observed.lines.lock().unwrap().iter().any(|line| line.starts_with("a:"));
+    // The valid list arrives after five calls with delays of up to 3.25 s: after about 10 s, and at
+    // most twice that.
     let end = Instant::now() + Duration::from_secs(60);
-    while !at_a() && Instant::now() < end {
+    while !reached_a() && Instant::now() < end {
         setup.request(&mut client, "GET", "page", "k");
         sleep(Duration::from_millis(100));
     }
@@ -68,32 +68,33 @@
 /// response to a call that was admitted. A broken response is followed by a call for the full list,
 /// because another service may answer by now.
 ///
-/// After a response of any kind, and whatever failed before, the proxy calls again within the
-/// 200 ms for which a watch is kept open, because changes in that time count as notified. A call
-/// without a response is repeated within 1 s after its wait is over.
+/// After any response, also after earlier failures, the proxy calls again within the 200 ms for
+/// which a watch is kept open, because changes in that time count as notified. A call without a
+/// response is repeated within 1 s after its wait has expired.
 #[test]
 fn a_busy_service_is_polled_for_changes_and_a_broken_response_leads_to_a_full_poll() {
     let (listener, list_addr) = bind_listener();
     let observed = Observed::default();
     let (calls, log) = (Arc::new(AtomicUsize::new(0)), observed.clone());
-    // Start, length and label of a time span: the next call gets the label if it arrives in the span.
-    let next = Arc::new(Mutex::new(None::<(Instant, Duration, &str)>));
+    // Start, length and label of a time span: the next call is logged with the label if it arrives
+    // within the span.
+    let next_call_span = Arc::new(Mutex::new(None::<(Instant, Duration, &str)>));
     spawn(move || {
         for mut stream in listener.incoming().flatten() {
-            let (calls, log, next) = (calls.clone(), log.clone(), next.clone());
+            let (calls, log, next_call_span) = (calls.clone(), log.clone(), next_call_span.clone());
             spawn(move || {
                 while let Some((head, _)) = read_message(&mut stream) {
                     let now = Instant::now();
-                    let span = next.lock().unwrap().take();
+                    let span = next_call_span.lock().unwrap().take();
                     let matching_span =
                         span.filter(|(from, duration, _)| (*from..*from + *duration).contains(&now));
                     let call = head.lines().next().unwrap().trim_end_matches(" HTTP/1.1");
-                    // The wait of a watch is random.
+                    // The wait of a watch is random, so it is left out of the log.
                     let (call, wait) = call.split_once("&wait=").unwrap_or((call, "0"));
                     log.record(format!("{call}{}", matching_span.map_or("", |(.., label)| label)));
                     let body =
                         |version| json!({"version": version, "full": false, "servers": []}).to_string();
-                    let (status, body, missing_bytes, after_ms) = match calls.fetch_add(1, Ordering::SeqCst) {
+                    let (status, body, missing_bytes, delay_ms) = match calls.fetch_add(1, Ordering::SeqCst) {
                         0 => ("503 Busy", String::new(), 0, 0),
                         1 => ("200 OK", body(7), 1, 0),
                         // Longer than the 2 s that the platform's discovery service allows.
@@ -101,9 +102,10 @@
                         _ => ("200 OK", body(8), 0, 60_000),
                     };
                     let wait_end = now + Duration::from_millis(wait.parse().unwrap());
-                    *next.lock().unwrap() = Some((wait_end, Duration::from_secs(1), ", repeated in time"));
-                    sleep(Duration::from_millis(after_ms));
-                    *next.lock().unwrap() =
+                    *next_call_span.lock().unwrap() =
+                        Some((wait_end, Duration::from_secs(1), ", repeated in time"));
+                    sleep(Duration::from_millis(delay_ms));
+                    *next_call_span.lock().unwrap() =
                         Some((Instant::now(), Duration::from_millis(200), ", watch continued"));
                     let head = format!(
                         "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n",
@@ -164,8 +166,8 @@
         draining[0]["state"] = json!("DRAINING");
         let mut restarted = entries.to_vec();
         restarted[0]["started_ms"] = json!(1_800_000_000_000u64);
-        // The server is drained, then five responses have the state from before the drain, and the
-        // last one lists it as started since.
+        // The server is drained, then six responses list it in its state before the drain, and the
+        // last one lists it as restarted since.
         let mut output = vec![full_list(9, &draining)];
         output.extend([4, 4, 4, 4, 4].map(|version| full_list(version, entries)));
         output.extend([full_list(5, entries), full_list(6, &restarted)]);
--- a/crates/proxy/tests/sockets/endings.rs
+++ b/crates/proxy/tests/sockets/endings.rs
@@ -1,5 +1,5 @@
-//! Events that coincide. The tests force their order by the responses of the stand-ins and by
-//! stopping the proxy with SIGSTOP.
+//! Events that coincide, such as a disconnect and an established connection. The tests force their
+//! order by the responses of the stand-ins and by stopping the proxy with SIGSTOP.
 
 use super::*;
 use std::sync::mpsc::{Receiver, channel};
@@ -13,7 +13,7 @@
     list_calls: Arc<AtomicUsize>, // number of calls to the discovery service
 }
 
-/// An attempt that reached a stand-in. The test decides when and what the stand-in responds.
+/// An attempt that reached a stand-in. The test decides when the stand-in responds, and with what.
 pub struct Attempt {
     pub server_and_key: String, // the stand-in's name and the key
     pub stream: TcpStream,
@@ -80,8 +80,8 @@
 }
 
 impl ManualProxy {
-    /// `manual_servers` are the stand-ins that respond as the test says. `listed` is the content of
-    /// the endpoint list, unless the test runs a discovery service of its own.
+    /// Starts a proxy. `manual_servers` are the stand-ins whose responses the test sends. `listed`
+    /// is the content of the endpoint list, unless the test runs a discovery service of its own.
     pub fn new(
         manual_servers: Vec<StandInServer>,
         listed: &[Value],
@@ -213,7 +213,7 @@
 /// back in the pool, belongs to no request.
 #[test]
 fn a_second_response_some_milliseconds_late_belongs_to_no_request() {
-    // A round in which the test itself was delayed shows nothing and is repeated.
+    // A round in which the test itself was delayed proves nothing and is repeated.
     let response = std::iter::repeat_with(response_after_a_stray_one).flatten().next();
     assert_eq!(response.as_deref(), Some("200 value"));
 }
@@ -262,8 +262,9 @@
     }
 }
 
-/// The same for a request that waits for a free descriptor for its connection: all are taken by
-/// requests that hang, and one becomes free as the client disconnects.
+/// Nothing is sent for a request whose client disconnected while the request waited for a free
+/// descriptor for its connection: all descriptors are taken by requests that hang, and one becomes
+/// free as the client disconnects.
 #[test]
 fn a_client_that_disconnects_while_it_waits_for_a_descriptor_causes_no_attempt() {
     let manual = ManualProxy::with_servers(vec![server("a"), server("b"), server("c")], |config| {
@@ -293,8 +294,8 @@
     assert_eq!(manual.next_attempt().server_and_key.split(' ').nth(1), Some("last"));
 }
 
-/// The same for a request that waits for its turn among requests for its key, and for one that
-/// waits for another request's fetch of its key.
+/// Nothing is sent for a request whose client disconnected while the request waited for its turn
+/// among requests for its key, or for another request's fetch of its key.
 #[test]
 fn a_client_that_disconnects_while_it_waits_for_its_key_causes_no_attempt() {
     for (kind, origin) in [("in order", false), ("fetch", true)] {
@@ -315,7 +316,7 @@
         let mut second = manual.send_request("page", "k");
         if origin {
             manual.next_attempt().answer(MISS_RESPONSE);
-            // When the attempt of the next request arrives, the proxy has read the miss of the
+            // When the attempt of the third request arrives, the proxy has read the miss of the
             // second.
         }
         let mut third = manual.send_request("page", "other");
@@ -337,14 +338,15 @@
     }
 }
 
-/// The same for the moment in which the proxy gives up on a silent server and tries the next.
+/// Nothing is sent for a request whose client disconnects at the moment at which the proxy gives up
+/// on a silent server and tries the next.
 #[test]
 fn a_client_that_disconnects_as_a_silent_server_is_given_up_causes_no_retry() {
     let manual = ManualProxy::with_servers(vec![server("a"), server("b")], |_| ());
     let client = manual.send_request("page", "k");
     let silent = manual.next_attempt();
     manual.while_stopped(|| {
-        // Longer than a server may be silent, which is here at most half of a time limit.
+        // Longer than a server may be silent: here at most half of the time limit.
         sleep(Duration::from_millis(1600));
         drop(client);
     });
@@ -381,8 +383,8 @@
         true
     });
     assert!(exercised, "no connection was still being established when the proxy was stopped");
-    // Second case: the window. The first attempt fails after its request was read, the second waits
-    // for its connection.
+    // Second case: the deduplication window. The first attempt fails after its request was read,
+    // the second waits for its connection.
     for _ in 0..20 {
         let (blocked, _filler) = blocked_server("b");
         let open = server("a");
@@ -463,8 +465,8 @@
     let attempt = manual.while_stopped(|| {
         let attempt = blocked.accept_waiting();
         if during_stop {
-            // After the connection, because the operating system reports events in the order in
-            // which they came.
+            // The list is sent after the connection is accepted, because the operating system
+            // reports events in the order in which they occurred.
             release.send(()).unwrap();
             wait_for(|| responses_written.load(Ordering::SeqCst) > 1);
             // The drain grace is 1 s.
@@ -476,9 +478,9 @@
         first_request_line(attempt.expect("no connection of the proxy was being established")),
         "nothing"
     );
-    let mut elsewhere = manual.next_attempt();
-    assert_eq!(elsewhere.server_and_key, "b k");
-    elsewhere.answer(HIT_RESPONSE);
+    let mut moved_attempt = manual.next_attempt();
+    assert_eq!(moved_attempt.server_and_key, "b k");
+    moved_attempt.answer(HIT_RESPONSE);
     assert_eq!(read_response(&mut client), "200 value");
 }
 
--- a/crates/proxy/tests/sockets/large.rs
+++ b/crates/proxy/tests/sockets/large.rs
@@ -85,8 +85,8 @@
     (static_text(&TEXT, text), false)
 }
 
-/// The client gets the first bytes of a response at once, the response is not cut off past the time
-/// limit, and when the client disconnects, the connection to the server is closed too.
+/// The client gets the first bytes of a response at once, and the response is not cut off when the
+/// time limit expires.
 #[test]
 fn the_first_bytes_of_a_long_response_do_not_wait_for_the_rest() {
     let setup = ProxySetup::new(&[("amber", stalling_response)]);
@@ -103,8 +103,8 @@
     "#]]);
 }
 
-/// A body of 200 kB, in chunks or with a length, reaches the origin whole. One beyond every limit
-/// is rejected at once.
+/// A body of 200 kB, in chunks or with a length, reaches the origin whole. A body longer than any
+/// limit allows is rejected at once.
 #[test]
 fn long_bodies_are_accepted_whole() {
     let setup = ProxySetup::new(&[("origin", hit)]);
--- a/crates/proxy/tests/sockets/leaving.rs
+++ b/crates/proxy/tests/sockets/leaving.rs
@@ -43,8 +43,8 @@
 }
 
 /// The time limits are so short that the whole shutdown takes half a second, and clients keep
-/// sending on every connection. Each request that reached a server gets a response, whatever the
-/// server does.
+/// sending on every connection. Each request that reached a server gets a response, even if the
+/// server hangs.
 #[test]
 fn clients_that_send_until_shutdown_lose_no_response_under_short_limits() {
     let every_third_hangs: ServerScript = |n| (if n % 3 == 0 { "" } else { HIT_RESPONSE }, false);
@@ -110,8 +110,8 @@
             json!([namespace("page", "free", 1500), namespace("once", "single_shot", 8000)]);
         config["settings"]["namespaces"][0]["keepOrder"] = json!(true);
     });
-    // The keys belong to both servers, and each is requested twice: the second request waits for
-    // its turn.
+    // Some keys belong to the blocked server and some to the open one. Each key is requested twice,
+    // and the second request waits for its turn.
     let mut clients: Vec<TcpStream> =
         (0..16).map(|i| manual.send_request("page", &format!("k{}", i / 2))).collect();
     // The time limit of 8 s is longer than the time left to the process: SIGKILL follows 3.7 s
@@ -150,7 +150,8 @@
 }
 
 /// Where lists are pushed, a new process reports ready once its own agent has responded with its
-/// list. A drain in that list applies from the first moment, whatever the configuration contains.
+/// list. A drain in that list applies from the first request on, even if the configuration lists
+/// the server as serving.
 #[test]
 fn where_lists_are_pushed_the_process_is_ready_once_its_agent_has_responded() {
     let (a, b) = (server("a"), server("b"));
@@ -194,8 +195,7 @@
     assert_eq!(status_before_list, "503");
 }
 
-/// A response without a length that never ends is cut off at the length at which any other is too
-/// long.
+/// A response without a length that never ends is cut off at the maximum length of a response.
 #[test]
 fn a_response_that_never_ends_is_cut_off() {
     let manual = ManualProxy::with_servers(vec![server("a")], |_| ());
--- a/crates/proxy/tests/sockets/operators.rs
+++ b/crates/proxy/tests/sockets/operators.rs
@@ -122,8 +122,7 @@
     new.wait_ready();
     seen.push(request(&mut client, "k2"));
     old.signal("-TERM");
-    // The first process closes every client connection within 1 s, whatever the position of the
-    // connection.
+    // The first process closes its client connections one after the other within 1 s.
     sleep(Duration::from_millis(1100));
     seen.push(request(&mut client, "k3"));
     let mut other = shared.connect();
@@ -140,8 +139,8 @@
     .assert_eq(&seen.join("\n"));
 }
 
-/// A successor that has exited again has taken nothing over: the old process still accepts clients
-/// after SIGTERM.
+/// A successor that has exited does not count as having taken over: the old process still accepts
+/// clients after SIGTERM.
 #[test]
 fn a_successor_that_exits_leaves_the_old_process_in_charge() {
     let (_observed, entries) = servers(&["amber"]);
@@ -157,8 +156,8 @@
     expect!["200"].assert_eq(&request(&mut shared.connect(), "k"));
 }
 
-/// A proxy is taken out of service and then receives SIGTERM: idle connections are closed by
-/// whichever of the two closes them first.
+/// A proxy is taken out of service and then receives SIGTERM. Both events set a time at which idle
+/// connections are closed, and the earlier time applies.
 #[test]
 fn sigterm_out_of_service_does_not_delay_closing_idle_connections() {
     let (_observed, entries) = servers(&["amber"]);
@@ -184,8 +183,8 @@
     let process = shared.start();
     process.wait_ready();
     let silent: Vec<TcpStream> = (0..20).map(|_| TcpStream::connect(process.admin_addr).unwrap()).collect();
-    let mut half = TcpStream::connect(process.admin_addr).unwrap();
-    half.write_all(b"GET /control/rea").unwrap();
+    let mut partial_call = TcpStream::connect(process.admin_addr).unwrap();
+    partial_call.write_all(b"GET /control/rea").unwrap();
     let mut seen = Vec::new();
     for (method, path) in [
         ("GET", "/control/ready"),
@@ -198,7 +197,7 @@
     }
     seen.push(format!(
         "partial call: {}",
-        read_message(&mut half).map_or("closed".into(), |(head, _)| head[9..12].to_string())
+        read_message(&mut partial_call).map_or("closed".into(), |(head, _)| head[9..12].to_string())
     ));
     drop(silent);
     expect!["200 405 404 404 400 partial call: 408"].assert_eq(&seen.join(" "));
@@ -260,7 +259,7 @@
     read_message(&mut stream).map_or("none".into(), |(head, _)| head[9..12].to_string())
 }
 
-/// Responds so slowly that settings change meanwhile.
+/// Responds so slowly that the settings change before the response.
 fn slow(_: usize) -> (&'static str, bool) {
     sleep(Duration::from_millis(600));
     ("HTTP/1.1 200 OK\r\nX-Lookup: hit\r\nContent-Length: 4\r\n\r\nslow", false)
@@ -292,8 +291,8 @@
     missing_field["settings"]["ceilings"].as_object_mut().unwrap().remove("mostShots");
     let limit = "/settings/namespaces/0/timeLimitNs";
     let huge = with_value(limit, json!(77)).replace("77", "1e999");
-    // The text is cut within a word that always occurs: addresses before it differ in length from
-    // run to run.
+    // The text is cut within a word that always occurs, not at a fixed length: the addresses before
+    // the word differ in length from run to run.
     let truncated = valid.to_string().split_inclusive("cancell").next().unwrap().to_string();
     let invalid = [
         String::new(),
@@ -439,9 +438,10 @@
     assert_eq!(process.call("GET", "/control/ready"), "200");
 }
 
-/// The first requests after a switch of processes, with the learned figures of the process before,
-/// without them, and with corrupt ones. No request is lost, a server that rejects everything gets
-/// fewer requests if that was learned, the draining server gets none, and the cold server gets few.
+/// The first requests to a new process, with the learned figures of the previous process, without
+/// them, and with corrupt ones. No request is lost, a server that rejects everything gets fewer
+/// requests if the previous process has learned that, the draining server gets none, and the cold
+/// server gets few.
 #[test]
 fn the_first_requests_after_a_switch_keep_every_rule_with_or_without_learned_figures() {
     const OVERLOADED_RESPONSE: &str = "HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
@@ -484,19 +484,19 @@
     old.child.wait().unwrap();
     let saved_files: Vec<(PathBuf, String)> =
         files().into_iter().map(|f| (f.clone(), std::fs::read_to_string(f).unwrap())).collect();
-    let results = ["carried", "spoilt", "none"].map(|learned| {
+    let results = ["valid", "corrupt", "none"].map(|learned| {
         files().iter().for_each(|f| std::fs::remove_file(f).unwrap());
         for (file, text) in saved_files.iter().filter(|_| learned != "none") {
-            let text = if learned == "spoilt" { text.replace("birch", "bixch") } else { text.clone() };
+            let text = if learned == "corrupt" { text.replace("birch", "bixch") } else { text.clone() };
             std::fs::write(file, text).unwrap();
         }
         send_40_requests(&shared.start(), 0)
     });
-    let [carried, spoilt, none] = results;
-    for (lost, [_, _, draining, cold]) in [before, carried, spoilt, none] {
+    let [valid_learned, corrupt_learned, none] = results;
+    for (lost, [_, _, draining, cold]) in [before, valid_learned, corrupt_learned, none] {
         assert_eq!((lost, draining), (0, 0));
         assert!(cold <= 15, "{cold} requests to the cold server, expected at most 15");
     }
-    let birch = [carried, spoilt, none].map(|(_, seen)| seen[1]);
+    let birch = [valid_learned, corrupt_learned, none].map(|(_, seen)| seen[1]);
     assert!(birch[0] * 2 <= birch[1] && birch[1] == birch[2], "requests to the overloaded server: {birch:?}");
 }
--- a/crates/proxy/tests/sources.rs
+++ b/crates/proxy/tests/sources.rs
@@ -142,7 +142,7 @@
     write_list(list("serving", "serving"));
     sleep(Duration::from_millis(250));
     setup.wait_for_answers_by("amber");
-    // The process of server b has started anew, and server a drains.
+    // Server b has restarted, and server a drains.
     write_list(format!(
         "version = 1\n{}{}started_ms = 7\n[end]\n",
         list_entry("a", a, "draining"),
@@ -166,7 +166,7 @@
     setup.wait_for_answers_by("birch");
     assert!(setup.log().contains("persisted list loaded"));
     setup.stop();
-    // The capture replays both runs of the process.
+    // The captures of both runs replay without a difference.
     let captures = folder.join("captures").display().to_string();
     let run = |args: &[&str]| {
         let out = Command::new(env!("CARGO_BIN_EXE_chalkwalk"))
--- a/crates/settings/src/convert.rs
+++ b/crates/settings/src/convert.rs
@@ -8,8 +8,8 @@
 /// Length of a tick of the balancer's clock, 0.1 ms.
 const NANOSECONDS_PER_TICK: f64 = 1e5;
 
-/// The longest time that is kept, about half a year. A longer one is reduced to it, so that a clock
-/// can represent the sum of its reading and any setting.
+/// The longest time that a setting can have, about half a year. A longer time is reduced to it, so
+/// that the sum of the current time and any setting does not overflow.
 const MAX_NANOSECONDS: f64 = 1.5e16;
 
 /// The map's name for a kind of idempotency. Other strings are returned unchanged.
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -122,7 +122,8 @@
 const SIZE_RANGE: std::ops::RangeInclusive<f64> = 0.01..=10_000.0;
 
 /// Reads a server's relative size and returns it in hundredths. A missing field is a size of 1. A
-/// size out of range is clamped, because one odd size must not invalidate the whole endpoint list.
+/// size out of range is clamped, because one wrong size must not invalidate the whole endpoint
+/// list.
 pub fn size_hundredths(object: &JsonObject, name: &str) -> FieldResult<u64> {
     let size = optional(object, name, "a number", Value::as_f64)?.unwrap_or(1.0);
     Ok((size.clamp(*SIZE_RANGE.start(), *SIZE_RANGE.end()) * 100.0).round() as u64)
--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -21,7 +21,7 @@
     pub zones: Vec<String>,
 }
 
-/// Reads the platform's settings. The error is that of the first field that cannot be read.
+/// Reads the platform's settings. Fails at the first field that cannot be read.
 pub fn read(options: &JsonObject) -> FieldResult<PlatformSettings> {
     let mut map = SettingsMap::default();
     map.copy(options, &GLOBAL_SETTINGS, &Prefix::default())?;
@@ -84,7 +84,7 @@
         self.0.get(name).is_some_and(|value| value == "1")
     }
 
-    /// Copies each setting that `from` holds. A setting that is missing or null is left out of the
+    /// Copies the settings from a JSON object. A setting that is missing or null is left out of the
     /// map.
     fn copy(&mut self, from: &JsonObject, settings: &[Setting], prefix: &Prefix) -> FieldResult<()> {
         for setting in settings {
@@ -134,8 +134,8 @@
         })
     }
 
-    /// Requests with the same key can be kept in order only if each of them ends, and a stream has
-    /// no end that the next request could wait for.
+    /// Rejects namespaces whose requests are streams and are to be kept in order. A request waits
+    /// for the end of the previous request with the same key, and a stream has no such end.
     fn check_ordered_namespaces(&self, namespaces: usize) -> FieldResult<()> {
         let is_ordered_stream = |index: &usize| {
             self.is_set(&format!("namespace {index} streams"))
--- a/crates/settings/src/table.rs
+++ b/crates/settings/src/table.rs
@@ -10,13 +10,13 @@
     Number,
     /// A number that is not negative; a negative value of such a setting has no meaning.
     NonNegativeNumber,
-    /// A time in nanoseconds, stored in the map as ticks rounded down: what is allowed for this
-    /// time must not last longer.
+    /// The longest time that something may last, in nanoseconds. Stored in the map as ticks,
+    /// rounded down so that the time is never exceeded.
     Duration,
-    /// A time within which clients get a response, also rounded down. A value above 0 becomes at
-    /// least one tick, because 0 means no time at all.
+    /// A time limit, also rounded down. A value above 0 becomes at least one tick, because 0 would
+    /// leave no time at all.
     TimeLimit,
-    /// A time to wait: rounded up, so that the wait is never shorter.
+    /// A time to wait, rounded up so that the wait is never shorter.
     Wait,
     /// A time to wait that must not be negative, also rounded up.
     NonNegativeWait,
