--- a/crates/capture/src/event.rs
+++ b/crates/capture/src/event.rs
@@ -19,7 +19,7 @@
     pub zone: usize,
     /// The index of the server's kind. The origin has a kind of its own.
     pub kind: usize,
-    /// The server's cell. Servers of one cell drop repeats of the same request.
+    /// The server's cell: a group of servers that drop repeats of the same request.
     pub cell: u64,
     /// The server's weight as listed, in hundredths.
     pub size: u64,
@@ -162,7 +162,8 @@
     Reject {
         /// The request's id.
         request_id: u64,
-        /// How long the client is asked to wait before it retries; zero if the response names no time.
+        /// How long the client is asked to wait before it retries; zero if the response names no
+        /// time.
         back_in: Span,
     },
     /// Fail the request with this id.
--- a/crates/capture/src/format.rs
+++ b/crates/capture/src/format.rs
@@ -10,11 +10,11 @@
 const HEADER_BYTES: usize = 8;
 const CHECKSUM_OFFSET: usize = 4;
 
-/// A longer length is treated as damage: a block takes a few kilobytes, and a list of ten thousand
-/// servers one megabyte.
+/// Maximum length of an item in bytes. A longer one is treated as damage: a block takes a few
+/// kilobytes, and a list of ten thousand servers one megabyte.
 const MAX_ITEM_BYTES: usize = 16 << 20;
 
-/// The bytes are not a capture, or are one of an unsupported version.
+/// The bytes are not a capture, or are a capture of an unsupported version.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 #[error("expected a capture of a supported version, found another file signature")]
 pub struct UnsupportedFormat;
--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -1,8 +1,9 @@
-//! Records every call into the balancer with the decisions that it led to, and replays recorded calls.
+//! Records every call into the balancer with the decisions that it led to, and replays recorded
+//! calls.
 //!
-//! The crate may depend on `balancer`, serde with postcard, and crc32fast. `event`, `format`,
-//! `outcome`, `recorder`, `replay` and `excerpt` do no I/O; only `writer` uses a thread and only
-//! `segments` uses files. The crate depends on no network protocol.
+//! The crate may depend on `balancer`, `time`, serde with postcard, crc32fast and thiserror.
+//! `event`, `format`, `outcome`, `recorder`, `replay` and `excerpt` do no I/O; only `writer` uses a
+//! thread and only `segments` uses files. The crate depends on no network protocol.
 
 mod event;
 mod excerpt;
--- a/crates/capture/src/outcome.rs
+++ b/crates/capture/src/outcome.rs
@@ -1,6 +1,6 @@
-//! The numbers that captures store for the balancer's enums. A variant's number is its position in an
-//! array of this file. The numbers are stored data, so they stay the same when the balancer reorders
-//! its variants.
+//! The numbers that captures store for the balancer's enums. A variant's number is its position in
+//! an array of this file. The numbers are stored data, so they stay the same when the balancer
+//! reorders its variants.
 
 use crate::event::RecordedEndpoint;
 use chalkwalk_balancer::{AttemptOutcome, Endpoint, EndpointStatus};
--- a/crates/capture/src/recorder.rs
+++ b/crates/capture/src/recorder.rs
@@ -1,6 +1,6 @@
-//! Collects calls into blocks on the proxy's thread and passes each block to a sink. A sink may be slow
-//! to store blocks but never waits: it refuses a block that it has no room for, and the recorder then
-//! counts the lost calls and records them as a gap.
+//! Collects calls into blocks on the proxy's thread and passes each block to a sink. A sink may be
+//! slow to store blocks but never waits: it refuses a block that it has no room for, and the
+//! recorder then counts the lost calls and records them as a gap.
 
 use crate::event::{CallBlock, CaptureItem, Decision, Event, RecordedCall, RecordedEndpoint};
 use crate::format::encode_item;
@@ -89,7 +89,8 @@
         self.record_event(now, Event::Snapshot { settings: settings.clone(), words, texts });
     }
 
-    /// Records that a request was accepted. If `order` is given, only these servers may serve the request.
+    /// Records that a request was accepted. If `order` is given, only these servers may serve the
+    /// request.
     pub fn record_request_accepted(
         &mut self,
         now: Timestamp,
--- a/crates/capture/src/replay.rs
+++ b/crates/capture/src/replay.rs
@@ -22,8 +22,8 @@
     pub resumed_snapshots: u64,
     /// The number of snapshots that were compared with the state that the replay had reached.
     pub compared_snapshots: u64,
-    /// The number of calls that could not be replayed: those before the first start or snapshot, in
-    /// a gap, or after a gap up to the next start or snapshot, and those with an invalid event.
+    /// The number of calls that could not be replayed: calls before the first start or snapshot, in
+    /// a gap, or after a gap up to the next start or snapshot, and calls with an invalid event.
     pub skipped_calls: u64,
     /// The number of gaps in the capture.
     pub gap_count: u64,
@@ -31,8 +31,8 @@
     pub first_difference: Option<Difference>,
     /// The number of calls whose decisions differ.
     pub differing_calls: u64,
-    /// The number of these calls by the kind of difference, which is named after the first decision
-    /// that differs.
+    /// The number of differing calls by the kind of difference. A kind is named after the first
+    /// decision that differs.
     pub difference_kinds: BTreeMap<String, u64>,
     /// When the first block begins.
     pub started_at: Timestamp,
--- a/crates/capture/src/replay/apply.rs
+++ b/crates/capture/src/replay/apply.rs
@@ -62,7 +62,8 @@
     Some(())
 }
 
-/// Replays an event that names a request class. Returns `None` if the balancer does not have the class.
+/// Replays an event that names a request class. Returns `None` if the balancer does not have the
+/// class.
 fn apply_in_class(balancer: &mut Balancer, event: &Event, log: &mut DecisionLog) -> Option<()> {
     match event {
         Event::RequestAccepted { class, point, write, expires, order, .. } => {
--- a/crates/capture/src/replay/difference.rs
+++ b/crates/capture/src/replay/difference.rs
@@ -19,7 +19,8 @@
 }
 
 impl Difference {
-    /// The kind of the difference: the names of the first recorded and replayed decision that differ.
+    /// The kind of the difference: the names of the first recorded and replayed decision that
+    /// differ.
     pub(super) fn kind(&self) -> String {
         let equal_count = self
             .recorded
--- a/crates/capture/src/segments.rs
+++ b/crates/capture/src/segments.rs
@@ -23,7 +23,8 @@
     retention: Retention,
     /// The instance's name as used in file names.
     instance: String,
-    /// The prefix of the file names of this process's segments: the instance's name and the start time.
+    /// The prefix of the file names of this process's segments: the instance's name and the start
+    /// time.
     prefix: String,
     next_segment_number: u32,
     current: Option<File>,
@@ -51,8 +52,8 @@
     }
 
     /// Writes a block to the current segment, or to the next one if the current segment is full.
-    /// While the disk is full or unavailable, blocks are lost, and each further block retries to open
-    /// the next segment.
+    /// While the disk is full or unavailable, blocks are lost, and each further block retries to
+    /// open the next segment.
     pub(crate) fn write(&mut self, block: &[u8]) {
         let bytes = block.len() as u64;
         if self.written_bytes + bytes > self.retention.segment_bytes {
--- a/crates/capture/src/writer.rs
+++ b/crates/capture/src/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes captures, so that the proxy never waits for the disk.
+//! The thread that writes captures, so that the proxy's own thread never waits for the disk.
 
 use crate::recorder::Sink;
 use crate::segments::{Retention, SegmentFiles};
@@ -22,7 +22,7 @@
         /// The error of the operating system.
         error: io::Error,
     },
-    /// The thread that writes can't be started.
+    /// The thread that writes segments can't be started.
     #[error("cannot start the capture thread: {0}")]
     Thread(io::Error),
 }
--- a/crates/capture/tests/replay.rs
+++ b/crates/capture/tests/replay.rs
@@ -259,7 +259,8 @@
     assert!(whole.compared_snapshots > 20 && whole.resumed_snapshots == 0, "{whole:?}");
     let again = replay(items.iter());
     assert_eq!((again.calls, again.decisions, again.differing_calls), (whole.calls, whole.decisions, 0));
-    // A crash can truncate the capture at any byte. What remains has to replay without a difference.
+    // A crash can truncate the capture at any byte. What remains has to replay without a
+    // difference.
     for nth in 0..1000 {
         let offset = bytes.len() * nth / 1000;
         let truncated = read_segment(&bytes[..offset]).unwrap();
--- a/crates/engine/src/api.rs
+++ b/crates/engine/src/api.rs
@@ -32,9 +32,10 @@
     call(engine, |requests, now| requests.fail_all(now));
 }
 
-/// Applies an endpoint list that a source has read: the full list, or only the changed endpoints.
-/// If the list may be stale, that is, older than the list known before, it does not return a server
-/// to service that was reported draining or gone, unless the server's process has restarted since.
+/// Applies an endpoint list that a source has read: the full list, or only the changed endpoints. A
+/// list that may be stale, that is, older than the list applied before it, does not put a server
+/// that was reported draining or gone back into service, unless the server's process has restarted
+/// since.
 pub fn apply_endpoint_list(
     engine: &Rc<Engine>,
     endpoints: &[ListedEndpoint],
@@ -54,8 +55,8 @@
     }
 }
 
-/// Maximum number of server ids in one log line. In the first list of a large fleet every server is
-/// new.
+/// Maximum number of server ids in one field of a log line. One list can change the status of every
+/// server of a large fleet.
 const MAX_LOGGED_IDS: usize = 8;
 
 fn ids_to_log(ids: &[String]) -> String {
@@ -64,9 +65,9 @@
     if more > 0 { format!("{named} and {more} more") } else { named }
 }
 
-/// Disables a server at the given time, or enables it again, by an operator's command. Idle
-/// connections to the server are closed in either case, because the server restarts while it is
-/// disabled.
+/// Disables a server, or enables it again, by an operator's command that was given at `decided_at`.
+/// Idle connections to the server are closed in either case, because the server is restarted while
+/// it is disabled.
 pub fn set_server_disabled(engine: &Rc<Engine>, id: &str, disabled: bool, decided_at: Timestamp) {
     let server = call(engine, |requests, now| requests.set_server_disabled(now, id, disabled, decided_at));
     if let Some(server) = server {
@@ -74,8 +75,8 @@
     }
 }
 
-/// Reports a discovery call that failed after the given time. The balancer then requests another
-/// call.
+/// Reports that a discovery call failed after running for `took`. The balancer then requests
+/// another call.
 pub fn discovery_call_failed(engine: &Rc<Engine>, took: Span) {
     call(engine, |requests, now| requests.discovery_call_failed(now, took));
 }
--- a/crates/engine/src/attempt.rs
+++ b/crates/engine/src/attempt.rs
@@ -88,8 +88,8 @@
         Progress::Ended { outcome, response }
     }
 
-    /// Acquires a connection and writes the request to it. Nothing is written if a part of it might
-    /// be sent after the deadline.
+    /// Acquires a connection and writes the request to it. The caller drops this future at the send
+    /// deadline, which ends a write that is not complete by then.
     async fn connect_and_write(&self) -> Result<Rc<ServerConnection>, AttemptOutcome> {
         let Attempt { engine, pending, .. } = self;
         let connection = Rc::new(connect::pooled_or_new_connection(engine, pending.server).await?);
@@ -107,11 +107,11 @@
         Ok(connection)
     }
 
-    /// Checks whether the attempt may still be sent after all its waits. On a busy process the
-    /// executor may see a new connection and the expiry of the request in the same iteration, and a
-    /// client's disconnect may stay unread while the attempt waits for a connection, a permit, its
-    /// key's turn or a connection's quiet time. An attempt that is refused here has certainly not
-    /// run, so the balancer can route the request to another server.
+    /// Checks whether the attempt may still be sent after all its waits. In a busy process the
+    /// executor may handle a new connection and the expiry of the request in the same iteration,
+    /// and a client's disconnect may stay unread while the attempt waits for a connection, a
+    /// permit, its key's turn or a connection's quiet time. An attempt that is refused here has
+    /// certainly not run, so the balancer can route the request to another server.
     fn check_still_allowed(&self, now: Timestamp) -> Result<(), AttemptOutcome> {
         let Attempt { engine, pending, .. } = self;
         let client_connected = pending.request.client_is_waiting();
--- a/crates/engine/src/body_transfer.rs
+++ b/crates/engine/src/body_transfer.rs
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A streamed response is aborted if the server sends nothing, or the client takes nothing, for
+/// A streamed response is aborted if the server sends nothing, or the client reads nothing, for
 /// this long. The time limit of the request is over by then, and a server that is slow on purpose
 /// writes something every second.
 const STREAM_STALL_TIMEOUT: Duration = Duration::from_secs(10);
--- a/crates/engine/src/budget.rs
+++ b/crates/engine/src/budget.rs
@@ -18,9 +18,9 @@
 const IDLE_CLOSE_WAIT: Duration = Duration::from_millis(5);
 
 /// Descriptors outside the budget: standard streams, epoll with its timer and event descriptors,
-/// the pair of the signal handler and the listener, 11 in all as counted; the two connections for
-/// the endpoint list, which need no permit; one connection that waits for its permit; and one
-/// spare.
+/// the signal handler's pair of descriptors and the listener, counted as 11 in all; the two
+/// connections for the endpoint list, which need no permit; one connection that waits for its
+/// permit; and one spare.
 const OTHER_DESCRIPTORS: usize = 15;
 
 /// How long a request that arrives while all connections are busy waits for a permit. Most
@@ -60,7 +60,7 @@
         let servers = total / 3;
         let shared = total / 3;
         // These permits are held only while a rejection is written. With fewer than four of them,
-        // further clients wait for one unnoticed.
+        // further clients would wait for one unnoticed.
         let rejection_only = (total / 16).max(4);
         let clients = total - servers - shared - rejection_only;
         DescriptorBudget {
@@ -114,8 +114,8 @@
             if let Some(permit) = self.try_acquire_for_client() {
                 return (permit, true);
             }
-            // Rejects requests rather than let them wait unread, before they are accepted, until
-            // their time limit is over.
+            // The client's requests are rejected. Otherwise they would wait unread, and so not yet
+            // accepted, until their time limit is over.
             if !self.close_idle()
                 && let Some(permit) = self.rejection_only.try_acquire_arc()
             {
--- a/crates/engine/src/budget/tests.rs
+++ b/crates/engine/src/budget/tests.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 
-/// The number of permits available to servers, and then of those left to clients.
+/// The number of permits available to servers, and the number of those then left to clients.
 fn free_permits(budget: &DescriptorBudget) -> (usize, usize) {
     let servers: Vec<Permit> = std::iter::from_fn(|| budget.servers.try_acquire_arc()).collect();
     let clients: Vec<Permit> = std::iter::from_fn(|| budget.try_acquire_for_client()).collect();
--- a/crates/engine/src/classes.rs
+++ b/crates/engine/src/classes.rs
@@ -1,5 +1,5 @@
-//! The request classes and their limits that apply now, and their form as settings that the
-//! balancer reads.
+//! The request classes and the limits that apply to them now, and their conversion to the settings
+//! that the balancer reads.
 
 use chalkwalk_limits::{LimitTable, Limits, PlatformLimits, RequestAttributes};
 use chalkwalk_time::Span;
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Names of the platform's settings that this module reads.
+/// Names of the platform's settings that this module reads or replaces.
 const PROXIES_SETTING: &str = "proxies";
 const ZONE_SETTING: &str = "zone";
 const NAMESPACES_SETTING: &str = "namespaces";
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Replaces the settings. Class indices are assigned anew: a request accepted before detects by
-    /// its generation that its index may now denote another class.
+    /// Replaces the settings. Class indices are assigned anew. A request that was accepted before
+    /// the change detects by its generation that its index may now denote another class.
     pub fn apply_settings(
         &self,
         settings: BTreeMap<String, String>,
@@ -129,8 +129,9 @@
         self.active.borrow().numeric_setting(ZONE_SETTING).unwrap_or(0.0) as usize
     }
 
-    /// The settings that the balancer reads: the platform's settings unchanged if there are no
-    /// operator's limits, and otherwise with one namespace per class.
+    /// The settings that the balancer reads. Without operator's limits, these are the platform's
+    /// settings unchanged. With them, each class is a namespace of its own, with the settings of
+    /// the platform's namespace that it belongs to and the limits of the class.
     pub fn balancer_settings(&self) -> BTreeMap<String, String> {
         let active = self.active.borrow();
         let mut settings = active.settings.clone();
@@ -162,7 +163,8 @@
         self.settings.get(name)?.parse().ok()
     }
 
-    /// Copies the settings of a namespace under the name of a class in it.
+    /// Returns a copy of a namespace's settings, under the names that the balancer reads for a
+    /// class of that namespace.
     fn settings_of_class(&self, class: usize, namespace: usize) -> Vec<(String, String)> {
         let prefix = format!("namespace {namespace} ");
         let class_settings = self.settings.iter().filter_map(|(name, value)| {
--- a/crates/engine/src/clock.rs
+++ b/crates/engine/src/clock.rs
@@ -16,7 +16,8 @@
     last_heartbeat: Cell<Timestamp>,
 }
 
-/// Short compared with any time limit, long compared with one iteration of the executor.
+/// The time between two heartbeats: short compared with any time limit, long compared with one
+/// iteration of the executor.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(20);
 /// How long it takes to read the input that arrived during a stall: many iterations of the
 /// executor.
@@ -40,8 +41,8 @@
     }
 
     /// Converts a timestamp to an instant for timers. Timestamps before the start map to the start.
-    pub fn instant(&self, at: Timestamp) -> Instant {
-        self.start + Duration::from(at.saturating_since(self.unix_at_start))
+    pub fn instant(&self, timestamp: Timestamp) -> Instant {
+        self.start + Duration::from(timestamp.saturating_since(self.unix_at_start))
     }
 
     /// Records a heartbeat at each interval. Never returns.
--- a/crates/engine/src/close_schedule.rs
+++ b/crates/engine/src/close_schedule.rs
@@ -40,17 +40,18 @@
 impl ClosePosition {
     /// The position of the `number`-th connection accepted since the start.
     pub fn of_connection(number: u64) -> ClosePosition {
-        // Steps by the golden ratio are spread evenly, however many there are.
+        // Steps of the golden ratio, 0.618 of the range, spread any number of connections evenly.
         ClosePosition(number * 618 % 1000)
     }
 
-    /// The delay of this connection's close after the first one, where the last connection closes a
-    /// thousand steps after the first.
+    /// The delay between the close of the first connection and the close of this one. The last
+    /// connection is closed a thousand steps after the first.
     fn offset(self, step: Span) -> Span {
         step * self.0
     }
 
-    /// When the connection is closed, if at all. If both reasons apply, the earlier times are used.
+    /// When the connection is closed, if at all. If the proxy is both shutting down and out of
+    /// service, the earlier times are used.
     pub fn close_times(
         self,
         drain_window: Option<DrainWindow>,
@@ -60,13 +61,13 @@
         let drain_times = drain_window.map(|window| self.close_times_of_drain(window, superseded));
         let out_of_service_times = out_of_service_since.map(|since| self.close_times_out_of_service(since));
         match (drain_times, out_of_service_times) {
-            (Some(drain), Some(service)) => Some(drain.earlier_of(service)),
-            (drain, service) => drain.or(service),
+            (Some(drain), Some(out_of_service)) => Some(drain.earlier_of(out_of_service)),
+            (drain, out_of_service) => drain.or(out_of_service),
         }
     }
 
     /// The close times during shutdown. Closing starts after two thirds of the drain window,
-    /// because a proxy that was restarted before this one may not be known as available again
+    /// because a proxy that was restarted before this one may not be detected as available again
     /// earlier, and ends after five sixths, so that requests accepted until then are still
     /// answered. Between the two, connections are closed one by one to avoid a surge of reconnects
     /// at the other proxies. If another process of this proxy has taken over, responses announce
@@ -84,8 +85,8 @@
 
     /// The close times out of service: responses announce the close within the first second, and
     /// idle connections are closed within two. The load balancer in front has detected the change
-    /// by then, and after four seconds no connection may be open that had a request in the last
-    /// two.
+    /// by then, and after four seconds no connection may be open that carried a request in the last
+    /// two seconds.
     fn close_times_out_of_service(self, since: Timestamp) -> CloseTimes {
         let spread = self.offset(Span::from_ticks(8));
         CloseTimes {
--- a/crates/engine/src/close_schedule/tests.rs
+++ b/crates/engine/src/close_schedule/tests.rs
@@ -4,7 +4,7 @@
 
 const START: u64 = 1_000_000;
 
-fn at(ticks: u64) -> Timestamp {
+fn timestamp(ticks: u64) -> Timestamp {
     Timestamp::ZERO + Span::from_ticks(ticks)
 }
 
@@ -12,17 +12,17 @@
 /// ms after the start.
 fn close_times_in_ms(drain_ms: Option<u64>, superseded: bool, out_of_service: bool) -> String {
     let drain_window = drain_ms.map(|window_ms| DrainWindow {
-        started: at(START),
-        response_deadline: at(START) + Span::from_millis(window_ms),
+        started: timestamp(START),
+        response_deadline: timestamp(START) + Span::from_millis(window_ms),
     });
     let times = [0, 999].map(|position| {
         let times = ClosePosition(position).close_times(
             drain_window,
             superseded,
-            out_of_service.then_some(at(START)),
+            out_of_service.then_some(timestamp(START)),
         );
         times.map_or("never".to_string(), |times| {
-            let ms_after_start = |moment: Timestamp| moment.saturating_since(at(START)).as_millis();
+            let ms_after_start = |moment: Timestamp| moment.saturating_since(timestamp(START)).as_millis();
             format!("{} {}", ms_after_start(times.announce_from), ms_after_start(times.close_idle_from))
         })
     });
--- a/crates/engine/src/config.rs
+++ b/crates/engine/src/config.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The configuration of one proxy. Fields in cells change when the settings are reloaded.
+/// The configuration of one proxy. Fields of type [`Cell`] change when the settings are reloaded.
 pub struct EngineConfig {
     /// The name of the proxy instance.
     pub name: String,
@@ -26,7 +26,7 @@
     pub connect_timeout: Cell<Duration>,
     /// Time after which a server closes an idle connection.
     pub idle_timeout: Duration,
-    /// How long a server still takes attempts after it was reported draining.
+    /// How long a server still accepts attempts after it was reported draining.
     pub drain_grace: Cell<Span>,
     /// Maximum number of file descriptors that the process may open.
     pub max_descriptors: usize,
--- a/crates/engine/src/effect_sink.rs
+++ b/crates/engine/src/effect_sink.rs
@@ -27,7 +27,7 @@
     /// The request.
     pub request_id: RequestId,
     /// Index from 0, in the order in which the attempts were started.
-    pub number: usize,
+    pub index: usize,
 }
 
 /// An attempt that is to be sent.
@@ -61,6 +61,7 @@
     pub response_sender: Option<Sender<Response>>,
     /// All attempts for the request, by their index.
     pub attempts: Vec<Rc<AttemptHandle>>,
+    /// Number of attempts that have not ended.
     pub in_flight: usize,
 }
 
@@ -84,8 +85,8 @@
     pub watch_requested: Sender<()>,
 }
 
-/// The state outside the balancer. The balancer never reads it; each call passes it as the
-/// balancer's [`Effects`].
+/// The engine's state that the balancer's decisions change. The balancer never reads it. Each call
+/// to the balancer passes it as the [`Effects`] of that call.
 pub(crate) struct EffectSink {
     pub now: Timestamp,
     pub open_requests: HashMap<RequestId, OpenRequest>,
@@ -168,11 +169,11 @@
         });
         let Some(open_request) = self.open_requests.get_mut(&request_id) else { return };
         let handle = Rc::new(AttemptHandle::new());
-        let number = open_request.attempts.len();
+        let index = open_request.attempts.len();
         open_request.attempts.push(handle.clone());
         open_request.in_flight += 1;
         self.commands.push(Command::StartAttempt(PendingAttempt {
-            id: AttemptId { request_id, number },
+            id: AttemptId { request_id, index },
             server,
             times_out_at: deadline,
             send_by,
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -21,8 +21,9 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// Long responses may use the memory limit divided by this: the rest of the proxy needs a few
-/// megabytes, and another third is left to the system for data in transit.
+/// Long responses may use the memory limit of the process divided by this number. The rest of the
+/// proxy needs a few megabytes, and another third is left to the operating system for data in
+/// transit.
 const RESPONSE_MEMORY_DIVISOR: usize = 3;
 
 /// One proxy without its protocols.
@@ -31,19 +32,19 @@
     pub config: EngineConfig,
     /// The request classes and their limits.
     pub classes: RequestClasses,
-    /// The proxy's time.
+    /// The proxy's clock.
     pub clock: Clock,
-    /// The file descriptors for connections.
+    /// The budget of file descriptors for client and server connections.
     pub budget: DescriptorBudget,
-    /// The memory for long responses.
+    /// The memory budget that all long responses share.
     pub response_memory: MemoryBudget,
-    /// The phase of the process.
+    /// The phase of the process, and whether the proxy is ready.
     pub lifecycle: Lifecycle,
     /// The open requests, and the balancer.
     pub requests: RefCell<RequestTable>,
     /// Idle connections to servers.
     pub pool: ConnectionPool,
-    /// How the health of a server is checked.
+    /// Checks the health of a server in the server's protocol.
     pub health_check: Box<dyn HealthCheck>,
     /// Runs all tasks of the proxy.
     pub executor: LocalExecutor<'static>,
@@ -53,7 +54,7 @@
     pub(crate) refused_attempts: RefusedAttempts,
     /// Counts events that must not happen.
     pub violations: Violations,
-    /// Signals that a timer was set that is due before all others.
+    /// Receives a signal when a timer is set that is due before all others.
     pub(crate) earlier_timer: Receiver<()>,
     watch_requested: Receiver<()>,
     open_clients: Cell<usize>,
@@ -131,7 +132,7 @@
         self.has_received_list.get()
     }
 
-    /// Ends the capture, which then contains everything up to now.
+    /// Ends the capture, which then contains all calls up to now.
     pub fn stop_capture(&self) {
         self.requests.borrow_mut().stop_capture();
     }
@@ -146,7 +147,7 @@
         self.drain_window.get().map(|window| window.response_deadline)
     }
 
-    /// Starts the drain of the proxy, after a request to shut down.
+    /// Starts to drain the proxy after a request to shut down.
     pub(crate) fn begin_drain(&self, window: DrainWindow) {
         self.drain_window.set(Some(window));
         self.lifecycle.enter(Phase::Draining);
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -3,9 +3,9 @@
 //! to servers, the descriptor budget, the lifecycle of the process, its clock and the balancer's
 //! timers. All routing decisions are the balancer's.
 //!
-//! The crate may depend on `balancer`, `capture`, `limits`, `membership`, `sockets`, `time`, smol
-//! and slog. It contains no client or server protocol and no endpoint list format: a request comes
-//! in as an object that can write itself to a server and read the response
+//! The crate may depend on `balancer`, `capture`, `limits`, `membership`, `sockets`, `time`, smol,
+//! event-listener, rustix and slog. It contains no client or server protocol and no endpoint list
+//! format: a request comes in as an object that can write itself to a server and read the response
 //! ([`response::ClientRequest`]), and the response leaves as bytes with a status; an endpoint list
 //! comes in as plain endpoints ([`servers::ListedEndpoint`]).
 //!
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -45,9 +45,9 @@
 /// How long a connection is kept idle if it is not the most recently used one to its server.
 /// Connections that a proxy uses concurrently all the time stay open, because the most recently
 /// used one is reused first; connections needed only once are closed. A server accepts a limited
-/// number of connections, and those held idle by each of a hundred proxies are missing when a proxy
-/// needs one. One second closed too few (docs/notes/fleet.md); with less than 250 ms, the
-/// connections that concurrent responses of 0.1 s need would be opened again and again.
+/// number of connections, and those that a hundred proxies hold idle are not available to a proxy
+/// that needs one. With one second, too few were closed (docs/notes/fleet.md); with less than 250
+/// ms, the connections that concurrent responses of 0.1 s need would be opened again and again.
 pub const SPARE_IDLE_TIME: Duration = Duration::from_millis(250);
 
 /// How long a connection stays unused after a response before the next request is written to it. A
@@ -66,13 +66,13 @@
 }
 
 impl ConnectionPool {
-    /// `idle_timeout` is the time after which servers close idle connections. A connection is
-    /// reused for only half of it. A server that closes earlier than configured is detected by the
-    /// check of the connection before its reuse.
+    /// Creates an empty pool. `idle_timeout` is the time after which servers close idle
+    /// connections. A connection is reused for only half of it. A server that closes earlier than
+    /// configured is detected by the check of the connection before its reuse.
     pub fn new(idle_timeout: Duration) -> ConnectionPool {
         let max_idle_time = idle_timeout / 2;
-        // At most half of the time during which a connection is reused, for servers that close very
-        // early.
+        // The quiet time is at most half of the time during which a connection is reused. This
+        // matters for servers that close idle connections very early.
         let quiet_time = QUIET_TIME.min(max_idle_time / 2);
         ConnectionPool { idle: RefCell::default(), max_idle_time, quiet_time }
     }
@@ -135,8 +135,8 @@
         }
     }
 
-    /// For each server, closes the connections that were not used within [`SPARE_IDLE_TIME`], except
-    /// for the most recently used one.
+    /// For each server, closes the connections that were not used within [`SPARE_IDLE_TIME`],
+    /// except for the most recently used one.
     pub fn close_spare(&self) {
         for connections in self.idle.borrow_mut().values_mut() {
             // The most recently used connection is at the end.
--- a/crates/engine/src/request_table.rs
+++ b/crates/engine/src/request_table.rs
@@ -66,8 +66,9 @@
         RequestTable { balancer, settings: settings.clone(), sink, servers, clients_left_waiting: 0 }
     }
 
-    /// Returns the balancer and its effects, both advanced to the present time. Calls to the
-    /// balancer start here.
+    /// Returns the balancer and the effect sink, both advanced to the present time. Most calls to
+    /// the balancer start here: if a capture runs and a snapshot is due, it is recorded before the
+    /// call.
     fn advance_to(&mut self, now: Timestamp) -> (&mut Balancer, &mut EffectSink) {
         self.sink.now = now;
         self.balancer.advance_clock(now);
@@ -139,7 +140,7 @@
     ) -> Result<(), SendRefusal> {
         let attempt = UnsentAttempt {
             request_id: pending.id.request_id,
-            index: pending.id.number,
+            index: pending.id.index,
             server: pending.server,
             deadline: pending.send_deadline(),
             answered: self.sink.is_finished(pending.id.request_id),
@@ -151,16 +152,16 @@
     /// Reports that the response to an attempt has started, which makes it the final response of
     /// the request. The attempt continues until the end of the response body.
     pub(crate) fn response_started(&mut self, now: Timestamp, attempt: AttemptId, response: Response) {
-        let AttemptId { request_id, number } = attempt;
+        let AttemptId { request_id, index } = attempt;
         let (balancer, sink) = self.advance_to(now);
         sink.respond(request_id, response);
-        sink.record_event(|| Event::ResponseStarted { request_id: request_id.0, attempt: number });
-        balancer.response_started(request_id, number, sink);
+        sink.record_event(|| Event::ResponseStarted { request_id: request_id.0, attempt: index });
+        balancer.response_started(request_id, index, sink);
     }
 
     /// Reports that an attempt has ended. Its connection is already closed or back in the pool.
     pub(crate) fn attempt_ended(&mut self, now: Timestamp, attempt: AttemptId, result: AttemptResult) {
-        let AttemptId { request_id, number } = attempt;
+        let AttemptId { request_id, index } = attempt;
         let AttemptResult { outcome, took, response } = result;
         let request =
             self.sink.open_requests.get(&request_id).map(|open_request| open_request.request.clone());
@@ -180,7 +181,7 @@
             recorder.record_attempt_ended(
                 now,
                 request_id.0,
-                number,
+                index,
                 outcome,
                 took,
                 finished,
@@ -190,7 +191,7 @@
         if let Some(allowed_servers) = allowed_servers {
             balancer.restrict_servers(request_id, allowed_servers);
         }
-        balancer.attempt_ended(request_id, number, outcome, took, finished, sink);
+        balancer.attempt_ended(request_id, index, outcome, took, finished, sink);
         sink.remove_if_done(request_id);
     }
 
--- a/crates/engine/src/request_table/servers.rs
+++ b/crates/engine/src/request_table/servers.rs
@@ -9,7 +9,7 @@
 
 /// The result of applying an endpoint list.
 pub(crate) struct ListOutcome {
-    /// All servers that are draining or gone now.
+    /// All servers that are draining or gone after the update.
     pub unavailable: Vec<ServerIndex>,
     /// The changes that the list has made.
     pub changes: ListChanges,
@@ -49,8 +49,8 @@
         balancer.health_check_finished(server, answered, sink);
     }
 
-    /// Disables a server at the given time, or enables it again, by an operator's command. Returns
-    /// its index, if it has one.
+    /// Disables a server, or enables it again, by an operator's command. `at` is when the command
+    /// was given. Returns the index of the server, if it has one.
     pub(crate) fn set_server_disabled(
         &mut self,
         now: Timestamp,
@@ -86,13 +86,14 @@
         self.balancer.is_known_server(id)
     }
 
-    /// What the balancer has learned of the servers, to be handed to the next process.
+    /// What the balancer has learned about the servers, to be passed to the next process.
     pub fn learned_servers(&self) -> Vec<LearnedServer> {
         self.balancer.learned_servers()
     }
 
-    /// Restores what a previous process has learned. Returns whether it was restored: it is not
-    /// while a capture runs, because a replay would lack it.
+    /// Restores the state that a previous process has learned. Returns whether it was restored. It
+    /// is not restored while a capture runs, because a replay of the capture would not have this
+    /// state.
     pub fn restore_learned_servers(&mut self, learned: Vec<LearnedServer>) -> bool {
         if self.sink.recorder.is_some() {
             return false;
--- a/crates/engine/src/servers.rs
+++ b/crates/engine/src/servers.rs
@@ -15,11 +15,11 @@
 pub struct ListChanges {
     /// Servers that are now draining or gone.
     pub became_unavailable: Vec<String>,
-    /// Servers that are now in service, for the first time or again.
+    /// Servers that are now in service and were draining or gone before.
     pub became_available: Vec<String>,
 }
 
-/// An update that a source of the endpoint list has read.
+/// An update of the endpoint list, as one of its sources has read it.
 #[derive(Clone, Copy, Debug)]
 pub struct ListUpdate<'a> {
     /// The endpoints, with their status.
@@ -27,12 +27,13 @@
     /// Whether the endpoints are the full list, so that a server missing from it is gone; otherwise
     /// they are only the changed ones.
     pub is_full: bool,
-    /// Whether the list may be older than the one known before. It then does not return a server to
-    /// service that was reported draining or gone, unless the server has restarted since.
+    /// Whether the list may be older than the one applied before it. Such a list does not put a
+    /// server that was reported draining or gone back into service, unless the server has restarted
+    /// since.
     pub may_be_stale: bool,
 }
 
-/// The facts about a server that the engine itself needs.
+/// The data about a server that the engine itself needs.
 struct ServerEntry {
     addr: SocketAddr,
     /// When it was reported draining or gone, if it was.
@@ -53,8 +54,8 @@
 }
 
 impl ServerRegistry {
-    /// Zones and kinds are numbered in the given order; zones that appear only in a list are
-    /// appended.
+    /// Creates a registry without servers. Zones and kinds are numbered in the given order; zones
+    /// that appear only in an endpoint list are appended.
     pub fn new(zones: &[String], kinds: &[String]) -> ServerRegistry {
         ServerRegistry { zones: zones.to_vec(), kinds: kinds.to_vec(), ..ServerRegistry::default() }
     }
@@ -172,7 +173,8 @@
     }
 
     /// Removes servers whose index the balancer no longer needs, and frees the indices for reuse.
-    /// Without this the indices would grow forever, because new processes have new ids.
+    /// Otherwise the indices would grow without bound, because each new server process has a new
+    /// id.
     pub fn forget_unused(&mut self, balancer: &Balancer) {
         let ServerRegistry { indices, free_indices, .. } = self;
         indices.retain(|_, server| {
--- a/crates/engine/src/shutdown.rs
+++ b/crates/engine/src/shutdown.rs
@@ -17,13 +17,13 @@
 use std::time::{Duration, Instant};
 
 /// How long connections are accepted after the request to shut down: a load balancer in front
-/// notices within 0.4 s.
+/// detects the shutdown within 0.4 s.
 const ACCEPT_TIME: Span = Span::from_millis(500);
 /// Minimum time between the last accepted connection and the last response, for the request that
 /// arrives on that connection.
 const MIN_LAST_REQUEST_TIME: Span = Span::from_millis(50);
-/// Time to write the responses that were decided last, on a core with little time for this proxy.
-/// SIGKILL comes 0.05 s after it.
+/// Time to write the last responses, on a CPU core that has little time for this proxy. SIGKILL
+/// comes 0.05 s after the end of this time.
 const WRITE_TIME: Duration = Duration::from_millis(200);
 /// The last response is due this long after the longest time limit, counted from the request to
 /// shut down. SIGKILL comes 0.7 s after the longest time limit.
@@ -32,7 +32,8 @@
 const TIME_LIMIT_CAP: Span = Span::from_secs(3);
 /// How often the open client connections are counted while requests are in progress.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// How often they are counted while the last responses are written, when less time is left.
+/// How often the open client connections are counted while the last responses are written, when
+/// less time is left.
 const WRITE_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The steps of a shutdown, as times after the request to shut down.
@@ -73,7 +74,8 @@
     while engine.open_clients() > 0 && engine.clock.now() < response_deadline {
         Timer::after(CHECK_INTERVAL).await;
     }
-    // Fails the remaining requests now, because a later response would be lost.
+    // Fails the remaining requests now, because a later response would be lost when the process
+    // exits.
     api::fail_all(engine);
     let write_deadline = engine.clock.instant(response_deadline) + WRITE_TIME;
     while engine.open_clients() > 0 && Instant::now() < write_deadline {
--- a/crates/engine/src/shutdown/tests.rs
+++ b/crates/engine/src/shutdown/tests.rs
@@ -3,10 +3,10 @@
 use super::*;
 
 /// For time limits from none to ten seconds, in ms: connections are accepted for at least as long
-/// as a load balancer in front sends them (400 ms), followed by the last response, its write and
-/// SIGKILL, each after the one before.
+/// as a load balancer in front sends them (400 ms). The last response, the end of its write and
+/// SIGKILL follow in this order.
 #[test]
-fn each_step_of_the_shutdown_is_in_time_whatever_the_limits_are() {
+fn each_step_of_the_shutdown_is_in_time_for_any_time_limit() {
     let steps = [0, 1, 300, 499, 500, 2_000, 3_000, 6_000, 30_000, 100_000].map(|limit| {
         let DrainSchedule { accept_for, last_response_after: last } =
             DrainSchedule::new(Span::from_ticks(limit));
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -21,9 +21,11 @@
     Ok(Span::from_ticks(integer(json_object, field)? / NANOSECONDS_PER_TICK))
 }
 
-/// Returns the index of a name in a list of the settings. `what` names the kind of list entry in the error.
-pub fn index_in(names: &[String], name: &str, field: &str, what: &str) -> FieldResult<usize> {
-    let unknown = || format!("field {field}: expected a {what} named in the settings, got \"{name}\"").into();
+/// Returns the index of a name in a list of the settings. `entry_kind` names the kind of list entry
+/// in the error.
+pub fn index_in(names: &[String], name: &str, field: &str, entry_kind: &str) -> FieldResult<usize> {
+    let unknown =
+        || format!("field {field}: expected a {entry_kind} named in the settings, got \"{name}\"").into();
     names.iter().position(|known| known == name).ok_or_else(unknown)
 }
 
@@ -43,7 +45,8 @@
     })
 }
 
-/// Refines the outcome of a completed attempt by where the value came from, as the field `info` says.
+/// Refines the outcome of a completed attempt by where the value came from, as the field `info`
+/// says.
 pub fn with_source(outcome: AttemptOutcome, event: &JsonObject) -> FieldResult<AttemptOutcome> {
     Ok(match (outcome, integer_or(event, "info", 0)?) {
         (AttemptOutcome::Completed, INFO_FROM_CACHE) => AttemptOutcome::CompletedFromCache,
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -181,7 +181,8 @@
     }
 }
 
-/// Converts an entry of an endpoint list. Assigns indices to its server and its zone if they have none.
+/// Converts an entry of an endpoint list. Assigns indices to its server and its zone if they have
+/// none.
 fn endpoint<'a>(
     entry: &'a JsonObject,
     names: &mut Names,
--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -11,13 +11,15 @@
 /// All instances, and the endpoint lists that the simulator has declared for them.
 #[derive(Default)]
 pub struct Instances {
-    /// The instances by number. A crashed instance stays as `None`, so that a late event for it is no error.
+    /// The instances by number. A crashed instance stays as `None`, so that a late event for it is
+    /// no error.
     instances: HashMap<u64, Option<Instance>>,
     lists: EndpointLists,
 }
 
 impl Instances {
-    /// Handles one line of the protocol and returns the reply: the actions for each group of events.
+    /// Handles one line of the protocol and returns the reply: the actions for each group of
+    /// events.
     pub fn handle_batch(&mut self, line: &str) -> FieldResult<Value> {
         let batch: Value = serde_json::from_str(line).map_err(|error| format!("not JSON: {error}"))?;
         let batch = object(&batch, "batch")?;
--- a/crates/time/src/lib.rs
+++ b/crates/time/src/lib.rs
@@ -1,9 +1,9 @@
 //! Timestamps and time spans, counted in ticks of a tenth of a millisecond.
 //!
-//! Decisions are pure: callers pass the time in, read from the engine's clock or a simulator's. A
-//! tick is short enough that rounding loses no configured limit, and a `u64` of ticks outlasts any
-//! process. Both types are stored and sent as their plain number of ticks. The crate does no I/O
-//! and reads no clock.
+//! Code that makes decisions reads no clock: its callers pass in the time of the engine's clock or
+//! of a simulator's. A tick is short enough that rounding loses no configured limit, and a `u64` of
+//! ticks outlasts any process. Both types are stored and sent as their plain number of ticks. The
+//! crate does no I/O and reads no clock.
 
 mod span;
 mod timestamp;
