--- a/crates/capture/tests/replay.rs
+++ b/crates/capture/tests/replay.rs
@@ -201,7 +201,7 @@
                 balancer.route_request(request_id, &mut proxy);
             }
             7..17 if !proxy.attempts.is_empty() => {
-                let (request_id, attempt, sent) =
+                let (request_id, attempt, sent_at) =
                     proxy.attempts.swap_remove(random_below(proxy.attempts.len() as u64) as usize);
                 let outcome = if random_below(4) > 0 {
                     AttemptOutcome::Completed
@@ -215,11 +215,11 @@
                     request_id.0,
                     attempt,
                     outcome,
-                    now - sent,
+                    now - sent_at,
                     finished,
                     None,
                 );
-                balancer.attempt_ended(request_id, attempt, outcome, now - sent, finished, &mut proxy);
+                balancer.attempt_ended(request_id, attempt, outcome, now - sent_at, finished, &mut proxy);
             }
             17 => {
                 let request_id = random_below(1 + step as u64 / 3);
--- a/crates/engine/src/budget.rs
+++ b/crates/engine/src/budget.rs
@@ -154,10 +154,10 @@
         with_timeout(IDLE_CLOSE_WAIT, share.acquire_arc().or(self.shared.acquire_arc())).await
     }
 
-    /// Marks a client's connection as idle, so that it may be asked to close through `close`.
-    /// `used` is whether it has carried a request.
-    pub fn mark_idle(&self, close: Sender<()>, used: bool) -> IdleTicket {
-        self.idle_clients.add(close, used)
+    /// Marks a client's connection as idle, so that it may be asked to close through
+    /// `close_sender`. `used` is whether it has carried a request.
+    pub fn mark_idle(&self, close_sender: Sender<()>, used: bool) -> IdleTicket {
+        self.idle_clients.add(close_sender, used)
     }
 
     /// Marks a client's connection as no longer idle: it is in use again, or closed.
--- a/crates/engine/src/close_schedule.rs
+++ b/crates/engine/src/close_schedule.rs
@@ -10,7 +10,8 @@
 /// The time from the shutdown request to the last response.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DrainWindow {
-    pub started: Timestamp,
+    /// When the shutdown was requested.
+    pub started_at: Timestamp,
     /// When every response must have been sent.
     pub response_deadline: Timestamp,
 }
@@ -74,9 +75,9 @@
     /// the close within the first second: a client that reconnects reaches that process, and a
     /// client that is told to close sends no request into the closing connection.
     fn close_times_of_drain(self, window: DrainWindow, superseded: bool) -> CloseTimes {
-        let DrainWindow { started, response_deadline } = window;
-        let near_deadline = started + (response_deadline - started) * (4000 + self.0) / 6000;
-        let within_first_second = started + self.offset(Span::from_millis(1));
+        let DrainWindow { started_at, response_deadline } = window;
+        let near_deadline = started_at + (response_deadline - started_at) * (4000 + self.0) / 6000;
+        let within_first_second = started_at + self.offset(Span::from_millis(1));
         CloseTimes {
             announce_from: if superseded { within_first_second } else { near_deadline },
             close_idle_from: near_deadline,
--- a/crates/engine/src/close_schedule/tests.rs
+++ b/crates/engine/src/close_schedule/tests.rs
@@ -12,7 +12,7 @@
 /// ms after the start.
 fn close_times_in_ms(drain_ms: Option<u64>, superseded: bool, out_of_service: bool) -> String {
     let drain_window = drain_ms.map(|window_ms| DrainWindow {
-        started: timestamp(START),
+        started_at: timestamp(START),
         response_deadline: timestamp(START) + Span::from_millis(window_ms),
     });
     let times = [0, 999].map(|position| {
--- a/crates/engine/src/dispatch.rs
+++ b/crates/engine/src/dispatch.rs
@@ -31,14 +31,14 @@
 }
 
 async fn run_attempt(engine: Rc<Engine>, pending: PendingAttempt) {
-    let started = engine.clock.now();
+    let started_at = engine.clock.now();
     let PendingAttempt { id, server, handle, .. } = &pending;
     let on_client_disconnected =
         || call(&engine, |requests, now| requests.client_disconnected(now, id.request_id));
     let attempt =
         Attempt { engine: &engine, pending: &pending, on_client_disconnected: &on_client_disconnected };
     let progress = attempt.run().await;
-    let took = engine.clock.now() - started;
+    let took = engine.clock.now() - started_at;
     let (outcome, response) = match progress {
         Progress::Ended { outcome, response } => (outcome, response),
         Progress::Streaming(streaming) => {
--- a/crates/engine/src/idle_clients.rs
+++ b/crates/engine/src/idle_clients.rs
@@ -17,7 +17,8 @@
 
 struct IdleClient {
     idle_since: Instant,
-    close: Sender<()>,
+    /// Asks the connection to close.
+    close_sender: Sender<()>,
 }
 
 impl IdleClient {
@@ -34,17 +35,18 @@
 }
 
 impl IdleClients {
-    /// Keeps at most `max_idle` connections idle; beyond that the first in order is closed.
+    /// Creates an empty set. At most `max_idle` connections stay idle; if one more is added, the
+    /// first in order is asked to close.
     pub fn new(max_idle: usize) -> IdleClients {
         IdleClients { clients: RefCell::default(), next_number: Cell::new(0), max_idle }
     }
 
-    /// Adds a connection, which can be asked to close through `close`. `used` is whether it has
-    /// carried a request.
-    pub fn add(&self, close: Sender<()>, used: bool) -> IdleTicket {
+    /// Adds a connection, which can be asked to close through `close_sender`. `used` is whether it
+    /// has carried a request.
+    pub fn add(&self, close_sender: Sender<()>, used: bool) -> IdleTicket {
         let ticket = IdleTicket { used, number: self.next_number.get() };
         self.next_number.set(ticket.number + 1);
-        let client = IdleClient { idle_since: Instant::now(), close };
+        let client = IdleClient { idle_since: Instant::now(), close_sender };
         self.clients.borrow_mut().insert(ticket, client);
         if self.clients.borrow().len() > self.max_idle {
             self.close_first();
@@ -65,6 +67,6 @@
         let first = first.map(|(ticket, _)| *ticket);
         first
             .and_then(|ticket| clients.remove(&ticket))
-            .is_some_and(|client| client.close.try_send(()).is_ok())
+            .is_some_and(|client| client.close_sender.try_send(()).is_ok())
     }
 }
--- a/crates/engine/src/servers.rs
+++ b/crates/engine/src/servers.rs
@@ -134,7 +134,7 @@
             Endpoint {
                 server,
                 id: &endpoint.id,
-                zone: self.zone_number(&endpoint.zone),
+                zone: self.zone_index(&endpoint.zone),
                 kind: self.kinds.iter().position(|kind| *kind == endpoint.kind).unwrap_or(usize::MAX),
                 cell: endpoint.cell,
                 weight_hundredths: endpoint.weight_hundredths,
@@ -165,7 +165,7 @@
         status
     }
 
-    fn zone_number(&mut self, zone: &str) -> usize {
+    fn zone_index(&mut self, zone: &str) -> usize {
         self.zones.iter().position(|known| known == zone).unwrap_or_else(|| {
             self.zones.push(zone.to_string());
             self.zones.len() - 1
--- a/crates/engine/src/shutdown.rs
+++ b/crates/engine/src/shutdown.rs
@@ -59,7 +59,7 @@
 pub async fn run(engine: &Rc<Engine>, accept_task: Task<()>, requested_at: Timestamp) {
     let schedule = DrainSchedule::new(engine.classes.max_time_limit());
     let response_deadline = requested_at + schedule.last_response_after;
-    engine.begin_drain(DrainWindow { started: requested_at, response_deadline });
+    engine.begin_drain(DrainWindow { started_at: requested_at, response_deadline });
     let superseded = engine.lifecycle.is_superseded();
     info!(engine.log, "draining";
         "open" => engine.requests.borrow().open_request_count(), "succeeded" => superseded);
