--- a/crates/engine/src/background.rs
+++ b/crates/engine/src/background.rs
@@ -44,9 +44,9 @@
         }
         engine.pool.close_stale();
         stale_sweeps += 1;
-        let clients_left_waiting = engine.requests.borrow().clients_left_waiting();
-        if stale_sweeps.is_multiple_of(STALE_SWEEPS_PER_REPORT) && clients_left_waiting != last_logged {
-            last_logged = clients_left_waiting;
+        let abandoned_requests = engine.requests.borrow().abandoned_requests();
+        if stale_sweeps.is_multiple_of(STALE_SWEEPS_PER_REPORT) && abandoned_requests != last_logged {
+            last_logged = abandoned_requests;
             log_counters(&engine, "clients left");
         }
     }
@@ -55,9 +55,9 @@
 /// Logs the totals since the start: requests whose client disconnected while they waited, attempts
 /// withheld because their request was already over, and violations.
 pub(crate) fn log_counters(engine: &Engine, event: &'static str) {
-    let clients_left_waiting = engine.requests.borrow().clients_left_waiting();
+    let abandoned_requests = engine.requests.borrow().abandoned_requests();
     let violations = engine.violations.total();
     info!(engine.log, "{}", event;
-        "left_waiting" => clients_left_waiting, "withheld" => engine.refused_attempts.for_finished_requests(),
+        "left_waiting" => abandoned_requests, "withheld" => engine.refused_attempts.for_finished_requests(),
         "violations" => violations);
 }
--- a/crates/engine/src/request_table.rs
+++ b/crates/engine/src/request_table.rs
@@ -28,7 +28,7 @@
     /// The servers of the endpoint list.
     pub servers: ServerRegistry,
     /// Number of requests whose client left before any of their attempts was written.
-    clients_left_waiting: u64,
+    abandoned_requests: u64,
 }
 
 /// How an attempt ended.
@@ -63,7 +63,7 @@
         if settings.get(WATCHED_SETTING).is_none_or(|watched| watched != "1") {
             _ = sink.signals.watch_requested.try_send(());
         }
-        RequestTable { balancer, settings: settings.clone(), sink, servers, clients_left_waiting: 0 }
+        RequestTable { balancer, settings: settings.clone(), sink, servers, abandoned_requests: 0 }
     }
 
     /// Returns the balancer and the effect sink, both advanced to the present time. Most calls to
@@ -96,8 +96,8 @@
     }
 
     /// The number of requests so far whose client left before any of their attempts was written.
-    pub fn clients_left_waiting(&self) -> u64 {
-        self.clients_left_waiting
+    pub fn abandoned_requests(&self) -> u64 {
+        self.abandoned_requests
     }
 
     /// Accepts and routes a request. Its final response is sent on the returned channel.
@@ -202,7 +202,7 @@
             && open_request.response_sender.take().is_some()
             && !open_request.attempts.iter().any(|attempt| attempt.is_written())
         {
-            self.clients_left_waiting += 1;
+            self.abandoned_requests += 1;
         }
         self.sink.record_event(|| Event::ClientLeft(request_id.0));
         self.balancer.client_disconnected(request_id, &mut self.sink);
