--- a/crates/capture/tests/replay.rs
+++ b/crates/capture/tests/replay.rs
@@ -201,7 +201,7 @@
                 balancer.route_request(request_id, &mut proxy);
             }
             7..17 if !proxy.attempts.is_empty() => {
-                let (request_id, attempt, sent) =
+                let (request_id, attempt, sent_at) =
                     proxy.attempts.swap_remove(random_below(proxy.attempts.len() as u64) as usize);
                 let outcome = if random_below(4) > 0 {
                     AttemptOutcome::Completed
@@ -215,11 +215,11 @@
                     request_id.0,
                     attempt,
                     outcome,
-                    now - sent,
+                    now - sent_at,
                     finished,
                     None,
                 );
-                balancer.attempt_ended(request_id, attempt, outcome, now - sent, finished, &mut proxy);
+                balancer.attempt_ended(request_id, attempt, outcome, now - sent_at, finished, &mut proxy);
             }
             17 => {
                 let request_id = random_below(1 + step as u64 / 3);
@@ -259,7 +259,8 @@
     assert!(whole.compared_snapshots > 20 && whole.resumed_snapshots == 0, "{whole:?}");
     let again = replay(items.iter());
     assert_eq!((again.calls, again.decisions, again.differing_calls), (whole.calls, whole.decisions, 0));
-    // A crash can truncate the capture at any byte. What remains has to replay without a difference.
+    // A crash can truncate the capture at any byte. What remains has to replay without a
+    // difference.
     for nth in 0..1000 {
         let offset = bytes.len() * nth / 1000;
         let truncated = read_segment(&bytes[..offset]).unwrap();
