--- a/crates/testbed/src/baseline/mod.rs
+++ b/crates/testbed/src/baseline/mod.rs
@@ -1,6 +1,6 @@
 //! Baseline proxies: simple proxies of the testbed to compare a measured proxy with. They speak the
 //! platform's protocol and make almost no routing decisions. Each can break one rule on purpose, so
-//! that a test can show that the judge detects it.
+//! that a test can show that the oracle detects it.
 
 mod endpoints;
 mod proxy;
@@ -23,8 +23,8 @@
 /// How a baseline proxy chooses a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Strategy {
-    /// Passes each request to the server chosen by its key's hash and does not retry; only a miss is
-    /// followed by an attempt at the origin. This is the lowest possible cost per request.
+    /// Passes each request to the server chosen by its key's hash and does not retry; only a miss
+    /// is followed by an attempt at the origin. This is the lowest possible cost per request.
     Relay,
     /// A random ready server in the proxy's zone; another random one after a failure.
     Random,
--- a/crates/testbed/src/baseline/proxy.rs
+++ b/crates/testbed/src/baseline/proxy.rs
@@ -32,7 +32,7 @@
     pub endpoints: RefCell<Endpoints>,
     pub pool: RefCell<HashMap<SocketAddr, Vec<Connection>>>,
     pub random: RefCell<ChaCha8Rng>,
-    /// How many requests came so far of those for which the rule can be broken.
+    /// Number of requests so far for which the rule can be broken.
     pub request_count: Cell<u64>,
     /// The value of the last answer.
     pub last_value: RefCell<Vec<u8>>,
--- a/crates/testbed/src/cli/play.rs
+++ b/crates/testbed/src/cli/play.rs
@@ -44,7 +44,8 @@
     StartSettings { command, supervisor: std::env::current_exe().ok(), directory, operator_texts }
 }
 
-/// Reads the operator's files that an experiment names by paths relative to the directory of its own file.
+/// Reads the operator's files that an experiment names by paths relative to the directory of its
+/// own file.
 fn operator_files(experiment: &Experiment, base: &Path) -> Result<Vec<String>, CliError> {
     let read = |name: &String| {
         let path = base.join(name);
@@ -61,7 +62,7 @@
     command: Option<String>,
     logs: Option<PathBuf>,
 ) -> Result<RunResult, CliError> {
-    let keep_folder = logs.is_some();
+    let keep_directory = logs.is_some();
     let directory = work_directory(logs);
     let operator_texts = operator_files(&experiment, path.parent().unwrap_or(Path::new(".")))?;
     let command = match command {
@@ -71,7 +72,7 @@
     };
     let result =
         run::run_experiment(experiment, start_settings(command, directory.clone(), operator_texts), true);
-    if !keep_folder && result.as_ref().is_ok_and(RunResult::passed) {
+    if !keep_directory && result.as_ref().is_ok_and(RunResult::passed) {
         _ = std::fs::remove_dir_all(&directory);
     } else {
         eprintln!("logs of the proxies: {}", directory.display());
@@ -142,7 +143,7 @@
     for round in 0..rounds.max(1) {
         for (command, figures) in commands.iter().zip(&mut runs) {
             let mut experiment = experiment.clone();
-            // All commands of a round get the same plan; each round has another one.
+            // All commands of a round get the same plan; each round has a plan of its own.
             experiment.seed = experiment.seed.wrapping_add(round as u64);
             let result = run_experiment(experiment, &path, Some(command.clone()), None)?;
             figures.push(result.figures);
--- a/crates/testbed/src/cli/processes.rs
+++ b/crates/testbed/src/cli/processes.rs
@@ -1,4 +1,4 @@
-//! Subcommands whose process becomes, or is, a proxy: `keep` and `proxy`.
+//! Subcommands that run a proxy in their own process: `keep` and `proxy`.
 
 use super::arguments::expect_no_more;
 use super::error::CliError;
@@ -8,7 +8,8 @@
 use std::os::unix::process::CommandExt;
 use std::process::{Command, ExitCode};
 
-/// `keep`: replaces this process by another program, which the system kills when this process's parent ends.
+/// `keep`: replaces this process by another program, which the system kills when this process's
+/// parent ends.
 pub fn keep(args: Arguments) -> Result<ExitCode, CliError> {
     let parent = getppid();
     set_parent_process_death_signal(Some(Signal::KILL)).map_err(CliError::Keep)?;
--- a/crates/testbed/src/clock.rs
+++ b/crates/testbed/src/clock.rs
@@ -1,5 +1,6 @@
 //! The clock of a run, in microseconds since the load started. The proxy's own time unit, a tenth
-//! of a millisecond, is too coarse: on loopback a relay adds less than one such unit.
+//! of a millisecond, is too coarse: on loopback a proxy that only
+//! relays requests adds less latency than one such unit.
 
 use std::sync::{Arc, OnceLock};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -17,7 +18,7 @@
     (seconds.max(0.0) * 1e6).round() as Micros
 }
 
-/// Converts to seconds, for display.
+/// Converts microseconds to seconds, for display.
 pub fn seconds_from_micros(at: Micros) -> f64 {
     at as f64 / 1e6
 }
--- a/crates/testbed/src/evidence.rs
+++ b/crates/testbed/src/evidence.rs
@@ -28,7 +28,7 @@
     },
     /// The connection of a request ended or failed without an answer.
     Unanswered {
-        /// Whether it was reset or closed; false if the bytes that came are not a valid response.
+        /// Whether it was reset or closed; false if the received bytes are not a valid response.
         is_connection_closed: bool,
         /// Whether no earlier request was answered on this connection.
         is_first_on_connection: bool,
@@ -37,7 +37,7 @@
     ClientCancelled,
     /// No proxy accepted a connection for the request.
     NoProxy,
-    /// More bytes came on a client's connection than the answers to its requests.
+    /// More bytes arrived on a client's connection than the answers to its requests have.
     UnexpectedBytes,
     /// The first byte of an attempt has reached a server.
     AttemptStarted {
@@ -73,7 +73,7 @@
         /// At which server.
         server: NodeIndex,
     },
-    /// The list's server has written to a proxy that a server is off, or that it is back.
+    /// The list's server has written to a proxy that a server is off or back in service.
     Notified {
         /// Which server.
         server: NodeIndex,
--- a/crates/testbed/src/experiment/bounds.rs
+++ b/crates/testbed/src/experiment/bounds.rs
@@ -1,4 +1,5 @@
-//! The tables `[rules]` and `[bounds]`: the tolerances of the rules, and limits of the figures of a run.
+//! The tables `[rules]` and `[bounds]`: the tolerances of the rules, and limits of the figures of a
+//! run.
 
 use serde::Deserialize;
 
@@ -13,8 +14,8 @@
     /// How long after the grace period of a drain an attempt may still start.
     #[serde(rename = "drain_ms")]
     pub drain_tolerance_ms: f64,
-    /// The longest time from the end of the last attempt to a rejection; a longer one breaks
-    /// the rule against delayed rejections.
+    /// The longest time from the last event that a refusal could have waited for, such as the end
+    /// of the last attempt, to the refusal; a longer one breaks the rule of prompt refusals.
     #[serde(rename = "held_ms")]
     pub max_rejection_delay_ms: f64,
     /// How long an abandoned attempt may overlap the next one.
--- a/crates/testbed/src/experiment/check.rs
+++ b/crates/testbed/src/experiment/check.rs
@@ -21,7 +21,8 @@
 }
 
 impl Check<'_> {
-    /// The line of the first occurrence of a field in a table, for fields whose values have no span.
+    /// The line of the first occurrence of a field in a table, for fields whose values have no
+    /// span.
     fn line_of_field(&self, table: &str, field: &str) -> usize {
         let mut in_table = table.is_empty();
         for (i, line) in self.text.lines().enumerate() {
--- a/crates/testbed/src/experiment/choices.rs
+++ b/crates/testbed/src/experiment/choices.rs
@@ -2,7 +2,8 @@
 //! strings, so that the check can report all problems at once; the rest of the code uses these
 //! enums.
 
-/// Declares an enum whose variants have names in the experiment file; the first variant is the default.
+/// Declares an enum whose variants have names in the experiment file; the first variant is the
+/// default.
 macro_rules! choices {
     ($(#[$doc:meta])* $name:ident { $($(#[$variant_doc:meta])* $variant:ident = $text:literal),+ $(,)? }) => {
         $(#[$doc])*
--- a/crates/testbed/src/experiment/environment.rs
+++ b/crates/testbed/src/experiment/environment.rs
@@ -15,7 +15,7 @@
     pub servers: usize,
     /// The name of a [`CacheMode`].
     pub(super) mode: String,
-    /// Cores of each server.
+    /// Number of cores of each server.
     pub cores: usize,
     /// Maximum number of requests that wait for a core; further ones are refused.
     #[serde(rename = "queue")]
@@ -23,7 +23,8 @@
     /// Maximum number of values that a server caches; the least recently used one is evicted first.
     #[serde(rename = "values")]
     pub max_cached_values: usize,
-    /// The share of the keys that is cached when the load begins, counted from the most requested key on.
+    /// The share of the keys that is cached when the load begins, counted from the most requested
+    /// key on.
     #[serde(rename = "kept")]
     pub cached_share: f64,
     /// The speed of a server just after its start, as a share of its full speed.
@@ -32,10 +33,10 @@
     /// How long a server takes from its start to full speed, in seconds.
     #[serde(rename = "cold_s")]
     pub slow_start_s: f64,
-    /// A server in slow start collapses when it gets more than this multiple of its capacity, ...
+    /// Multiple of its capacity above which the load makes a server in slow start collapse.
     #[serde(rename = "fall_multiple")]
     pub collapse_multiple: f64,
-    /// ... measured over a window of this many seconds.
+    /// Length of the window over which the load for `collapse_multiple` is measured, in seconds.
     #[serde(rename = "fall_s")]
     pub collapse_window_s: f64,
     /// Maximum number of connections of a server; it refuses requests on further ones.
@@ -53,7 +54,8 @@
     pub origin_queue: usize,
     /// The origin's mean processing time of a request, in milliseconds.
     pub origin_ms: f64,
-    /// By how much each request in progress at the origin slows it down, as a share of its mean time.
+    /// By how much each request in progress or queued at the origin slows down a new one, as a
+    /// share of the new one's processing time.
     #[serde(rename = "origin_drag")]
     pub origin_contention: f64,
     /// Maximum number of connections of the origin.
@@ -113,7 +115,8 @@
     /// The name of a [`Protocol`].
     #[serde(rename = "door")]
     pub(super) protocol: String,
-    /// Whether proxies count each other through etcd, where etcd is the source of the endpoint list.
+    /// Whether proxies count each other through etcd, where etcd is the source of the endpoint
+    /// list.
     #[serde(rename = "count")]
     pub count_peers: bool,
     /// Operator's files, by paths relative to the experiment file's directory. Each proxy starts
--- a/crates/testbed/src/experiment/faults.rs
+++ b/crates/testbed/src/experiment/faults.rs
@@ -16,7 +16,8 @@
     Loses,
     /// A server stalls, and continues its work afterwards.
     StandsStill,
-    /// A server's machine sends nothing any more, not even a reset; the server returns in slow start.
+    /// A server's machine sends nothing any more, not even a reset; the server returns in slow
+    /// start.
     Vanishes,
     /// A server's process dies, its connections are reset, and it returns in slow start.
     Restarts,
@@ -56,13 +57,15 @@
     ProxyKill,
     /// A proxy gets SIGTERM and is restarted.
     ProxyTerm,
-    /// A proxy gets SIGHUP with a configuration that moves the discovery service to its other address.
+    /// A proxy gets SIGHUP with a configuration that moves the discovery service to its other
+    /// address.
     ProxyHup,
     /// A proxy gets SIGSTOP, and SIGCONT later.
     ProxyStop,
     /// Proxies are restarted one after the other, a share of them by SIGKILL.
     RestartWave,
-    /// A proxy's operator's file is overwritten with the next one repeatedly, each time with SIGHUP.
+    /// A proxy's operator's file is overwritten with the next one repeatedly, each time with
+    /// SIGHUP.
     Reload,
     /// The etcd cluster is down.
     EtcdDown,
--- a/crates/testbed/src/experiment/load.rs
+++ b/crates/testbed/src/experiment/load.rs
@@ -1,4 +1,5 @@
-//! The tables `[load]` and `[[namespace]]`: the rate of requests, the clients and the request classes.
+//! The tables `[load]` and `[[namespace]]`: the rate of requests, the clients and the request
+//! classes.
 
 use super::choices::{DedupGroup, Repeats};
 use super::defaults;
@@ -33,7 +34,7 @@
     /// Maximum number of a client's retries after an outcome that allows them.
     #[serde(default)]
     pub retries: u32,
-    /// The share of the clients that honor `Retry-After`.
+    /// The share of the requests whose client honors `Retry-After`.
     #[serde(rename = "heed", default = "defaults::share")]
     pub honor_retry_after: f64,
     /// Backoff before a retry without `Retry-After`, in milliseconds; it doubles with each retry.
@@ -45,7 +46,8 @@
     /// Times at which many clients cancel together.
     #[serde(rename = "gust", default)]
     pub cancellation_bursts: Vec<CancellationBurst>,
-    /// Number of connections that are opened at the beginning, carry one request each, and stay open.
+    /// Number of connections that are opened at the beginning, carry one request each, and stay
+    /// open.
     #[serde(rename = "hold", default)]
     pub held_connections: usize,
 }
@@ -99,7 +101,7 @@
     pub share: f64,
 }
 
-/// A request class; the wire and the settings call it a namespace.
+/// A request class; experiment files and the proxies' settings call it a namespace.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestClass {
--- a/crates/testbed/src/experiment/mod.rs
+++ b/crates/testbed/src/experiment/mod.rs
@@ -2,7 +2,8 @@
 //! read from one TOML file. Unknown keys, values out of range and contradictions are errors; all
 //! errors of values are reported at once, with their lines.
 //!
-//! The keys of the file are older than the names in the code and do not change: `serde(rename)` maps them.
+//! The keys of the file are older than the names in the code and do not change: `serde(rename)`
+//! maps them.
 
 mod bounds;
 mod check;
@@ -41,7 +42,8 @@
     /// gives the same arrivals.
     #[serde(default = "defaults::seed")]
     pub seed: u64,
-    /// For how long requests arrive, in seconds. Requests that are open then still get their full time limit.
+    /// For how long requests arrive, in seconds. Requests that are open then still get their full
+    /// time limit.
     pub seconds: f64,
     /// The servers, the origin and the endpoint list.
     #[serde(default)]
@@ -102,7 +104,8 @@
         &self.world.zones[i % self.world.zones.len()]
     }
 
-    /// The cell of a server: two servers of one zone form a cell. Cells are numbered from 1 over all zones.
+    /// The cell of a server: two servers of one zone form a cell. Cells are numbered from 1 over
+    /// all zones.
     pub fn cell_of(&self, server: usize) -> u64 {
         let zones = self.world.zones.len();
         ((server / zones / SERVERS_PER_CELL) * zones + server % zones) as u64 + 1
--- a/crates/testbed/src/fleet/actions.rs
+++ b/crates/testbed/src/fleet/actions.rs
@@ -99,7 +99,8 @@
         self.wait_for_end(proxy, Micros::MAX).await;
     }
 
-    /// Sends SIGTERM, and SIGKILL if the process has not ended within the platform's termination period.
+    /// Sends SIGTERM, and SIGKILL if the process has not ended within the platform's termination
+    /// period.
     async fn terminate(&self, proxy: usize, load_balancer: &LoadBalancer) {
         let experiment = &self.services.experiment;
         self.signal(proxy, Signal::TERM, "TERM");
--- a/crates/testbed/src/fleet/config.rs
+++ b/crates/testbed/src/fleet/config.rs
@@ -68,7 +68,8 @@
     table
 }
 
-/// The operator's file's table for the source of the endpoint list; empty if the source is the platform.
+/// The operator's file's table for the source of the endpoint list; empty if the source is the
+/// platform.
 fn membership_table(services: &SimulatedServices, proxy: usize, list: &Path) -> String {
     let fleet = &services.experiment.fleet;
     match fleet.list_source() {
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -1,6 +1,6 @@
 //! The processes of the proxies: started by a command, controlled by signals and measured from
-//! outside. Each process is stopped by its id in any case: it is started through the subcommand
-//! `keep`, so that the kernel kills it when the testbed's process ends.
+//! outside. The testbed stops each process by its id. If the testbed itself is killed, the kernel
+//! kills the processes, because they are started through the subcommand `keep`.
 
 mod actions;
 mod config;
@@ -33,7 +33,8 @@
 /// How proxies are started.
 #[derive(Clone, Debug)]
 pub struct StartSettings {
-    /// The shell command of a proxy. It runs with `ROUTER_CONFIG` and the platform's other variables set.
+    /// The shell command of a proxy. It runs with `ROUTER_CONFIG` and the platform's other
+    /// variables set.
     pub command: String,
     /// The path of the testbed's executable, for `keep`. Without it, proxies outlive a testbed that
     /// is killed.
@@ -62,7 +63,7 @@
     services: Arc<SimulatedServices>,
     start: StartSettings,
     processes: Vec<Mutex<ProxyProcess>>,
-    /// The proxies' list files, if the list source is a file; else empty.
+    /// The proxies' list files, if the list source is a file; otherwise empty.
     lists: Vec<ListFile>,
     /// The resources that the proxies used, in order of time.
     pub samples: Mutex<Vec<Sample>>,
@@ -75,7 +76,8 @@
 /// Interval at which the testbed checks whether a proxy is ready or has exited.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
-/// Time from SIGTERM to SIGKILL in addition to the longest time limit (at most 3 s), as on the platform.
+/// Time from SIGTERM to SIGKILL in addition to the longest time limit (at most 3 s), as on the
+/// platform.
 const KILL_GRACE: Micros = 700_000;
 const MAX_TIME_LIMIT: Micros = 3 * SECOND;
 
--- a/crates/testbed/src/load/clients.rs
+++ b/crates/testbed/src/load/clients.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 /// Maximum number of open requests of all clients. Beyond it the machine is overloaded, and further
-/// requests count as not sent.
+/// requests are neither sent nor recorded.
 const MAX_OPEN_REQUESTS: usize = 50_000;
 /// Maximum number of times that a backoff is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
@@ -48,7 +48,7 @@
 }
 
 /// Whether a client may repeat a request whose effect is unknown. Tagged requests may be repeated
-/// only if every server drops the repeats; they do so only within the deduplication window.
+/// only if every server drops the repeats, which servers do only within the deduplication window.
 fn is_safe_to_repeat(class: &RequestClass) -> bool {
     match class.repeats() {
         Repeats::Replayable => true,
@@ -83,7 +83,7 @@
         })
     }
 
-    /// Sends the requests of the plan when they are due, to the last arrival.
+    /// Sends the requests of the plan when they are due, until the last arrival.
     pub async fn run_plan(self: Arc<Clients>, executor: Arc<Executor<'static>>) {
         for held in 0..self.experiment.load.held_connections {
             let arrival = self.held_arrival(held);
--- a/crates/testbed/src/load/connection.rs
+++ b/crates/testbed/src/load/connection.rs
@@ -1,4 +1,5 @@
-//! One connection of a client to a proxy: writes requests and reads responses in the experiment's protocol.
+//! One connection of a client to a proxy: writes requests and reads responses in the experiment's
+//! protocol.
 
 use crate::clock::{Micros, micros_from_seconds, seconds_from_micros};
 use crate::evidence::RequestId;
--- a/crates/testbed/src/load/load_balancer.rs
+++ b/crates/testbed/src/load/load_balancer.rs
@@ -29,7 +29,8 @@
         lock(&self.rotation).serving[proxy] = Some(self.clock.now()..Micros::MAX);
     }
 
-    /// Marks a proxy as dead or draining; it still gets connections until the detection delay has passed.
+    /// Marks a proxy as dead or draining; it still gets connections until the detection delay has
+    /// passed.
     pub fn mark_down(&self, proxy: usize, delay: Micros) {
         let detected_at = self.clock.now() + delay;
         if let Some(serving) = &mut lock(&self.rotation).serving[proxy] {
--- a/crates/testbed/src/load/mod.rs
+++ b/crates/testbed/src/load/mod.rs
@@ -1,5 +1,5 @@
 //! Open-loop load: a random plan of request arrivals, and the clients that send the requests on
-//! time, whatever the state of earlier requests.
+//! time, regardless of the state of earlier requests.
 
 pub mod clients;
 mod connection;
--- a/crates/testbed/src/load/plan.rs
+++ b/crates/testbed/src/load/plan.rs
@@ -7,7 +7,8 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
 
-/// Makes the plan's random numbers independent of those of the simulated services, which use the seed itself.
+/// Makes the plan's random numbers independent of those of the simulated services, which use the
+/// seed itself.
 const PLAN_SEED_MASK: u64 = 0x10ad;
 
 /// A first request and its client's behavior.
@@ -29,7 +30,8 @@
     pub honors_retry_after: bool,
 }
 
-/// A discrete distribution, as cumulative sums of its weights. A number from 0 to 1 selects an index.
+/// A discrete distribution, as cumulative sums of its weights. A number from 0 to 1 selects an
+/// index.
 struct Shares(Vec<f64>);
 
 impl Shares {
@@ -99,7 +101,8 @@
         key
     }
 
-    /// Draws after how many seconds the client cancels, by itself or in a burst together with others.
+    /// Draws after how many seconds the client cancels, by itself or in a burst together with
+    /// others.
     fn draw_cancellation(&mut self, limit: f64) -> Option<f64> {
         let load = &self.experiment.load;
         let cancels = self.draw() < load.cancel_share;
@@ -121,7 +124,8 @@
 
     /// The order of the random draws determines the plan: the same seed has to give the same plan.
     fn next(&mut self) -> Option<Arrival> {
-        // A Poisson process: the time to the next arrival is exponentially distributed, at the current rate.
+        // A Poisson process: the time to the next arrival is exponentially distributed, at the
+        // current rate.
         self.at += -(1.0 - self.draw()).ln() / self.rate();
         if self.at >= self.experiment.seconds {
             return None;
@@ -146,6 +150,7 @@
 
 /// The id of the n-th request of a run. All ids of a run differ, and successive ids are dissimilar.
 pub fn request_id(seed: u64, n: u64) -> u64 {
-    // Multiplying by an odd number modulo 2^64 is a bijection; this one is 2^64 divided by the golden ratio.
+    // Multiplying by an odd number modulo 2^64 is a bijection; this one is 2^64 divided by the
+    // golden ratio.
     n.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ seed.rotate_left(32)
 }
--- a/crates/testbed/src/measure/during_faults.rs
+++ b/crates/testbed/src/measure/during_faults.rs
@@ -28,10 +28,10 @@
     pub recovered_s: Option<f64>,
 }
 
-/// Service counts as recovered if the share in time is at most this much below the share before the
-/// faults ...
+/// Service counts as recovered if, for `RECOVERED_SECONDS` consecutive seconds, the share in time
+/// is at most this much below the share before the faults.
 const RECOVERY_TOLERANCE: f64 = 0.02;
-/// ... in each of this many consecutive seconds.
+/// Number of consecutive seconds for which service has to be back at its earlier level.
 const RECOVERED_SECONDS: usize = 3;
 
 impl DuringFaults {
--- a/crates/testbed/src/measure/firsts.rs
+++ b/crates/testbed/src/measure/firsts.rs
@@ -7,9 +7,10 @@
 use crate::oracle::{Outcome, RequestRecord};
 use std::collections::HashMap;
 
-/// Length of the windows of which the worst is reported.
+/// Length of the windows; the worst window is reported.
 const WINDOW_LENGTH: Micros = 5 * SECOND;
-/// Windows with fewer first requests are left out: a share of so few says little.
+/// Windows with fewer first requests are left out, because a share of so few requests is mostly
+/// random.
 const MIN_WINDOW_REQUESTS: usize = 20;
 
 /// A first request with the combined result of the client's tries: when one of them was served, if
--- a/crates/testbed/src/measure/mod.rs
+++ b/crates/testbed/src/measure/mod.rs
@@ -1,5 +1,5 @@
-//! Computes the figures of a run from the records that the judge gathered. Some JSON keys are older
-//! than the field names: `serde(rename)` keeps them unchanged.
+//! Computes the figures of a run from the records that the oracle gathered. Some JSON keys are
+//! older than the field names: `serde(rename)` keeps them unchanged.
 
 mod bounds;
 mod classes;
@@ -98,7 +98,7 @@
     pub busiest_share: f64,
     /// Share of the first requests of which some try was served within the latency objective.
     pub in_time: f64,
-    /// The same in the worst window of five seconds.
+    /// The same share in the worst window of five seconds.
     pub worst_window: f64,
     /// Service and load while faults were active, and the time until recovery; `None` if the run
     /// has no fault, or one that outlasts it.
@@ -126,7 +126,7 @@
     /// CPU time of all proxies divided by the answered requests, in microseconds.
     #[serde(rename = "cpu_us_per_lookup")]
     pub cpu_us_per_request: f64,
-    /// Peak memory of the proxy that used the most.
+    /// Peak memory of the proxy that used the most, in megabytes.
     pub memory_mb_peak: f64,
     /// 99th percentile of the testbed's own delay in sending due requests, in milliseconds.
     #[serde(rename = "lab_late_p99_ms")]
--- a/crates/testbed/src/measure/steps.rs
+++ b/crates/testbed/src/measure/steps.rs
@@ -31,7 +31,7 @@
     pub in_flight: Vec<usize>,
     /// CPU use in cores, by proxy.
     pub cpu: Vec<f64>,
-    /// Peak memory, by proxy.
+    /// Peak memory in megabytes, by proxy.
     pub memory_mb: Vec<f64>,
 }
 
--- a/crates/testbed/src/measure/traffic.rs
+++ b/crates/testbed/src/measure/traffic.rs
@@ -50,7 +50,7 @@
     (0..proxies).map(used).sum()
 }
 
-/// Peak memory of the proxy that used the most.
+/// Peak memory of the proxy that used the most, in megabytes.
 pub(super) fn peak_memory_mb(samples: &[Sample]) -> f64 {
     samples.iter().map(|sample| sample.memory_kb).max().unwrap_or(0) as f64 / 1024.0
 }
--- a/crates/testbed/src/model/etcd.rs
+++ b/crates/testbed/src/model/etcd.rs
@@ -7,7 +7,7 @@
 
 /// Number of endpoints in the cluster.
 pub const ENDPOINT_COUNT: usize = 3;
-/// The endpoint that lags in a fault that makes one endpoint lag.
+/// The endpoint that the fault `etcd-behind` makes lag.
 const LAGGING_ENDPOINT: usize = 2;
 /// Calls that need a quorum fail after this time where there is none, as with the timeout of an
 /// etcd server.
--- a/crates/testbed/src/model/server.rs
+++ b/crates/testbed/src/model/server.rs
@@ -79,10 +79,10 @@
     pub slow_start_share: f64,
     /// Time from a start to full speed.
     pub slow_start: Micros,
-    /// In slow start, a server collapses if it receives more than this multiple of the work that it
-    /// can do ...
+    /// A server in slow start collapses if it receives more than this multiple of the work that it
+    /// can do within `collapse_window`.
     pub collapse_multiple: f64,
-    /// ... within this window.
+    /// Length of the window over which the received work is measured.
     pub collapse_window: Micros,
     /// Whether it fetches values that it has not cached from the origin itself (read-through).
     pub read_through: bool,
@@ -103,7 +103,7 @@
 /// looks the key up.
 const LOOKUP_WORK_DIVISOR: Micros = 8;
 /// Tolerance above the work budget of a server in slow start, as a number of requests of the
-/// arriving size: arrivals are random.
+/// arriving size: random arrivals come in bursts.
 const COLLAPSE_SLACK_REQUESTS: Micros = 8;
 
 /// The misbehaviors that affect one attempt.
@@ -166,8 +166,8 @@
         self.cache.contains(&key)
     }
 
-    /// Whether a process in slow start has received more work than it can bear. Adds the attempt's
-    /// work to the window.
+    /// Whether a process in slow start has received more work than it can handle. Adds the
+    /// attempt's work to the window.
     fn is_overloaded_by(&mut self, now: Micros, attempt: &AttemptInput) -> bool {
         let spec = &self.spec;
         if self.started == 0 || now >= self.started + spec.slow_start {
--- a/crates/testbed/src/model/store/mod.rs
+++ b/crates/testbed/src/model/store/mod.rs
@@ -138,7 +138,7 @@
     }
 
     /// A key's state as of a revision; `None` if the key does not exist at that revision.
-    fn at(&self, log_indexes: &[usize], revision: i64) -> Option<&Item> {
+    fn item_at(&self, log_indexes: &[usize], revision: i64) -> Option<&Item> {
         let items = log_indexes.iter().rev().map(|i| &self.log[*i]);
         items.into_iter().find(|item| item.mod_revision <= revision).filter(|item| item.value.is_some())
     }
@@ -160,7 +160,7 @@
             return Err(StoreError::Compacted(self.compacted));
         }
         let keys = self.keys.range(from.to_vec()..).take_while(|(key, _)| is_in_range(key, from, end));
-        let mut found = keys.filter_map(|(_, log_indexes)| self.at(log_indexes, revision));
+        let mut found = keys.filter_map(|(_, log_indexes)| self.item_at(log_indexes, revision));
         let items: Vec<&Item> = found.by_ref().take(if limit == 0 { usize::MAX } else { limit }).collect();
         let more = found.next().is_some();
         Ok((items, more))
@@ -239,7 +239,7 @@
 
     /// A key's latest state; `None` if the key does not exist.
     fn current(&self, key: &[u8]) -> Option<&Item> {
-        self.keys.get(key).and_then(|log_indexes| self.at(log_indexes, self.revision))
+        self.keys.get(key).and_then(|log_indexes| self.item_at(log_indexes, self.revision))
     }
 
     fn append(&mut self, item: Item) {
--- a/crates/testbed/src/model/timeline/build.rs
+++ b/crates/testbed/src/model/timeline/build.rs
@@ -8,8 +8,8 @@
 use crate::experiment::{Experiment, Fault, FaultKind};
 use std::ops::Range;
 
-/// Time until the list detects with its own calls that a machine is gone: several of these calls,
-/// and a second more.
+/// Time until the discovery service detects with its own health checks that a machine is gone:
+/// several failed checks, and one second more.
 const DETECTION_DELAY: Micros = 2 * SECOND;
 /// Fallback for a duration that a kind of fault requires; the experiment's check has already
 /// rejected a fault without it.
--- a/crates/testbed/src/model/timeline/mod.rs
+++ b/crates/testbed/src/model/timeline/mod.rs
@@ -197,8 +197,10 @@
             Ok(_) => Reachability::Up,
             Err(reachability) => reachability,
         };
-        let own = timeline.incarnations.iter().flat_map(|process| [process.started, process.ended]);
-        let next = own.chain(self.cut_transitions(zones.0, zones.1)).filter(|at| *at > now).min();
+        let process_transitions =
+            timeline.incarnations.iter().flat_map(|process| [process.started, process.ended]);
+        let next =
+            process_transitions.chain(self.cut_transitions(zones.0, zones.1)).filter(|at| *at > now).min();
         (reachability, next.unwrap_or(Micros::MAX))
     }
 
--- a/crates/testbed/src/notified.rs
+++ b/crates/testbed/src/notified.rs
@@ -1,7 +1,7 @@
-//! When each proxy is presumed to be notified that a server is off, whatever the list sent to it: 6
-//! s after the list had the change, if the list could be reached and the proxy was running
-//! throughout. The oracle holds proxies to these notifications as well as to those that the list
-//! has sent.
+//! Computes when each proxy is presumed to be notified that a server is off, regardless of what the
+//! list has sent to it: 6 s after the list published the change, if the list could be reached and
+//! the proxy was running throughout these 6 s. The oracle holds proxies to these notifications as
+//! well as to those that the list has sent.
 
 use crate::clock::{Micros, SECOND};
 use crate::evidence::{Event, EventKind, NodeIndex};
--- a/crates/testbed/src/oracle/attempts.rs
+++ b/crates/testbed/src/oracle/attempts.rs
@@ -6,8 +6,8 @@
 use crate::evidence::NodeIndex;
 use crate::experiment::{DedupGroup, Repeats, RequestClass};
 
-/// Servers recognise a repeat of a tagged request within the deduplication window, give or take
-/// this tolerance.
+/// Tolerance of the deduplication window, within which servers recognise a repeat of a tagged
+/// request.
 const DEDUP_WINDOW_TOLERANCE: Micros = 10 * MILLISECOND;
 
 /// A breach found on one request, without the request's id and proxy.
@@ -81,16 +81,18 @@
     fn unsafe_retry(&self, class: &RequestClass, first: &Attempt, next: &Attempt) -> Option<String> {
         match class.repeats() {
             Repeats::Replayable => return None,
-            Repeats::SingleUse => return Some("single-use, and the first attempt may have run".into()),
+            Repeats::SingleUse => return Some("single-use request whose first attempt may have run".into()),
             Repeats::Tagged => {}
         }
         if !self.same_group(class.dedup_group(), first.server, next.server) {
-            return Some("tagged, and the servers are in different deduplication groups".into());
+            return Some(
+                "the request is tagged, and the servers are in different deduplication groups".into(),
+            );
         }
         let (first_sent, next_sent) = (first.sent(), next.sent());
         (next_sent > first_sent + dedup_window(class)).then(|| {
             format!(
-                "tagged, sent {:.3} s after the first attempt",
+                "the request is tagged, and was sent {:.3} s after the first attempt, outside the deduplication window",
                 seconds_from_micros(next_sent - first_sent)
             )
         })
@@ -121,14 +123,15 @@
 ) -> Option<String> {
     let first = attempts.iter().find(|attempt| attempt.may_have_run(at))?;
     let first_sent = first.sent();
-    let may_have_run = |kind: &str| format!("{kind}, and server {} may have run it", first.server);
+    let may_have_run =
+        |kind: &str| format!("the request is {kind}, and server {} may have run it", first.server);
     match class.repeats() {
         Repeats::Replayable => None,
         Repeats::SingleUse => Some(may_have_run("single-use")),
         Repeats::Tagged if class.dedup_group() != DedupGroup::All => Some(may_have_run("tagged")),
         Repeats::Tagged => (retry_at > first_sent + dedup_window(class)).then(|| {
             format!(
-                "tagged, and its retry is due {:.3} s after the first attempt",
+                "the request is tagged, and its retry is due {:.3} s after the first attempt, outside the deduplication window",
                 seconds_from_micros(retry_at - first_sent)
             )
         }),
--- a/crates/testbed/src/oracle/drains.rs
+++ b/crates/testbed/src/oracle/drains.rs
@@ -1,6 +1,7 @@
 //! Checks that a proxy starts no new attempt at a draining or removed server once the grace period
 //! after its notification has passed. A proxy is notified when the list's server has written the
-//! change to it, and also counts as notified after the time in `notified`, whatever was written.
+//! change to it. It also counts as notified at the times that `notified` computes, regardless of
+//! what was written.
 
 use super::{Judge, Rule};
 use crate::clock::{Micros, micros_from_seconds, seconds_from_micros};
@@ -50,8 +51,8 @@
 
     /// Drops what a proxy's ended process knew: the next process knows only its own notifications.
     fn forget_proxy(&mut self, proxy: NodeIndex) {
-        self.written.retain(|(of, _), _| *of != proxy);
-        self.presumed_off_since.retain(|(of, _), _| *of != proxy);
+        self.written.retain(|(notified_proxy, _), _| *notified_proxy != proxy);
+        self.presumed_off_since.retain(|(notified_proxy, _), _| *notified_proxy != proxy);
     }
 
     /// Says what is wrong with an attempt that starts at `at`, more than `grace` after the
@@ -61,7 +62,7 @@
         if let Some(since) = self.presumed_off_since.get(&pair).filter(|since| at > **since + grace) {
             let after = seconds_from_micros(at - since);
             return Some(format!(
-                "server {server} was sent an attempt {after:.3} s after its proxy counts as notified that it is off, whatever was written"
+                "server {server} was sent an attempt {after:.3} s after its proxy is presumed to be notified that the server is off"
             ));
         }
         let drain = &mut self.drains[*self.written.get(&pair)?];
@@ -69,7 +70,7 @@
         let after = seconds_from_micros(at - drain.notified_at);
         (at > drain.notified_at + grace).then(|| {
             format!(
-                "server {server} was sent an attempt {after:.3} s after its proxy was notified that it is off"
+                "server {server} was sent an attempt {after:.3} s after its proxy was notified that the server is off"
             )
         })
     }
@@ -80,29 +81,29 @@
         let rules = &self.experiment.rules;
         let grace = micros_from_seconds(self.experiment.fleet.drain_grace_s)
             + micros_from_seconds(rules.drain_tolerance_ms / 1e3);
-        let mut off = OffServers::default();
+        let mut off_servers = OffServers::default();
         let presumed = notified::presumed_notifications(self.experiment, &self.timelines, events);
         let mut presumed = presumed.iter().peekable();
         for event in events {
             while let Some(notification) = presumed.next_if(|notification| notification.at <= event.at) {
-                off.apply_presumed(notification);
+                off_servers.apply_presumed(notification);
             }
             match event.kind {
                 EventKind::Notified { server, is_off: true } => {
-                    off.add_written((event.proxy, server), event.at);
+                    off_servers.add_written((event.proxy, server), event.at);
                 }
                 EventKind::Notified { server, is_off: false } => {
-                    off.written.remove(&(event.proxy, server));
+                    off_servers.written.remove(&(event.proxy, server));
                 }
-                EventKind::ProcessEnded { .. } => off.forget_proxy(event.proxy),
+                EventKind::ProcessEnded { .. } => off_servers.forget_proxy(event.proxy),
                 EventKind::AttemptStarted { server } => {
-                    if let Some(details) = off.check_attempt((event.proxy, server), event.at, grace) {
+                    if let Some(details) = off_servers.check_attempt((event.proxy, server), event.at, grace) {
                         self.add_for_event(Rule::NothingToDrained, event, details);
                     }
                 }
                 _ => {}
             }
         }
-        self.verdict.drains = off.drains;
+        self.verdict.drains = off_servers.drains;
     }
 }
--- a/crates/testbed/src/oracle/mod.rs
+++ b/crates/testbed/src/oracle/mod.rs
@@ -1,6 +1,6 @@
-//! The judge: checks a run's events against the rules that every proxy has to keep. It knows what
-//! the platform allows and what happened on the sockets, and nothing of how a proxy decides. Every
-//! breach names the request, the time, and what was seen.
+//! The oracle: checks a run's events against the rules that every proxy has to keep. It knows what
+//! the platform allows and what happened on the sockets, but not how a proxy decides. Every breach
+//! names the request, the time, and what was seen.
 
 mod attempts;
 mod drains;
@@ -111,7 +111,7 @@
     pub continued_at: Micros,
 }
 
-/// The result of judging a run.
+/// The result of checking a run.
 #[derive(Debug, Default)]
 pub struct Verdict {
     /// One entry for each time that a proxy was notified that a server is off.
@@ -138,6 +138,7 @@
     at: Micros,
 }
 
+/// The state of the oracle while it checks a run.
 struct Judge<'a> {
     experiment: &'a Experiment,
     timelines: Timelines,
@@ -145,7 +146,7 @@
     kills: Vec<Kill>,
 }
 
-/// Judges a run by its events, which have to be in order of time.
+/// Checks a run by its events, which have to be in order of time.
 pub fn check_run(
     experiment: &Experiment,
     events: &[Event],
@@ -184,7 +185,7 @@
         self.add(Breach { rule, at: event.at, request_id: event.request_id, proxy: event.proxy, details });
     }
 
-    /// Notes when proxies were killed and stopped.
+    /// Records when proxies were killed and stopped.
     fn track_processes(&mut self, events: &[Event]) {
         let mut stopped_proxies: HashMap<NodeIndex, Micros> = HashMap::new();
         for event in events {
@@ -227,7 +228,7 @@
                     self.add_for_event(
                         Rule::AnsweredOnce,
                         event,
-                        "more bytes came on the connection than the answers to its requests".into(),
+                        "more bytes arrived on the connection than the answers to its requests have".into(),
                     );
                 }
                 _ => {}
--- a/crates/testbed/src/oracle/records.rs
+++ b/crates/testbed/src/oracle/records.rs
@@ -43,7 +43,8 @@
     }
 
     /// Whether the attempt may have run, as far as its proxy could know at `at`. A proxy can
-    /// exclude it only if the last byte was never received, or by a reply that says so.
+    /// exclude this only if the server never received the last byte, or replied with a miss or that
+    /// the request was not processed.
     pub fn may_have_run(&self, at: Micros) -> bool {
         let has_not_run = |reply_record: ReplyRecord| {
             reply_record.at <= at && matches!(reply_record.reply, Reply::Unprocessed | Reply::Miss)
@@ -51,8 +52,8 @@
         self.received.is_some() && !self.reply.is_some_and(has_not_run)
     }
 
-    /// When the attempt was sent completely, from when on the server may run it; when it started,
-    /// if it was not sent completely.
+    /// When the attempt's last byte reached the server, which may run the attempt from then on;
+    /// when the attempt started, if the last byte never arrived.
     pub fn sent(&self) -> Micros {
         self.received.unwrap_or(self.started)
     }
@@ -130,7 +131,7 @@
     pub attempts: Vec<Attempt>,
     /// Each time that its effect was applied.
     pub effects: Vec<EffectRecord>,
-    /// How it ended for its client, as the judge concludes.
+    /// How it ended for its client, as the oracle concludes.
     pub outcome: Outcome,
 }
 
@@ -168,8 +169,8 @@
         let ended = |outcome: Outcome| Some(EndRecord { at, outcome });
         match event.kind {
             EventKind::RequestSent => {
-                // A request that is sent again, after its connection was closed, counts from the
-                // last time.
+                // If a request is sent again after its connection was closed, only the last sending
+                // counts.
                 self.sent = Some(at);
                 self.proxy = event.proxy;
             }
--- a/crates/testbed/src/oracle/requests.rs
+++ b/crates/testbed/src/oracle/requests.rs
@@ -66,9 +66,9 @@
         findings
     }
 
-    /// Finds an attempt whose first byte came long after its client had closed the connection. A
-    /// time during which the proxy was stopped is no excuse: once it runs again, it can read the
-    /// end of the connection before it sends.
+    /// Finds an attempt whose first byte came long after its client had closed the connection. This
+    /// is a breach even if the proxy was stopped in the meantime: once it runs again, it can read
+    /// the end of the connection before it sends.
     fn sent_after_cancel(&self, record: &RequestRecord) -> Option<Finding> {
         let cancelled = record.end.filter(|_| record.outcome == Outcome::Cancelled)?.at;
         let latest_allowed = cancelled + micros_from_seconds(self.experiment.rules.cancel_delay_ms / 1e3);
@@ -125,7 +125,7 @@
         let after =
             if record.attempts.is_empty() { "the request was sent" } else { "the end of its last attempt" };
         (gap > max_delay)
-            .then(|| format!("it came {:.3} s after {after}", seconds_from_micros(at - last_event)))
+            .then(|| format!("the refusal came {:.3} s after {after}", seconds_from_micros(at - last_event)))
     }
 
     /// Whether some server, or the origin, was silent to a proxy at any time between `from` and
@@ -154,7 +154,7 @@
 /// Finds a second final answer.
 fn answered_again(record: &RequestRecord) -> Option<Finding> {
     let second = record.answers.get(1)?;
-    let details = format!("{} final answers came", record.answers.len());
+    let details = format!("{} final answers arrived, expected one", record.answers.len());
     Some(Finding::new(Rule::AnsweredOnce, second.at, details))
 }
 
@@ -168,5 +168,9 @@
         None => (record.sent.unwrap_or(record.request.due_at), "no answer had come when the run ended"),
     };
     let attempts = record.attempts.len();
-    Some(Finding::new(Rule::FinalAnswer, at, format!("{details}; {attempts} attempts were made for it")))
+    Some(Finding::new(
+        Rule::FinalAnswer,
+        at,
+        format!("{details}; {attempts} attempts were made for the request"),
+    ))
 }
--- a/crates/testbed/src/report/comparison.rs
+++ b/crates/testbed/src/report/comparison.rs
@@ -24,23 +24,26 @@
 
 /// Rows that are shown if all faults of all runs end before the run does.
 const FAULT_ROWS: [Row; 5] = [
-    Row { name: "in time, faults", value_of: |figures| during(figures, |during| during.in_time) },
-    Row { name: "requests/first", value_of: |figures| during(figures, |during| during.requests_per_first) },
+    Row { name: "in time, faults", value_of: |figures| fault_figure(figures, |faults| faults.in_time) },
+    Row {
+        name: "requests/first",
+        value_of: |figures| fault_figure(figures, |faults| faults.requests_per_first),
+    },
     Row {
         name: "at servers",
-        value_of: |figures| during(figures, |during| during.server_attempts_per_first),
+        value_of: |figures| fault_figure(figures, |faults| faults.server_attempts_per_first),
     },
     Row {
         name: "at the origin",
-        value_of: |figures| during(figures, |during| during.origin_attempts_per_first),
+        value_of: |figures| fault_figure(figures, |faults| faults.origin_attempts_per_first),
     },
     Row {
         name: "recovered, s",
-        value_of: |figures| during(figures, |during| during.recovered_s.unwrap_or(f64::INFINITY)),
+        value_of: |figures| fault_figure(figures, |faults| faults.recovered_s.unwrap_or(f64::INFINITY)),
     },
 ];
 
-fn during(figures: &Figures, value_of: fn(&DuringFaults) -> f64) -> f64 {
+fn fault_figure(figures: &Figures, value_of: fn(&DuringFaults) -> f64) -> f64 {
     figures.during_faults.as_ref().map_or(f64::NAN, value_of)
 }
 
--- a/crates/testbed/src/report/verdict.rs
+++ b/crates/testbed/src/report/verdict.rs
@@ -38,8 +38,8 @@
     line!(out, "{}  (seed {}, {} proxies)", figures.title, figures.seed, figures.proxies);
     outcomes(out, figures);
     costs(out, figures);
-    if let Some(during) = &figures.during_faults {
-        during_faults(out, during);
+    if let Some(fault_figures) = &figures.during_faults {
+        during_faults(out, fault_figures);
     }
     drains(out, figures);
     sources(out, figures);
@@ -93,15 +93,16 @@
     );
 }
 
-fn during_faults(out: &mut String, during: &DuringFaults) {
-    let recovered = during.recovered_s.map_or("not by the end".to_string(), |s| format!("after {s:.0} s"));
+fn during_faults(out: &mut String, fault_figures: &DuringFaults) {
+    let recovered =
+        fault_figures.recovered_s.map_or("not by the end".to_string(), |s| format!("after {s:.0} s"));
     line!(
         out,
         "  during faults {:.2}% in time; per first request {:.3} requests, {:.3} attempts at servers, {:.3} at the origin; recovered {recovered}",
-        100.0 * during.in_time,
-        during.requests_per_first,
-        during.server_attempts_per_first,
-        during.origin_attempts_per_first
+        100.0 * fault_figures.in_time,
+        fault_figures.requests_per_first,
+        fault_figures.server_attempts_per_first,
+        fault_figures.origin_attempts_per_first
     );
 }
 
--- a/crates/testbed/src/resp.rs
+++ b/crates/testbed/src/resp.rs
@@ -1,6 +1,6 @@
 //! RESP for the testbed's simulated services and clients: commands are arrays of bulk strings, and
-//! replies are never aggregates. It shares no code with the proxy, so that a bug in the proxy's codec
-//! cannot hide itself.
+//! replies are never aggregates. It shares no code with the proxy, so that a bug in the proxy's
+//! codec cannot hide itself.
 
 use crate::clock::{MILLISECOND, Micros};
 use crate::model::cluster::SLOT_COUNT;
--- a/crates/testbed/src/run.rs
+++ b/crates/testbed/src/run.rs
@@ -133,7 +133,8 @@
         Ok(Run { experiment, clock, services, clients, fleet, threads, _claim: claim })
     }
 
-    /// Runs the experiment and returns the proxies that exited although the testbed had not ended them.
+    /// Runs the experiment and returns the proxies that exited although the testbed had not ended
+    /// them.
     async fn execute(&self, live: bool) -> Result<Vec<usize>, RunError> {
         let executor = &self.threads.executor;
         if self.experiment.fleet.list_source() == ListSource::Etcd {
@@ -206,10 +207,10 @@
     }
     loop {
         let now = clock.now();
-        let on = experiment.faults_in_order().filter(|fault| fault.active_time().contains(&now));
-        let on: Vec<String> = on.map(|fault| fault.kind.to_string()).collect();
+        let active_faults = experiment.faults_in_order().filter(|fault| fault.active_time().contains(&now));
+        let active_faults: Vec<String> = active_faults.map(|fault| fault.kind.to_string()).collect();
         bar.set_position(seconds_from_micros(now) as u64);
-        bar.set_message(format!("{}  {}", clients.status_line(), on.join(" ")));
+        bar.set_message(format!("{}  {}", clients.status_line(), active_faults.join(" ")));
         Timer::after(REDRAW_INTERVAL).await;
     }
 }
@@ -244,7 +245,7 @@
         let class = &self.experiment.classes[0].name;
         println!(
             "curl -H 'X-Correlation-Id: 1' -H 'X-Service-Class: {class}' -H 'X-Time-Left: 1' http://{}/api/k1\n\
-             Use a new id (hexadecimal) for each request. Logs: {}. Ctrl-C ends it.",
+             Use a new id (hexadecimal) for each request. Logs: {}. Ctrl-C stops the testbed.",
             addresses.proxy_address(0),
             logs.display()
         );
--- a/crates/testbed/src/simulated_services/decide.rs
+++ b/crates/testbed/src/simulated_services/decide.rs
@@ -55,8 +55,8 @@
         plan
     }
 
-    /// When the origin has processed a request that is sent to it at `sent_at`; `None` if it fails or
-    /// rejects it.
+    /// When the origin has processed a request that is sent to it at `sent_at`; `None` if it fails
+    /// or rejects it.
     fn fetch(&self, sent_at: Micros, origin_fails: bool) -> Option<Micros> {
         if origin_fails {
             return None;
--- a/crates/testbed/src/simulated_services/etcd/call.rs
+++ b/crates/testbed/src/simulated_services/etcd/call.rs
@@ -1,7 +1,7 @@
 //! A call: its caller, and which state of the store its endpoint sees.
 
 use super::stream::{RequestStream, ResponseStream};
-use super::writer::value_for;
+use super::writer::fill_proxy_placeholder;
 use super::{unary, watch};
 use crate::clock::Micros;
 use crate::model::store::{Item, Store};
@@ -70,7 +70,7 @@
             create_revision: item.create_revision,
             mod_revision: item.mod_revision,
             version: item.version,
-            value: value_for(value, self.proxy).into(),
+            value: fill_proxy_placeholder(value, self.proxy).into(),
             lease: item.lease,
         }
     }
--- a/crates/testbed/src/simulated_services/etcd/mod.rs
+++ b/crates/testbed/src/simulated_services/etcd/mod.rs
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Wakes all watchers, and drops those that are gone.
+    /// Wakes all watchers, and drops those whose call has ended.
     fn wake_watchers(&self) {
         let is_open =
             |wake_sender: &Sender<()>| !wake_sender.try_send(()).is_err_and(|error| error.is_closed());
--- a/crates/testbed/src/simulated_services/etcd/watch.rs
+++ b/crates/testbed/src/simulated_services/etcd/watch.rs
@@ -1,5 +1,5 @@
 //! A watch: the changes of a range from one revision on, as its endpoint sees them. Each call has
-//! one watch, as chalkwalk opens them.
+//! one watch, because chalkwalk opens one watch per call.
 
 use super::call::CallContext;
 use super::stream::{GrpcError, RequestStream, ResponseStream};
@@ -13,9 +13,9 @@
 
 /// Maximum number of events in a response, where the watcher accepts fragments.
 const MAX_FRAGMENT_EVENTS: usize = 40;
-/// Without a change, a watch checks the store again after this time ...
+/// Time after which a watch checks the store again if no change wakes it.
 const POLL_INTERVAL: Duration = Duration::from_millis(1000);
-/// ... or after this time if its endpoint lags.
+/// The same time for a watch whose endpoint lags.
 const LAGGING_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Why a watch stops waiting.
--- a/crates/testbed/src/simulated_services/etcd/writer.rs
+++ b/crates/testbed/src/simulated_services/etcd/writer.rs
@@ -27,7 +27,7 @@
 fn value_of(services: &SimulatedServices, entry: &ListedServer) -> Vec<u8> {
     let mut value = services.list_entry(0, entry);
     let state = if entry.status == EndpointStatus::Ready { SERVING_STATE } else { "draining" };
-    let addr = for_any_proxy(value["addr"].as_str().unwrap_or(""));
+    let addr = with_proxy_placeholder(value["addr"].as_str().unwrap_or(""));
     if let Some(fields) = value.as_object_mut() {
         fields.remove("id");
         fields.remove("weight");
@@ -40,7 +40,7 @@
 
 /// Puts the placeholder in an address, which has the form 127.block.proxy.peer; proxies are counted
 /// from 1.
-fn for_any_proxy(addr: &str) -> String {
+fn with_proxy_placeholder(addr: &str) -> String {
     match addr.splitn(4, '.').collect::<Vec<_>>()[..] {
         [net, block, _, peer] => format!("{net}.{block}.{PROXY_PLACEHOLDER}.{peer}"),
         _ => addr.to_string(),
@@ -48,7 +48,7 @@
 }
 
 /// Replaces the placeholder in a value with a proxy's number.
-pub(super) fn value_for(value: Vec<u8>, proxy: usize) -> Vec<u8> {
+pub(super) fn fill_proxy_placeholder(value: Vec<u8>, proxy: usize) -> Vec<u8> {
     match String::from_utf8(value) {
         Ok(text) => text.replace(PROXY_PLACEHOLDER, &(proxy + 1).to_string()).into_bytes(),
         Err(error) => error.into_bytes(),
--- a/crates/testbed/src/simulated_services/file.rs
+++ b/crates/testbed/src/simulated_services/file.rs
@@ -1,5 +1,6 @@
 //! The endpoint list as a file, one for each proxy with the addresses that the proxy uses. It is
-//! replaced atomically with a rename, or overwritten in place as by a careless writer.
+//! replaced atomically with a rename, or overwritten in place, as by a writer that ignores
+//! concurrent readers.
 
 use super::SimulatedServices;
 use crate::clock::Micros;
@@ -28,7 +29,7 @@
 /// How a file is overwritten.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum WriteMode {
-    /// A new file is written beside it, and renamed over it.
+    /// A new file is written in the same directory, and renamed over the old one.
     AtomicReplace,
     /// The file is overwritten in place with content that cannot be parsed.
     MalformedInPlace,
--- a/crates/testbed/src/simulated_services/list.rs
+++ b/crates/testbed/src/simulated_services/list.rs
@@ -19,13 +19,14 @@
 const STALE_AGE: Micros = 5 * SECOND;
 /// Maximum wait of a watch, as on the platform.
 const MAX_WATCH_WAIT: Micros = 60 * SECOND;
-/// A watch continues for this long after a response, whether or not the next call arrives: changes
-/// in this time count as notified.
+/// Changes within this time after a watch's response count as notified, unless the proxy's next
+/// call has arrived before them.
 const WATCH_GRACE: Micros = 200 * MILLISECOND;
 /// Changes that a call misses because the list no longer answers it count as notified this long
-/// after it stopped answering, ...
+/// after the list stopped answering, or at the end of `SILENT_WAIT_GRACE` if that is later.
 const SILENT_CALL_GRACE: Micros = 6 * SECOND;
-/// ... or this long after the end of the call's wait, if that is later.
+/// Time from the end of an unanswered call's wait until the changes that it misses count as
+/// notified.
 const SILENT_WAIT_GRACE: Micros = 2 * SECOND;
 const JSON_HEADER: &str = "Content-Type: application/json\r\n";
 
@@ -125,7 +126,8 @@
         };
         services.clock.sleep_until(slot).await;
         if connection.is_closed() {
-            // The caller gave up before its turn: the call notifies the proxy of nothing.
+            // The caller closed the connection before its turn: the call notifies the proxy of
+            // nothing.
             return AfterCall::Close;
         }
         let newer_exists = |index: u64| index < services.server_list.version(services.clock.now());
@@ -184,7 +186,7 @@
         or(waited, closed).await
     }
 
-    /// Fails a call in the way of an outage.
+    /// Fails a call as the kind of outage determines.
     async fn fail(&self, connection: &mut Connection, outage: Outage) -> AfterCall {
         let clock = &self.services.clock;
         match outage {
@@ -224,8 +226,8 @@
         std::future::pending().await
     }
 
-    /// Records changes after a watch's response: as long as the watch continues, they count as
-    /// notified to the process that called. A process that was killed between its call and the
+    /// Records changes after a watch's response: within `WATCH_GRACE` they count as notified to the
+    /// process that called. A process that was killed between its call and the
     /// response was not notified by the response, and neither is the process that was started after
     /// it. Once the proxy's next call has arrived, on any connection, that call covers all later
     /// changes.
--- a/crates/testbed/src/simulated_services/listener.rs
+++ b/crates/testbed/src/simulated_services/listener.rs
@@ -101,7 +101,7 @@
         wait_until(&self.services.clock, until).await;
         drop(backlog_connections);
         // Connections that were queued in the meantime are reset, because the machine that returns
-        // knows nothing of them.
+        // has no state of them.
         while let Ok((stream, _)) = listener.get_ref().accept() {
             _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
         }
@@ -162,7 +162,7 @@
     if ends_before(&services.clock, until, serving).await {
         return;
     }
-    // The connection stays open and silent until the peer is back and knows nothing of it. An
+    // The connection stays open and silent until the peer is back, without any state of it. An
     // attempt in progress ends with the connection, whichever side closes it.
     loop {
         let (reachability, until) = services.reachability(link);
--- a/crates/testbed/src/simulated_services/mod.rs
+++ b/crates/testbed/src/simulated_services/mod.rs
@@ -87,7 +87,7 @@
 }
 
 /// Maximum deviation of a request's work from its class's mean, as a share of the mean; deviations
-/// are distributed evenly. A half corresponds to people's requests to a busy service.
+/// are distributed uniformly. A half is typical of people's requests to a busy service.
 const WORK_SPREAD: f64 = 0.5;
 
 fn server_spec(experiment: &Experiment) -> ServerSpec {
@@ -159,7 +159,7 @@
         lock(&self.random).random()
     }
 
-    /// Draws the work of a request, evenly distributed around its class's mean.
+    /// Draws the work of a request, distributed uniformly around the mean.
     fn draw_work(&self, mean_ms: f64) -> Micros {
         (mean_ms * MILLISECOND as f64 * (1.0 - WORK_SPREAD + 2.0 * WORK_SPREAD * self.draw_sample()))
             as Micros
--- a/crates/testbed/src/simulated_services/resp.rs
+++ b/crates/testbed/src/simulated_services/resp.rs
@@ -19,7 +19,8 @@
 const RANK_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
 const LOADING_ERROR: &[u8] = b"-LOADING the data set is loaded\r\n";
 
-/// The contents of a key of the testbed: `namespace:{kN}:ID:FIRST`.
+/// The ids in a key of the testbed, `namespace:{kN}:ID:FIRST`, where N is the number of the
+/// requested key.
 struct RequestKey {
     id: RequestId,
     /// The id of the client's first try (FIRST), as text.
--- a/crates/testbed/src/simulated_services/server.rs
+++ b/crates/testbed/src/simulated_services/server.rs
@@ -15,7 +15,7 @@
 const HEALTH_CHECK_WORK: Micros = MILLISECOND / 2;
 const HIT: &str = "X-Lookup: hit\r\n";
 const MISS: &str = "X-Lookup: miss\r\n";
-/// Bytes that are sent in place of a response and are no valid response.
+/// Bytes that are sent in place of a response and are not a valid response.
 const GARBAGE: &[u8] = b"HTP/7.1 OK 200\x00\x01\r\n\r\n";
 /// Number of bytes of the value that follow the garbage.
 const GARBAGE_VALUE_BYTES: usize = 32;
--- a/crates/testbed/src/soak.rs
+++ b/crates/testbed/src/soak.rs
@@ -6,8 +6,8 @@
 //! Discovery fails at least once, in one of the ways of `Outage`, and servers begin to drain as it
 //! returns.
 //!
-//! The order of the random draws is part of the experiment: a seed has to give the same text from
-//! one version to the next.
+//! The order of the random draws is part of the experiment: a seed has to give the same text in
+//! every version of the testbed.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -34,7 +34,8 @@
 const PARTIAL_FAULT_COUNT: usize = 4;
 /// Requests per second and proxy. The rate is low, as it is for each proxy of a large fleet.
 const RATE_PER_PROXY: f64 = 12.0;
-/// Each of the four kinds of faults of processes hits one in this many proxies.
+/// SIGKILL hits one in this many proxies; SIGTERM, SIGHUP and SIGSTOP each hit one in this many of
+/// the others.
 const PROCESS_GROUPS: usize = 4;
 
 struct RandomDraws(ChaCha8Rng);
@@ -137,11 +138,11 @@
         let duration = self.draw.between(0.4, 0.55) * self.soak.seconds;
         let at = self.draw.between(1.0, 4.0);
         self.add_fault("list-down", at, &format!("for = {duration:.2}\nhow = \"{outage}\""));
-        let back = at + duration + self.draw.between(0.0, 0.3);
+        let deploy_at = at + duration + self.draw.between(0.0, 0.3);
         let drained = self.draw.distinct_indices(5, SERVERS);
         let every = self.draw.between(0.05, 0.5);
         let fields = format!("every = {every:.2}\ndrain = 11\ndown = 0.5\ncaches = {drained:?}");
-        self.add_fault("rolling-deploy", back, &fields);
+        self.add_fault("rolling-deploy", deploy_at, &fields);
         if self.draw.with_probability(0.5) {
             let at = self.time_within(0.6, 0.9);
             self.add_fault("list-silent", at, "");
@@ -160,9 +161,9 @@
         for earliest in [0.05, 0.7] {
             let at = self.time_within(earliest, earliest + 0.2);
             let duration = self.draw.between(0.6, 1.3);
-            let cancelled = at + duration * self.draw.between(0.7, 0.95);
+            let cancelled_at = at + duration * self.draw.between(0.7, 0.95);
             _ = writeln!(self.text, "[[load.surge]]\nat = {at:.2}\nfor = {duration:.2}\nfactor = 4");
-            _ = writeln!(self.text, "[[load.gust]]\nat = {cancelled:.2}\nshare = 0.8");
+            _ = writeln!(self.text, "[[load.gust]]\nat = {cancelled_at:.2}\nshare = 0.8");
             self.add_fault("stands-still", at, &format!("for = {duration:.2}"));
         }
     }
@@ -195,8 +196,9 @@
         }
     }
 
-    /// Adds four kinds of faults, each of which hits a quarter of the processes: SIGKILL, SIGTERM,
-    /// SIGHUP with a moved address of discovery, and a short SIGSTOP.
+    /// Adds four kinds of faults: SIGKILL for a quarter of the processes, and for a quarter of the
+    /// others each SIGTERM, SIGHUP with a configuration that moves the discovery service to its
+    /// other address, and a short SIGSTOP.
     fn add_process_faults(&mut self) {
         let proxies = self.soak.proxies;
         let at = self.time_within(0.1, 0.8);
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -1,6 +1,6 @@
 //! HTTP/1.1 framing for simulated services, clients and baseline proxies. Bodies are delimited by
-//! Content-Length only, as all of them write it. It shares no code with the proxy, so that a bug in
-//! the proxy's framing cannot hide itself.
+//! Content-Length only, because all of them send it. This module shares no code with the proxy, so
+//! that a bug in the proxy's framing cannot hide itself.
 
 use crate::evidence::RequestId;
 use smol::Async;
@@ -53,8 +53,8 @@
 }
 
 impl Message {
-    fn text(&self, at: &Range<usize>) -> &str {
-        std::str::from_utf8(&self.bytes[at.clone()]).unwrap_or("")
+    fn text(&self, range: &Range<usize>) -> &str {
+        std::str::from_utf8(&self.bytes[range.clone()]).unwrap_or("")
     }
 
     /// The method of a request.
@@ -143,7 +143,7 @@
     length.filter(|length| *length <= MAX_MESSAGE_BYTES).ok_or(ReadError::Malformed)
 }
 
-/// A connection and the bytes that were read from it ahead.
+/// A connection, and the bytes read from it that no message has consumed yet.
 pub struct Connection {
     /// The connection's socket.
     pub stream: Async<TcpStream>,
@@ -241,7 +241,7 @@
         Ok(())
     }
 
-    /// Whether nothing is to be read: neither unexpected bytes nor the end of the stream.
+    /// Whether there is nothing to read: neither unexpected bytes nor the end of the stream.
     pub fn is_idle(&self) -> bool {
         let would_block = |e: &io::Error| e.kind() == io::ErrorKind::WouldBlock;
         self.buffered.is_empty() && self.stream.get_ref().peek(&mut [0]).is_err_and(|e| would_block(&e))
@@ -261,8 +261,8 @@
         }
     }
 
-    /// Waits until the peer closes the connection, or sends too much; bytes that it sends meanwhile
-    /// stay in `buffered`.
+    /// Waits until the peer closes the connection, or until more than `MAX_MESSAGE_BYTES` are
+    /// buffered; bytes that the peer sends meanwhile stay in `buffered`.
     pub async fn wait_closed(&mut self) {
         while matches!(self.read_more().await, Ok(1..)) {
             if self.buffered.len() > MAX_MESSAGE_BYTES {
--- a/crates/testbed/tests/judge.rs
+++ b/crates/testbed/tests/judge.rs
@@ -1,5 +1,5 @@
-//! Guards against a judge that misses a broken rule or reports one that was kept: the testbed's
-//! baseline proxies break one rule each on purpose, and the judge has to report exactly the breach
+//! Guards against an oracle that misses a broken rule or reports one that was kept: the testbed's
+//! baseline proxies break one rule each on purpose, and the oracle has to report exactly the breach
 //! of that rule.
 
 use expect_test::expect;
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn an_experiment_that_makes_no_sense_is_refused_with_its_lines() {
+fn an_invalid_experiment_is_refused_with_the_lines_of_its_errors() {
     let with_invalid_values = r#"title = "Bad"
 seconds = 10
 [world]
--- a/crates/testbed/tests/models/main.rs
+++ b/crates/testbed/tests/models/main.rs
@@ -1,5 +1,5 @@
-//! Tests of the models behind the simulated services. They use no sockets, and pass in times and random
-//! numbers.
+//! Tests of the models behind the simulated services. They use no sockets, and pass in times and
+//! random numbers.
 
 mod cluster;
 mod etcd;
--- a/crates/testbed/tests/models/timeline.rs
+++ b/crates/testbed/tests/models/timeline.rs
@@ -29,8 +29,11 @@
         .iter()
         .map(|update| (update.published / 100_000, update.server, update.status))
         .collect();
-    let (d, g, s) = (EndpointStatus::Draining, EndpointStatus::Gone, EndpointStatus::Ready);
-    assert_eq!(seen, [(25, 1, d), (35, 1, g), (45, 1, s), (65, 2, d), (75, 2, g), (85, 2, s)]);
+    let (draining, gone, ready) = (EndpointStatus::Draining, EndpointStatus::Gone, EndpointStatus::Ready);
+    assert_eq!(
+        seen,
+        [(25, 1, draining), (35, 1, gone), (45, 1, ready), (65, 2, draining), (75, 2, gone), (85, 2, ready)]
+    );
     assert_eq!(timelines.reachability(1, (1, 0), 3 * SECOND), (Reachability::Refused, 4 * SECOND));
     assert!(
         timelines.servers[1].speed.speed(4 * SECOND) < 0.3
