--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -226,7 +226,7 @@
     /// returns after the last change.
     pub async fn write_lists(self: Arc<Fleet>) {
         for update in &self.services.timelines.list_updates {
-            self.services.clock.sleep_until(update.published).await;
+            self.services.clock.sleep_until(update.published_at).await;
             for file in &self.lists {
                 file.write(&self.services, WriteMode::AtomicReplace).await;
             }
--- a/crates/testbed/src/measure/during_faults.rs
+++ b/crates/testbed/src/measure/during_faults.rs
@@ -50,7 +50,7 @@
         let first_count = firsts.iter().filter(|first| span.contains(&first.record.request.due_at)).count();
         let attempts = |at_origin: bool| {
             let all_attempts = verdict.records.iter().flat_map(|record| &record.attempts);
-            let attempts_in_span = all_attempts.filter(|attempt| span.contains(&attempt.started));
+            let attempts_in_span = all_attempts.filter(|attempt| span.contains(&attempt.started_at));
             let is_at_origin = |server: u16| usize::from(server) == experiment.world.servers;
             attempts_in_span.filter(|attempt| is_at_origin(attempt.server) == at_origin).count()
         };
--- a/crates/testbed/src/measure/steps.rs
+++ b/crates/testbed/src/measure/steps.rs
@@ -102,10 +102,10 @@
 
     fn add_attempts(&mut self, record: &RequestRecord) {
         for attempt in &record.attempts {
-            self.step_at(attempt.started).attempts += 1;
-            let end = attempt.end().unwrap_or(attempt.started + record.request.time_limit);
+            self.step_at(attempt.started_at).attempts += 1;
+            let end = attempt.end().unwrap_or(attempt.started_at + record.request.time_limit);
             // Counts the attempt in each step at whose end it is in flight.
-            for i in self.index(attempt.started)..self.index(end) {
+            for i in self.index(attempt.started_at)..self.index(end) {
                 self.steps[i].in_flight[usize::from(attempt.server)] += 1;
             }
         }
--- a/crates/testbed/src/model/server.rs
+++ b/crates/testbed/src/model/server.rs
@@ -36,7 +36,7 @@
     /// The reply.
     pub reply: Reply,
     /// When it is sent.
-    pub due: Micros,
+    pub due_at: Micros,
     /// Whether an interim response is sent before it.
     pub interim: bool,
     /// Whether the request's effect, if it has one, is applied.
@@ -47,8 +47,8 @@
 
 impl PlannedReply {
     /// A reply without an interim response and without an effect.
-    pub fn no_effect(reply: Reply, due: Micros) -> PlannedReply {
-        PlannedReply { reply, due, interim: false, takes_effect: false, collapses: false }
+    pub fn no_effect(reply: Reply, due_at: Micros) -> PlannedReply {
+        PlannedReply { reply, due_at, interim: false, takes_effect: false, collapses: false }
     }
 }
 
@@ -94,7 +94,7 @@
     cores: Cores,
     cache: LruCache<u64, ()>,
     recent_work: RecentWork,
-    started: Micros,
+    started_at: Micros,
     purges_applied: usize,
     collapsed: bool,
 }
@@ -139,12 +139,12 @@
 
 impl ServerModel {
     /// A process that started at the given time, with an empty cache.
-    pub fn new(spec: ServerSpec, started: Micros) -> ServerModel {
+    pub fn new(spec: ServerSpec, started_at: Micros) -> ServerModel {
         ServerModel {
             cores: Cores::new(spec.cores, spec.max_queued),
             cache: LruCache::new(NonZeroUsize::new(spec.max_values).unwrap_or(NonZeroUsize::MIN)),
             recent_work: RecentWork::new(spec.collapse_window),
-            started,
+            started_at,
             purges_applied: 0,
             collapsed: false,
             spec,
@@ -170,11 +170,11 @@
     /// attempt's work to the window.
     fn is_overloaded_by(&mut self, now: Micros, attempt: &AttemptInput) -> bool {
         let spec = &self.spec;
-        if self.started == 0 || now >= self.started + spec.slow_start {
+        if self.started_at == 0 || now >= self.started_at + spec.slow_start {
             return false;
         }
         let recent_work = self.recent_work.add(now, attempt.work);
-        let progress = (now - self.started) as f64 / spec.slow_start as f64;
+        let progress = (now - self.started_at) as f64 / spec.slow_start as f64;
         let speed = spec.slow_start_share + (1.0 - spec.slow_start_share) * progress;
         let capacity = speed * spec.cores as f64 * spec.collapse_window as f64;
         recent_work as f64
--- a/crates/testbed/src/model/server_list.rs
+++ b/crates/testbed/src/model/server_list.rs
@@ -11,7 +11,7 @@
     /// The server's status.
     pub status: EndpointStatus,
     /// When its process started; 0 if it started before the run.
-    pub started: Micros,
+    pub started_at: Micros,
 }
 
 /// The endpoint list over a run.
@@ -36,18 +36,18 @@
 
     /// The version at a point in time.
     pub fn version(&self, now: Micros) -> u64 {
-        FIRST_VERSION + self.updates.partition_point(|update| update.published <= now) as u64
+        FIRST_VERSION + self.updates.partition_point(|update| update.published_at <= now) as u64
     }
 
     /// The whole list as of a version, without servers that are gone.
     pub fn snapshot(&self, version: u64) -> Vec<ListedServer> {
-        let initial_entry = |server| ListedServer { server, status: EndpointStatus::Ready, started: 0 };
+        let initial_entry = |server| ListedServer { server, status: EndpointStatus::Ready, started_at: 0 };
         let mut entries: Vec<ListedServer> = (0..=self.servers).map(initial_entry).collect();
         for update in self.updates.iter().take(change_count(version)) {
             let entry = &mut entries[update.server];
             entry.status = update.status;
             if update.status == EndpointStatus::Ready {
-                entry.started = update.started;
+                entry.started_at = update.started_at;
             }
         }
         entries.retain(|entry| entry.status != EndpointStatus::Gone);
@@ -59,7 +59,7 @@
         let entry = |update: &ListUpdate| ListedServer {
             server: update.server,
             status: update.status,
-            started: update.started,
+            started_at: update.started_at,
         };
         let changes = self.updates.get(change_count(from_version)..change_count(to_version)).unwrap_or(&[]);
         changes.iter().map(entry).collect()
@@ -67,6 +67,6 @@
 
     /// When the next version after this one is published, if there is one.
     pub fn next_change(&self, version: u64) -> Option<Micros> {
-        self.updates.get(change_count(version)).map(|update| update.published)
+        self.updates.get(change_count(version)).map(|update| update.published_at)
     }
 }
--- a/crates/testbed/src/model/speed.rs
+++ b/crates/testbed/src/model/speed.rs
@@ -54,10 +54,10 @@
     }
 
     /// Adds a slow start: the speed rises evenly from a share of its value to all of it.
-    pub fn slow_start(&mut self, started: Micros, initial_share: f64, duration: Micros) {
+    pub fn slow_start(&mut self, started_at: Micros, initial_share: f64, duration: Micros) {
         for i in 0..RAMP_STEPS {
             let progress = (i as f64 + 0.5) / RAMP_STEPS as f64;
-            let span = started + duration * i / RAMP_STEPS..started + duration * (i + 1) / RAMP_STEPS;
+            let span = started_at + duration * i / RAMP_STEPS..started_at + duration * (i + 1) / RAMP_STEPS;
             self.scale(span, initial_share + (1.0 - initial_share) * progress);
         }
     }
--- a/crates/testbed/src/model/timeline/build.rs
+++ b/crates/testbed/src/model/timeline/build.rs
@@ -38,19 +38,19 @@
     /// A single process that started before the run and does not end.
     fn new() -> ServerTimeline {
         let initial_process =
-            Incarnation { started: 0, ended: Micros::MAX, reachability_after: Reachability::Refused };
+            Incarnation { started_at: 0, ended_at: Micros::MAX, reachability_after: Reachability::Refused };
         ServerTimeline { incarnations: vec![initial_process], ..ServerTimeline::default() }
     }
 
     /// Ends the process that runs at the given time. The next one starts when the server returns.
     fn end_process(&mut self, at: Micros, reachability_after: Reachability, returns_at: Micros) {
         let running = self.incarnations.last_mut();
-        if let Some(running) = running.filter(|process| process.started <= at && at < process.ended) {
-            running.ended = at;
+        if let Some(running) = running.filter(|process| process.started_at <= at && at < process.ended_at) {
+            running.ended_at = at;
             running.reachability_after = reachability_after;
             let next = Incarnation {
-                started: returns_at,
-                ended: Micros::MAX,
+                started_at: returns_at,
+                ended_at: Micros::MAX,
                 reachability_after: Reachability::Refused,
             };
             self.incarnations.push(next);
@@ -190,8 +190,8 @@
         }
     }
 
-    fn publish(&mut self, published: Micros, server: usize, status: EndpointStatus, started: Micros) {
-        self.timelines.list_updates.push(ListUpdate { published, server, status, started });
+    fn publish(&mut self, published_at: Micros, server: usize, status: EndpointStatus, started_at: Micros) {
+        self.timelines.list_updates.push(ListUpdate { published_at, server, status, started_at });
     }
 
     /// Takes a server down for a span, after which it returns in slow start. The list publishes
@@ -214,17 +214,17 @@
     fn finish(self) -> Timelines {
         let mut timelines = self.timelines;
         for update in &mut timelines.list_updates {
-            let delays = self.list_delays.iter().filter(|delay| delay.span.contains(&update.published));
+            let delays = self.list_delays.iter().filter(|delay| delay.span.contains(&update.published_at));
             let delay = delays.map(|delay| delay.delay).max();
-            update.published += delay.unwrap_or(0);
+            update.published_at += delay.unwrap_or(0);
         }
-        timelines.list_updates.sort_by_key(|update| (update.published, update.server));
+        timelines.list_updates.sort_by_key(|update| (update.published_at, update.server));
         let world = &self.experiment.world;
         for timeline in &mut timelines.servers {
-            let starts = timeline.incarnations.iter().map(|process| process.started);
-            for started in starts.filter(|started| *started > 0) {
+            let starts = timeline.incarnations.iter().map(|process| process.started_at);
+            for started_at in starts.filter(|started_at| *started_at > 0) {
                 let duration = micros_from_seconds(world.slow_start_s);
-                timeline.speed.slow_start(started, world.slow_start_share, duration);
+                timeline.speed.slow_start(started_at, world.slow_start_share, duration);
             }
         }
         timelines
--- a/crates/testbed/src/model/timeline/mod.rs
+++ b/crates/testbed/src/model/timeline/mod.rs
@@ -55,9 +55,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Incarnation {
     /// When it starts; 0 if it started before the run and is past its slow start.
-    pub started: Micros,
+    pub started_at: Micros,
     /// When it ends; `Micros::MAX` if it does not end.
-    pub ended: Micros,
+    pub ended_at: Micros,
     /// Whether the server can be reached after the end, until the next process starts.
     pub reachability_after: Reachability,
 }
@@ -101,13 +101,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListUpdate {
     /// When the list publishes the change.
-    pub published: Micros,
+    pub published_at: Micros,
     /// The server whose entry changes.
     pub server: usize,
     /// The server's new status.
     pub status: EndpointStatus,
     /// When the server's process started, if its status is ready.
-    pub started: Micros,
+    pub started_at: Micros,
 }
 
 /// A span in which the list is down.
@@ -169,10 +169,10 @@
     /// The index of the process that runs at a point in time. Where none runs, the error says how
     /// connections to the server fail.
     pub fn incarnation_at(&self, now: Micros) -> Result<usize, Reachability> {
-        let started = |incarnation: &Incarnation| incarnation.started <= now;
-        let i = self.incarnations.iter().rposition(started).unwrap_or(0);
+        let has_started = |incarnation: &Incarnation| incarnation.started_at <= now;
+        let i = self.incarnations.iter().rposition(has_started).unwrap_or(0);
         let incarnation = &self.incarnations[i];
-        if now < incarnation.ended { Ok(i) } else { Err(incarnation.reachability_after) }
+        if now < incarnation.ended_at { Ok(i) } else { Err(incarnation.reachability_after) }
     }
 }
 
@@ -198,7 +198,7 @@
             Err(reachability) => reachability,
         };
         let process_transitions =
-            timeline.incarnations.iter().flat_map(|process| [process.started, process.ended]);
+            timeline.incarnations.iter().flat_map(|process| [process.started_at, process.ended_at]);
         let next =
             process_transitions.chain(self.cut_transitions(zones.0, zones.1)).filter(|at| *at > now).min();
         (reachability, next.unwrap_or(Micros::MAX))
--- a/crates/testbed/src/notified.rs
+++ b/crates/testbed/src/notified.rs
@@ -62,12 +62,12 @@
 ) -> Vec<Notification> {
     let server = update.server as NodeIndex;
     if update.status == EndpointStatus::Ready {
-        return vec![Notification { at: update.published, proxy, server, is_off: false }];
+        return vec![Notification { at: update.published_at, proxy, server, is_off: false }];
     }
     let is_back = |next: &&ListUpdate| next.server == update.server && next.status == EndpointStatus::Ready;
-    let back_at = later_updates.iter().find(is_back).map_or(Micros::MAX, |next| next.published);
+    let back_at = later_updates.iter().find(is_back).map_or(Micros::MAX, |next| next.published_at);
     // A proxy process that is restarted while the server is off is given the full time again.
-    reachable_for_long_enough(unreachable_spans, update.published)
+    reachable_for_long_enough(unreachable_spans, update.published_at)
         .into_iter()
         .filter(|at| *at < back_at)
         .map(|at| Notification { at, proxy, server, is_off: true })
--- a/crates/testbed/src/oracle/attempts.rs
+++ b/crates/testbed/src/oracle/attempts.rs
@@ -48,7 +48,7 @@
         let max_attempts = self.experiment.fleet.max_attempts;
         let first_excess = record.attempts.get(max_attempts)?;
         let details = format!("{} attempts were made, and {max_attempts} are allowed", record.attempts.len());
-        Some(Finding::new(Rule::AttemptLimit, first_excess.started, details))
+        Some(Finding::new(Rule::AttemptLimit, first_excess.started_at, details))
     }
 
     /// Finds an attempt that was still in flight when `next` started, if hedging is not allowed.
@@ -57,24 +57,24 @@
             return None;
         }
         let overlap = micros_from_seconds(self.experiment.rules.overlap_ms / 1e3);
-        let in_flight = |other: &&Attempt| other.end().is_none_or(|end| end > next.started + overlap);
+        let in_flight = |other: &&Attempt| other.end().is_none_or(|end| end > next.started_at + overlap);
         let other = before.iter().find(in_flight)?;
         let details = format!(
             "server {} was sent an attempt while one was in flight at server {}",
             next.server, other.server
         );
-        Some(Finding::new(Rule::OneAttemptAtOnce, next.started, details))
+        Some(Finding::new(Rule::OneAttemptAtOnce, next.started_at, details))
     }
 
     fn may_run_twice(&self, record: &RequestRecord, before: &[Attempt], next: &Attempt) -> Option<Finding> {
         let class = &self.experiment.classes[record.request.class_index];
-        let candidates = before.iter().filter(|first| first.may_have_run(next.started));
+        let candidates = before.iter().filter(|first| first.may_have_run(next.started_at));
         let mut unsafe_attempts =
             candidates.filter_map(|first| Some((first, self.unsafe_retry(class, first, next)?)));
         let (first, reason) = unsafe_attempts.next()?;
         let details =
             format!("server {} was sent an attempt after server {}: {reason}", next.server, first.server);
-        Some(Finding::new(Rule::RunsOnce, next.started, details))
+        Some(Finding::new(Rule::RunsOnce, next.started_at, details))
     }
 
     /// Says why `next` must not follow `first`, which may have run; `None` if it may.
@@ -89,7 +89,7 @@
                 "the request is tagged, and the servers are in different deduplication groups".into(),
             );
         }
-        let (first_sent, next_sent) = (first.sent(), next.sent());
+        let (first_sent, next_sent) = (first.sent_at(), next.sent_at());
         (next_sent > first_sent + dedup_window(class)).then(|| {
             format!(
                 "the request is tagged, and was sent {:.3} s after the first attempt, outside the deduplication window",
@@ -122,7 +122,7 @@
     retry_at: Micros,
 ) -> Option<String> {
     let first = attempts.iter().find(|attempt| attempt.may_have_run(at))?;
-    let first_sent = first.sent();
+    let first_sent = first.sent_at();
     let may_have_run =
         |kind: &str| format!("the request is {kind}, and server {} may have run it", first.server);
     match class.repeats() {
--- a/crates/testbed/src/oracle/records.rs
+++ b/crates/testbed/src/oracle/records.rs
@@ -22,24 +22,31 @@
     /// The proxy that made the attempt.
     pub proxy: NodeIndex,
     /// When its first byte reached the server.
-    pub started: Micros,
+    pub started_at: Micros,
     /// When its last byte reached the server.
-    pub received: Option<Micros>,
+    pub received_at: Option<Micros>,
     /// The server's reply.
     pub reply: Option<ReplyRecord>,
     /// When its connection ended without a reply.
-    pub aborted: Option<Micros>,
+    pub aborted_at: Option<Micros>,
 }
 
 impl Attempt {
     fn new(server: NodeIndex, event: &Event) -> Attempt {
-        Attempt { server, proxy: event.proxy, started: event.at, received: None, reply: None, aborted: None }
+        Attempt {
+            server,
+            proxy: event.proxy,
+            started_at: event.at,
+            received_at: None,
+            reply: None,
+            aborted_at: None,
+        }
     }
 
     /// When the attempt ended, with or without a reply; `None` if it was still open at the end of
     /// the run.
     pub fn end(&self) -> Option<Micros> {
-        self.reply.map(|reply| reply.at).or(self.aborted)
+        self.reply.map(|reply| reply.at).or(self.aborted_at)
     }
 
     /// Whether the attempt may have run, as far as its proxy could know at `at`. A proxy can
@@ -49,13 +56,13 @@
         let has_not_run = |reply_record: ReplyRecord| {
             reply_record.at <= at && matches!(reply_record.reply, Reply::Unprocessed | Reply::Miss)
         };
-        self.received.is_some() && !self.reply.is_some_and(has_not_run)
+        self.received_at.is_some() && !self.reply.is_some_and(has_not_run)
     }
 
     /// When the attempt's last byte reached the server, which may run the attempt from then on;
     /// when the attempt started, if the last byte never arrived.
-    pub fn sent(&self) -> Micros {
-        self.received.unwrap_or(self.started)
+    pub fn sent_at(&self) -> Micros {
+        self.received_at.unwrap_or(self.started_at)
     }
 }
 
@@ -122,7 +129,7 @@
     /// The proxy to which the client sent it.
     pub proxy: NodeIndex,
     /// When its last byte was written to that proxy; `None` if it never was.
-    pub sent: Option<Micros>,
+    pub sent_at: Option<Micros>,
     /// Final answers: one, unless the proxy breaks a rule.
     pub answers: Vec<AnswerRecord>,
     /// How it ended without an answer.
@@ -141,7 +148,7 @@
             id,
             request,
             proxy: 0,
-            sent: None,
+            sent_at: None,
             answers: Vec::new(),
             end: None,
             attempts: Vec::new(),
@@ -171,7 +178,7 @@
             EventKind::RequestSent => {
                 // If a request is sent again after its connection was closed, only the last sending
                 // counts.
-                self.sent = Some(at);
+                self.sent_at = Some(at);
                 self.proxy = event.proxy;
             }
             EventKind::Answered { status, retry_after, is_own_value } => {
@@ -183,7 +190,7 @@
             EventKind::AttemptStarted { server } => self.attempts.push(Attempt::new(server, event)),
             EventKind::AttemptReceived { server, .. } => {
                 if let Some(attempt) = self.open_attempt(server, event.proxy) {
-                    attempt.received = Some(at);
+                    attempt.received_at = Some(at);
                 }
             }
             EventKind::Replied { server, reply } => {
@@ -193,7 +200,7 @@
             }
             EventKind::AttemptAborted { server } => {
                 if let Some(attempt) = self.open_attempt(server, event.proxy) {
-                    attempt.aborted = Some(at);
+                    attempt.aborted_at = Some(at);
                 }
             }
             EventKind::EffectApplied { server } => self.effects.push(EffectRecord { at, server }),
--- a/crates/testbed/src/oracle/requests.rs
+++ b/crates/testbed/src/oracle/requests.rs
@@ -17,8 +17,8 @@
         let mut findings = Vec::new();
         findings.extend(answered_again(record));
         findings.extend(unanswered(record));
-        if let (Some(sent), Some(answer)) = (record.sent, record.answers.first()) {
-            findings.extend(self.check_answer(record, sent, answer, spans));
+        if let (Some(sent_at), Some(answer)) = (record.sent_at, record.answers.first()) {
+            findings.extend(self.check_answer(record, sent_at, answer, spans));
         }
         findings.extend(self.sent_after_cancel(record));
         findings.extend(self.check_attempts(record));
@@ -32,18 +32,18 @@
     fn check_answer(
         &self,
         record: &RequestRecord,
-        sent: Micros,
+        sent_at: Micros,
         answer: &AnswerRecord,
         spans: &AttemptSpans,
     ) -> Vec<Finding> {
         let class = &self.experiment.classes[record.request.class_index];
         let at = answer.at;
         let mut findings = Vec::new();
-        let latest_allowed = sent
+        let latest_allowed = sent_at
             + record.request.time_limit
             + micros_from_seconds(self.experiment.rules.late_tolerance_ms / 1e3);
-        if at > latest_allowed && !self.was_stopped(record.proxy, sent, at) {
-            let late = seconds_from_micros(at - sent - record.request.time_limit);
+        if at > latest_allowed && !self.was_stopped(record.proxy, sent_at, at) {
+            let late = seconds_from_micros(at - sent_at - record.request.time_limit);
             findings.push(Finding::new(
                 Rule::InTimeLimit,
                 at,
@@ -60,7 +60,7 @@
             findings.extend(details.map(|details| Finding::new(Rule::SafeRejection, at, details)));
         }
         if answer.status >= 429 {
-            let details = self.delayed_refusal(record, sent, at, spans);
+            let details = self.delayed_refusal(record, sent_at, at, spans);
             findings.extend(details.map(|details| Finding::new(Rule::PromptRefusal, at, details)));
         }
         findings
@@ -70,13 +70,13 @@
     /// is a breach even if the proxy was stopped in the meantime: once it runs again, it can read
     /// the end of the connection before it sends.
     fn sent_after_cancel(&self, record: &RequestRecord) -> Option<Finding> {
-        let cancelled = record.end.filter(|_| record.outcome == Outcome::Cancelled)?.at;
-        let latest_allowed = cancelled + micros_from_seconds(self.experiment.rules.cancel_delay_ms / 1e3);
-        let attempt = record.attempts.iter().find(|attempt| attempt.started > latest_allowed)?;
-        let after = seconds_from_micros(attempt.started - cancelled);
+        let cancelled_at = record.end.filter(|_| record.outcome == Outcome::Cancelled)?.at;
+        let latest_allowed = cancelled_at + micros_from_seconds(self.experiment.rules.cancel_delay_ms / 1e3);
+        let attempt = record.attempts.iter().find(|attempt| attempt.started_at > latest_allowed)?;
+        let after = seconds_from_micros(attempt.started_at - cancelled_at);
         let details =
             format!("an attempt reached server {} {after:.3} s after the cancellation", attempt.server);
-        Some(Finding::new(Rule::NothingAfterCancel, attempt.started, details))
+        Some(Finding::new(Rule::NothingAfterCancel, attempt.started_at, details))
     }
 
     fn outcome(&self, record: &RequestRecord) -> Outcome {
@@ -88,17 +88,17 @@
                 _ => Outcome::Failed,
             };
         }
-        let Some(sent) = record.sent else { return Outcome::NotAccepted };
+        let Some(sent_at) = record.sent_at else { return Outcome::NotAccepted };
         let Some(end) = record.end else { return Outcome::Unanswered };
         if end.outcome == Outcome::Cancelled {
             // A client that waits until its time limit has not cancelled: it got no answer in time.
-            let waited_to_limit = end.at >= sent + record.request.time_limit;
-            let stopped = self.was_stopped(record.proxy, sent, end.at);
+            let waited_to_limit = end.at >= sent_at + record.request.time_limit;
+            let stopped = self.was_stopped(record.proxy, sent_at, end.at);
             return if waited_to_limit && !stopped { Outcome::Unanswered } else { Outcome::Cancelled };
         }
         let killed = |kill: &Kill| {
             kill.proxy == record.proxy
-                && sent <= kill.at + KILL_TOLERANCE
+                && sent_at <= kill.at + KILL_TOLERANCE
                 && kill.at <= end.at + KILL_TOLERANCE
         };
         if self.kills.iter().any(killed) { Outcome::Killed } else { Outcome::Unanswered }
@@ -109,16 +109,16 @@
     fn delayed_refusal(
         &self,
         record: &RequestRecord,
-        sent: Micros,
+        sent_at: Micros,
         at: Micros,
         spans: &AttemptSpans,
     ) -> Option<String> {
         let max_delay = micros_from_seconds(self.experiment.rules.max_rejection_delay_ms / 1e3);
         let ends = record.attempts.iter().map(|attempt| attempt.end().unwrap_or(Micros::MAX));
-        let last_event = ends.max().unwrap_or(sent).max(sent);
+        let last_event = ends.max().unwrap_or(sent_at).max(sent_at);
         // An attempt that waits for a connection to a silent peer leaves no event.
         let may_have_waited = self.any_peer_silent(usize::from(record.proxy), last_event, at);
-        if last_event >= at || may_have_waited || self.was_stopped(record.proxy, sent, at) {
+        if last_event >= at || may_have_waited || self.was_stopped(record.proxy, sent_at, at) {
             return None;
         }
         let gap = spans.longest_gap(record.proxy, record.request.key, last_event, at);
@@ -165,7 +165,7 @@
     }
     let (at, details) = match record.end {
         Some(end) => (end.at, "the connection ended without an answer"),
-        None => (record.sent.unwrap_or(record.request.due_at), "no answer had come when the run ended"),
+        None => (record.sent_at.unwrap_or(record.request.due_at), "no answer had come when the run ended"),
     };
     let attempts = record.attempts.len();
     Some(Finding::new(
--- a/crates/testbed/src/oracle/spans.rs
+++ b/crates/testbed/src/oracle/spans.rs
@@ -16,7 +16,7 @@
         let mut spans: HashMap<(NodeIndex, u64), Vec<Range<Micros>>> = HashMap::new();
         for record in records {
             for attempt in &record.attempts {
-                let span = attempt.started..attempt.end().unwrap_or(Micros::MAX);
+                let span = attempt.started_at..attempt.end().unwrap_or(Micros::MAX);
                 spans.entry((attempt.proxy, record.request.key)).or_default().push(span);
             }
         }
--- a/crates/testbed/src/simulated_services/decide.rs
+++ b/crates/testbed/src/simulated_services/decide.rs
@@ -83,8 +83,8 @@
         // A new process starts with nothing of the previous one's state.
         let incarnation = timeline.incarnation_at(attempt.now).unwrap_or(running.incarnation);
         if incarnation != running.incarnation {
-            let started = timeline.incarnations[incarnation].started;
-            *running = RunningServer { incarnation, model: ServerModel::new(self.spec.clone(), started) };
+            let started_at = timeline.incarnations[incarnation].started_at;
+            *running = RunningServer { incarnation, model: ServerModel::new(self.spec.clone(), started_at) };
         }
         let fetch = |sent_at| self.fetch(sent_at, origin_fails);
         let plan = running.model.handle(attempt.now, input, timeline, fetch);
--- a/crates/testbed/src/simulated_services/etcd/mod.rs
+++ b/crates/testbed/src/simulated_services/etcd/mod.rs
@@ -60,10 +60,12 @@
     pub recovery_times: Vec<Micros>,
 }
 
+/// The latest state of a server that a proxy was notified of.
 #[derive(Clone, Copy, Default)]
 struct LastNotified {
     revision: i64,
-    started: u64,
+    /// When the server's process started, as Unix time in milliseconds.
+    started_ms: u64,
 }
 
 impl Etcd {
@@ -116,14 +118,14 @@
     fn record_notified(&self, proxy: usize, server: usize, revision: i64, value: Option<&[u8]>) {
         let fields: Option<Value> = value.and_then(|value| serde_json::from_slice(value).ok());
         let is_off = fields.as_ref().is_none_or(|fields| fields["state"] != SERVING_STATE);
-        let started = fields.as_ref().and_then(|fields| fields["started_ms"].as_u64()).unwrap_or(0);
+        let started_ms = fields.as_ref().and_then(|fields| fields["started_ms"].as_u64()).unwrap_or(0);
         let mut notified = lock(&self.etcd.notified);
         let last = notified.entry((proxy, server)).or_default();
-        if revision < last.revision && !is_off && started <= last.started {
+        if revision < last.revision && !is_off && started_ms <= last.started_ms {
             return;
         }
         last.revision = last.revision.max(revision);
-        last.started = last.started.max(started);
+        last.started_ms = last.started_ms.max(started_ms);
         let now = self.clock.now();
         let kind = EventKind::Notified { server: server as u16, is_off };
         self.recorder.record_at(now, 0, proxy, kind);
--- a/crates/testbed/src/simulated_services/etcd/writer.rs
+++ b/crates/testbed/src/simulated_services/etcd/writer.rs
@@ -72,10 +72,10 @@
     pub async fn run_etcd_writer(self: Arc<SimulatedServices>) {
         let mut updates = self.timelines.list_updates.iter().peekable();
         let mut actions = self.etcd.timeline.actions.iter().peekable();
-        let mut started = vec![0; self.origin_index() + 1];
+        let mut started_at = vec![0; self.origin_index() + 1];
         loop {
             let expiry = lock(&self.etcd.store).next_expiry();
-            let next_update = updates.peek().map(|update| update.published);
+            let next_update = updates.peek().map(|update| update.published_at);
             let next_action = actions.peek().map(|timed| timed.at);
             let Some(at) = [next_update, next_action, expiry].into_iter().flatten().min() else {
                 smol::Timer::after(Duration::from_micros(MAX_SLEEP)).await;
@@ -91,11 +91,11 @@
             // server at most once.
             let mut batch: Vec<&ListUpdate> = Vec::new();
             while let Some(update) = updates.next_if(|update| {
-                update.published <= now && !batch.iter().any(|before| before.server == update.server)
+                update.published_at <= now && !batch.iter().any(|before| before.server == update.server)
             }) {
                 batch.push(update);
             }
-            self.write_updates(&batch, &mut started, now);
+            self.write_updates(&batch, &mut started_at, now);
             self.etcd.wake_watchers();
         }
     }
@@ -114,17 +114,17 @@
         }
     }
 
-    /// Writes changes in one transaction; `started` holds the start of each server's process as
+    /// Writes changes in one transaction; `started_at` holds the start of each server's process as
     /// last written.
-    fn write_updates(&self, updates: &[&ListUpdate], started: &mut [Micros], now: Micros) {
+    fn write_updates(&self, updates: &[&ListUpdate], started_at: &mut [Micros], now: Micros) {
         let mut writes = Vec::new();
         for update in updates {
             let server = update.server;
             let key = key_of(self, server);
             if update.status == EndpointStatus::Ready {
-                started[server] = update.started;
+                started_at[server] = update.started_at;
             }
-            let entry = ListedServer { server, status: update.status, started: started[server] };
+            let entry = ListedServer { server, status: update.status, started_at: started_at[server] };
             writes.push(match update.status {
                 EndpointStatus::Gone => Write::Delete { key, end: vec![] },
                 _ => Write::Put { key, value: value_of(self, &entry), lease: 0 },
--- a/crates/testbed/src/simulated_services/list.rs
+++ b/crates/testbed/src/simulated_services/list.rs
@@ -297,6 +297,6 @@
 fn missing_servers(entries: &[ListedServer], servers: usize) -> Vec<ListedServer> {
     (0..servers)
         .filter(|server| !entries.iter().any(|entry| entry.server == *server))
-        .map(|server| ListedServer { server, status: EndpointStatus::Gone, started: 0 })
+        .map(|server| ListedServer { server, status: EndpointStatus::Gone, started_at: 0 })
         .collect()
 }
--- a/crates/testbed/src/simulated_services/list_entries.rs
+++ b/crates/testbed/src/simulated_services/list_entries.rs
@@ -20,8 +20,11 @@
     /// An entry of the list, with the address that one proxy uses.
     pub fn list_entry(&self, proxy: usize, entry: &ListedServer) -> Value {
         let is_origin = entry.server == self.origin_index();
-        let started =
-            if entry.started == 0 { 0 } else { self.clock.unix_start_ms() + entry.started / MILLISECOND };
+        let started_ms = if entry.started_at == 0 {
+            0
+        } else {
+            self.clock.unix_start_ms() + entry.started_at / MILLISECOND
+        };
         json!({
             "id": self.endpoint_id(entry.server),
             "addr": self.addresses.server_address(proxy, entry.server, self.origin_index()).to_string(),
@@ -30,7 +33,7 @@
             "cell": if is_origin { 0 } else { self.experiment.cell_of(entry.server) },
             "state": entry.status.wire_name(),
             "weight": 1.0,
-            "started_ms": started,
+            "started_ms": started_ms,
         })
     }
 }
--- a/crates/testbed/src/simulated_services/resp.rs
+++ b/crates/testbed/src/simulated_services/resp.rs
@@ -71,15 +71,15 @@
     /// Serves one command; `None` if the connection ends.
     async fn serve_next(&mut self, connection: &mut Connection) -> Option<()> {
         let arguments = read_command(connection).await.ok()?;
-        let started = self.services.clock.now();
+        let started_at = self.services.clock.now();
         let command_name = arguments.first().map_or(&[][..], Vec::as_slice);
         let name = String::from_utf8_lossy(command_name).to_uppercase();
-        if let Some(answer) = self.answer_without_key(&name, started).await {
+        if let Some(answer) = self.answer_without_key(&name, started_at).await {
             return connection.write(&[&answer]).await.ok();
         }
         let command = self.identify(connection, name, &arguments).await?;
         let server = self.server as u16;
-        self.record_at(started, command.key.id, EventKind::AttemptStarted { server });
+        self.record_at(started_at, command.key.id, EventKind::AttemptStarted { server });
         let (plan, answer) = self.plan(&command);
         self.reply(connection, command.key.id, plan, &answer).await
     }
--- a/crates/testbed/src/simulated_services/server.rs
+++ b/crates/testbed/src/simulated_services/server.rs
@@ -57,7 +57,7 @@
     let due = async {
         match plan.reply {
             Reply::NoReply => std::future::pending().await,
-            _ => services.clock.sleep_until(plan.due).await,
+            _ => services.clock.sleep_until(plan.due_at).await,
         }
         true
     };
@@ -90,7 +90,7 @@
     /// Serves one request; `None` if the connection ends.
     async fn serve_next(&mut self, connection: &mut Connection) -> Option<()> {
         self.wait_for_bytes(connection).await?;
-        let started = self.services.clock.now();
+        let started_at = self.services.clock.now();
         let message = match connection.read_request().await {
             Ok(message) => message,
             Err(ReadError::Malformed) => {
@@ -103,7 +103,7 @@
             return self.answer_health_check(connection).await;
         }
         let (id, request) = self.identify(connection, &message).await?;
-        self.record_at(started, id, EventKind::AttemptStarted { server: self.server as u16 });
+        self.record_at(started_at, id, EventKind::AttemptStarted { server: self.server as u16 });
         connection.open_attempt = Some(id);
         let plan = self.plan(&message, id, &request);
         self.reply(connection, id, &request, plan).await
@@ -170,7 +170,7 @@
         };
         if std::mem::take(&mut self.is_first_attempt) {
             let handshake = micros_from_seconds(self.services.experiment.world.handshake_ms / 1e3);
-            plan.due = plan.due.saturating_add(handshake);
+            plan.due_at = plan.due_at.saturating_add(handshake);
         }
         plan
     }
--- a/crates/testbed/tests/models/server.rs
+++ b/crates/testbed/tests/models/server.rs
@@ -19,7 +19,7 @@
 
 fn timeline() -> ServerTimeline {
     let incarnations =
-        vec![Incarnation { started: 0, ended: Micros::MAX, reachability_after: Reachability::Refused }];
+        vec![Incarnation { started_at: 0, ended_at: Micros::MAX, reachability_after: Reachability::Refused }];
     ServerTimeline { incarnations, ..ServerTimeline::default() }
 }
 
@@ -51,14 +51,14 @@
         plans.map(|plan| plan.reply),
         [Reply::Hit, Reply::Hit, Reply::Hit, Reply::Hit, Reply::Unprocessed]
     );
-    assert!(!plans[4].takes_effect && plans[3].due == 20 * MILLISECOND);
+    assert!(!plans[4].takes_effect && plans[3].due_at == 20 * MILLISECOND);
 }
 
 #[test]
 fn a_server_in_slow_start_collapses_under_load_that_a_warm_server_sustains() {
     let timeline = timeline();
-    let collapsed = [SECOND, 0].map(|started| {
-        let mut server = ServerModel::new(spec(), started);
+    let collapsed = [SECOND, 0].map(|started_at| {
+        let mut server = ServerModel::new(spec(), started_at);
         // The budget is twice a fifth of two cores, 0.8 s of work per second, plus 80 ms as
         // tolerance for random arrivals.
         (0..100).position(|i| server.handle(SECOND + i, attempt(1), &timeline, failing_origin).collapses)
--- a/crates/testbed/tests/models/server_list.rs
+++ b/crates/testbed/tests/models/server_list.rs
@@ -5,7 +5,8 @@
 
 #[test]
 fn snapshots_and_changes_agree() {
-    let update = |published, server, status, started| ListUpdate { published, server, status, started };
+    let update =
+        |published_at, server, status, started_at| ListUpdate { published_at, server, status, started_at };
     let updates = vec![
         update(5, 0, EndpointStatus::Draining, 0),
         update(7, 0, EndpointStatus::Gone, 0),
@@ -13,7 +14,7 @@
     ];
     let list = ServerList::new(1, updates);
     let states = |entries: Vec<ListedServer>| {
-        entries.iter().map(|entry| (entry.server, entry.status, entry.started)).collect::<Vec<_>>()
+        entries.iter().map(|entry| (entry.server, entry.status, entry.started_at)).collect::<Vec<_>>()
     };
     assert_eq!([4, 5, 8, 9].map(|at| list.version(at)), [1, 2, 3, 4]);
     assert_eq!(states(list.snapshot(1)), [(0, EndpointStatus::Ready, 0), (1, EndpointStatus::Ready, 0)]);
--- a/crates/testbed/tests/models/timeline.rs
+++ b/crates/testbed/tests/models/timeline.rs
@@ -27,7 +27,7 @@
     let seen: Vec<_> = timelines
         .list_updates
         .iter()
-        .map(|update| (update.published / 100_000, update.server, update.status))
+        .map(|update| (update.published_at / 100_000, update.server, update.status))
         .collect();
     let (draining, gone, ready) = (EndpointStatus::Draining, EndpointStatus::Gone, EndpointStatus::Ready);
     assert_eq!(
@@ -64,6 +64,6 @@
     let delay = "[[trouble]]\nkind='list-late'\nat=0\nfor=3\nby=5\n";
     let timelines = timelines(&format!("{delay}[[trouble]]\nkind='restarts'\nat=1\ndown=6\ncaches=[0]"));
     let seen: Vec<_> =
-        timelines.list_updates.iter().map(|update| (update.published / 100_000, update.status)).collect();
+        timelines.list_updates.iter().map(|update| (update.published_at / 100_000, update.status)).collect();
     assert_eq!(seen, [(65, EndpointStatus::Gone), (75, EndpointStatus::Ready)]);
 }
