--- a/crates/testbed/src/baseline/mod.rs
+++ b/crates/testbed/src/baseline/mod.rs
@@ -28,7 +28,8 @@
     Relay,
     /// A random ready server in the proxy's zone; another random one after a failure.
     Random,
-    /// Consistent hashing on a plain ring, without a load bound or exceptions; the next server on
+    /// Consistent hashing on a plain ring, without a load bound or any other deviation from the
+    /// ring's order; the next server on
     /// the ring after a failure.
     Ring,
 }
@@ -124,9 +125,9 @@
 const LISTEN_BACKLOG: i32 = 1024;
 
 /// Runs one proxy until it gets SIGTERM or SIGINT, and drains it.
-pub fn run(strategy: Strategy, broken: BrokenRule, config: &str) -> Result<(), BaselineError> {
+pub fn run(strategy: Strategy, broken_rule: BrokenRule, config: &str) -> Result<(), BaselineError> {
     let config = read_config(config)?;
-    let proxy = Rc::new(new_proxy(strategy, broken, &config)?);
+    let proxy = Rc::new(new_proxy(strategy, broken_rule, &config)?);
     proxy.apply_list(&config["known"]);
     let listener = listen(address_field(&config, "listen")?)?;
     let mut signals = async_signal::Signals::new([async_signal::Signal::Term, async_signal::Signal::Int])?;
@@ -167,7 +168,7 @@
     Ok(Async::new(listener)?)
 }
 
-fn new_proxy(strategy: Strategy, broken: BrokenRule, config: &Value) -> Result<Proxy, BaselineError> {
+fn new_proxy(strategy: Strategy, broken_rule: BrokenRule, config: &Value) -> Result<Proxy, BaselineError> {
     let settings = &config["settings"];
     let classes = settings["namespaces"].as_array().cloned().unwrap_or_default();
     let is_replayable = |class: &&Value| class["idempotency"] == "free";
@@ -175,7 +176,7 @@
     let seed = u64::from_str_radix(config["seed"].as_str().unwrap_or("1"), 16).unwrap_or(1);
     Ok(Proxy {
         strategy,
-        broken,
+        broken_rule,
         max_attempts: settings["ceilings"]["mostShots"].as_u64().unwrap_or(1) as usize,
         replayable_classes: classes.iter().filter(is_replayable).map(name).collect(),
         list_addr: address_field(config, "discovery")?,
--- a/crates/testbed/src/baseline/proxy.rs
+++ b/crates/testbed/src/baseline/proxy.rs
@@ -24,7 +24,7 @@
 
 pub(super) struct Proxy {
     pub strategy: Strategy,
-    pub broken: BrokenRule,
+    pub broken_rule: BrokenRule,
     pub max_attempts: usize,
     /// Names of the request classes whose requests may run any number of times.
     pub replayable_classes: HashSet<String>,
@@ -59,7 +59,7 @@
 impl Proxy {
     /// Applies an update of the endpoint list and returns its version.
     pub fn apply_list(&self, list: &Value) -> Option<u64> {
-        self.endpoints.borrow_mut().apply(list, self.broken == BrokenRule::IgnoreDrains)
+        self.endpoints.borrow_mut().apply(list, self.broken_rule == BrokenRule::IgnoreDrains)
     }
 
     /// Chooses the server of the next attempt, or `None` if all were tried.
--- a/crates/testbed/src/baseline/serve.rs
+++ b/crates/testbed/src/baseline/serve.rs
@@ -44,10 +44,10 @@
         // Only requests for which the rule can be broken are counted. If all were counted, it would
         // be left to chance whether a run breaks the rule at all.
         let is_tagged = request.field("Idempotency-Key").is_some();
-        let is_counted = is_tagged || self.broken != BrokenRule::ResendAnswered;
+        let is_counted = is_tagged || self.broken_rule != BrokenRule::ResendAnswered;
         self.request_count.set(self.request_count.get() + u64::from(is_counted));
         let is_breach_due = self.request_count.get().is_multiple_of(REQUESTS_PER_BREACH);
-        let breaks_rule = |rule: BrokenRule| self.broken == rule && is_breach_due;
+        let breaks_rule = |rule: BrokenRule| self.broken_rule == rule && is_breach_due;
         self.in_flight.set(self.in_flight.get() + 1);
         let written = match self.answer(request).await {
             Ok(_) if breaks_rule(BrokenRule::DropAnswer) => {
@@ -71,7 +71,7 @@
         is_breach_due: bool,
     ) -> std::io::Result<()> {
         let mut body = value.body().to_vec();
-        if self.broken == BrokenRule::SwapValues {
+        if self.broken_rule == BrokenRule::SwapValues {
             let last_value = self.last_value.replace(body.clone());
             if is_breach_due && !last_value.is_empty() {
                 body = last_value;
@@ -79,14 +79,14 @@
         }
         let close = if self.accepting.get() { "" } else { "Connection: close\r\n" };
         let head = response_head(200, body.len(), close);
-        if self.broken == BrokenRule::AnswerTwice && is_breach_due {
+        if self.broken_rule == BrokenRule::AnswerTwice && is_breach_due {
             _ = connection.write(&[head.as_bytes(), &body]).await;
         }
         connection.write(&[head.as_bytes(), &body]).await
     }
 
     async fn write_refusal(&self, connection: &Connection, status: u16) -> std::io::Result<()> {
-        if self.broken == BrokenRule::DelayRefusals {
+        if self.broken_rule == BrokenRule::DelayRefusals {
             Timer::after(REFUSAL_DELAY).await;
         }
         let extra = if status == 503 { "Retry-After: 0.5\r\n" } else { "" };
--- a/crates/testbed/src/cli/play.rs
+++ b/crates/testbed/src/cli/play.rs
@@ -124,7 +124,8 @@
     let command: Option<String> = args.opt_value_from_str("--proxy")?;
     expect_no_more(args)?;
     println!(
-        "Three proxies, nine servers in three zones and an origin on loopback. At 6 s a server hangs, at 10 s a third of\n\
+        "Three proxies, nine servers in three zones and an origin on loopback. At 6 s a server \
+         hangs, at 10 s a third of\n\
          the requests to another fails, and from 13 s on servers are deployed one after the other."
     );
     let experiment = Experiment::parse(TRY_EXPERIMENT).map_err(CliError::BuiltIn)?;
--- a/crates/testbed/src/cli/processes.rs
+++ b/crates/testbed/src/cli/processes.rs
@@ -23,20 +23,20 @@
 
 /// `proxy`: runs a baseline proxy that chalkwalk can be compared with.
 pub fn proxy(mut args: Arguments) -> Result<ExitCode, CliError> {
-    let broken: Option<String> = args.opt_value_from_str("--break")?;
+    let broken_rule: Option<String> = args.opt_value_from_str("--break")?;
     let strategy: String =
         args.free_from_str().map_err(|_| CliError::usage("proxy takes relay, random or ring"))?;
     expect_no_more(args)?;
     let strategy = Strategy::from_name(&strategy)
         .ok_or_else(|| CliError::usage(format!("unknown proxy {strategy}; use relay, random or ring")))?;
-    let broken = match broken {
+    let broken_rule = match broken_rule {
         None => BrokenRule::NoRule,
         Some(rule) => BrokenRule::from_name(&rule).ok_or_else(|| {
-            let known = "lose, twice, resend, drained, swap or hold";
-            CliError::usage(format!("unknown rule {rule} for --break; expected {known}"))
+            let known_rules = "lose, twice, resend, drained, swap or hold";
+            CliError::usage(format!("unknown rule {rule} for --break; expected {known_rules}"))
         })?,
     };
     let config = std::env::var("ROUTER_CONFIG").map_err(|_| CliError::usage("ROUTER_CONFIG is not set"))?;
-    baseline::run(strategy, broken, &config)?;
+    baseline::run(strategy, broken_rule, &config)?;
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/testbed/src/clock.rs
+++ b/crates/testbed/src/clock.rs
@@ -1,6 +1,6 @@
 //! The clock of a run, in microseconds since the load started. The proxy's own time unit, a tenth
-//! of a millisecond, is too coarse: on loopback a proxy that only
-//! relays requests adds less latency than one such unit.
+//! of a millisecond, is too coarse: on loopback a proxy that only relays requests adds less
+//! latency than one such unit.
 
 use std::sync::{Arc, OnceLock};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
--- a/crates/testbed/src/experiment/mod.rs
+++ b/crates/testbed/src/experiment/mod.rs
@@ -69,8 +69,8 @@
 
 /// The line, counted from 1, that contains the byte at an offset of the text.
 fn line_of(text: &str, offset: usize) -> usize {
-    let before = &text.as_bytes()[..offset.min(text.len())];
-    before.iter().filter(|byte| **byte == b'\n').count() + 1
+    let text_before = &text.as_bytes()[..offset.min(text.len())];
+    text_before.iter().filter(|byte| **byte == b'\n').count() + 1
 }
 
 impl Experiment {
--- a/crates/testbed/src/fleet/actions.rs
+++ b/crates/testbed/src/fleet/actions.rs
@@ -142,17 +142,18 @@
             if at > action.at + action.duration || file_count == 0 {
                 return;
             }
-            let (path, list) = {
+            let (operator_path, list_path) = {
                 let process = lock(&self.processes[action.proxy]);
                 (process.operator_path.clone(), process.list_path.clone())
             };
-            let text = self.operator_text(&self.start.operator_texts[n % file_count], action.proxy, &list);
+            let text =
+                self.operator_text(&self.start.operator_texts[n % file_count], action.proxy, &list_path);
             if n % SPLIT_WRITE_EVERY == 0 {
-                _ = std::fs::write(&path, &text.as_bytes()[..text.len() / 2]);
+                _ = std::fs::write(&operator_path, &text.as_bytes()[..text.len() / 2]);
                 self.signal(action.proxy, Signal::HUP, "HUP");
                 Timer::after(SPLIT_WRITE_DELAY).await;
             }
-            _ = std::fs::write(&path, text);
+            _ = std::fs::write(&operator_path, text);
             self.signal(action.proxy, Signal::HUP, "HUP");
             self.services.clock.sleep_until(at).await;
         }
@@ -160,7 +161,7 @@
 
     /// Overwrites a proxy's list file repeatedly; some writes are malformed or done in two halves.
     async fn rewrite_repeatedly(&self, action: &ProxyAction) {
-        let Some(file) = self.lists.get(action.proxy) else { return };
+        let Some(file) = self.list_files.get(action.proxy) else { return };
         for n in 1.. {
             let at = action.at + action.interval * n as Micros;
             if at > action.at + action.duration {
--- a/crates/testbed/src/fleet/config.rs
+++ b/crates/testbed/src/fleet/config.rs
@@ -70,7 +70,7 @@
 
 /// The operator's file's table for the source of the endpoint list; empty if the source is the
 /// platform.
-fn membership_table(services: &SimulatedServices, proxy: usize, list: &Path) -> String {
+fn membership_table(services: &SimulatedServices, proxy: usize, list_path: &Path) -> String {
     let fleet = &services.experiment.fleet;
     match fleet.list_source() {
         ListSource::Platform => String::new(),
@@ -84,7 +84,7 @@
             )
         }
         ListSource::File => {
-            format!("[membership]\nsource = \"file\"\nfile = {:?}\n", list.display().to_string())
+            format!("[membership]\nsource = \"file\"\nfile = {:?}\n", list_path.display().to_string())
         }
     }
 }
@@ -92,8 +92,8 @@
 impl Fleet {
     /// The text of a proxy's operator's file: the experiment's file with the testbed's tables added
     /// before its end marker.
-    pub(super) fn operator_text(&self, text: &str, proxy: usize, list: &Path) -> String {
-        operator_text(&self.services, text, proxy, list)
+    pub(super) fn operator_text(&self, text: &str, proxy: usize, list_path: &Path) -> String {
+        operator_text(&self.services, text, proxy, list_path)
     }
 
     /// A proxy's configuration, in the platform's format.
@@ -102,16 +102,16 @@
         let addresses = self.services.addresses;
         let fleet = &experiment.fleet;
         let from_platform = fleet.list_source() == ListSource::Platform;
-        let list = || json!(addresses.list_address(proxy, list_moved).to_string());
-        let known =
+        let list_address = || json!(addresses.list_address(proxy, list_moved).to_string());
+        let initial_list =
             || json!({"version": FIRST_VERSION, "full": true, "servers": self.services.initial_list(proxy)});
         json!({
             "name": proxy_name(proxy),
             "listen": addresses.proxy_address(proxy).to_string(),
-            "discovery": if from_platform { list() } else { Value::Null },
+            "discovery": if from_platform { list_address() } else { Value::Null },
             "seed": format!("{:x}", experiment.seed.wrapping_add(proxy as u64 + 1)),
             "limits": {"cores": 1.0, "memory_mb": fleet.memory_mb, "sockets": fleet.sockets},
-            "known": if from_platform { known() } else { Value::Null },
+            "known": if from_platform { initial_list() } else { Value::Null },
             "settings": self.settings(proxy),
         })
     }
@@ -153,8 +153,13 @@
 
 /// The text of an operator's file: the experiment's file with the testbed's tables added before its
 /// end marker.
-pub(super) fn operator_text(services: &SimulatedServices, text: &str, proxy: usize, list: &Path) -> String {
-    let tables = membership_table(services, proxy, list) + &resp_table(services, proxy);
+pub(super) fn operator_text(
+    services: &SimulatedServices,
+    text: &str,
+    proxy: usize,
+    list_path: &Path,
+) -> String {
+    let tables = membership_table(services, proxy, list_path) + &resp_table(services, proxy);
     if tables.is_empty() {
         return text.to_string();
     }
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -64,7 +64,7 @@
     start: StartSettings,
     processes: Vec<Mutex<ProxyProcess>>,
     /// The proxies' list files, if the list source is a file; otherwise empty.
-    lists: Vec<ListFile>,
+    list_files: Vec<ListFile>,
     /// The resources that the proxies used, in order of time.
     pub samples: Mutex<Vec<Sample>>,
     /// Errors that invalidate the run.
@@ -86,11 +86,11 @@
     pub fn new(services: Arc<SimulatedServices>, start: StartSettings) -> io::Result<Arc<Fleet>> {
         std::fs::create_dir_all(&start.directory)?;
         let mut processes = Vec::new();
-        let mut lists = Vec::new();
+        let mut list_files = Vec::new();
         for proxy in 0..services.experiment.fleet.proxies {
             let process = ProxyProcess::new(&services, &start, proxy)?;
             if services.experiment.fleet.list_source() == ListSource::File {
-                lists.push(ListFile::new(&process.list_path, proxy));
+                list_files.push(ListFile::new(&process.list_path, proxy));
             }
             processes.push(Mutex::new(process));
         }
@@ -98,7 +98,7 @@
             services,
             start,
             processes,
-            lists,
+            list_files,
             samples: Mutex::default(),
             errors: Mutex::default(),
         }))
@@ -106,7 +106,7 @@
 
     /// Starts all proxies and waits until they are ready.
     pub async fn start_all(&self, load_balancer: &LoadBalancer) -> Result<(), FleetError> {
-        for file in &self.lists {
+        for file in &self.list_files {
             file.write(&self.services, WriteMode::AtomicReplace).await;
         }
         for proxy in 0..self.processes.len() {
@@ -227,7 +227,7 @@
     pub async fn write_lists(self: Arc<Fleet>) {
         for update in &self.services.timelines.list_updates {
             self.services.clock.sleep_until(update.published_at).await;
-            for file in &self.lists {
+            for file in &self.list_files {
                 file.write(&self.services, WriteMode::AtomicReplace).await;
             }
         }
--- a/crates/testbed/src/load/clients.rs
+++ b/crates/testbed/src/load/clients.rs
@@ -191,7 +191,7 @@
         let backoff =
             micros_from_seconds(self.experiment.load.backoff_ms / 1e3) << retry.min(MAX_BACKOFF_DOUBLINGS);
         match outcome {
-            TryOutcome::Rejected(Some(after)) if arrival.honors_retry_after => Some(*after),
+            TryOutcome::Rejected(Some(retry_after)) if arrival.honors_retry_after => Some(*retry_after),
             TryOutcome::Rejected(_) => Some(backoff),
             TryOutcome::Served | TryOutcome::Cancelled => None,
             TryOutcome::Failed | TryOutcome::NoAnswer => is_safe_to_repeat(class).then_some(backoff),
--- a/crates/testbed/src/load/connection.rs
+++ b/crates/testbed/src/load/connection.rs
@@ -76,7 +76,8 @@
     fn http_head(&self, body_length: usize) -> String {
         let class = &self.experiment.classes[self.arrival.class];
         let mut head = format!(
-            "{} /api/k{} HTTP/1.1\r\nHost: lab\r\nX-Correlation-Id: {:016x}\r\nX-Service-Class: {}\r\nX-Time-Left: {:.4}\r\n",
+            "{} /api/k{} HTTP/1.1\r\nHost: lab\r\nX-Correlation-Id: {:016x}\r\n\
+             X-Service-Class: {}\r\nX-Time-Left: {:.4}\r\n",
             if class.write { "PUT" } else { "GET" },
             self.arrival.key,
             self.id,
--- a/crates/testbed/src/load/tries.rs
+++ b/crates/testbed/src/load/tries.rs
@@ -98,8 +98,10 @@
             return self.unanswered(current, &channel, true);
         }
         let limit = current.limit();
-        let wait_limit =
-            current.arrival.cancels_after.map_or(limit + LATE_ANSWER_WAIT, |after| after.min(limit));
+        let wait_limit = current
+            .arrival
+            .cancels_after
+            .map_or(limit + LATE_ANSWER_WAIT, |cancels_after| cancels_after.min(limit));
         let answered = async { Some(current.read_answer(&mut channel.client.connection).await) };
         let cancelled = async {
             self.clock.sleep_until(channel.started_at + wait_limit).await;
--- a/crates/testbed/src/measure/steps.rs
+++ b/crates/testbed/src/measure/steps.rs
@@ -114,10 +114,10 @@
     fn add_usage(&mut self, proxy: usize, samples: &[Sample]) {
         let proxy_samples: Vec<&Sample> = samples.iter().filter(|sample| sample.proxy == proxy).collect();
         for pair in proxy_samples.windows(2) {
-            let (before, sample) = (pair[0], pair[1]);
+            let (previous, sample) = (pair[0], pair[1]);
             let step = self.step_at(sample.at);
             step.memory_mb[proxy] = step.memory_mb[proxy].max(sample.memory_kb as f64 / 1024.0);
-            step.cpu[proxy] += sample.cpu_us.saturating_sub(before.cpu_us) as f64 / TIME_STEP as f64;
+            step.cpu[proxy] += sample.cpu_us.saturating_sub(previous.cpu_us) as f64 / TIME_STEP as f64;
         }
     }
 
--- a/crates/testbed/src/model/etcd.rs
+++ b/crates/testbed/src/model/etcd.rs
@@ -43,7 +43,7 @@
 pub enum StoreAction {
     /// Drops the store's history.
     Compact,
-    /// Restores the store to its state of this long ago.
+    /// Restores the store to the state that it had this long ago.
     Restore(Micros),
 }
 
--- a/crates/testbed/src/model/timeline/build.rs
+++ b/crates/testbed/src/model/timeline/build.rs
@@ -9,7 +9,7 @@
 use std::ops::Range;
 
 /// Time until the discovery service detects with its own health checks that a machine is gone:
-/// several failed checks, and one second more.
+/// the time of several checks, and one second more.
 const DETECTION_DELAY: Micros = 2 * SECOND;
 /// Fallback for a duration that a kind of fault requires; the experiment's check has already
 /// rejected a fault without it.
--- a/crates/testbed/src/notified.rs
+++ b/crates/testbed/src/notified.rs
@@ -83,7 +83,7 @@
     proxy: usize,
 ) -> Vec<Range<Micros>> {
     let mut spans: Vec<Range<Micros>> = timelines.stale_list_spans.clone();
-    spans.extend(timelines.list_outages.iter().map(|down| down.span.clone()));
+    spans.extend(timelines.list_outages.iter().map(|list_outage| list_outage.span.clone()));
     spans.extend(cut_off_spans(timelines, proxy % experiment.world.zones.len()));
     spans.extend(down_spans(events, proxy));
     spans.sort_by_key(|span| span.start);
--- a/crates/testbed/src/oracle/attempts.rs
+++ b/crates/testbed/src/oracle/attempts.rs
@@ -33,9 +33,9 @@
         let mut findings = Vec::new();
         findings.extend(self.exceeds_limit(record));
         for (i, next) in record.attempts.iter().enumerate() {
-            let before = &record.attempts[..i];
-            findings.extend(self.concurrent_attempt(before, next));
-            findings.extend(self.may_run_twice(record, before, next));
+            let earlier_attempts = &record.attempts[..i];
+            findings.extend(self.concurrent_attempt(earlier_attempts, next));
+            findings.extend(self.may_run_twice(record, earlier_attempts, next));
         }
         if let [_, second, ..] = record.effects[..] {
             let details = format!("its effect was applied again at server {}", second.server);
@@ -52,13 +52,13 @@
     }
 
     /// Finds an attempt that was still in flight when `next` started, if hedging is not allowed.
-    fn concurrent_attempt(&self, before: &[Attempt], next: &Attempt) -> Option<Finding> {
+    fn concurrent_attempt(&self, earlier_attempts: &[Attempt], next: &Attempt) -> Option<Finding> {
         if self.experiment.fleet.hedging {
             return None;
         }
         let overlap = micros_from_seconds(self.experiment.rules.overlap_ms / 1e3);
         let in_flight = |other: &&Attempt| other.end().is_none_or(|end| end > next.started_at + overlap);
-        let other = before.iter().find(in_flight)?;
+        let other = earlier_attempts.iter().find(in_flight)?;
         let details = format!(
             "server {} was sent an attempt while one was in flight at server {}",
             next.server, other.server
@@ -66,9 +66,14 @@
         Some(Finding::new(Rule::OneAttemptAtOnce, next.started_at, details))
     }
 
-    fn may_run_twice(&self, record: &RequestRecord, before: &[Attempt], next: &Attempt) -> Option<Finding> {
+    fn may_run_twice(
+        &self,
+        record: &RequestRecord,
+        earlier_attempts: &[Attempt],
+        next: &Attempt,
+    ) -> Option<Finding> {
         let class = &self.experiment.classes[record.request.class_index];
-        let candidates = before.iter().filter(|first| first.may_have_run(next.started_at));
+        let candidates = earlier_attempts.iter().filter(|first| first.may_have_run(next.started_at));
         let mut unsafe_attempts =
             candidates.filter_map(|first| Some((first, self.unsafe_retry(class, first, next)?)));
         let (first, reason) = unsafe_attempts.next()?;
@@ -92,7 +97,8 @@
         let (first_sent, next_sent) = (first.sent_at(), next.sent_at());
         (next_sent > first_sent + dedup_window(class)).then(|| {
             format!(
-                "the request is tagged, and was sent {:.3} s after the first attempt, outside the deduplication window",
+                "the request is tagged, and was sent {:.3} s after the first attempt, outside the \
+                 deduplication window",
                 seconds_from_micros(next_sent - first_sent)
             )
         })
@@ -131,7 +137,8 @@
         Repeats::Tagged if class.dedup_group() != DedupGroup::All => Some(may_have_run("tagged")),
         Repeats::Tagged => (retry_at > first_sent + dedup_window(class)).then(|| {
             format!(
-                "the request is tagged, and its retry is due {:.3} s after the first attempt, outside the deduplication window",
+                "the request is tagged, and its retry is due {:.3} s after the first attempt, \
+                 outside the deduplication window",
                 seconds_from_micros(retry_at - first_sent)
             )
         }),
--- a/crates/testbed/src/oracle/drains.rs
+++ b/crates/testbed/src/oracle/drains.rs
@@ -60,17 +60,19 @@
     fn check_attempt(&mut self, pair: ProxyServer, at: Micros, grace: Micros) -> Option<String> {
         let server = pair.1;
         if let Some(since) = self.presumed_off_since.get(&pair).filter(|since| at > **since + grace) {
-            let after = seconds_from_micros(at - since);
+            let delay_s = seconds_from_micros(at - since);
             return Some(format!(
-                "server {server} was sent an attempt {after:.3} s after its proxy is presumed to be notified that the server is off"
+                "server {server} was sent an attempt {delay_s:.3} s after its proxy is presumed to \
+                 be notified that the server is off"
             ));
         }
         let drain = &mut self.drains[*self.written.get(&pair)?];
         drain.last_attempt_at = at;
-        let after = seconds_from_micros(at - drain.notified_at);
+        let delay_s = seconds_from_micros(at - drain.notified_at);
         (at > drain.notified_at + grace).then(|| {
             format!(
-                "server {server} was sent an attempt {after:.3} s after its proxy was notified that the server is off"
+                "server {server} was sent an attempt {delay_s:.3} s after its proxy was notified \
+                 that the server is off"
             )
         })
     }
--- a/crates/testbed/src/oracle/requests.rs
+++ b/crates/testbed/src/oracle/requests.rs
@@ -43,11 +43,11 @@
             + record.request.time_limit
             + micros_from_seconds(self.experiment.rules.late_tolerance_ms / 1e3);
         if at > latest_allowed && !self.was_stopped(record.proxy, sent_at, at) {
-            let late = seconds_from_micros(at - sent_at - record.request.time_limit);
+            let late_s = seconds_from_micros(at - sent_at - record.request.time_limit);
             findings.push(Finding::new(
                 Rule::InTimeLimit,
                 at,
-                format!("the answer came {late:.3} s after the time limit"),
+                format!("the answer came {late_s:.3} s after the time limit"),
             ));
         }
         if !answer.is_own_value {
@@ -73,9 +73,9 @@
         let cancelled_at = record.end.filter(|_| record.outcome == Outcome::Cancelled)?.at;
         let latest_allowed = cancelled_at + micros_from_seconds(self.experiment.rules.cancel_delay_ms / 1e3);
         let attempt = record.attempts.iter().find(|attempt| attempt.started_at > latest_allowed)?;
-        let after = seconds_from_micros(attempt.started_at - cancelled_at);
+        let delay_s = seconds_from_micros(attempt.started_at - cancelled_at);
         let details =
-            format!("an attempt reached server {} {after:.3} s after the cancellation", attempt.server);
+            format!("an attempt reached server {} {delay_s:.3} s after the cancellation", attempt.server);
         Some(Finding::new(Rule::NothingAfterCancel, attempt.started_at, details))
     }
 
@@ -122,10 +122,10 @@
             return None;
         }
         let gap = spans.longest_gap(record.proxy, record.request.key, last_event, at);
-        let after =
+        let event =
             if record.attempts.is_empty() { "the request was sent" } else { "the end of its last attempt" };
         (gap > max_delay)
-            .then(|| format!("the refusal came {:.3} s after {after}", seconds_from_micros(at - last_event)))
+            .then(|| format!("the refusal came {:.3} s after {event}", seconds_from_micros(at - last_event)))
     }
 
     /// Whether some server, or the origin, was silent to a proxy at any time between `from` and
--- a/crates/testbed/src/report/verdict.rs
+++ b/crates/testbed/src/report/verdict.rs
@@ -78,7 +78,8 @@
 fn costs(out: &mut String, figures: &Figures) {
     line!(
         out,
-        "  {:.3} attempts per request, {:.1}% of them at the origin, {:.1}% across zones; busiest server {:.1}%",
+        "  {:.3} attempts per request, {:.1}% of them at the origin, {:.1}% across zones; busiest \
+         server {:.1}%",
         figures.attempts_per_request,
         100.0 * share(figures.origin_attempts, figures.attempts),
         100.0 * share(figures.cross_zone_attempts, figures.attempts),
@@ -86,7 +87,8 @@
     );
     line!(
         out,
-        "  {:.1} us of CPU per request, {:.1} MB peak memory; the testbed's 99th percentile send delay was {:.2} ms",
+        "  {:.1} us of CPU per request, {:.1} MB peak memory; the testbed's 99th percentile send \
+         delay was {:.2} ms",
         figures.cpu_us_per_request,
         figures.memory_mb_peak,
         figures.send_delay_p99_ms
@@ -98,7 +100,8 @@
         fault_figures.recovered_s.map_or("not by the end".to_string(), |s| format!("after {s:.0} s"));
     line!(
         out,
-        "  during faults {:.2}% in time; per first request {:.3} requests, {:.3} attempts at servers, {:.3} at the origin; recovered {recovered}",
+        "  during faults {:.2}% in time; per first request {:.3} requests, {:.3} attempts at \
+         servers, {:.3} at the origin; recovered {recovered}",
         100.0 * fault_figures.in_time,
         fault_figures.requests_per_first,
         fault_figures.server_attempts_per_first,
@@ -111,7 +114,8 @@
     if drains.notified > 0 {
         line!(
             out,
-            "  {} times a proxy was notified that a server is off; its last attempt there came after {:.1} ms (p50), {:.1} ms (p99), {:.1} ms (max)",
+            "  {} times a proxy was notified that a server is off; its last attempt there came \
+             after {:.1} ms (p50), {:.1} ms (p99), {:.1} ms (max)",
             drains.notified,
             drains.p50_ms,
             drains.p99_ms,
@@ -134,7 +138,8 @@
     if let Some(etcd) = &figures.etcd {
         line!(
             out,
-            "  etcd was called {:.1} times per second; {} watches were lost, and established again after {:.0} ms (p50), {:.0} ms (p99), {:.0} ms (max)",
+            "  etcd was called {:.1} times per second; {} watches were lost, and established again \
+             after {:.0} ms (p50), {:.0} ms (p99), {:.0} ms (max)",
             etcd.calls_per_second,
             etcd.watches_lost,
             etcd.recovery_p50_ms,
--- a/crates/testbed/src/run.rs
+++ b/crates/testbed/src/run.rs
@@ -117,7 +117,8 @@
 }
 
 impl Run {
-    /// Opens the simulated services and prepares the proxies' files.
+    /// Opens the simulated services and prepares the proxies' files. `services_experiment` is the
+    /// experiment that the simulated services follow, for instance one without the faults.
     fn new(
         experiment: Experiment,
         services_experiment: Experiment,
@@ -239,12 +240,14 @@
     fn print_addresses(&self, logs: &Path) {
         let addresses = self.services.addresses;
         for proxy in 0..self.experiment.fleet.proxies {
-            let (own, list) = (addresses.proxy_address(proxy), addresses.list_address(proxy, false));
-            println!("proxy-{proxy:02}  http://{own}  list http://{list}/discovery/hosts");
+            let (proxy_address, list_address) =
+                (addresses.proxy_address(proxy), addresses.list_address(proxy, false));
+            println!("proxy-{proxy:02}  http://{proxy_address}  list http://{list_address}/discovery/hosts");
         }
         let class = &self.experiment.classes[0].name;
         println!(
-            "curl -H 'X-Correlation-Id: 1' -H 'X-Service-Class: {class}' -H 'X-Time-Left: 1' http://{}/api/k1\n\
+            "curl -H 'X-Correlation-Id: 1' -H 'X-Service-Class: {class}' -H 'X-Time-Left: 1' \
+             http://{}/api/k1\n\
              Use a new id (hexadecimal) for each request. Logs: {}. Ctrl-C stops the testbed.",
             addresses.proxy_address(0),
             logs.display()
--- a/crates/testbed/src/simulated_services/etcd/writer.rs
+++ b/crates/testbed/src/simulated_services/etcd/writer.rs
@@ -91,7 +91,7 @@
             // server at most once.
             let mut batch: Vec<&ListUpdate> = Vec::new();
             while let Some(update) = updates.next_if(|update| {
-                update.published_at <= now && !batch.iter().any(|before| before.server == update.server)
+                update.published_at <= now && !batch.iter().any(|earlier| earlier.server == update.server)
             }) {
                 batch.push(update);
             }
@@ -107,8 +107,8 @@
                 let revision = store.revision();
                 _ = store.compact(revision);
             }
-            StoreAction::Restore(by) => {
-                store.restore(now.saturating_sub(by));
+            StoreAction::Restore(age) => {
+                store.restore(now.saturating_sub(age));
                 *lock(&self.etcd.cluster_id) += 1;
             }
         }
--- a/crates/testbed/src/simulated_services/file.rs
+++ b/crates/testbed/src/simulated_services/file.rs
@@ -57,7 +57,8 @@
             let fields = services.list_entry(self.proxy, entry);
             let state = if entry.status == EndpointStatus::Ready { "serving" } else { "draining" };
             text += &format!(
-                "[[cache]]\nid = {}\naddr = {}\nzone = {}\nkind = {}\ncell = {}\nstate = \"{state}\"\nstarted_ms = {}\n",
+                "[[cache]]\nid = {}\naddr = {}\nzone = {}\nkind = {}\ncell = {}\n\
+                 state = \"{state}\"\nstarted_ms = {}\n",
                 fields["id"],
                 fields["addr"],
                 fields["zone"],
--- a/crates/testbed/src/simulated_services/list.rs
+++ b/crates/testbed/src/simulated_services/list.rs
@@ -186,7 +186,7 @@
         or(waited, closed).await
     }
 
-    /// Fails a call as the kind of outage determines.
+    /// Makes a call fail in the way that the outage specifies.
     async fn fail(&self, connection: &mut Connection, outage: Outage) -> AfterCall {
         let clock = &self.services.clock;
         match outage {
@@ -227,10 +227,9 @@
     }
 
     /// Records changes after a watch's response: within `WATCH_GRACE` they count as notified to the
-    /// process that called. A process that was killed between its call and the
-    /// response was not notified by the response, and neither is the process that was started after
-    /// it. Once the proxy's next call has arrived, on any connection, that call covers all later
-    /// changes.
+    /// process that called. A process that was killed between its call and the response was not
+    /// notified by the response, and neither is the process that was started after it. Once the
+    /// proxy's next call has arrived, on any connection, that call covers all later changes.
     async fn record_grace_changes(&self, answer: WatchAnswer) {
         let services = self.services;
         let end = answer.answered_at + WATCH_GRACE;
--- a/crates/testbed/src/simulated_services/peer.rs
+++ b/crates/testbed/src/simulated_services/peer.rs
@@ -64,8 +64,8 @@
     /// listens.
     fn list_reachability(&self, zone: usize, now: Micros) -> (Reachability, Micros) {
         let (reachability, until) = self.timelines.origin_reachability(zone, now);
-        let refuses = |down: &&ListOutage| down.outage == Outage::Refuses;
-        let spans = self.timelines.list_outages.iter().filter(refuses).map(|down| &down.span);
+        let refuses = |list_outage: &&ListOutage| list_outage.outage == Outage::Refuses;
+        let spans = self.timelines.list_outages.iter().filter(refuses).map(|list_outage| &list_outage.span);
         let transitions = spans.clone().flat_map(|span| [span.start, span.end]);
         let next = transitions.filter(|at| *at > now).min().unwrap_or(Micros::MAX);
         let is_down = spans.clone().any(|span| span.contains(&now));
