--- a/crates/testbed/src/baseline/proxy.rs
+++ b/crates/testbed/src/baseline/proxy.rs
@@ -24,7 +24,7 @@
 
 pub(super) struct Proxy {
     pub strategy: Strategy,
-    pub broken: BrokenRule,
+    pub broken_rule: BrokenRule,
     pub max_attempts: usize,
     /// Names of the request classes whose requests may run any number of times.
     pub replayable_classes: HashSet<String>,
@@ -32,7 +32,7 @@
     pub endpoints: RefCell<Endpoints>,
     pub pool: RefCell<HashMap<SocketAddr, Vec<Connection>>>,
     pub random: RefCell<ChaCha8Rng>,
-    /// How many requests came so far of those for which the rule can be broken.
+    /// Number of requests so far for which the rule can be broken.
     pub request_count: Cell<u64>,
     /// The value of the last answer.
     pub last_value: RefCell<Vec<u8>>,
@@ -59,7 +59,7 @@
 impl Proxy {
     /// Applies an update of the endpoint list and returns its version.
     pub fn apply_list(&self, list: &Value) -> Option<u64> {
-        self.endpoints.borrow_mut().apply(list, self.broken == BrokenRule::IgnoreDrains)
+        self.endpoints.borrow_mut().apply(list, self.broken_rule == BrokenRule::IgnoreDrains)
     }
 
     /// Chooses the server of the next attempt, or `None` if all were tried.
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -1,6 +1,6 @@
 //! The processes of the proxies: started by a command, controlled by signals and measured from
-//! outside. Each process is stopped by its id in any case: it is started through the subcommand
-//! `keep`, so that the kernel kills it when the testbed's process ends.
+//! outside. The testbed stops each process by its id. If the testbed itself is killed, the kernel
+//! kills the processes, because they are started through the subcommand `keep`.
 
 mod actions;
 mod config;
@@ -33,7 +33,8 @@
 /// How proxies are started.
 #[derive(Clone, Debug)]
 pub struct StartSettings {
-    /// The shell command of a proxy. It runs with `ROUTER_CONFIG` and the platform's other variables set.
+    /// The shell command of a proxy. It runs with `ROUTER_CONFIG` and the platform's other
+    /// variables set.
     pub command: String,
     /// The path of the testbed's executable, for `keep`. Without it, proxies outlive a testbed that
     /// is killed.
@@ -62,8 +63,8 @@
     services: Arc<SimulatedServices>,
     start: StartSettings,
     processes: Vec<Mutex<ProxyProcess>>,
-    /// The proxies' list files, if the list source is a file; else empty.
-    lists: Vec<ListFile>,
+    /// The proxies' list files, if the list source is a file; otherwise empty.
+    list_files: Vec<ListFile>,
     /// The resources that the proxies used, in order of time.
     pub samples: Mutex<Vec<Sample>>,
     /// Errors that invalidate the run.
@@ -75,7 +76,8 @@
 /// Interval at which the testbed checks whether a proxy is ready or has exited.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
-/// Time from SIGTERM to SIGKILL in addition to the longest time limit (at most 3 s), as on the platform.
+/// Time from SIGTERM to SIGKILL in addition to the longest time limit (at most 3 s), as on the
+/// platform.
 const KILL_GRACE: Micros = 700_000;
 const MAX_TIME_LIMIT: Micros = 3 * SECOND;
 
@@ -84,11 +86,11 @@
     pub fn new(services: Arc<SimulatedServices>, start: StartSettings) -> io::Result<Arc<Fleet>> {
         std::fs::create_dir_all(&start.directory)?;
         let mut processes = Vec::new();
-        let mut lists = Vec::new();
+        let mut list_files = Vec::new();
         for proxy in 0..services.experiment.fleet.proxies {
             let process = ProxyProcess::new(&services, &start, proxy)?;
             if services.experiment.fleet.list_source() == ListSource::File {
-                lists.push(ListFile::new(&process.list_path, proxy));
+                list_files.push(ListFile::new(&process.list_path, proxy));
             }
             processes.push(Mutex::new(process));
         }
@@ -96,7 +98,7 @@
             services,
             start,
             processes,
-            lists,
+            list_files,
             samples: Mutex::default(),
             errors: Mutex::default(),
         }))
@@ -104,7 +106,7 @@
 
     /// Starts all proxies and waits until they are ready.
     pub async fn start_all(&self, load_balancer: &LoadBalancer) -> Result<(), FleetError> {
-        for file in &self.lists {
+        for file in &self.list_files {
             file.write(&self.services, WriteMode::AtomicReplace).await;
         }
         for proxy in 0..self.processes.len() {
@@ -224,8 +226,8 @@
     /// returns after the last change.
     pub async fn write_lists(self: Arc<Fleet>) {
         for update in &self.services.timelines.list_updates {
-            self.services.clock.sleep_until(update.published).await;
-            for file in &self.lists {
+            self.services.clock.sleep_until(update.published_at).await;
+            for file in &self.list_files {
                 file.write(&self.services, WriteMode::AtomicReplace).await;
             }
         }
--- a/crates/testbed/src/measure/during_faults.rs
+++ b/crates/testbed/src/measure/during_faults.rs
@@ -28,10 +28,10 @@
     pub recovered_s: Option<f64>,
 }
 
-/// Service counts as recovered if the share in time is at most this much below the share before the
-/// faults ...
+/// Service counts as recovered if, for `RECOVERED_SECONDS` consecutive seconds, the share in time
+/// is at most this much below the share before the faults.
 const RECOVERY_TOLERANCE: f64 = 0.02;
-/// ... in each of this many consecutive seconds.
+/// Number of consecutive seconds for which service has to be back at its earlier level.
 const RECOVERED_SECONDS: usize = 3;
 
 impl DuringFaults {
@@ -50,7 +50,7 @@
         let first_count = firsts.iter().filter(|first| span.contains(&first.record.request.due_at)).count();
         let attempts = |at_origin: bool| {
             let all_attempts = verdict.records.iter().flat_map(|record| &record.attempts);
-            let attempts_in_span = all_attempts.filter(|attempt| span.contains(&attempt.started));
+            let attempts_in_span = all_attempts.filter(|attempt| span.contains(&attempt.started_at));
             let is_at_origin = |server: u16| usize::from(server) == experiment.world.servers;
             attempts_in_span.filter(|attempt| is_at_origin(attempt.server) == at_origin).count()
         };
--- a/crates/testbed/src/measure/steps.rs
+++ b/crates/testbed/src/measure/steps.rs
@@ -31,7 +31,7 @@
     pub in_flight: Vec<usize>,
     /// CPU use in cores, by proxy.
     pub cpu: Vec<f64>,
-    /// Peak memory, by proxy.
+    /// Peak memory in megabytes, by proxy.
     pub memory_mb: Vec<f64>,
 }
 
@@ -102,10 +102,10 @@
 
     fn add_attempts(&mut self, record: &RequestRecord) {
         for attempt in &record.attempts {
-            self.step_at(attempt.started).attempts += 1;
-            let end = attempt.end().unwrap_or(attempt.started + record.request.time_limit);
+            self.step_at(attempt.started_at).attempts += 1;
+            let end = attempt.end().unwrap_or(attempt.started_at + record.request.time_limit);
             // Counts the attempt in each step at whose end it is in flight.
-            for i in self.index(attempt.started)..self.index(end) {
+            for i in self.index(attempt.started_at)..self.index(end) {
                 self.steps[i].in_flight[usize::from(attempt.server)] += 1;
             }
         }
@@ -114,10 +114,10 @@
     fn add_usage(&mut self, proxy: usize, samples: &[Sample]) {
         let proxy_samples: Vec<&Sample> = samples.iter().filter(|sample| sample.proxy == proxy).collect();
         for pair in proxy_samples.windows(2) {
-            let (before, sample) = (pair[0], pair[1]);
+            let (previous, sample) = (pair[0], pair[1]);
             let step = self.step_at(sample.at);
             step.memory_mb[proxy] = step.memory_mb[proxy].max(sample.memory_kb as f64 / 1024.0);
-            step.cpu[proxy] += sample.cpu_us.saturating_sub(before.cpu_us) as f64 / TIME_STEP as f64;
+            step.cpu[proxy] += sample.cpu_us.saturating_sub(previous.cpu_us) as f64 / TIME_STEP as f64;
         }
     }
 
--- a/crates/testbed/src/model/etcd.rs
+++ b/crates/testbed/src/model/etcd.rs
@@ -7,7 +7,7 @@
 
 /// Number of endpoints in the cluster.
 pub const ENDPOINT_COUNT: usize = 3;
-/// The endpoint that lags in a fault that makes one endpoint lag.
+/// The endpoint that the fault `etcd-behind` makes lag.
 const LAGGING_ENDPOINT: usize = 2;
 /// Calls that need a quorum fail after this time where there is none, as with the timeout of an
 /// etcd server.
@@ -43,7 +43,7 @@
 pub enum StoreAction {
     /// Drops the store's history.
     Compact,
-    /// Restores the store to its state of this long ago.
+    /// Restores the store to the state that it had this long ago.
     Restore(Micros),
 }
 
--- a/crates/testbed/src/model/server.rs
+++ b/crates/testbed/src/model/server.rs
@@ -36,7 +36,7 @@
     /// The reply.
     pub reply: Reply,
     /// When it is sent.
-    pub due: Micros,
+    pub due_at: Micros,
     /// Whether an interim response is sent before it.
     pub interim: bool,
     /// Whether the request's effect, if it has one, is applied.
@@ -47,8 +47,8 @@
 
 impl PlannedReply {
     /// A reply without an interim response and without an effect.
-    pub fn no_effect(reply: Reply, due: Micros) -> PlannedReply {
-        PlannedReply { reply, due, interim: false, takes_effect: false, collapses: false }
+    pub fn no_effect(reply: Reply, due_at: Micros) -> PlannedReply {
+        PlannedReply { reply, due_at, interim: false, takes_effect: false, collapses: false }
     }
 }
 
@@ -79,10 +79,10 @@
     pub slow_start_share: f64,
     /// Time from a start to full speed.
     pub slow_start: Micros,
-    /// In slow start, a server collapses if it receives more than this multiple of the work that it
-    /// can do ...
+    /// A server in slow start collapses if it receives more than this multiple of the work that it
+    /// can do within `collapse_window`.
     pub collapse_multiple: f64,
-    /// ... within this window.
+    /// Length of the window over which the received work is measured.
     pub collapse_window: Micros,
     /// Whether it fetches values that it has not cached from the origin itself (read-through).
     pub read_through: bool,
@@ -94,7 +94,7 @@
     cores: Cores,
     cache: LruCache<u64, ()>,
     recent_work: RecentWork,
-    started: Micros,
+    started_at: Micros,
     purges_applied: usize,
     collapsed: bool,
 }
@@ -103,7 +103,7 @@
 /// looks the key up.
 const LOOKUP_WORK_DIVISOR: Micros = 8;
 /// Tolerance above the work budget of a server in slow start, as a number of requests of the
-/// arriving size: arrivals are random.
+/// arriving size: random arrivals come in bursts.
 const COLLAPSE_SLACK_REQUESTS: Micros = 8;
 
 /// The misbehaviors that affect one attempt.
@@ -139,12 +139,12 @@
 
 impl ServerModel {
     /// A process that started at the given time, with an empty cache.
-    pub fn new(spec: ServerSpec, started: Micros) -> ServerModel {
+    pub fn new(spec: ServerSpec, started_at: Micros) -> ServerModel {
         ServerModel {
             cores: Cores::new(spec.cores, spec.max_queued),
             cache: LruCache::new(NonZeroUsize::new(spec.max_values).unwrap_or(NonZeroUsize::MIN)),
             recent_work: RecentWork::new(spec.collapse_window),
-            started,
+            started_at,
             purges_applied: 0,
             collapsed: false,
             spec,
@@ -166,15 +166,15 @@
         self.cache.contains(&key)
     }
 
-    /// Whether a process in slow start has received more work than it can bear. Adds the attempt's
-    /// work to the window.
+    /// Whether a process in slow start has received more work than it can handle. Adds the
+    /// attempt's work to the window.
     fn is_overloaded_by(&mut self, now: Micros, attempt: &AttemptInput) -> bool {
         let spec = &self.spec;
-        if self.started == 0 || now >= self.started + spec.slow_start {
+        if self.started_at == 0 || now >= self.started_at + spec.slow_start {
             return false;
         }
         let recent_work = self.recent_work.add(now, attempt.work);
-        let progress = (now - self.started) as f64 / spec.slow_start as f64;
+        let progress = (now - self.started_at) as f64 / spec.slow_start as f64;
         let speed = spec.slow_start_share + (1.0 - spec.slow_start_share) * progress;
         let capacity = speed * spec.cores as f64 * spec.collapse_window as f64;
         recent_work as f64
--- a/crates/testbed/src/notified.rs
+++ b/crates/testbed/src/notified.rs
@@ -1,7 +1,7 @@
-//! When each proxy is presumed to be notified that a server is off, whatever the list sent to it: 6
-//! s after the list had the change, if the list could be reached and the proxy was running
-//! throughout. The oracle holds proxies to these notifications as well as to those that the list
-//! has sent.
+//! Computes when each proxy is presumed to be notified that a server is off, regardless of what the
+//! list has sent to it: 6 s after the list published the change, if the list could be reached and
+//! the proxy was running throughout these 6 s. The oracle holds proxies to these notifications as
+//! well as to those that the list has sent.
 
 use crate::clock::{Micros, SECOND};
 use crate::evidence::{Event, EventKind, NodeIndex};
@@ -62,12 +62,12 @@
 ) -> Vec<Notification> {
     let server = update.server as NodeIndex;
     if update.status == EndpointStatus::Ready {
-        return vec![Notification { at: update.published, proxy, server, is_off: false }];
+        return vec![Notification { at: update.published_at, proxy, server, is_off: false }];
     }
     let is_back = |next: &&ListUpdate| next.server == update.server && next.status == EndpointStatus::Ready;
-    let back_at = later_updates.iter().find(is_back).map_or(Micros::MAX, |next| next.published);
+    let back_at = later_updates.iter().find(is_back).map_or(Micros::MAX, |next| next.published_at);
     // A proxy process that is restarted while the server is off is given the full time again.
-    reachable_for_long_enough(unreachable_spans, update.published)
+    reachable_for_long_enough(unreachable_spans, update.published_at)
         .into_iter()
         .filter(|at| *at < back_at)
         .map(|at| Notification { at, proxy, server, is_off: true })
@@ -83,7 +83,7 @@
     proxy: usize,
 ) -> Vec<Range<Micros>> {
     let mut spans: Vec<Range<Micros>> = timelines.stale_list_spans.clone();
-    spans.extend(timelines.list_outages.iter().map(|down| down.span.clone()));
+    spans.extend(timelines.list_outages.iter().map(|list_outage| list_outage.span.clone()));
     spans.extend(cut_off_spans(timelines, proxy % experiment.world.zones.len()));
     spans.extend(down_spans(events, proxy));
     spans.sort_by_key(|span| span.start);
--- a/crates/testbed/src/oracle/attempts.rs
+++ b/crates/testbed/src/oracle/attempts.rs
@@ -6,8 +6,8 @@
 use crate::evidence::NodeIndex;
 use crate::experiment::{DedupGroup, Repeats, RequestClass};
 
-/// Servers recognise a repeat of a tagged request within the deduplication window, give or take
-/// this tolerance.
+/// Tolerance of the deduplication window, within which servers recognise a repeat of a tagged
+/// request.
 const DEDUP_WINDOW_TOLERANCE: Micros = 10 * MILLISECOND;
 
 /// A breach found on one request, without the request's id and proxy.
@@ -33,9 +33,9 @@
         let mut findings = Vec::new();
         findings.extend(self.exceeds_limit(record));
         for (i, next) in record.attempts.iter().enumerate() {
-            let before = &record.attempts[..i];
-            findings.extend(self.concurrent_attempt(before, next));
-            findings.extend(self.may_run_twice(record, before, next));
+            let earlier_attempts = &record.attempts[..i];
+            findings.extend(self.concurrent_attempt(earlier_attempts, next));
+            findings.extend(self.may_run_twice(record, earlier_attempts, next));
         }
         if let [_, second, ..] = record.effects[..] {
             let details = format!("its effect was applied again at server {}", second.server);
@@ -48,49 +48,57 @@
         let max_attempts = self.experiment.fleet.max_attempts;
         let first_excess = record.attempts.get(max_attempts)?;
         let details = format!("{} attempts were made, and {max_attempts} are allowed", record.attempts.len());
-        Some(Finding::new(Rule::AttemptLimit, first_excess.started, details))
+        Some(Finding::new(Rule::AttemptLimit, first_excess.started_at, details))
     }
 
     /// Finds an attempt that was still in flight when `next` started, if hedging is not allowed.
-    fn concurrent_attempt(&self, before: &[Attempt], next: &Attempt) -> Option<Finding> {
+    fn concurrent_attempt(&self, earlier_attempts: &[Attempt], next: &Attempt) -> Option<Finding> {
         if self.experiment.fleet.hedging {
             return None;
         }
         let overlap = micros_from_seconds(self.experiment.rules.overlap_ms / 1e3);
-        let in_flight = |other: &&Attempt| other.end().is_none_or(|end| end > next.started + overlap);
-        let other = before.iter().find(in_flight)?;
+        let in_flight = |other: &&Attempt| other.end().is_none_or(|end| end > next.started_at + overlap);
+        let other = earlier_attempts.iter().find(in_flight)?;
         let details = format!(
             "server {} was sent an attempt while one was in flight at server {}",
             next.server, other.server
         );
-        Some(Finding::new(Rule::OneAttemptAtOnce, next.started, details))
+        Some(Finding::new(Rule::OneAttemptAtOnce, next.started_at, details))
     }
 
-    fn may_run_twice(&self, record: &RequestRecord, before: &[Attempt], next: &Attempt) -> Option<Finding> {
+    fn may_run_twice(
+        &self,
+        record: &RequestRecord,
+        earlier_attempts: &[Attempt],
+        next: &Attempt,
+    ) -> Option<Finding> {
         let class = &self.experiment.classes[record.request.class_index];
-        let candidates = before.iter().filter(|first| first.may_have_run(next.started));
+        let candidates = earlier_attempts.iter().filter(|first| first.may_have_run(next.started_at));
         let mut unsafe_attempts =
             candidates.filter_map(|first| Some((first, self.unsafe_retry(class, first, next)?)));
         let (first, reason) = unsafe_attempts.next()?;
         let details =
             format!("server {} was sent an attempt after server {}: {reason}", next.server, first.server);
-        Some(Finding::new(Rule::RunsOnce, next.started, details))
+        Some(Finding::new(Rule::RunsOnce, next.started_at, details))
     }
 
     /// Says why `next` must not follow `first`, which may have run; `None` if it may.
     fn unsafe_retry(&self, class: &RequestClass, first: &Attempt, next: &Attempt) -> Option<String> {
         match class.repeats() {
             Repeats::Replayable => return None,
-            Repeats::SingleUse => return Some("single-use, and the first attempt may have run".into()),
+            Repeats::SingleUse => return Some("single-use request whose first attempt may have run".into()),
             Repeats::Tagged => {}
         }
         if !self.same_group(class.dedup_group(), first.server, next.server) {
-            return Some("tagged, and the servers are in different deduplication groups".into());
+            return Some(
+                "the request is tagged, and the servers are in different deduplication groups".into(),
+            );
         }
-        let (first_sent, next_sent) = (first.sent(), next.sent());
+        let (first_sent, next_sent) = (first.sent_at(), next.sent_at());
         (next_sent > first_sent + dedup_window(class)).then(|| {
             format!(
-                "tagged, sent {:.3} s after the first attempt",
+                "the request is tagged, and was sent {:.3} s after the first attempt, outside the \
+                 deduplication window",
                 seconds_from_micros(next_sent - first_sent)
             )
         })
@@ -120,15 +128,17 @@
     retry_at: Micros,
 ) -> Option<String> {
     let first = attempts.iter().find(|attempt| attempt.may_have_run(at))?;
-    let first_sent = first.sent();
-    let may_have_run = |kind: &str| format!("{kind}, and server {} may have run it", first.server);
+    let first_sent = first.sent_at();
+    let may_have_run =
+        |kind: &str| format!("the request is {kind}, and server {} may have run it", first.server);
     match class.repeats() {
         Repeats::Replayable => None,
         Repeats::SingleUse => Some(may_have_run("single-use")),
         Repeats::Tagged if class.dedup_group() != DedupGroup::All => Some(may_have_run("tagged")),
         Repeats::Tagged => (retry_at > first_sent + dedup_window(class)).then(|| {
             format!(
-                "tagged, and its retry is due {:.3} s after the first attempt",
+                "the request is tagged, and its retry is due {:.3} s after the first attempt, \
+                 outside the deduplication window",
                 seconds_from_micros(retry_at - first_sent)
             )
         }),
--- a/crates/testbed/src/simulated_services/etcd/writer.rs
+++ b/crates/testbed/src/simulated_services/etcd/writer.rs
@@ -27,7 +27,7 @@
 fn value_of(services: &SimulatedServices, entry: &ListedServer) -> Vec<u8> {
     let mut value = services.list_entry(0, entry);
     let state = if entry.status == EndpointStatus::Ready { SERVING_STATE } else { "draining" };
-    let addr = for_any_proxy(value["addr"].as_str().unwrap_or(""));
+    let addr = with_proxy_placeholder(value["addr"].as_str().unwrap_or(""));
     if let Some(fields) = value.as_object_mut() {
         fields.remove("id");
         fields.remove("weight");
@@ -40,7 +40,7 @@
 
 /// Puts the placeholder in an address, which has the form 127.block.proxy.peer; proxies are counted
 /// from 1.
-fn for_any_proxy(addr: &str) -> String {
+fn with_proxy_placeholder(addr: &str) -> String {
     match addr.splitn(4, '.').collect::<Vec<_>>()[..] {
         [net, block, _, peer] => format!("{net}.{block}.{PROXY_PLACEHOLDER}.{peer}"),
         _ => addr.to_string(),
@@ -48,7 +48,7 @@
 }
 
 /// Replaces the placeholder in a value with a proxy's number.
-pub(super) fn value_for(value: Vec<u8>, proxy: usize) -> Vec<u8> {
+pub(super) fn fill_proxy_placeholder(value: Vec<u8>, proxy: usize) -> Vec<u8> {
     match String::from_utf8(value) {
         Ok(text) => text.replace(PROXY_PLACEHOLDER, &(proxy + 1).to_string()).into_bytes(),
         Err(error) => error.into_bytes(),
@@ -72,10 +72,10 @@
     pub async fn run_etcd_writer(self: Arc<SimulatedServices>) {
         let mut updates = self.timelines.list_updates.iter().peekable();
         let mut actions = self.etcd.timeline.actions.iter().peekable();
-        let mut started = vec![0; self.origin_index() + 1];
+        let mut started_at = vec![0; self.origin_index() + 1];
         loop {
             let expiry = lock(&self.etcd.store).next_expiry();
-            let next_update = updates.peek().map(|update| update.published);
+            let next_update = updates.peek().map(|update| update.published_at);
             let next_action = actions.peek().map(|timed| timed.at);
             let Some(at) = [next_update, next_action, expiry].into_iter().flatten().min() else {
                 smol::Timer::after(Duration::from_micros(MAX_SLEEP)).await;
@@ -91,11 +91,11 @@
             // server at most once.
             let mut batch: Vec<&ListUpdate> = Vec::new();
             while let Some(update) = updates.next_if(|update| {
-                update.published <= now && !batch.iter().any(|before| before.server == update.server)
+                update.published_at <= now && !batch.iter().any(|earlier| earlier.server == update.server)
             }) {
                 batch.push(update);
             }
-            self.write_updates(&batch, &mut started, now);
+            self.write_updates(&batch, &mut started_at, now);
             self.etcd.wake_watchers();
         }
     }
@@ -107,24 +107,24 @@
                 let revision = store.revision();
                 _ = store.compact(revision);
             }
-            StoreAction::Restore(by) => {
-                store.restore(now.saturating_sub(by));
+            StoreAction::Restore(age) => {
+                store.restore(now.saturating_sub(age));
                 *lock(&self.etcd.cluster_id) += 1;
             }
         }
     }
 
-    /// Writes changes in one transaction; `started` holds the start of each server's process as
+    /// Writes changes in one transaction; `started_at` holds the start of each server's process as
     /// last written.
-    fn write_updates(&self, updates: &[&ListUpdate], started: &mut [Micros], now: Micros) {
+    fn write_updates(&self, updates: &[&ListUpdate], started_at: &mut [Micros], now: Micros) {
         let mut writes = Vec::new();
         for update in updates {
             let server = update.server;
             let key = key_of(self, server);
             if update.status == EndpointStatus::Ready {
-                started[server] = update.started;
+                started_at[server] = update.started_at;
             }
-            let entry = ListedServer { server, status: update.status, started: started[server] };
+            let entry = ListedServer { server, status: update.status, started_at: started_at[server] };
             writes.push(match update.status {
                 EndpointStatus::Gone => Write::Delete { key, end: vec![] },
                 _ => Write::Put { key, value: value_of(self, &entry), lease: 0 },
--- a/crates/testbed/tests/models/timeline.rs
+++ b/crates/testbed/tests/models/timeline.rs
@@ -27,10 +27,13 @@
     let seen: Vec<_> = timelines
         .list_updates
         .iter()
-        .map(|update| (update.published / 100_000, update.server, update.status))
+        .map(|update| (update.published_at / 100_000, update.server, update.status))
         .collect();
-    let (d, g, s) = (EndpointStatus::Draining, EndpointStatus::Gone, EndpointStatus::Ready);
-    assert_eq!(seen, [(25, 1, d), (35, 1, g), (45, 1, s), (65, 2, d), (75, 2, g), (85, 2, s)]);
+    let (draining, gone, ready) = (EndpointStatus::Draining, EndpointStatus::Gone, EndpointStatus::Ready);
+    assert_eq!(
+        seen,
+        [(25, 1, draining), (35, 1, gone), (45, 1, ready), (65, 2, draining), (75, 2, gone), (85, 2, ready)]
+    );
     assert_eq!(timelines.reachability(1, (1, 0), 3 * SECOND), (Reachability::Refused, 4 * SECOND));
     assert!(
         timelines.servers[1].speed.speed(4 * SECOND) < 0.3
@@ -61,6 +64,6 @@
     let delay = "[[trouble]]\nkind='list-late'\nat=0\nfor=3\nby=5\n";
     let timelines = timelines(&format!("{delay}[[trouble]]\nkind='restarts'\nat=1\ndown=6\ncaches=[0]"));
     let seen: Vec<_> =
-        timelines.list_updates.iter().map(|update| (update.published / 100_000, update.status)).collect();
+        timelines.list_updates.iter().map(|update| (update.published_at / 100_000, update.status)).collect();
     assert_eq!(seen, [(65, EndpointStatus::Gone), (75, EndpointStatus::Ready)]);
 }
