--- a/crates/discovery-etcd/src/announcement.rs
+++ b/crates/discovery-etcd/src/announcement.rs
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Renews the lease; false if there is none to renew. A lease expires, and etcd deletes its key,
-    /// if the process was suspended or etcd was unavailable for too long.
+    /// Renews the lease; returns false if there is none, or if it has expired. A lease expires, and
+    /// etcd deletes its key, if the process was suspended or etcd was unavailable for too long.
     async fn renew(&self, connection: &Connection) -> Result<bool, SessionError> {
         let Some(lease) = self.lease.get() else { return Ok(false) };
         let renewal = api::LeaseKeepAliveRequest { id: lease };
--- a/crates/discovery-etcd/src/call.rs
+++ b/crates/discovery-etcd/src/call.rs
@@ -15,10 +15,10 @@
 use std::time::Duration;
 use tokio_util::compat::FuturesAsyncReadCompatExt;
 
-/// Time limit for opening a connection. It is short, as etcd is near its clients.
+/// Time limit for opening a connection. It is short, because network latency to etcd is low.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time limit for the whole response of a call. A page is small, and two endpoints that hang must
-/// leave time for a third within the time in which a change must be known.
+/// Time limit for the whole response of a call. A page is small, and if two endpoints hang, enough
+/// time must be left to reach a third within the time limit for learning of a change.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 /// gRPC's default limit on the size of a received message.
 const MAX_MESSAGE_BYTES: usize = 4 << 20;
@@ -171,7 +171,7 @@
     if head.status != StatusCode::OK {
         return Err(CallError::HttpStatus(head.status));
     }
-    // A call that fails at once has its status in the headers, without a body or trailers.
+    // A call that fails immediately has its status in the headers, without a body or trailers.
     if head.headers.contains_key(GRPC_STATUS) {
         check_status(&head.headers)?;
     }
--- a/crates/discovery-etcd/src/error.rs
+++ b/crates/discovery-etcd/src/error.rs
@@ -16,9 +16,9 @@
     ListRejected(#[from] ListError),
     #[error("the endpoint ended the watch")]
     WatchEnded,
-    #[error("no response on the watch in spite of progress requests")]
+    #[error("no response on the watch despite progress requests")]
     WatchSilent,
-    /// The machine waits for a response on a watch that was never opened.
+    /// The machine requested to wait for a response on a watch, but none was opened.
     #[error("a watch response is awaited, but no watch is open")]
     NoWatch,
     #[error("etcd granted no lease: {reason}")]
--- a/crates/discovery-etcd/src/machine.rs
+++ b/crates/discovery-etcd/src/machine.rs
@@ -4,7 +4,8 @@
 //! The caller must notify it of each connection that opens or fails, of each response, and of each
 //! list that was accepted or rejected. It guarantees two things. The known revision never decreases
 //! unless the whole list is read again. Proxies that lose etcd at the same time reconnect at
-//! different times, yet each early enough to learn of a change within the permitted time.
+//! different times, yet each early enough to learn of a change within the time limit that all
+//! sources of the endpoint list have (see `chalkwalk_balancer::discovery`).
 
 mod keys;
 mod reconnect;
--- a/crates/discovery-etcd/src/machine/reconnect.rs
+++ b/crates/discovery-etcd/src/machine/reconnect.rs
@@ -12,12 +12,12 @@
 /// Upper bound of the delay after a rejected list. Up to three lists in a row are rejected, so the
 /// state is known again within a second.
 const LIST_REJECTED_MAX_DELAY: Span = Span::from_millis(250);
-/// Upper bound of the delay before the next endpoint, until each endpoint was tried once. Two of
-/// three endpoints may hang for two seconds each, and the third must still be reached within the
-/// time in which a change must be known.
+/// Upper bound of the delay before an attempt at the next endpoint, until each endpoint was tried
+/// once. Two of three endpoints may hang for two seconds each, and the third must still be reached
+/// within the time limit for learning of a change.
 const NEXT_ENDPOINT_MAX_DELAY: Span = Span::from_millis(500);
-/// The longest time that a fleet may neither watch nor poll. It is unbounded, as no setting limits
-/// it for etcd.
+/// The longest time for which a proxy may neither watch nor poll. It is unbounded, because no
+/// setting limits it for etcd.
 const MAX_TIME_WITHOUT_POLL: Span = Span::MAX;
 /// Knuth's multiplicative hashing constant, 2^64 divided by the golden ratio: it maps neighboring
 /// seeds to initial states that are far apart.
@@ -33,7 +33,8 @@
 }
 
 impl Reconnect {
-    /// The seed must differ between proxies: it determines their random delays.
+    /// Creates the state. The seed must differ between proxies, because it determines their random
+    /// delays.
     pub fn new(endpoint_count: usize, seed: u64) -> Reconnect {
         let random_state = seed.wrapping_mul(SEED_MULTIPLIER) | 1;
         let endpoint_count = endpoint_count.max(1);
@@ -50,8 +51,8 @@
         ConnectAttempt { endpoint_index: self.endpoint_index, delay: Span::ZERO }
     }
 
-    /// The next attempt after a connection that failed `elapsed` after the attempt started. Once each
-    /// endpoint has failed, the delay follows the backoff that all discovery sources share.
+    /// The next attempt after a connection that failed `elapsed` after the attempt started. Once
+    /// each endpoint has failed, the delay follows the backoff that all discovery sources share.
     pub fn after_failure(&mut self, elapsed: Span) -> ConnectAttempt {
         let previous_failures = self.consecutive_failures as usize;
         let delay = if previous_failures == 0 {
@@ -66,8 +67,8 @@
         self.next_endpoint(delay)
     }
 
-    /// The next attempt after an endpoint's list was rejected as older than the known one. The delay
-    /// is short, as the proxy learns of no changes in the meantime.
+    /// The next attempt after an endpoint's list was rejected as older than the known one. The
+    /// delay is short, as the proxy learns of no changes in the meantime.
     pub fn after_rejected_list(&mut self) -> ConnectAttempt {
         let delay = self.random_below(LIST_REJECTED_MAX_DELAY);
         self.next_endpoint(delay)
--- a/crates/discovery-etcd/src/machine/state.rs
+++ b/crates/discovery-etcd/src/machine/state.rs
@@ -8,8 +8,8 @@
 use chalkwalk_membership::MAX_ENDPOINTS;
 use chalkwalk_time::Span;
 
-/// Maximum number of keys in the whole list, and of events in a fragmented watch response. It allows
-/// for the maximum number of endpoints and as many proxies.
+/// Maximum number of keys in the whole list, and of events in a fragmented watch response. It
+/// allows for the maximum number of endpoints and as many proxies.
 const MAX_KEYS: usize = 2 * MAX_ENDPOINTS;
 /// Number of keys per page. A page takes some 300 kB, well below the 4 MiB that gRPC accepts by
 /// default.
@@ -53,8 +53,8 @@
     reconnect: Reconnect,
     /// All changes up to this revision are known; `None` until the whole list is accepted.
     known_revision: Option<u64>,
-    /// The cluster that this revision belongs to. A cluster that is restored from a backup has another
-    /// id.
+    /// The cluster that this revision belongs to. A cluster that is restored from a backup has
+    /// another id.
     cluster_id: Option<u64>,
     /// The pairs in the pages of the whole list that were read so far.
     list_pairs: Vec<KeyValue>,
@@ -98,14 +98,14 @@
         }
     }
 
-    /// Notifies the machine that the connection, or a call on it, failed `elapsed` after the attempt
-    /// started.
+    /// Notifies the machine that the connection, or a call on it, failed `elapsed` after the
+    /// attempt started.
     pub fn connection_failed(&mut self, elapsed: Span) -> ConnectAttempt {
         self.reconnect.after_failure(elapsed)
     }
 
-    /// Notifies the machine that the whole list of this endpoint was rejected as older than the known
-    /// one.
+    /// Notifies the machine that the whole list of this endpoint was rejected as older than the
+    /// known one.
     pub fn list_rejected(&mut self) -> ConnectAttempt {
         self.reconnect.after_rejected_list()
     }
@@ -190,7 +190,8 @@
 
     fn watch_canceled(&mut self, response: WatchResponse) -> Result<Transition, ProtocolError> {
         if response.compact_revision > 0 {
-            // etcd has compacted the history from the watch's start on, so the whole list must be read.
+            // etcd has compacted the history from the watch's start on, so the whole list must be
+            // read.
             return Ok(Transition::without_update(self.read_list()));
         }
         Err(ProtocolError::WatchCanceled { reason: response.cancel_reason })
@@ -199,14 +200,15 @@
     fn watch_created(&mut self, response: &WatchResponse) -> Transition {
         let cluster_id = response.header.map(|header| header.cluster_id);
         if revision_of(response) < self.known_revision() || cluster_id != self.cluster_id {
-            // The endpoint lags behind the others, or was restored from an older state: its whole list
-            // shows which.
+            // The endpoint lags behind the others, or its cluster was restored from an older state.
+            // Its whole list shows which of the two is the case.
             return Transition::without_update(self.read_list());
         }
         self.reconnect.succeeded();
         Transition::without_update(Step::AwaitResponse)
     }
 
+    /// Records that there are no further changes up to this revision.
     fn record_progress(&mut self, revision: u64) -> Result<Update, ProtocolError> {
         let known_revision = self.known_revision();
         if revision < known_revision {
--- a/crates/discovery-etcd/src/session.rs
+++ b/crates/discovery-etcd/src/session.rs
@@ -11,10 +11,11 @@
 use chalkwalk_sockets::with_timeout;
 use std::time::{Duration, Instant};
 
-/// Interval of the progress requests on a watch. The watch is lost if nothing arrived on it for two
-/// and a half times that. With requests a second apart it is lost 3 s after its last response, and
-/// the next endpoint has 3 s to report the changes that were missed.
+/// Interval of the progress requests on a watch.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
+/// Time without a response after which a watch counts as lost: two and a half progress intervals.
+/// It is checked before each progress request. As these are a second apart, a watch is lost 3 s
+/// after its last response, and the next endpoint has 3 s to report the changes that were missed.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// An open watch.
@@ -33,8 +34,9 @@
     }
 
     /// Whether no response came for too long although progress was requested since the last one.
-    /// The second condition excludes a suspension of this process: after one, all responses that
-    /// arrived meanwhile are read first, and progress is requested again.
+    /// Without the second condition, a process that was suspended would find its watch silent. With
+    /// it, the process first reads the responses that arrived meanwhile and requests progress
+    /// again.
     fn is_silent(&self) -> bool {
         let silent = self.last_response + SILENCE_TIMEOUT < Instant::now();
         silent && self.last_progress_request > self.last_response
@@ -121,8 +123,8 @@
     }
 
     async fn await_response(&self, watch: &mut Watch) -> Result<Step, SessionError> {
-        let poll_due = watch.last_progress_request + PROGRESS_INTERVAL;
-        let wait = poll_due.saturating_duration_since(Instant::now());
+        let request_due = watch.last_progress_request + PROGRESS_INTERVAL;
+        let wait = request_due.saturating_duration_since(Instant::now());
         if let Some(response) = with_timeout(wait, watch.stream.next::<api::WatchResponse>()).await {
             let response = response?.ok_or(SessionError::WatchEnded)?;
             watch.last_response = Instant::now();
@@ -171,7 +173,8 @@
                     Ok(entry) => entries.push(entry),
                     Err(error) => {
                         self.feed.reject(&error.to_string());
-                        // A value that can't be parsed changes nothing: the endpoint stays as it was.
+                        // A value that can't be parsed changes nothing: the endpoint stays as it
+                        // was.
                         let previous_entry = known_endpoints.iter().find(|endpoint| endpoint.id == id);
                         entries.extend(previous_entry.cloned().map(ListEntry::from));
                     }
--- a/crates/discovery-etcd/src/source.rs
+++ b/crates/discovery-etcd/src/source.rs
@@ -27,7 +27,7 @@
 }
 
 impl EtcdSource {
-    /// A source that reads all keys with the prefix. It does not open a connection yet.
+    /// Creates a source that reads all keys with the prefix. It does not open a connection yet.
     pub fn new(
         engine: &Rc<Engine>,
         feed: Rc<Feed>,
--- a/crates/discovery-etcd/tests/machine.rs
+++ b/crates/discovery-etcd/tests/machine.rs
@@ -214,8 +214,8 @@
 }
 
 /// Guards against all proxies reconnecting at once. Five hundred proxies lose their watches at the
-/// same time, and etcd is available again after an outage: counts the highest number of connection
-/// attempts within 100 ms.
+/// same time, and etcd becomes available again after an outage. The test determines the highest
+/// number of connection attempts within any 100 ms.
 #[test]
 fn watchers_that_lose_etcd_together_do_not_reconnect_at_once() {
     let max_attempts = |outage_ms: u64| {
@@ -241,10 +241,10 @@
     ));
 }
 
-/// Etcd is unavailable for 20 s. However its endpoints fail, the first attempt after the outage must
-/// start early enough to be answered within the time in which a change must be known. An endpoint
-/// answers within a second, and an attempt that hangs is given up after at most two seconds. Times
-/// are in ticks of 0.1 ms.
+/// etcd is unavailable for 20 s. However its endpoints fail, the first attempt after the outage
+/// must start early enough to be answered within the time limit for learning of a change. An
+/// endpoint answers within a second, and an attempt that hangs is given up after at most two
+/// seconds. Times are in ticks of 0.1 ms.
 #[test]
 fn the_first_attempt_after_an_outage_starts_in_time() {
     let (max_change_delay, response_time) = (60_000, 10_000);
@@ -257,7 +257,8 @@
                 let next = machine.connection_failed(Span::from_ticks(attempt_duration));
                 elapsed += attempt_duration + next.delay.ticks();
             }
-            // In the worst case etcd is available again just after an attempt started that will fail.
+            // In the worst case etcd is available again just after an attempt started that will
+            // fail.
             let max_gap = attempt_starts.windows(2).map(|pair| pair[1] - pair[0]).max().unwrap_or(0);
             assert!(
                 max_gap + response_time <= max_change_delay,
@@ -275,8 +276,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever an endpoint responds, there is a next step, and the known revision never decreases
-    /// without a whole list.
+    /// For any response of an endpoint there is a next step, and the known revision never decreases
+    /// unless the whole list is read again.
     #[test]
     fn any_response_has_a_next_step(
         responses in proptest::collection::vec((0u8..8, -3i64..40, any::<bool>()), 0..60),
--- a/crates/discovery-feed/src/feed.rs
+++ b/crates/discovery-feed/src/feed.rs
@@ -21,8 +21,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Interval at which the proxy count is evaluated: it can fall by the passage of time alone, without
-/// a report from the source.
+/// Interval at which the proxy count is evaluated. The count can decrease through the passage of
+/// time alone, without a report from the source.
 const PROXY_COUNT_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The endpoint list of a process, updated by one source.
@@ -40,16 +40,18 @@
     pub(crate) persistence_path: Option<PathBuf>,
     /// Whether the list has changed since it was last written to disk.
     pub(crate) has_unpersisted_changes: Cell<bool>,
+    /// The number of reports that were rejected so far.
     rejection_count: Cell<u64>,
-    unavailable: Cell<bool>,
+    /// Whether the source is unavailable, which has then been logged.
+    is_source_unavailable: Cell<bool>,
     /// Wakes `run_timers`, as the next deadline may be earlier than the one that it waits for.
     wake_sender: Sender<()>,
     wake_receiver: Receiver<()>,
 }
 
 impl Feed {
-    /// A feed that notifies this engine. It has no list yet.
-    pub fn new(engine: &Rc<Engine>, source: SourceKind, persistence_path: Option<PathBuf>) -> Rc<Feed> {
+    /// Creates a feed that notifies this engine. It has no list yet.
+    pub fn new(engine: &Rc<Engine>, source_kind: SourceKind, persistence_path: Option<PathBuf>) -> Rc<Feed> {
         let (wake_sender, wake_receiver) = bounded(1);
         let configured_proxy_count = engine.classes.proxy_count();
         let allowed_names =
@@ -57,13 +59,13 @@
         Rc::new(Feed {
             engine: engine.clone(),
             allowed_names,
-            reconciler: RefCell::new(Reconciler::new(source)),
+            reconciler: RefCell::new(Reconciler::new(source_kind)),
             proxy_count: RefCell::new(ProxyCount::new(configured_proxy_count)),
             effective_proxy_count: Cell::new(configured_proxy_count),
             persistence_path,
             has_unpersisted_changes: Cell::new(false),
             rejection_count: Cell::new(0),
-            unavailable: Cell::new(false),
+            is_source_unavailable: Cell::new(false),
             wake_sender,
             wake_receiver,
         })
@@ -79,8 +81,8 @@
         self.reconciler.borrow().endpoints()
     }
 
-    /// Applies the whole list at a revision. If the list is rejected, only its drains are applied; the
-    /// error is returned and has been logged.
+    /// Applies the whole list at a revision. If the list is rejected, only its drains are applied;
+    /// the error is returned and has been logged.
     pub fn apply_list(&self, revision: u64, entries: Vec<ListEntry>) -> Result<(), ListError> {
         let applied = self.reconciler.borrow_mut().apply_list(self.now(), revision, entries);
         match applied {
@@ -127,13 +129,13 @@
     /// Records that the source can't be reached. It is logged once until the source is available
     /// again.
     pub fn source_unavailable(&self, reason: &str) {
-        if !self.unavailable.replace(true) {
+        if !self.is_source_unavailable.replace(true) {
             warn!(self.engine.log, "list source unavailable"; "fault" => reason);
         }
     }
 
     fn source_available(&self) {
-        if self.unavailable.replace(false) {
+        if self.is_source_unavailable.replace(false) {
             info!(self.engine.log, "list source available again");
         }
     }
@@ -157,7 +159,8 @@
         update.events.iter().for_each(|event| self.log(event));
         if update.replaces_all || !update.endpoints.is_empty() {
             self.has_unpersisted_changes.set(true);
-            // The reconciler has already handled staleness: the engine applies its decision as it is.
+            // The reconciler has already handled staleness, so the engine applies its decision as
+            // it is.
             let may_be_stale = false;
             api::apply_endpoint_list(&self.engine, &update.endpoints, update.replaces_all, may_be_stale);
         }
@@ -180,7 +183,8 @@
         self.publish(update);
     }
 
-    /// Applies the changes that are due by time alone, such as deadlines; never returns.
+    /// Applies the changes that become due through the passage of time alone, such as the end of a
+    /// delay; never returns.
     pub async fn run_timers(self: Rc<Feed>) {
         loop {
             self.wait_for_deadline().await;
--- a/crates/discovery-feed/src/file.rs
+++ b/crates/discovery-feed/src/file.rs
@@ -13,11 +13,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Interval between two polls of the file. It applies a drain well within the permitted second, and
-/// the cost of reading some kilobytes ten times a second is negligible. The file is polled because
-/// renames and mounts lose change notifications.
+/// Interval between two polls of the file. With this interval a drain is applied well within the
+/// second that is allowed for it, and the cost of reading some kilobytes ten times a second is
+/// negligible. The file is polled because change notifications are lost with renames and mounts.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Maximum size of the file. 20,000 servers take some 200 bytes each, about half of it.
+/// Maximum size of the file, in bytes. 20,000 servers of some 200 bytes each take about half of it.
 const MAX_FILE_BYTES: u64 = 8 << 20;
 
 /// Why the file can't be read.
@@ -44,22 +44,22 @@
 pub struct FileSource {
     feed: Rc<Feed>,
     path: PathBuf,
-    /// Hash of the content at the last poll; `None` if the file could not be read or has to be applied
-    /// again.
+    /// Hash of the content at the last poll; `None` if the file could not be read or has to be
+    /// applied again.
     last_content_hash: Cell<Option<u64>>,
     /// The serial number of the last version that was accepted and had one.
     last_serial: Cell<Option<u64>>,
 }
 
 impl FileSource {
-    /// A source for this feed. It does not read the file yet.
+    /// Creates a source for this feed. It does not read the file yet.
     pub fn new(feed: Rc<Feed>, path: &Path) -> Rc<FileSource> {
         let path = path.to_path_buf();
         Rc::new(FileSource { feed, path, last_content_hash: Cell::new(None), last_serial: Cell::new(None) })
     }
 
-    /// Applies the file again at the next poll, even if its serial number is lower than before, as its
-    /// writer may have been restarted.
+    /// Makes the next poll apply the file again, even if its serial number is lower than before:
+    /// its writer may have been restarted.
     pub fn reload(&self) {
         self.last_content_hash.set(None);
         self.last_serial.set(None);
--- a/crates/discovery-feed/src/lib.rs
+++ b/crates/discovery-feed/src/lib.rs
@@ -2,8 +2,8 @@
 //! them reports what it reads to a [`Feed`], which has the reports reconciled, notifies the engine,
 //! logs, persists the list and counts proxies. [`FileSource`] is a source that watches a file.
 //!
-//! This crate may use `engine`, `membership`, smol and slog, but no frontend and no network protocol.
-//! A source with a protocol is a crate of its own that reports to a feed.
+//! This crate may use `engine`, `membership`, smol and slog, but no frontend and no network
+//! protocol. A source with a protocol is a crate of its own that reports to a feed.
 
 mod feed;
 mod file;
--- a/crates/discovery-feed/src/persistence.rs
+++ b/crates/discovery-feed/src/persistence.rs
@@ -13,7 +13,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Minimum interval between two writes to disk, as a deploy changes the list several times a second.
+/// Minimum interval between two writes to disk, as a deploy changes the list several times a
+/// second.
 const WRITE_INTERVAL: Duration = Duration::from_secs(1);
 const MINUTE: Span = Span::from_secs(60);
 
@@ -27,8 +28,8 @@
 }
 
 impl Feed {
-    /// Loads the list that was last persisted and notifies the engine of it. To be called before any
-    /// source responds.
+    /// Loads the list that was last persisted and notifies the engine of it. Must be called before
+    /// any source responds.
     pub fn load_persisted(&self) {
         let Some(path) = &self.persistence_path else { return };
         match load(path, &self.allowed_names) {
@@ -94,7 +95,7 @@
 }
 
 /// Replaces the file such that it has either the old or the new content even after a crash of the
-/// machine: writes a temporary file beside it, syncs that file to disk, and renames it.
+/// machine: writes a temporary file to the same directory, syncs that file to disk, and renames it.
 fn write_atomically(path: &Path, text: &str) -> std::io::Result<()> {
     let mut temporary_path = path.to_path_buf().into_os_string();
     temporary_path.push(format!(".{}", std::process::id()));
--- a/crates/discovery-feed/tests/feed.rs
+++ b/crates/discovery-feed/tests/feed.rs
@@ -60,7 +60,7 @@
         engine.executor.spawn(feed.clone().persist_changes()).detach();
         wait_until("the list is written", || path.exists()).await;
     }));
-    // No temporary file is left beside the list.
+    // No temporary file is left next to the list.
     assert_eq!(std::fs::read_dir(&directory).unwrap().count(), 1);
 
     let (engine, events) = helper::engine();
@@ -102,8 +102,8 @@
     let (engine, events) = engine();
     let feed = Feed::new(&engine, SourceKind::Unordered, None);
     let source = FileSource::new(feed.clone(), &path);
-    // Each version is renamed into place, as the source would report a partly written one as a further
-    // error.
+    // Each version is renamed into place, as the source would report a partly written one as a
+    // further error.
     let write = |text: String| {
         std::fs::write(path.with_extension("new"), text).unwrap();
         std::fs::rename(path.with_extension("new"), &path).unwrap();
@@ -114,8 +114,8 @@
         write(list_file("serial = 5\n", &[("a", "serving"), ("b", "serving")]));
         wait_until("the first version is applied", || statuses(&feed) == "a:Ready b:Ready").await;
         assert!(events.contains("list source available again"));
-        // A version with two errors: each is logged on a line of its own, and the drain in that version is
-        // not applied either.
+        // A version with two errors: each is logged on a line of its own, and the drain in that
+        // version is not applied either.
         write(list_file("serial = 6\n", &[("a", "draining"), ("b", "tired"), ("c", "tired")]));
         wait_until("two errors are logged", || events.count("list ignored") == 2).await;
         assert_eq!(statuses(&feed), "a:Ready b:Ready");
--- a/crates/discovery/src/address.rs
+++ b/crates/discovery/src/address.rs
@@ -43,8 +43,8 @@
         }
     }
 
-    /// Waits for the next change of the address. Returns `false` if there can be none, because no
-    /// sender is left.
+    /// Waits for the next change of the address. Returns `false` if the address can no longer
+    /// change, because the channel is closed.
     pub(crate) async fn wait_for_change(&self) -> bool {
         self.change_receiver.recv().await.is_ok()
     }
--- a/crates/discovery/src/call.rs
+++ b/crates/discovery/src/call.rs
@@ -12,7 +12,7 @@
 use std::pin::Pin;
 use std::time::{Duration, Instant};
 
-/// The maximum length of a response: ten thousand servers at 400 bytes each fit in.
+/// The maximum length of a response in bytes, enough for ten thousand servers of 400 bytes each.
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
 /// A connection that is kept for reuse by the next call.
@@ -21,7 +21,7 @@
 /// Why a call did not return a readable response.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CallError {
-    /// The service is overloaded.
+    /// The service is overloaded, which it reports with status 503.
     #[error("the service responded with status 503")]
     Busy,
     /// The response ended early, so it is unknown which changes the service had notified by then.
@@ -78,7 +78,7 @@
         Call { number, started_at: Instant::now(), wait, response: Box::pin(response) }
     }
 
-    /// When the call counts as silent if it has no response by then.
+    /// The time at which the call counts as silent if it has no response by then.
     pub fn silent_at(&self) -> Instant {
         self.started_at + timing::silent_after(self.wait)
     }
@@ -99,7 +99,7 @@
         }
     }
     // Connecting has a timeout of its own: an unreachable machine never accepts the connection, and
-    // a reachable one accepts it sooner than the longest time for which a call waits in its queue.
+    // a reachable one accepts it in less time than a call may wait in the service's queue.
     let connecting = Async::<TcpStream>::connect(address.address());
     let stream = with_timeout(Duration::from(CONNECT_TIMEOUT), connecting).await;
     let stream = stream.unwrap_or_else(|| Err(std::io::ErrorKind::TimedOut.into()));
--- a/crates/discovery/src/list.rs
+++ b/crates/discovery/src/list.rs
@@ -102,13 +102,13 @@
 }
 
 /// Applies, from a list that is otherwise not trusted, the servers that are draining or gone and
-/// were in service so far. These changes were notified, so they count until the next trusted list
-/// decides. A server that has been restarted since is left out.
+/// were in service so far. These changes were notified, so they are valid until the next trusted
+/// list replaces them. A server that is known to have restarted since the list is left out.
 fn apply_unavailable<'a>(engine: &Rc<Engine>, endpoints: impl Iterator<Item = &'a ListedEndpoint>) {
-    let is_new = |endpoint: &&ListedEndpoint| {
+    let is_newly_unavailable = |endpoint: &&ListedEndpoint| {
         endpoint.status != EndpointStatus::Ready && engine.requests.borrow().servers.is_ready(endpoint)
     };
-    let unavailable: Vec<ListedEndpoint> = endpoints.filter(is_new).cloned().collect();
+    let unavailable: Vec<ListedEndpoint> = endpoints.filter(is_newly_unavailable).cloned().collect();
     if !unavailable.is_empty() {
         api::apply_endpoint_list(engine, &unavailable, false, false);
     }
--- a/crates/discovery/src/list_state.rs
+++ b/crates/discovery/src/list_state.rs
@@ -1,18 +1,18 @@
 //! Tracks the version of the endpoint list that a proxy has, and decides whether a list of a lower
 //! version is accepted and trusted. It performs no I/O and reads no clock.
 //!
-//! Versions only increase during the lifetime of a list. A lower version comes from an outdated
-//! response, or from a list that was restarted, possibly from an old state. Such a list may name
-//! servers as ready that are draining.
+//! The discovery service only ever increases the version of its list. A lower version comes from an
+//! outdated response, or from a service that was restarted, possibly with an old state of the list.
+//! Such a list may name servers as ready that are draining.
 
 use chalkwalk_time::{Span, Timestamp};
 
 /// The number of consecutive responses that are rejected as outdated. After them, a lower version
-/// means that the list was restarted.
+/// means that the service was restarted.
 const MAX_OUTDATED_RESPONSES: u32 = 3;
-/// How long a list that was restarted is untrusted: it is applied, but does not return servers to
-/// service that were notified as draining or gone. This is longer than a deploy takes; after it the
-/// list is fully trusted.
+/// How long the list of a restarted service is untrusted: it is applied, but does not return
+/// servers to service that were notified as draining or gone. This is longer than a deploy takes.
+/// Afterwards the list is fully trusted.
 const UNTRUSTED_DURATION: Span = Span::from_secs(60);
 
 /// The version of the list that a proxy has.
@@ -23,7 +23,7 @@
     max_version: u64,
     /// The number of consecutive outdated responses.
     outdated_responses: u32,
-    /// Since when the versions are below the highest one.
+    /// Since when the versions are below the highest one; `None` if the list is trusted.
     untrusted_since: Option<Timestamp>,
 }
 
--- a/crates/discovery/src/startup.rs
+++ b/crates/discovery/src/startup.rs
@@ -16,8 +16,8 @@
 
 /// The maximum number of attempts. No platform allows more, so a higher value is a typo.
 const MAX_ATTEMPTS: f64 = 1000.0;
-/// The maximum of a configured time: one hour, in ticks. No client waits for longer, and the
-/// maximum bounds every wait of a request.
+/// The maximum of a configured time: one hour, in ticks. No client waits for longer, and it limits
+/// how long any request can wait.
 const MAX_TIME_TICKS: f64 = 3.6e7;
 /// The default of the target time and of the connect timeout: one second, in ticks.
 const DEFAULT_TIME_TICKS: f64 = 1e4;
@@ -25,7 +25,7 @@
 const DEFAULT_IDLE_TICKS: f64 = 1e5;
 /// The default limit of open file descriptors of a process.
 const DEFAULT_DESCRIPTORS: usize = 1024;
-/// The default memory limit: the least memory that a proxy is given.
+/// The default memory limit in megabytes: the least memory that a proxy is given.
 const DEFAULT_MEMORY_MB: u64 = 32;
 const MEGABYTE: usize = 1_000_000;
 
@@ -56,7 +56,7 @@
     Field(#[from] FieldError),
 }
 
-/// For callers that report errors as text.
+/// Converts the error to its message, for callers that report errors as text.
 impl From<StartupError> for String {
     fn from(error: StartupError) -> String {
         error.to_string()
@@ -106,7 +106,8 @@
     }
 }
 
-/// Reads the settings, and also checks what the settings map can't represent.
+/// Reads the settings, and checks what the settings map does not enforce: the names and times of
+/// the namespaces, and the maximum number of attempts.
 fn read_settings(config: &JsonObject) -> FieldResult<PlatformSettings> {
     let missing = || FieldError::Missing { field: "field settings".to_string(), expected: "an object" };
     let settings = config.get("settings").ok_or_else(missing)?;
--- a/crates/discovery/src/timing.rs
+++ b/crates/discovery/src/timing.rs
@@ -2,19 +2,19 @@
 //! no clock, and the random generator is passed in. The notification deadline to which these times
 //! add up, and the backoff after failed calls, are defined in `chalkwalk_balancer::discovery`.
 //!
-//! A change that a call has to deliver counts as notified at the latest 6 s after the call fell
-//! silent, or 2 s after its wait has ended if that is later. A watch therefore waits for at most
-//! 5.5 s, so that a parallel call is started next to a silent one before the earlier of the two
-//! times.
+//! A change that a silent call fails to deliver counts as notified at the earliest 6 s after the
+//! start of the call, or 2 s after the end of its wait if that is later. A watch therefore waits
+//! for at most 5.5 s, so that the parallel call to a silent one is started by the earlier of the
+//! two times.
 
 use chalkwalk_balancer::discovery::{MAX_WATCH_WAIT, POLL_SILENCE_TIMEOUT, WATCH_SILENCE_TIMEOUT};
 use std::time::Duration;
 
 /// How long a call may take in addition to its wait for a change. Discovery is one small service
 /// for all proxies and processes its calls in order; under overload, each accepted call waits in
-/// the queue for as long as the service allows. The service does its work in vain for a call that
-/// is given up earlier, and each of a hundred proxies then calls again. The timeout is therefore
-/// twice the longest queue wait. A parallel call is started in the meantime.
+/// the queue for as long as the service allows. If proxies gave up their calls earlier, the service
+/// would still process these calls, and each of a hundred proxies would call again. The timeout is
+/// therefore twice the longest queue wait. A parallel call is started in the meantime.
 const CALL_TIMEOUT: Duration = Duration::from_secs(4);
 /// The maximum delay of the call that follows an unusable response, in milliseconds (exclusive).
 const MAX_REPEAT_DELAY_MS: u64 = 100;
@@ -35,9 +35,10 @@
 }
 
 /// Returns the time after which a call without a response counts as silent, and a parallel call is
-/// started. Even after the longest wait in the queue, the parallel call gets its response within
-/// half a second of the time at which the changes that the silent call missed count as notified.
-/// The grace period of a drain has to cover this delay, as it covers a process that is stalled.
+/// started. Changes that the silent call missed count as notified at the time that the module's
+/// documentation states. Even if the parallel call waits in the queue for as long as possible, it
+/// gets its response at most half a second after that time. The grace period of a drain has to
+/// cover this delay, as it covers that of a stalled process.
 pub(crate) fn silent_after(wait: Duration) -> Duration {
     (wait + Duration::from(WATCH_SILENCE_TIMEOUT)).max(Duration::from(POLL_SILENCE_TIMEOUT))
 }
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -32,8 +32,8 @@
 ) {
     let mut state = WatchState::new(last_known, immediate);
     let mut random = Rng::with_seed(engine.config.seed);
-    // Without any list the proxy can't serve, so the first call is made without waiting for a
-    // request.
+    // Without any list the proxy can't serve, so the first call does not wait until the balancer
+    // requests the watch.
     let mut call_immediately = last_known.is_none();
     loop {
         if !call_immediately && wait_for_call_reason(&engine, &address).await == CallReason::AddressChanged {
@@ -91,8 +91,8 @@
 }
 
 impl<'a> Caller<'a> {
-    /// Starts the next call. It counts as a violation if the call starts later than the
-    /// notification deadline allows.
+    /// Starts the next call. A call that starts later than the notification deadline allows is
+    /// counted as a violation.
     fn start(&mut self) -> Call<'a> {
         self.state.call_count += 1;
         let request = self.state.next_request(self.random);
@@ -123,14 +123,15 @@
 /// A sequence of calls to the discovery service.
 ///
 /// The next call is made immediately after each response. The service continues a watch for 200 ms
-/// after a response, and changes in this time count as notified: a proxy that paused would send
-/// requests to servers that it was notified are draining. For the same reason, the first of several
-/// consecutive unusable responses is also followed by a call, which requests the full list.
+/// after a response, and changes in this time count as notified: a proxy that paused between calls
+/// would send requests to servers whose drain counts as notified. For the same reason, the first of
+/// several consecutive unusable responses is also followed by a call, which requests the full list.
 ///
 /// If a call is silent, a parallel call is started. The silent call is still waited for until the
 /// new one has its response, because it may only be slow. If the address of the service changes,
-/// the call to the former address is waited for in the same way, because changes that were about to
-/// be written there count as notified. The new address is called immediately, for the full list.
+/// the call to the former address is waited for in the same way, because changes that the service
+/// was about to send there count as notified. The new address is called immediately, for the full
+/// list.
 struct Watch<'a> {
     caller: Caller<'a>,
     current: Call<'a>,
@@ -211,7 +212,7 @@
         if matches!(error, CallError::Truncated) {
             return self.repeat_call(error.to_string()).await;
         }
-        // Only a service that reports overload is certainly the one that notified the current
+        // Only a report of overload proves that the service is still the one that sent the current
         // version. After any other error the full list is requested.
         self.caller.state.incremental &= matches!(error, CallError::Busy);
         if self.wait_for_older_response().await {
@@ -222,7 +223,8 @@
     }
 
     /// Waits for the response of the older call, which may still deliver what the newer call did
-    /// not. The backoff that follows is shorter by the time of this wait.
+    /// not. Returns whether it was applied. If not, the backoff that follows is shorter by the time
+    /// of this wait.
     async fn wait_for_older_response(&mut self) -> bool {
         let Some(OlderCall { call, former_address }) = self.older.take() else { return false };
         let deadline = self.current.started_at + Duration::from(OLDER_CALL_TIMEOUT);
@@ -230,8 +232,9 @@
         self.caller.state.accept_older(self.caller.engine, &body, former_address)
     }
 
-    /// Requests the full list shortly after an unusable response, unless the response before it was
-    /// unusable too.
+    /// Requests the full list shortly after an unusable response. If the response was itself one to
+    /// a request for the full list, or no incremental request has succeeded since an earlier
+    /// unusable response, the watch fails instead.
     async fn repeat_call(&mut self, error: String) -> Result<(), WatchFailure> {
         self.older = None;
         let state = &mut *self.caller.state;
@@ -257,7 +260,8 @@
     }
 
     fn on_silent(&mut self) {
-        info!(self.caller.engine.log, "discovery call silent, another started"; "call" => self.current.number);
+        info!(self.caller.engine.log, "discovery call silent, another started";
+            "call" => self.current.number);
         self.start_parallel_call(false);
     }
 
@@ -268,7 +272,8 @@
         self.start_parallel_call(true);
     }
 
-    /// Starts another call; the current one becomes the older call.
+    /// Starts another call; the current one becomes the older call. `former_address` states whether
+    /// the address of the service has changed since the current one was started.
     fn start_parallel_call(&mut self, former_address: bool) {
         let next = self.caller.start();
         let call = std::mem::replace(&mut self.current, next);
--- a/crates/discovery/src/watch_state.rs
+++ b/crates/discovery/src/watch_state.rs
@@ -14,13 +14,13 @@
 /// The state after the calls made so far.
 pub(crate) struct WatchState {
     pub list: ListState,
-    /// Whether the list matches what was notified for its version, so that only later changes have
-    /// to be requested. A full list costs the service several times as much, and after an outage
-    /// all proxies call at once.
+    /// Whether the list is known to be complete at its version, so that only later changes have to
+    /// be requested. A full list costs the service several times as much, and after an outage all
+    /// proxies call at once.
     pub incremental: bool,
     /// Whether the service responds to the next call immediately, even if nothing changed.
     immediate: bool,
-    /// Whether the last response was unusable.
+    /// Whether a response was unusable and no incremental request has succeeded since.
     pub last_response_unusable: bool,
     /// The number of calls made so far, which numbers the calls in the log.
     pub call_count: u64,
@@ -29,6 +29,7 @@
     pub accepted_at: Option<Instant>,
 }
 
+/// The call that was started last.
 #[derive(Clone, Copy)]
 pub(crate) struct LastCall {
     pub started_at: Instant,
--- a/crates/etcd-wire/src/frames.rs
+++ b/crates/etcd-wire/src/frames.rs
@@ -1,4 +1,4 @@
-//! gRPC's frames: one byte that tells whether the message is compressed, the message's length in
+//! gRPC's frames: one byte that states whether the message is compressed, the message's length in
 //! four bytes, and the message.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
@@ -79,7 +79,7 @@
         Ok(Some(M::decode(message)?))
     }
 
-    /// Whether part of a message has been received, in which case the stream must not end yet.
+    /// Whether only part of a message has been received. The stream must not end there.
     pub fn is_mid_frame(&self) -> bool {
         !self.buf.is_empty()
     }
--- a/crates/etcd-wire/src/keys.rs
+++ b/crates/etcd-wire/src/keys.rs
@@ -1,9 +1,9 @@
 //! Ranges of keys.
 
 /// The end of the range of all keys that begin with a prefix: the prefix with its last byte
-/// incremented, after removal of trailing 0xff bytes. For a prefix of 0xff bytes alone there is no
-/// such key and the result is empty, which the API takes for a range of one key, the prefix itself.
-/// Such prefixes are not used here.
+/// incremented, after removal of trailing 0xff bytes. A prefix that consists of 0xff bytes alone
+/// has no such end. The result is then empty, which the API interprets as a range with the prefix
+/// itself as its only key. chalkwalk uses no such prefixes.
 pub fn prefix_end(prefix: &[u8]) -> Vec<u8> {
     let mut end = prefix.to_vec();
     while let Some(last) = end.pop() {
--- a/crates/etcd-wire/src/lib.rs
+++ b/crates/etcd-wire/src/lib.rs
@@ -1,10 +1,10 @@
-//! The part of etcd's v3 API that chalkwalk uses: its messages (`proto/etcd.proto`, after the public
-//! API definition), the paths of its calls, and the gRPC frames around messages (after the public
-//! "gRPC over HTTP2" description).
+//! The part of etcd's v3 API that chalkwalk uses: its messages (`proto/etcd.proto`, which follows
+//! the public API definition), the paths of its calls, and the gRPC frames around messages (which
+//! follow the public "gRPC over HTTP2" description).
 //!
-//! The crate depends on prost and bytes. It has no connections, runtime or clock, and does not
-//! know what keys and values mean to chalkwalk: it is the only code that the discovery source and the
-//! testbed's etcd stand-in share.
+//! The crate depends only on prost, bytes and thiserror. It opens no connections, uses no async
+//! runtime and no clock, and does not interpret keys and values. It is the only code that the etcd
+//! source of the endpoint list shares with the testbed's fake etcd.
 
 mod frames;
 mod keys;
@@ -27,7 +27,7 @@
     pub const PUT: &str = "/etcdserverpb.KV/Put";
     /// Deletes a range of keys.
     pub const DELETE_RANGE: &str = "/etcdserverpb.KV/DeleteRange";
-    /// Compares, then reads or writes, in one step.
+    /// Compares, then reads or writes, atomically.
     pub const TXN: &str = "/etcdserverpb.KV/Txn";
     /// Discards the history before a revision.
     pub const COMPACT: &str = "/etcdserverpb.KV/Compact";
@@ -37,7 +37,7 @@
     pub const LEASE_GRANT: &str = "/etcdserverpb.Lease/LeaseGrant";
     /// Revokes a lease, and deletes the keys bound to it.
     pub const LEASE_REVOKE: &str = "/etcdserverpb.Lease/LeaseRevoke";
-    /// Streams renewals of leases.
+    /// Renews leases, with a stream of requests and a stream of responses.
     pub const LEASE_KEEP_ALIVE: &str = "/etcdserverpb.Lease/LeaseKeepAlive";
 }
 
@@ -52,7 +52,7 @@
 pub mod code {
     /// The call succeeded.
     pub const OK: &str = "0";
-    /// The requested revision is compacted, or not reached yet.
+    /// The requested revision has been compacted, or does not exist yet.
     pub const OUT_OF_RANGE: &str = "11";
     /// The server does not know the call.
     pub const UNIMPLEMENTED: &str = "12";
--- a/crates/etcd-wire/tests/frames.rs
+++ b/crates/etcd-wire/tests/frames.rs
@@ -52,8 +52,8 @@
         prop_assert!(!decoder.is_mid_frame());
     }
 
-    /// The decoder decodes or rejects arbitrary bytes. It buffers no more than it received, and does
-    /// not panic.
+    /// The decoder decodes or rejects arbitrary bytes. It buffers no more than it received, and
+    /// does not panic.
     #[test]
     fn arbitrary_bytes_are_decoded_or_rejected(
         random_bytes in proptest::collection::vec(any::<u8>(), 0..400),
--- a/crates/membership/src/endpoint.rs
+++ b/crates/membership/src/endpoint.rs
@@ -26,7 +26,7 @@
     /// Whether the server is in service, draining or gone.
     pub status: EndpointStatus,
     /// When the server's process started (Unix time). This identifies the incarnation; 0 means that
-    /// the start is unknown and long ago.
+    /// the start is unknown, and is taken to be long ago.
     pub started_at: Timestamp,
 }
 
--- a/crates/membership/src/format.rs
+++ b/crates/membership/src/format.rs
@@ -3,8 +3,8 @@
 //!
 //! A value is a JSON object; a file is TOML or JSON with the same fields. Unknown fields are
 //! ignored in values, so that a newer writer does not break older proxies. They are rejected in
-//! files, where they are likely a person's typo. The field names and formats of both are stored
-//! data and must not change.
+//! files, which people edit, because such a field is probably a typo. The field names and formats
+//! of both are stored data and must not change.
 
 mod file;
 mod record;
--- a/crates/membership/src/format/file.rs
+++ b/crates/membership/src/format/file.rs
@@ -63,7 +63,7 @@
 #[derive(Debug)]
 pub struct EndpointFile {
     /// The writer's number for this version of the file, if the writer numbers its versions. A
-    /// lower number than before means that the file is old.
+    /// number below that of an earlier version means that the file is outdated.
     pub serial: Option<u64>,
     /// The entries, in the file's order.
     pub entries: Vec<ListEntry>,
@@ -84,7 +84,7 @@
         message: String,
     },
     /// The required last line is missing.
-    #[error("it does not end with [end]: it may be truncated")]
+    #[error("the file does not end with [end]: it may be truncated")]
     MissingEnd,
     /// The file has an unknown format version.
     #[error("version {0} is not known; this program reads version {VERSION}")]
@@ -239,7 +239,8 @@
     for line in text.lines() {
         let start = end;
         end += line.len() + 1;
-        // Offsets assume that every line ends with a bare newline, as the writers of checksums do.
+        // The offsets assume that every line ends with a bare newline, as in the files of programs
+        // that write checksums.
         let line = text.get(start..end.saturating_sub(1)).unwrap_or("").trim_start();
         if line.starts_with("checksum") || line.starts_with("\"checksum\"") {
             return text.get(end..).or(Some(""));
--- a/crates/membership/src/format/record.rs
+++ b/crates/membership/src/format/record.rs
@@ -5,10 +5,12 @@
 use chalkwalk_time::{TICKS_PER_MILLISECOND, Timestamp};
 use serde::{Deserialize, Serialize};
 
-/// The maximum length of an id. Each id goes into keys, logs and 128 points of the ring.
+/// The maximum length of an id, which is part of keys and log lines and is hashed for each of a
+/// server's 128 points on the ring.
 const MAX_ID_BYTES: usize = 256;
-/// The range of valid weights.
+/// The lowest valid weight.
 const MIN_WEIGHT: f64 = 0.01;
+/// The highest valid weight.
 const MAX_WEIGHT: f64 = 10_000.0;
 /// Internally, weights are stored as hundredths.
 const HUNDREDTHS_PER_WEIGHT_UNIT: f64 = 100.0;
@@ -46,7 +48,7 @@
     pub weight: f64,
     pub state: String,
     /// Unix time in milliseconds at which the server's process started; 0 means that the start is
-    /// unknown and long ago.
+    /// unknown, and is taken to be long ago.
     #[serde(default)]
     pub started_ms: u64,
     /// The server is deliberately back in service although it was drained and has not been
@@ -87,7 +89,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FieldRule {
     /// The address must be an IP address with a port.
-    #[error("addr is an address and a port, not")]
+    #[error("addr must be an IP address and a port, found")]
     Address,
     /// The state must be [`SERVING`] or [`DRAINING`].
     #[error("the state must be serving or draining, found")]
@@ -99,10 +101,10 @@
     #[error("the settings have no kind")]
     Kind,
     /// The start time must be in range.
-    #[error("started_ms is Unix time in milliseconds, not")]
+    #[error("started_ms must be Unix time in milliseconds, found")]
     StartedMs,
     /// The weight must be in range.
-    #[error("weight is a number from 0.01 to 10000, not")]
+    #[error("weight must be a number from 0.01 to 10000, found")]
     Weight,
 }
 
--- a/crates/membership/src/persisted.rs
+++ b/crates/membership/src/persisted.rs
@@ -73,8 +73,8 @@
 }
 
 impl PersistedList {
-    /// Returns how the list may be used at this time. A list written in the future counts as
-    /// expired, because one of the two clocks must be wrong.
+    /// Returns how the list may be used at `now`. A list written in the future counts as expired,
+    /// because the writer's clock or this process's clock must be wrong.
     pub fn freshness(&self, now: Timestamp) -> Freshness {
         match now.checked_since(self.written_at) {
             Some(age) if age <= MAX_FRESH_AGE => Freshness::Fresh,
@@ -98,9 +98,9 @@
     /// Parses a stored text. A missing or altered byte anywhere in it is an error.
     pub fn parse(text: &str, allowed: &AllowedNames) -> Result<PersistedList, PersistedListError> {
         let (header, body) = text.split_once('\n').ok_or(PersistedListError::NoHeader)?;
-        let stated = header.strip_prefix(HEADER).ok_or(PersistedListError::UnknownFormat)?;
+        let stated_checksum = header.strip_prefix(HEADER).ok_or(PersistedListError::UnknownFormat)?;
         let body = body.strip_suffix('\n').ok_or(PersistedListError::Truncated)?;
-        if stated != checksum(body) {
+        if stated_checksum != checksum(body) {
             return Err(PersistedListError::ChecksumMismatch);
         }
         let body: Body = serde_json::from_str(body)?;
--- a/crates/membership/src/reconcile/endpoint_state.rs
+++ b/crates/membership/src/reconcile/endpoint_state.rs
@@ -36,6 +36,7 @@
     out_of_service_start: Option<Timestamp>,
     /// Set while the endpoint is not listed although it was in service.
     pub absence: Option<Absence>,
+    /// When the endpoint's status became gone; zero before that.
     gone_since: Timestamp,
     flap_damper: FlapDamper,
     /// Whether the log event for a drain that is retained has been emitted.
@@ -68,8 +69,8 @@
         self.entry = entry;
     }
 
-    /// Records that the source does not list the endpoint. A list that is being applied may still
-    /// contain it.
+    /// Records that the source does not list the endpoint. Before a list is applied, all endpoints
+    /// are marked like this, and `put` then records those that the list contains.
     pub fn mark_unlisted(&mut self) {
         self.listed = false;
     }
--- a/crates/membership/src/reconcile/flap_damping.rs
+++ b/crates/membership/src/reconcile/flap_damping.rs
@@ -6,7 +6,9 @@
 /// The number of returns within the window that are admitted immediately. Further ones are delayed,
 /// longer each time.
 const MAX_UNDELAYED_RETURNS: u32 = 3;
+/// The time within which returns are counted.
 const WINDOW: Span = Span::from_secs(60);
+/// The delay of the first return above the limit. Each further return doubles it.
 const FIRST_DELAY: Span = Span::from_secs(5);
 /// Limits the delay to 80 s: 5 s, doubled four times.
 const MAX_DOUBLINGS: u32 = 4;
--- a/crates/membership/src/reconcile/history.rs
+++ b/crates/membership/src/reconcile/history.rs
@@ -6,8 +6,8 @@
 
 use chalkwalk_time::{Span, Timestamp};
 
-/// The number of consecutive older lists that are rejected. The next one is accepted: the source
-/// has been restarted, or restored from a backup.
+/// The number of consecutive older lists that are rejected. The next one is accepted, because the
+/// source must have been restarted, or restored from a backup.
 const MAX_REJECTED_LISTS: u32 = 3;
 /// After this time a stale list is trusted like any other. It is longer than a deploy takes.
 const STALE_DURATION: Span = Span::from_secs(60);
@@ -16,12 +16,14 @@
 #[derive(Debug, Default)]
 pub(super) struct SourceHistory {
     revision: u64,
-    /// The highest revision seen in this history.
+    /// The highest revision seen in this history. When a stale list becomes trusted again, it is
+    /// reset to the current revision.
     max_revision: u64,
     consecutive_older_lists: u32,
     /// Since when the source's revisions are below the highest, or belong to another history.
     stale_since: Option<Timestamp>,
-    /// Whether the source has a new history. Then only time ends the staleness; no revision does.
+    /// Whether the list is stale because the source has a new history. This staleness ends only
+    /// after [`STALE_DURATION`]; no revision ends it earlier.
     history_changed: bool,
 }
 
@@ -51,7 +53,8 @@
         rejected
     }
 
-    /// Accepts a list of this revision. Returns whether the state becomes stale by it.
+    /// Accepts a list of this revision. Returns whether the list is stale and the one before was
+    /// not.
     pub fn accept_list(&mut self, now: Timestamp, revision: u64) -> bool {
         self.consecutive_older_lists = 0;
         self.revision = revision;
--- a/crates/membership/src/reconcile/mass_removal.rs
+++ b/crates/membership/src/reconcile/mass_removal.rs
@@ -8,17 +8,18 @@
 /// If more than half of the servers disappear without a drain within this time, the cause is more
 /// likely a fault of the list, or of the leases behind it, than of the servers.
 const WINDOW: Span = Span::from_secs(10);
-/// After this time the removal takes effect all the same. It is long enough for an operator to
-/// investigate or for a source to recover.
+/// How long the missing servers are retained before their removal takes effect. It is long enough
+/// for an operator to investigate or for a source to recover.
 const RETENTION: Span = Span::from_secs(30);
-/// In a smaller fleet the share of missing servers says nothing.
+/// The minimum number of servers for a suspicion. In a smaller fleet, the share of missing servers
+/// does not indicate a fault of the list.
 const MIN_FLEET_SIZE: usize = 3;
 
 /// Records that a server in service is no longer listed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Absence {
     absent_since: Timestamp,
-    /// The server stays in service until then.
+    /// The time until which the server stays in service.
     pub retained_until: Timestamp,
 }
 
@@ -30,8 +31,8 @@
 }
 
 /// Marks servers in service that are no longer listed. They are removed immediately, or retained
-/// while the list is stale or a mass removal is suspected. Returns whether newly absent servers
-/// raise such a suspicion.
+/// while the list is stale or a mass removal is suspected. Returns whether a mass removal is
+/// suspected because of newly absent servers.
 pub(super) fn mark_absent(
     endpoints: &mut BTreeMap<String, EndpointState>,
     now: Timestamp,
--- a/crates/membership/src/reconcile/reconciler.rs
+++ b/crates/membership/src/reconcile/reconciler.rs
@@ -140,13 +140,14 @@
         self.endpoints.values().filter_map(EndpointState::published).cloned().collect()
     }
 
-    /// Ends the list's staleness and forgets endpoints that are gone, once their time is over.
+    /// Ends the list's staleness when it is due, and removes the endpoints that no longer have to
+    /// be remembered.
     fn expire(&mut self, now: Timestamp) {
         self.history.tick(now);
         self.endpoints.retain(|_, endpoint| endpoint.is_remembered(now));
     }
 
-    /// Applies the drains of a rejected list: a drain is valid whichever list it is in.
+    /// Applies the drains of a rejected list, because a drain is valid in an outdated list too.
     fn apply_drains(&mut self, entries: &[ListEntry]) {
         let drained = entries.iter().map(|entry| &entry.endpoint);
         for drained in drained.filter(|endpoint| endpoint.status == EndpointStatus::Draining) {
--- a/crates/membership/src/reconcile/update.rs
+++ b/crates/membership/src/reconcile/update.rs
@@ -37,7 +37,8 @@
     /// Several consecutive lists were older than the current one, so the last of them is accepted
     /// and treated as stale.
     StaleListAccepted,
-    /// A new endpoint was ignored because the maximum number of endpoints is reached.
+    /// A change that lists an endpoint was ignored, because the maximum number of remembered
+    /// endpoints is reached.
     EndpointLimitReached,
     /// Too much of the fleet is missing at once; the missing servers are retained for a while.
     MassRemovalSuspected,
--- a/crates/membership/tests/format.rs
+++ b/crates/membership/tests/format.rs
@@ -57,10 +57,10 @@
         cache 2: b: the settings have no zone "moon"
         cache 2: the id a is already used by an earlier entry
         cache 2: the address 127.0.0.1:1 is already used by an earlier entry
-        cache 1: a: addr is an address and a port, not "nowhere"
+        cache 1: a: addr must be an IP address and a port, found "nowhere"
         cache 2: b: the state must be serving or draining, found "tired"
         line 7: unknown field `staet`, expected one of `id`, `addr`, `zone`, `kind`, `cell`, `weight`, `state`, `started_ms`, `back`
-        it does not end with [end]: it may be truncated
+        the file does not end with [end]: it may be truncated
         checksum mismatch: the file states crc32:00000000, but its content has crc32:9dcfd43f
         cache 1: an id must have 1 to 256 bytes and no control characters
         EOF while parsing an object at line 1 column 35
--- a/crates/membership/tests/reconcile.rs
+++ b/crates/membership/tests/reconcile.rs
@@ -85,7 +85,8 @@
 fn an_old_list_neither_returns_nor_removes_servers() {
     let mut trace = Trace::new(SourceKind::Revisioned);
     trace.list(0, 10, vec![ready("a", 1), draining("b", 1), ready("c", 1), ready("d", 1)]);
-    // The old list is of the time before b's drain and d's start. A new process of b does return.
+    // The old list dates from before b's drain and d's start. A new process of b does return to
+    // service.
     let old = || vec![ready("a", 1), ready("b", 1), ready("c", 1)];
     (1..5).for_each(|i| trace.list(i * SECOND, 4, old()));
     trace.changes(6 * SECOND, vec![put(5, ready("b", 7))]);
@@ -106,8 +107,8 @@
 fn a_new_history_is_stale_at_any_revision_and_drains_of_a_rejected_list_apply() {
     let mut trace = Trace::new(SourceKind::Revisioned);
     trace.list(0, 10, vec![ready("a", 1), draining("b", 1), ready("c", 1), ready("d", 3)]);
-    // The list is rejected as outdated, but its drain of c applies; that of d is of an earlier
-    // process of d, and does not.
+    // The list is rejected as outdated, but its drain of c applies. Its drain of d does not,
+    // because it refers to an earlier process of d.
     trace.list(SECOND, 8, vec![ready("a", 1), ready("b", 1), draining("c", 1), draining("d", 2)]);
     trace.tick(SECOND);
     // The source was restored from a backup, and its revision is already above the known one.
@@ -133,7 +134,7 @@
     trace.list(SECOND, 2, vec![draining("a", 1), draining("b", 0)]);
     trace.list(2 * SECOND, 3, vec![ready("a", 1), ready("b", 0)]);
     trace.list(3 * SECOND, 4, vec![ready("a", 5), ListEntry { reinstated: true, ..ready("b", 0) }]);
-    // The file removes a and lists it again without a drain: this is what its writer intends.
+    // The file removes a and lists it again without a drain in between, so a returns to service.
     trace.list(4 * SECOND, 5, vec![ready("b", 0)]);
     trace.list(5 * SECOND, 6, vec![ready("a", 5), ready("b", 0)]);
     expect![[r#"
@@ -192,7 +193,7 @@
         trace.changes((2 * i + 1) * SECOND, vec![put(10 * i + 1, ready("a", i + 1))]);
     }
     assert_eq!(trace.tick_when_due(), 21 * SECOND);
-    // After being stable for long, the server is treated like any other.
+    // After a long time without a return, the server is treated like any other.
     trace.changes(200 * SECOND, vec![put(100, draining("a", 6))]);
     trace.changes(201 * SECOND, vec![put(101, ready("a", 7))]);
     expect![[r#"
--- a/crates/membership/tests/reconcile_any_order.rs
+++ b/crates/membership/tests/reconcile_any_order.rs
@@ -18,7 +18,7 @@
     Batch(usize),
     /// The current full list, as after a lost connection.
     List,
-    /// The full list of this many revisions ago.
+    /// The full list as of this many revisions ago.
     OldList(u64),
     /// A resumed watch that delivers this many changes again.
     Redelivery(usize),
@@ -50,9 +50,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever the order and batches in which changes, full lists, old lists and redeliveries
-    /// arrive, the result is the source's own list, and a server whose newest known state is a
-    /// drain is never in service.
+    /// In whichever order and batches the changes, full lists, old lists and redeliveries arrive,
+    /// the result is the source's own list, and a server whose newest known state is a drain is
+    /// never in service.
     #[test]
     fn any_order_converges_to_the_source_list_and_never_serves_a_drained_server(
         events in proptest::collection::vec(event(), 1..40),
@@ -101,24 +101,24 @@
         for step in steps {
             let update = match step {
                 Step::Batch(count) => {
-                    let to = (delivered + count).min(changes.len());
-                    let batch = changes[delivered..to].to_vec();
-                    delivered = to;
+                    let batch_end = (delivered + count).min(changes.len());
+                    let batch = changes[delivered..batch_end].to_vec();
+                    delivered = batch_end;
                     reconciler.apply_changes(now, batch)
                 }
                 Step::List => {
                     reconciler.apply_list(now, delivered as u64, list(delivered)).unwrap_or_default()
                 }
                 Step::OldList(revisions_back) => {
-                    let old = delivered.saturating_sub(revisions_back as usize);
-                    let update = reconciler.apply_list(now, old as u64, list(old));
+                    let old_revision = delivered.saturating_sub(revisions_back as usize);
+                    let update = reconciler.apply_list(now, old_revision as u64, list(old_revision));
                     // If the old list is accepted, the source continues from its revision.
-                    delivered = if update.is_ok() { old } else { delivered };
+                    delivered = if update.is_ok() { old_revision } else { delivered };
                     update.unwrap_or_default()
                 }
                 Step::Redelivery(count) => {
-                    let from = delivered.saturating_sub(count);
-                    reconciler.apply_changes(now, changes[from..delivered].to_vec())
+                    let first = delivered.saturating_sub(count);
+                    reconciler.apply_changes(now, changes[first..delivered].to_vec())
                 }
                 Step::Wait(ticks) => {
                     now += Span::from_ticks(ticks);
