--- a/crates/discovery-etcd/src/announcement.rs
+++ b/crates/discovery-etcd/src/announcement.rs
@@ -45,9 +45,9 @@
         smol::future::or(draining, self.keep_alive(connection)).await?;
         if let Some(lease) = self.lease.take() {
             info!(self.engine.log, "own lease revoked"; "key" => &self.key);
-            let revoke = api::LeaseRevokeRequest { id: lease };
+            let revoke_request = api::LeaseRevokeRequest { id: lease };
             // If the call fails, the lease expires by itself.
-            _ = connection.call::<api::LeaseRevokeResponse>(path::LEASE_REVOKE, &revoke).await;
+            _ = connection.call::<api::LeaseRevokeResponse>(path::LEASE_REVOKE, &revoke_request).await;
         }
         Ok(())
     }
@@ -66,8 +66,9 @@
     /// etcd deletes its key, if the process was suspended or etcd was unavailable for too long.
     async fn renew(&self, connection: &Connection) -> Result<bool, SessionError> {
         let Some(lease) = self.lease.get() else { return Ok(false) };
-        let renewal = api::LeaseKeepAliveRequest { id: lease };
-        let response: api::LeaseKeepAliveResponse = connection.call(path::LEASE_KEEP_ALIVE, &renewal).await?;
+        let renewal_request = api::LeaseKeepAliveRequest { id: lease };
+        let response: api::LeaseKeepAliveResponse =
+            connection.call(path::LEASE_KEEP_ALIVE, &renewal_request).await?;
         let renewed = response.ttl > 0;
         if !renewed {
             info!(self.engine.log, "own lease expired"; "key" => &self.key);
@@ -78,18 +79,19 @@
 
     /// Requests a new lease and writes the key bound to it.
     async fn grant(&self, connection: &Connection) -> Result<(), SessionError> {
-        let grant = api::LeaseGrantRequest { ttl: self.lease_s as i64, id: 0 };
-        let granted: api::LeaseGrantResponse = connection.call(path::LEASE_GRANT, &grant).await?;
-        if granted.id == 0 {
-            return Err(SessionError::NoLease { reason: granted.error });
+        let grant_request = api::LeaseGrantRequest { ttl: self.lease_s as i64, id: 0 };
+        let grant_response: api::LeaseGrantResponse =
+            connection.call(path::LEASE_GRANT, &grant_request).await?;
+        if grant_response.id == 0 {
+            return Err(SessionError::NoLease { reason: grant_response.error });
         }
-        let put = api::PutRequest {
+        let put_request = api::PutRequest {
             key: self.key.clone().into(),
             value: encode_proxy(&self.record).into(),
-            lease: granted.id,
+            lease: grant_response.id,
         };
-        let _: api::PutResponse = connection.call(path::PUT, &put).await?;
-        self.lease.set(Some(granted.id));
+        let _: api::PutResponse = connection.call(path::PUT, &put_request).await?;
+        self.lease.set(Some(grant_response.id));
         Ok(())
     }
 }
--- a/crates/discovery-etcd/src/machine/keys.rs
+++ b/crates/discovery-etcd/src/machine/keys.rs
@@ -2,6 +2,7 @@
 
 use chalkwalk_etcd_wire::prefix_end;
 
+/// What follows the prefix in the keys of endpoints and of proxies.
 const ENDPOINT_SUBPREFIX: &[u8] = b"caches/";
 const PROXY_SUBPREFIX: &[u8] = b"proxies/";
 
--- a/crates/discovery-etcd/src/session.rs
+++ b/crates/discovery-etcd/src/session.rs
@@ -38,8 +38,8 @@
     /// it, the process first reads the responses that arrived meanwhile and requests progress
     /// again.
     fn is_silent(&self) -> bool {
-        let silent = self.last_response + SILENCE_TIMEOUT < Instant::now();
-        silent && self.last_progress_request > self.last_response
+        let timed_out = self.last_response + SILENCE_TIMEOUT < Instant::now();
+        timed_out && self.last_progress_request > self.last_response
     }
 }
 
--- a/crates/discovery-etcd/src/source.rs
+++ b/crates/discovery-etcd/src/source.rs
@@ -59,11 +59,11 @@
         };
         self.feed.source_unavailable(&format!("{addr}: {error}"));
         let elapsed = engine.clock.now() - started_at;
-        let next = self.next_attempt(&error, elapsed);
+        let next_attempt = self.next_attempt(&error, elapsed);
         info!(engine.log, "etcd call failed"; "endpoint" => %addr, "fault" => %error,
-            "took_ms" => elapsed.as_millis(), "next" => %self.endpoints[next.endpoint_index],
-            "rest_ms" => next.delay.as_millis());
-        next
+            "took_ms" => elapsed.as_millis(), "next" => %self.endpoints[next_attempt.endpoint_index],
+            "rest_ms" => next_attempt.delay.as_millis());
+        next_attempt
     }
 
     fn next_attempt(&self, error: &SessionError, elapsed: Span) -> ConnectAttempt {
--- a/crates/discovery-feed/src/lib.rs
+++ b/crates/discovery-feed/src/lib.rs
@@ -1,5 +1,5 @@
 //! The common part of the endpoint list sources other than the platform's own discovery. Each of
-//! them reports what it reads to a [`Feed`], which has the reports reconciled, notifies the engine,
+//! them reports what it reads to a [`Feed`], which reconciles the reports, notifies the engine,
 //! logs, persists the list and counts proxies. [`FileSource`] is a source that watches a file.
 //!
 //! This crate may use `engine`, `membership`, smol and slog, but no frontend and no network
--- a/crates/discovery-feed/src/persistence.rs
+++ b/crates/discovery-feed/src/persistence.rs
@@ -94,7 +94,7 @@
     Ok(PersistedList::parse(&text, allowed)?)
 }
 
-/// Replaces the file such that it has either the old or the new content even after a crash of the
+/// Replaces the file so that it has either the old or the new content even after a crash of the
 /// machine: writes a temporary file to the same directory, syncs that file to disk, and renames it.
 fn write_atomically(path: &Path, text: &str) -> std::io::Result<()> {
     let mut temporary_path = path.to_path_buf().into_os_string();
--- a/crates/discovery/src/call.rs
+++ b/crates/discovery/src/call.rs
@@ -115,8 +115,8 @@
     connection: &ReusableConnection,
     target: &str,
 ) -> CallResult {
-    let written = http1::send_get(&stream, address.address(), target).await;
-    written.map_err(CallError::NotWritten)?;
+    let write_result = http1::send_get(&stream, address.address(), target).await;
+    write_result.map_err(CallError::NotWritten)?;
     let mut response = ResponseReader::start(&stream).await.map_err(|_| CallError::NoResponse)?;
     match response.message.status {
         200 => {}
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -50,7 +50,7 @@
     }
 }
 
-/// Why a call for the list is made.
+/// Why a watch of the list is started.
 #[derive(PartialEq)]
 enum CallReason {
     Requested,
@@ -97,9 +97,13 @@
         self.state.call_count += 1;
         let request = self.state.next_request(self.random);
         let call = Call::start(self.address, self.connection, self.state.call_count, request);
-        let last = self.state.last_call.replace(LastCall { started_at: call.started_at, wait: call.wait });
-        let in_time = last.is_none_or(|last| {
-            call_interval_allowed(Span::from(call.started_at - last.started_at), Span::from(last.wait))
+        let last_call =
+            self.state.last_call.replace(LastCall { started_at: call.started_at, wait: call.wait });
+        let in_time = last_call.is_none_or(|last_call| {
+            call_interval_allowed(
+                Span::from(call.started_at - last_call.started_at),
+                Span::from(last_call.wait),
+            )
         });
         self.engine.violations.check(&self.engine.log, (!in_time).then_some(Violation::DiscoveryNotCalled));
         call
@@ -113,9 +117,11 @@
     former_address: bool,
 }
 
+/// What a watch reacts to.
 enum WatchEvent {
     Response(CallResult),
     OlderResponse(CallResult),
+    /// The current call has no response by the time at which it counts as silent.
     Silent,
     AddressChanged,
 }
@@ -275,8 +281,8 @@
     /// Starts another call; the current one becomes the older call. `former_address` states whether
     /// the address of the service has changed since the current one was started.
     fn start_parallel_call(&mut self, former_address: bool) {
-        let next = self.caller.start();
-        let call = std::mem::replace(&mut self.current, next);
+        let new_call = self.caller.start();
+        let call = std::mem::replace(&mut self.current, new_call);
         self.older = Some(OlderCall { call, former_address });
     }
 }
--- a/crates/membership/src/format/file.rs
+++ b/crates/membership/src/format/file.rs
@@ -175,8 +175,8 @@
     })?;
     // A truncated TOML file, such as one that is still being written, is often valid TOML; a
     // truncated JSON file is never valid JSON.
-    let last = text.lines().map(str::trim).rfind(|line| !line.is_empty() && !line.starts_with('#'));
-    if last != Some(END_MARKER) {
+    let last_line = text.lines().map(str::trim).rfind(|line| !line.is_empty() && !line.starts_with('#'));
+    if last_line != Some(END_MARKER) {
         return Err(FileError::MissingEnd);
     }
     Ok(body)
--- a/crates/membership/src/reconcile/endpoint_state.rs
+++ b/crates/membership/src/reconcile/endpoint_state.rs
@@ -119,7 +119,7 @@
     }
 
     /// Determines the status, and returns the endpoint if the engine has to be notified of it,
-    /// because it changed or because all endpoints are published anew.
+    /// because it changed or because all endpoints are published again.
     pub fn publish(
         &mut self,
         now: Timestamp,
--- a/crates/membership/src/reconcile/flap_damping.rs
+++ b/crates/membership/src/reconcile/flap_damping.rs
@@ -44,7 +44,7 @@
     }
 
     /// Cancels a delayed return, because the server is no longer listed as in service. The next
-    /// return is counted anew.
+    /// return is counted as a further one.
     pub fn cancel_delay(&mut self) {
         self.delayed_until = None;
     }
--- a/crates/membership/tests/reconcile_any_order.rs
+++ b/crates/membership/tests/reconcile_any_order.rs
@@ -117,8 +117,8 @@
                     update.unwrap_or_default()
                 }
                 Step::Redelivery(count) => {
-                    let first = delivered.saturating_sub(count);
-                    reconciler.apply_changes(now, changes[first..delivered].to_vec())
+                    let first_redelivered = delivered.saturating_sub(count);
+                    reconciler.apply_changes(now, changes[first_redelivered..delivered].to_vec())
                 }
                 Step::Wait(ticks) => {
                     now += Span::from_ticks(ticks);
@@ -136,15 +136,15 @@
             }
         }
         // Finally everything is delivered, and time passes until nothing is due.
-        let last = changes.len();
-        let mut view = apply(&reconciler.apply_list(now, last as u64, list(last)).unwrap());
+        let last_revision = changes.len();
+        let mut view = apply(&reconciler.apply_list(now, last_revision as u64, list(last_revision)).unwrap());
         for _ in 0..200 {
             let Some(deadline) = reconciler.next_deadline() else { break };
             now = now.max(deadline);
             view = apply(&reconciler.tick(now));
         }
         view.retain(|_, endpoint| endpoint.status != EndpointStatus::Gone);
-        prop_assert_eq!(&view, &states[last]);
+        prop_assert_eq!(&view, &states[last_revision]);
         prop_assert_eq!(reconciler.endpoints(), view.into_values().collect::<Vec<_>>());
     }
 }
