--- a/crates/discovery-etcd/src/source.rs
+++ b/crates/discovery-etcd/src/source.rs
@@ -20,6 +20,7 @@
 pub struct EtcdSource {
     pub(crate) feed: Rc<Feed>,
     endpoints: Vec<SocketAddr>,
+    /// Decides on the requests, for all connections.
     pub(crate) machine: RefCell<Machine>,
     /// This proxy's own key, if the proxies count each other through etcd.
     pub(crate) announcement: Option<Announcement>,
--- a/crates/discovery/src/call.rs
+++ b/crates/discovery/src/call.rs
@@ -64,6 +64,7 @@
 }
 
 impl<'a> Call<'a> {
+    /// Creates a call with this number. It makes progress only while `response` is polled.
     pub fn start(
         address: &'a DiscoveryAddress,
         connection: &'a ReusableConnection,
--- a/crates/discovery/src/list.rs
+++ b/crates/discovery/src/list.rs
@@ -31,6 +31,7 @@
 }
 
 impl ListResponse {
+    /// Parses the body of a response as a JSON object. Its fields are checked when they are used.
     pub fn parse(body: &[u8]) -> Result<ListResponse, ListResponseError> {
         let response = ListResponse { json: serde_json::from_slice(body)? };
         response.fields()?;
--- a/crates/discovery/src/list_state.rs
+++ b/crates/discovery/src/list_state.rs
@@ -28,10 +28,12 @@
 }
 
 impl ListState {
+    /// Creates the state of a proxy whose list has this version; 0 if it has no list.
     pub fn new(version: u64) -> ListState {
         ListState { version, max_version: version, ..ListState::default() }
     }
 
+    /// The version of the list that was last applied; 0 after the address has changed.
     pub fn version(&self) -> u64 {
         self.version
     }
--- a/crates/discovery/src/watch_state.rs
+++ b/crates/discovery/src/watch_state.rs
@@ -38,6 +38,8 @@
 }
 
 impl WatchState {
+    /// Creates the state. `last_known` is the version of the list known at the start, if there is
+    /// one. With `immediate`, no call waits for a change until a response has been accepted.
     pub fn new(last_known: Option<u64>, immediate: bool) -> WatchState {
         WatchState {
             list: ListState::new(last_known.unwrap_or(0)),
@@ -57,6 +59,8 @@
         self.list.reset_for_new_address();
     }
 
+    /// Returns the request of the next call: for the changes since the current version, or for the
+    /// full list.
     pub fn next_request(&self, random: &mut Rng) -> ListRequest {
         // The wait is drawn for a full list too: the order of random draws must stay reproducible
         // for a given seed.
