--- a/crates/discovery-etcd/src/source.rs
+++ b/crates/discovery-etcd/src/source.rs
@@ -20,6 +20,7 @@
 pub struct EtcdSource {
     pub(crate) feed: Rc<Feed>,
     endpoints: Vec<SocketAddr>,
+    /// Decides on the requests, for all connections.
     pub(crate) machine: RefCell<Machine>,
     /// This proxy's own key, if the proxies count each other through etcd.
     pub(crate) announcement: Option<Announcement>,
@@ -27,7 +28,7 @@
 }
 
 impl EtcdSource {
-    /// A source that reads all keys with the prefix. It does not open a connection yet.
+    /// Creates a source that reads all keys with the prefix. It does not open a connection yet.
     pub fn new(
         engine: &Rc<Engine>,
         feed: Rc<Feed>,
@@ -59,11 +60,11 @@
         };
         self.feed.source_unavailable(&format!("{addr}: {error}"));
         let elapsed = engine.clock.now() - started_at;
-        let next = self.next_attempt(&error, elapsed);
+        let next_attempt = self.next_attempt(&error, elapsed);
         info!(engine.log, "etcd call failed"; "endpoint" => %addr, "fault" => %error,
-            "took_ms" => elapsed.as_millis(), "next" => %self.endpoints[next.endpoint_index],
-            "rest_ms" => next.delay.as_millis());
-        next
+            "took_ms" => elapsed.as_millis(), "next" => %self.endpoints[next_attempt.endpoint_index],
+            "rest_ms" => next_attempt.delay.as_millis());
+        next_attempt
     }
 
     fn next_attempt(&self, error: &SessionError, elapsed: Span) -> ConnectAttempt {
