--- a/crates/http-frontend/src/route.rs
+++ b/crates/http-frontend/src/route.rs
@@ -45,8 +45,9 @@
     let responded = async {
         match response.recv().await {
             Ok(response) => Some(Reply::from(response)),
-            // The engine found that the client no longer waits when it was about to write an
-            // attempt. `client_disconnected` reads the same end of connection or data next.
+            // When the engine was about to write an attempt, it found that the client no longer
+            // waits. The `client_disconnected` future then reads the end of the stream or the data
+            // that the engine found.
             Err(_) => std::future::pending().await,
         }
     };
--- a/crates/resp-frontend/src/command/error.rs
+++ b/crates/resp-frontend/src/command/error.rs
@@ -19,7 +19,7 @@
     /// An expiry is zero or negative.
     #[error("ERR invalid expire time in 'set' command")]
     InvalidExpiry,
-    /// An expiry is not a number.
+    /// An expiry is not an integer.
     #[error("ERR value is not an integer or out of range")]
     NotAnInteger,
     /// An option is unknown, given twice, or lacks its value.
@@ -28,7 +28,7 @@
     /// The keys are in several slots, and the command may not be split.
     #[error("CROSSSLOT Keys in request don't hash to the same slot")]
     CrossSlot,
-    /// The keys are in more slots than one command may touch.
+    /// The keys are in more slots than one command may access.
     #[error("ERR the keys are in more than {MAX_SLOTS_PER_COMMAND} slots")]
     TooManySlots,
 }
--- a/crates/resp-frontend/src/connection.rs
+++ b/crates/resp-frontend/src/connection.rs
@@ -37,19 +37,19 @@
 
 async fn accept_connections(frontend: &Rc<Frontend>, listener: &Async<TcpListener>) {
     let engine = &frontend.engine;
-    let mut failing = false;
+    let mut last_accept_failed = false;
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                failing = false;
+                last_accept_failed = false;
                 accept_connection(frontend, stream).await;
             }
             Err(error) => {
                 // Consecutive failures are logged once.
-                if !failing {
+                if !last_accept_failed {
                     warn!(engine.log, "cannot accept"; "fault" => %error);
                 }
-                failing = true;
+                last_accept_failed = true;
                 engine.budget.close_idle();
                 Timer::after(ACCEPT_RETRY_DELAY).await;
             }
--- a/crates/resp-frontend/src/settings.rs
+++ b/crates/resp-frontend/src/settings.rs
@@ -46,9 +46,9 @@
     /// The servers that are polled for the first slot map, and later in rotation with the owners of
     /// slots.
     pub seeds: Vec<SocketAddr>,
-    /// The index of the namespace of reads of keys without a prefix rule.
+    /// The index of the namespace for reads of keys without a prefix rule.
     pub read_namespace: usize,
-    /// The index of the namespace of writes to keys without a prefix rule.
+    /// The index of the namespace for writes to keys without a prefix rule.
     pub write_namespace: usize,
     /// The rules by key prefix. The first rule that matches a key applies.
     pub prefix_rules: Vec<PrefixRule>,
--- a/crates/slot-map/src/lib.rs
+++ b/crates/slot-map/src/lib.rs
@@ -1,5 +1,5 @@
-//! The map from hash slots to servers, and the meaning of a server's error for a request, by the
-//! public cluster specification.
+//! The map from hash slots to servers, and the meaning of a server's error for a request, according
+//! to the public cluster specification.
 //!
 //! This crate uses no sockets, clocks or wire types: nodes are identified by their addresses, and
 //! the caller passes the time. The balancer, not this crate, decides which of the servers that may
--- a/crates/slot-map/tests/migration.rs
+++ b/crates/slot-map/tests/migration.rs
@@ -53,7 +53,8 @@
         self.step += 1;
     }
 
-    /// A server's reply to a request by the specification: an error, or `None` if the command runs.
+    /// A server's reply to a request according to the specification: an error, or `None` if the
+    /// command runs.
     fn answer(&mut self, request: usize, server: usize, asking: bool) -> Option<String> {
         let has_key = self.key_server[request] == server;
         let other = addr(1 - server);
