--- a/crates/http-frontend/src/accept.rs
+++ b/crates/http-frontend/src/accept.rs
@@ -33,8 +33,8 @@
     }
 }
 
-/// Accepts connections until this future is dropped. A connection that waits for its permit is kept in
-/// `awaiting_permit`, so that it is not lost then.
+/// Accepts connections until this future is dropped. A connection that waits for its permit is kept
+/// in `awaiting_permit`, so that it is not lost then.
 async fn accept_forever(
     frontend: &Rc<Frontend>,
     listener: &Async<TcpListener>,
--- a/crates/http-frontend/src/server_response.rs
+++ b/crates/http-frontend/src/server_response.rs
@@ -80,8 +80,9 @@
     complete: bool,
 }
 
-/// Reads a short body whole, and the first bytes of a body that will be streamed. Nothing is sent to the client
-/// before the first byte of the body has arrived, so until then the request can still be retried.
+/// Reads a short body whole, and the first bytes of a body that will be streamed. Nothing is sent
+/// to the client before the first byte of the body has arrived, so until then the request can still
+/// be retried.
 async fn read_body_start(
     reader: &mut ResponseReader,
     stream: &Async<TcpStream>,
--- a/crates/http1/src/request.rs
+++ b/crates/http1/src/request.rs
@@ -20,8 +20,8 @@
 /// Maximum time that a body waits for memory. After it the request is rejected with status 503, so
 /// that the client can retry instead of waiting longer.
 const MEMORY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Interval at which a body that waits for memory tries to reserve it again. It is short compared to the time
-/// that a long body takes to arrive.
+/// Interval at which a body that waits for memory tries to reserve it again. It is short compared
+/// to the time that a long body takes to arrive.
 const MEMORY_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Reads one whole request. `read_ahead` holds the bytes that were read from the stream but belong
--- a/crates/resp-frontend/tests/settings.rs
+++ b/crates/resp-frontend/tests/settings.rs
@@ -1,5 +1,5 @@
-//! The settings determine the namespace of a key, the users that authenticate, and the instance that
-//! serves a slot.
+//! The settings determine the namespace of a key, the users that authenticate, and the instance
+//! that serves a slot.
 
 use chalkwalk_resp_frontend::{PrefixRule, ProxyNode, Settings, User, hash_secret};
 use chalkwalk_slot_map::SlotRange;
--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -1,7 +1,7 @@
-//! Encoding and decoding of RESP2 and RESP3 according to the public protocol specification, and hash
-//! slots according to the public cluster specification. Decoding is incremental: the caller passes
-//! the bytes received so far, and a complete message is returned as ranges of these bytes, without a
-//! copy.
+//! Encoding and decoding of RESP2 and RESP3 according to the public protocol specification, and
+//! hash slots according to the public cluster specification. Decoding is incremental: the caller
+//! passes the bytes received so far, and a complete message is returned as ranges of these bytes,
+//! without a copy.
 //!
 //! This crate does no I/O, reads no clock, and does not interpret commands.
 
--- a/crates/slot-map/src/refresh.rs
+++ b/crates/slot-map/src/refresh.rs
@@ -8,8 +8,8 @@
 /// cluster and still runs causes neither. Polls have to detect its removal within the time limit
 /// for membership changes, even if two nodes that hang are polled first and take a second each.
 const REFRESH_INTERVAL: Span = Span::from_secs(3);
-/// Minimum time between two polls after a redirection or a failed attempt. A rebalance redirects thousands
-/// of requests, and one view of the cluster covers them all.
+/// Minimum time between two polls after a redirection or a failed attempt. A rebalance redirects
+/// thousands of requests, and one view of the cluster covers them all.
 const MIN_REFRESH_INTERVAL: Span = Span::from_millis(250);
 /// Delay after the first failed poll. It doubles with each further failure, up to eight times this
 /// delay.
