--- a/crates/resp-frontend/src/settings.rs
+++ b/crates/resp-frontend/src/settings.rs
@@ -46,9 +46,9 @@
     /// The servers that are polled for the first slot map, and later in rotation with the owners of
     /// slots.
     pub seeds: Vec<SocketAddr>,
-    /// The index of the namespace of reads of keys without a prefix rule.
+    /// The index of the namespace for reads of keys without a prefix rule.
     pub read_namespace: usize,
-    /// The index of the namespace of writes to keys without a prefix rule.
+    /// The index of the namespace for writes to keys without a prefix rule.
     pub write_namespace: usize,
     /// The rules by key prefix. The first rule that matches a key applies.
     pub prefix_rules: Vec<PrefixRule>,
@@ -95,8 +95,8 @@
     /// The instance that serves a slot: this one if it serves the slot, else the first one that
     /// does.
     pub fn instance_of(&self, slot: u16) -> Option<&ProxyNode> {
-        let mut answering = self.instances.iter().filter(|instance| instance.slots.contains(slot));
-        let own = answering.clone().find(|instance| instance.addr == self.listen_addr);
-        own.or_else(|| answering.next())
+        let mut serving = self.instances.iter().filter(|instance| instance.slots.contains(slot));
+        let own = serving.clone().find(|instance| instance.addr == self.listen_addr);
+        own.or_else(|| serving.next())
     }
 }
