--- a/crates/discovery/src/timing.rs
+++ b/crates/discovery/src/timing.rs
@@ -2,10 +2,11 @@
 //! no clock, and the random generator is passed in. The notification deadline to which these times
 //! add up, and the backoff after failed calls, are defined in `chalkwalk_balancer::discovery`.
 //!
-//! A change that a silent call fails to deliver counts as notified at the earliest 6 s after the
-//! start of the call, or 2 s after the end of its wait if that is later. A watch therefore waits
-//! for at most 5.5 s, so that the parallel call to a silent one is started by the earlier of the
-//! two times.
+//! A change that a silent call fails to deliver counts as notified at the latest 6 s after the call
+//! fell silent, or 2 s after the end of its wait if that is later. A call can fall silent at any
+//! moment from its start on, so the earliest time at which the 6 s can end is 6 s after the start
+//! of the call. A watch therefore waits for at most 5.5 s, so that the parallel call to a silent
+//! one is started by then.
 
 use chalkwalk_balancer::discovery::{MAX_WATCH_WAIT, POLL_SILENCE_TIMEOUT, WATCH_SILENCE_TIMEOUT};
 use std::time::Duration;
